--- a/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
@@ -12,17 +12,21 @@
 import java.util.stream.StreamSupport;
 
 /**
- * How queries of played days ended. With reports of the bench ({@code --json FILE}) as arguments it prints a table with a row
- * for each; with {@code --ids} and a folder of logs written with {@code --log-scans} it lists, by id, queries without an end,
- * answered after their time, or with an attempt that began after their client had left.
+ * How queries of played days ended. With reports of the bench ({@code --json FILE}) as arguments it
+ * prints a table with a row for each; with {@code --ids} and a folder of logs written with {@code
+ * --log-scans} it lists, by id, queries without an end, answered after their time, or with an
+ * attempt that began after their client had left.
  */
 public final class DayEndings {
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** An attempt that begins so long after its client's close is a break of the rules from the third on. */
+
+    /**
+     * An attempt that begins so long after its client's close is a break of the rules from the
+     * third on.
+     */
     private static final double GONE_MS = 100;
 
-    private DayEndings() {
-    }
+    private DayEndings() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 2 && args[0].equals("--ids")) {
@@ -30,14 +34,16 @@
         } else if (args.length > 0 && !args[0].startsWith("--")) {
             table(args);
         } else {
-            System.err.println("day-endings: needs reports of the bench (--json FILE of a play), or --ids and a folder of logs");
+            System.err.println(
+                    "day-endings: needs reports of the bench (--json FILE of a play), or --ids and a folder of logs");
             System.exit(2);
         }
     }
 
     private static void table(String[] reports) throws IOException {
-        System.out.println("| site, day, gatherers, seed | score | served | refused, worst 5 s | late, worst 5 s | "
-                + "without an answer when the client went or its time was over | broken |");
+        System.out.println(
+                "| site, day, gatherers, seed | score | served | refused, worst 5 s | late, worst 5 s | "
+                        + "without an answer when the client went or its time was over | broken |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (String report : reports) {
             System.out.println(row(JSON.readTree(Path.of(report).toFile())));
@@ -46,14 +52,27 @@
 
     private static String row(JsonNode day) {
         JsonNode of = day.path("row");
-        String broken = of.path("rules").properties().stream().filter(rule -> rule.getValue().asInt() > 0)
-                .map(rule -> rule.getKey() + " " + rule.getValue()).collect(Collectors.joining(", "));
+        String broken =
+                of.path("rules").properties().stream()
+                        .filter(rule -> rule.getValue().asInt() > 0)
+                        .map(rule -> rule.getKey() + " " + rule.getValue())
+                        .collect(Collectors.joining(", "));
         String fault = day.path("fault").asText("");
-        return String.format(Locale.ROOT, "| %s, %s, %d, %d | %.2f | %.3f | %.1f%% | %.1f%% | %d | %s |",
-                day.path("site").asText(), day.path("name").asText(), of.path("nodes").asInt(), of.path("seed").asLong(),
-                of.path("score").asDouble(), of.path("served").asDouble(), worst(day, "refused"), worst(day, "late"),
+        return String.format(
+                Locale.ROOT,
+                "| %s, %s, %d, %d | %.2f | %.3f | %.1f%% | %.1f%% | %d | %s |",
+                day.path("site").asText(),
+                day.path("name").asText(),
+                of.path("nodes").asInt(),
+                of.path("seed").asLong(),
+                of.path("score").asDouble(),
+                of.path("served").asDouble(),
+                worst(day, "refused"),
+                worst(day, "late"),
                 windows(day).stream().mapToInt(window -> window.path("timed_out").asInt()).sum(),
-                fault.isEmpty() || fault.equals("null") ? broken.isEmpty() ? "none" : broken : fault);
+                fault.isEmpty() || fault.equals("null")
+                        ? broken.isEmpty() ? "none" : broken
+                        : fault);
     }
 
     private static List<JsonNode> windows(JsonNode day) {
@@ -62,14 +81,22 @@
 
     private static double worst(JsonNode day, String field) {
         return windows(day).stream()
-                .mapToDouble(window -> 100.0 * window.path(field).asInt() / Math.max(1, window.path("offered").asInt()))
-                .max().orElse(0);
+                .mapToDouble(
+                        window ->
+                                100.0
+                                        * window.path(field).asInt()
+                                        / Math.max(1, window.path("offered").asInt()))
+                .max()
+                .orElse(0);
     }
 
     private static void list(Path logs) throws IOException {
         List<ScanLogs.Line> lines = ScanLogs.read(logs);
         if (lines.isEmpty()) {
-            System.err.println("day-endings: no line about a query in " + logs + ": were the gatherers run with --log-scans?");
+            System.err.println(
+                    "day-endings: no line about a query in "
+                            + logs
+                            + ": were the gatherers run with --log-scans?");
             System.exit(1);
         }
         Map<String, ScanLogs.Line> open = new HashMap<>();
@@ -104,7 +131,14 @@
     }
 
     private static void print(ScanLogs.Line line, String what, double byMs) {
-        System.out.printf(Locale.ROOT, "%8.3f s  %-18s %-5s %-16s %s%s%n", line.atS(), line.text("scan"), line.gatherer(),
-                line.text("table_type"), what, byMs > 0 ? String.format(Locale.ROOT, ", by %.0f ms", byMs) : "");
+        System.out.printf(
+                Locale.ROOT,
+                "%8.3f s  %-18s %-5s %-16s %s%s%n",
+                line.atS(),
+                line.text("scan"),
+                line.gatherer(),
+                line.text("table_type"),
+                what,
+                byMs > 0 ? String.format(Locale.ROOT, ", by %.0f ms", byMs) : "");
     }
 }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
@@ -24,61 +24,91 @@
 import sprucehold.port.TableType;
 
 /**
- * What decisions cost: processor time and allocation a query, by its parts, by listed shard servers, and by other queries that are
- * open. Every attempt completes at once, one event a call, on one thread. For each series the growth is the slope of a line through
- * the logarithms, by least squares, with its standard error. Arguments: {@code --quick} for smaller sizes, {@code --csv FILE} for
- * the raw results.
+ * What decisions cost: processor time and allocation a query, by its parts, by listed shard
+ * servers, and by other queries that are open. Every attempt completes at once, one event a call,
+ * on one thread. For each series the growth is the slope of a line through the logarithms, by least
+ * squares, with its standard error. Arguments: {@code --quick} for smaller sizes, {@code --csv
+ * FILE} for the raw results.
  */
 public final class DecisionCost {
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-    /** Each size is measured for so long at least, and for so many queries, after as long a time of warming up. */
+
+    /**
+     * Each size is measured for so long at least, and for so many queries, after as long a time of
+     * warming up.
+     */
     private static final long MEASURE_MS = 1500;
+
     private static final int LEAST_QUERIES = 5;
     private static final int TARGET_MS = 1000;
+
     /** Time between queries, so that timers of past ones run out as in service. */
     private static final double GAP_MS = 20;
+
     private static final TableType ASKED =
             new TableType("asked", TableType.Repeat.REPLAYABLE, TARGET_MS, 1, 0.1, 0, 1, 1, 0);
+
     /** Of queries that stay open: their timers never run out. */
-    private static final TableType OPEN = new TableType("open", TableType.Repeat.REPLAYABLE, 1e12, 1, 0.1, 0, 1, 1, 0);
+    private static final TableType OPEN =
+            new TableType("open", TableType.Repeat.REPLAYABLE, 1e12, 1, 0.1, 0, 1, 1, 0);
+
     private static final int PARTS_OF_AN_OPEN_QUERY = 4;
 
     /** One measured size. */
-    private record Size(int parts, int servers, int open) {
-    }
+    private record Size(int parts, int servers, int open) {}
 
     /** What a query of a size costs. */
-    private record Cost(Size size, int queries, double cpuUs, double takeUs, double allocatedKb) {
-    }
+    private record Cost(Size size, int queries, double cpuUs, double takeUs, double allocatedKb) {}
 
     private final Gatherer decisions;
     private double now = 1_000_000;
     private long queries;
 
     private DecisionCost(Size size) {
-        // Two servers hold each segment; there are at least as many cells as parts, so that each part has servers of its own.
+        // Two servers hold each segment; there are at least as many cells as parts, so that each
+        // part has servers of its own.
         int cells = size.servers / 2;
-        var facts = new Deployment(1, "z", 5, 0.2, List.of(ASKED, OPEN), List.of(), new Deployment.Layout(cells, 1, 1),
-                new Deployment.Limits(3, Integer.MAX_VALUE, true, true, 500), new Deployment.ColdRule(0.2, 10_000, 2, 1000),
-                Deployment.DispatchBudget.NONE, new Deployment.ListAccess(false, 10_000));
+        var facts =
+                new Deployment(
+                        1,
+                        "z",
+                        5,
+                        0.2,
+                        List.of(ASKED, OPEN),
+                        List.of(),
+                        new Deployment.Layout(cells, 1, 1),
+                        new Deployment.Limits(3, Integer.MAX_VALUE, true, true, 500),
+                        new Deployment.ColdRule(0.2, 10_000, 2, 1000),
+                        Deployment.DispatchBudget.NONE,
+                        new Deployment.ListAccess(false, 10_000));
         decisions = new Brain(1, facts);
         var listed = new ArrayList<Listing>();
         for (int server = 0; server < size.servers; server++) {
-            listed.add(new Listing(String.format(Locale.ROOT, "s-%05d", server), server % cells, "z", 0, Listing.Mode.RUNNING));
+            listed.add(
+                    new Listing(
+                            String.format(Locale.ROOT, "s-%05d", server),
+                            server % cells,
+                            "z",
+                            0,
+                            Listing.Mode.RUNNING));
         }
         decisions.decide(now, List.of(new Event.ListReceived(true, listed)));
         for (int i = 0; i < size.open; i++) {
             int first = i * PARTS_OF_AN_OPEN_QUERY;
-            decisions.decide(now, taken(OPEN, PARTS_OF_AN_OPEN_QUERY, part -> (first + part) % cells, 1e13));
+            decisions.decide(
+                    now, taken(OPEN, PARTS_OF_AN_OPEN_QUERY, part -> (first + part) % cells, 1e13));
         }
     }
 
-    private List<Event> taken(TableType type, int parts, IntFunction<Integer> segment, double timeLeftMs) {
+    private List<Event> taken(
+            TableType type, int parts, IntFunction<Integer> segment, double timeLeftMs) {
         long number = ++queries;
         var events = new ArrayList<Event>(parts + 1);
         events.add(new Event.ScanTaken("q" + number, number, type, null, timeLeftMs));
         for (int part = 0; part < parts; part++) {
-            events.add(new Event.PartTaken("q" + number + "." + part, number, segment.apply(part), 1.0 / parts));
+            events.add(
+                    new Event.PartTaken(
+                            "q" + number + "." + part, number, segment.apply(part), 1.0 / parts));
         }
         return events;
     }
@@ -97,7 +127,10 @@
             answered |= collect(decisions.decide(now, List.of(ended)), out);
         }
         if (!answered) {
-            throw new IllegalStateException("a query of " + parts + " parts was not answered whole: the measurement says nothing");
+            throw new IllegalStateException(
+                    "a query of "
+                            + parts
+                            + " parts was not answered whole: the measurement says nothing");
         }
         return took;
     }
@@ -126,35 +159,81 @@
         long began = THREADS.getCurrentThreadCpuTime();
         long taking = 0;
         int done = 0;
-        while (done < LEAST_QUERIES || THREADS.getCurrentThreadCpuTime() - began < measureMs * 1_000_000) {
+        while (done < LEAST_QUERIES
+                || THREADS.getCurrentThreadCpuTime() - began < measureMs * 1_000_000) {
             taking += query(parts);
             done++;
         }
         double cpuUs = (THREADS.getCurrentThreadCpuTime() - began) / 1e3 / done;
-        return new Cost(null, done, cpuUs, taking / 1e3 / done, (THREADS.getThreadAllocatedBytes(thread) - allocated) / 1024.0 / done);
+        return new Cost(
+                null,
+                done,
+                cpuUs,
+                taking / 1e3 / done,
+                (THREADS.getThreadAllocatedBytes(thread) - allocated) / 1024.0 / done);
     }
 
-    private static List<Cost> series(String name, List<Size> sizes, List<String> csv, long measureMs) {
-        System.out.printf(Locale.ROOT, "%nby %s%n%10s %10s %10s %12s %12s %14s%n", name, "parts", "servers", "open", "us a query",
-                "us to take", "KiB allocated");
+    private static List<Cost> series(
+            String name, List<Size> sizes, List<String> csv, long measureMs) {
+        System.out.printf(
+                Locale.ROOT,
+                "%nby %s%n%10s %10s %10s %12s %12s %14s%n",
+                name,
+                "parts",
+                "servers",
+                "open",
+                "us a query",
+                "us to take",
+                "KiB allocated");
         var costs = new ArrayList<Cost>();
         for (Size size : sizes) {
             Cost cost = measure(size, measureMs);
             costs.add(new Cost(size, cost.queries, cost.cpuUs, cost.takeUs, cost.allocatedKb));
-            System.out.printf(Locale.ROOT, "%10d %10d %10d %12.0f %12.0f %14.0f%n", size.parts, size.servers, size.open, cost.cpuUs,
-                    cost.takeUs, cost.allocatedKb);
-            csv.add(String.format(Locale.ROOT, "%s,%d,%d,%d,%d,%.1f,%.1f,%.1f", name, size.parts, size.servers, size.open, cost.queries,
-                    cost.cpuUs, cost.takeUs, cost.allocatedKb));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%10d %10d %10d %12.0f %12.0f %14.0f%n",
+                    size.parts,
+                    size.servers,
+                    size.open,
+                    cost.cpuUs,
+                    cost.takeUs,
+                    cost.allocatedKb);
+            csv.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%s,%d,%d,%d,%d,%.1f,%.1f,%.1f",
+                            name,
+                            size.parts,
+                            size.servers,
+                            size.open,
+                            cost.queries,
+                            cost.cpuUs,
+                            cost.takeUs,
+                            cost.allocatedKb));
         }
         return costs;
     }
 
     /** The power of a size by which a cost grows: 1 is linear, 2 the square. */
-    private static void growth(String what, List<Cost> costs, ToDoubleFunction<Cost> size, ToDoubleFunction<Cost> cost) {
+    private static void growth(
+            String what,
+            List<Cost> costs,
+            ToDoubleFunction<Cost> size,
+            ToDoubleFunction<Cost> cost) {
         var line = new SimpleRegression();
-        costs.forEach(one -> line.addData(Math.log(size.applyAsDouble(one)), Math.log(cost.applyAsDouble(one))));
-        System.out.printf(Locale.ROOT, "%s grows by the power %.2f, standard error %.2f, r2 %.3f, %d sizes%n", what, line.getSlope(),
-                line.getSlopeStdErr(), line.getRSquare(), costs.size());
+        costs.forEach(
+                one ->
+                        line.addData(
+                                Math.log(size.applyAsDouble(one)),
+                                Math.log(cost.applyAsDouble(one))));
+        System.out.printf(
+                Locale.ROOT,
+                "%s grows by the power %.2f, standard error %.2f, r2 %.3f, %d sizes%n",
+                what,
+                line.getSlope(),
+                line.getSlopeStdErr(),
+                line.getRSquare(),
+                costs.size());
     }
 
     private static void run(boolean quick, Path csvFile) throws IOException {
@@ -164,15 +243,36 @@
         measure(new Size(100, servers, 0), 2 * measureMs);
         var csv = new ArrayList<String>();
         csv.add("series,parts,servers,open,queries,us_a_query,us_to_take,kib_allocated");
-        int[] parts = quick ? new int[] {10, 30, 100, 300} : new int[] {10, 30, 100, 300, 1000, 1900};
-        List<Cost> byParts = series("parts", IntStream.of(parts).mapToObj(n -> new Size(n, servers, 0)).toList(), csv, measureMs);
+        int[] parts =
+                quick ? new int[] {10, 30, 100, 300} : new int[] {10, 30, 100, 300, 1000, 1900};
+        List<Cost> byParts =
+                series(
+                        "parts",
+                        IntStream.of(parts).mapToObj(n -> new Size(n, servers, 0)).toList(),
+                        csv,
+                        measureMs);
         growth("a query's cost", byParts, cost -> cost.size.parts, Cost::cpuUs);
-        growth("a part's cost", byParts, cost -> cost.size.parts, cost -> cost.cpuUs / cost.size.parts);
-        int[] listed = quick ? new int[] {200, 500, 1000, 2000} : new int[] {200, 500, 1000, 2000, 4100};
-        List<Cost> byServers = series("servers", IntStream.of(listed).mapToObj(n -> new Size(100, n, 0)).toList(), csv, measureMs);
+        growth(
+                "a part's cost",
+                byParts,
+                cost -> cost.size.parts,
+                cost -> cost.cpuUs / cost.size.parts);
+        int[] listed =
+                quick ? new int[] {200, 500, 1000, 2000} : new int[] {200, 500, 1000, 2000, 4100};
+        List<Cost> byServers =
+                series(
+                        "servers",
+                        IntStream.of(listed).mapToObj(n -> new Size(100, n, 0)).toList(),
+                        csv,
+                        measureMs);
         growth("a query's cost", byServers, cost -> cost.size.servers, Cost::cpuUs);
         int[] open = {10, 30, 100, 300, 1000};
-        List<Cost> byOpen = series("open queries", IntStream.of(open).mapToObj(n -> new Size(30, servers, n)).toList(), csv, measureMs);
+        List<Cost> byOpen =
+                series(
+                        "open queries",
+                        IntStream.of(open).mapToObj(n -> new Size(30, servers, n)).toList(),
+                        csv,
+                        measureMs);
         growth("a query's cost", byOpen, cost -> cost.size.open, Cost::cpuUs);
         if (csvFile != null) {
             Files.write(csvFile, csv);
@@ -188,7 +288,10 @@
             } else if (args[i].equals("--csv") && i + 1 < args.length) {
                 csv = Path.of(args[++i]);
             } else {
-                System.err.println("decision-cost: " + args[i] + " is unexpected; --quick and --csv FILE are known");
+                System.err.println(
+                        "decision-cost: "
+                                + args[i]
+                                + " is unexpected; --quick and --csv FILE are known");
                 System.exit(2);
             }
         }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
@@ -16,26 +16,28 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads the logs of all gatherers of one day, written with {@code --log-scans}, and prints where service was lost: by
- * table type, third of the day, gatherer and cause. With a scan's id, prints its lines from all logs instead. Arguments:
- * the folder of the logs, then perhaps an id.
+ * Reads the logs of all gatherers of one day, written with {@code --log-scans}, and prints where
+ * service was lost: by table type, third of the day, gatherer and cause. With a scan's id, prints
+ * its lines from all logs instead. Arguments: the folder of the logs, then perhaps an id.
  */
 public final class MassDay {
     /** How one scan ended at one gatherer. */
-    private record Ended(double takenS, String gatherer, String tableType, String cause) {
-    }
+    private record Ended(double takenS, String gatherer, String tableType, String cause) {}
 
-    private MassDay() {
-    }
+    private MassDay() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 0) {
-            System.err.println("mass-day: needs the folder of the logs, and perhaps the id of a scan");
+            System.err.println(
+                    "mass-day: needs the folder of the logs, and perhaps the id of a scan");
             System.exit(2);
         }
         List<ScanLogs.Line> lines = ScanLogs.read(Path.of(args[0]));
         if (lines.isEmpty()) {
-            System.err.println("mass-day: no line about a scan in " + args[0] + ": were the gatherers run with --log-scans?");
+            System.err.println(
+                    "mass-day: no line about a scan in "
+                            + args[0]
+                            + ": were the gatherers run with --log-scans?");
             System.exit(1);
         } else if (args.length > 1) {
             follow(lines, args[1]);
@@ -45,16 +47,31 @@
     }
 
     private static void follow(List<ScanLogs.Line> lines, String id) {
-        List<ScanLogs.Line> its = lines.stream().filter(line -> line.text("scan").equals(id)).toList();
+        List<ScanLogs.Line> its =
+                lines.stream().filter(line -> line.text("scan").equals(id)).toList();
         if (its.isEmpty()) {
             System.out.println("no gatherer's log names scan " + id);
         }
         for (ScanLogs.Line line : its) {
             var rest = new StringBuilder();
             line.fields().properties().stream()
-                    .filter(field -> !Set.of("time", "level", "logger", "text", "scan").contains(field.getKey()))
-                    .forEach(field -> rest.append(' ').append(field.getKey()).append('=').append(field.getValue().asText()));
-            System.out.printf(Locale.ROOT, "%8.3f %-5s %s:%s%n", line.atS(), line.gatherer(), line.text("text"), rest);
+                    .filter(
+                            field ->
+                                    !Set.of("time", "level", "logger", "text", "scan")
+                                            .contains(field.getKey()))
+                    .forEach(
+                            field ->
+                                    rest.append(' ')
+                                            .append(field.getKey())
+                                            .append('=')
+                                            .append(field.getValue().asText()));
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8.3f %-5s %s:%s%n",
+                    line.atS(),
+                    line.gatherer(),
+                    line.text("text"),
+                    rest);
         }
     }
 
@@ -72,7 +89,14 @@
                 ended.add(of(open.remove(key), line.text("outcome") + " " + line.text("reason")));
             }
         }
-        open.forEach((key, taken) -> ended.add(of(taken, left.contains(key) ? "client left" : "no end: gatherer ended")));
+        open.forEach(
+                (key, taken) ->
+                        ended.add(
+                                of(
+                                        taken,
+                                        left.contains(key)
+                                                ? "client left"
+                                                : "no end: gatherer ended")));
         return ended;
     }
 
@@ -83,14 +107,31 @@
     private static void print(List<ScanLogs.Line> lines) {
         List<Ended> scans = ended(lines);
         double from = scans.stream().mapToDouble(Ended::takenS).min().orElse(0);
-        double third = Math.max(1e-9, (scans.stream().mapToDouble(Ended::takenS).max().orElse(0) - from) / 3);
-        Function<Ended, String> byThird = scan -> String.format(Locale.ROOT, "from %.1f s",
-                from + third * Math.min(2, Math.floor((scan.takenS - from) / third)));
-        System.out.println(scans.size() + " scans taken by " + lines.stream().map(ScanLogs.Line::gatherer).distinct().count()
-                + " gatherers that logged any");
+        double third =
+                Math.max(
+                        1e-9,
+                        (scans.stream().mapToDouble(Ended::takenS).max().orElse(0) - from) / 3);
+        Function<Ended, String> byThird =
+                scan ->
+                        String.format(
+                                Locale.ROOT,
+                                "from %.1f s",
+                                from
+                                        + third
+                                                * Math.min(
+                                                        2,
+                                                        Math.floor((scan.takenS - from) / third)));
+        System.out.println(
+                scans.size()
+                        + " scans taken by "
+                        + lines.stream().map(ScanLogs.Line::gatherer).distinct().count()
+                        + " gatherers that logged any");
         table("cause by table type", scans, Ended::tableType, scan -> true);
         table("cause by third of the day", scans, byThird, scan -> true);
-        table("what was not completed, by gatherer (the ten that lost most)", worst(scans), Ended::gatherer,
+        table(
+                "what was not completed, by gatherer (the ten that lost most)",
+                worst(scans),
+                Ended::gatherer,
                 scan -> !completed(scan));
         dispatches(lines, from, third);
     }
@@ -100,54 +141,138 @@
     }
 
     private static List<Ended> worst(List<Ended> scans) {
-        Map<String, Long> lost = scans.stream().filter(scan -> !completed(scan))
-                .collect(Collectors.groupingBy(Ended::gatherer, Collectors.counting()));
-        Set<String> ten = lost.entrySet().stream().sorted(Map.Entry.<String, Long>comparingByValue().reversed()).limit(10)
-                .map(Map.Entry::getKey).collect(Collectors.toSet());
+        Map<String, Long> lost =
+                scans.stream()
+                        .filter(scan -> !completed(scan))
+                        .collect(Collectors.groupingBy(Ended::gatherer, Collectors.counting()));
+        Set<String> ten =
+                lost.entrySet().stream()
+                        .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
+                        .limit(10)
+                        .map(Map.Entry::getKey)
+                        .collect(Collectors.toSet());
         return scans.stream().filter(scan -> ten.contains(scan.gatherer)).toList();
     }
 
-    private static void table(String title, List<Ended> scans, Function<Ended, String> column, Predicate<Ended> counted) {
-        Map<String, Map<String, Long>> cells = scans.stream().filter(counted).collect(Collectors.groupingBy(Ended::cause,
-                TreeMap::new, Collectors.groupingBy(column, Collectors.counting())));
-        List<String> columns = scans.stream().map(column).distinct().sorted(Comparator.comparing(String::length)
-                .thenComparing(Comparator.naturalOrder())).toList();
+    private static void table(
+            String title,
+            List<Ended> scans,
+            Function<Ended, String> column,
+            Predicate<Ended> counted) {
+        Map<String, Map<String, Long>> cells =
+                scans.stream()
+                        .filter(counted)
+                        .collect(
+                                Collectors.groupingBy(
+                                        Ended::cause,
+                                        TreeMap::new,
+                                        Collectors.groupingBy(column, Collectors.counting())));
+        List<String> columns =
+                scans.stream()
+                        .map(column)
+                        .distinct()
+                        .sorted(
+                                Comparator.comparing(String::length)
+                                        .thenComparing(Comparator.naturalOrder()))
+                        .toList();
         print(title, cells, columns);
     }
 
     /** How dispatches ended, by third, and the servers at which most failed. */
     private static void dispatches(List<ScanLogs.Line> lines, double from, double third) {
-        List<ScanLogs.Line> ended = lines.stream().filter(line -> line.says("a dispatch has ended")).toList();
-        Map<String, Map<String, Long>> cells = ended.stream().collect(Collectors.groupingBy(line -> line.text("outcome"),
-                TreeMap::new, Collectors.groupingBy(line -> String.format(Locale.ROOT, "from %.1f s",
-                        from + third * Math.max(0, Math.min(2, Math.floor((line.atS() - from) / third)))), Collectors.counting())));
-        print("dispatches by how they ended", cells, cells.values().stream().flatMap(row -> row.keySet().stream()).distinct()
-                .sorted(Comparator.comparing(String::length).thenComparing(Comparator.naturalOrder())).toList());
-        Map<String, Long> sent = ended.stream().collect(Collectors.groupingBy(line -> line.text("server"),
-                Collectors.counting()));
+        List<ScanLogs.Line> ended =
+                lines.stream().filter(line -> line.says("a dispatch has ended")).toList();
+        Map<String, Map<String, Long>> cells =
+                ended.stream()
+                        .collect(
+                                Collectors.groupingBy(
+                                        line -> line.text("outcome"),
+                                        TreeMap::new,
+                                        Collectors.groupingBy(
+                                                line ->
+                                                        String.format(
+                                                                Locale.ROOT,
+                                                                "from %.1f s",
+                                                                from
+                                                                        + third
+                                                                                * Math.max(
+                                                                                        0,
+                                                                                        Math.min(
+                                                                                                2,
+                                                                                                Math
+                                                                                                        .floor(
+                                                                                                                (line
+                                                                                                                                        .atS()
+                                                                                                                                - from)
+                                                                                                                        / third)))),
+                                                Collectors.counting())));
+        print(
+                "dispatches by how they ended",
+                cells,
+                cells.values().stream()
+                        .flatMap(row -> row.keySet().stream())
+                        .distinct()
+                        .sorted(
+                                Comparator.comparing(String::length)
+                                        .thenComparing(Comparator.naturalOrder()))
+                        .toList());
+        Map<String, Long> sent =
+                ended.stream()
+                        .collect(
+                                Collectors.groupingBy(
+                                        line -> line.text("server"), Collectors.counting()));
         double mean = sent.values().stream().mapToLong(count -> count).average().orElse(0);
-        long pairs = ended.stream().map(line -> line.gatherer() + " " + line.text("server")).distinct().count();
-        System.out.printf(Locale.ROOT, "%n%d servers were sent to by %d pairs of gatherer and server; dispatches a server: "
-                + "mean %.1f, most %d%n", sent.size(), pairs, mean, sent.values().stream().mapToLong(c -> c).max().orElse(0));
-        Map<String, Long> failed = ended.stream()
-                .filter(line -> !line.text("outcome").startsWith("completed") && !line.text("outcome").startsWith("called"))
-                .collect(Collectors.groupingBy(line -> line.text("server"), Collectors.counting()));
-        System.out.println("servers at which most dispatches failed: " + failed.entrySet().stream()
-                .sorted(Map.Entry.<String, Long>comparingByValue().reversed()).limit(8)
-                .map(entry -> entry.getKey() + " " + entry.getValue() + " of " + sent.get(entry.getKey()))
-                .collect(Collectors.joining(", ")));
+        long pairs =
+                ended.stream()
+                        .map(line -> line.gatherer() + " " + line.text("server"))
+                        .distinct()
+                        .count();
+        System.out.printf(
+                Locale.ROOT,
+                "%n%d servers were sent to by %d pairs of gatherer and server; dispatches a server: "
+                        + "mean %.1f, most %d%n",
+                sent.size(),
+                pairs,
+                mean,
+                sent.values().stream().mapToLong(c -> c).max().orElse(0));
+        Map<String, Long> failed =
+                ended.stream()
+                        .filter(
+                                line ->
+                                        !line.text("outcome").startsWith("completed")
+                                                && !line.text("outcome").startsWith("called"))
+                        .collect(
+                                Collectors.groupingBy(
+                                        line -> line.text("server"), Collectors.counting()));
+        System.out.println(
+                "servers at which most dispatches failed: "
+                        + failed.entrySet().stream()
+                                .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
+                                .limit(8)
+                                .map(
+                                        entry ->
+                                                entry.getKey()
+                                                        + " "
+                                                        + entry.getValue()
+                                                        + " of "
+                                                        + sent.get(entry.getKey()))
+                                .collect(Collectors.joining(", ")));
     }
 
-    private static void print(String title, Map<String, Map<String, Long>> cells, List<String> columns) {
+    private static void print(
+            String title, Map<String, Map<String, Long>> cells, List<String> columns) {
         System.out.println();
         System.out.println(title);
         System.out.printf("%-34s", "");
         columns.forEach(column -> System.out.printf("%16s", column));
         System.out.printf("%8s%n", "all");
-        cells.forEach((row, of) -> {
-            System.out.printf("%-34s", row);
-            columns.forEach(column -> System.out.printf("%16d", of.getOrDefault(column, 0L)));
-            System.out.printf("%8d%n", of.values().stream().mapToLong(count -> count).sum());
-        });
+        cells.forEach(
+                (row, of) -> {
+                    System.out.printf("%-34s", row);
+                    columns.forEach(
+                            column -> System.out.printf("%16d", of.getOrDefault(column, 0L)));
+                    System.out.printf(
+                            "%8d%n", of.values().stream().mapToLong(count -> count).sum());
+                });
     }
 }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/OpenLoop.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/OpenLoop.java
@@ -15,9 +15,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Asks a gatherer for scans at a set rate, whether or not it keeps up; a late answer counts from when its scan should
- * have been sent. The first seconds, in which this client itself is interpreted, are asked and not counted. Arguments:
- * port, scans a second, seconds.
+ * Asks a gatherer for scans at a set rate, whether or not it keeps up; a late answer counts from
+ * when its scan should have been sent. The first seconds, in which this client itself is
+ * interpreted, are asked and not counted. Arguments: port, scans a second, seconds.
  */
 public final class OpenLoop {
     private static final int CONNECTIONS = 24;
@@ -25,8 +25,10 @@
     private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     private final Queue<NetSocket> idle = new ArrayDeque<>();
     private final Queue<Long> waiting = new ArrayDeque<>();
+
     /** Since when each connection's scan is out, in nanoseconds; 0 for none. */
     private final Map<NetSocket, long[]> sockets = new IdentityHashMap<>();
+
     private final Histogram took = new Histogram(3);
     private final double perSecond;
     private final double seconds;
@@ -42,43 +44,63 @@
     }
 
     public static void main(String[] args) throws InterruptedException {
-        new OpenLoop(Double.parseDouble(args[1]), Double.parseDouble(args[2])).run(Integer.parseInt(args[0]));
+        new OpenLoop(Double.parseDouble(args[1]), Double.parseDouble(args[2]))
+                .run(Integer.parseInt(args[0]));
     }
 
     private void run(int port) throws InterruptedException {
         NetClient client = vertx.createNetClient();
         var connected = new CountDownLatch(CONNECTIONS);
         var done = new CountDownLatch(1);
-        vertx.runOnContext(none -> {
-            for (int i = 0; i < CONNECTIONS; i++) {
-                long[] since = {0};
-                client.connect(port, "127.0.0.1").onSuccess(socket -> {
-                    socket.handler(bytes -> answered(socket, since, bytes));
-                    sockets.put(socket, since);
-                    idle.add(socket);
-                    connected.countDown();
+        vertx.runOnContext(
+                none -> {
+                    for (int i = 0; i < CONNECTIONS; i++) {
+                        long[] since = {0};
+                        client.connect(port, "127.0.0.1")
+                                .onSuccess(
+                                        socket -> {
+                                            socket.handler(bytes -> answered(socket, since, bytes));
+                                            sockets.put(socket, since);
+                                            idle.add(socket);
+                                            connected.countDown();
+                                        });
+                    }
                 });
-            }
-        });
         connected.await(10, TimeUnit.SECONDS);
         begun = System.nanoTime();
-        vertx.runOnContext(none -> vertx.setPeriodic(1, id -> {
-            double passed = (System.nanoTime() - begun) / 1e9;
-            long due = (long) (Math.min(passed, WARM_UP_S + seconds) * perSecond);
-            for (; sent < due; sent++) {
-                waiting.add(begun + (long) (sent / perSecond * 1e9));
-            }
-            send();
-            if (passed > WARM_UP_S + seconds + 3) {
-                vertx.cancelTimer(id);
-                done.countDown();
-            }
-        }));
+        vertx.runOnContext(
+                none ->
+                        vertx.setPeriodic(
+                                1,
+                                id -> {
+                                    double passed = (System.nanoTime() - begun) / 1e9;
+                                    long due =
+                                            (long)
+                                                    (Math.min(passed, WARM_UP_S + seconds)
+                                                            * perSecond);
+                                    for (; sent < due; sent++) {
+                                        waiting.add(begun + (long) (sent / perSecond * 1e9));
+                                    }
+                                    send();
+                                    if (passed > WARM_UP_S + seconds + 3) {
+                                        vertx.cancelTimer(id);
+                                        done.countDown();
+                                    }
+                                }));
         done.await();
-        System.out.printf(Locale.ROOT, "asked %d at %.0f/s: completed %d (%.1f/s), others %d, unanswered %d; p50 %.1f ms, "
-                + "p99 %.1f ms, p99.9 %.1f ms%n", sent, perSecond, completed, (completed - warm) / seconds, others,
-                sent - completed - others, took.getValueAtPercentile(50) / 1000.0,
-                took.getValueAtPercentile(99) / 1000.0, took.getValueAtPercentile(99.9) / 1000.0);
+        System.out.printf(
+                Locale.ROOT,
+                "asked %d at %.0f/s: completed %d (%.1f/s), others %d, unanswered %d; p50 %.1f ms, "
+                        + "p99 %.1f ms, p99.9 %.1f ms%n",
+                sent,
+                perSecond,
+                completed,
+                (completed - warm) / seconds,
+                others,
+                sent - completed - others,
+                took.getValueAtPercentile(50) / 1000.0,
+                took.getValueAtPercentile(99) / 1000.0,
+                took.getValueAtPercentile(99.9) / 1000.0);
         vertx.close();
     }
 
@@ -87,12 +109,21 @@
             NetSocket socket = idle.poll();
             sockets.get(socket)[0] = waiting.poll();
             long number = completed + others + sent * 31 + System.nanoTime() % 1000;
-            String body = "{\"buckets\":[{\"bucket\":" + number % 10 + ",\"part\":0.5},{\"bucket\":" + (number + 1) % 10
-                    + ",\"part\":0.5}],\"body\":\"c41e77d0\"}";
-            socket.write(Buffer.buffer("POST /offers HTTP/1.1\r\nHost: b\r\nX-Request-Id: "
-                    + Long.toHexString(System.nanoTime()) + Integer.toHexString(System.identityHashCode(socket))
-                    + "\r\nX-Class: offers\r\nX-Tenant: acme\r\nX-Deadline-Ms: 2000\r\nContent-Length: "
-                    + body.length() + "\r\n\r\n" + body));
+            String body =
+                    "{\"buckets\":[{\"bucket\":"
+                            + number % 10
+                            + ",\"part\":0.5},{\"bucket\":"
+                            + (number + 1) % 10
+                            + ",\"part\":0.5}],\"body\":\"c41e77d0\"}";
+            socket.write(
+                    Buffer.buffer(
+                            "POST /offers HTTP/1.1\r\nHost: b\r\nX-Request-Id: "
+                                    + Long.toHexString(System.nanoTime())
+                                    + Integer.toHexString(System.identityHashCode(socket))
+                                    + "\r\nX-Class: offers\r\nX-Tenant: acme\r\nX-Deadline-Ms: 2000\r\nContent-Length: "
+                                    + body.length()
+                                    + "\r\n\r\n"
+                                    + body));
         }
     }
 
--- a/benchmarks/src/main/java/sprucehold/benchmarks/ScanLogs.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/ScanLogs.java
@@ -35,14 +35,14 @@
         }
     }
 
-    private ScanLogs() {
-    }
+    private ScanLogs() {}
 
     /** All such lines of the files {@code *.log} of a folder, in the order of their times. */
     static List<Line> read(Path folder) throws IOException {
         var lines = new ArrayList<Line>();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(path -> path.toString().endsWith(".log")).sorted().toList()) {
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".log")).sorted().toList()) {
                 String gatherer = file.getFileName().toString().replace(".log", "");
                 try (Stream<String> text = Files.lines(file)) {
                     text.filter(line -> line.contains("\"logger\":\"sprucehold.scans\""))
@@ -54,14 +54,24 @@
         return lines;
     }
 
-    /** A line is the bench's time in seconds and then what the gatherer wrote; one cut short by a kill is passed over. */
+    /**
+     * A line is the bench's time in seconds and then what the gatherer wrote; one cut short by a
+     * kill is passed over.
+     */
     private static void add(List<Line> lines, String gatherer, String line) {
         int brace = line.indexOf('{');
         try {
-            lines.add(new Line(Double.parseDouble(line.substring(0, brace).strip()), gatherer,
-                    JSON.readTree(line.substring(brace))));
+            lines.add(
+                    new Line(
+                            Double.parseDouble(line.substring(0, brace).strip()),
+                            gatherer,
+                            JSON.readTree(line.substring(brace))));
         } catch (JsonProcessingException | NumberFormatException e) {
-            System.err.println("passed over in the log of " + gatherer + ": " + e.getMessage().lines().findFirst().orElse(""));
+            System.err.println(
+                    "passed over in the log of "
+                            + gatherer
+                            + ": "
+                            + e.getMessage().lines().findFirst().orElse(""));
         }
     }
 }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -24,16 +24,17 @@
 import sprucehold.together.play.Trouble;
 
 /**
- * What gatherers know together, in simulated time: ways to find out who is there, and ways to divide a bound, by size and
- * trouble. Arguments: {@code members}, {@code thousand}, {@code shares} or {@code evidence}, then perhaps how many seeds; or {@code plot} and a file to write.
+ * What gatherers know together, in simulated time: ways to find out who is there, and ways to
+ * divide a bound, by size and trouble. Arguments: {@code members}, {@code thousand}, {@code shares}
+ * or {@code evidence}, then perhaps how many seeds; or {@code plot} and a file to write.
  */
 public final class TogetherDays {
     /** Half a millisecond on the way, one message in a hundred lost, as a busy network does. */
     private static final Network USUAL = new Network(0.5, 0.01, 0.001);
+
     private static final Network BAD = new Network(5, 0.1, 0.1);
 
-    private TogetherDays() {
-    }
+    private TogetherDays() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 2 && args[0].equals("plot")) {
@@ -50,13 +51,18 @@
         } else if (args.length > 0 && args[0].equals("thousand")) {
             members(Math.min(2, seeds), List.of(1000), List.of(MemberPlay.Way.SWIM));
         } else {
-            System.err.println("together-days: members, thousand, shares or evidence, or plot and a file, was expected");
+            System.err.println(
+                    "together-days: members, thousand, shares or evidence, or plot and a file, was expected");
             System.exit(2);
         }
     }
 
     private static <T> double mean(List<T> results, ToDoubleFunction<T> figure) {
-        return results.stream().mapToDouble(figure).filter(value -> !Double.isNaN(value)).average().orElse(Double.NaN);
+        return results.stream()
+                .mapToDouble(figure)
+                .filter(value -> !Double.isNaN(value))
+                .average()
+                .orElse(Double.NaN);
     }
 
     private static void members(int seeds) {
@@ -65,9 +71,19 @@
 
     /** How soon a failing server is known, by each gatherer's own dispatches and by the others. */
     private static void evidence(int seeds) {
-        System.out.printf(Locale.ROOT, "one of six servers fails; means over %d seeds%n%-8s %-10s %-8s %14s %12s %14s %12s %20s %10s%n",
-                seeds, "members", "to each/s", "network", "alone, median", "alone, all", "told, median", "told, all",
-                "believed for nothing", "letters/s");
+        System.out.printf(
+                Locale.ROOT,
+                "one of six servers fails; means over %d seeds%n%-8s %-10s %-8s %14s %12s %14s %12s %20s %10s%n",
+                seeds,
+                "members",
+                "to each/s",
+                "network",
+                "alone, median",
+                "alone, all",
+                "told, median",
+                "told, all",
+                "believed for nothing",
+                "letters/s");
         for (int size : List.of(5, 20, 60, 100, 1000)) {
             for (double perS : List.of(0.2, 1.0)) {
                 for (Network network : List.of(USUAL, BAD)) {
@@ -84,58 +100,124 @@
         }
         var results = new ArrayList<EvidencePlay.Result>();
         for (long seed = 1; seed <= (size >= 1000 ? 1 : seeds); seed++) {
-            results.add(EvidencePlay.play(new EvidencePlay.Setting(size, 3, perS, size >= 1000 ? 20_000 : 40_000, network, liar), seed));
+            results.add(
+                    EvidencePlay.play(
+                            new EvidencePlay.Setting(
+                                    size, 3, perS, size >= 1000 ? 20_000 : 40_000, network, liar),
+                            seed));
         }
-        System.out.printf(Locale.ROOT, "%-8d %-10.1f %-8s %12.1f s %10.1f s %12.1f s %10.1f s %20.1f %10.1f%n", size, perS,
-                liar ? "a liar" : network == USUAL ? "usual" : "bad", mean(results, EvidencePlay.Result::aloneMedianMs) / 1000,
-                mean(results, EvidencePlay.Result::aloneAllMs) / 1000, mean(results, EvidencePlay.Result::toldMedianMs) / 1000,
-                mean(results, EvidencePlay.Result::toldAllMs) / 1000, mean(results, one -> one.believedForNothing()),
+        System.out.printf(
+                Locale.ROOT,
+                "%-8d %-10.1f %-8s %12.1f s %10.1f s %12.1f s %10.1f s %20.1f %10.1f%n",
+                size,
+                perS,
+                liar ? "a liar" : network == USUAL ? "usual" : "bad",
+                mean(results, EvidencePlay.Result::aloneMedianMs) / 1000,
+                mean(results, EvidencePlay.Result::aloneAllMs) / 1000,
+                mean(results, EvidencePlay.Result::toldMedianMs) / 1000,
+                mean(results, EvidencePlay.Result::toldAllMs) / 1000,
+                mean(results, one -> one.believedForNothing()),
                 mean(results, EvidencePlay.Result::lettersPerS));
     }
 
     private static void members(int seeds, List<Integer> sizes, List<MemberPlay.Way> ways) {
-        System.out.printf(Locale.ROOT, "a death after 90 s of 150; means over %d seeds%n%-8s %-8s %-24s %12s %12s %16s %12s %14s%n",
-                seeds, "members", "network", "way", "first knows", "all know", "falsely dead", "wrong then", "messages/s");
+        System.out.printf(
+                Locale.ROOT,
+                "a death after 90 s of 150; means over %d seeds%n%-8s %-8s %-24s %12s %12s %16s %12s %14s%n",
+                seeds,
+                "members",
+                "network",
+                "way",
+                "first knows",
+                "all know",
+                "falsely dead",
+                "wrong then",
+                "messages/s");
         for (int size : sizes) {
             for (Network network : List.of(USUAL, BAD)) {
                 for (MemberPlay.Way way : ways) {
-                    // All to all, and whole tables, at a thousand: millions of messages a second, and minutes to play.
-                    boolean dear = size >= 1000 && (way == MemberPlay.Way.HEARTBEATS_TO_ALL || way == MemberPlay.Way.PHI_GOSSIP);
+                    // All to all, and whole tables, at a thousand: millions of messages a second,
+                    // and minutes to play.
+                    boolean dear =
+                            size >= 1000
+                                    && (way == MemberPlay.Way.HEARTBEATS_TO_ALL
+                                            || way == MemberPlay.Way.PHI_GOSSIP);
                     int plays = dear ? 1 : size >= 1000 ? Math.min(2, seeds) : seeds;
                     double lengthMs = dear ? 30_000 : 150_000;
                     double dies = dear ? 15_000 : 90_000;
                     var results = new ArrayList<MemberPlay.Result>();
                     for (long seed = 1; seed <= plays; seed++) {
-                        results.add(MemberPlay.play(new MemberPlay.Setting(size, lengthMs, network,
-                                List.of(new Trouble(Trouble.Kind.DEAD, Set.of(size / 2), dies, 1e9))), way, seed));
+                        results.add(
+                                MemberPlay.play(
+                                        new MemberPlay.Setting(
+                                                size,
+                                                lengthMs,
+                                                network,
+                                                List.of(
+                                                        new Trouble(
+                                                                Trouble.Kind.DEAD,
+                                                                Set.of(size / 2),
+                                                                dies,
+                                                                1e9))),
+                                        way,
+                                        seed));
                     }
-                    System.out.printf(Locale.ROOT, "%-8d %-8s %-24s %10.1f s %10.1f s %16.1f %12.1f %14.1f%n", size,
-                            network == USUAL ? "usual" : "bad", way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                            mean(results, MemberPlay.Result::firstMs) / 1000, mean(results, MemberPlay.Result::allMs) / 1000,
-                            mean(results, one -> one.falselyDead()), mean(results, one -> one.wrongAtEnd()),
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%-8d %-8s %-24s %10.1f s %10.1f s %16.1f %12.1f %14.1f%n",
+                            size,
+                            network == USUAL ? "usual" : "bad",
+                            way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                            mean(results, MemberPlay.Result::firstMs) / 1000,
+                            mean(results, MemberPlay.Result::allMs) / 1000,
+                            mean(results, one -> one.falselyDead()),
+                            mean(results, one -> one.wrongAtEnd()),
                             mean(results, MemberPlay.Result::messages));
                 }
             }
         }
     }
 
-    private record Day(String name, Network network, List<Trouble> troubles) {
-    }
+    private record Day(String name, Network network, List<Trouble> troubles) {}
 
     private static List<Day> days(int members) {
-        Set<Integer> few = Set.copyOf(IntStream.range(0, Math.max(1, members / 5)).boxed().toList());
+        Set<Integer> few =
+                Set.copyOf(IntStream.range(0, Math.max(1, members / 5)).boxed().toList());
         Set<Integer> half = Set.copyOf(IntStream.range(0, members / 2).boxed().toList());
-        return List.of(new Day("none", USUAL, List.of()), new Day("a bad network", BAD, List.of()),
-                new Day("a fifth deaf", USUAL, List.of(new Trouble(Trouble.Kind.DEAF, few, 10_000, 25_000))),
-                new Day("cut in two", USUAL, List.of(new Trouble(Trouble.Kind.CUT_OFF, half, 10_000, 25_000))),
-                new Day("a fifth paused 6 s", USUAL, List.of(new Trouble(Trouble.Kind.PAUSED, few, 10_000, 16_000))),
-                new Day("half killed", USUAL, List.of(new Trouble(Trouble.Kind.DEAD, half, 10_000, 11_000))));
+        return List.of(
+                new Day("none", USUAL, List.of()),
+                new Day("a bad network", BAD, List.of()),
+                new Day(
+                        "a fifth deaf",
+                        USUAL,
+                        List.of(new Trouble(Trouble.Kind.DEAF, few, 10_000, 25_000))),
+                new Day(
+                        "cut in two",
+                        USUAL,
+                        List.of(new Trouble(Trouble.Kind.CUT_OFF, half, 10_000, 25_000))),
+                new Day(
+                        "a fifth paused 6 s",
+                        USUAL,
+                        List.of(new Trouble(Trouble.Kind.PAUSED, few, 10_000, 16_000))),
+                new Day(
+                        "half killed",
+                        USUAL,
+                        List.of(new Trouble(Trouble.Kind.DEAD, half, 10_000, 11_000))));
     }
 
     private static void shares(int seeds) {
-        System.out.printf(Locale.ROOT, "a tenth of members busy, others every 10 s; bound 10 a member and second; 30 s, the first 6 "
-                + "not counted; means over %d seeds%n%-8s %-20s %-14s %8s %16s %12s %12s%n", seeds, "members", "trouble", "division",
-                "granted", "fullest window", "messages/s", "dropped");
+        System.out.printf(
+                Locale.ROOT,
+                "a tenth of members busy, others every 10 s; bound 10 a member and second; 30 s, the first 6 "
+                        + "not counted; means over %d seeds%n%-8s %-20s %-14s %8s %16s %12s %12s%n",
+                seeds,
+                "members",
+                "trouble",
+                "division",
+                "granted",
+                "fullest window",
+                "messages/s",
+                "dropped");
         for (int size : List.of(5, 20, 60, 100, 1000)) {
             for (Day day : days(size)) {
                 for (Division division : Division.values()) {
@@ -143,14 +225,40 @@
                     var results = new ArrayList<SharePlay.Result>();
                     int bound = 10 * size;
                     for (long seed = 1; seed <= plays; seed++) {
-                        results.add(SharePlay.play(new SharePlay.Setting(size, bound, 1000, 4000, 0.002, 30_000, day.network,
-                                day.troubles, SharePlay.busyFew(size, Math.max(1, size / 10), 60, 1, 10_000)), division, seed));
+                        results.add(
+                                SharePlay.play(
+                                        new SharePlay.Setting(
+                                                size,
+                                                bound,
+                                                1000,
+                                                4000,
+                                                0.002,
+                                                30_000,
+                                                day.network,
+                                                day.troubles,
+                                                SharePlay.busyFew(
+                                                        size,
+                                                        Math.max(1, size / 10),
+                                                        60,
+                                                        1,
+                                                        10_000)),
+                                        division,
+                                        seed));
                     }
-                    System.out.printf(Locale.ROOT, "%-8d %-20s %-14s %7.1f%% %9d of %-5d %10.1f %12.1f%n", size, day.name,
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%-8d %-20s %-14s %7.1f%% %9d of %-5d %10.1f %12.1f%n",
+                            size,
+                            day.name,
                             division.name().toLowerCase(Locale.ROOT).replace('_', ' '),
                             100 * mean(results, one -> SharePlay.mean(one.gotBySecond(), 6, 30)),
-                            results.stream().mapToInt(SharePlay.Result::mostInWindow).max().orElse(0), bound,
-                            mean(results, one -> one.messages() / (double) size / 30), mean(results, one -> one.dropped()));
+                            results.stream()
+                                    .mapToInt(SharePlay.Result::mostInWindow)
+                                    .max()
+                                    .orElse(0),
+                            bound,
+                            mean(results, one -> one.messages() / (double) size / 30),
+                            mean(results, one -> one.dropped()));
                 }
             }
         }
@@ -164,8 +272,20 @@
             var series = new XYSeries(division.name().toLowerCase(Locale.ROOT).replace('_', ' '));
             var results = new ArrayList<SharePlay.Result>();
             for (long seed = 1; seed <= 10; seed++) {
-                results.add(SharePlay.play(new SharePlay.Setting(20, 200, 1000, 4000, 0.002, 30_000, day.network, day.troubles,
-                        SharePlay.busyFew(20, 2, 60, 1, 10_000)), division, seed));
+                results.add(
+                        SharePlay.play(
+                                new SharePlay.Setting(
+                                        20,
+                                        200,
+                                        1000,
+                                        4000,
+                                        0.002,
+                                        30_000,
+                                        day.network,
+                                        day.troubles,
+                                        SharePlay.busyFew(20, 2, 60, 1, 10_000)),
+                                division,
+                                seed));
             }
             for (int second = 0; second < 30; second++) {
                 int at = second;
@@ -173,8 +293,16 @@
             }
             all.addSeries(series);
         }
-        JFreeChart chart = ChartFactory.createXYLineChart("20 members, two of them busy, others every 10 s; cut in two from 10 to 25 s",
-                "s", "% granted", all, PlotOrientation.VERTICAL, true, false, false);
+        JFreeChart chart =
+                ChartFactory.createXYLineChart(
+                        "20 members, two of them busy, others every 10 s; cut in two from 10 to 25 s",
+                        "s",
+                        "% granted",
+                        all,
+                        PlotOrientation.VERTICAL,
+                        true,
+                        false,
+                        false);
         var svg = new SVGGraphics2D(900, 360);
         chart.draw(svg, new Rectangle2D.Double(0, 0, 900, 360));
         return svg.getSVGElement();
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -49,12 +49,15 @@
         var day = new SyntheticDay(new DayPlan(8000, 1, 1, 0, 0, 6, 40, 20), Brain::new);
         source = day.sources().get(0);
         int[] records = {0};
-        day.play(List.of(entry -> {
-            if (records[0] < RECORDS) {
-                entries.add(entry);
-                records[0] += ((Moment) entry).items().size();
-            }
-        }), count -> { });
+        day.play(
+                List.of(
+                        entry -> {
+                            if (records[0] < RECORDS) {
+                                entries.add(entry);
+                                records[0] += ((Moment) entry).items().size();
+                            }
+                        }),
+                count -> {});
         file = Files.createTempFile("codec", ".trace");
         try (var writer = new TraceWriter(TraceRepair.create(file), Head.of(source))) {
             for (Entry entry : entries) {
--- a/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
@@ -9,8 +9,8 @@
 import sprucehold.change.watch.Slot;
 
 /**
- * Plays synthetic days in virtual time and counts how often a change is undone: for nothing, and for a harm. Argument: days
- * of each kind.
+ * Plays synthetic days in virtual time and counts how often a change is undone: for nothing, and
+ * for a harm. Argument: days of each kind.
  */
 public final class WatchDays {
     private static final double SLOT_S = 0.25;
@@ -18,13 +18,18 @@
     private static final String[] CUSTOMERS = {"acme", "bolt", "cog"};
     private static final double[] RATES = {50, 20, 8};
 
-    private WatchDays() {
-    }
+    private WatchDays() {}
 
     /** What happens on a day beside the change. */
     private enum Kind {
-        CALM(false, 0), EBB(false, 0), TROUBLED(true, 0), HARM_2(false, 0.02), HARM_5(false, 0.05),
-        HARM_10(false, 0.1), HARM_50(false, 0.5), TROUBLED_HARM_10(true, 0.1);
+        CALM(false, 0),
+        EBB(false, 0),
+        TROUBLED(true, 0),
+        HARM_2(false, 0.02),
+        HARM_5(false, 0.05),
+        HARM_10(false, 0.1),
+        HARM_50(false, 0.5),
+        TROUBLED_HARM_10(true, 0.1);
 
         final boolean troubles;
         final double harm;
@@ -39,16 +44,31 @@
         int days = args.length == 0 ? 2000 : Integer.parseInt(args[0]);
         System.out.println("kind              days  undone  median s  p95 s");
         for (Kind kind : Kind.values()) {
-            double[] found = IntStream.range(0, days).parallel().mapToDouble(seed -> play(kind, seed))
-                    .filter(at -> at >= 0).sorted().toArray();
-            System.out.printf(Locale.ROOT, "%-16s %5d  %6d  %8s  %5s%n", kind, days, found.length,
-                    at(found, 0.5), at(found, 0.95));
+            double[] found =
+                    IntStream.range(0, days)
+                            .parallel()
+                            .mapToDouble(seed -> play(kind, seed))
+                            .filter(at -> at >= 0)
+                            .sorted()
+                            .toArray();
+            System.out.printf(
+                    Locale.ROOT,
+                    "%-16s %5d  %6d  %8s  %5s%n",
+                    kind,
+                    days,
+                    found.length,
+                    at(found, 0.5),
+                    at(found, 0.95));
         }
     }
 
     private static String at(double[] sorted, double share) {
-        return sorted.length == 0 ? "" : String.format(Locale.ROOT, "%.1f",
-                sorted[Math.min(sorted.length - 1, (int) (share * sorted.length))]);
+        return sorted.length == 0
+                ? ""
+                : String.format(
+                        Locale.ROOT,
+                        "%.1f",
+                        sorted[Math.min(sorted.length - 1, (int) (share * sorted.length))]);
     }
 
     /** When the change was undone, in seconds after it went live; -1 where it was confirmed. */
@@ -56,11 +76,15 @@
         var random = new SplittableRandom(seed * 31L + kind.ordinal());
         double[] trouble = new double[(int) ((120 + WATCH_S) / SLOT_S) + 400];
         if (kind.troubles) {
-            // Servers' own troubles: one in five minutes as a mean, for 5 to 30 s, taking a tenth to a third.
+            // Servers' own troubles: one in five minutes as a mean, for 5 to 30 s, taking a tenth
+            // to a third.
             for (double t = gap(random); t < 120 + WATCH_S; t += gap(random)) {
                 int from = (int) (t / SLOT_S);
                 int to = from + (int) ((5 + 25 * random.nextDouble()) / SLOT_S);
-                Arrays.fill(trouble, Math.min(from, trouble.length), Math.min(to, trouble.length),
+                Arrays.fill(
+                        trouble,
+                        Math.min(from, trouble.length),
+                        Math.min(to, trouble.length),
                         0.1 + 0.23 * random.nextDouble());
             }
         }
@@ -75,7 +99,10 @@
                 before.add(slot);
                 continue;
             }
-            watch = watch == null ? new ServiceWatch(before, (t + 1000) * 1000, WATCH_S * 1000, 100) : watch;
+            watch =
+                    watch == null
+                            ? new ServiceWatch(before, (t + 1000) * 1000, WATCH_S * 1000, 100)
+                            : watch;
             ServiceWatch.Word word = watch.add(slot);
             if (word instanceof ServiceWatch.Word.Fell) {
                 return t;
@@ -96,7 +123,10 @@
             double expected = RATES[c] * rate * SLOT_S;
             int scans = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
             for (int i = 0; i < scans; i++) {
-                builder.add(random.nextInt(4) == 0 ? "stamps" : "offers", CUSTOMERS[c], 1,
+                builder.add(
+                        random.nextInt(4) == 0 ? "stamps" : "offers",
+                        CUSTOMERS[c],
+                        1,
                         random.nextDouble() < sound);
             }
         }
--- a/change/src/main/java/sprucehold/change/document/Difference.java
+++ b/change/src/main/java/sprucehold/change/document/Difference.java
@@ -30,11 +30,14 @@
     }
 
     /** One sentence, and its risk. */
-    public record Meaning(String path, String words, Risk risk) {
-    }
+    public record Meaning(String path, String words, Risk risk) {}
 
-    /** Beyond a quarter less, service as a rule falls where there was little to spare; a twentieth is noise. */
+    /**
+     * Beyond a quarter less, service as a rule falls where there was little to spare; a twentieth
+     * is noise.
+     */
     private static final double MUCH = 0.25;
+
     private static final double LITTLE = 0.05;
 
     /** What changes from one document to the next. */
@@ -47,16 +50,34 @@
         cold(before.coldRule(), after.coldRule(), words);
         servers(before, after, words);
         if (!before.discovery().equals(after.discovery())) {
-            words.add(new Meaning("/discovery", "the list is asked for at " + (after.discovery().isEmpty()
-                    ? "where the start said" : after.discovery()), Risk.MIDDLE));
+            words.add(
+                    new Meaning(
+                            "/discovery",
+                            "the list is asked for at "
+                                    + (after.discovery().isEmpty()
+                                            ? "where the start said"
+                                            : after.discovery()),
+                            Risk.MIDDLE));
         }
         if (!before.recording().equals(after.recording())) {
-            words.add(new Meaning("/recording", after.recording().isEmpty() ? "nothing is recorded any more"
-                    : "decisions are recorded as " + after.recording() + " says", Risk.LOW));
+            words.add(
+                    new Meaning(
+                            "/recording",
+                            after.recording().isEmpty()
+                                    ? "nothing is recorded any more"
+                                    : "decisions are recorded as " + after.recording() + " says",
+                            Risk.LOW));
         }
         if (!before.logLevel().equals(after.logLevel())) {
-            words.add(new Meaning("/logLevel", "lines from " + after.logLevel() + " on are logged, not from "
-                    + before.logLevel() + " on", Risk.NONE));
+            words.add(
+                    new Meaning(
+                            "/logLevel",
+                            "lines from "
+                                    + after.logLevel()
+                                    + " on are logged, not from "
+                                    + before.logLevel()
+                                    + " on",
+                            Risk.NONE));
         }
         words.sort((a, b) -> b.risk.compareTo(a.risk));
         return new Difference(List.copyOf(words), words.isEmpty() ? Risk.NONE : words.get(0).risk);
@@ -74,28 +95,84 @@
             TableType b = type.facts();
             if (a.repeat() != b.repeat()) {
                 boolean looser = b.repeat().ordinal() < a.repeat().ordinal();
-                words.add(new Meaning(at + "/repeat", "parts of '" + type.name() + "' taken from now on are "
-                        + repeat(b) + ", not " + repeat(a) + (looser ? "; what is out stays " + repeat(a)
-                        : "; what is out isn't sent again either"), Risk.HIGH));
+                words.add(
+                        new Meaning(
+                                at + "/repeat",
+                                "parts of '"
+                                        + type.name()
+                                        + "' taken from now on are "
+                                        + repeat(b)
+                                        + ", not "
+                                        + repeat(a)
+                                        + (looser
+                                                ? "; what is out stays " + repeat(a)
+                                                : "; what is out isn't sent again either"),
+                                Risk.HIGH));
             }
-            number(at + "/targetMs", "the target time of '" + type.name() + "'", a.targetMs(), b.targetMs(), " ms",
-                    true, words);
-            number(at + "/queryTimeoutMs", "the query timeout of '" + type.name() + "'", was.queryTimeoutMs(),
-                    type.queryTimeoutMs(), " ms", true, words);
-            number(at + "/benefit", "the benefit of '" + type.name() + "'", a.benefit(), b.benefit(), "", true, words);
-            number(at + "/lateShare", "what a late answer of '" + type.name() + "' is worth", a.lateShare(),
-                    b.lateShare(), "", true, words);
-            number(at + "/wholeFrom", "the share from which '" + type.name() + "' is whole", a.completeFrom(),
-                    b.completeFrom(), "", false, words);
-            number(at + "/leastShare", "the least share of '" + type.name() + "'", a.leastShare(), b.leastShare(), "",
-                    false, words);
-            number(at + "/keyedWindowMs", "the keyed window of '" + type.name() + "'", a.keyedWindowMs(),
-                    b.keyedWindowMs(), " ms", true, words);
+            number(
+                    at + "/targetMs",
+                    "the target time of '" + type.name() + "'",
+                    a.targetMs(),
+                    b.targetMs(),
+                    " ms",
+                    true,
+                    words);
+            number(
+                    at + "/queryTimeoutMs",
+                    "the query timeout of '" + type.name() + "'",
+                    was.queryTimeoutMs(),
+                    type.queryTimeoutMs(),
+                    " ms",
+                    true,
+                    words);
+            number(
+                    at + "/benefit",
+                    "the benefit of '" + type.name() + "'",
+                    a.benefit(),
+                    b.benefit(),
+                    "",
+                    true,
+                    words);
+            number(
+                    at + "/lateShare",
+                    "what a late answer of '" + type.name() + "' is worth",
+                    a.lateShare(),
+                    b.lateShare(),
+                    "",
+                    true,
+                    words);
+            number(
+                    at + "/wholeFrom",
+                    "the share from which '" + type.name() + "' is whole",
+                    a.completeFrom(),
+                    b.completeFrom(),
+                    "",
+                    false,
+                    words);
+            number(
+                    at + "/leastShare",
+                    "the least share of '" + type.name() + "'",
+                    a.leastShare(),
+                    b.leastShare(),
+                    "",
+                    false,
+                    words);
+            number(
+                    at + "/keyedWindowMs",
+                    "the keyed window of '" + type.name() + "'",
+                    a.keyedWindowMs(),
+                    b.keyedWindowMs(),
+                    " ms",
+                    true,
+                    words);
         }
         for (Document.Type type : before.types()) {
             if (after.type(type.name()).isEmpty()) {
-                words.add(new Meaning("/tableTypes/" + type.name(), "scans of '" + type.name()
-                        + "' are not taken any more", Risk.HIGH));
+                words.add(
+                        new Meaning(
+                                "/tableTypes/" + type.name(),
+                                "scans of '" + type.name() + "' are not taken any more",
+                                Risk.HIGH));
             }
         }
     }
@@ -108,51 +185,113 @@
         for (Customer customer : after.customers()) {
             Customer was = before.customer(customer.name()).orElse(null);
             if (was == null) {
-                words.add(new Meaning("/customers/" + customer.name(), "customer '" + customer.name()
-                        + "' has a share of " + number(customer.scansPerSecond()) + " scans/s", Risk.LOW));
+                words.add(
+                        new Meaning(
+                                "/customers/" + customer.name(),
+                                "customer '"
+                                        + customer.name()
+                                        + "' has a share of "
+                                        + number(customer.scansPerSecond())
+                                        + " scans/s",
+                                Risk.LOW));
             } else {
-                number("/customers/" + customer.name(), "the share of customer '" + customer.name() + "'",
-                        was.scansPerSecond(), customer.scansPerSecond(), " scans/s", true, words);
+                number(
+                        "/customers/" + customer.name(),
+                        "the share of customer '" + customer.name() + "'",
+                        was.scansPerSecond(),
+                        customer.scansPerSecond(),
+                        " scans/s",
+                        true,
+                        words);
             }
         }
         for (Customer customer : before.customers()) {
             if (after.customer(customer.name()).isEmpty()) {
-                words.add(new Meaning("/customers/" + customer.name(), "customer '" + customer.name()
-                        + "' has no share any more; its scans count as nobody's", Risk.HIGH));
+                words.add(
+                        new Meaning(
+                                "/customers/" + customer.name(),
+                                "customer '"
+                                        + customer.name()
+                                        + "' has no share any more; its scans count as nobody's",
+                                Risk.HIGH));
             }
         }
     }
 
     private static void limits(Deployment.Limits a, Deployment.Limits b, List<Meaning> words) {
-        number("/limits/maxOpen", "what may be open at once", a.maxOpen(), b.maxOpen(), "", true, words);
-        number("/limits/dispatchesPerPart", "dispatches of a part", a.dispatchesPerPart(), b.dispatchesPerPart(), "",
-                true, words);
-        number("/limits/maxComeBackMs", "the longest time after which clients are asked back", a.maxComeBackMs(),
-                b.maxComeBackMs(), " ms", true, words);
+        number(
+                "/limits/maxOpen",
+                "what may be open at once",
+                a.maxOpen(),
+                b.maxOpen(),
+                "",
+                true,
+                words);
+        number(
+                "/limits/dispatchesPerPart",
+                "dispatches of a part",
+                a.dispatchesPerPart(),
+                b.dispatchesPerPart(),
+                "",
+                true,
+                words);
+        number(
+                "/limits/maxComeBackMs",
+                "the longest time after which clients are asked back",
+                a.maxComeBackMs(),
+                b.maxComeBackMs(),
+                " ms",
+                true,
+                words);
         flag("/limits/secondCopies", "second copies", a.secondCopies(), b.secondCopies(), words);
         flag("/limits/cancel", "calling dispatches off", a.cancel(), b.cancel(), words);
     }
 
-    private static void budget(Deployment.DispatchBudget a, Deployment.DispatchBudget b, List<Meaning> words) {
+    private static void budget(
+            Deployment.DispatchBudget a, Deployment.DispatchBudget b, List<Meaning> words) {
         if (!Objects.equals(a, b)) {
             boolean none = b.equals(Deployment.DispatchBudget.NONE);
-            boolean less = !none && (a.equals(Deployment.DispatchBudget.NONE) || b.free() < a.free()
-                    || b.perTaken() < a.perTaken());
-            words.add(new Meaning("/dispatchBudget", none ? "further dispatches have no budget any more"
-                    : "further dispatches may be " + number(b.free()) + " and " + number(b.perTaken())
-                    + " for each scan taken, in any " + number(b.windowMs()) + " ms", less ? Risk.MIDDLE : Risk.LOW));
+            boolean less =
+                    !none
+                            && (a.equals(Deployment.DispatchBudget.NONE)
+                                    || b.free() < a.free()
+                                    || b.perTaken() < a.perTaken());
+            words.add(
+                    new Meaning(
+                            "/dispatchBudget",
+                            none
+                                    ? "further dispatches have no budget any more"
+                                    : "further dispatches may be "
+                                            + number(b.free())
+                                            + " and "
+                                            + number(b.perTaken())
+                                            + " for each scan taken, in any "
+                                            + number(b.windowMs())
+                                            + " ms",
+                            less ? Risk.MIDDLE : Risk.LOW));
         }
     }
 
     private static void cold(Deployment.ColdRule a, Deployment.ColdRule b, List<Meaning> words) {
         if (!a.equals(b)) {
-            boolean looser = b.startShare() > a.startShare() || b.warmAfterMs() < a.warmAfterMs()
-                    || b.multiple() > a.multiple();
-            words.add(new Meaning("/coldRule", "a server that has just started is taken to do "
-                    + number(100 * b.startShare()) + "% and to be warm after " + number(b.warmAfterMs())
-                    + " ms; it falls over at " + number(b.multiple()) + " times that for " + number(b.windowMs())
-                    + " ms" + (looser ? ": more may be sent to it than before" : ""),
-                    looser ? Risk.HIGH : Risk.MIDDLE));
+            boolean looser =
+                    b.startShare() > a.startShare()
+                            || b.warmAfterMs() < a.warmAfterMs()
+                            || b.multiple() > a.multiple();
+            words.add(
+                    new Meaning(
+                            "/coldRule",
+                            "a server that has just started is taken to do "
+                                    + number(100 * b.startShare())
+                                    + "% and to be warm after "
+                                    + number(b.warmAfterMs())
+                                    + " ms; it falls over at "
+                                    + number(b.multiple())
+                                    + " times that for "
+                                    + number(b.windowMs())
+                                    + " ms"
+                                    + (looser ? ": more may be sent to it than before" : ""),
+                            looser ? Risk.HIGH : Risk.MIDDLE));
         }
     }
 
@@ -162,36 +301,67 @@
         SortedSet<String> back = new TreeSet<>(before.serversOut());
         back.removeAll(after.serversOut());
         if (!out.isEmpty()) {
-            words.add(new Meaning("/serversOut", "nothing new goes to " + String.join(", ", out), out.size() > 1
-                    ? Risk.HIGH : Risk.MIDDLE));
+            words.add(
+                    new Meaning(
+                            "/serversOut",
+                            "nothing new goes to " + String.join(", ", out),
+                            out.size() > 1 ? Risk.HIGH : Risk.MIDDLE));
         }
         if (!back.isEmpty()) {
-            words.add(new Meaning("/serversOut", String.join(", ", back) + (back.size() == 1 ? " is" : " are")
-                    + " given back, as if freshly started; what discovery says of them still holds", Risk.LOW));
+            words.add(
+                    new Meaning(
+                            "/serversOut",
+                            String.join(", ", back)
+                                    + (back.size() == 1 ? " is" : " are")
+                                    + " given back, as if freshly started; what discovery says of them still holds",
+                            Risk.LOW));
         }
     }
 
-    /** @param lessTakes whether a smaller number takes something away; otherwise a greater one does */
-    private static void number(String path, String what, double a, double b, String unit, boolean lessTakes,
+    /**
+     * @param lessTakes whether a smaller number takes something away; otherwise a greater one does
+     */
+    private static void number(
+            String path,
+            String what,
+            double a,
+            double b,
+            String unit,
+            boolean lessTakes,
             List<Meaning> words) {
         if (a == b) {
             return;
         }
-        double taken = lessTakes ? (a - b) / Math.max(Math.abs(a), 1e-9) : (b - a) / Math.max(Math.abs(b), 1e-9);
+        double taken =
+                lessTakes
+                        ? (a - b) / Math.max(Math.abs(a), 1e-9)
+                        : (b - a) / Math.max(Math.abs(b), 1e-9);
         Risk risk = taken >= MUCH ? Risk.HIGH : taken > LITTLE ? Risk.MIDDLE : Risk.LOW;
-        words.add(new Meaning(path, what + (b < a ? " falls from " : " rises from ") + number(a) + " to " + number(b)
-                + unit, risk));
+        words.add(
+                new Meaning(
+                        path,
+                        what
+                                + (b < a ? " falls from " : " rises from ")
+                                + number(a)
+                                + " to "
+                                + number(b)
+                                + unit,
+                        risk));
     }
 
     private static void flag(String path, String what, boolean a, boolean b, List<Meaning> words) {
         if (a != b) {
-            words.add(new Meaning(path, what + (b ? " is allowed" : " is not allowed any more"),
-                    b ? Risk.LOW : Risk.MIDDLE));
+            words.add(
+                    new Meaning(
+                            path,
+                            what + (b ? " is allowed" : " is not allowed any more"),
+                            b ? Risk.LOW : Risk.MIDDLE));
         }
     }
 
     private static String number(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
                 : String.format(Locale.ROOT, "%.4g", value);
     }
 }
--- a/change/src/main/java/sprucehold/change/document/Document.java
+++ b/change/src/main/java/sprucehold/change/document/Document.java
@@ -10,8 +10,8 @@
 import sprucehold.port.TableType;
 
 /**
- * All that may be changed of a gatherer while it serves. What a deployment is built on - its gatherers, zones, cells -
- * is not among it.
+ * All that may be changed of a gatherer while it serves. What a deployment is built on - its
+ * gatherers, zones, cells - is not among it.
  *
  * @param types the table types
  * @param customers the customers and what lies within their shares
@@ -23,9 +23,16 @@
  * @param recording the recording's file; empty for none
  * @param logLevel a level of java.util.logging
  */
-public record Document(List<Type> types, List<Customer> customers, Deployment.Limits limits,
-        Deployment.DispatchBudget budget, Deployment.ColdRule coldRule, SortedSet<String> serversOut,
-        String discovery, String recording, String logLevel) {
+public record Document(
+        List<Type> types,
+        List<Customer> customers,
+        Deployment.Limits limits,
+        Deployment.DispatchBudget budget,
+        Deployment.ColdRule coldRule,
+        SortedSet<String> serversOut,
+        String discovery,
+        String recording,
+        String logLevel) {
 
     /**
      * A table type, and the longest that its clients may wait.
@@ -52,10 +59,21 @@
         return customers.stream().filter(customer -> customer.name().equals(name)).findFirst();
     }
 
-    /** The facts that the module is to decide by, with everything that can't be changed as it was. */
+    /**
+     * The facts that the module is to decide by, with everything that can't be changed as it was.
+     */
     public Deployment onto(Deployment before) {
-        return new Deployment(before.gatherers(), before.zone(), before.tickMs(), before.overShareBenefit(),
-                types.stream().map(Type::facts).toList(), customers, before.layout(), limits, coldRule, budget,
+        return new Deployment(
+                before.gatherers(),
+                before.zone(),
+                before.tickMs(),
+                before.overShareBenefit(),
+                types.stream().map(Type::facts).toList(),
+                customers,
+                before.layout(),
+                limits,
+                coldRule,
+                budget,
                 before.listAccess());
     }
 }
--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -27,21 +27,31 @@
 
 /** Reads and writes documents as JSON of the form {@code deploy/change.schema.json}. */
 public final class DocumentReader {
-    /** A thousand table types and customers take a tenth of it; a larger one is a mistake or an attack. */
+    /**
+     * A thousand table types and customers take a tenth of it; a larger one is a mistake or an
+     * attack.
+     */
     public static final int MOST_BYTES = 1 << 20;
+
     /** The form goes four deep; beyond that nobody means it. */
     private static final int MOST_DEEP = 16;
 
-    private static final ObjectMapper MAPPER = JsonMapper.builder(new JsonFactoryBuilder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MOST_DEEP)
-                    .maxStringLength(10_000).maxNumberLength(40).build())
-            .build())
-            .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+    private static final ObjectMapper MAPPER =
+            JsonMapper.builder(
+                            new JsonFactoryBuilder()
+                                    .streamReadConstraints(
+                                            StreamReadConstraints.builder()
+                                                    .maxNestingDepth(MOST_DEEP)
+                                                    .maxStringLength(10_000)
+                                                    .maxNumberLength(40)
+                                                    .build())
+                                    .build())
+                    .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .build();
     private static final JsonSchema SCHEMA = schema();
 
-    private DocumentReader() {
-    }
+    private DocumentReader() {}
 
     private static JsonSchema schema() {
         try (InputStream in = DocumentReader.class.getResourceAsStream("/change.schema.json")) {
@@ -53,11 +63,9 @@
 
     /** A document, or all that is wrong with its form. */
     public sealed interface Read {
-        record Good(Document document) implements Read {
-        }
+        record Good(Document document) implements Read {}
 
-        record Bad(List<Fault> faults) implements Read {
-        }
+        record Bad(List<Fault> faults) implements Read {}
     }
 
     /** Reads bytes that may be anything. */
@@ -70,7 +78,9 @@
             node = MAPPER.readTree(json);
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            return bad("", "line " + line + " is no JSON that can be taken: " + e.getOriginalMessage(),
+            return bad(
+                    "",
+                    "line " + line + " is no JSON that can be taken: " + e.getOriginalMessage(),
                     "mend that line");
         } catch (IOException e) {
             return bad("", e.getMessage(), "send it again");
@@ -80,10 +90,19 @@
         }
         var faults = new TreeSet<Fault>();
         for (ValidationMessage message : SCHEMA.validate(node)) {
-            String pointer = message.getInstanceLocation().toString().replace('$', ' ').trim().replace('.', '/')
-                    .replace("[", "/").replace("]", "");
-            faults.add(new Fault(pointer, message.getMessage().replaceFirst("^[^:]*: ", ""),
-                    "see change.schema.json"));
+            String pointer =
+                    message.getInstanceLocation()
+                            .toString()
+                            .replace('$', ' ')
+                            .trim()
+                            .replace('.', '/')
+                            .replace("[", "/")
+                            .replace("]", "");
+            faults.add(
+                    new Fault(
+                            pointer,
+                            message.getMessage().replaceFirst("^[^:]*: ", ""),
+                            "see change.schema.json"));
         }
         return faults.isEmpty() ? new Read.Good(document(node)) : new Read.Bad(List.copyOf(faults));
     }
@@ -95,33 +114,58 @@
     private static Document document(JsonNode node) {
         var types = new ArrayList<Document.Type>();
         for (JsonNode type : node.get("tableTypes")) {
-            TableType.Repeat repeat = TableType.Repeat.valueOf(
-                    type.get("repeat").asText().toUpperCase(Locale.ROOT).replace('-', '_'));
-            types.add(new Document.Type(new TableType(type.get("name").asText(), repeat,
-                    type.get("targetMs").doubleValue(), type.path("benefit").asDouble(1),
-                    type.path("lateShare").asDouble(0), type.path("keyedWindowMs").asDouble(0),
-                    type.path("wholeFrom").asDouble(1), type.path("leastShare").asDouble(1),
-                    type.path("secondStepParts").asInt(0)), type.get("queryTimeoutMs").doubleValue()));
+            TableType.Repeat repeat =
+                    TableType.Repeat.valueOf(
+                            type.get("repeat").asText().toUpperCase(Locale.ROOT).replace('-', '_'));
+            types.add(
+                    new Document.Type(
+                            new TableType(
+                                    type.get("name").asText(),
+                                    repeat,
+                                    type.get("targetMs").doubleValue(),
+                                    type.path("benefit").asDouble(1),
+                                    type.path("lateShare").asDouble(0),
+                                    type.path("keyedWindowMs").asDouble(0),
+                                    type.path("wholeFrom").asDouble(1),
+                                    type.path("leastShare").asDouble(1),
+                                    type.path("secondStepParts").asInt(0)),
+                            type.get("queryTimeoutMs").doubleValue()));
         }
         var customers = new ArrayList<Customer>();
         for (JsonNode customer : node.path("customers")) {
-            customers.add(new Customer(customer.get("name").asText(), customer.get("scansPerSecond").doubleValue()));
+            customers.add(
+                    new Customer(
+                            customer.get("name").asText(),
+                            customer.get("scansPerSecond").doubleValue()));
         }
         JsonNode limits = node.get("limits");
         JsonNode budget = node.path("dispatchBudget");
         JsonNode cold = node.get("coldRule");
         var out = new TreeSet<String>();
         node.path("serversOut").forEach(server -> out.add(server.asText()));
-        return new Document(types, customers,
-                new Deployment.Limits(limits.get("dispatchesPerPart").intValue(), limits.get("maxOpen").intValue(),
-                        limits.path("secondCopies").booleanValue(), limits.path("cancel").booleanValue(),
+        return new Document(
+                types,
+                customers,
+                new Deployment.Limits(
+                        limits.get("dispatchesPerPart").intValue(),
+                        limits.get("maxOpen").intValue(),
+                        limits.path("secondCopies").booleanValue(),
+                        limits.path("cancel").booleanValue(),
                         limits.path("maxComeBackMs").doubleValue()),
-                budget.isObject() ? new Deployment.DispatchBudget(budget.get("free").doubleValue(),
-                        budget.get("perTaken").doubleValue(), budget.get("windowMs").doubleValue())
+                budget.isObject()
+                        ? new Deployment.DispatchBudget(
+                                budget.get("free").doubleValue(),
+                                budget.get("perTaken").doubleValue(),
+                                budget.get("windowMs").doubleValue())
                         : Deployment.DispatchBudget.NONE,
-                new Deployment.ColdRule(cold.get("startShare").doubleValue(), cold.get("warmAfterMs").doubleValue(),
-                        cold.get("multiple").doubleValue(), cold.get("windowMs").doubleValue()),
-                out, node.path("discovery").asText(""), node.path("recording").asText(""),
+                new Deployment.ColdRule(
+                        cold.get("startShare").doubleValue(),
+                        cold.get("warmAfterMs").doubleValue(),
+                        cold.get("multiple").doubleValue(),
+                        cold.get("windowMs").doubleValue()),
+                out,
+                node.path("discovery").asText(""),
+                node.path("recording").asText(""),
                 node.path("logLevel").asText("INFO"));
     }
 
@@ -131,30 +175,49 @@
         ArrayNode types = node.putArray("tableTypes");
         for (Document.Type type : document.types()) {
             TableType facts = type.facts();
-            types.addObject().put("name", facts.name())
+            types.addObject()
+                    .put("name", facts.name())
                     .put("repeat", facts.repeat().name().toLowerCase(Locale.ROOT).replace('_', '-'))
-                    .put("targetMs", facts.targetMs()).put("queryTimeoutMs", type.queryTimeoutMs())
-                    .put("benefit", facts.benefit()).put("lateShare", facts.lateShare())
-                    .put("keyedWindowMs", facts.keyedWindowMs()).put("wholeFrom", facts.completeFrom())
-                    .put("leastShare", facts.leastShare()).put("secondStepParts", facts.secondStepParts());
+                    .put("targetMs", facts.targetMs())
+                    .put("queryTimeoutMs", type.queryTimeoutMs())
+                    .put("benefit", facts.benefit())
+                    .put("lateShare", facts.lateShare())
+                    .put("keyedWindowMs", facts.keyedWindowMs())
+                    .put("wholeFrom", facts.completeFrom())
+                    .put("leastShare", facts.leastShare())
+                    .put("secondStepParts", facts.secondStepParts());
         }
         ArrayNode customers = node.putArray("customers");
-        document.customers().forEach(customer -> customers.addObject().put("name", customer.name())
-                .put("scansPerSecond", customer.scansPerSecond()));
+        document.customers()
+                .forEach(
+                        customer ->
+                                customers
+                                        .addObject()
+                                        .put("name", customer.name())
+                                        .put("scansPerSecond", customer.scansPerSecond()));
         Deployment.Limits limits = document.limits();
-        node.putObject("limits").put("dispatchesPerPart", limits.dispatchesPerPart()).put("maxOpen", limits.maxOpen())
-                .put("secondCopies", limits.secondCopies()).put("cancel", limits.cancel())
+        node.putObject("limits")
+                .put("dispatchesPerPart", limits.dispatchesPerPart())
+                .put("maxOpen", limits.maxOpen())
+                .put("secondCopies", limits.secondCopies())
+                .put("cancel", limits.cancel())
                 .put("maxComeBackMs", limits.maxComeBackMs());
         if (!document.budget().equals(Deployment.DispatchBudget.NONE)) {
-            node.putObject("dispatchBudget").put("free", document.budget().free())
-                    .put("perTaken", document.budget().perTaken()).put("windowMs", document.budget().windowMs());
+            node.putObject("dispatchBudget")
+                    .put("free", document.budget().free())
+                    .put("perTaken", document.budget().perTaken())
+                    .put("windowMs", document.budget().windowMs());
         }
         Deployment.ColdRule cold = document.coldRule();
-        node.putObject("coldRule").put("startShare", cold.startShare()).put("warmAfterMs", cold.warmAfterMs())
-                .put("multiple", cold.multiple()).put("windowMs", cold.windowMs());
+        node.putObject("coldRule")
+                .put("startShare", cold.startShare())
+                .put("warmAfterMs", cold.warmAfterMs())
+                .put("multiple", cold.multiple())
+                .put("windowMs", cold.windowMs());
         ArrayNode out = node.putArray("serversOut");
         document.serversOut().forEach(out::add);
-        node.put("discovery", document.discovery()).put("recording", document.recording())
+        node.put("discovery", document.discovery())
+                .put("recording", document.recording())
                 .put("logLevel", document.logLevel());
         try {
             return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsBytes(node);
--- a/change/src/main/java/sprucehold/change/document/MeaningCheck.java
+++ b/change/src/main/java/sprucehold/change/document/MeaningCheck.java
@@ -11,11 +11,15 @@
 import sprucehold.port.Deployment;
 import sprucehold.port.TableType;
 
-/** Whether a document of sound form means something that can be served. Every fault is told, not the first alone. */
+/**
+ * Whether a document of sound form means something that can be served. Every fault is told, not the
+ * first alone.
+ */
 public final class MeaningCheck {
     /**
-     * A budget that lets each scan be tried more than this often again is no limit; a server that is down would be asked
-     * by all at once. Three is what one part may be sent beyond its first under the usual limit of four dispatches.
+     * A budget that lets each scan be tried more than this often again is no limit; a server that
+     * is down would be asked by all at once. Three is what one part may be sent beyond its first
+     * under the usual limit of four dispatches.
      */
     private static final double MOST_PER_TAKEN = 3;
 
@@ -56,7 +60,10 @@
         int index = 0;
         for (String name : names) {
             if (!seen.add(name)) {
-                fault(path + "/" + index + "/name", "'" + name + "' stands twice", "leave one of them out");
+                fault(
+                        path + "/" + index + "/name",
+                        "'" + name + "' stands twice",
+                        "leave one of them out");
             }
             index++;
         }
@@ -69,22 +76,38 @@
             TableType type = document.types().get(i).facts();
             double timeout = document.types().get(i).queryTimeoutMs();
             if (type.targetMs() >= timeout) {
-                fault(at + "/targetMs", "the target time of " + type.targetMs() + " ms isn't under the query timeout of "
-                        + timeout + " ms", "lower the one or raise the other");
+                fault(
+                        at + "/targetMs",
+                        "the target time of "
+                                + type.targetMs()
+                                + " ms isn't under the query timeout of "
+                                + timeout
+                                + " ms",
+                        "lower the one or raise the other");
             }
             if (type.leastShare() > type.completeFrom()) {
-                fault(at + "/leastShare", "the least share " + type.leastShare() + " lies above " + type.completeFrom()
-                        + ", from which an answer is whole", "no answer would ever be given in part: lower it");
+                fault(
+                        at + "/leastShare",
+                        "the least share "
+                                + type.leastShare()
+                                + " lies above "
+                                + type.completeFrom()
+                                + ", from which an answer is whole",
+                        "no answer would ever be given in part: lower it");
             }
             if (type.completeFrom() <= 0) {
                 fault(at + "/wholeFrom", "an answer of nothing would be whole", "set it above 0");
             }
             boolean keyed = type.repeat() == TableType.Repeat.KEYED;
             if (keyed && type.keyedWindowMs() <= 0) {
-                fault(at + "/keyedWindowMs", "a keyed type without a window could never be sent again",
+                fault(
+                        at + "/keyedWindowMs",
+                        "a keyed type without a window could never be sent again",
                         "state its window, or call it non-replayable");
             } else if (!keyed && type.keyedWindowMs() > 0) {
-                fault(at + "/keyedWindowMs", "a window of a type that isn't keyed means nothing",
+                fault(
+                        at + "/keyedWindowMs",
+                        "a window of a type that isn't keyed means nothing",
                         "leave it out, or call the type keyed");
             }
         }
@@ -97,46 +120,81 @@
     private void limits() {
         Deployment.Limits limits = document.limits();
         if (limits.secondCopies() && limits.dispatchesPerPart() < 2) {
-            fault("/limits/secondCopies", "copies are allowed, but a part may be sent once only",
+            fault(
+                    "/limits/secondCopies",
+                    "copies are allowed, but a part may be sent once only",
                     "allow two dispatches, or no copies");
         }
         Deployment.DispatchBudget budget = document.budget();
         if (budget.perTaken() > MOST_PER_TAKEN) {
-            fault("/dispatchBudget/perTaken", budget.perTaken() + " further dispatches for each scan are no limit",
+            fault(
+                    "/dispatchBudget/perTaken",
+                    budget.perTaken() + " further dispatches for each scan are no limit",
                     "at most " + MOST_PER_TAKEN + ", or leave the budget out");
         }
-        if (!budget.equals(Deployment.DispatchBudget.NONE) && budget.free() == 0 && budget.perTaken() == 0
+        if (!budget.equals(Deployment.DispatchBudget.NONE)
+                && budget.free() == 0
+                && budget.perTaken() == 0
                 && limits.dispatchesPerPart() > 1) {
-            fault("/dispatchBudget", "nothing may ever be sent again, though limits allow "
-                    + limits.dispatchesPerPart() + " dispatches", "allow one of the two");
+            fault(
+                    "/dispatchBudget",
+                    "nothing may ever be sent again, though limits allow "
+                            + limits.dispatchesPerPart()
+                            + " dispatches",
+                    "allow one of the two");
         }
         Deployment.ColdRule cold = document.coldRule();
         if (cold.startShare() < 1 && cold.warmAfterMs() == 0) {
-            fault("/coldRule/warmAfterMs", "a server that begins cold is never warm", "state when it is warm");
+            fault(
+                    "/coldRule/warmAfterMs",
+                    "a server that begins cold is never warm",
+                    "state when it is warm");
         }
     }
 
     private void running(Document before, Running running) {
         for (Map.Entry<String, Integer> open : running.openByType().entrySet()) {
-            if (open.getValue() > 0 && document.type(open.getKey()).isEmpty() && before.type(open.getKey()).isPresent()) {
-                fault("/tableTypes", "'" + open.getKey() + "' is left out while " + open.getValue()
-                        + " scans of it are open", "leave it in until they have ended, clients sent elsewhere first");
+            if (open.getValue() > 0
+                    && document.type(open.getKey()).isEmpty()
+                    && before.type(open.getKey()).isPresent()) {
+                fault(
+                        "/tableTypes",
+                        "'"
+                                + open.getKey()
+                                + "' is left out while "
+                                + open.getValue()
+                                + " scans of it are open",
+                        "leave it in until they have ended, clients sent elsewhere first");
             }
         }
         if (document.limits().maxOpen() < running.open()) {
-            fault("/limits/maxOpen", "at most " + document.limits().maxOpen() + " may be open, and " + running.open()
-                    + " are", "lower it in steps, or when fewer are open");
+            fault(
+                    "/limits/maxOpen",
+                    "at most "
+                            + document.limits().maxOpen()
+                            + " may be open, and "
+                            + running.open()
+                            + " are",
+                    "lower it in steps, or when fewer are open");
         }
         var bare = new ArrayList<Integer>();
-        running.holders().forEach((segment, holders) -> {
-            if (!holders.isEmpty() && document.serversOut().containsAll(holders)) {
-                bare.add(segment);
-            }
-        });
+        running.holders()
+                .forEach(
+                        (segment, holders) -> {
+                            if (!holders.isEmpty() && document.serversOut().containsAll(holders)) {
+                                bare.add(segment);
+                            }
+                        });
         if (!bare.isEmpty()) {
             bare.sort(null);
-            fault("/serversOut", "segments " + (bare.size() > 8 ? bare.subList(0, 8) + " and " + (bare.size() - 8)
-                    + " more" : bare) + " would have no holder left", "leave one of their servers in");
+            fault(
+                    "/serversOut",
+                    "segments "
+                            + (bare.size() > 8
+                                    ? bare.subList(0, 8) + " and " + (bare.size() - 8) + " more"
+                                    : bare)
+                            + " would have no holder left",
+                    "leave one of their servers in");
         }
     }
 }
--- a/change/src/main/java/sprucehold/change/journal/JournalFile.java
+++ b/change/src/main/java/sprucehold/change/journal/JournalFile.java
@@ -23,13 +23,14 @@
 import sprucehold.change.line.Version;
 
 /**
- * A file of lines, one an entry: its CRC-32C in eight hex digits, a space, JSON. One process owns it by a lock. Lines are
- * appended and synced; at the first that isn't whole the journal ends, and what comes after it is cut off. Not safe for
- * threads.
+ * A file of lines, one an entry: its CRC-32C in eight hex digits, a space, JSON. One process owns
+ * it by a lock. Lines are appended and synced; at the first that isn't whole the journal ends, and
+ * what comes after it is cut off. Not safe for threads.
  */
 public final class JournalFile implements Closeable {
     /** A thousand versions of large documents take less; a larger file is none of ours. */
     private static final long MOST_BYTES = 1L << 30;
+
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
 
     private final FileChannel channel;
@@ -37,8 +38,12 @@
     private String cutOff;
 
     private JournalFile(Path file) throws IOException {
-        channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        channel =
+                FileChannel.open(
+                        file,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
         try {
             lock(file);
             read(file);
@@ -48,7 +53,9 @@
         }
     }
 
-    /** @throws IOException where the file can't be read or written, or another process has it */
+    /**
+     * @throws IOException where the file can't be read or written, or another process has it
+     */
     public static JournalFile open(Path file) throws IOException {
         return new JournalFile(file);
     }
@@ -67,8 +74,13 @@
 
     private void read(Path file) throws IOException {
         if (channel.size() > MOST_BYTES) {
-            throw new IOException(file + " has " + channel.size() + " bytes, at most " + MOST_BYTES
-                    + " were expected");
+            throw new IOException(
+                    file
+                            + " has "
+                            + channel.size()
+                            + " bytes, at most "
+                            + MOST_BYTES
+                            + " were expected");
         }
         byte[] all = new byte[(int) channel.size()];
         ByteBuffer bytes = ByteBuffer.wrap(all);
@@ -84,7 +96,11 @@
             }
             JournalEntry entry = to == all.length ? null : decode(all, from, to);
             if (entry == null) {
-                cutOff = file + ", line " + line + ": not whole; it and what comes after it is left out";
+                cutOff =
+                        file
+                                + ", line "
+                                + line
+                                + ": not whole; it and what comes after it is left out";
                 break;
             }
             entries.add(entry);
@@ -109,8 +125,12 @@
     public void write(JournalEntry entry) throws IOException {
         byte[] json = MAPPER.writeValueAsBytes(encode(entry));
         ByteBuffer line = ByteBuffer.allocate(json.length + 10);
-        line.put(String.format("%08x ", crc(json, 0, json.length)).getBytes(StandardCharsets.US_ASCII)).put(json)
-                .put((byte) '\n').flip();
+        line.put(
+                        String.format("%08x ", crc(json, 0, json.length))
+                                .getBytes(StandardCharsets.US_ASCII))
+                .put(json)
+                .put((byte) '\n')
+                .flip();
         while (line.hasRemaining()) {
             channel.write(line);
         }
@@ -128,7 +148,9 @@
             if (to - from < 11 || all[from + 8] != ' ') {
                 return null;
             }
-            int stated = Integer.parseUnsignedInt(new String(all, from, 8, StandardCharsets.US_ASCII), 16);
+            int stated =
+                    Integer.parseUnsignedInt(
+                            new String(all, from, 8, StandardCharsets.US_ASCII), 16);
             if (stated != crc(all, from + 9, to)) {
                 return null;
             }
@@ -143,8 +165,11 @@
         if (entry instanceof JournalEntry.Accepted accepted) {
             Version version = accepted.version();
             try {
-                node.put("accepted", version.number()).put("madeFrom", version.madeFrom()).put("by", version.by())
-                        .put("undoes", version.undoes()).put("id", accepted.id())
+                node.put("accepted", version.number())
+                        .put("madeFrom", version.madeFrom())
+                        .put("by", version.by())
+                        .put("undoes", version.undoes())
+                        .put("id", accepted.id())
                         .set("document", MAPPER.readTree(DocumentReader.write(version.document())));
             } catch (IOException e) {
                 throw new IllegalStateException("a document has no JSON form", e);
@@ -165,20 +190,27 @@
 
     private static JournalEntry decode(JsonNode node) throws IOException {
         if (node.has("accepted")) {
-            DocumentReader.Read read = DocumentReader.read(MAPPER.writeValueAsBytes(node.path("document")));
+            DocumentReader.Read read =
+                    DocumentReader.read(MAPPER.writeValueAsBytes(node.path("document")));
             if (!(read instanceof DocumentReader.Read.Good good)) {
                 return null;
             }
             Document document = good.document();
-            return new JournalEntry.Accepted(new Version(node.get("accepted").longValue(),
-                    node.path("madeFrom").longValue(), document, node.path("by").asText(),
-                    node.path("undoes").longValue()), node.path("id").asText());
+            return new JournalEntry.Accepted(
+                    new Version(
+                            node.get("accepted").longValue(),
+                            node.path("madeFrom").longValue(),
+                            document,
+                            node.path("by").asText(),
+                            node.path("undoes").longValue()),
+                    node.path("id").asText());
         } else if (node.has("live")) {
             return new JournalEntry.Live(node.get("live").longValue());
         } else if (node.has("confirmed")) {
             return new JournalEntry.Confirmed(node.get("confirmed").longValue());
         } else if (node.has("dropped")) {
-            return new JournalEntry.Dropped(node.get("dropped").longValue(), node.path("why").asText());
+            return new JournalEntry.Dropped(
+                    node.get("dropped").longValue(), node.path("why").asText());
         } else if (node.has("retried")) {
             return new JournalEntry.Retried(node.get("retried").longValue());
         }
--- a/change/src/main/java/sprucehold/change/line/Outcome.java
+++ b/change/src/main/java/sprucehold/change/line/Outcome.java
@@ -8,5 +8,12 @@
  */
 public record Outcome(Version version, State how, String why) {
     /** Where a version stands. */
-    public enum State { STAGED, WATCHED, CONFIRMED, REPLACED, UNDONE, SET_ASIDE }
+    public enum State {
+        STAGED,
+        WATCHED,
+        CONFIRMED,
+        REPLACED,
+        UNDONE,
+        SET_ASIDE
+    }
 }
--- a/change/src/main/java/sprucehold/change/line/Version.java
+++ b/change/src/main/java/sprucehold/change/line/Version.java
@@ -10,5 +10,4 @@
  * @param by who asked for it
  * @param undoes the version that it takes back, 0 for none
  */
-public record Version(long number, long madeFrom, Document document, String by, long undoes) {
-}
+public record Version(long number, long madeFrom, Document document, String by, long undoes) {}
--- a/change/src/main/java/sprucehold/change/line/VersionLine.java
+++ b/change/src/main/java/sprucehold/change/line/VersionLine.java
@@ -11,16 +11,21 @@
 import sprucehold.change.document.MeaningCheck;
 
 /**
- * The line of versions of one gatherer. A proposal is checked whole and staged; it goes live between two moments of the
- * module, is watched, and ends confirmed or undone. An undoing is a version of its own, with the document last
- * confirmed, so that numbers never go back. Every step is written down before it is taken; a process that was killed
- * between any two starts with one whole version.
+ * The line of versions of one gatherer. A proposal is checked whole and staged; it goes live
+ * between two moments of the module, is watched, and ends confirmed or undone. An undoing is a
+ * version of its own, with the document last confirmed, so that numbers never go back. Every step
+ * is written down before it is taken; a process that was killed between any two starts with one
+ * whole version.
  */
 public final class VersionLine {
-    /** A version under which the process died so often without an end in good order is set aside. */
+    /**
+     * A version under which the process died so often without an end in good order is set aside.
+     */
     private static final int MOST_DEATHS = 2;
+
     /** Outcomes remembered, for operators who ask; the journal holds all. */
     private static final int MOST_HISTORY = 1000;
+
     private static final String ASIDE = "set aside";
 
     private final Map<Long, Outcome> history = new LinkedHashMap<>();
@@ -33,7 +38,9 @@
     private long last;
     private List<LineAction> todo = new ArrayList<>();
 
-    /** @param first the document that the process was started with; it is version 1 and confirmed */
+    /**
+     * @param first the document that the process was started with; it is version 1 and confirmed
+     */
     public VersionLine(Document first) {
         confirmed = new Version(1, 0, first, "start", 0);
         live = confirmed;
@@ -80,16 +87,33 @@
         Version newest = staged != null ? staged : live;
         if (proposed.madeFrom() != newest.number()) {
             Outcome from = history.get(proposed.madeFrom());
-            Fault fault = new Fault("", "it was made from version " + proposed.madeFrom() + ", and the newest is "
-                    + newest.number(), "make it anew from version " + newest.number());
-            todo.add(new LineAction.TurnedDown(proposed.id(), List.of(fault), from == null ? null
-                    : Difference.between(from.version().document(), newest.document())));
+            Fault fault =
+                    new Fault(
+                            "",
+                            "it was made from version "
+                                    + proposed.madeFrom()
+                                    + ", and the newest is "
+                                    + newest.number(),
+                            "make it anew from version " + newest.number());
+            todo.add(
+                    new LineAction.TurnedDown(
+                            proposed.id(),
+                            List.of(fault),
+                            from == null
+                                    ? null
+                                    : Difference.between(
+                                            from.version().document(), newest.document())));
             return;
         }
         if (watched || staged != null) {
             // Two changes at a time: nobody could tell which of them service fell by.
-            Fault fault = new Fault("", "version " + newest.number() + (watched ? " is still watched"
-                    : " isn't live yet"), "wait for its end, confirm it or undo it");
+            Fault fault =
+                    new Fault(
+                            "",
+                            "version "
+                                    + newest.number()
+                                    + (watched ? " is still watched" : " isn't live yet"),
+                            "wait for its end, confirm it or undo it");
             todo.add(new LineAction.TurnedDown(proposed.id(), List.of(fault), null));
             return;
         }
@@ -98,12 +122,21 @@
             todo.add(new LineAction.AlreadyThere(proposed.id(), live.number()));
             return;
         }
-        List<Fault> faults = new ArrayList<>(MeaningCheck.against(proposed.document(), live.document(),
-                proposed.running()));
+        List<Fault> faults =
+                new ArrayList<>(
+                        MeaningCheck.against(
+                                proposed.document(), live.document(), proposed.running()));
         for (Outcome outcome : history.values()) {
-            if (outcome.how() == Outcome.State.SET_ASIDE && outcome.version().document().equals(proposed.document())) {
-                faults.add(new Fault("", "it is the same as version " + outcome.version().number()
-                        + ", which was set aside: " + outcome.why(), "change what killed the process"));
+            if (outcome.how() == Outcome.State.SET_ASIDE
+                    && outcome.version().document().equals(proposed.document())) {
+                faults.add(
+                        new Fault(
+                                "",
+                                "it is the same as version "
+                                        + outcome.version().number()
+                                        + ", which was set aside: "
+                                        + outcome.why(),
+                                "change what killed the process"));
             }
         }
         if (!faults.isEmpty()) {
@@ -114,8 +147,11 @@
         numberOfProposal.put(proposed.id(), staged.number());
         remember(staged, Outcome.State.STAGED, "");
         todo.add(new LineAction.Write(new JournalEntry.Accepted(staged, proposed.id())));
-        todo.add(new LineAction.Accepted(proposed.id(), staged,
-                Difference.between(live.document(), staged.document())));
+        todo.add(
+                new LineAction.Accepted(
+                        proposed.id(),
+                        staged,
+                        Difference.between(live.document(), staged.document())));
     }
 
     // ---- Going live, and the end of it ----
@@ -131,7 +167,9 @@
         todo.add(new LineAction.Write(new JournalEntry.Live(live.number())));
         todo.add(new LineAction.Apply(live));
         todo.add(new LineAction.Watch(live.number()));
-        todo.add(new LineAction.Tell("version " + live.number() + " by " + live.by() + " is live and watched"));
+        todo.add(
+                new LineAction.Tell(
+                        "version " + live.number() + " by " + live.by() + " is live and watched"));
     }
 
     private void judged(LineEvent.Judged judged) {
@@ -156,18 +194,30 @@
         todo.add(new LineAction.Tell("version " + live.number() + " is confirmed: " + why));
     }
 
-    /** Back to the document last confirmed, under a new number; it was confirmed before and isn't watched. */
+    /**
+     * Back to the document last confirmed, under a new number; it was confirmed before and isn't
+     * watched.
+     */
     private void undo(String why, String by) {
         Version undone = live;
         watched = false;
         todo.add(new LineAction.StopWatch(undone.number()));
         drop(undone, why);
         back(undone.number(), by);
-        todo.add(new LineAction.Tell("version " + undone.number() + " is undone, version " + live.number()
-                + " is live: " + why));
+        todo.add(
+                new LineAction.Tell(
+                        "version "
+                                + undone.number()
+                                + " is undone, version "
+                                + live.number()
+                                + " is live: "
+                                + why));
     }
 
-    /** Puts the document last confirmed in force under a new number, as one that was live came after it. */
+    /**
+     * Puts the document last confirmed in force under a new number, as one that was live came after
+     * it.
+     */
     private void back(long undone, String by) {
         var back = new Version(++last, undone, confirmed.document(), by, undone);
         todo.add(new LineAction.Write(new JournalEntry.Accepted(back, "undo-" + undone)));
@@ -186,7 +236,10 @@
 
     // ---- Recovery ----
 
-    /** Folds the journal. A version accepted and not yet live is forgotten: nobody was promised that it would go live. */
+    /**
+     * Folds the journal. A version accepted and not yet live is forgotten: nobody was promised that
+     * it would go live.
+     */
     private void started(List<JournalEntry> journal) {
         Version unresolved = null;
         long everLive = 0;
@@ -209,14 +262,20 @@
                 unresolved = null;
                 remember(confirmed, Outcome.State.CONFIRMED, "");
             } else if (entry instanceof JournalEntry.Dropped of) {
-                unresolved = unresolved != null && unresolved.number() == of.number() ? null : unresolved;
+                unresolved =
+                        unresolved != null && unresolved.number() == of.number()
+                                ? null
+                                : unresolved;
                 if (accepted.containsKey(of.number())) {
                     boolean aside = of.why().startsWith(ASIDE);
-                    remember(accepted.get(of.number()), aside ? Outcome.State.SET_ASIDE : Outcome.State.UNDONE,
+                    remember(
+                            accepted.get(of.number()),
+                            aside ? Outcome.State.SET_ASIDE : Outcome.State.UNDONE,
                             of.why());
                 }
             } else if (entry instanceof JournalEntry.Ended) {
-                // What was live until an end in good order didn't kill the process; it is watched anew.
+                // What was live until an end in good order didn't kill the process; it is watched
+                // anew.
                 if (unresolved != null) {
                     deaths.remove(unresolved.number());
                 }
@@ -241,15 +300,23 @@
     }
 
     private void retry(Version version, List<JournalEntry> journal) {
-        boolean inOrder = !journal.isEmpty() && journal.get(journal.size() - 1) instanceof JournalEntry.Ended;
+        boolean inOrder =
+                !journal.isEmpty() && journal.get(journal.size() - 1) instanceof JournalEntry.Ended;
         int died = deaths.getOrDefault(version.number(), 0) + (inOrder ? 0 : 1);
         if (died >= MOST_DEATHS) {
             String why = ASIDE + ": the process died under it " + died + " times";
             remember(version, Outcome.State.SET_ASIDE, why);
             todo.add(new LineAction.Write(new JournalEntry.Dropped(version.number(), why)));
             back(version.number(), "restart");
-            todo.add(new LineAction.Tell("version " + version.number() + " is " + why + "; version " + live.number()
-                    + " is live"));
+            todo.add(
+                    new LineAction.Tell(
+                            "version "
+                                    + version.number()
+                                    + " is "
+                                    + why
+                                    + "; version "
+                                    + live.number()
+                                    + " is live"));
             return;
         }
         if (!inOrder) {
@@ -261,7 +328,9 @@
         remember(live, Outcome.State.WATCHED, "");
         todo.add(new LineAction.Apply(live));
         todo.add(new LineAction.Watch(live.number()));
-        todo.add(new LineAction.Tell("version " + live.number() + " is live and watched again after a restart"));
+        todo.add(
+                new LineAction.Tell(
+                        "version " + live.number() + " is live and watched again after a restart"));
     }
 
     private void remember(Version version, Outcome.State how, String why) {
--- a/change/src/main/java/sprucehold/change/rollout/Rollout.java
+++ b/change/src/main/java/sprucehold/change/rollout/Rollout.java
@@ -10,14 +10,16 @@
 import sprucehold.change.rollout.RolloutState.Standing;
 
 /**
- * Brings a change to many gatherers, wave by wave: the next wave begins when all of the one before have confirmed it. One
- * that turns it down or undoes it halts the rollout, and whoever has taken it is asked to go back. A gatherer that does
- * not answer is asked again, and holds its wave up; it is never passed over, and never counted as what it isn't known
- * to be. Asking twice is harmless: proposals carry the rollout's id.
+ * Brings a change to many gatherers, wave by wave: the next wave begins when all of the one before
+ * have confirmed it. One that turns it down or undoes it halts the rollout, and whoever has taken
+ * it is asked to go back. A gatherer that does not answer is asked again, and holds its wave up; it
+ * is never passed over, and never counted as what it isn't known to be. Asking twice is harmless:
+ * proposals carry the rollout's id.
  */
 public final class Rollout {
     /** Asked again so often; a gatherer that restarts is back within it, at one ask a second. */
     private static final int MOST_ASKS = 60;
+
     private static final double ASK_EVERY_MS = 1000;
 
     private RolloutState state;
@@ -28,27 +30,24 @@
     /** What a rollout wants done. */
     public sealed interface RolloutAction {
         /** The state is to be kept before what follows is done. */
-        record Keep(RolloutState state) implements RolloutAction {
-        }
+        record Keep(RolloutState state) implements RolloutAction {}
 
         /** The change is proposed to the gatherer, or proposed again by the same id. */
-        record Propose(String gatherer, String id) implements RolloutAction {
-        }
+        record Propose(String gatherer, String id) implements RolloutAction {}
 
         /** The gatherer is asked where the change stands. */
-        record Ask(String gatherer, String id) implements RolloutAction {
-        }
+        record Ask(String gatherer, String id) implements RolloutAction {}
 
         /** The gatherer is to go back to what it served before. */
-        record TakeBack(String gatherer, String id) implements RolloutAction {
-        }
+        record TakeBack(String gatherer, String id) implements RolloutAction {}
 
         /** A line for the operator. */
-        record Tell(String line) implements RolloutAction {
-        }
+        record Tell(String line) implements RolloutAction {}
     }
 
-    /** @param state a new one, or one that was kept when the tool died */
+    /**
+     * @param state a new one, or one that was kept when the tool died
+     */
     public Rollout(RolloutState state) {
         this.state = state;
     }
@@ -75,7 +74,8 @@
     /**
      * A gatherer told where the change stands with it.
      *
-     * @param now never {@link Standing#UNTOUCHED} or {@link Standing#ASKED}: those are the rollout's own
+     * @param now never {@link Standing#UNTOUCHED} or {@link Standing#ASKED}: those are the
+     *     rollout's own
      * @param why its words, for one that turned it down or undid it
      */
     public List<RolloutAction> answered(String gatherer, Standing now, String why) {
@@ -86,13 +86,18 @@
         }
         asks.remove(gatherer);
         // An answer that was under way when the gatherer was asked back tells of what was.
-        if (before == Standing.TAKING_BACK && (now == Standing.WATCHED || now == Standing.CONFIRMED)) {
+        if (before == Standing.TAKING_BACK
+                && (now == Standing.WATCHED || now == Standing.CONFIRMED)) {
             return todo;
         }
         if (now != before) {
             set(gatherer, now);
-            if (state.phase() == Phase.ROLLING && (now == Standing.TURNED_DOWN || now == Standing.UNDONE)) {
-                halt(gatherer + (now == Standing.UNDONE ? " undid it: " : " turned it down: ") + why);
+            if (state.phase() == Phase.ROLLING
+                    && (now == Standing.TURNED_DOWN || now == Standing.UNDONE)) {
+                halt(
+                        gatherer
+                                + (now == Standing.UNDONE ? " undid it: " : " turned it down: ")
+                                + why);
             }
         }
         advance();
@@ -103,15 +108,17 @@
         for (String gatherer : state.standing().keySet()) {
             switch (state.standing().get(gatherer)) {
                 case UNTOUCHED -> {
-                    if (state.phase() == Phase.ROLLING && state.waves().get(state.wave()).contains(gatherer)) {
+                    if (state.phase() == Phase.ROLLING
+                            && state.waves().get(state.wave()).contains(gatherer)) {
                         set(gatherer, Standing.ASKED);
                         todo.add(new RolloutAction.Propose(gatherer, state.id()));
                     }
                 }
                 case ASKED -> again(gatherer, new RolloutAction.Propose(gatherer, state.id()));
                 case WATCHED -> again(gatherer, new RolloutAction.Ask(gatherer, state.id()));
-                case TAKING_BACK -> again(gatherer, new RolloutAction.TakeBack(gatherer, state.id()));
-                default -> { }
+                case TAKING_BACK ->
+                        again(gatherer, new RolloutAction.TakeBack(gatherer, state.id()));
+                default -> {}
             }
         }
         advance();
@@ -142,30 +149,45 @@
 
     private void halt(String why) {
         var standing = new TreeMap<>(state.standing());
-        standing.replaceAll((gatherer, now) -> now == Standing.WATCHED || now == Standing.CONFIRMED
-                || now == Standing.ASKED ? Standing.TAKING_BACK : now);
+        standing.replaceAll(
+                (gatherer, now) ->
+                        now == Standing.WATCHED
+                                        || now == Standing.CONFIRMED
+                                        || now == Standing.ASKED
+                                ? Standing.TAKING_BACK
+                                : now);
         keep(state.wave(), standing, Phase.TAKING_BACK, why);
         asks.clear();
         todo.removeIf(RolloutAction.Propose.class::isInstance);
         todo.add(new RolloutAction.Tell("halted: " + why));
-        state.standing().forEach((gatherer, now) -> {
-            if (now == Standing.TAKING_BACK) {
-                todo.add(new RolloutAction.TakeBack(gatherer, state.id()));
-            }
-        });
+        state.standing()
+                .forEach(
+                        (gatherer, now) -> {
+                            if (now == Standing.TAKING_BACK) {
+                                todo.add(new RolloutAction.TakeBack(gatherer, state.id()));
+                            }
+                        });
     }
 
     private void advance() {
-        if (state.phase() == Phase.TAKING_BACK && state.standing().values().stream()
-                .noneMatch(now -> now == Standing.TAKING_BACK)) {
+        if (state.phase() == Phase.TAKING_BACK
+                && state.standing().values().stream()
+                        .noneMatch(now -> now == Standing.TAKING_BACK)) {
             end(Phase.HALTED);
-        } else if (state.phase() == Phase.ROLLING && state.waves().get(state.wave()).stream()
-                .allMatch(gatherer -> state.standing().get(gatherer) == Standing.CONFIRMED)) {
+        } else if (state.phase() == Phase.ROLLING
+                && state.waves().get(state.wave()).stream()
+                        .allMatch(
+                                gatherer -> state.standing().get(gatherer) == Standing.CONFIRMED)) {
             if (state.wave() == state.waves().size() - 1) {
                 end(Phase.DONE);
             } else {
-                todo.add(new RolloutAction.Tell("wave " + (state.wave() + 1) + " of " + state.waves().size()
-                        + " is confirmed"));
+                todo.add(
+                        new RolloutAction.Tell(
+                                "wave "
+                                        + (state.wave() + 1)
+                                        + " of "
+                                        + state.waves().size()
+                                        + " is confirmed"));
                 keep(state.wave() + 1, state.standing(), Phase.ROLLING, "");
             }
         }
@@ -173,11 +195,21 @@
 
     private void end(Phase phase) {
         keep(state.wave(), state.standing(), phase, state.why());
-        var unknown = state.standing().entrySet().stream().filter(of -> of.getValue() == Standing.TAKING_BACK)
-                .map(Map.Entry::getKey).toList();
-        todo.add(new RolloutAction.Tell(phase == Phase.DONE ? "all " + state.standing().size()
-                + " gatherers have confirmed it" : "ended: " + state.why() + (unknown.isEmpty() ? "; all others serve "
-                + "what they served before" : "; not known of " + String.join(", ", unknown)
-                + ", which have to be looked at")));
+        var unknown =
+                state.standing().entrySet().stream()
+                        .filter(of -> of.getValue() == Standing.TAKING_BACK)
+                        .map(Map.Entry::getKey)
+                        .toList();
+        todo.add(
+                new RolloutAction.Tell(
+                        phase == Phase.DONE
+                                ? "all " + state.standing().size() + " gatherers have confirmed it"
+                                : "ended: "
+                                        + state.why()
+                                        + (unknown.isEmpty()
+                                                ? "; all others serve " + "what they served before"
+                                                : "; not known of "
+                                                        + String.join(", ", unknown)
+                                                        + ", which have to be looked at")));
     }
 }
--- a/change/src/main/java/sprucehold/change/rollout/RolloutState.java
+++ b/change/src/main/java/sprucehold/change/rollout/RolloutState.java
@@ -16,8 +16,13 @@
  * @param phase what the rollout is doing
  * @param why why it was halted; empty while it was not
  */
-public record RolloutState(String id, List<List<String>> waves, int wave, SortedMap<String, Standing> standing,
-        Phase phase, String why) {
+public record RolloutState(
+        String id,
+        List<List<String>> waves,
+        int wave,
+        SortedMap<String, Standing> standing,
+        Phase phase,
+        String why) {
 
     /** What is known of one gatherer. */
     public enum Standing {
@@ -39,7 +44,12 @@
     }
 
     /** What the rollout is doing. */
-    public enum Phase { ROLLING, TAKING_BACK, DONE, HALTED }
+    public enum Phase {
+        ROLLING,
+        TAKING_BACK,
+        DONE,
+        HALTED
+    }
 
     public RolloutState {
         waves = waves.stream().map(List::copyOf).toList();
@@ -49,16 +59,21 @@
     /** One not yet begun. */
     public static RolloutState of(String id, List<List<String>> waves) {
         var standing = new TreeMap<String, Standing>();
-        waves.forEach(wave -> wave.forEach(gatherer -> {
-            if (standing.put(gatherer, Standing.UNTOUCHED) != null) {
-                throw new IllegalArgumentException("gatherer " + gatherer + " stands twice");
-            }
-        }));
+        waves.forEach(
+                wave ->
+                        wave.forEach(
+                                gatherer -> {
+                                    if (standing.put(gatherer, Standing.UNTOUCHED) != null) {
+                                        throw new IllegalArgumentException(
+                                                "gatherer " + gatherer + " stands twice");
+                                    }
+                                }));
         return new RolloutState(id, waves, 0, standing, Phase.ROLLING, "");
     }
 
     /**
-     * Waves for a fleet: one gatherer first, then twice as many each time, so that a harm that shows is met by few.
+     * Waves for a fleet: one gatherer first, then twice as many each time, so that a harm that
+     * shows is met by few.
      *
      * @param gatherers in the order in which they take their turn
      */
--- a/change/src/main/java/sprucehold/change/server/ServerWords.java
+++ b/change/src/main/java/sprucehold/change/server/ServerWords.java
@@ -12,10 +12,11 @@
 import sprucehold.port.Listing;
 
 /**
- * Stands between the list and the module. News of discovery pass through it, and come out with the operator's word on
- * each server joined: taken out by the operator is draining for the module, whatever discovery says; draining or gone by
- * discovery stays so, whatever the operator says. A server that the operator gives back counts as freshly started, so
- * that the cold budget holds for it.
+ * Stands between the list and the module. News of discovery pass through it, and come out with the
+ * operator's word on each server joined: taken out by the operator is draining for the module,
+ * whatever discovery says; draining or gone by discovery stays so, whatever the operator says. A
+ * server that the operator gives back counts as freshly started, so that the cold budget holds for
+ * it.
  */
 public final class ServerWords {
     private final Map<String, Listing> told = new HashMap<>();
@@ -49,7 +50,8 @@
      *
      * @param servers those taken out; all others are in
      * @param nowMs Unix time, by the clock that starts are told in
-     * @return news for the module: of each listed server whose joined word changed; empty where none did
+     * @return news for the module: of each listed server whose joined word changed; empty where
+     *     none did
      */
     public List<Listing> takenOut(SortedSet<String> servers, double nowMs) {
         var changed = new TreeSet<String>(servers);
@@ -61,28 +63,39 @@
             }
         }
         out = Set.copyOf(servers);
-        return changed.stream().filter(told::containsKey).map(server -> joined(told.get(server))).toList();
+        return changed.stream()
+                .filter(told::containsKey)
+                .map(server -> joined(told.get(server)))
+                .toList();
     }
 
     private Listing joined(Listing server) {
-        Listing.Mode mode = server.mode() == Listing.Mode.RUNNING && out.contains(server.server())
-                ? Listing.Mode.DRAINING : server.mode();
-        double started = Math.max(server.startedAtMs(), givenBackAt.getOrDefault(server.server(), 0.0));
+        Listing.Mode mode =
+                server.mode() == Listing.Mode.RUNNING && out.contains(server.server())
+                        ? Listing.Mode.DRAINING
+                        : server.mode();
+        double started =
+                Math.max(server.startedAtMs(), givenBackAt.getOrDefault(server.server(), 0.0));
         return new Listing(server.server(), server.cell(), server.zone(), started, mode);
     }
 
     /** Servers that discovery calls running, by cell, whatever the operator says. */
     public Map<Integer, Set<String>> byCell() {
         Map<Integer, Set<String>> byCell = new HashMap<>();
-        told.values().stream().filter(server -> server.mode() == Listing.Mode.RUNNING)
-                .forEach(server -> byCell.computeIfAbsent(server.cell(), none -> new HashSet<>()).add(server.server()));
+        told.values().stream()
+                .filter(server -> server.mode() == Listing.Mode.RUNNING)
+                .forEach(
+                        server ->
+                                byCell.computeIfAbsent(server.cell(), none -> new HashSet<>())
+                                        .add(server.server()));
         return byCell;
     }
 
     /** Listed servers that may be sent to, by the joined word. */
     public SortedSet<String> running() {
         var running = new TreeSet<String>();
-        told.values().stream().filter(server -> joined(server).mode() == Listing.Mode.RUNNING)
+        told.values().stream()
+                .filter(server -> joined(server).mode() == Listing.Mode.RUNNING)
                 .forEach(server -> running.add(server.server()));
         return running;
     }
--- a/change/src/main/java/sprucehold/change/watch/Before.java
+++ b/change/src/main/java/sprucehold/change/watch/Before.java
@@ -5,23 +5,24 @@
 import java.util.Map;
 
 /**
- * Service of the last minutes, kept all the time so that it is there when a version goes live. What is expected of a
- * stratum is its worst recent stretch rather than its mean: trouble that had begun before must not be held against a
- * change that came during it.
+ * Service of the last minutes, kept all the time so that it is there when a version goes live. What
+ * is expected of a stratum is its worst recent stretch rather than its mean: trouble that had begun
+ * before must not be held against a change that came during it.
  */
 public final class Before {
     /** Two minutes: several rounds of any trouble's ups and downs, and still today's traffic. */
     private static final double KEEP_MS = 120_000;
+
     /** Stretches whose worst is taken; shorter ones would make chance look like trouble. */
     private static final double STRETCH_MS = 10_000;
+
     /** With fewer scans a stretch says nothing by itself. */
     private static final long LEAST_SCANS = 20;
 
     private final ArrayDeque<Slot> slots = new ArrayDeque<>();
 
     /** What a stratum did before: its usual and its worst share, and scans a second. */
-    record Usual(double mean, double worst, double scansPerSecond, long scans) {
-    }
+    record Usual(double mean, double worst, double scansPerSecond, long scans) {}
 
     public void add(Slot slot) {
         // A clock that went back leaves nothing to compare with.
@@ -46,18 +47,32 @@
         for (Slot slot : slots) {
             // Counted back from the end, so that what came last is a whole stretch.
             long stretch = (long) ((last - slot.endsMs()) / STRETCH_MS);
-            slot.service().forEach((stratum, service) -> {
-                all.merge(stratum, service, Slot.Service::plus);
-                stretches.computeIfAbsent(stratum, none -> new HashMap<>()).merge(stretch, service,
-                        Slot.Service::plus);
-            });
+            slot.service()
+                    .forEach(
+                            (stratum, service) -> {
+                                all.merge(stratum, service, Slot.Service::plus);
+                                stretches
+                                        .computeIfAbsent(stratum, none -> new HashMap<>())
+                                        .merge(stretch, service, Slot.Service::plus);
+                            });
         }
         Map<Slot.Stratum, Usual> usual = new HashMap<>();
-        all.forEach((stratum, service) -> {
-            double worst = stretches.get(stratum).values().stream().filter(of -> of.scans() >= LEAST_SCANS)
-                    .mapToDouble(Slot.Service::share).min().orElse(service.share());
-            usual.put(stratum, new Usual(service.share(), worst, service.scans() * 1000 / span, service.scans()));
-        });
+        all.forEach(
+                (stratum, service) -> {
+                    double worst =
+                            stretches.get(stratum).values().stream()
+                                    .filter(of -> of.scans() >= LEAST_SCANS)
+                                    .mapToDouble(Slot.Service::share)
+                                    .min()
+                                    .orElse(service.share());
+                    usual.put(
+                            stratum,
+                            new Usual(
+                                    service.share(),
+                                    worst,
+                                    service.scans() * 1000 / span,
+                                    service.scans()));
+                });
         return usual;
     }
 }
--- a/change/src/main/java/sprucehold/change/watch/Slot.java
+++ b/change/src/main/java/sprucehold/change/watch/Slot.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * What was asked and earned in a short stretch of time, by stratum: all, a table type, a customer. A scan counts in the
- * stretch in which it ended, and one that didn't end in time when its time was over.
+ * What was asked and earned in a short stretch of time, by stratum: all, a table type, a customer.
+ * A scan counts in the stretch in which it ended, and one that didn't end in time when its time was
+ * over.
  *
  * @param endsMs when the stretch ended
  */
@@ -15,7 +16,11 @@
         public static final Stratum ALL = new Stratum(Kind.ALL, "");
 
         /** What scans are told apart by. */
-        public enum Kind { ALL, TABLE_TYPE, CUSTOMER }
+        public enum Kind {
+            ALL,
+            TABLE_TYPE,
+            CUSTOMER
+        }
 
         @Override
         public String toString() {
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -25,7 +25,13 @@
 
     @Test
     public void documentIsWrittenAndReadAsItWas() {
-        Document document = Documents.with(Documents.usual().types(), Documents.usual().customers(), 150, "s-2", "s-1");
+        Document document =
+                Documents.with(
+                        Documents.usual().types(),
+                        Documents.usual().customers(),
+                        150,
+                        "s-2",
+                        "s-1");
         var read = (DocumentReader.Read.Good) DocumentReader.read(DocumentReader.write(document));
         assertEquals(read.document(), document);
         assertEquals(DocumentReader.write(read.document()), DocumentReader.write(document));
@@ -35,8 +41,12 @@
     Object[][] malformed() {
         String sound = new String(DocumentReader.write(Documents.usual()), StandardCharsets.UTF_8);
         return new Object[][] {
-            {"", "JSON"}, {"[1]", "no JSON object"}, {"{\"limits\": ", "line 1"}, {"{} x", "line 1"},
-            {"[".repeat(100_000), "nest"}, {sound.replaceFirst("\"limits\"", "\"limits\":{},\"limits\""), "Duplicate"},
+            {"", "JSON"},
+            {"[1]", "no JSON object"},
+            {"{\"limits\": ", "line 1"},
+            {"{} x", "line 1"},
+            {"[".repeat(100_000), "nest"},
+            {sound.replaceFirst("\"limits\"", "\"limits\":{},\"limits\""), "Duplicate"},
             {sound.replace("\"maxOpen\" : 200", "\"maxOpen\" : \"many\""), "limits/maxOpen"},
             {sound.replace("\"targetMs\" : 800.0", "\"targetMs\" : -1"), "tableTypes/0/targetMs"},
             {sound.replace("replayable", "whenever"), "tableTypes/0/repeat"},
@@ -48,7 +58,8 @@
     @Test(dataProvider = "malformed")
     public void whatIsNoDocumentIsToldByItsPlace(String json, String said) {
         var read = (DocumentReader.Read.Bad) read(json);
-        assertTrue(read.faults().stream().anyMatch(fault -> fault.toString().contains(said)),
+        assertTrue(
+                read.faults().stream().anyMatch(fault -> fault.toString().contains(said)),
                 read.faults().toString());
         assertTrue(read.faults().stream().allMatch(fault -> fault.toString().length() < 1000));
     }
@@ -56,29 +67,50 @@
     @Test
     public void everyFaultOfTheFormIsToldAtOnce() {
         String sound = new String(DocumentReader.write(Documents.usual()), StandardCharsets.UTF_8);
-        var read = (DocumentReader.Read.Bad) read(sound.replace("\"maxOpen\" : 200", "\"maxOpen\" : 0")
-                .replace("\"startShare\" : 0.2", "\"startShare\" : 7"));
+        var read =
+                (DocumentReader.Read.Bad)
+                        read(
+                                sound.replace("\"maxOpen\" : 200", "\"maxOpen\" : 0")
+                                        .replace("\"startShare\" : 0.2", "\"startShare\" : 7"));
         assertEquals(read.faults().size(), 2, read.faults().toString());
     }
 
     @DataProvider
     Object[][] meaningless() {
         TableType.Repeat replayable = TableType.Repeat.REPLAYABLE;
-        var least = new Document.Type(new TableType("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
-        var keyed = new Document.Type(new TableType("offers", TableType.Repeat.KEYED, 800, 1, 0, 0, 1, 1, 0), 2000);
+        var least =
+                new Document.Type(
+                        new TableType("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
+        var keyed =
+                new Document.Type(
+                        new TableType("offers", TableType.Repeat.KEYED, 800, 1, 0, 0, 1, 1, 0),
+                        2000);
         return new Object[][] {
-            {List.of(Documents.type("offers", replayable, 2000, 2000)), List.of(), "/tableTypes/0/targetMs"},
+            {
+                List.of(Documents.type("offers", replayable, 2000, 2000)),
+                List.of(),
+                "/tableTypes/0/targetMs"
+            },
             {List.of(least), List.of(), "/tableTypes/0/leastShare"},
             {List.of(keyed), List.of(), "/tableTypes/0/keyedWindowMs"},
-            {List.of(Documents.type("a", replayable, 1, 2), Documents.type("a", replayable, 1, 2)), List.of(),
-                "/tableTypes/1/name"},
-            {List.of(Documents.type("a", replayable, 1, 2)), List.of(new Customer("c", 1), new Customer("c", 2)),
-                "/customers/1/name"},
+            {
+                List.of(
+                        Documents.type("a", replayable, 1, 2),
+                        Documents.type("a", replayable, 1, 2)),
+                List.of(),
+                "/tableTypes/1/name"
+            },
+            {
+                List.of(Documents.type("a", replayable, 1, 2)),
+                List.of(new Customer("c", 1), new Customer("c", 2)),
+                "/customers/1/name"
+            },
         };
     }
 
     @Test(dataProvider = "meaningless")
-    public void whatContradictsItselfIsToldByItsPath(List<Document.Type> types, List<Customer> customers, String path) {
+    public void whatContradictsItselfIsToldByItsPath(
+            List<Document.Type> types, List<Customer> customers, String path) {
         List<Fault> faults = MeaningCheck.alone(Documents.with(types, customers, 10));
         assertEquals(faults.stream().map(Fault::path).toList(), List.of(path));
     }
@@ -88,8 +120,20 @@
         var offersOnly = List.of(Documents.usual().types().get(0));
         return new Object[][] {
             // document, open by type, open, holders of segment 3, path of the fault (null: none)
-            {Documents.with(offersOnly, List.of(), 200), Map.of("stamps", 2), 5, Set.of("s-1"), "/tableTypes"},
-            {Documents.with(offersOnly, List.of(), 200), Map.of("stamps", 0), 5, Set.of("s-1"), null},
+            {
+                Documents.with(offersOnly, List.of(), 200),
+                Map.of("stamps", 2),
+                5,
+                Set.of("s-1"),
+                "/tableTypes"
+            },
+            {
+                Documents.with(offersOnly, List.of(), 200),
+                Map.of("stamps", 0),
+                5,
+                Set.of("s-1"),
+                null
+            },
             {Documents.number(-196), Map.of(), 5, Set.of("s-1"), "/limits/maxOpen"},
             {Documents.number(-195), Map.of(), 5, Set.of("s-1"), null},
             {Documents.number(0, "s-1", "s-2"), Map.of(), 5, Set.of("s-1", "s-2"), "/serversOut"},
@@ -100,40 +144,79 @@
     }
 
     @Test(dataProvider = "unfit")
-    public void whatDoesNotFitWhatRunsIsToldByItsPath(Document document, Map<String, Integer> byType, int open,
-            Set<String> holders, String path) {
-        List<Fault> faults = MeaningCheck.against(document, Documents.usual(),
-                new Running(byType, Map.of(), open, Map.of(3, holders)));
-        assertEquals(faults.stream().map(Fault::path).toList(), path == null ? List.of() : List.of(path));
+    public void whatDoesNotFitWhatRunsIsToldByItsPath(
+            Document document,
+            Map<String, Integer> byType,
+            int open,
+            Set<String> holders,
+            String path) {
+        List<Fault> faults =
+                MeaningCheck.against(
+                        document,
+                        Documents.usual(),
+                        new Running(byType, Map.of(), open, Map.of(3, holders)));
+        assertEquals(
+                faults.stream().map(Fault::path).toList(),
+                path == null ? List.of() : List.of(path));
     }
 
     @DataProvider
     Object[][] differences() {
         var types = Documents.usual().types();
         var customers = Documents.usual().customers();
-        var freed = List.of(types.get(0), Documents.type("stamps", TableType.Repeat.REPLAYABLE, 800, 2000));
-        var halved = List.of(Documents.type("offers", TableType.Repeat.REPLAYABLE, 400, 2000), types.get(1));
+        var freed =
+                List.of(
+                        types.get(0),
+                        Documents.type("stamps", TableType.Repeat.REPLAYABLE, 800, 2000));
+        var halved =
+                List.of(
+                        Documents.type("offers", TableType.Repeat.REPLAYABLE, 400, 2000),
+                        types.get(1));
         return new Object[][] {
             {Documents.usual(), Difference.Risk.NONE, ""},
             {Documents.number(10), Difference.Risk.LOW, "rises from 200 to 210"},
             {Documents.number(-9), Difference.Risk.LOW, "falls from 200 to 191"},
             {Documents.number(-40), Difference.Risk.MIDDLE, "falls from 200 to 160"},
             {Documents.number(-100), Difference.Risk.HIGH, "falls from 200 to 100"},
-            {Documents.with(freed, customers, 200), Difference.Risk.HIGH, "what is out stays non-replayable"},
-            {Documents.with(halved, customers, 200), Difference.Risk.HIGH, "the target time of 'offers' falls"},
-            {Documents.with(types, List.of(customers.get(0)), 200), Difference.Risk.HIGH, "'bolt' has no share"},
-            {Documents.with(types, List.of(new Customer("acme", 2), customers.get(1)), 200), Difference.Risk.HIGH,
-                "falls from 20 to 2 scans/s"},
+            {
+                Documents.with(freed, customers, 200),
+                Difference.Risk.HIGH,
+                "what is out stays non-replayable"
+            },
+            {
+                Documents.with(halved, customers, 200),
+                Difference.Risk.HIGH,
+                "the target time of 'offers' falls"
+            },
+            {
+                Documents.with(types, List.of(customers.get(0)), 200),
+                Difference.Risk.HIGH,
+                "'bolt' has no share"
+            },
+            {
+                Documents.with(types, List.of(new Customer("acme", 2), customers.get(1)), 200),
+                Difference.Risk.HIGH,
+                "falls from 20 to 2 scans/s"
+            },
             {Documents.number(0, "s-1"), Difference.Risk.MIDDLE, "nothing new goes to s-1"},
-            {Documents.number(0, "s-1", "s-2"), Difference.Risk.HIGH, "nothing new goes to s-1, s-2"},
+            {
+                Documents.number(0, "s-1", "s-2"),
+                Difference.Risk.HIGH,
+                "nothing new goes to s-1, s-2"
+            },
         };
     }
 
     @Test(dataProvider = "differences")
-    public void differenceIsToldInWordsWithItsRisk(Document after, Difference.Risk risk, String words) {
+    public void differenceIsToldInWordsWithItsRisk(
+            Document after, Difference.Risk risk, String words) {
         Difference difference = Difference.between(Documents.usual(), after);
         assertEquals(difference.risk(), risk);
-        assertTrue(difference.words().stream().map(Difference.Meaning::words).reduce("", (a, b) -> a + b)
-                .contains(words), difference.toString());
+        assertTrue(
+                difference.words().stream()
+                        .map(Difference.Meaning::words)
+                        .reduce("", (a, b) -> a + b)
+                        .contains(words),
+                difference.toString());
     }
 }
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -23,21 +23,34 @@
 import sprucehold.port.TableType;
 
 /**
- * Visits every state of a bounded world: three changes, two servers, a drain, a return, crashes between any two steps, a
- * slow scan. A state is rebuilt by playing its steps again, as the pure parts are deterministic.
+ * Visits every state of a bounded world: three changes, two servers, a drain, a return, crashes
+ * between any two steps, a slow scan. A state is rebuilt by playing its steps again, as the pure
+ * parts are deterministic.
  */
 public class ExplorerTest {
     /** What is put wrong on purpose. */
     private enum Mutation {
-        NONE, CONFIRMED_NOT_WRITTEN, APPLIED_BEFORE_WRITTEN, DRAIN_FORGOTTEN_ON_UNDO, OPERATORS_WORD_ALONE,
-        SCAN_TAKES_NEW_TYPE, NUMBERS_FORGOTTEN_ON_RESTART, RESTART_TAKES_STAGED, GIVEN_BACK_AS_WARM
+        NONE,
+        CONFIRMED_NOT_WRITTEN,
+        APPLIED_BEFORE_WRITTEN,
+        DRAIN_FORGOTTEN_ON_UNDO,
+        OPERATORS_WORD_ALONE,
+        SCAN_TAKES_NEW_TYPE,
+        NUMBERS_FORGOTTEN_ON_RESTART,
+        RESTART_TAKES_STAGED,
+        GIVEN_BACK_AS_WARM
     }
 
     private static final TableType ONCE = Documents.usual().types().get(1).facts();
     private static final Document FIRST = Documents.usual();
     private static final Document SERVER_OUT = Documents.number(1, "s1");
-    private static final Document FREED = Documents.with(List.of(FIRST.types().get(0),
-            Documents.type("stamps", TableType.Repeat.REPLAYABLE, 800, 2000)), FIRST.customers(), 200);
+    private static final Document FREED =
+            Documents.with(
+                    List.of(
+                            FIRST.types().get(0),
+                            Documents.type("stamps", TableType.Repeat.REPLAYABLE, 800, 2000)),
+                    FIRST.customers(),
+                    200);
     private static final Document SMALLER = Documents.number(-1);
     private static final List<Document> CHANGES = List.of(SERVER_OUT, FREED, SMALLER);
 
@@ -78,7 +91,9 @@
                 }
             }
             heard.clear();
-            words.told(new Event.ListReceived(true, servers)).servers().forEach(of -> heard.put(of.server(), of));
+            words.told(new Event.ListReceived(true, servers))
+                    .servers()
+                    .forEach(of -> heard.put(of.server(), of));
         }
 
         List<String> enabled() {
@@ -128,8 +143,15 @@
             writtenBefore = journal.size();
             switch (step) {
                 case "propose" -> {
-                    on(new LineEvent.Proposed("p" + proposed, "o", line.staged() != null ? line.staged().number()
-                            : line.live().number(), CHANGES.get(proposed), Running.NOTHING));
+                    on(
+                            new LineEvent.Proposed(
+                                    "p" + proposed,
+                                    "o",
+                                    line.staged() != null
+                                            ? line.staged().number()
+                                            : line.live().number(),
+                                    CHANGES.get(proposed),
+                                    Running.NOTHING));
                     proposed++;
                 }
                 case "moment" -> on(new LineEvent.BetweenMoments());
@@ -137,8 +159,12 @@
                 case "held" -> on(new LineEvent.Judged(line.live().number(), false, "held"));
                 case "undo" -> {
                     undos++;
-                    on(new LineEvent.UndoAsked(line.staged() != null ? line.staged().number() : line.live().number(),
-                            "o"));
+                    on(
+                            new LineEvent.UndoAsked(
+                                    line.staged() != null
+                                            ? line.staged().number()
+                                            : line.live().number(),
+                                    "o"));
                 }
                 case "slow" -> {
                     slowScans++;
@@ -146,11 +172,16 @@
                 }
                 default -> {
                     String server = step.substring(step.length() - 2);
-                    Listing.Mode mode = step.startsWith("drain") ? Listing.Mode.DRAINING : Listing.Mode.RUNNING;
+                    Listing.Mode mode =
+                            step.startsWith("drain") ? Listing.Mode.DRAINING : Listing.Mode.RUNNING;
                     toldCount++;
                     told.put(server, mode);
-                    hear(words.told(new Event.ListReceived(false, List.of(new Listing(server, 0, "z", 0, mode))))
-                            .servers());
+                    hear(
+                            words.told(
+                                            new Event.ListReceived(
+                                                    false,
+                                                    List.of(new Listing(server, 0, "z", 0, mode))))
+                                    .servers());
                 }
             }
             check(step);
@@ -158,8 +189,10 @@
 
         private void hear(List<Listing> news) {
             for (Listing of : news) {
-                Listing.Mode mode = mutation == Mutation.OPERATORS_WORD_ALONE && !out.contains(of.server())
-                        ? Listing.Mode.RUNNING : of.mode();
+                Listing.Mode mode =
+                        mutation == Mutation.OPERATORS_WORD_ALONE && !out.contains(of.server())
+                                ? Listing.Mode.RUNNING
+                                : of.mode();
                 double started = mutation == Mutation.GIVEN_BACK_AS_WARM ? 0 : of.startedAtMs();
                 heard.put(of.server(), new Listing(of.server(), 0, "z", started, mode));
             }
@@ -177,8 +210,13 @@
                     boolean back = apply.version().undoes() > 0;
                     inForce = apply.version().document();
                     if (slow != null) {
-                        slow = mutation == Mutation.SCAN_TAKES_NEW_TYPE ? inForce.type("stamps").orElseThrow().facts()
-                                : slow.boundBy(inForce.types().stream().map(Document.Type::facts).toList());
+                        slow =
+                                mutation == Mutation.SCAN_TAKES_NEW_TYPE
+                                        ? inForce.type("stamps").orElseThrow().facts()
+                                        : slow.boundBy(
+                                                inForce.types().stream()
+                                                        .map(Document.Type::facts)
+                                                        .toList());
                     }
                     for (String server : out) {
                         if (!inForce.serversOut().contains(server)) {
@@ -188,8 +226,12 @@
                     out.clear();
                     out.addAll(inForce.serversOut());
                     if (mutation == Mutation.DRAIN_FORGOTTEN_ON_UNDO && back) {
-                        words.told(new Event.ListReceived(false, List.of(new Listing("s1", 0, "z", 0,
-                                Listing.Mode.RUNNING))));
+                        words.told(
+                                new Event.ListReceived(
+                                        false,
+                                        List.of(
+                                                new Listing(
+                                                        "s1", 0, "z", 0, Listing.Mode.RUNNING))));
                     }
                     hear(words.takenOut(inForce.serversOut(), now));
                     if (apply.version().number() < greatest) {
@@ -213,12 +255,32 @@
             journal.subList(kept, journal.size()).clear();
             if (lastStepLost) {
                 // Nobody was told of what the last step had not finished.
-                confirmedSeen = Math.min(confirmedSeen, journal.stream().filter(JournalEntry.Confirmed.class::isInstance)
-                        .mapToLong(of -> ((JournalEntry.Confirmed) of).number()).max().orElse(1));
+                confirmedSeen =
+                        Math.min(
+                                confirmedSeen,
+                                journal.stream()
+                                        .filter(JournalEntry.Confirmed.class::isInstance)
+                                        .mapToLong(of -> ((JournalEntry.Confirmed) of).number())
+                                        .max()
+                                        .orElse(1));
                 // Written before it is applied: what isn't written never was in force.
-                greatest = Math.min(greatest, journal.stream().mapToLong(of -> of instanceof JournalEntry.Live live
-                        ? live.number() : of instanceof JournalEntry.Confirmed sure ? sure.number() : 1).max()
-                        .orElse(1));
+                greatest =
+                        Math.min(
+                                greatest,
+                                journal.stream()
+                                        .mapToLong(
+                                                of ->
+                                                        of instanceof JournalEntry.Live live
+                                                                ? live.number()
+                                                                : of
+                                                                                instanceof
+                                                                                JournalEntry
+                                                                                                .Confirmed
+                                                                                        sure
+                                                                        ? sure.number()
+                                                                        : 1)
+                                        .max()
+                                        .orElse(1));
             }
             slow = null;
             out.clear();
@@ -227,22 +289,36 @@
             words = new ServerWords();
             list();
             writtenBefore = journal.size();
-            List<JournalEntry> read = mutation == Mutation.NUMBERS_FORGOTTEN_ON_RESTART ? journal.stream()
-                    .filter(of -> !(of instanceof JournalEntry.Accepted a) || a.version().undoes() == 0).toList()
-                    : List.copyOf(journal);
+            List<JournalEntry> read =
+                    mutation == Mutation.NUMBERS_FORGOTTEN_ON_RESTART
+                            ? journal.stream()
+                                    .filter(
+                                            of ->
+                                                    !(of instanceof JournalEntry.Accepted a)
+                                                            || a.version().undoes() == 0)
+                                    .toList()
+                            : List.copyOf(journal);
             long before = greatest;
             greatest = 1;
             on(new LineEvent.Started(read));
             greatest = Math.max(before, greatest);
-            if (mutation == Mutation.RESTART_TAKES_STAGED && journal.stream().anyMatch(
-                    JournalEntry.Accepted.class::isInstance)) {
-                var last = (JournalEntry.Accepted) journal.stream().filter(JournalEntry.Accepted.class::isInstance)
-                        .reduce((a, b) -> b).orElseThrow();
+            if (mutation == Mutation.RESTART_TAKES_STAGED
+                    && journal.stream().anyMatch(JournalEntry.Accepted.class::isInstance)) {
+                var last =
+                        (JournalEntry.Accepted)
+                                journal.stream()
+                                        .filter(JournalEntry.Accepted.class::isInstance)
+                                        .reduce((a, b) -> b)
+                                        .orElseThrow();
                 inForce = last.version().document();
             }
             if (line.confirmed().number() < confirmedSeen) {
-                broken = "version " + confirmedSeen + " was confirmed and is " + line.confirmed().number()
-                        + " after the crash";
+                broken =
+                        "version "
+                                + confirmedSeen
+                                + " was confirmed and is "
+                                + line.confirmed().number()
+                                + " after the crash";
             }
         }
 
@@ -256,20 +332,28 @@
             for (String server : List.of("s1", "s2")) {
                 Listing of = heard.get(server);
                 Listing.Mode mode = told.getOrDefault(server, Listing.Mode.RUNNING);
-                if (of != null && of.mode() == Listing.Mode.RUNNING
-                        && (mode != Listing.Mode.RUNNING || inForce.serversOut().contains(server))) {
+                if (of != null
+                        && of.mode() == Listing.Mode.RUNNING
+                        && (mode != Listing.Mode.RUNNING
+                                || inForce.serversOut().contains(server))) {
                     broken = server + " may be sent to against a drain";
                 }
-                if (of != null && of.mode() == Listing.Mode.DRAINING && mode == Listing.Mode.RUNNING
+                if (of != null
+                        && of.mode() == Listing.Mode.DRAINING
+                        && mode == Listing.Mode.RUNNING
                         && !inForce.serversOut().contains(server)) {
                     broken = server + " is held out though nobody wants it";
                 }
-                if (of != null && of.mode() == Listing.Mode.RUNNING && givenBack.containsKey(server)
+                if (of != null
+                        && of.mode() == Listing.Mode.RUNNING
+                        && givenBack.containsKey(server)
                         && of.startedAtMs() < givenBack.get(server)) {
                     broken = server + " was given back as if warm";
                 }
             }
-            if (slow != null && slow.repeat() != TableType.Repeat.NON_REPLAYABLE && slowTakenUnderOnce) {
+            if (slow != null
+                    && slow.repeat() != TableType.Repeat.NON_REPLAYABLE
+                    && slowTakenUnderOnce) {
                 broken = "a part in flight was freed";
             }
             if (line.staged() != null && line.watched()) {
@@ -297,23 +381,51 @@
         }
 
         String key() {
-            return inForce.limits().maxOpen() + "|" + inForce.serversOut() + "|" + inForce.types().get(1).facts().repeat()
-                    + "|" + line.watched() + "|" + (line.staged() == null ? "" : line.staged().number()) + "|"
-                    + line.live().number() + "|" + line.confirmed().number() + "|" + journal.size() + journal.hashCode()
-                    + "|" + writtenBefore + "|" + told + "|" + heard.values().stream().map(of -> of.mode() + ""
-                    + (of.startedAtMs() > 0)).toList() + "|" + (slow == null ? "" : slow.repeat()) + proposed + toldCount
-                    + crashes + undos + slowScans + slowTakenUnderOnce + greatest + confirmedSeen;
+            return inForce.limits().maxOpen()
+                    + "|"
+                    + inForce.serversOut()
+                    + "|"
+                    + inForce.types().get(1).facts().repeat()
+                    + "|"
+                    + line.watched()
+                    + "|"
+                    + (line.staged() == null ? "" : line.staged().number())
+                    + "|"
+                    + line.live().number()
+                    + "|"
+                    + line.confirmed().number()
+                    + "|"
+                    + journal.size()
+                    + journal.hashCode()
+                    + "|"
+                    + writtenBefore
+                    + "|"
+                    + told
+                    + "|"
+                    + heard.values().stream()
+                            .map(of -> of.mode() + "" + (of.startedAtMs() > 0))
+                            .toList()
+                    + "|"
+                    + (slow == null ? "" : slow.repeat())
+                    + proposed
+                    + toldCount
+                    + crashes
+                    + undos
+                    + slowScans
+                    + slowTakenUnderOnce
+                    + greatest
+                    + confirmedSeen;
         }
     }
 
-    private record Explored(int states, String broken, List<String> steps) {
-    }
+    private record Explored(int states, String broken, List<String> steps) {}
 
     private static World play(Mutation mutation, List<String> steps) {
         var world = new World(mutation);
         for (String step : steps) {
             if (step.equals("slow")) {
-                world.slowTakenUnderOnce = world.inForce.type("stamps").orElseThrow().facts().equals(ONCE);
+                world.slowTakenUnderOnce =
+                        world.inForce.type("stamps").orElseThrow().facts().equals(ONCE);
             }
             world.step(step);
         }
@@ -355,8 +467,12 @@
         Explored explored = explore(Mutation.NONE, 9);
         assertTrue(explored.broken == null, explored.broken + " by " + explored.steps);
         assertTrue(explored.states > 10_000, explored.states + " states");
-        System.out.println("explored " + explored.states + " states in " + (System.nanoTime() - begun) / 1_000_000
-                + " ms");
+        System.out.println(
+                "explored "
+                        + explored.states
+                        + " states in "
+                        + (System.nanoTime() - begun) / 1_000_000
+                        + " ms");
     }
 
     @DataProvider
@@ -373,6 +489,8 @@
     @Test(dataProvider = "mutations")
     public void whatIsPutWrongOnPurposeIsCaught(Mutation mutation) {
         Explored explored = explore(mutation, 7);
-        assertTrue(explored.broken != null, mutation + " was not caught in " + explored.states + " states");
+        assertTrue(
+                explored.broken != null,
+                mutation + " was not caught in " + explored.states + " states");
     }
 }
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -17,11 +17,17 @@
 import sprucehold.change.line.Version;
 
 public class JournalFileTest {
-    private static final List<JournalEntry> ENTRIES = List.of(
-            new JournalEntry.Accepted(new Version(2, 1, Documents.number(1, "s-1"), "näher", 0), "p-1"),
-            new JournalEntry.Live(2), new JournalEntry.Retried(2), new JournalEntry.Dropped(2, "fell\nby much"),
-            new JournalEntry.Accepted(new Version(3, 2, Documents.usual(), "watch", 2), "undo-2"),
-            new JournalEntry.Confirmed(3), new JournalEntry.Ended());
+    private static final List<JournalEntry> ENTRIES =
+            List.of(
+                    new JournalEntry.Accepted(
+                            new Version(2, 1, Documents.number(1, "s-1"), "näher", 0), "p-1"),
+                    new JournalEntry.Live(2),
+                    new JournalEntry.Retried(2),
+                    new JournalEntry.Dropped(2, "fell\nby much"),
+                    new JournalEntry.Accepted(
+                            new Version(3, 2, Documents.usual(), "watch", 2), "undo-2"),
+                    new JournalEntry.Confirmed(3),
+                    new JournalEntry.Ended());
 
     private static Path written() throws IOException {
         Path file = Files.createTempFile("journal", ".log");
--- a/change/src/test/java/sprucehold/change/RolloutTest.java
+++ b/change/src/test/java/sprucehold/change/RolloutTest.java
@@ -17,7 +17,10 @@
 public class RolloutTest {
     private static final List<String> FLEET = List.of("a", "b", "c", "d", "e");
 
-    /** Gatherers that take the change and confirm it, but for one that does something else; answers get lost. */
+    /**
+     * Gatherers that take the change and confirm it, but for one that does something else; answers
+     * get lost.
+     */
     private static final class Fleet {
         final Map<String, Standing> really = new HashMap<>();
         final String odd;
@@ -38,7 +41,10 @@
                 if (lost()) {
                     return null;
                 }
-                Standing ends = ask.gatherer().equals(odd) && oddEnds != null ? oddEnds : Standing.CONFIRMED;
+                Standing ends =
+                        ask.gatherer().equals(odd) && oddEnds != null
+                                ? oddEnds
+                                : Standing.CONFIRMED;
                 really.put(ask.gatherer(), ends);
                 return lost() ? null : ends;
             } else if (action instanceof Rollout.RolloutAction.TakeBack back) {
@@ -89,9 +95,12 @@
                 }
                 Standing answer = fleet.answer(action);
                 if (answer != null) {
-                    String gatherer = action instanceof Rollout.RolloutAction.Propose propose ? propose.gatherer()
-                            : action instanceof Rollout.RolloutAction.Ask ask ? ask.gatherer()
-                            : ((Rollout.RolloutAction.TakeBack) action).gatherer();
+                    String gatherer =
+                            action instanceof Rollout.RolloutAction.Propose propose
+                                    ? propose.gatherer()
+                                    : action instanceof Rollout.RolloutAction.Ask ask
+                                            ? ask.gatherer()
+                                            : ((Rollout.RolloutAction.TakeBack) action).gatherer();
                     queue.addAll(rollout.answered(gatherer, answer, "so it is"));
                 }
             }
@@ -102,7 +111,9 @@
 
     @Test
     public void firstWaveIsOneAndEachNextTwiceAsMany() {
-        assertEquals(RolloutState.waves(FLEET), List.of(List.of("a"), List.of("b", "c"), List.of("d", "e")));
+        assertEquals(
+                RolloutState.waves(FLEET),
+                List.of(List.of("a"), List.of("b", "c"), List.of("d", "e")));
     }
 
     @Test
@@ -117,7 +128,9 @@
         RolloutState end = play(new Fleet("a", Standing.UNDONE, null), null);
         assertEquals(end.phase(), Phase.HALTED);
         assertEquals(end.standing().get("a"), Standing.UNDONE);
-        assertTrue(List.of("b", "c", "d", "e").stream().allMatch(g -> end.standing().get(g) == Standing.UNTOUCHED));
+        assertTrue(
+                List.of("b", "c", "d", "e").stream()
+                        .allMatch(g -> end.standing().get(g) == Standing.UNTOUCHED));
     }
 
     @Test
@@ -146,13 +159,18 @@
             for (String gatherer : FLEET) {
                 Standing known = end.standing().get(gatherer);
                 Standing really = fleet.really.get(gatherer);
-                if (known == Standing.CONFIRMED || known == Standing.TAKEN_BACK || known == Standing.UNDONE) {
+                if (known == Standing.CONFIRMED
+                        || known == Standing.TAKEN_BACK
+                        || known == Standing.UNDONE) {
                     assertEquals(really, known, "seed " + seed + ", " + gatherer);
                 } else if (known == Standing.UNTOUCHED) {
                     assertEquals(really, null, "seed " + seed + ", " + gatherer);
                 }
             }
-            assertEquals(end.phase(), odd[seed % 3] == Standing.CONFIRMED ? Phase.DONE : Phase.HALTED, "seed " + seed);
+            assertEquals(
+                    end.phase(),
+                    odd[seed % 3] == Standing.CONFIRMED ? Phase.DONE : Phase.HALTED,
+                    "seed " + seed);
         }
     }
 }
--- a/change/src/test/java/sprucehold/change/ServerWordsTest.java
+++ b/change/src/test/java/sprucehold/change/ServerWordsTest.java
@@ -26,9 +26,12 @@
     Object[][] words() {
         return new Object[][] {
             // discovery's word, whether the operator has it out, what the module hears
-            {Listing.Mode.RUNNING, false, Listing.Mode.RUNNING}, {Listing.Mode.RUNNING, true, Listing.Mode.DRAINING},
-            {Listing.Mode.DRAINING, false, Listing.Mode.DRAINING}, {Listing.Mode.DRAINING, true, Listing.Mode.DRAINING},
-            {Listing.Mode.GONE, true, Listing.Mode.GONE}, {Listing.Mode.GONE, false, Listing.Mode.GONE},
+            {Listing.Mode.RUNNING, false, Listing.Mode.RUNNING},
+            {Listing.Mode.RUNNING, true, Listing.Mode.DRAINING},
+            {Listing.Mode.DRAINING, false, Listing.Mode.DRAINING},
+            {Listing.Mode.DRAINING, true, Listing.Mode.DRAINING},
+            {Listing.Mode.GONE, true, Listing.Mode.GONE},
+            {Listing.Mode.GONE, false, Listing.Mode.GONE},
         };
     }
 
@@ -58,9 +61,17 @@
         List<Listing> back = words.takenOut(new TreeSet<>(), 2000);
         assertEquals(back, List.of(listing("s", Listing.Mode.RUNNING, 2000)));
         // Discovery repeats what it knows, and must not make the server look warm again.
-        assertEquals(words.told(news(false, listing("s", Listing.Mode.RUNNING, 5))).servers().get(0).startedAtMs(),
+        assertEquals(
+                words.told(news(false, listing("s", Listing.Mode.RUNNING, 5)))
+                        .servers()
+                        .get(0)
+                        .startedAtMs(),
                 2000.0);
-        assertEquals(words.told(news(false, listing("s", Listing.Mode.RUNNING, 3000))).servers().get(0).startedAtMs(),
+        assertEquals(
+                words.told(news(false, listing("s", Listing.Mode.RUNNING, 3000)))
+                        .servers()
+                        .get(0)
+                        .startedAtMs(),
                 3000.0);
     }
 
@@ -77,7 +88,9 @@
                 List<Listing> said;
                 if (random.nextBoolean()) {
                     modes[server] = Listing.Mode.values()[random.nextInt(3)];
-                    said = words.told(news(false, listing("s" + server, modes[server], 0))).servers();
+                    said =
+                            words.told(news(false, listing("s" + server, modes[server], 0)))
+                                    .servers();
                 } else {
                     out[server] = random.nextBoolean();
                     var set = new TreeSet<String>();
@@ -91,7 +104,9 @@
                 said.forEach(of -> heard.set(of.server().charAt(1) - '0', of.mode()));
                 for (int i = 0; i < 2; i++) {
                     if (heard.get(i) == Listing.Mode.RUNNING) {
-                        assertTrue(modes[i] == Listing.Mode.RUNNING && !out[i], "play " + play + ", step " + step);
+                        assertTrue(
+                                modes[i] == Listing.Mode.RUNNING && !out[i],
+                                "play " + play + ", step " + step);
                     }
                 }
             }
--- a/change/src/test/java/sprucehold/change/ServiceWatchTest.java
+++ b/change/src/test/java/sprucehold/change/ServiceWatchTest.java
@@ -55,7 +55,11 @@
             int scans = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
             for (int i = 0; i < scans; i++) {
                 String type = random.nextInt(4) == 0 ? "stamps" : "offers";
-                builder.add(type, CUSTOMERS[c], 1, random.nextDouble() < day.sound(t, CUSTOMERS[c], type));
+                builder.add(
+                        type,
+                        CUSTOMERS[c],
+                        1,
+                        random.nextDouble() < day.sound(t, CUSTOMERS[c], type));
             }
         }
         return builder.take((t + 1000) * 1000);
@@ -101,11 +105,21 @@
         return new Object[][] {
             {"nothing happens", day(0.98)},
             {"service is poor, before and after", day(0.7)},
-            {"traffic ebbs to a twentieth", of((t, c) -> usual(c) * (t < 0 ? 1 : 0.05), (t, c, y) -> 0.97)},
+            {
+                "traffic ebbs to a twentieth",
+                of((t, c) -> usual(c) * (t < 0 ? 1 : 0.05), (t, c, y) -> 0.97)
+            },
             {"traffic stops", of((t, c) -> t < 0 ? usual(c) : 0, (t, c, y) -> 0.97)},
-            {"one customer floods and fails by it", of((t, c) -> usual(c) * (t > 5 && c.equals("bolt") ? 8 : 1),
-                    (t, c, y) -> t > 5 && c.equals("bolt") ? 0.3 : 0.98)},
-            {"trouble that began before goes on", of((t, c) -> usual(c), (t, c, y) -> t < -20 ? 0.98 : 0.6)},
+            {
+                "one customer floods and fails by it",
+                of(
+                        (t, c) -> usual(c) * (t > 5 && c.equals("bolt") ? 8 : 1),
+                        (t, c, y) -> t > 5 && c.equals("bolt") ? 0.3 : 0.98)
+            },
+            {
+                "trouble that began before goes on",
+                of((t, c) -> usual(c), (t, c, y) -> t < -20 ? 0.98 : 0.6)
+            },
             {"service rises", of((t, c) -> usual(c), (t, c, y) -> t < 0 ? 0.8 : 0.99)},
         };
     }
@@ -114,7 +128,9 @@
     public void changeThatDoesNoHarmIsNeverUndone(String what, Day day) {
         for (long seed = 0; seed < 40; seed++) {
             ServiceWatch.Word word = play(day, seed);
-            assertTrue(!(word instanceof ServiceWatch.Word.Fell), what + ", seed " + seed + ": " + word);
+            assertTrue(
+                    !(word instanceof ServiceWatch.Word.Fell),
+                    what + ", seed " + seed + ": " + word);
         }
     }
 
@@ -123,13 +139,28 @@
         return new Object[][] {
             // what, the day, the latest time at which it is found, in seconds
             {"half of all fails", of((t, c) -> usual(c), (t, c, y) -> t < 0 ? 0.98 : 0.5), 4.0},
-            {"the biggest customer is throttled", of((t, c) -> usual(c),
-                    (t, c, y) -> t >= 0 && c.equals("acme") ? 0.15 : 0.98), 4.0},
-            {"one table type comes late", of((t, c) -> usual(c),
-                    (t, c, y) -> t >= 0 && y.equals("stamps") ? 0.3 : 0.98), 15.0},
-            {"a tenth of all fails", of((t, c) -> usual(c), (t, c, y) -> t < 0 ? 0.98 : 0.86), 40.0},
-            {"three percent a minute fail more", of((t, c) -> usual(c),
-                    (t, c, y) -> t < 0 ? 0.98 : Math.max(0, 0.98 - 0.03 * t / 60)), 300.0},
+            {
+                "the biggest customer is throttled",
+                of((t, c) -> usual(c), (t, c, y) -> t >= 0 && c.equals("acme") ? 0.15 : 0.98),
+                4.0
+            },
+            {
+                "one table type comes late",
+                of((t, c) -> usual(c), (t, c, y) -> t >= 0 && y.equals("stamps") ? 0.3 : 0.98),
+                15.0
+            },
+            {
+                "a tenth of all fails",
+                of((t, c) -> usual(c), (t, c, y) -> t < 0 ? 0.98 : 0.86),
+                40.0
+            },
+            {
+                "three percent a minute fail more",
+                of(
+                        (t, c) -> usual(c),
+                        (t, c, y) -> t < 0 ? 0.98 : Math.max(0, 0.98 - 0.03 * t / 60)),
+                300.0
+            },
         };
     }
 
@@ -137,7 +168,8 @@
     public void harmIsFoundInTime(String what, Day day, double latest) {
         for (long seed = 0; seed < 40; seed++) {
             ServiceWatch.Word word = play(day, seed);
-            assertTrue(word instanceof ServiceWatch.Word.Fell, what + ", seed " + seed + ": " + word);
+            assertTrue(
+                    word instanceof ServiceWatch.Word.Fell, what + ", seed " + seed + ": " + word);
             assertTrue(at <= latest, what + ", seed " + seed + ": found after " + at + " s");
         }
     }
