--- a/change/src/test/java/sprucehold/change/VersionLineTest.java
+++ b/change/src/test/java/sprucehold/change/VersionLineTest.java
@@ -49,7 +49,12 @@
     @Test
     public void changeIsStagedAppliedWatchedAndConfirmed() {
         fresh();
-        assertEquals(of(propose("a", 1, Documents.number(1)), LineAction.Accepted.class).get(0).version().number(), 2);
+        assertEquals(
+                of(propose("a", 1, Documents.number(1)), LineAction.Accepted.class)
+                        .get(0)
+                        .version()
+                        .number(),
+                2);
         assertEquals(inForce, Documents.usual(), "not before the moment is over");
         on(new LineEvent.BetweenMoments());
         assertEquals(inForce, Documents.number(1));
@@ -80,7 +85,9 @@
         propose("a", 1, Documents.number(1));
         List<LineAction> second = propose("b", 1, Documents.number(2));
         LineAction.TurnedDown down = of(second, LineAction.TurnedDown.class).get(0);
-        assertTrue(down.meanwhile().words().get(0).words().contains("from 200 to 201"), down.toString());
+        assertTrue(
+                down.meanwhile().words().get(0).words().contains("from 200 to 201"),
+                down.toString());
         on(new LineEvent.BetweenMoments());
         assertEquals(inForce, Documents.number(1));
     }
@@ -90,7 +97,8 @@
         fresh();
         propose("a", 1, Documents.number(1));
         on(new LineEvent.BetweenMoments());
-        assertEquals(of(propose("b", 2, Documents.number(2)), LineAction.TurnedDown.class).size(), 1);
+        assertEquals(
+                of(propose("b", 2, Documents.number(2)), LineAction.TurnedDown.class).size(), 1);
         on(new LineEvent.Judged(2, false, "held"));
         assertEquals(of(propose("c", 2, Documents.number(2)), LineAction.Accepted.class).size(), 1);
     }
@@ -99,11 +107,19 @@
     public void sameProposalTwiceIsOneAlsoAfterARestart() {
         fresh();
         propose("a", 1, Documents.number(1));
-        assertEquals(of(propose("a", 1, Documents.number(1)), LineAction.AlreadyThere.class).get(0).number(), 2);
+        assertEquals(
+                of(propose("a", 1, Documents.number(1)), LineAction.AlreadyThere.class)
+                        .get(0)
+                        .number(),
+                2);
         on(new LineEvent.BetweenMoments());
         on(new LineEvent.ConfirmAsked(2, "operator"));
         restart();
-        assertEquals(of(propose("a", 1, Documents.number(1)), LineAction.AlreadyThere.class).get(0).number(), 2);
+        assertEquals(
+                of(propose("a", 1, Documents.number(1)), LineAction.AlreadyThere.class)
+                        .get(0)
+                        .number(),
+                2);
         assertEquals(inForce, Documents.number(1));
     }
 
@@ -125,8 +141,12 @@
         propose("c", 4, Documents.number(3));
         on(new LineEvent.BetweenMoments());
         List<JournalEntry> all = List.copyOf(journal);
-        List<Document> whole = List.of(Documents.usual(), Documents.number(1), Documents.number(2),
-                Documents.number(3));
+        List<Document> whole =
+                List.of(
+                        Documents.usual(),
+                        Documents.number(1),
+                        Documents.number(2),
+                        Documents.number(3));
         for (int cut = 0; cut <= all.size(); cut++) {
             journal = new ArrayList<>(all.subList(0, cut));
             restart();
@@ -159,8 +179,11 @@
         assertTrue(line.history().stream().anyMatch(of -> of.how() == Outcome.State.SET_ASIDE));
         restart();
         assertEquals(inForce, Documents.usual(), "and stays so");
-        LineAction.TurnedDown down = of(propose("again", line.live().number(), Documents.number(1)),
-                LineAction.TurnedDown.class).get(0);
+        LineAction.TurnedDown down =
+                of(
+                                propose("again", line.live().number(), Documents.number(1)),
+                                LineAction.TurnedDown.class)
+                        .get(0);
         assertTrue(down.faults().get(0).what().contains("set aside"), down.toString());
     }
 
--- a/cli/src/main/java/sprucehold/cli/AdminCall.java
+++ b/cli/src/main/java/sprucehold/cli/AdminCall.java
@@ -14,12 +14,17 @@
 /** Calls a gatherer's door. */
 final class AdminCall {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final HttpClient CLIENT = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(5)).build();
+    private static final HttpClient CLIENT =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(Duration.ofSeconds(5))
+                    .build();
     private final String door;
     private final String token;
 
-    /** @param tokenFile holds what the door wants to be shown */
+    /**
+     * @param tokenFile holds what the door wants to be shown
+     */
     AdminCall(String door, Path tokenFile) throws IOException {
         this.door = door;
         this.token = Files.readString(tokenFile).strip();
@@ -34,14 +39,22 @@
         }
     }
 
-    /** @throws TurnedDownException where the door said no; any other where it didn't answer */
+    /**
+     * @throws TurnedDownException where the door said no; any other where it didn't answer
+     */
     JsonNode call(String method, String path, JsonNode body) throws IOException {
         HttpRequest request;
         try {
-            request = HttpRequest.newBuilder(URI.create("http://" + door + path)).timeout(Duration.ofSeconds(10))
-                    .header("Authorization", "Bearer " + token)
-                    .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                            : HttpRequest.BodyPublishers.ofString(body.toString())).build();
+            request =
+                    HttpRequest.newBuilder(URI.create("http://" + door + path))
+                            .timeout(Duration.ofSeconds(10))
+                            .header("Authorization", "Bearer " + token)
+                            .method(
+                                    method,
+                                    body == null
+                                            ? HttpRequest.BodyPublishers.noBody()
+                                            : HttpRequest.BodyPublishers.ofString(body.toString()))
+                            .build();
         } catch (IllegalArgumentException e) {
             throw new IOException("--door " + door + ": HOST:PORT was expected", e);
         }
@@ -68,8 +81,11 @@
         var words = new StringBuilder("turned down");
         for (JsonNode fault : answer.path("faults")) {
             String path = fault.path("path").asText();
-            words.append("; ").append(path.isEmpty() ? "" : path + ": ").append(fault.path("what").asText())
-                    .append(", ").append(fault.path("mend").asText());
+            words.append("; ")
+                    .append(path.isEmpty() ? "" : path + ": ")
+                    .append(fault.path("what").asText())
+                    .append(", ")
+                    .append(fault.path("mend").asText());
         }
         for (JsonNode change : answer.path("meanwhile").path("changes")) {
             words.append("; meanwhile ").append(change.path("words").asText());
--- a/cli/src/main/java/sprucehold/cli/LoadCommand.java
+++ b/cli/src/main/java/sprucehold/cli/LoadCommand.java
@@ -14,15 +14,32 @@
 import sprucehold.rig.verdict.Figures;
 
 /** The clients of a script, against gatherers that are there already. */
-@Command(name = "load", description = "Asks the scans of a script, at their planned times whatever comes back, of gatherers "
-        + "that are there already.", mixinStandardHelpOptions = true)
+@Command(
+        name = "load",
+        description =
+                "Asks the scans of a script, at their planned times whatever comes back, of gatherers "
+                        + "that are there already.",
+        mixinStandardHelpOptions = true)
 public final class LoadCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SCRIPT", description = "a file by deploy/rig.schema.json, or the name of one that comes along")
+    @Parameters(
+            paramLabel = "SCRIPT",
+            description = "a file by deploy/rig.schema.json, or the name of one that comes along")
     private String script;
-    @Option(names = "--to", paramLabel = "HOST:PORT", required = true, arity = "1..*", description = "where gatherers listen")
+
+    @Option(
+            names = "--to",
+            paramLabel = "HOST:PORT",
+            required = true,
+            arity = "1..*",
+            description = "where gatherers listen")
     private List<String> to;
-    @Option(names = "--seed", defaultValue = "1", description = "of all chance in the plan (default: 1)")
+
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "of all chance in the plan (default: 1)")
     private long seed;
+
     @Option(names = "--json", description = "one JSON object instead of lines")
     private boolean json;
 
@@ -34,15 +51,25 @@
             if (colon <= 0 || !one.substring(colon + 1).matches("[0-9]{1,5}")) {
                 throw new IOException("--to " + one + ": HOST:PORT was expected");
             }
-            addresses.add(SocketAddress.inetSocketAddress(Integer.parseInt(one.substring(colon + 1)), one.substring(0, colon)));
+            addresses.add(
+                    SocketAddress.inetSocketAddress(
+                            Integer.parseInt(one.substring(colon + 1)), one.substring(0, colon)));
         }
-        Figures figures = LoadAlone.run(ScriptReader.read(script), seed, addresses, System.err::println);
+        Figures figures =
+                LoadAlone.run(ScriptReader.read(script), seed, addresses, System.err::println);
         if (json) {
             Printed.json(figures);
         } else {
-            System.out.printf(Locale.ROOT, "%d scans, %.3f completed in target time, p50 %.1f ms, p99 %.1f ms, sent late by "
-                    + "%.1f ms (p99)%n%s%n", figures.scans(), figures.service(), figures.p50Ms(), figures.p99Ms(),
-                    figures.sendLateP99Ms(), figures.ends());
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d scans, %.3f completed in target time, p50 %.1f ms, p99 %.1f ms, sent late by "
+                            + "%.1f ms (p99)%n%s%n",
+                    figures.scans(),
+                    figures.service(),
+                    figures.p50Ms(),
+                    figures.p99Ms(),
+                    figures.sendLateP99Ms(),
+                    figures.ends());
         }
         return figures.service() > 0 || figures.scans() == 0 ? 0 : 1;
     }
--- a/cli/src/main/java/sprucehold/cli/Printed.java
+++ b/cli/src/main/java/sprucehold/cli/Printed.java
@@ -12,8 +12,7 @@
 final class Printed {
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
 
-    private Printed() {
-    }
+    private Printed() {}
 
     /** One JSON value on a line of standard output. */
     static void json(Object value) {
@@ -27,7 +26,9 @@
     /** Names and values, one pair a line. */
     static void pairs(Map<String, ?> values) {
         int width = values.keySet().stream().mapToInt(String::length).max().orElse(0);
-        values.forEach((name, value) -> System.out.printf(Locale.ROOT, "%-" + width + "s  %s%n", name, value));
+        values.forEach(
+                (name, value) ->
+                        System.out.printf(Locale.ROOT, "%-" + width + "s  %s%n", name, value));
     }
 
     /** A table: the first column to the left, numbers to the right. */
@@ -40,24 +41,31 @@
         for (int i = 0; i < widths.length; i++) {
             int column = i;
             widths[i] = lines.stream().mapToInt(line -> line.get(column).length()).max().orElse(0);
-            numbers[i] = !rows.isEmpty() && rows.stream().allMatch(row -> row.get(column) instanceof Number);
+            numbers[i] =
+                    !rows.isEmpty()
+                            && rows.stream().allMatch(row -> row.get(column) instanceof Number);
         }
         for (List<String> line : lines) {
             var text = new StringBuilder();
             for (int i = 0; i < widths.length; i++) {
                 String pad = " ".repeat(widths[i] - line.get(i).length());
-                text.append(i == 0 ? "" : "  ").append(numbers[i] ? pad + line.get(i) : line.get(i) + pad);
+                text.append(i == 0 ? "" : "  ")
+                        .append(numbers[i] ? pad + line.get(i) : line.get(i) + pad);
             }
             System.out.println(text.toString().stripTrailing());
         }
     }
 
     private static String cell(Object value) {
-        return value instanceof Double number ? Double.isNaN(number) ? "" : String.format(Locale.ROOT, "%.1f", number)
+        return value instanceof Double number
+                ? Double.isNaN(number) ? "" : String.format(Locale.ROOT, "%.1f", number)
                 : String.valueOf(value);
     }
 
-    /** How far long work has come, on standard error at most twice a second, and nothing for short work. */
+    /**
+     * How far long work has come, on standard error at most twice a second, and nothing for short
+     * work.
+     */
     static final class Progress {
         private final String what;
         private final long begun = System.nanoTime();
@@ -73,7 +81,8 @@
             if (now - told > 500_000_000L) {
                 told = now;
                 any = true;
-                System.err.printf(Locale.ROOT, "\r%,d %s, %.0f s", count, what, (now - begun) / 1e9);
+                System.err.printf(
+                        Locale.ROOT, "\r%,d %s, %.0f s", count, what, (now - begun) / 1e9);
             }
         }
 
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -28,34 +28,54 @@
 import sprucehold.rig.verdict.Verdict;
 
 /** Many gatherers on this machine, faults between them, one checker of the rules. */
-@Command(name = "rig", description = "Starts many gatherers on this machine, injects faults between them and judges them by "
-        + "the six rules.", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
-        subcommands = {RigCommand.RunOne.class, RigCommand.Check.class, RigCommand.Replay.class, RigCommand.Report.class,
-                RigCommand.Shrink.class, RigCommand.StormRuns.class, RigCommand.Repeat.class})
+@Command(
+        name = "rig",
+        description =
+                "Starts many gatherers on this machine, injects faults between them and judges them by "
+                        + "the six rules.",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            RigCommand.RunOne.class,
+            RigCommand.Check.class,
+            RigCommand.Replay.class,
+            RigCommand.Report.class,
+            RigCommand.Shrink.class,
+            RigCommand.StormRuns.class,
+            RigCommand.Repeat.class
+        })
 public final class RigCommand {
-    private RigCommand() {
-    }
+    private RigCommand() {}
 
-    private static final String SCRIPT = "a file by deploy/rig.schema.json, or one of those that come along: calm, one-killed, "
-            + "half-killed, site-cut, deaf, rolling-restart, restarts-among-hanging, held-up-among-leaving, grey, four-sites, together, "
-            + "together-cut, together-alone, together-deaf, together-paused, together-clocks, together-killed, together-liar, "
-            + "together-twin, together-flood";
+    private static final String SCRIPT =
+            "a file by deploy/rig.schema.json, or one of those that come along: calm, one-killed, "
+                    + "half-killed, site-cut, deaf, rolling-restart, restarts-among-hanging, held-up-among-leaving, grey, four-sites, together, "
+                    + "together-cut, together-alone, together-deaf, together-paused, together-clocks, together-killed, together-liar, "
+                    + "together-twin, together-flood";
 
     /** Plays, writes the page and prints the verdict. */
-    private static Verdict play(Script script, long seed, Path folder, boolean quiet) throws IOException {
+    private static Verdict play(Script script, long seed, Path folder, boolean quiet)
+            throws IOException {
         RunFolder run = RunFolder.make(folder);
-        Verdict verdict = Run.play(script, seed, Home.find(), run, line -> {
-            if (!quiet) {
-                System.err.println(line);
-            }
-        });
+        Verdict verdict =
+                Run.play(
+                        script,
+                        seed,
+                        Home.find(),
+                        run,
+                        line -> {
+                            if (!quiet) {
+                                System.err.println(line);
+                            }
+                        });
         page(run, verdict);
         return verdict;
     }
 
     private static void page(RunFolder run, Verdict verdict) throws IOException {
         RunFolder.Kept kept = run.kept();
-        Files.writeString(run.folder().resolve("page.html"), RunPage.html(run.script(), kept, verdict));
+        Files.writeString(
+                run.folder().resolve("page.html"), RunPage.html(run.script(), kept, verdict));
         Files.writeString(run.folder().resolve("service.svg"), RunPage.svg(kept));
     }
 
@@ -80,24 +100,48 @@
     }
 
     private static Path folder(Path named, String script, long seed) throws IOException {
-        return named == null ? Files.createTempDirectory("rig-" + Path.of(script).getFileName().toString()
-                .replace(".json", "") + "-" + seed + "-") : named;
+        return named == null
+                ? Files.createTempDirectory(
+                        "rig-"
+                                + Path.of(script).getFileName().toString().replace(".json", "")
+                                + "-"
+                                + seed
+                                + "-")
+                : named;
     }
 
-    @Command(name = "run", description = "Plays a script and judges it; exit 0 if all is well, 1 if a rule or a band is "
-            + "broken, 3 if the rig was too late for the run to count.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "run",
+            description =
+                    "Plays a script and judges it; exit 0 if all is well, 1 if a rule or a band is "
+                            + "broken, 3 if the rig was too late for the run to count.",
+            mixinStandardHelpOptions = true)
     static final class RunOne implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = SCRIPT)
         private String script;
-        @Option(names = "--seed", defaultValue = "1", description = "of all chance in the plan (default: 1)")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "of all chance in the plan (default: 1)")
         private long seed;
-        @Option(names = {"-o", "--out"}, paramLabel = "FOLDER", description = "where the run is kept (default: a new one)")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "FOLDER",
+                description = "where the run is kept (default: a new one)")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
+
         @Option(names = "--quiet", description = "no progress on standard error")
         private boolean quiet;
-        @Option(names = "--alone", description = "its gatherers don't talk, and each has an equal part of what the script shares")
+
+        @Option(
+                names = "--alone",
+                description =
+                        "its gatherers don't talk, and each has an equal part of what the script shares")
         private boolean alone;
 
         @Override
@@ -108,15 +152,23 @@
         }
     }
 
-    @Command(name = "check", description = "Reads a script, draws its plan and says what would be played.",
+    @Command(
+            name = "check",
+            description = "Reads a script, draws its plan and says what would be played.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = SCRIPT)
         private String script;
-        @Option(names = "--seed", defaultValue = "1", description = "of all chance in the plan (default: 1)")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "of all chance in the plan (default: 1)")
         private long seed;
+
         @Option(names = "--plan", description = "prints the whole plan as JSON")
         private boolean whole;
+
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
 
@@ -135,9 +187,21 @@
             what.put("shard_servers", plan.servers().size());
             what.put("scans", plan.asks().size());
             what.put("seconds", read.lengthS());
-            what.put("faults", plan.faults().stream().map(fault -> fault.fault().name() + ": "
-                    + ScriptReader.word(fault.fault().kind()) + " " + String.join(" ", fault.of())
-                    + (fault.to().isEmpty() ? "" : " to " + String.join(" ", fault.to()))).toList());
+            what.put(
+                    "faults",
+                    plan.faults().stream()
+                            .map(
+                                    fault ->
+                                            fault.fault().name()
+                                                    + ": "
+                                                    + ScriptReader.word(fault.fault().kind())
+                                                    + " "
+                                                    + String.join(" ", fault.of())
+                                                    + (fault.to().isEmpty()
+                                                            ? ""
+                                                            : " to "
+                                                                    + String.join(" ", fault.to())))
+                            .toList());
             if (json) {
                 Printed.json(what);
             } else {
@@ -147,10 +211,14 @@
         }
     }
 
-    @Command(name = "replay", description = "Judges a run's kept ledgers again.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "replay",
+            description = "Judges a run's kept ledgers again.",
+            mixinStandardHelpOptions = true)
     static final class Replay implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", description = "a run's folder")
         private Path folder;
+
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
 
@@ -160,10 +228,14 @@
         }
     }
 
-    @Command(name = "report", description = "Writes a run's page and chart again.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "report",
+            description = "Writes a run's page and chart again.",
+            mixinStandardHelpOptions = true)
     static final class Report implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", description = "a run's folder")
         private Path folder;
+
         @Option(names = "--json", description = "one JSON object instead of lines")
         private boolean json;
 
@@ -183,17 +255,35 @@
         }
     }
 
-    @Command(name = "shrink", description = "Drops a script's faults one at a time while it stays broken, and writes the "
-            + "fewest as a script.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "shrink",
+            description =
+                    "Drops a script's faults one at a time while it stays broken, and writes the "
+                            + "fewest as a script.",
+            mixinStandardHelpOptions = true)
     static final class Shrink implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = SCRIPT)
         private String script;
-        @Option(names = "--seed", defaultValue = "1", description = "of all chance in the plan (default: 1)")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "of all chance in the plan (default: 1)")
         private long seed;
-        @Option(names = "--plays", defaultValue = "2", description = "plays of each trial: broken in one is broken (default: 2)")
+
+        @Option(
+                names = "--plays",
+                defaultValue = "2",
+                description = "plays of each trial: broken in one is broken (default: 2)")
         private int plays;
-        @Option(names = {"-o", "--out"}, paramLabel = "OUT", required = true, description = "the script to write")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "OUT",
+                required = true,
+                description = "the script to write")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object instead of a line")
         private boolean json;
 
@@ -201,15 +291,25 @@
         public Integer call() throws IOException {
             Script whole = ScriptReader.read(script);
             if (!broken(whole)) {
-                throw new IOException(script + ": not broken in " + plays + " plays with seed " + seed
-                        + "; a script that is was expected");
+                throw new IOException(
+                        script
+                                + ": not broken in "
+                                + plays
+                                + " plays with seed "
+                                + seed
+                                + "; a script that is was expected");
             }
             var left = Shrinker.shrink(whole.faults(), faults -> broken(whole.with(faults)));
             Files.writeString(out, ScriptWriter.json(whole.with(left)));
             if (json) {
                 Printed.json(Map.of("faults", left.size(), "out", out.toString()));
             } else {
-                System.out.println(left.size() + " of " + whole.faults().size() + " faults are left, in " + out);
+                System.out.println(
+                        left.size()
+                                + " of "
+                                + whole.faults().size()
+                                + " faults are left, in "
+                                + out);
             }
             return 0;
         }
@@ -226,17 +326,31 @@
         }
     }
 
-    @Command(name = "repeat", description = "Plays one plan again and again and prints how far its figures lie apart; exit 1 "
-            + "if a run is broken or out of band.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "repeat",
+            description =
+                    "Plays one plan again and again and prints how far its figures lie apart; exit 1 "
+                            + "if a run is broken or out of band.",
+            mixinStandardHelpOptions = true)
     static final class Repeat implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = SCRIPT)
         private String script;
-        @Option(names = "--seed", defaultValue = "1", description = "of all chance in the plan (default: 1)")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "of all chance in the plan (default: 1)")
         private long seed;
+
         @Option(names = "--runs", defaultValue = "10", description = "how many (default: 10)")
         private int runs;
-        @Option(names = "--alone", description = "its gatherers don't talk, and each has an equal part of what the script shares")
+
+        @Option(
+                names = "--alone",
+                description =
+                        "its gatherers don't talk, and each has an equal part of what the script shares")
         private boolean alone;
+
         @Option(names = "--json", description = "one JSON object instead of a table")
         private boolean json;
 
@@ -255,17 +369,40 @@
                     figures.add(verdict.figures());
                     bad += verdict.kind() == Verdict.Kind.PASSED ? 0 : 1;
                 }
-                System.err.printf(Locale.ROOT, "run %d: %s, in target time %.4f%s%n", i + 1, verdict.kind(),
-                        verdict.figures().service(), verdict.why().isEmpty() ? "" : "; " + verdict.why().get(0));
+                System.err.printf(
+                        Locale.ROOT,
+                        "run %d: %s, in target time %.4f%s%n",
+                        i + 1,
+                        verdict.kind(),
+                        verdict.figures().service(),
+                        verdict.why().isEmpty() ? "" : "; " + verdict.why().get(0));
             }
             Map<String, Spread> spreads = Spread.of(figures);
             if (json) {
-                Printed.json(Map.of("runs", runs, "not_passed", bad, "starved", starved, "spreads", spreads));
+                Printed.json(
+                        Map.of(
+                                "runs",
+                                runs,
+                                "not_passed",
+                                bad,
+                                "starved",
+                                starved,
+                                "spreads",
+                                spreads));
             } else {
-                Printed.table(List.of("figure", "least", "median", "most"), spreads.entrySet().stream()
-                        .map(one -> List.of(one.getKey(), number(one.getValue().least()), number(one.getValue().median()),
-                                number(one.getValue().most()))).toList());
-                System.out.println(runs + " runs: " + bad + " not passed, " + starved + " don't count");
+                Printed.table(
+                        List.of("figure", "least", "median", "most"),
+                        spreads.entrySet().stream()
+                                .map(
+                                        one ->
+                                                List.of(
+                                                        one.getKey(),
+                                                        number(one.getValue().least()),
+                                                        number(one.getValue().median()),
+                                                        number(one.getValue().most())))
+                                .toList());
+                System.out.println(
+                        runs + " runs: " + bad + " not passed, " + starved + " don't count");
             }
             return bad == 0 ? 0 : 1;
         }
@@ -275,17 +412,35 @@
         }
     }
 
-    @Command(name = "storm", description = "Plays faults drawn by chance, run after run, and keeps those that break a rule; "
-            + "exit 1 if any does.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "storm",
+            description =
+                    "Plays faults drawn by chance, run after run, and keeps those that break a rule; "
+                            + "exit 1 if any does.",
+            mixinStandardHelpOptions = true)
     static final class StormRuns implements Callable<Integer> {
-        @Parameters(paramLabel = "SCRIPT", defaultValue = "calm", description = SCRIPT + "; its own faults are replaced")
+        @Parameters(
+                paramLabel = "SCRIPT",
+                defaultValue = "calm",
+                description = SCRIPT + "; its own faults are replaced")
         private String script;
-        @Option(names = "--seed", defaultValue = "1", description = "of the first run; each next has the next (default: 1)")
+
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "of the first run; each next has the next (default: 1)")
         private long seed;
+
         @Option(names = "--runs", defaultValue = "200", description = "how many (default: 200)")
         private int runs;
-        @Option(names = {"-o", "--out"}, paramLabel = "FOLDER", required = true, description = "where broken runs are kept")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "FOLDER",
+                required = true,
+                description = "where broken runs are kept")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object a run instead of a line")
         private boolean json;
 
@@ -306,11 +461,24 @@
                     continue;
                 }
                 if (json) {
-                    Printed.json(Map.of("seed", one, "verdict", verdict.kind().name(), "service",
-                            verdict.figures().service(), "why", verdict.why()));
+                    Printed.json(
+                            Map.of(
+                                    "seed",
+                                    one,
+                                    "verdict",
+                                    verdict.kind().name(),
+                                    "service",
+                                    verdict.figures().service(),
+                                    "why",
+                                    verdict.why()));
                 } else {
-                    System.out.printf(Locale.ROOT, "seed %d: %s, service %.3f%s%n", one, verdict.kind(),
-                            verdict.figures().service(), verdict.why().isEmpty() ? "" : "; " + verdict.why().get(0));
+                    System.out.printf(
+                            Locale.ROOT,
+                            "seed %d: %s, service %.3f%s%n",
+                            one,
+                            verdict.kind(),
+                            verdict.figures().service(),
+                            verdict.why().isEmpty() ? "" : "; " + verdict.why().get(0));
                 }
                 if (verdict.kind() == Verdict.Kind.BROKEN) {
                     broken.add(one);
@@ -320,7 +488,15 @@
                 }
             }
             if (!json) {
-                System.out.println(runs + " runs: " + broken.size() + " broken " + broken + ", " + starved + " don't count");
+                System.out.println(
+                        runs
+                                + " runs: "
+                                + broken.size()
+                                + " broken "
+                                + broken
+                                + ", "
+                                + starved
+                                + " don't count");
             }
             return broken.isEmpty() ? 0 : 1;
         }
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -23,34 +23,66 @@
 import sprucehold.change.document.Document;
 import sprucehold.change.document.DocumentReader;
 import sprucehold.change.rollout.Rollout;
-import sprucehold.change.rollout.RolloutState.Standing;
 import sprucehold.change.rollout.RolloutState;
+import sprucehold.change.rollout.RolloutState.Standing;
 
 /** Brings a change to many gatherers, in waves. */
-@Command(name = "rollout", description = "Brings a document to many gatherers in waves; halted and taken back where one "
-        + "turns it down or undoes it. Started again with the same --state it goes on where it was; exit 1 where it "
-        + "was halted.", mixinStandardHelpOptions = true)
+@Command(
+        name = "rollout",
+        description =
+                "Brings a document to many gatherers in waves; halted and taken back where one "
+                        + "turns it down or undoes it. Started again with the same --state it goes on where it was; exit 1 where it "
+                        + "was halted.",
+        mixinStandardHelpOptions = true)
 final class RolloutCommand implements Callable<Integer> {
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "the whole document that is to hold")
+    @Parameters(
+            index = "0",
+            paramLabel = "FILE",
+            description = "the whole document that is to hold")
     private Path file;
-    @Parameters(index = "1..*", arity = "1..*", paramLabel = "HOST:PORT", description = "the gatherers' doors, in the "
-            + "order of their turn")
+
+    @Parameters(
+            index = "1..*",
+            arity = "1..*",
+            paramLabel = "HOST:PORT",
+            description = "the gatherers' doors, in the " + "order of their turn")
     private List<String> doors;
-    @Option(names = "--token-file", paramLabel = "FILE", required = true, description = "holds the doors' token")
+
+    @Option(
+            names = "--token-file",
+            paramLabel = "FILE",
+            required = true,
+            description = "holds the doors' token")
     private Path tokenFile;
-    @Option(names = "--state", paramLabel = "FILE", required = true, description = "keeps how far it has come")
+
+    @Option(
+            names = "--state",
+            paramLabel = "FILE",
+            required = true,
+            description = "keeps how far it has come")
     private Path stateFile;
-    @Option(names = "--by", paramLabel = "NAME", defaultValue = "${sys:user.name}", description = "who asks")
+
+    @Option(
+            names = "--by",
+            paramLabel = "NAME",
+            defaultValue = "${sys:user.name}",
+            description = "who asks")
     private String by;
+
     @Option(names = "--json", description = "the end as one JSON object")
     private boolean json;
 
-    /** What is asked of the doors; each answer is handed on, and a door that doesn't answer says nothing. */
+    /**
+     * What is asked of the doors; each answer is handed on, and a door that doesn't answer says
+     * nothing.
+     */
     private final Map<String, Long> versions = new HashMap<>();
+
     /** What each gatherer served before, kept beside the state. */
     private ObjectNode before = MAPPER.createObjectNode();
+
     private Document document;
 
     @Override
@@ -61,14 +93,17 @@
             return 1;
         }
         document = ((DocumentReader.Read.Good) read).document();
-        RolloutState state = Files.exists(stateFile) ? MAPPER.readValue(Files.readAllBytes(stateFile),
-                RolloutState.class) : RolloutState.of(UUID.randomUUID().toString(), RolloutState.waves(doors));
+        RolloutState state =
+                Files.exists(stateFile)
+                        ? MAPPER.readValue(Files.readAllBytes(stateFile), RolloutState.class)
+                        : RolloutState.of(UUID.randomUUID().toString(), RolloutState.waves(doors));
         if (Files.exists(beforeFile())) {
             before = (ObjectNode) MAPPER.readTree(Files.readAllBytes(beforeFile()));
         }
         var rollout = new Rollout(state);
         while (!rollout.over()) {
-            Queue<Rollout.RolloutAction> todo = new ArrayDeque<>(rollout.tick(System.nanoTime() / 1e6));
+            Queue<Rollout.RolloutAction> todo =
+                    new ArrayDeque<>(rollout.tick(System.nanoTime() / 1e6));
             while (!todo.isEmpty()) {
                 todo.addAll(carryOut(rollout, todo.poll()));
             }
@@ -78,7 +113,8 @@
         if (json) {
             Printed.json(state);
         } else {
-            state.standing().forEach((door, standing) -> System.out.println(door + "  " + standing));
+            state.standing()
+                    .forEach((door, standing) -> System.out.println(door + "  " + standing));
         }
         return state.phase() == RolloutState.Phase.DONE ? 0 : 1;
     }
@@ -92,7 +128,8 @@
         }
     }
 
-    private List<Rollout.RolloutAction> carryOut(Rollout rollout, Rollout.RolloutAction action) throws IOException {
+    private List<Rollout.RolloutAction> carryOut(Rollout rollout, Rollout.RolloutAction action)
+            throws IOException {
         if (action instanceof Rollout.RolloutAction.Keep keep) {
             keep(stateFile, keep.state());
         } else if (action instanceof Rollout.RolloutAction.Tell tell) {
@@ -132,8 +169,11 @@
                 before.set(gatherer, door(gatherer).call("GET", "/change/document", null));
                 keep(beforeFile(), before);
             }
-            ObjectNode body = MAPPER.createObjectNode().put("id", id).put("by", by)
-                    .put("madeFrom", status.path("live").longValue());
+            ObjectNode body =
+                    MAPPER.createObjectNode()
+                            .put("id", id)
+                            .put("by", by)
+                            .put("madeFrom", status.path("live").longValue());
             body.set("document", MAPPER.readTree(DocumentReader.write(document)));
             JsonNode answer = door(gatherer).call("POST", "/change/propose", body);
             versions.put(gatherer, answer.path("version").longValue());
@@ -145,12 +185,19 @@
         }
     }
 
-    /** The version that this rollout's proposal became at the gatherer, or -1 where it never came there. */
+    /**
+     * The version that this rollout's proposal became at the gatherer, or -1 where it never came
+     * there.
+     */
     private long version(String gatherer, String id) throws IOException {
         if (!versions.containsKey(gatherer)) {
             try {
-                versions.put(gatherer, door(gatherer).call("GET", "/change/proposal/" + id, null).path("version")
-                        .longValue());
+                versions.put(
+                        gatherer,
+                        door(gatherer)
+                                .call("GET", "/change/proposal/" + id, null)
+                                .path("version")
+                                .longValue());
             } catch (AdminCall.TurnedDownException e) {
                 return -1;
             }
@@ -164,9 +211,11 @@
             for (JsonNode of : door(gatherer).call("GET", "/change/history", null)) {
                 if (of.path("version").longValue() == version) {
                     return switch (of.path("state").asText()) {
-                        case "confirmed", "replaced" -> rollout.answered(gatherer, Standing.CONFIRMED, "");
-                        case "undone", "set_aside" -> rollout.answered(gatherer, Standing.UNDONE,
-                                of.path("why").asText());
+                        case "confirmed", "replaced" ->
+                                rollout.answered(gatherer, Standing.CONFIRMED, "");
+                        case "undone", "set_aside" ->
+                                rollout.answered(
+                                        gatherer, Standing.UNDONE, of.path("why").asText());
                         default -> rollout.answered(gatherer, Standing.WATCHED, "");
                     };
                 }
@@ -180,7 +229,10 @@
     /** The version by which the gatherer went back, or -1. */
     private long backAt(String gatherer, String id) throws IOException {
         try {
-            return door(gatherer).call("GET", "/change/proposal/" + id + "-back", null).path("version").longValue();
+            return door(gatherer)
+                    .call("GET", "/change/proposal/" + id + "-back", null)
+                    .path("version")
+                    .longValue();
         } catch (AdminCall.TurnedDownException e) {
             return -1;
         }
@@ -192,19 +244,30 @@
             long version = version(gatherer, id);
             long live = status.path("live").longValue();
             if (version > 0 && live == version && status.path("watched").booleanValue()) {
-                door(gatherer).call("POST", "/change/undo", MAPPER.createObjectNode().put("version", version)
-                        .put("by", by));
+                door(gatherer)
+                        .call(
+                                "POST",
+                                "/change/undo",
+                                MAPPER.createObjectNode().put("version", version).put("by", by));
             } else if (version > 0 && live == version && before.has(gatherer)) {
-                ObjectNode body = MAPPER.createObjectNode().put("id", id + "-back").put("by", by).put("madeFrom", live);
+                ObjectNode body =
+                        MAPPER.createObjectNode()
+                                .put("id", id + "-back")
+                                .put("by", by)
+                                .put("madeFrom", live);
                 body.set("document", before.get(gatherer));
                 door(gatherer).call("POST", "/change/propose", body);
                 return List.of();
             } else if (status.path("watched").booleanValue() && live == backAt(gatherer, id)) {
                 // Watched it could be undone, to the very change that is being taken back.
-                door(gatherer).call("POST", "/change/confirm", MAPPER.createObjectNode().put("version", live)
-                        .put("by", by));
+                door(gatherer)
+                        .call(
+                                "POST",
+                                "/change/confirm",
+                                MAPPER.createObjectNode().put("version", live).put("by", by));
             }
-            // Neither live nor ever there: it serves something else by now, which is not this rollout's to take back.
+            // Neither live nor ever there: it serves something else by now, which is not this
+            // rollout's to take back.
             return rollout.answered(gatherer, Standing.TAKEN_BACK, "");
         } catch (IOException e) {
             return List.of();
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -15,21 +15,37 @@
 import sprucehold.port.Bound;
 
 /** What gatherers know together. */
-@Command(name = "together", description = "What gatherers that talk know together: members, shares of bounds, evidence.",
-        mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
+@Command(
+        name = "together",
+        description =
+                "What gatherers that talk know together: members, shares of bounds, evidence.",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "COMMAND",
         subcommands = {TogetherCommand.Status.class, TogetherCommand.Check.class})
 public final class TogetherCommand {
-    private TogetherCommand() {
-    }
+    private TogetherCommand() {}
 
-    @Command(name = "status", description = "What one gatherer knows of the others and holds of each bound; exit 1 if it shares "
-            + "nothing, as none answers it or another has its name.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "status",
+            description =
+                    "What one gatherer knows of the others and holds of each bound; exit 1 if it shares "
+                            + "nothing, as none answers it or another has its name.",
+            mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
-        @Option(names = "--door", paramLabel = "HOST:PORT", defaultValue = "127.0.0.1:8600",
+        @Option(
+                names = "--door",
+                paramLabel = "HOST:PORT",
+                defaultValue = "127.0.0.1:8600",
                 description = "the gatherer's door (default: 127.0.0.1:8600)")
         private String door;
-        @Option(names = "--token-file", paramLabel = "FILE", required = true, description = "holds the door's token")
+
+        @Option(
+                names = "--token-file",
+                paramLabel = "FILE",
+                required = true,
+                description = "holds the door's token")
         private Path tokenFile;
+
         @Option(names = "--json", description = "one JSON object")
         private boolean json;
 
@@ -39,10 +55,15 @@
             try {
                 status = new AdminCall(door, tokenFile).call("GET", "/status/together", null);
             } catch (AdminCall.TurnedDownException e) {
-                throw new IOException(e.getMessage().equals("no such path")
-                        ? "that gatherer doesn't talk with others: it was started without --together" : e.getMessage(), e);
+                throw new IOException(
+                        e.getMessage().equals("no such path")
+                                ? "that gatherer doesn't talk with others: it was started without --together"
+                                : e.getMessage(),
+                        e);
             }
-            boolean shares = !status.get("superseded").booleanValue() && !status.get("cutOff").booleanValue();
+            boolean shares =
+                    !status.get("superseded").booleanValue()
+                            && !status.get("cutOff").booleanValue();
             if (json) {
                 Printed.json(status);
             } else {
@@ -61,15 +82,32 @@
                 head.put("shares", "nothing: no other answers");
             }
             JsonNode letters = status.get("letters");
-            head.put("letters", letters.get("sent") + " sent, " + letters.get("received") + " received, " + letters.get("unsent")
-                    + " not sent, " + letters.get("foreign") + " foreign, " + letters.get("unread") + " not read");
+            head.put(
+                    "letters",
+                    letters.get("sent")
+                            + " sent, "
+                            + letters.get("received")
+                            + " received, "
+                            + letters.get("unsent")
+                            + " not sent, "
+                            + letters.get("foreign")
+                            + " foreign, "
+                            + letters.get("unread")
+                            + " not read");
             Printed.pairs(head);
             System.out.println();
-            table(status.get("members"), List.of("member", "site", "state", "life", "incarnation"),
+            table(
+                    status.get("members"),
+                    List.of("member", "site", "state", "life", "incarnation"),
                     List.of("name", "site", "state", "life", "incarnation"));
-            table(status.get("bounds"), List.of("bound", "home", "lent", "borrowed", "used", "free"),
+            table(
+                    status.get("bounds"),
+                    List.of("bound", "home", "lent", "borrowed", "used", "free"),
                     List.of("bound", "home", "lent", "borrowed", "used", "free"));
-            table(status.get("trouble"), List.of("server that others see fail", "share"), List.of("server", "trouble"));
+            table(
+                    status.get("trouble"),
+                    List.of("server that others see fail", "share"),
+                    List.of("server", "trouble"));
         }
 
         private static void table(JsonNode of, List<String> header, List<String> fields) {
@@ -81,8 +119,10 @@
                 var row = new ArrayList<Object>();
                 for (String field : fields) {
                     JsonNode value = one.get(field);
-                    row.add(value.isIntegralNumber() ? (Object) value.longValue() : value.isNumber() ? value.doubleValue()
-                            : value.asText());
+                    row.add(
+                            value.isIntegralNumber()
+                                    ? (Object) value.longValue()
+                                    : value.isNumber() ? value.doubleValue() : value.asText());
                 }
                 rows.add(row);
             }
@@ -91,11 +131,15 @@
         }
     }
 
-    @Command(name = "check", description = "Reads what gatherers would be told of each other, and says what it understood.",
+    @Command(
+            name = "check",
+            description =
+                    "Reads what gatherers would be told of each other, and says what it understood.",
             mixinStandardHelpOptions = true)
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "of the form of deploy/together.schema.json")
         private Path file;
+
         @Option(names = "--json", description = "one JSON object")
         private boolean json;
 
@@ -104,12 +148,30 @@
             ClusterConfig plan = ClusterConfig.read(file);
             Map<String, Object> what = new LinkedHashMap<>();
             what.put("gatherers", plan.members().size());
-            what.put("sites", plan.members().values().stream().map(ClusterConfig.Member::site).distinct().count());
-            what.put("cold_servers", plan.shared().contains(Bound.Kind.COLD) ? "shared" : "each alone");
-            what.put("customers_shares", plan.shared().contains(Bound.Kind.CUSTOMER) ? "shared" : "each alone");
-            what.put("further_dispatches", plan.shared().contains(Bound.Kind.FURTHER)
-                    ? plan.further() + " by all in " + plan.furtherWindowMs() + " ms" : "each by its own budget");
-            what.put("clocks", "up to " + plan.driftPpm() + " ppm off in rate, up to " + plan.clocksOffMs() + " ms apart");
+            what.put(
+                    "sites",
+                    plan.members().values().stream()
+                            .map(ClusterConfig.Member::site)
+                            .distinct()
+                            .count());
+            what.put(
+                    "cold_servers",
+                    plan.shared().contains(Bound.Kind.COLD) ? "shared" : "each alone");
+            what.put(
+                    "customers_shares",
+                    plan.shared().contains(Bound.Kind.CUSTOMER) ? "shared" : "each alone");
+            what.put(
+                    "further_dispatches",
+                    plan.shared().contains(Bound.Kind.FURTHER)
+                            ? plan.further() + " by all in " + plan.furtherWindowMs() + " ms"
+                            : "each by its own budget");
+            what.put(
+                    "clocks",
+                    "up to "
+                            + plan.driftPpm()
+                            + " ppm off in rate, up to "
+                            + plan.clocksOffMs()
+                            + " ms apart");
             if (json) {
                 Printed.json(what);
             } else {
--- a/cli/src/main/java/sprucehold/cli/TraceChange.java
+++ b/cli/src/main/java/sprucehold/cli/TraceChange.java
@@ -25,8 +25,7 @@
 
 /** Commands that make a file of others. */
 final class TraceChange {
-    private TraceChange() {
-    }
+    private TraceChange() {}
 
     /** Refuses to write over an input, which would be lost before it was read. */
     private static void apart(List<Path> inputs, Path out) throws IOException {
@@ -37,17 +36,35 @@
         }
     }
 
-    @Command(name = "cut", description = "Cuts a window of time out of a file: the scans taken in it, each whole.",
+    @Command(
+            name = "cut",
+            description = "Cuts a window of time out of a file: the scans taken in it, each whole.",
             mixinStandardHelpOptions = true)
     static final class Cut implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "a trace file")
         private Path file;
-        @Option(names = "--from", paramLabel = "TIME", required = true, description = "ISO 8601 or Unix milliseconds")
+
+        @Option(
+                names = "--from",
+                paramLabel = "TIME",
+                required = true,
+                description = "ISO 8601 or Unix milliseconds")
         private String from;
-        @Option(names = "--to", paramLabel = "TIME", required = true, description = "until before then")
+
+        @Option(
+                names = "--to",
+                paramLabel = "TIME",
+                required = true,
+                description = "until before then")
         private String to;
-        @Option(names = {"-o", "--out"}, paramLabel = "OUT", required = true, description = "the file to write")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "OUT",
+                required = true,
+                description = "the file to write")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object instead of a line")
         private boolean json;
 
@@ -72,13 +89,23 @@
         }
     }
 
-    @Command(name = "merge", description = "Merges files of several gatherers, or pieces of one, into one, by "
-            + "corrected clocks.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "merge",
+            description =
+                    "Merges files of several gatherers, or pieces of one, into one, by "
+                            + "corrected clocks.",
+            mixinStandardHelpOptions = true)
     static final class Merge implements Callable<Integer> {
         @Parameters(paramLabel = "FILES", arity = "1..*", description = "trace files, in any order")
         private List<Path> files;
-        @Option(names = {"-o", "--out"}, paramLabel = "OUT", required = true, description = "the file to write")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "OUT",
+                required = true,
+                description = "the file to write")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object instead of a table")
         private boolean json;
 
@@ -89,31 +116,72 @@
             TraceMerge.Merged merged = TraceMerge.merge(files, out, progress::at);
             progress.end();
             if (json) {
-                Printed.json(TraceLook.map("entries", merged.entries(), "out", out.toString(), "clocks",
-                        merged.sources().stream().map(source -> TraceLook.map("gatherer", source.gatherer(),
-                                "offset_ms", source.clock().offsetMs(), "drift_ppm", source.clock().driftPpm(),
-                                "error_ms", TraceLook.finite(source.clock().errorMs()))).toList()));
+                Printed.json(
+                        TraceLook.map(
+                                "entries",
+                                merged.entries(),
+                                "out",
+                                out.toString(),
+                                "clocks",
+                                merged.sources().stream()
+                                        .map(
+                                                source ->
+                                                        TraceLook.map(
+                                                                "gatherer",
+                                                                source.gatherer(),
+                                                                "offset_ms",
+                                                                source.clock().offsetMs(),
+                                                                "drift_ppm",
+                                                                source.clock().driftPpm(),
+                                                                "error_ms",
+                                                                TraceLook.finite(
+                                                                        source.clock().errorMs())))
+                                        .toList()));
             } else {
                 System.out.println(merged.entries() + " calls and gaps in " + out);
-                merged.sources().forEach(source -> System.out.println("clock of " + source.gatherer() + ": "
-                        + ClockEstimate.words(source.clock())));
+                merged.sources()
+                        .forEach(
+                                source ->
+                                        System.out.println(
+                                                "clock of "
+                                                        + source.gatherer()
+                                                        + ": "
+                                                        + ClockEstimate.words(source.clock())));
             }
             return 0;
         }
     }
 
-    @Command(name = "anonymise", description = "Writes a file anew without identities, volumes and rhythms of "
-            + "customers.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "anonymise",
+            description =
+                    "Writes a file anew without identities, volumes and rhythms of " + "customers.",
+            mixinStandardHelpOptions = true)
     static final class Anonymise implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "a trace file")
         private Path file;
-        @Option(names = "--key", paramLabel = "K", description = "makes the pseudonyms; at least 16 letters. Better "
-                + "by --key-file: what stands on a command line, others can see")
+
+        @Option(
+                names = "--key",
+                paramLabel = "K",
+                description =
+                        "makes the pseudonyms; at least 16 letters. Better "
+                                + "by --key-file: what stands on a command line, others can see")
         private String key;
-        @Option(names = "--key-file", paramLabel = "FILE", description = "a file that holds the key")
+
+        @Option(
+                names = "--key-file",
+                paramLabel = "FILE",
+                description = "a file that holds the key")
         private Path keyFile;
-        @Option(names = {"-o", "--out"}, paramLabel = "OUT", required = true, description = "the file to write")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "OUT",
+                required = true,
+                description = "the file to write")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object instead of a table")
         private boolean json;
 
@@ -126,17 +194,33 @@
             String secret = key != null ? key : Files.readString(keyFile).strip();
             var progress = new Printed.Progress("calls");
             try (TraceReader reader = TraceLook.open(file)) {
-                Anonymiser.Written written = Anonymiser.anonymise(reader, secret, out, progress::at);
+                Anonymiser.Written written =
+                        Anonymiser.anonymise(reader, secret, out, progress::at);
                 progress.end();
                 try (TraceReader done = TraceReader.open(out)) {
                     if (json) {
-                        Printed.json(TraceLook.map("scans", written.scans(), "left_out", written.leftOut(), "named",
-                                written.named(), "pooled", written.pooled(), "lost", done.head().lost()));
+                        Printed.json(
+                                TraceLook.map(
+                                        "scans",
+                                        written.scans(),
+                                        "left_out",
+                                        written.leftOut(),
+                                        "named",
+                                        written.named(),
+                                        "pooled",
+                                        written.pooled(),
+                                        "lost",
+                                        done.head().lost()));
                         return 0;
                     }
-                    System.out.printf(Locale.ROOT, "%d scans written, %d left out; %d customers keep a pseudonym, %d "
-                            + "scans are pooled%nlost for analysis:%n", written.scans(), written.leftOut(),
-                            written.named(), written.pooled());
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%d scans written, %d left out; %d customers keep a pseudonym, %d "
+                                    + "scans are pooled%nlost for analysis:%n",
+                            written.scans(),
+                            written.leftOut(),
+                            written.named(),
+                            written.pooled());
                     done.head().lost().forEach(lost -> System.out.println("  " + lost));
                 }
             }
@@ -144,20 +228,30 @@
         }
     }
 
-    @Command(name = "export", description = "Writes a file as text: each record as a JSON line, or each scan as a row "
-            + "of CSV.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "export",
+            description =
+                    "Writes a file as text: each record as a JSON line, or each scan as a row "
+                            + "of CSV.",
+            mixinStandardHelpOptions = true)
     static final class Export implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "a trace file")
         private Path file;
+
         @ArgGroup(multiplicity = "1")
         private Form form;
-        @Option(names = {"-o", "--out"}, paramLabel = "OUT", description = "the file to write (default: standard output)")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "OUT",
+                description = "the file to write (default: standard output)")
         private Path out;
 
         /** One of the two. */
         static final class Form {
             @Option(names = "--csv", description = "a row a scan")
             private boolean csv;
+
             @Option(names = "--jsonl", description = "a JSON line an event, action or gap")
             private boolean jsonl;
         }
@@ -168,9 +262,14 @@
                 apart(List.of(file), out);
             }
             try (TraceReader reader = TraceLook.open(file);
-                    Writer to = out != null ? Files.newBufferedWriter(out)
-                            : new BufferedWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8))) {
-                long lines = form.csv ? TraceExport.csv(reader, to) : TraceExport.jsonLines(reader, to);
+                    Writer to =
+                            out != null
+                                    ? Files.newBufferedWriter(out)
+                                    : new BufferedWriter(
+                                            new OutputStreamWriter(
+                                                    System.out, StandardCharsets.UTF_8))) {
+                long lines =
+                        form.csv ? TraceExport.csv(reader, to) : TraceExport.jsonLines(reader, to);
                 to.flush();
                 if (out != null) {
                     System.out.println(lines + (form.csv ? " scans in " : " records in ") + out);
--- a/cli/src/main/java/sprucehold/cli/TraceJudge.java
+++ b/cli/src/main/java/sprucehold/cli/TraceJudge.java
@@ -28,17 +28,22 @@
 
 /** Commands that judge files, and one that makes days to judge. */
 final class TraceJudge {
-    private TraceJudge() {
-    }
+    private TraceJudge() {}
 
-    @Command(name = "summarise", description = "Figures by table type, customer, shard server and reason.",
+    @Command(
+            name = "summarise",
+            description = "Figures by table type, customer, shard server and reason.",
             mixinStandardHelpOptions = true)
     static final class Summarise implements Callable<Integer> {
         @Parameters(paramLabel = "FILES", arity = "1..*", description = "trace files")
         private List<Path> files;
-        @Option(names = "--html", paramLabel = "OUT", description = "writes one page with charts, which opens with no "
-                + "network")
+
+        @Option(
+                names = "--html",
+                paramLabel = "OUT",
+                description = "writes one page with charts, which opens with no " + "network")
         private Path html;
+
         @Option(names = "--json", description = "one JSON object instead of tables")
         private boolean json;
 
@@ -53,104 +58,243 @@
             }
             progress.end();
             if (html != null) {
-                Files.writeString(html, SummaryPage.html(summary, files.size() == 1
-                        ? files.get(0).getFileName().toString() : files.size() + " trace files"));
+                Files.writeString(
+                        html,
+                        SummaryPage.html(
+                                summary,
+                                files.size() == 1
+                                        ? files.get(0).getFileName().toString()
+                                        : files.size() + " trace files"));
             }
             if (json) {
-                Printed.json(TraceLook.map("scans", summary.all().scans(), "records", summary.records(), "gaps",
-                        summary.gaps(), "not_recorded", summary.notRecorded(), "service", summary.all().service(),
-                        "types", groups(summary.byType()), "customers", groups(summary.byCustomer()), "gatherers",
-                        groups(summary.byGatherer()), "outcomes", summary.outcomes(), "reasons", summary.reasons(),
-                        "servers", servers(summary)));
+                Printed.json(
+                        TraceLook.map(
+                                "scans",
+                                summary.all().scans(),
+                                "records",
+                                summary.records(),
+                                "gaps",
+                                summary.gaps(),
+                                "not_recorded",
+                                summary.notRecorded(),
+                                "service",
+                                summary.all().service(),
+                                "types",
+                                groups(summary.byType()),
+                                "customers",
+                                groups(summary.byCustomer()),
+                                "gatherers",
+                                groups(summary.byGatherer()),
+                                "outcomes",
+                                summary.outcomes(),
+                                "reasons",
+                                summary.reasons(),
+                                "servers",
+                                servers(summary)));
                 return 0;
             }
-            System.out.printf(Locale.ROOT, "%d scans, %d records, service %.4f%s%n%n", summary.all().scans(),
-                    summary.records(), summary.all().service(), summary.gaps() == 0 ? "" : ", "
-                    + summary.notRecorded() + " calls not recorded in " + summary.gaps() + " gaps");
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d scans, %d records, service %.4f%s%n%n",
+                    summary.all().scans(),
+                    summary.records(),
+                    summary.all().service(),
+                    summary.gaps() == 0
+                            ? ""
+                            : ", "
+                                    + summary.notRecorded()
+                                    + " calls not recorded in "
+                                    + summary.gaps()
+                                    + " gaps");
             table("table type", summary.byType());
             table("customer", summary.byCustomer());
             table("gatherer", summary.byGatherer());
             var why = new ArrayList<List<Object>>();
-            summary.outcomes().forEach((how, reasons) -> reasons.forEach((reason, count) ->
-                    why.add(List.of(how.words(), reason.words(), count))));
+            summary.outcomes()
+                    .forEach(
+                            (how, reasons) ->
+                                    reasons.forEach(
+                                            (reason, count) ->
+                                                    why.add(
+                                                            List.of(
+                                                                    how.words(),
+                                                                    reason.words(),
+                                                                    count))));
             Printed.table(List.of("outcome", "because", "scans"), why);
             System.out.println();
             var actions = new ArrayList<List<Object>>();
-            summary.reasons().forEach((reason, count) -> actions.add(List.of(reason.name(), reason.words(), count)));
+            summary.reasons()
+                    .forEach(
+                            (reason, count) ->
+                                    actions.add(List.of(reason.name(), reason.words(), count)));
             Printed.table(List.of("reason", "in words", "actions"), actions);
             System.out.println();
             var rows = new ArrayList<List<Object>>();
-            summary.byServer().forEach((name, group) -> rows.add(List.of(name, group.dispatches(),
-                    group.of(Ending.COMPLETED), group.of(Ending.ERROR) + group.of(Ending.RESET),
-                    group.of(Ending.FULL) + group.of(Ending.UNCONNECTED), group.of(Ending.TIMED_OUT),
-                    group.of(Ending.CANCELLED), group.percentileMs(50), group.percentileMs(99),
-                    group.passedOver().values().stream().mapToLong(count -> count).sum())));
-            Printed.table(List.of("server", "dispatches", "completed", "failed", "never ran", "timed out",
-                    "called off", "p50 ms", "p99 ms", "passed over"), rows);
+            summary.byServer()
+                    .forEach(
+                            (name, group) ->
+                                    rows.add(
+                                            List.of(
+                                                    name,
+                                                    group.dispatches(),
+                                                    group.of(Ending.COMPLETED),
+                                                    group.of(Ending.ERROR) + group.of(Ending.RESET),
+                                                    group.of(Ending.FULL)
+                                                            + group.of(Ending.UNCONNECTED),
+                                                    group.of(Ending.TIMED_OUT),
+                                                    group.of(Ending.CANCELLED),
+                                                    group.percentileMs(50),
+                                                    group.percentileMs(99),
+                                                    group.passedOver().values().stream()
+                                                            .mapToLong(count -> count)
+                                                            .sum())));
+            Printed.table(
+                    List.of(
+                            "server",
+                            "dispatches",
+                            "completed",
+                            "failed",
+                            "never ran",
+                            "timed out",
+                            "called off",
+                            "p50 ms",
+                            "p99 ms",
+                            "passed over"),
+                    rows);
             return 0;
         }
 
         private static void table(String what, Map<String, ScanGroup> groups) {
             var rows = new ArrayList<List<Object>>();
-            groups.forEach((name, group) -> rows.add(List.of(name, group.scans(), group.of(ScanTally.Outcome.WHOLE),
-                    group.of(ScanTally.Outcome.PART), group.of(ScanTally.Outcome.THROTTLED),
-                    group.of(ScanTally.Outcome.ABANDONED), group.of(ScanTally.Outcome.CLIENT_LEFT),
-                    100.0 * group.inTargetTime() / Math.max(1, group.scans()), group.dispatches(), group.copies(),
-                    group.percentileMs(50), group.percentileMs(99))));
-            Printed.table(List.of(what, "scans", "whole", "in part", "throttled", "abandoned", "left", "in time %",
-                    "dispatches", "copies", "p50 ms", "p99 ms"), rows);
+            groups.forEach(
+                    (name, group) ->
+                            rows.add(
+                                    List.of(
+                                            name,
+                                            group.scans(),
+                                            group.of(ScanTally.Outcome.WHOLE),
+                                            group.of(ScanTally.Outcome.PART),
+                                            group.of(ScanTally.Outcome.THROTTLED),
+                                            group.of(ScanTally.Outcome.ABANDONED),
+                                            group.of(ScanTally.Outcome.CLIENT_LEFT),
+                                            100.0
+                                                    * group.inTargetTime()
+                                                    / Math.max(1, group.scans()),
+                                            group.dispatches(),
+                                            group.copies(),
+                                            group.percentileMs(50),
+                                            group.percentileMs(99))));
+            Printed.table(
+                    List.of(
+                            what,
+                            "scans",
+                            "whole",
+                            "in part",
+                            "throttled",
+                            "abandoned",
+                            "left",
+                            "in time %",
+                            "dispatches",
+                            "copies",
+                            "p50 ms",
+                            "p99 ms"),
+                    rows);
             System.out.println();
         }
 
         private static Map<String, Object> groups(Map<String, ScanGroup> groups) {
             var map = TraceLook.map();
-            groups.forEach((name, group) -> {
-                var outcomes = TraceLook.map();
-                for (ScanTally.Outcome outcome : ScanTally.Outcome.values()) {
-                    outcomes.put(outcome.name(), group.of(outcome));
-                }
-                map.put(name, TraceLook.map("scans", group.scans(), "outcomes", outcomes, "in_target_time",
-                        group.inTargetTime(), "service", group.service(), "dispatches", group.dispatches(),
-                        "further_tries", group.furtherTries(), "copies", group.copies(), "p50_ms",
-                        TraceLook.finite(group.percentileMs(50)), "p99_ms",
-                        TraceLook.finite(group.percentileMs(99))));
-            });
+            groups.forEach(
+                    (name, group) -> {
+                        var outcomes = TraceLook.map();
+                        for (ScanTally.Outcome outcome : ScanTally.Outcome.values()) {
+                            outcomes.put(outcome.name(), group.of(outcome));
+                        }
+                        map.put(
+                                name,
+                                TraceLook.map(
+                                        "scans",
+                                        group.scans(),
+                                        "outcomes",
+                                        outcomes,
+                                        "in_target_time",
+                                        group.inTargetTime(),
+                                        "service",
+                                        group.service(),
+                                        "dispatches",
+                                        group.dispatches(),
+                                        "further_tries",
+                                        group.furtherTries(),
+                                        "copies",
+                                        group.copies(),
+                                        "p50_ms",
+                                        TraceLook.finite(group.percentileMs(50)),
+                                        "p99_ms",
+                                        TraceLook.finite(group.percentileMs(99))));
+                    });
             return map;
         }
 
         private static Map<String, Object> servers(TraceSummary summary) {
             var map = TraceLook.map();
-            summary.byServer().forEach((name, group) -> {
-                var endings = TraceLook.map();
-                for (Ending ending : Ending.values()) {
-                    endings.put(ending.name(), group.of(ending));
-                }
-                map.put(name, TraceLook.map("dispatches", group.dispatches(), "endings", endings, "p50_ms",
-                        TraceLook.finite(group.percentileMs(50)), "p99_ms",
-                        TraceLook.finite(group.percentileMs(99)), "passed_over", group.passedOver()));
-            });
+            summary.byServer()
+                    .forEach(
+                            (name, group) -> {
+                                var endings = TraceLook.map();
+                                for (Ending ending : Ending.values()) {
+                                    endings.put(ending.name(), group.of(ending));
+                                }
+                                map.put(
+                                        name,
+                                        TraceLook.map(
+                                                "dispatches",
+                                                group.dispatches(),
+                                                "endings",
+                                                endings,
+                                                "p50_ms",
+                                                TraceLook.finite(group.percentileMs(50)),
+                                                "p99_ms",
+                                                TraceLook.finite(group.percentileMs(99)),
+                                                "passed_over",
+                                                group.passedOver()));
+                            });
             return map;
         }
     }
 
-    @Command(name = "diff", description = "Where two files of the same day part, first decision first; exit 1 where "
-            + "they do.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "diff",
+            description =
+                    "Where two files of the same day part, first decision first; exit 1 where "
+                            + "they do.",
+            mixinStandardHelpOptions = true)
     static final class Diff implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A", description = "a trace file")
         private Path a;
+
         @Parameters(index = "1", paramLabel = "B", description = "another of the same day")
         private Path b;
+
         @Option(names = "--json", description = "a JSON object for each parting")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
-            try (TraceReader first = TraceLook.open(a); TraceReader second = TraceLook.open(b)) {
+            try (TraceReader first = TraceLook.open(a);
+                    TraceReader second = TraceLook.open(b)) {
                 List<TraceDiff.Parting> partings = TraceDiff.diff(first, second);
                 for (TraceDiff.Parting parting : partings) {
                     if (json) {
-                        Printed.json(TraceLook.map("gatherer", parting.gatherer(), "call", parting.seq(), "ms",
-                                parting.nowMs(), "what", parting.what()));
+                        Printed.json(
+                                TraceLook.map(
+                                        "gatherer",
+                                        parting.gatherer(),
+                                        "call",
+                                        parting.seq(),
+                                        "ms",
+                                        parting.nowMs(),
+                                        "what",
+                                        parting.what()));
                     } else {
                         System.out.println(parting);
                     }
@@ -163,12 +307,17 @@
         }
     }
 
-    @Command(name = "replay", description = "Decides files again with this build; exit 1 where an action differs.",
+    @Command(
+            name = "replay",
+            description = "Decides files again with this build; exit 1 where an action differs.",
             mixinStandardHelpOptions = true)
     static final class Replay implements Callable<Integer> {
-        @Parameters(paramLabel = "FILES", arity = "1..*", description = "all files of a gatherer since its start, "
-                + "or a merged file")
+        @Parameters(
+                paramLabel = "FILES",
+                arity = "1..*",
+                description = "all files of a gatherer since its start, " + "or a merged file")
         private List<Path> files;
+
         @Option(names = "--json", description = "one JSON object instead of a line")
         private boolean json;
 
@@ -183,13 +332,24 @@
                 TraceReplay.Verdict verdict = TraceReplay.replay(readers, Brain::new, progress::at);
                 progress.end();
                 if (json) {
-                    Printed.json(TraceLook.map("calls", verdict.moments(), "agreed", verdict.agreed(), "difference",
-                            verdict.difference()));
+                    Printed.json(
+                            TraceLook.map(
+                                    "calls",
+                                    verdict.moments(),
+                                    "agreed",
+                                    verdict.agreed(),
+                                    "difference",
+                                    verdict.difference()));
                 } else if (verdict.difference() == null) {
-                    System.out.println("all " + verdict.agreed() + " actions of " + verdict.moments()
-                            + " calls agree");
+                    System.out.println(
+                            "all "
+                                    + verdict.agreed()
+                                    + " actions of "
+                                    + verdict.moments()
+                                    + " calls agree");
                 } else {
-                    System.out.println(verdict.agreed() + " actions agree, then " + verdict.difference());
+                    System.out.println(
+                            verdict.agreed() + " actions agree, then " + verdict.difference());
                 }
                 return verdict.difference() == null ? 0 : 1;
             } finally {
@@ -200,39 +360,87 @@
         }
     }
 
-    @Command(name = "synthesise", description = "Makes a synthetic day by driving the real module, failures included; "
-            + "one file a gatherer.", mixinStandardHelpOptions = true)
+    @Command(
+            name = "synthesise",
+            description =
+                    "Makes a synthetic day by driving the real module, failures included; "
+                            + "one file a gatherer.",
+            mixinStandardHelpOptions = true)
     static final class Synthesise implements Callable<Integer> {
-        @Option(names = "--scans", paramLabel = "N", defaultValue = "10000", description = "scans that clients begin "
-                + "(default: 10000)")
+        @Option(
+                names = "--scans",
+                paramLabel = "N",
+                defaultValue = "10000",
+                description = "scans that clients begin " + "(default: 10000)")
         private int scans;
-        @Option(names = "--seed", paramLabel = "S", defaultValue = "1", description = "decides everything (default: 1)")
+
+        @Option(
+                names = "--seed",
+                paramLabel = "S",
+                defaultValue = "1",
+                description = "decides everything (default: 1)")
         private long seed;
-        @Option(names = "--gatherers", paramLabel = "G", defaultValue = "3", description = "how many (default: 3)")
+
+        @Option(
+                names = "--gatherers",
+                paramLabel = "G",
+                defaultValue = "3",
+                description = "how many (default: 3)")
         private int gatherers;
-        @Option(names = "--skew-s", paramLabel = "X", defaultValue = "2", description = "clocks differ by up to so "
-                + "many seconds (default: 2)")
+
+        @Option(
+                names = "--skew-s",
+                paramLabel = "X",
+                defaultValue = "2",
+                description = "clocks differ by up to so " + "many seconds (default: 2)")
         private double skewS;
-        @Option(names = "--drift-ppm", paramLabel = "Y", defaultValue = "20", description = "and drift by up to so "
-                + "many millionths (default: 20)")
+
+        @Option(
+                names = "--drift-ppm",
+                paramLabel = "Y",
+                defaultValue = "20",
+                description = "and drift by up to so " + "many millionths (default: 20)")
         private double driftPpm;
-        @Option(names = "--hours", paramLabel = "H", defaultValue = "24", description = "how long the day is "
-                + "(default: 24)")
+
+        @Option(
+                names = "--hours",
+                paramLabel = "H",
+                defaultValue = "24",
+                description = "how long the day is " + "(default: 24)")
         private double hours;
-        @Option(names = "--customers", paramLabel = "C", defaultValue = "40", description = "how many (default: 40)")
+
+        @Option(
+                names = "--customers",
+                paramLabel = "C",
+                defaultValue = "40",
+                description = "how many (default: 40)")
         private int customers;
-        @Option(names = "--troubles", paramLabel = "T", defaultValue = "60", description = "troubles of shard servers "
-                + "(default: 60)")
+
+        @Option(
+                names = "--troubles",
+                paramLabel = "T",
+                defaultValue = "60",
+                description = "troubles of shard servers " + "(default: 60)")
         private int troubles;
-        @Option(names = {"-o", "--out"}, paramLabel = "DIR", required = true, description = "the folder to write to")
+
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "DIR",
+                required = true,
+                description = "the folder to write to")
         private Path out;
+
         @Option(names = "--json", description = "one JSON object instead of a line a file")
         private boolean json;
 
         @Override
         public Integer call() throws IOException {
-            var day = new SyntheticDay(new DayPlan(scans, seed, gatherers, skewS, driftPpm, hours, customers,
-                    troubles), Brain::new);
+            var day =
+                    new SyntheticDay(
+                            new DayPlan(
+                                    scans, seed, gatherers, skewS, driftPpm, hours, customers,
+                                    troubles),
+                            Brain::new);
             Files.createDirectories(out);
             var files = new ArrayList<Path>();
             var writers = new ArrayList<TraceWriter>();
@@ -243,7 +451,9 @@
                     files.add(file);
                     writers.add(new TraceWriter(TraceRepair.create(file), Head.of(source)));
                 }
-                day.play(writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(), progress::at);
+                day.play(
+                        writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
+                        progress::at);
             } finally {
                 for (TraceWriter writer : writers) {
                     writer.close();
--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -12,92 +12,306 @@
 import org.testng.annotations.Test;
 
 public class ArchitectureTest {
-    private static final JavaClasses ALL = new ClassFileImporter()
-            .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("sprucehold");
+    private static final JavaClasses ALL =
+            new ClassFileImporter()
+                    .withImportOption(new ImportOption.DoNotIncludeTests())
+                    .importPackages("sprucehold");
 
-    private static final String[] CORE = {"sprucehold.port..", "sprucehold.facts..", "sprucehold.picker..",
-        "sprucehold.brain.."};
+    private static final String[] CORE = {
+        "sprucehold.port..", "sprucehold.facts..", "sprucehold.picker..", "sprucehold.brain.."
+    };
     private static final String[] TRACE = {"sprucehold.trace.."};
     private static final String[] TOOLS = {"sprucehold.tracetools.."};
     private static final String[] CHANGE = {"sprucehold.change.."};
     private static final String[] TOGETHER = {"sprucehold.together.."};
     private static final String[] STANDIN = {"sprucehold.standin.."};
-    private static final String[] GATHERER = {"sprucehold.node..", "sprucehold.clients..", "sprucehold.shards..",
-        "sprucehold.discovery..", "sprucehold.drill..", "sprucehold.admin..", "sprucehold.command..", "sprucehold.messaging..",
-        "sprucehold.cluster..", "sprucehold.settings..", "sprucehold.sockets.."};
+    private static final String[] GATHERER = {
+        "sprucehold.node..",
+        "sprucehold.clients..",
+        "sprucehold.shards..",
+        "sprucehold.discovery..",
+        "sprucehold.drill..",
+        "sprucehold.admin..",
+        "sprucehold.command..",
+        "sprucehold.messaging..",
+        "sprucehold.cluster..",
+        "sprucehold.settings..",
+        "sprucehold.sockets.."
+    };
     private static final String[] RIG = {"sprucehold.rig.."};
     private static final String[] CLI = {"sprucehold.cli.."};
 
     private static String[] join(String[]... groups) {
-        return java.util.Arrays.stream(groups).flatMap(java.util.Arrays::stream).toArray(String[]::new);
+        return java.util.Arrays.stream(groups)
+                .flatMap(java.util.Arrays::stream)
+                .toArray(String[]::new);
     }
 
     @DataProvider
     Object[][] rules() {
         return new Object[][] {
-            {"no circle of packages", slices().matching("sprucehold.(**)").should().beFreeOfCycles()},
-            {"core is below all", noClasses().that().resideInAnyPackage(CORE).should().dependOnClassesThat()
-                    .resideInAnyPackage(join(TRACE, TOOLS, CHANGE, TOGETHER, STANDIN, GATHERER, RIG, CLI))},
-            {"stand-ins are above core alone", noClasses().that().resideInAnyPackage(STANDIN).should()
-                    .dependOnClassesThat().resideInAnyPackage(join(TRACE, TOOLS, CHANGE, GATHERER, RIG, CLI))},
-            {"trace is above core alone", noClasses().that().resideInAnyPackage(TRACE).should()
-                    .dependOnClassesThat().resideInAnyPackage(join(TOOLS, CHANGE, STANDIN, GATHERER, RIG, CLI))},
-            {"the gatherer is below the command line and knows no tool", noClasses().that()
-                    .resideInAnyPackage(GATHERER).should().dependOnClassesThat()
-                    .resideInAnyPackage(join(TOOLS, RIG, CLI))},
-            {"changes are above core alone", noClasses().that().resideInAnyPackage(CHANGE).should()
-                    .dependOnClassesThat().resideInAnyPackage(join(TRACE, TOOLS, STANDIN, GATHERER, RIG, CLI))},
-            {"what gatherers know together is above core alone, and decided without sockets, files, clocks or threads",
-                noClasses().that().resideInAnyPackage(TOGETHER).should().dependOnClassesThat()
-                    .resideInAnyPackage(join(TRACE, TOOLS, CHANGE, STANDIN, GATHERER, RIG, CLI, new String[] {"java.net..",
-                        "java.nio.file..", "java.nio.channels..", "java.util.concurrent..", "java.time..", "io.vertx.."})).orShould()
-                    .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")},
-            {"the node knows no neighbour by name", noClasses().that().resideInAnyPackage("sprucehold.node..", "sprucehold.clients..",
-                    "sprucehold.shards..", "sprucehold.discovery..", "sprucehold.admin..", "sprucehold.drill..").should()
-                    .dependOnClassesThat().resideInAnyPackage("sprucehold.cluster..", "sprucehold.messaging..", "sprucehold.together..")},
-            {"nothing that serves loads a fleet in simulated time", noClasses().that().resideOutsideOfPackages(
-                    "sprucehold.together.play..").should().dependOnClassesThat().resideInAPackage("sprucehold.together.play..")},
-            {"changes are decided without files, clocks or threads", noClasses().that()
-                    .resideInAnyPackage("sprucehold.change.document..", "sprucehold.change.line..",
-                            "sprucehold.change.watch..", "sprucehold.change.server..", "sprucehold.change.rollout..")
-                    .should().dependOnClassesThat().resideInAnyPackage("java.nio.file..", "java.nio.channels..",
-                            "java.util.concurrent..", "java.time..").orShould()
-                    .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")},
-            {"tools are above the trace alone", noClasses().that().resideInAnyPackage(TOOLS).should()
-                    .dependOnClassesThat().resideInAnyPackage(join(STANDIN, GATHERER, RIG, CLI))},
-            {"the rig knows gatherers by their processes alone", noClasses().that().resideInAnyPackage(RIG).should()
-                    .dependOnClassesThat().resideInAnyPackage(join(TRACE, TOOLS, CHANGE, GATHERER, CLI))},
-            {"runs are drawn, faults decided and verdicts reached without sockets, clocks or threads", noClasses().that()
-                    .resideInAnyPackage("sprucehold.rig.plan..", "sprucehold.rig.fault..", "sprucehold.rig.shrink..").or()
-                    .haveNameMatching("sprucehold\\.rig\\.(link\\.Shaper|server\\.ServerModel|list\\.(Agent|ServerList)|"
-                            + "load\\.(Front|Persistence)|verdict\\.(Judge|Figures|Spread))").and()
-                    .doNotHaveSimpleName("Addresses").should().dependOnClassesThat().resideInAnyPackage("java.net..",
-                            "java.nio.file..", "java.util.concurrent..", "io.vertx..").orShould()
-                    .callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")},
-            {"nothing imports the root package", noClasses().should().dependOnClassesThat()
-                    .resideInAPackage("sprucehold")},
-            {"the decisions are handed over, not named", noClasses().that()
-                    .resideOutsideOfPackages("sprucehold.brain..", "sprucehold.command..", "sprucehold.cli..").should()
-                    .dependOnClassesThat().resideInAPackage("sprucehold.brain..")},
-            {"core has no sockets, files or threads", noClasses().that().resideInAnyPackage(CORE).should()
-                    .dependOnClassesThat().resideInAnyPackage("java.net..", "java.nio.file..", "java.nio.channels..",
-                            "java.util.concurrent..", "java.util.zip..", "io.vertx..", "io.netty..")},
-            {"core has no files by the older way", noClasses().that().resideInAnyPackage(CORE).should()
-                    .dependOnClassesThat().haveNameMatching("java\\.io\\.(File|FileReader|FileWriter|File.*Stream|"
-                            + "RandomAccessFile)")},
-            {"core has no threads", noClasses().that().resideInAnyPackage(CORE).should().dependOnClassesThat()
-                    .haveNameMatching("java\\.lang\\.(Thread|Runtime|ProcessBuilder)|java\\.util\\.Timer")},
-            {"core reads no clock", noClasses().that().resideInAnyPackage(CORE).should()
-                    .callMethod(System.class, "currentTimeMillis").orShould().callMethod(System.class, "nanoTime")
-                    .orShould().dependOnClassesThat().resideInAPackage("java.time..")},
-            {"core has no chance without a seed", noClasses().that().resideInAnyPackage(CORE).should()
-                    .callConstructor(java.util.Random.class).orShould().callMethod(Math.class, "random")},
-            {"pure parts of the trace have no files or threads", noClasses().that()
-                    .resideInAnyPackage("sprucehold.trace.event..", "sprucehold.trace.book..",
-                            "sprucehold.tracetools.clock..", "sprucehold.tracetools.story..").or()
-                    .haveNameMatching("sprucehold\\.trace\\.record\\.(Thinning|FileDuty)").should()
-                    .dependOnClassesThat().resideInAnyPackage("java.nio.file..", "java.nio.channels..",
-                            "java.util.concurrent..")},
+            {
+                "no circle of packages",
+                slices().matching("sprucehold.(**)").should().beFreeOfCycles()
+            },
+            {
+                "core is below all",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CORE)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                join(TRACE, TOOLS, CHANGE, TOGETHER, STANDIN, GATHERER, RIG, CLI))
+            },
+            {
+                "stand-ins are above core alone",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(STANDIN)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(join(TRACE, TOOLS, CHANGE, GATHERER, RIG, CLI))
+            },
+            {
+                "trace is above core alone",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(TRACE)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(join(TOOLS, CHANGE, STANDIN, GATHERER, RIG, CLI))
+            },
+            {
+                "the gatherer is below the command line and knows no tool",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(GATHERER)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(join(TOOLS, RIG, CLI))
+            },
+            {
+                "changes are above core alone",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CHANGE)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(join(TRACE, TOOLS, STANDIN, GATHERER, RIG, CLI))
+            },
+            {
+                "what gatherers know together is above core alone, and decided without sockets, files, clocks or threads",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(TOGETHER)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                join(
+                                        TRACE,
+                                        TOOLS,
+                                        CHANGE,
+                                        STANDIN,
+                                        GATHERER,
+                                        RIG,
+                                        CLI,
+                                        new String[] {
+                                            "java.net..",
+                                            "java.nio.file..",
+                                            "java.nio.channels..",
+                                            "java.util.concurrent..",
+                                            "java.time..",
+                                            "io.vertx.."
+                                        }))
+                        .orShould()
+                        .callMethod(System.class, "nanoTime")
+                        .orShould()
+                        .callMethod(System.class, "currentTimeMillis")
+            },
+            {
+                "the node knows no neighbour by name",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(
+                                "sprucehold.node..",
+                                "sprucehold.clients..",
+                                "sprucehold.shards..",
+                                "sprucehold.discovery..",
+                                "sprucehold.admin..",
+                                "sprucehold.drill..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                "sprucehold.cluster..",
+                                "sprucehold.messaging..",
+                                "sprucehold.together..")
+            },
+            {
+                "nothing that serves loads a fleet in simulated time",
+                noClasses()
+                        .that()
+                        .resideOutsideOfPackages("sprucehold.together.play..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("sprucehold.together.play..")
+            },
+            {
+                "changes are decided without files, clocks or threads",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(
+                                "sprucehold.change.document..",
+                                "sprucehold.change.line..",
+                                "sprucehold.change.watch..",
+                                "sprucehold.change.server..",
+                                "sprucehold.change.rollout..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                "java.nio.file..",
+                                "java.nio.channels..",
+                                "java.util.concurrent..",
+                                "java.time..")
+                        .orShould()
+                        .callMethod(System.class, "nanoTime")
+                        .orShould()
+                        .callMethod(System.class, "currentTimeMillis")
+            },
+            {
+                "tools are above the trace alone",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(TOOLS)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(join(STANDIN, GATHERER, RIG, CLI))
+            },
+            {
+                "the rig knows gatherers by their processes alone",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(RIG)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(join(TRACE, TOOLS, CHANGE, GATHERER, CLI))
+            },
+            {
+                "runs are drawn, faults decided and verdicts reached without sockets, clocks or threads",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(
+                                "sprucehold.rig.plan..",
+                                "sprucehold.rig.fault..",
+                                "sprucehold.rig.shrink..")
+                        .or()
+                        .haveNameMatching(
+                                "sprucehold\\.rig\\.(link\\.Shaper|server\\.ServerModel|list\\.(Agent|ServerList)|"
+                                        + "load\\.(Front|Persistence)|verdict\\.(Judge|Figures|Spread))")
+                        .and()
+                        .doNotHaveSimpleName("Addresses")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                "java.net..",
+                                "java.nio.file..",
+                                "java.util.concurrent..",
+                                "io.vertx..")
+                        .orShould()
+                        .callMethod(System.class, "nanoTime")
+                        .orShould()
+                        .callMethod(System.class, "currentTimeMillis")
+            },
+            {
+                "nothing imports the root package",
+                noClasses().should().dependOnClassesThat().resideInAPackage("sprucehold")
+            },
+            {
+                "the decisions are handed over, not named",
+                noClasses()
+                        .that()
+                        .resideOutsideOfPackages(
+                                "sprucehold.brain..", "sprucehold.command..", "sprucehold.cli..")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAPackage("sprucehold.brain..")
+            },
+            {
+                "core has no sockets, files or threads",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CORE)
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                "java.net..",
+                                "java.nio.file..",
+                                "java.nio.channels..",
+                                "java.util.concurrent..",
+                                "java.util.zip..",
+                                "io.vertx..",
+                                "io.netty..")
+            },
+            {
+                "core has no files by the older way",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CORE)
+                        .should()
+                        .dependOnClassesThat()
+                        .haveNameMatching(
+                                "java\\.io\\.(File|FileReader|FileWriter|File.*Stream|"
+                                        + "RandomAccessFile)")
+            },
+            {
+                "core has no threads",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CORE)
+                        .should()
+                        .dependOnClassesThat()
+                        .haveNameMatching(
+                                "java\\.lang\\.(Thread|Runtime|ProcessBuilder)|java\\.util\\.Timer")
+            },
+            {
+                "core reads no clock",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CORE)
+                        .should()
+                        .callMethod(System.class, "currentTimeMillis")
+                        .orShould()
+                        .callMethod(System.class, "nanoTime")
+                        .orShould()
+                        .dependOnClassesThat()
+                        .resideInAPackage("java.time..")
+            },
+            {
+                "core has no chance without a seed",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(CORE)
+                        .should()
+                        .callConstructor(java.util.Random.class)
+                        .orShould()
+                        .callMethod(Math.class, "random")
+            },
+            {
+                "pure parts of the trace have no files or threads",
+                noClasses()
+                        .that()
+                        .resideInAnyPackage(
+                                "sprucehold.trace.event..",
+                                "sprucehold.trace.book..",
+                                "sprucehold.tracetools.clock..",
+                                "sprucehold.tracetools.story..")
+                        .or()
+                        .haveNameMatching("sprucehold\\.trace\\.record\\.(Thinning|FileDuty)")
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(
+                                "java.nio.file..", "java.nio.channels..", "java.util.concurrent..")
+            },
         };
     }
 
@@ -108,6 +322,7 @@
 
     @Test
     public void theRulesLookAtSomething() {
-        Assert.assertTrue(ALL.contain("sprucehold.brain.Brain") && ALL.contain("sprucehold.cli.Sprucehold"));
+        Assert.assertTrue(
+                ALL.contain("sprucehold.brain.Brain") && ALL.contain("sprucehold.cli.Sprucehold"));
     }
 }
--- a/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
@@ -31,7 +31,8 @@
 /** The tool against scripted doors, whose versions are the real ones. */
 public class RolloutCommandTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String DOCUMENT = """
+    private static final String DOCUMENT =
+            """
             {"tableTypes":[{"name":"offers","repeat":"replayable","targetMs":800,"queryTimeoutMs":2000}],
              "limits":{"dispatchesPerPart":2,"maxOpen":%d},
              "coldRule":{"startShare":1,"warmAfterMs":0,"multiple":1,"windowMs":0}}""";
@@ -39,7 +40,9 @@
     private final List<FakeDoor> doors = new ArrayList<>();
 
     private static Document document(int maxOpen) {
-        return ((DocumentReader.Read.Good) DocumentReader.read(DOCUMENT.formatted(maxOpen).getBytes())).document();
+        return ((DocumentReader.Read.Good)
+                        DocumentReader.read(DOCUMENT.formatted(maxOpen).getBytes()))
+                .document();
     }
 
     /** A gatherer's door; a version is judged at the second look at it. */
@@ -52,7 +55,9 @@
 
         FakeDoor(boolean harmed) throws IOException {
             this.harmed = harmed;
-            server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+            server =
+                    HttpServer.create(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
             server.createContext("/", this::handle);
             server.start();
         }
@@ -78,22 +83,40 @@
                     line.on(new LineEvent.Judged(line.live().number(), harmed, "so it was"));
                 }
                 ArrayNode all = MAPPER.createArrayNode();
-                line.history().forEach(of -> all.addObject().put("version", of.version().number())
-                        .put("state", of.how().name().toLowerCase(Locale.ROOT)).put("why", of.why()));
+                line.history()
+                        .forEach(
+                                of ->
+                                        all.addObject()
+                                                .put("version", of.version().number())
+                                                .put(
+                                                        "state",
+                                                        of.how().name().toLowerCase(Locale.ROOT))
+                                                .put("why", of.why()));
                 answer = all;
             } else if (path.startsWith("/change/proposal/")) {
                 Long version = line.numberOf(path.substring("/change/proposal/".length()));
                 status = version == null ? 404 : 200;
-                node.put(version == null ? "error" : "version", version == null ? "none" : version.toString());
+                node.put(
+                        version == null ? "error" : "version",
+                        version == null ? "none" : version.toString());
                 if (version != null) {
                     node.put("version", version);
                 }
             } else if (path.equals("/change/propose")) {
                 JsonNode asked = MAPPER.readTree(body);
-                Document wanted = ((DocumentReader.Read.Good) DocumentReader.read(
-                        MAPPER.writeValueAsBytes(asked.get("document")))).document();
-                for (LineAction action : line.on(new LineEvent.Proposed(asked.get("id").asText(), "o",
-                        asked.get("madeFrom").asLong(), wanted, Running.NOTHING))) {
+                Document wanted =
+                        ((DocumentReader.Read.Good)
+                                        DocumentReader.read(
+                                                MAPPER.writeValueAsBytes(asked.get("document"))))
+                                .document();
+                for (LineAction action :
+                        line.on(
+                                new LineEvent.Proposed(
+                                        asked.get("id").asText(),
+                                        "o",
+                                        asked.get("madeFrom").asLong(),
+                                        wanted,
+                                        Running.NOTHING))) {
                     if (action instanceof LineAction.Accepted accepted) {
                         node.put("version", accepted.version().number());
                     } else if (action instanceof LineAction.AlreadyThere there) {
@@ -105,9 +128,13 @@
                 }
                 line.on(new LineEvent.BetweenMoments());
             } else if (path.equals("/change/confirm")) {
-                line.on(new LineEvent.ConfirmAsked(MAPPER.readTree(body).get("version").asLong(), "o"));
+                line.on(
+                        new LineEvent.ConfirmAsked(
+                                MAPPER.readTree(body).get("version").asLong(), "o"));
             } else if (path.equals("/change/undo")) {
-                line.on(new LineEvent.UndoAsked(MAPPER.readTree(body).get("version").asLong(), "o"));
+                line.on(
+                        new LineEvent.UndoAsked(
+                                MAPPER.readTree(body).get("version").asLong(), "o"));
             } else {
                 node.put("live", line.live().number()).put("watched", line.watched());
             }
@@ -132,10 +159,18 @@
     }
 
     private int roll() {
-        var arguments = new ArrayList<>(List.of("change", "rollout", folder.resolve("next.json").toString()));
+        var arguments =
+                new ArrayList<>(
+                        List.of("change", "rollout", folder.resolve("next.json").toString()));
         doors.forEach(door -> arguments.add(door.address()));
-        arguments.addAll(List.of("--token-file", folder.resolve("token").toString(), "--state",
-                folder.resolve("state").toString(), "--by", "o"));
+        arguments.addAll(
+                List.of(
+                        "--token-file",
+                        folder.resolve("token").toString(),
+                        "--state",
+                        folder.resolve("state").toString(),
+                        "--by",
+                        "o"));
         return Sprucehold.commandLine().execute(arguments.toArray(new String[0]));
     }
 
@@ -160,7 +195,8 @@
     public void changeThatHarmsTheSecondWaveIsTakenBackFromTheFirst() throws IOException {
         fleet(false, true, false, false);
         assertEquals(roll(), 1);
-        // The first confirmed it, and serves a proposal of what was before; the last was never asked.
+        // The first confirmed it, and serves a proposal of what was before; the last was never
+        // asked.
         assertEquals(serving(), List.of(100, 100, 100, 100));
         assertEquals(doors.get(3).line.live().number(), 1);
         assertFalse(doors.get(0).line.watched(), "an undoing would bring the harmful change back");
@@ -169,12 +205,21 @@
     @Test
     public void toolThatDiedGoesOnWhereItWas() throws IOException {
         fleet(false, false);
-        // As if killed after the first was asked: the state on disk says so, and nothing else is known.
+        // As if killed after the first was asked: the state on disk says so, and nothing else is
+        // known.
         doors.get(0).line.on(new LineEvent.Proposed("r-7", "o", 1, document(90), Running.NOTHING));
         doors.get(0).line.on(new LineEvent.BetweenMoments());
-        Files.writeString(folder.resolve("state"), "{\"id\":\"r-7\",\"waves\":[[\"" + doors.get(0).address() + "\"],[\""
-                + doors.get(1).address() + "\"]],\"wave\":0,\"standing\":{\"" + doors.get(0).address()
-                + "\":\"ASKED\",\"" + doors.get(1).address() + "\":\"UNTOUCHED\"},\"phase\":\"ROLLING\",\"why\":\"\"}");
+        Files.writeString(
+                folder.resolve("state"),
+                "{\"id\":\"r-7\",\"waves\":[[\""
+                        + doors.get(0).address()
+                        + "\"],[\""
+                        + doors.get(1).address()
+                        + "\"]],\"wave\":0,\"standing\":{\""
+                        + doors.get(0).address()
+                        + "\":\"ASKED\",\""
+                        + doors.get(1).address()
+                        + "\":\"UNTOUCHED\"},\"phase\":\"ROLLING\",\"why\":\"\"}");
         assertEquals(roll(), 0);
         assertEquals(serving(), List.of(90, 90));
         assertEquals(doors.get(0).line.live().number(), 2, "asked once, not twice");
--- a/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
@@ -21,8 +21,7 @@
 public class TraceCommandTest {
     private Path folder;
 
-    private record Ran(int exit, String out, String err) {
-    }
+    private record Ran(int exit, String out, String err) {}
 
     private static Ran run(String... arguments) {
         var out = new ByteArrayOutputStream();
@@ -33,7 +32,10 @@
         System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
         try {
             int exit = Sprucehold.commandLine().execute(arguments);
-            return new Ran(exit, out.toString(StandardCharsets.UTF_8), err.toString(StandardCharsets.UTF_8));
+            return new Ran(
+                    exit,
+                    out.toString(StandardCharsets.UTF_8),
+                    err.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(outBefore);
             System.setErr(errBefore);
@@ -43,18 +45,22 @@
     /** The words, with DIR/ standing for the folder. */
     private Ran trace(String words) {
         var arguments = new ArrayList<String>(List.of("trace"));
-        Arrays.stream(words.split(" ")).map(word -> word.replace("DIR", folder.toString())).forEach(arguments::add);
+        Arrays.stream(words.split(" "))
+                .map(word -> word.replace("DIR", folder.toString()))
+                .forEach(arguments::add);
         return run(arguments.toArray(new String[0]));
     }
 
     @BeforeClass
     public void makeFiles() throws IOException {
         folder = Files.createTempDirectory("trace-command");
-        assertEquals(trace("synthesise --scans 400 --seed 4 --hours 0.5 --gatherers 2 -o DIR").exit, 0);
+        assertEquals(
+                trace("synthesise --scans 400 --seed 4 --hours 0.5 --gatherers 2 -o DIR").exit, 0);
         assertEquals(trace("merge DIR/g0.trace DIR/g1.trace -o DIR/m.trace").exit, 0);
         byte[] whole = Files.readAllBytes(folder.resolve("g0.trace"));
         Files.write(folder.resolve("half.trace"), Arrays.copyOf(whole, whole.length * 2 / 3));
-        Files.writeString(folder.resolve("text.trace"), "this is only text, and no trace file at all");
+        Files.writeString(
+                folder.resolve("text.trace"), "this is only text, and no trace file at all");
         Files.writeString(folder.resolve("key"), "a key that is long enough\n");
     }
 
@@ -62,14 +68,22 @@
     Object[][] commands() {
         return new Object[][] {
             // command, exit code, what its output or error contains
-            {"info DIR/m.trace", 0, "every scan"}, {"verify DIR/m.trace", 0, "sound"},
-            {"verify DIR/half.trace", 1, "footer"}, {"info DIR/half.trace", 0, "trace repair"},
-            {"find DIR/m.trace --most 3", 0, "because"}, {"find DIR/m.trace --scan none", 1, "no such scan"},
+            {"info DIR/m.trace", 0, "every scan"},
+            {"verify DIR/m.trace", 0, "sound"},
+            {"verify DIR/half.trace", 1, "footer"},
+            {"info DIR/half.trace", 0, "trace repair"},
+            {"find DIR/m.trace --most 3", 0, "because"},
+            {"find DIR/m.trace --scan none", 1, "no such scan"},
             {"find DIR/m.trace --server s-1-1 --most 2", 0, "because"},
             {"find DIR/m.trace --from 2030-01-01", 1, "is no time"},
             {"find DIR/m.trace --from 2030-01-01T00:00:00Z", 1, "no such scan"},
-            {"find DIR/m.trace --outcome WON", 2, "WON"}, {"explain DIR/m.trace --scan none", 1, "holds no scan"},
-            {"cut DIR/m.trace --from 2026-01-01T00:05:00Z --to 2026-01-01T00:06:00Z -o DIR/c.trace", 0, "whole or"},
+            {"find DIR/m.trace --outcome WON", 2, "WON"},
+            {"explain DIR/m.trace --scan none", 1, "holds no scan"},
+            {
+                "cut DIR/m.trace --from 2026-01-01T00:05:00Z --to 2026-01-01T00:06:00Z -o DIR/c.trace",
+                0,
+                "whole or"
+            },
             {"cut DIR/m.trace --from 5 --to 4 -o DIR/c2.trace", 1, "isn't before"},
             {"cut DIR/m.trace --from 4 --to 5 -o DIR/m.trace", 1, "is an input as well"},
             {"merge DIR/half.trace DIR/g1.trace -o DIR/x.trace", 1, "trace repair"},
@@ -77,12 +91,16 @@
             {"anonymise DIR/m.trace --key short -o DIR/b.trace", 1, "at least 16"},
             {"anonymise DIR/m.trace -o DIR/b.trace", 1, "--key-file"},
             {"summarise DIR/g0.trace DIR/g1.trace --html DIR/s.html", 0, "table type"},
-            {"diff DIR/g0.trace DIR/g0.trace", 0, "the same"}, {"diff DIR/g0.trace DIR/g1.trace", 1, "only the"},
-            {"replay DIR/m.trace", 0, "agree"}, {"replay DIR/text.trace", 1, "no trace file"},
+            {"diff DIR/g0.trace DIR/g0.trace", 0, "the same"},
+            {"diff DIR/g0.trace DIR/g1.trace", 1, "only the"},
+            {"replay DIR/m.trace", 0, "agree"},
+            {"replay DIR/text.trace", 1, "no trace file"},
             {"replay DIR/none.trace", 1, "no such file"},
             {"export DIR/g0.trace --csv -o DIR/g0.csv", 0, "scans in"},
-            {"export DIR/g0.trace --jsonl -o DIR/g0.jsonl", 0, "records in"}, {"export DIR/g0.trace", 2, "--csv"},
-            {"synthesise --gatherers 0 -o DIR/z", 1, "from 1"}, {"what", 2, "what"},
+            {"export DIR/g0.trace --jsonl -o DIR/g0.jsonl", 0, "records in"},
+            {"export DIR/g0.trace", 2, "--csv"},
+            {"synthesise --gatherers 0 -o DIR/z", 1, "from 1"},
+            {"what", 2, "what"},
         };
     }
 
@@ -107,10 +125,14 @@
     @DataProvider
     Object[][] json() {
         return new Object[][] {
-            {"info DIR/m.trace --json", "records"}, {"verify DIR/m.trace --json", "sound"},
-            {"find DIR/m.trace --most 1 --json", "scan"}, {"summarise DIR/m.trace --json", "service"},
-            {"replay DIR/m.trace --json", "agreed"}, {"diff DIR/g0.trace DIR/g1.trace --json", "what"},
-            {"merge DIR/g0.trace -o DIR/j.trace --json", "clocks"}, {"repair DIR/g1.trace --json", "needed"},
+            {"info DIR/m.trace --json", "records"},
+            {"verify DIR/m.trace --json", "sound"},
+            {"find DIR/m.trace --most 1 --json", "scan"},
+            {"summarise DIR/m.trace --json", "service"},
+            {"replay DIR/m.trace --json", "agreed"},
+            {"diff DIR/g0.trace DIR/g1.trace --json", "what"},
+            {"merge DIR/g0.trace -o DIR/j.trace --json", "clocks"},
+            {"repair DIR/g1.trace --json", "needed"},
             {"cut DIR/m.trace --from 0 --to 5e0 -o DIR/j2.trace --json", "x"},
             {"anonymise DIR/m.trace --key-file DIR/key -o DIR/j3.trace --json", "lost"},
             {"synthesise --scans 5 --hours 0.1 -o DIR/j4 --json", "files"},
@@ -121,7 +143,8 @@
     public void machinesGetOneJsonObjectALine(String words, String field) throws IOException {
         Ran ran = trace(words);
         if (field.equals("x")) {
-            // Not a number as people write them: one line of error, and nothing that looks like a result.
+            // Not a number as people write them: one line of error, and nothing that looks like a
+            // result.
             assertTrue(ran.exit == 1 && ran.out.isEmpty(), ran.out);
             return;
         }
@@ -138,6 +161,9 @@
         String id = new ObjectMapper().readTree(found).get("scan").asText();
         Ran words = trace("explain DIR/m.trace --scan " + id);
         assertTrue(words.exit == 0 && words.out.startsWith("scan " + id + " of "), words.out);
-        assertTrue(trace("explain DIR/m.trace --json --scan " + id).out.contains("\"kind\":\"ScanTaken\""));
+        assertTrue(
+                trace("explain DIR/m.trace --json --scan " + id)
+                        .out
+                        .contains("\"kind\":\"ScanTaken\""));
     }
 }
--- a/core/src/main/java/sprucehold/brain/Brain.java
+++ b/core/src/main/java/sprucehold/brain/Brain.java
@@ -25,51 +25,74 @@
 import sprucehold.port.TableType;
 
 /**
- * All decisions of one gatherer. It is called through {@link #decide}, the one entry point: what happened
- * goes in, what is to be done comes out. The interface is the package {@link sprucehold.port}.
+ * All decisions of one gatherer. It is called through {@link #decide}, the one entry point: what
+ * happened goes in, what is to be done comes out. The interface is the package {@link
+ * sprucehold.port}.
  *
- * <p>The design (docs/design.md) decides the ordinary path: rounds, their width, the position rule. Beside
- * it, six mechanisms:
- * <ol><li>set-aside: a late shard server has fewer parts out, one that fails in a row none, then a few more;
- * <li>cold budget: a server that has just started is sent this gatherer's part of its limit, or by lot;
- * <li>list following: nothing goes to a server reported draining or gone; the list is asked for if need be;
- * <li>further dispatches: other tries and second copies, within what table type, limits and budget allow;
- * <li>throttling: scans that would come to nothing are turned away as they arrive;
- * <li>endings: when a scan is answered, and when it is given up.</ol>
+ * <p>The design (docs/design.md) decides the ordinary path: rounds, their width, the position rule.
+ * Beside it, six mechanisms:
+ *
+ * <ol>
+ *   <li>set-aside: a late shard server has fewer parts out, one that fails in a row none, then a
+ *       few more;
+ *   <li>cold budget: a server that has just started is sent this gatherer's part of its limit, or
+ *       by lot;
+ *   <li>list following: nothing goes to a server reported draining or gone; the list is asked for
+ *       if need be;
+ *   <li>further dispatches: other tries and second copies, within what table type, limits and
+ *       budget allow;
+ *   <li>throttling: scans that would come to nothing are turned away as they arrive;
+ *   <li>endings: when a scan is answered, and when it is given up.
+ * </ol>
  */
 public final class Brain implements Gatherer {
     private Deployment facts;
     private final Random chance;
-    /** More gatherers than a server's usual room: rooms of one each overfill it, and only its times tell. */
+
+    /**
+     * More gatherers than a server's usual room: rooms of one each overfill it, and only its times
+     * tell.
+     */
     private boolean crowded;
+
     private Others others = Others.NONE;
+
     /** What is left of what others told, by shared bound. */
     private Map<Bound, Integer> room = new HashMap<>();
+
     private double now, lookAgainAt, lookedAt;
     private List<Action> todo = new ArrayList<>();
 
     private final Map<String, Scan> scansById = new HashMap<>();
     private final Map<Long, Scan> scansByNumber = new LinkedHashMap<>();
     private final Map<String, Part> partsById = new HashMap<>();
+
     /** Scans not begun and parts not sent because their servers have no room yet. */
     private final List<Scan> waiting = new ArrayList<>();
+
     private final List<Part> waitingParts = new ArrayList<>();
     private final Map<String, Srv> srvsById = new TreeMap<>();
+
     /** The listed servers of each cell, in the order of their ids: the same at every gatherer. */
     private final List<List<Srv>> cells = new ArrayList<>();
+
     private final Map<String, Times> timesByType = new HashMap<>();
     private final Map<Customer, Double> allowances = new HashMap<>();
     private final Map<Customer, Double> brokenUntil = new HashMap<>();
 
     private final PriorityQueue<Alarm> alarms =
-            new PriorityQueue<>(Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::turn));
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Alarm::at).thenComparingLong(Alarm::turn));
     private long alarmsSet;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    /** The design's estimate. It starts at one, so that a first scan isn't asked in full for nothing. */
+    /**
+     * The design's estimate. It starts at one, so that a first scan isn't asked in full for
+     * nothing.
+     */
     private double servedShare = 1;
 
-    private record Alarm(double at, long turn, Runnable task) { }
+    private record Alarm(double at, long turn, Runnable task) {}
 
     private static final class Scan {
         final Event.ScanTaken taken;
@@ -93,7 +116,9 @@
 
         /** Parts that make the answer whole; widths go by count, wholeness by weight. */
         int needed() {
-            return secondStep ? parts.size() : (int) Math.ceil(type.completeFrom() * parts.size() - 1e-6);
+            return secondStep
+                    ? parts.size()
+                    : (int) Math.ceil(type.completeFrom() * parts.size() - 1e-6);
         }
 
         /** The share of the weight below which no answer may be given. */
@@ -135,7 +160,9 @@
         }
     }
 
-    /** The parts that one round asked for; it ends when all are settled or its timer has run out. */
+    /**
+     * The parts that one round asked for; it ends when all are settled or its timer has run out.
+     */
     private static final class Round {
         final List<Part> parts = new ArrayList<>();
         int inTime, calledOff;
@@ -164,15 +191,21 @@
         double startedAt, roomCutAt, failedAt, asideUntil, asideMs, lotUntil;
         boolean running, lotWon;
         final List<Sent> out = new ArrayList<>();
+
         /** Failures, and dispatches that became overdue, since a part last completed in time. */
         int failuresInRow;
+
         double room = USUAL_ROOM;
         double answeredAt = Double.NEGATIVE_INFINITY;
+
         /** When the latest part that it has answered went out. */
         double answeredOfAt = Double.NEGATIVE_INFINITY;
+
         final ArrayDeque<double[]> coldSends = new ArrayDeque<>();
 
-        /** Four out at once: a small server's cores and as many waiting, to grow and shrink from. */
+        /**
+         * Four out at once: a small server's cores and as many waiting, to grow and shrink from.
+         */
         static final double USUAL_ROOM = 4;
 
         Srv(String id) {
@@ -180,7 +213,10 @@
         }
     }
 
-    /** Times as a histogram: each bin is 1.6 times as wide as the one before, coarse but never far off. */
+    /**
+     * Times as a histogram: each bin is 1.6 times as wide as the one before, coarse but never far
+     * off.
+     */
     private static final class Times {
         private static final int BINS = 18;
         private final double[] counts = new double[BINS];
@@ -206,7 +242,10 @@
             }
         }
 
-        /** The upper edge of the bin in which this share is reached; {@code unknown} if times are too few. */
+        /**
+         * The upper edge of the bin in which this share is reached; {@code unknown} if times are
+         * too few.
+         */
         double quantile(double share, double unknown) {
             // Twelve times tell a quantile well enough for a bin this wide.
             if (total < 12) {
@@ -232,7 +271,10 @@
         change(facts);
     }
 
-    /** Scans taken from now on go by these facts; open ones keep theirs, but where a part may run less. */
+    /**
+     * Scans taken from now on go by these facts; open ones keep theirs, but where a part may run
+     * less.
+     */
     private void change(Deployment next) {
         facts = next;
         // 200: some ten seconds of a quiet gatherer's parts.
@@ -254,7 +296,8 @@
                 take(taken);
             } else if (event instanceof Event.DispatchEnded ended) {
                 dispatchEnded(ended);
-            } else if (event instanceof Event.ClientLeft left && scansById.containsKey(left.scanId())) {
+            } else if (event instanceof Event.ClientLeft left
+                    && scansById.containsKey(left.scanId())) {
                 close(scansById.get(left.scanId()), Reason.CLIENT_LEFT);
             } else if (event instanceof Event.ListReceived list) {
                 listReceived(list);
@@ -262,7 +305,9 @@
                 listUnavailable();
             } else if (event instanceof Event.OthersTold told) {
                 others = told.others();
-                crowded = (others.gatherers() > 0 ? others.gatherers() : facts.gatherers()) > Srv.USUAL_ROOM;
+                crowded =
+                        (others.gatherers() > 0 ? others.gatherers() : facts.gatherers())
+                                > Srv.USUAL_ROOM;
                 room = new HashMap<>(others.room());
             } else if (event instanceof Event.FactsChanged changed) {
                 change(changed.facts());
@@ -278,7 +323,8 @@
         sendWaitingParts();
         sendCopies();
         // What brings most for each part it needs goes first where there isn't room for all.
-        waiting.sort(Comparator.comparingDouble(scan -> -benefit(scan) / Math.max(1, scan.needed())));
+        waiting.sort(
+                Comparator.comparingDouble(scan -> -benefit(scan) / Math.max(1, scan.needed())));
         startWaiting();
         if (!alarms.isEmpty() && alarms.peek().at < wakeAt) {
             wakeAt = alarms.peek().at;
@@ -294,25 +340,29 @@
     // ---- The design: rounds, width, position ----
 
     private void take(Event.ScanTaken taken) {
-        // Three ticks ahead of the client's own end: one to be woken late, one for the way, one to spare.
+        // Three ticks ahead of the client's own end: one to be woken late, one for the way, one to
+        // spare.
         double endsAt = now + Math.max(0, taken.timeLeftMs() - 3 * facts.tickMs());
         var scan = new Scan(taken, now, endsAt);
         scansById.put(taken.id(), scan);
         scansByNumber.put(taken.number(), scan);
         at(endsAt, () -> end(scan, Reason.TIME_OVER));
         // An answer in part earns more in time than a whole one late.
-        at(Math.min(endsAt, scan.targetAt() - 3 * facts.tickMs()), () -> {
-            if (mayAnswer(scan)) {
-                end(scan, Reason.TARGET_TIME);
-            }
-        });
+        at(
+                Math.min(endsAt, scan.targetAt() - 3 * facts.tickMs()),
+                () -> {
+                    if (mayAnswer(scan)) {
+                        end(scan, Reason.TARGET_TIME);
+                    }
+                });
     }
 
     private void take(Event.PartTaken taken) {
         takenAt.add(now);
         Scan scan = scansByNumber.get(taken.scanNumber());
         if (scan == null) {
-            // Its scan has ended, as when a second step's parts come after the client's time is over.
+            // Its scan has ended, as when a second step's parts come after the client's time is
+            // over.
             return;
         }
         var part = new Part(taken, scan);
@@ -327,9 +377,10 @@
         int inVain = 0;
         boolean all = now >= lookedAt + facts.tickMs();
         lookedAt = all ? now : lookedAt;
-        for (var scans = waiting.iterator(); scans.hasNext();) {
+        for (var scans = waiting.iterator(); scans.hasNext(); ) {
             Scan scan = scans.next();
-            // A quarter of the target time leaves half for a round and some to spare for a further dispatch.
+            // A quarter of the target time leaves half for a round and some to spare for a further
+            // dispatch.
             double patience = Math.min(scan.type.targetMs(), scan.endsAt - scan.takenAt) / 4;
             boolean patient = scan.secondStep || now < scan.takenAt + patience;
             // Once a tick, and after two in vain no more: waiting mustn't cost more than serving.
@@ -343,7 +394,8 @@
                 scans.remove();
             }
         }
-        // At the most a gatherer may hold, the next scan is lost unseen: rather the one that brings least.
+        // At the most a gatherer may hold, the next scan is lost unseen: rather the one that brings
+        // least.
         int open = waiting.isEmpty() ? 0 : scansByNumber.size() + partsById.size();
         while (!waiting.isEmpty() && open > 0.9 * facts.limits().maxOpen()) {
             Scan least = waiting.remove(waiting.size() - 1);
@@ -369,7 +421,8 @@
         double estimate = 0.9 * servedShare;
         int width = estimate <= 0 ? 1 : (int) Math.ceil(scan.needed() / estimate - 1e-9);
         // One part, as for an estimate of zero, where a scan of this customer lately broke all its
-        // connections: guards servers against scans that bring them down, at the price of a part's time.
+        // connections: guards servers against scans that bring them down, at the price of a part's
+        // time.
         if (now < brokenUntil.getOrDefault(scan.taken.customer(), 0.0) && !scan.secondStep) {
             width = 1;
         }
@@ -378,47 +431,66 @@
     }
 
     private int choosePosition(Scan scan) {
-        int positions = scan.parts.stream().mapToInt(p -> holders(p.segment).size()).max().orElse(0);
+        int positions =
+                scan.parts.stream().mapToInt(p -> holders(p.segment).size()).max().orElse(0);
         int best = 0, equals = 0;
         double least = Double.POSITIVE_INFINITY;
         for (int position = 0; position < positions; position++) {
             int wanted = position;
-            double load = scan.parts.stream().map(p -> choose(p, wanted)).filter(Objects::nonNull).distinct()
-                    .mapToDouble(this::load).sum();
+            double load =
+                    scan.parts.stream()
+                            .map(p -> choose(p, wanted))
+                            .filter(Objects::nonNull)
+                            .distinct()
+                            .mapToDouble(this::load)
+                            .sum();
             if (load < least) {
                 least = load;
                 best = position;
                 equals = 1;
             } else if (load == least && chance.nextInt(++equals) == 0) {
-                // Equal positions are told apart by chance, so that gatherers don't all take the first.
+                // Equal positions are told apart by chance, so that gatherers don't all take the
+                // first.
                 best = position;
             }
         }
         return best;
     }
 
-    /** This gatherer's parts out at a server, by call where shared; who fails fast mustn't look idle. */
+    /**
+     * This gatherer's parts out at a server, by call where shared; who fails fast mustn't look
+     * idle.
+     */
     private double load(Srv srv) {
         boolean shared = facts.layout().callParts() > 1 && srv.out.size() > 1;
-        double out = shared ? srv.out.stream().mapToDouble(s -> s.at).distinct().count() : srv.out.size();
+        double out =
+                shared
+                        ? srv.out.stream().mapToDouble(s -> s.at).distinct().count()
+                        : srv.out.size();
         return out + srv.failuresInRow + (inTrouble(srv) ? 1 : 0);
     }
 
     private void sendRound(Scan scan, int width, Reason reason) {
         var round = new Round();
         scan.rounds.add(round);
-        // Parts whose server has least to do go first: the ones left out are those likely to be late.
+        // Parts whose server has least to do go first: the ones left out are those likely to be
+        // late.
         List<Part> unsent = new ArrayList<>(scan.unsent());
-        unsent.sort(Comparator.comparingDouble(part -> {
-            Srv srv = choose(part, scan.position);
-            return srv == null ? Double.POSITIVE_INFINITY : load(srv);
-        }));
+        unsent.sort(
+                Comparator.comparingDouble(
+                        part -> {
+                            Srv srv = choose(part, scan.position);
+                            return srv == null ? Double.POSITIVE_INFINITY : load(srv);
+                        }));
         long underWay = scan.parts.stream().filter(p -> p.completed || p.isOut()).count();
         for (Part part : unsent.subList(0, Math.min(width, unsent.size()))) {
             Srv srv = choose(part, scan.position);
-            // What a round asks for beyond the need doesn't queue at a server half of whose room is used:
-            // others may need it more, as when one cell has lost servers. It waits for a later round.
-            boolean busy = srv == null || outOfOthers(srv, scan) > 0 && srv.out.size() >= srv.room / 2;
+            // What a round asks for beyond the need doesn't queue at a server half of whose room is
+            // used:
+            // others may need it more, as when one cell has lost servers. It waits for a later
+            // round.
+            boolean busy =
+                    srv == null || outOfOthers(srv, scan) > 0 && srv.out.size() >= srv.room / 2;
             if (busy && underWay >= scan.needed()) {
                 break;
             }
@@ -451,7 +523,13 @@
         boolean empty = round.parts.stream().noneMatch(p -> p.completed);
         if (!empty) {
             double share = (double) completed / (scan.parts.size() - unsent.size());
-            width = (int) Math.max(1, Math.min(width, Math.round((scan.needed() - completed) / share)));
+            width =
+                    (int)
+                            Math.max(
+                                    1,
+                                    Math.min(
+                                            width,
+                                            Math.round((scan.needed() - completed) / share)));
         }
         sendRound(scan, width, empty ? Reason.EMPTY_ROUND : Reason.LATER_ROUND);
     }
@@ -470,7 +548,10 @@
         return all;
     }
 
-    /** The holder at the position, or if it may not be used the least loaded other; null if none may. */
+    /**
+     * The holder at the position, or if it may not be used the least loaded other; null if none
+     * may.
+     */
     private Srv choose(Part part, int position) {
         List<Srv> holders = holders(part.segment);
         if (holders.isEmpty()) {
@@ -480,8 +561,10 @@
         if (!mayUse(wanted, part)) {
             return leastLoaded(part);
         }
-        // A part leaves a server that failed lately for one that didn't: each of many gatherers meets a
-        // server too seldom for three failures in a row. Guards against silent, slow and cut-off servers.
+        // A part leaves a server that failed lately for one that didn't: each of many gatherers
+        // meets a
+        // server too seldom for three failures in a row. Guards against silent, slow and cut-off
+        // servers.
         if (suspect(wanted)) {
             Srv other = leastLoaded(part);
             return other == null || suspect(other) ? wanted : other;
@@ -509,16 +592,23 @@
     }
 
     private boolean mayUse(Srv srv, Part part) {
-        return srv.running && now >= srv.asideUntil && hasRoom(srv, part.scan) && coldRoom(srv, part);
+        return srv.running
+                && now >= srv.asideUntil
+                && hasRoom(srv, part.scan)
+                && coldRoom(srv, part);
     }
 
     private boolean hasRoom(Srv srv, Scan scan) {
-        // A scan beyond its customer's share gets only half the room, what it brings being so much less.
+        // A scan beyond its customer's share gets only half the room, what it brings being so much
+        // less.
         // A round is never split for room: the scan's own parts don't count.
         return outOfOthers(srv, scan) < Math.max(1, scan.overShare ? srv.room / 2 : srv.room);
     }
 
-    /** Whom a part was kept from, and why. Decides nothing: lots that it asks for were drawn this moment. */
+    /**
+     * Whom a part was kept from, and why. Decides nothing: lots that it asks for were drawn this
+     * moment.
+     */
     private List<PassedOver> passedOver(Part part, Srv chosen) {
         List<Srv> holders = holders(part.segment);
         if (part.sent.isEmpty() && holders.get(part.scan.position % holders.size()) == chosen) {
@@ -526,12 +616,20 @@
         }
         var passed = new ArrayList<PassedOver>(holders.size());
         for (Srv srv : holders) {
-            PassedOver.Cause cause = !srv.running ? PassedOver.Cause.DRAINING
-                    : part.sent.stream().anyMatch(s -> s.srv == srv) ? PassedOver.Cause.TRIED
-                    : now < srv.asideUntil ? PassedOver.Cause.SET_ASIDE
-                    : !hasRoom(srv, part.scan) ? PassedOver.Cause.NO_ROOM
-                    : !coldRoom(srv, part) ? PassedOver.Cause.COLD_BUDGET
-                    : suspect(srv) ? PassedOver.Cause.SUSPECT : null;
+            PassedOver.Cause cause =
+                    !srv.running
+                            ? PassedOver.Cause.DRAINING
+                            : part.sent.stream().anyMatch(s -> s.srv == srv)
+                                    ? PassedOver.Cause.TRIED
+                                    : now < srv.asideUntil
+                                            ? PassedOver.Cause.SET_ASIDE
+                                            : !hasRoom(srv, part.scan)
+                                                    ? PassedOver.Cause.NO_ROOM
+                                                    : !coldRoom(srv, part)
+                                                            ? PassedOver.Cause.COLD_BUDGET
+                                                            : suspect(srv)
+                                                                    ? PassedOver.Cause.SUSPECT
+                                                                    : null;
             if (srv != chosen && cause != null) {
                 passed.add(new PassedOver(srv.id, cause));
             }
@@ -543,7 +641,8 @@
     private final Map<String, Double> lateByZone = new TreeMap<>();
 
     private boolean suspect(Srv srv) {
-        // Five seconds for each failure: about as long as a quiet gatherer takes to meet a server again.
+        // Five seconds for each failure: about as long as a quiet gatherer takes to meet a server
+        // again.
         boolean lately = now < srv.failedAt + 5000 * Math.min(4, srv.failuresInRow);
         return srv.failuresInRow > 0 && lately || inTrouble(srv);
     }
@@ -563,7 +662,8 @@
     private void failed(Srv srv, boolean unreachable) {
         srv.failuresInRow++;
         srv.failedAt = now;
-        // Three in a row: one may be chance, two a pause; one that can't be reached is down or full at once.
+        // Three in a row: one may be chance, two a pause; one that can't be reached is down or full
+        // at once.
         if ((srv.failuresInRow >= 3 || unreachable) && now >= srv.asideUntil) {
             // A second at first, twice as long each time it comes to nothing, up to four.
             srv.asideMs = Math.min(4000, Math.max(1000, 2 * srv.asideMs));
@@ -574,7 +674,8 @@
 
     /** A part is late there: too much is out at the server, whoever sent it. */
     private void late(Srv srv) {
-        // Once for what was out together, by three tenths, a usual cut: room settles rather than swings.
+        // Once for what was out together, by three tenths, a usual cut: room settles rather than
+        // swings.
         if (now - srv.roomCutAt > 200) {
             srv.roomCutAt = now;
             srv.room = Math.max(1, 0.7 * srv.room);
@@ -585,9 +686,13 @@
         srv.failuresInRow = 0;
         srv.asideMs = 0;
         if (srv.room < Srv.USUAL_ROOM) {
-            srv.room = Math.min(Srv.USUAL_ROOM, now - srv.roomCutAt < 2000 ? srv.room + 0.5 : 2 * srv.room);
+            srv.room =
+                    Math.min(
+                            Srv.USUAL_ROOM,
+                            now - srv.roomCutAt < 2000 ? srv.room + 0.5 : 2 * srv.room);
         } else if (soon && srv.out.size() + 1 >= srv.room / 2) {
-            // Within a quarter of the target time: more may wait there and a further dispatch be in time.
+            // Within a quarter of the target time: more may wait there and a further dispatch be in
+            // time.
             srv.room += 1 / srv.room;
         }
     }
@@ -621,25 +726,29 @@
         srv.coldSends.removeIf(s -> s[0] < now - 1.2 * rule.windowMs());
         double sent = srv.coldSends.stream().mapToDouble(s -> s[1]).sum();
         double work = workOf(part.scan.type);
-        // One core is the least a server has; the others are taken to send as much as this gatherer.
+        // One core is the least a server has; the others are taken to send as much as this
+        // gatherer.
         if (sent + work <= rule.multiple() * share * rule.windowMs() / facts.gatherers()) {
             return true;
         }
-        // Where a gatherer's part of the budget is under one part's work nobody would ever send: gatherers
+        // Where a gatherer's part of the budget is under one part's work nobody would ever send:
+        // gatherers
         // draw lots, each window anew, for one part.
         if (now >= srv.lotUntil) {
             srv.lotUntil = now + rule.windowMs();
-            srv.lotWon = chance.nextDouble() < lotChance(rule.multiple() * share * rule.windowMs() / work);
+            srv.lotWon =
+                    chance.nextDouble()
+                            < lotChance(rule.multiple() * share * rule.windowMs() / work);
         }
         return srv.lotWon && sent == 0;
     }
 
     /**
-     * The chance of a lot, so that all gatherers together send a cold server the parts that it may get in a
-     * window and two, less one and a half standard deviations of their sum, but no more than it may get: the
-     * rule grants two of those more, and two parts. A gatherer that has a part for it in few windows draws
-     * better lots, and the others are taken to be like it. Half as many parts again as lately leave room for
-     * traffic that shifts.
+     * The chance of a lot, so that all gatherers together send a cold server the parts that it may
+     * get in a window and two, less one and a half standard deviations of their sum, but no more
+     * than it may get: the rule grants two of those more, and two parts. A gatherer that has a part
+     * for it in few windows draws better lots, and the others are taken to be like it. Half as many
+     * parts again as lately leave room for traffic that shifts.
      */
     private double lotChance(double parts) {
         double aimed = Math.min(parts, parts + 2 - 1.5 * Math.sqrt(parts));
@@ -648,8 +757,11 @@
         return aimed / facts.gatherers() / (1 - Math.exp(-Math.max(0.3, 1.5 * wanted)));
     }
 
-    /** Long beside the gaps between a quiet gatherer's scans, short beside a server's warming up. */
+    /**
+     * Long beside the gaps between a quiet gatherer's scans, short beside a server's warming up.
+     */
     private static final double SEND_RATE_MS = 2000;
+
     private double sendRate, sendRateAt;
 
     /** Dispatches a millisecond, as an average that forgets. */
@@ -687,9 +799,14 @@
                 cells.get(srv.cell).sort(Comparator.comparing(s -> s.id));
             }
         }
-        // Fleets are replaced for good by servers of new names; half a minute outlasts one that is back soon.
-        srvsById.values().removeIf(srv -> srv.out.isEmpty() && !cells.get(srv.cell).contains(srv)
-                && Math.max(srv.answeredAt, srv.failedAt) < now - 30_000);
+        // Fleets are replaced for good by servers of new names; half a minute outlasts one that is
+        // back soon.
+        srvsById.values()
+                .removeIf(
+                        srv ->
+                                srv.out.isEmpty()
+                                        && !cells.get(srv.cell).contains(srv)
+                                        && Math.max(srv.answeredAt, srv.failedAt) < now - 30_000);
         if (first && facts.listAccess().mustAsk()) {
             todo.add(new Action.FollowList(Reason.FIRST_LIST));
         } else {
@@ -698,8 +815,10 @@
     }
 
     private void listUnavailable() {
-        // Doubling and spread, not to flood a struggling list service. Three seconds at the most, and two for
-        // a call without an answer, stay under the six after which what the list has to tell counts as told.
+        // Doubling and spread, not to flood a struggling list service. Three seconds at the most,
+        // and two for
+        // a call without an answer, stay under the six after which what the list has to tell counts
+        // as told.
         double most = Math.min(2000, facts.listAccess().askWithinMs() / 2);
         double wait = Math.min(most, 250 * Math.pow(2, Math.min(listFailures++, 6)));
         double askAt = now + wait * (0.5 + chance.nextDouble());
@@ -710,8 +829,10 @@
 
     private final ArrayDeque<Double> takenAt = new ArrayDeque<>();
     private final ArrayDeque<Double> furtherAt = new ArrayDeque<>();
+
     /** Room for second copies; a part's first dispatch adds to it. */
     private double copyRoom = 5;
+
     private final List<Part> copiesWanted = new ArrayList<>();
 
     private void send(Part part, Srv srv, Reason reason) {
@@ -722,7 +843,8 @@
         }
         var sent = new Sent(part, srv, now);
         List<PassedOver> passedOver = passedOver(part, srv);
-        // A fifth: enough for the shares of a fleet that fail at once, too little to double a full load.
+        // A fifth: enough for the shares of a fleet that fail at once, too little to double a full
+        // load.
         // At most ten, or half the parts of a large scan, many of which may be late together.
         if (sent.number > 0) {
             furtherAt.add(now);
@@ -738,7 +860,9 @@
         }
         take(Bound.cold(srv.id), (int) Math.ceil(workOf(part.scan.type)));
         double timeout = part.scan.endsAt - now;
-        todo.add(new Action.Dispatch(part.id, srv.id, timeout, reason, part.scan.position, passedOver));
+        todo.add(
+                new Action.Dispatch(
+                        part.id, srv.id, timeout, reason, part.scan.position, passedOver));
         overdueAt(now + lateAfter(part.scan.type), sent);
     }
 
@@ -756,19 +880,23 @@
             if (held(part) && !part.scan.over) {
                 waitingParts.add(part);
             } else if (mayDispatch(part) && !part.isOut()) {
-                Srv srv = part.sent.isEmpty() ? choose(part, part.scan.position) : leastLoaded(part);
+                Srv srv =
+                        part.sent.isEmpty() ? choose(part, part.scan.position) : leastLoaded(part);
                 send(part, srv, again(part));
             }
         }
         if (now >= lookAgainAt && (!waitingParts.isEmpty() || !waiting.isEmpty())) {
-            // Room also comes with time alone, as when a set-aside ends. One alarm: each would set a next.
+            // Room also comes with time alone, as when a set-aside ends. One alarm: each would set
+            // a next.
             lookAgainAt = now + 25;
-            at(lookAgainAt, () -> { });
+            at(lookAgainAt, () -> {});
         }
     }
 
     private static Reason again(Part part) {
-        return part.sent.isEmpty() ? Reason.WAITED : part.mayHaveRun ? Reason.FURTHER_TRY : Reason.NEVER_RAN;
+        return part.sent.isEmpty()
+                ? Reason.WAITED
+                : part.mayHaveRun ? Reason.FURTHER_TRY : Reason.NEVER_RAN;
     }
 
     private boolean mayDispatch(Part part) {
@@ -781,7 +909,9 @@
             return true;
         }
         boolean mayRun = part.mayHaveRun || part.isOut();
-        if (part.isOut() && !facts.limits().secondCopies() || held(part) || mayRun && !mayRunAgain(part)) {
+        if (part.isOut() && !facts.limits().secondCopies()
+                || held(part)
+                || mayRun && !mayRunAgain(part)) {
             return false;
         }
         var budget = facts.dispatchBudget();
@@ -801,22 +931,28 @@
     }
 
     /**
-     * A broken part goes again only once another of its scan is completed. Guards against scans that bring
-     * down the servers that begin them, one by one; costs a sound scan the wait for its quickest part.
+     * A broken part goes again only once another of its scan is completed. Guards against scans
+     * that bring down the servers that begin them, one by one; costs a sound scan the wait for its
+     * quickest part.
      */
     private boolean held(Part part) {
         return part.broken && part.scan.completed() == 0;
     }
 
-    /** An alarm that comes late itself tells nothing: answers may lie unread, or the part went out late. */
+    /**
+     * An alarm that comes late itself tells nothing: answers may lie unread, or the part went out
+     * late.
+     */
     private void overdueAt(double due, Sent sent) {
-        at(due, () -> {
-            if (sent.out && now - due > 2 * facts.tickMs()) {
-                overdueAt(2 * now - due, sent);
-            } else if (sent.out) {
-                overdue(sent);
-            }
-        });
+        at(
+                due,
+                () -> {
+                    if (sent.out && now - due > 2 * facts.tickMs()) {
+                        overdueAt(2 * now - due, sent);
+                    } else if (sent.out) {
+                        overdue(sent);
+                    }
+                });
     }
 
     private void overdue(Sent sent) {
@@ -825,7 +961,8 @@
         slowness.add(1000 * Math.max(0.5, (now - sent.at) / sent.part.scan.type.targetMs()));
         lateByZone.merge(sent.srv.zone, 0.1, (late, one) -> 0.9 * late + one);
         late(sent.srv);
-        // One that still answers is slow; while the whole fleet is, setting it aside only loads the others.
+        // One that still answers is slow; while the whole fleet is, setting it aside only loads the
+        // others.
         if (sent.srv.answeredAt < sent.at || servedShare >= 0.6) {
             failed(sent.srv, false);
         }
@@ -836,22 +973,24 @@
 
     /** Second copies of late parts, each as soon as there is a server for it. */
     private void sendCopies() {
-        copiesWanted.removeIf(part -> {
-            if (!part.isOut() || !mayDispatch(part) || now >= part.scan.targetAt()) {
-                return true;
-            }
-            Srv other = copyRoom < 1 || pressure > 0.1 ? null : leastLoaded(part);
-            // Only to a server that has nothing of ours, or it makes others late. But a part that later ones
-            // have overtaken is lost on the way and goes wherever there is room.
-            Sent last = part.sent.get(part.sent.size() - 1);
-            boolean overtaken = last.overdue && last.srv.answeredOfAt > last.at;
-            if (other == null || !other.out.isEmpty() && !overtaken) {
-                return false;
-            }
-            copyRoom--;
-            send(part, other, Reason.SECOND_COPY);
-            return true;
-        });
+        copiesWanted.removeIf(
+                part -> {
+                    if (!part.isOut() || !mayDispatch(part) || now >= part.scan.targetAt()) {
+                        return true;
+                    }
+                    Srv other = copyRoom < 1 || pressure > 0.1 ? null : leastLoaded(part);
+                    // Only to a server that has nothing of ours, or it makes others late. But a
+                    // part that later ones
+                    // have overtaken is lost on the way and goes wherever there is room.
+                    Sent last = part.sent.get(part.sent.size() - 1);
+                    boolean overtaken = last.overdue && last.srv.answeredOfAt > last.at;
+                    if (other == null || !other.out.isEmpty() && !overtaken) {
+                        return false;
+                    }
+                    copyRoom--;
+                    send(part, other, Reason.SECOND_COPY);
+                    return true;
+                });
     }
 
     private void dispatchEnded(Event.DispatchEnded ended) {
@@ -887,10 +1026,13 @@
                 if (!part.round.timerOver && !part.completed && sent.calledOff) {
                     part.round.calledOff++;
                 }
-            } else if (!sent.overdue && ended.ending() != Ending.TIMED_OUT
+            } else if (!sent.overdue
+                    && ended.ending() != Ending.TIMED_OUT
                     && (sent.srv.failedAt < now || ended.ending() == Ending.UNCONNECTED)) {
-                // A time-out before the part was late tells of the client's haste, not of the server.
-                // All that ends together is one failure: a link that breaks mustn't set a server aside.
+                // A time-out before the part was late tells of the client's haste, not of the
+                // server.
+                // All that ends together is one failure: a link that breaks mustn't set a server
+                // aside.
                 failed(sent.srv, ended.ending() == Ending.UNCONNECTED);
             }
             part.broken |= ended.ending() == Ending.RESET;
@@ -923,9 +1065,15 @@
 
     // ---- Throttling ----
 
-    private enum Admission { NOW, LATER, NEVER }
+    private enum Admission {
+        NOW,
+        LATER,
+        NEVER
+    }
 
-    /** A scan begins when enough of its parts have a server with room; its parts wait at no cost. */
+    /**
+     * A scan begins when enough of its parts have a server with room; its parts wait at no cost.
+     */
     private Admission admit(Scan scan) {
         Customer customer = scan.taken.customer();
         if (!scan.counted) {
@@ -936,8 +1084,10 @@
                 return Admission.NEVER;
             }
         }
-        // A client that most likely leaves before all needed parts are in only takes servers from others.
-        double usual = timesByType.get(scan.type.name()).quantile(Math.pow(0.5, 1.0 / scan.needed()), 0);
+        // A client that most likely leaves before all needed parts are in only takes servers from
+        // others.
+        double usual =
+                timesByType.get(scan.type.name()).quantile(Math.pow(0.5, 1.0 / scan.needed()), 0);
         if (scan.endsAt < scan.targetAt() && scan.endsAt - now < usual) {
             throttle(scan, Reason.CLIENT_TOO_SHORT);
             return Admission.NEVER;
@@ -949,7 +1099,8 @@
             Srv srv = choose(part, scan.position);
             double lately = now - scan.type.targetMs();
             if (crowded && srv != null && srv.failuresInRow > 1 && srv.failedAt > lately) {
-                // Every holder failed more than once and within a target time: the scan would come late.
+                // Every holder failed more than once and within a target time: the scan would come
+                // late.
                 return Admission.LATER;
             } else if (srv != null) {
                 wanted.merge(srv, 1, Integer::sum);
@@ -968,12 +1119,14 @@
 
     /** Recent parts' times as thousandths of their target time. */
     private final Times slowness = new Times(32);
+
     private double pressure, pressureAt, usualBenefit;
 
     /**
-     * Whether a scan is turned away because the fleet as a whole is slow: while even the quicker two fifths
-     * of parts take over a third of their target time, a growing share of scans is, and then a shrinking one.
-     * The quicker ones, so that servers slow by themselves change nothing. Harmful where it isn't load.
+     * Whether a scan is turned away because the fleet as a whole is slow: while even the quicker
+     * two fifths of parts take over a third of their target time, a growing share of scans is, and
+     * then a shrinking one. The quicker ones, so that servers slow by themselves change nothing.
+     * Harmful where it isn't load.
      */
     private boolean tooMuch(Scan scan) {
         double seconds = (now - pressureAt) / 1000;
@@ -985,7 +1138,8 @@
             // A zone left alone is tried again after some six seconds.
             lateByZone.replaceAll((zone, late) -> 0.95 * late);
         }
-        // What brings less than usual for each part goes first, though never more than four times as readily.
+        // What brings less than usual for each part goes first, though never more than four times
+        // as readily.
         double brings = benefit(scan) / Math.max(1, scan.needed());
         usualBenefit = usualBenefit == 0 ? brings : usualBenefit + 0.05 * (brings - usualBenefit);
         return chance.nextDouble() < pressure * Math.max(0.5, Math.min(2, usualBenefit / brings));
@@ -996,8 +1150,9 @@
     }
 
     /**
-     * Whether the scan lies within its customer's share of what this gatherer takes; what part of all that is
-     * isn't known. Half as much again is granted for uneven hours, and four scans may be saved up for bursts.
+     * Whether the scan lies within its customer's share of what this gatherer takes; what part of
+     * all that is isn't known. Half as much again is granted for uneven hours, and four scans may
+     * be saved up for bursts.
      */
     private boolean spend(Customer customer) {
         Integer left = room.get(Bound.customer(customer.name()));
@@ -1030,9 +1185,16 @@
             end(scan, Reason.ALL_BROKEN);
             return;
         }
-        double possible = scan.parts.stream()
-                .filter(p -> p.completed || p.isOut() || mayDispatch(p) || anyOut && held(p))
-                .mapToDouble(p -> p.weight).sum();
+        double possible =
+                scan.parts.stream()
+                        .filter(
+                                p ->
+                                        p.completed
+                                                || p.isOut()
+                                                || mayDispatch(p)
+                                                || anyOut && held(p))
+                        .mapToDouble(p -> p.weight)
+                        .sum();
         // Nothing more can come, or not enough.
         if (possible < scan.least() - 1e-6 || possible <= weight) {
             end(scan, possible < scan.least() - 1e-6 ? Reason.UNDER_LEAST : Reason.NOTHING_MORE);
@@ -1066,7 +1228,8 @@
         if (mayAnswer(scan)) {
             todo.add(new Action.Answer(scan.taken.id(), false, reason));
         } else if (scan.type.repeat() != TableType.Repeat.NON_REPLAYABLE
-                || !scan.secondStep && scan.parts.stream().noneMatch(p -> p.mayHaveRun || p.isOut())) {
+                || !scan.secondStep
+                        && scan.parts.stream().noneMatch(p -> p.mayHaveRun || p.isOut())) {
             todo.add(new Action.Throttle(scan.taken.id(), facts.limits().maxComeBackMs(), reason));
         } else {
             todo.add(new Action.Abandon(scan.taken.id(), reason));
@@ -1074,9 +1237,13 @@
         close(scan, Reason.SCAN_OVER);
     }
 
-    /** Whether what is in may be the final answer; a first step's isn't one where a second follows. */
+    /**
+     * Whether what is in may be the final answer; a first step's isn't one where a second follows.
+     */
     private static boolean mayAnswer(Scan scan) {
-        return !scan.over && (scan.secondStep || scan.type.secondStepParts() == 0) && !scan.parts.isEmpty()
+        return !scan.over
+                && (scan.secondStep || scan.type.secondStepParts() == 0)
+                && !scan.parts.isEmpty()
                 && scan.completedWeight() >= scan.least() - 1e-6;
     }
 
--- a/core/src/main/java/sprucehold/facts/Connections.java
+++ b/core/src/main/java/sprucehold/facts/Connections.java
@@ -7,5 +7,4 @@
  * @param idleCloseMs when a shard server closes one that stands idle, at the latest
  * @param parts the most parts out on one connection
  */
-public record Connections(double dialTimeoutMs, double idleCloseMs, int parts) {
-}
+public record Connections(double dialTimeoutMs, double idleCloseMs, int parts) {}
--- a/core/src/main/java/sprucehold/facts/Facts.java
+++ b/core/src/main/java/sprucehold/facts/Facts.java
@@ -8,19 +8,30 @@
 import sprucehold.port.TableType;
 
 /**
- * All that is read of a deployment's settings. Unknown fields are skipped, absent ones are zero or empty.
+ * All that is read of a deployment's settings. Unknown fields are skipped, absent ones are zero or
+ * empty.
  *
  * @param deployment what bears on decisions
  * @param segments how many segments there are
  * @param longestTimeoutMs the longest query timeout of any table type
  * @param timeoutsMs the query timeout of each table type, in their order
- * @param loadFields the values of a load report, in the order of the bench's wire; empty where there are none
+ * @param loadFields the values of a load report, in the order of the bench's wire; empty where
+ *     there are none
  * @param loadByProbe whether load reports come with probes
  */
-public record Facts(Deployment deployment, Connections connections, int segments, double longestTimeoutMs,
-        List<Double> timeoutsMs, List<String> loadFields, boolean loadByProbe) {
+public record Facts(
+        Deployment deployment,
+        Connections connections,
+        int segments,
+        double longestTimeoutMs,
+        List<Double> timeoutsMs,
+        List<String> loadFields,
+        boolean loadByProbe) {
 
-    /** The settings that a gatherer is to serve by; what they lack or contradict is one error that names the field. */
+    /**
+     * The settings that a gatherer is to serve by; what they lack or contradict is one error that
+     * names the field.
+     */
     public static Facts checked(JsonNode settings) throws MalformedFactsException {
         FactsCheck.check(settings);
         return read(settings);
@@ -40,7 +51,9 @@
         }
         var customers = new ArrayList<Customer>();
         for (JsonNode node : settings.path("tenants")) {
-            customers.add(new Customer(node.path("name").asText(), node.path("allowancePerS").doubleValue()));
+            customers.add(
+                    new Customer(
+                            node.path("name").asText(), node.path("allowancePerS").doubleValue()));
         }
         var loadFields = new ArrayList<String>();
         if (!feedback.path("source").asText().equals("none")) {
@@ -48,13 +61,19 @@
         }
         return new Facts(
                 deployment(settings, List.copyOf(types), List.copyOf(customers)),
-                new Connections(limits.path("dialTimeoutMs").doubleValue(), limits.path("idleCloseMs").doubleValue(),
+                new Connections(
+                        limits.path("dialTimeoutMs").doubleValue(),
+                        limits.path("idleCloseMs").doubleValue(),
                         Math.max(1, limits.path("streamsPerConn").asInt(1))),
-                family.path("ranges").intValue(), longestTimeout, List.copyOf(timeouts), List.copyOf(loadFields),
+                family.path("ranges").intValue(),
+                longestTimeout,
+                List.copyOf(timeouts),
+                List.copyOf(loadFields),
                 feedback.path("source").asText().equals("probe"));
     }
 
-    private static Deployment deployment(JsonNode settings, List<TableType> types, List<Customer> customers) {
+    private static Deployment deployment(
+            JsonNode settings, List<TableType> types, List<Customer> customers) {
         JsonNode family = settings.path("familyInfo");
         JsonNode limits = settings.path("limits");
         JsonNode rules = settings.path("safety");
@@ -65,33 +84,53 @@
                 settings.path("overShareWorth").asDouble(1),
                 types,
                 customers,
-                new Deployment.Layout(Math.max(1, family.path("sets").asInt(1)),
+                new Deployment.Layout(
+                        Math.max(1, family.path("sets").asInt(1)),
                         Math.max(1, family.path("width").asInt(1)),
                         Math.max(1, family.path("bundleMax").asInt(1))),
-                new Deployment.Limits(Math.max(1, limits.path("sendCap").asInt(1)),
+                new Deployment.Limits(
+                        Math.max(1, limits.path("sendCap").asInt(1)),
                         limits.path("maxOpen").asInt(Integer.MAX_VALUE),
-                        limits.path("secondCopies").booleanValue(), limits.path("cancel").booleanValue(),
-                        limits.path("retryAfter").booleanValue() ? limits.path("maxRetryAfterMs").doubleValue() : 0),
-                new Deployment.ColdRule(rules.path("coldFrom").asDouble(1), rules.path("coldMs").doubleValue(),
-                        rules.path("fallMultiple").asDouble(1), rules.path("overloadForMs").doubleValue()),
+                        limits.path("secondCopies").booleanValue(),
+                        limits.path("cancel").booleanValue(),
+                        limits.path("retryAfter").booleanValue()
+                                ? limits.path("maxRetryAfterMs").doubleValue()
+                                : 0),
+                new Deployment.ColdRule(
+                        rules.path("coldFrom").asDouble(1),
+                        rules.path("coldMs").doubleValue(),
+                        rules.path("fallMultiple").asDouble(1),
+                        rules.path("overloadForMs").doubleValue()),
                 rules.has("countedOverMs")
-                        ? new Deployment.DispatchBudget(rules.path("budgetFree").doubleValue(),
-                                rules.path("extraRatio").doubleValue(), rules.path("countedOverMs").doubleValue())
+                        ? new Deployment.DispatchBudget(
+                                rules.path("budgetFree").doubleValue(),
+                                rules.path("extraRatio").doubleValue(),
+                                rules.path("countedOverMs").doubleValue())
                         : Deployment.DispatchBudget.NONE,
-                new Deployment.ListAccess(settings.path("discovery").asText().equals("subscribe"),
+                new Deployment.ListAccess(
+                        settings.path("discovery").asText().equals("subscribe"),
                         rules.path("mustAskInMs").doubleValue()));
     }
 
-    private static TableType tableType(JsonNode node, JsonNode family, int index) throws MalformedFactsException {
-        TableType.Repeat repeat = switch (node.path("semantics").asText()) {
-            case "retryable" -> TableType.Repeat.REPLAYABLE;
-            case "dedup" -> TableType.Repeat.KEYED;
-            case "fragile" -> TableType.Repeat.NON_REPLAYABLE;
-            default -> throw new MalformedFactsException("unknown semantics " + node.path("semantics"));
-        };
-        return new TableType(node.path("name").asText(), repeat, node.path("aimMs").doubleValue(),
-                node.path("worth").asDouble(1), node.path("lateValue").doubleValue(),
-                node.path("windowMs").doubleValue(), family.path("completeFrom").path(index).asDouble(1),
+    private static TableType tableType(JsonNode node, JsonNode family, int index)
+            throws MalformedFactsException {
+        TableType.Repeat repeat =
+                switch (node.path("semantics").asText()) {
+                    case "retryable" -> TableType.Repeat.REPLAYABLE;
+                    case "dedup" -> TableType.Repeat.KEYED;
+                    case "fragile" -> TableType.Repeat.NON_REPLAYABLE;
+                    default ->
+                            throw new MalformedFactsException(
+                                    "unknown semantics " + node.path("semantics"));
+                };
+        return new TableType(
+                node.path("name").asText(),
+                repeat,
+                node.path("aimMs").doubleValue(),
+                node.path("worth").asDouble(1),
+                node.path("lateValue").doubleValue(),
+                node.path("windowMs").doubleValue(),
+                family.path("completeFrom").path(index).asDouble(1),
                 family.path("leastShare").path(index).asDouble(1),
                 family.path("classFetch").path(index).intValue());
     }
--- a/core/src/main/java/sprucehold/facts/FactsCheck.java
+++ b/core/src/main/java/sprucehold/facts/FactsCheck.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * Finds what the settings of a deployment lack or contradict before anything is served by them. Only what nobody can serve
- * without is asked for: fields that have a sound default may be absent, but not be of another kind.
+ * Finds what the settings of a deployment lack or contradict before anything is served by them.
+ * Only what nobody can serve without is asked for: fields that have a sound default may be absent,
+ * but not be of another kind.
  */
 final class FactsCheck {
-    private FactsCheck() {
-    }
+    private FactsCheck() {}
 
     /** Throws at the first field that can't be used, naming it and what was expected. */
     static void check(JsonNode settings) throws MalformedFactsException {
@@ -45,15 +45,25 @@
         whole(limits, "limits.", "sendCap", false);
         whole(limits, "limits.", "maxOpen", false);
         JsonNode rules = settings.path("safety");
-        for (String field : new String[] {"coldFrom", "coldMs", "fallMultiple", "overloadForMs", "mustAskInMs", "budgetFree",
-            "extraRatio", "countedOverMs"}) {
+        for (String field :
+                new String[] {
+                    "coldFrom",
+                    "coldMs",
+                    "fallMultiple",
+                    "overloadForMs",
+                    "mustAskInMs",
+                    "budgetFree",
+                    "extraRatio",
+                    "countedOverMs"
+                }) {
             number(rules, "safety.", field, 0, false, false);
         }
         number(settings, "", "quantumMs", 0, false, false);
         whole(settings, "", "balancers", false);
     }
 
-    private static void tableType(JsonNode type, String at, Set<String> names) throws MalformedFactsException {
+    private static void tableType(JsonNode type, String at, Set<String> names)
+            throws MalformedFactsException {
         name(type, at, names);
         String semantics = type.path("semantics").asText();
         if (!Set.of("retryable", "dedup", "fragile").contains(semantics)) {
@@ -66,7 +76,8 @@
         number(type, at, "windowMs", 0, false, semantics.equals("dedup"));
     }
 
-    private static void name(JsonNode node, String at, Set<String> names) throws MalformedFactsException {
+    private static void name(JsonNode node, String at, Set<String> names)
+            throws MalformedFactsException {
         JsonNode name = node.path("name");
         if (!name.isTextual() || name.asText().isEmpty()) {
             throw expected(at + "name", name, "a name");
@@ -75,7 +86,8 @@
         }
     }
 
-    private static void number(JsonNode node, String at, String field, double least, boolean above, boolean needed)
+    private static void number(
+            JsonNode node, String at, String field, double least, boolean above, boolean needed)
             throws MalformedFactsException {
         JsonNode value = node.path(field);
         if (value.isMissingNode() && !needed) {
@@ -83,11 +95,15 @@
         }
         double number = value.isNumber() ? value.doubleValue() : Double.NaN;
         if (!(above ? number > least : number >= least)) {
-            throw expected(at + field, value, "a number " + (above ? "above " : "of at least ") + (long) least);
+            throw expected(
+                    at + field,
+                    value,
+                    "a number " + (above ? "above " : "of at least ") + (long) least);
         }
     }
 
-    private static void whole(JsonNode node, String at, String field, boolean needed) throws MalformedFactsException {
+    private static void whole(JsonNode node, String at, String field, boolean needed)
+            throws MalformedFactsException {
         JsonNode value = node.path(field);
         if (value.isMissingNode() && !needed) {
             return;
@@ -97,25 +113,35 @@
         }
     }
 
-    private static void shares(JsonNode family, String field, int types) throws MalformedFactsException {
+    private static void shares(JsonNode family, String field, int types)
+            throws MalformedFactsException {
         JsonNode shares = family.path(field);
         if (shares.isMissingNode()) {
             return;
         }
         if (!shares.isArray() || shares.size() != types) {
-            throw expected("familyInfo." + field, shares, "a share for each of " + types + " table types");
+            throw expected(
+                    "familyInfo." + field, shares, "a share for each of " + types + " table types");
         }
         for (int i = 0; i < types; i++) {
             double share = shares.get(i).isNumber() ? shares.get(i).doubleValue() : Double.NaN;
             if (!(share >= 0 && share <= 1)) {
-                throw expected("familyInfo." + field + "[" + i + "]", shares.get(i), "a share from 0 to 1");
+                throw expected(
+                        "familyInfo." + field + "[" + i + "]",
+                        shares.get(i),
+                        "a share from 0 to 1");
             }
         }
     }
 
     private static MalformedFactsException expected(String place, JsonNode value, String what) {
         String is = value.isMissingNode() ? "is missing" : "is " + value;
-        return new MalformedFactsException("settings." + place + " " + (is.length() > 80 ? is.substring(0, 80) + "..." : is)
-                + ", expected " + what);
+        return new MalformedFactsException(
+                "settings."
+                        + place
+                        + " "
+                        + (is.length() > 80 ? is.substring(0, 80) + "..." : is)
+                        + ", expected "
+                        + what);
     }
 }
--- a/core/src/main/java/sprucehold/picker/Dispatch.java
+++ b/core/src/main/java/sprucehold/picker/Dispatch.java
@@ -14,8 +14,10 @@
     final double patienceEndsAt;
     boolean out = true;
     boolean patienceOver;
+
     /** It is over and surely never ran. */
     boolean neverRan;
+
     private final ShardServer server;
     private final List<Action.Use> uses;
     private final Reason reason;
@@ -25,7 +27,13 @@
      * @param uses what it takes of shared bounds
      * @param reason why the decisions want it
      */
-    Dispatch(OpenPart part, ShardServer server, double sentAt, double patienceMs, List<Action.Use> uses, Reason reason) {
+    Dispatch(
+            OpenPart part,
+            ShardServer server,
+            double sentAt,
+            double patienceMs,
+            List<Action.Use> uses,
+            Reason reason) {
         this.uses = uses;
         this.reason = reason;
         this.part = part;
@@ -77,19 +85,30 @@
     }
 
     /**
-     * Whether it may still be written at this moment. To be asked with nothing between the answer and the write. Guards against
-     * a connection that came up late, and a process that stood still after it had decided and goes on as if nothing had been:
-     * by then its scan may be over, its own time up, the time within which repeats are dropped past, or its leave withdrawn.
+     * Whether it may still be written at this moment. To be asked with nothing between the answer
+     * and the write. Guards against a connection that came up late, and a process that stood still
+     * after it had decided and goes on as if nothing had been: by then its scan may be over, its
+     * own time up, the time within which repeats are dropped past, or its leave withdrawn.
      */
     public boolean mayBeWritten(double nowMs) {
-        return out && !part.scan.over && nowMs < patienceEndsAt && mayRunBeside(nowMs) && leave.getAsBoolean();
+        return out
+                && !part.scan.over
+                && nowMs < patienceEndsAt
+                && mayRunBeside(nowMs)
+                && leave.getAsBoolean();
     }
 
-    /** Whether a run of it now does no harm beside the part's other dispatches that have run, or may have, or may yet. */
+    /**
+     * Whether a run of it now does no harm beside the part's other dispatches that have run, or may
+     * have, or may yet.
+     */
     private boolean mayRunBeside(double nowMs) {
         return switch (part.scan.type.repeat()) {
             case REPLAYABLE -> true;
-            case KEYED -> others().allMatch(other -> nowMs <= other.sentAt + part.scan.type.keyedWindowMs());
+            case KEYED ->
+                    others().allMatch(
+                                    other ->
+                                            nowMs <= other.sentAt + part.scan.type.keyedWindowMs());
             case NON_REPLAYABLE -> others().findAny().isEmpty();
         };
     }
@@ -98,7 +117,10 @@
         return part.dispatches.stream().filter(other -> other != this && !other.neverRan);
     }
 
-    /** How much of the time that its answer is waited for is left, in milliseconds; 0 or less once it is over. */
+    /**
+     * How much of the time that its answer is waited for is left, in milliseconds; 0 or less once
+     * it is over.
+     */
     public double patienceLeftMs(double nowMs) {
         return patienceEndsAt - nowMs;
     }
--- a/core/src/main/java/sprucehold/picker/OpenScan.java
+++ b/core/src/main/java/sprucehold/picker/OpenScan.java
@@ -9,6 +9,7 @@
     final double endsAt;
     final List<OpenPart> parts;
     boolean over;
+
     /** As it was taken, but for how often its parts may run, which a change may bind further. */
     TableType type;
 
