--- a/core/src/main/java/sprucehold/picker/Picker.java
+++ b/core/src/main/java/sprucehold/picker/Picker.java
@@ -26,8 +26,9 @@
 import sprucehold.port.TableType;
 
 /**
- * The decisions in blocking style: plain calls that return at once with what to do. It keeps the books between
- * the ids that the decisions name and the objects that the network code holds. Not safe for threads.
+ * The decisions in blocking style: plain calls that return at once with what to do. It keeps the
+ * books between the ids that the decisions name and the objects that the network code holds. Not
+ * safe for threads.
  */
 public final class Picker {
     private static final Logger LOG = Logger.getLogger(Picker.class.getName());
@@ -40,10 +41,13 @@
     private Map<String, TableType> tableTypes;
     private Map<String, Customer> customers;
     private final Map<String, OpenScan> scans = new HashMap<>();
+
     /** Parts of open scans, and of others while a dispatch is out. */
     private final Map<String, OpenPart> parts = new HashMap<>();
+
     private final Map<String, ShardServer> servers = new HashMap<>();
-    private final PriorityQueue<OpenScan> ends = new PriorityQueue<>(Comparator.comparingDouble(scan -> scan.endsAt));
+    private final PriorityQueue<OpenScan> ends =
+            new PriorityQueue<>(Comparator.comparingDouble(scan -> scan.endsAt));
     private final PriorityQueue<Dispatch> patience =
             new PriorityQueue<>(Comparator.comparingDouble(dispatch -> dispatch.patienceEndsAt));
     private final Queue<Event> events = new ArrayDeque<>();
@@ -58,8 +62,10 @@
     private List<ShardServer> probe = new ArrayList<>();
     private List<String> notes = new ArrayList<>();
     private List<Action.Use> uses = new ArrayList<>();
+
     /** What the next dispatch takes of shared bounds. */
     private List<Action.Use> forNext = new ArrayList<>();
+
     private boolean askList;
 
     public Picker(Gatherer gatherer, Deployment deployment) {
@@ -70,8 +76,12 @@
 
     private void take(Deployment deployment) {
         maxOpen = deployment.limits().maxOpen();
-        tableTypes = deployment.tableTypes().stream().collect(Collectors.toMap(TableType::name, Function.identity()));
-        customers = deployment.customers().stream().collect(Collectors.toMap(Customer::name, Function.identity()));
+        tableTypes =
+                deployment.tableTypes().stream()
+                        .collect(Collectors.toMap(TableType::name, Function.identity()));
+        customers =
+                deployment.customers().stream()
+                        .collect(Collectors.toMap(Customer::name, Function.identity()));
     }
 
     /** Other facts hold from now on, in one step, for scans picked from now on. */
@@ -84,7 +94,10 @@
         return orders();
     }
 
-    /** What others told holds from now on; the decisions hear of it with whatever they are told next, and before that. */
+    /**
+     * What others told holds from now on; the decisions hear of it with whatever they are told
+     * next, and before that.
+     */
     public void hear(Others others) {
         events.add(new Event.OthersTold(others));
     }
@@ -92,7 +105,8 @@
     /** Whether a scan of this id is still open, or something of it is still out. */
     public boolean isOpen(Scan scan) {
         return scans.containsKey(scan.id())
-                || scan.parts().stream().anyMatch(part -> parts.containsKey(scan.id() + "." + part.segment()));
+                || scan.parts().stream()
+                        .anyMatch(part -> parts.containsKey(scan.id() + "." + part.segment()));
     }
 
     /** Scans and parts that count against what may be open. */
@@ -106,7 +120,12 @@
 
     /** How much is in the books, for scans of whatever age. */
     int booked() {
-        return scans.size() + parts.size() + openParts + ends.size() + patience.size() + events.size();
+        return scans.size()
+                + parts.size()
+                + openParts
+                + ends.size()
+                + patience.size()
+                + events.size();
     }
 
     int serversHeld() {
@@ -118,7 +137,8 @@
     }
 
     /**
-     * Takes a scan of a known table type whose id isn't open. It gets exactly one reply, now or later.
+     * Takes a scan of a known table type whose id isn't open. It gets exactly one reply, now or
+     * later.
      *
      * @param mostMs the reply has to come within this time, however long the client would wait
      */
@@ -135,12 +155,19 @@
         ends.add(open);
         openParts += open.parts.size();
         long number = ++scansTaken;
-        events.add(new Event.ScanTaken(scan.id(), number, tableTypes.get(scan.tableType()),
-                customers.get(scan.customer()), timeLeftMs));
+        events.add(
+                new Event.ScanTaken(
+                        scan.id(),
+                        number,
+                        tableTypes.get(scan.tableType()),
+                        customers.get(scan.customer()),
+                        timeLeftMs));
         for (int i = 0; i < open.parts.size(); i++) {
             OpenPart part = open.parts.get(i);
             parts.put(part.id, part);
-            events.add(new Event.PartTaken(part.id, number, part.segment, scan.parts().get(i).weight()));
+            events.add(
+                    new Event.PartTaken(
+                            part.id, number, part.segment, scan.parts().get(i).weight()));
         }
         decide(List.of(open));
         return orders();
@@ -165,8 +192,12 @@
             } else if (report instanceof Report.ListFailed) {
                 events.add(new Event.ListUnavailable());
             } else if (report instanceof Report.ProbeEnded ended) {
-                events.add(new Event.ProbeEnded(ended.server().name(), ending(ended.outcome(), false),
-                        ended.tookMs(), load(ended.outcome())));
+                events.add(
+                        new Event.ProbeEnded(
+                                ended.server().name(),
+                                ending(ended.outcome(), false),
+                                ended.tookMs(),
+                                load(ended.outcome())));
             }
         }
         decide(concerned);
@@ -178,14 +209,16 @@
         now = nowMs;
         events.add(WOKEN);
         decide(List.of());
-        while (!patience.isEmpty() && (!patience.peek().out || patience.peek().patienceEndsAt <= now)) {
+        while (!patience.isEmpty()
+                && (!patience.peek().out || patience.peek().patienceEndsAt <= now)) {
             Dispatch dispatch = patience.poll();
             if (dispatch.out && !dispatch.patienceOver) {
                 dispatch.patienceOver = true;
                 cancel(dispatch);
             }
         }
-        // The decisions end each scan before its time is up; only after a panic one may be left over.
+        // The decisions end each scan before its time is up; only after a panic one may be left
+        // over.
         while (!ends.isEmpty() && (ends.peek().over || ends.peek().endsAt <= now)) {
             OpenScan open = ends.poll();
             if (!open.over) {
@@ -206,8 +239,14 @@
         while (!patience.isEmpty() && !patience.peek().out) {
             patience.poll();
         }
-        double next = Math.min(wakeAt, ends.isEmpty() ? Double.POSITIVE_INFINITY : ends.peek().endsAt);
-        next = Math.min(next, patience.isEmpty() ? Double.POSITIVE_INFINITY : patience.peek().patienceEndsAt);
+        double next =
+                Math.min(wakeAt, ends.isEmpty() ? Double.POSITIVE_INFINITY : ends.peek().endsAt);
+        next =
+                Math.min(
+                        next,
+                        patience.isEmpty()
+                                ? Double.POSITIVE_INFINITY
+                                : patience.peek().patienceEndsAt);
         var orders = new Orders(cancel, send, replies, probe, uses, askList, notes, next);
         cancel = new ArrayList<>();
         send = new ArrayList<>();
@@ -219,10 +258,14 @@
         return orders;
     }
 
-    /** Hands what happened to the decisions and takes what they want, until nothing more has happened. */
+    /**
+     * Hands what happened to the decisions and takes what they want, until nothing more has
+     * happened.
+     */
     private void decide(List<OpenScan> concerned) {
         do {
-            // Whatever the call is for: once the time has come, the tick for it may never be asked for.
+            // Whatever the call is for: once the time has come, the tick for it may never be asked
+            // for.
             if (wakeAt <= now) {
                 wakeAt = Double.POSITIVE_INFINITY;
                 if (!events.contains(WOKEN)) {
@@ -234,7 +277,10 @@
             try {
                 gatherer.decide(now, batch).forEach(this::act);
             } catch (RuntimeException | StackOverflowError e) {
-                LOG.log(Level.SEVERE, "panic: the decisions failed and the scans concerned are abandoned", e);
+                LOG.log(
+                        Level.SEVERE,
+                        "panic: the decisions failed and the scans concerned are abandoned",
+                        e);
                 concerned.stream().filter(open -> !open.over).forEach(this::abandon);
                 // They may have lost the time at which they wanted to be woken.
                 wakeAt = Math.min(wakeAt, now + tickMs);
@@ -255,17 +301,25 @@
             if (part != null && cancel.number() < part.dispatches.size()) {
                 cancel(part.dispatches.get(cancel.number()));
             } else {
-                events.add(new Event.DispatchEnded(cancel.partId(), cancel.number(), Ending.NEVER_SENT, 0, null));
+                events.add(
+                        new Event.DispatchEnded(
+                                cancel.partId(), cancel.number(), Ending.NEVER_SENT, 0, null));
             }
         } else if (action instanceof Action.Answer answer) {
             OpenScan open = scans.get(answer.scanId());
             if (open != null) {
-                List<Answer.Value> values = open.parts.stream().filter(part -> part.value != null)
-                        .map(part -> new Answer.Value(part.segment, part.value)).toList();
+                List<Answer.Value> values =
+                        open.parts.stream()
+                                .filter(part -> part.value != null)
+                                .map(part -> new Answer.Value(part.segment, part.value))
+                                .toList();
                 reply(open, new Answer.Completed(answer.whole(), values), answer.reason());
             }
         } else if (action instanceof Action.Throttle throttle) {
-            reply(scans.get(throttle.scanId()), new Answer.Throttled(throttle.comeBackMs()), throttle.reason());
+            reply(
+                    scans.get(throttle.scanId()),
+                    new Answer.Throttled(throttle.comeBackMs()),
+                    throttle.reason());
         } else if (action instanceof Action.Abandon abandon) {
             reply(scans.get(abandon.scanId()), new Answer.Abandoned(), abandon.reason());
         } else if (action instanceof Action.Wake wake) {
@@ -288,8 +342,14 @@
         if (part == null) {
             return;
         }
-        var dispatch = new Dispatch(part, servers.get(wanted.server()), now, wanted.timeoutMs(), takes,
-                wanted.reason());
+        var dispatch =
+                new Dispatch(
+                        part,
+                        servers.get(wanted.server()),
+                        now,
+                        wanted.timeoutMs(),
+                        takes,
+                        wanted.reason());
         part.dispatches.add(dispatch);
         if (part.scan.over || wanted.timeoutMs() <= 0 || dispatch.server() == null) {
             ended(dispatch, Ending.NEVER_SENT, null);
@@ -314,7 +374,8 @@
         if (!dispatch.out) {
             return;
         }
-        if (outcome instanceof Outcome.Completed completed && !dispatch.part.scan.over
+        if (outcome instanceof Outcome.Completed completed
+                && !dispatch.part.scan.over
                 && dispatch.part.value == null) {
             dispatch.part.value = completed.value();
         }
@@ -324,7 +385,9 @@
     private void ended(Dispatch dispatch, Ending ending, LoadReport load) {
         dispatch.out = false;
         dispatch.neverRan = ending.provesNeverRan;
-        events.add(new Event.DispatchEnded(dispatch.part.id, dispatch.number, ending, now - dispatch.sentAt, load));
+        events.add(
+                new Event.DispatchEnded(
+                        dispatch.part.id, dispatch.number, ending, now - dispatch.sentAt, load));
         forget(dispatch.part);
     }
 
@@ -345,9 +408,12 @@
     }
 
     private static LoadReport load(Outcome outcome) {
-        Load load = outcome instanceof Outcome.Completed completed ? completed.load()
-                : outcome instanceof Outcome.Faulty faulty ? faulty.load()
-                : outcome instanceof Outcome.TurnedAway away ? away.load() : null;
+        Load load =
+                outcome instanceof Outcome.Completed completed
+                        ? completed.load()
+                        : outcome instanceof Outcome.Faulty faulty
+                                ? faulty.load()
+                                : outcome instanceof Outcome.TurnedAway away ? away.load() : null;
         return load == null ? null : new LoadReport(load.held(), load.queued(), load.busy());
     }
 
@@ -402,12 +468,14 @@
             } else {
                 servers.put(news.name(), server);
             }
-            Listing.Mode mode = switch (news.state()) {
-                case RUNNING -> Listing.Mode.RUNNING;
-                case DRAINING -> Listing.Mode.DRAINING;
-                case GONE -> Listing.Mode.GONE;
-            };
-            listings.add(new Listing(news.name(), news.cell(), news.zone(), news.startedAtMs(), mode));
+            Listing.Mode mode =
+                    switch (news.state()) {
+                        case RUNNING -> Listing.Mode.RUNNING;
+                        case DRAINING -> Listing.Mode.DRAINING;
+                        case GONE -> Listing.Mode.GONE;
+                    };
+            listings.add(
+                    new Listing(news.name(), news.cell(), news.zone(), news.startedAtMs(), mode));
         }
         return new Event.ListReceived(list.complete(), List.copyOf(listings));
     }
--- a/core/src/main/java/sprucehold/picker/ServerNews.java
+++ b/core/src/main/java/sprucehold/picker/ServerNews.java
@@ -6,8 +6,13 @@
  * @param address host and port as seen from here
  * @param startedAtMs Unix time at which it last started, 0 if long ago
  */
-public record ServerNews(String name, String address, int cell, String zone, double startedAtMs, State state) {
+public record ServerNews(
+        String name, String address, int cell, String zone, double startedAtMs, State state) {
 
     /** Whether it may be sent to. */
-    public enum State { RUNNING, DRAINING, GONE }
+    public enum State {
+        RUNNING,
+        DRAINING,
+        GONE
+    }
 }
--- a/core/src/main/java/sprucehold/picker/ShardServer.java
+++ b/core/src/main/java/sprucehold/picker/ShardServer.java
@@ -1,6 +1,8 @@
 package sprucehold.picker;
 
-/** A shard server as last told of. There is one object a name, so it can be compared by identity. */
+/**
+ * A shard server as last told of. There is one object a name, so it can be compared by identity.
+ */
 public final class ShardServer {
     private final String name;
     private String address;
--- a/core/src/main/java/sprucehold/port/Action.java
+++ b/core/src/main/java/sprucehold/port/Action.java
@@ -14,8 +14,14 @@
      * @param position the position that its scan took among each segment's holders, from 0
      * @param passedOver holders that would have come first, and what spoke against each
      */
-    record Dispatch(String partId, String server, double timeoutMs, Reason reason, int position,
-            List<PassedOver> passedOver) implements Action {
+    record Dispatch(
+            String partId,
+            String server,
+            double timeoutMs,
+            Reason reason,
+            int position,
+            List<PassedOver> passedOver)
+            implements Action {
         public Dispatch(String partId, String server, double timeoutMs) {
             this(partId, server, timeoutMs, Reason.UNSTATED, 0, List.of());
         }
@@ -35,7 +41,9 @@
         }
     }
 
-    /** Turns a scan away; asking again is harmless, best after {@code comeBackMs} (0: no advice). */
+    /**
+     * Turns a scan away; asking again is harmless, best after {@code comeBackMs} (0: no advice).
+     */
     record Throttle(String scanId, double comeBackMs, Reason reason) implements Action {
         public Throttle(String scanId, double comeBackMs) {
             this(scanId, comeBackMs, Reason.UNSTATED);
@@ -50,8 +58,9 @@
     }
 
     /**
-     * Takes units of a bound that gatherers share, out of the room that {@link Others} named: for the dispatch that follows it,
-     * which is not to be made unless the bound still has them, or for the scan just taken.
+     * Takes units of a bound that gatherers share, out of the room that {@link Others} named: for
+     * the dispatch that follows it, which is not to be made unless the bound still has them, or for
+     * the scan just taken.
      */
     record Use(Bound bound, int units) implements Action {
         @Override
--- a/core/src/main/java/sprucehold/port/Bound.java
+++ b/core/src/main/java/sprucehold/port/Bound.java
@@ -9,7 +9,10 @@
     /** Dispatches beyond each part's first. */
     public static final Bound FURTHER = new Bound(Kind.FURTHER, "");
 
-    /** What is bounded, and what a unit of it is. New kinds are added at the end: files hold their numbers. */
+    /**
+     * What is bounded, and what a unit of it is. New kinds are added at the end: files hold their
+     * numbers.
+     */
     public enum Kind {
         /** What a shard server that has just started is sent; milliseconds of work on one core. */
         COLD,
--- a/core/src/main/java/sprucehold/port/Gatherer.java
+++ b/core/src/main/java/sprucehold/port/Gatherer.java
@@ -5,8 +5,8 @@
 /** One gatherer's decisions. Instances share nothing; the same calls bring the same actions. */
 public interface Gatherer {
     /**
-     * Takes all that happened at one moment, in the order it happened, and returns what is to be done at that
-     * moment, in order.
+     * Takes all that happened at one moment, in the order it happened, and returns what is to be
+     * done at that moment, in order.
      *
      * @param nowMs the clock; it begins at no particular value and never goes back
      */
--- a/core/src/main/java/sprucehold/port/Listing.java
+++ b/core/src/main/java/sprucehold/port/Listing.java
@@ -9,5 +9,9 @@
 public record Listing(String server, int cell, String zone, double startedAtMs, Mode mode) {
 
     /** Whether it may be sent to. */
-    public enum Mode { RUNNING, DRAINING, GONE }
+    public enum Mode {
+        RUNNING,
+        DRAINING,
+        GONE
+    }
 }
--- a/core/src/test/java/sprucehold/brain/BrainTest.java
+++ b/core/src/test/java/sprucehold/brain/BrainTest.java
@@ -31,7 +31,11 @@
     Object[][] firstWidths() {
         return new Object[][] {
             // type, parts, dispatches of the first round: ceil(n / 0.9), at most k
-            {Play.ANY, 9, 8}, {Play.ANY, 4, 4}, {Play.ANY, 16, 14}, {Play.ALL, 5, 5}, {Play.ONCE, 2, 2},
+            {Play.ANY, 9, 8},
+            {Play.ANY, 4, 4},
+            {Play.ANY, 16, 14},
+            {Play.ALL, 5, 5},
+            {Play.ONCE, 2, 2},
         };
     }
 
@@ -45,7 +49,8 @@
     @DataProvider
     Object[][] furtherRounds() {
         return new Object[][] {
-            // completed of the eight sent of nine before the timer, whether the ninth goes when it runs out
+            // completed of the eight sent of nine before the timer, whether the ninth goes when it
+            // runs out
             {0, true}, {3, true}, {6, true}, {7, false},
         };
     }
@@ -76,7 +81,8 @@
     }
 
     @Test(dataProvider = "furtherDispatches")
-    public void partGoesAgainOnlyWhereItsTableTypeAllows(TableType type, Ending ending, double after, boolean again) {
+    public void partGoesAgainOnlyWhereItsTableTypeAllows(
+            TableType type, Ending ending, double after, boolean again) {
         Play play = fresh();
         play.limits = new Deployment.Limits(3, 1000, false, true, 500);
         play.start().scan("s", type, 1, 4000);
@@ -88,18 +94,25 @@
     @DataProvider
     Object[][] endings() {
         return new Object[][] {
-            // type, parts, completed, how the rest ended (null: still out when the time is over), final answer
-            {Play.ALL, 2, 2, null, "answer whole"}, {Play.ALL, 2, 1, null, "throttle"},
-            {Play.ANY, 4, 3, null, "answer whole"}, {Play.ANY, 4, 2, null, "throttle"},
-            {Play.PARTIAL, 4, 2, null, "answer part"}, {Play.PARTIAL, 4, 1, null, "throttle"},
-            {Play.ONCE, 2, 1, null, "abandon"}, {Play.ONCE, 2, 0, null, "abandon"},
-            {Play.ONCE, 1, 0, Ending.UNCONNECTED, "throttle"}, {Play.ONCE, 2, 1, Ending.FULL, "abandon"},
+            // type, parts, completed, how the rest ended (null: still out when the time is over),
+            // final answer
+            {Play.ALL, 2, 2, null, "answer whole"},
+            {Play.ALL, 2, 1, null, "throttle"},
+            {Play.ANY, 4, 3, null, "answer whole"},
+            {Play.ANY, 4, 2, null, "throttle"},
+            {Play.PARTIAL, 4, 2, null, "answer part"},
+            {Play.PARTIAL, 4, 1, null, "throttle"},
+            {Play.ONCE, 2, 1, null, "abandon"},
+            {Play.ONCE, 2, 0, null, "abandon"},
+            {Play.ONCE, 1, 0, Ending.UNCONNECTED, "throttle"},
+            {Play.ONCE, 2, 1, Ending.FULL, "abandon"},
             {Play.ONCE, 2, 0, Ending.RESET, "abandon"},
         };
     }
 
     @Test(dataProvider = "endings")
-    public void scanGetsOneHonestAnswerInTime(TableType type, int parts, int completed, Ending rest, String expected) {
+    public void scanGetsOneHonestAnswerInTime(
+            TableType type, int parts, int completed, Ending rest, String expected) {
         Play play = fresh();
         play.limits = new Deployment.Limits(1, 1000, false, true, 500);
         play.start().scan("s", type, parts, 3000);
@@ -112,7 +125,8 @@
         assertEquals(play.endings(), List.of(expected));
         int sent = play.all(Action.Dispatch.class).size();
         play.waitFor(5000);
-        assertEquals(play.all(Action.Dispatch.class).size(), sent, "nothing goes out for an ended scan");
+        assertEquals(
+                play.all(Action.Dispatch.class).size(), sent, "nothing goes out for an ended scan");
     }
 
     @Test
@@ -133,7 +147,9 @@
     @DataProvider
     Object[][] departures() {
         return new Object[][] {
-            {Listing.Mode.DRAINING, true}, {Listing.Mode.GONE, true}, {Listing.Mode.DRAINING, false},
+            {Listing.Mode.DRAINING, true},
+            {Listing.Mode.GONE, true},
+            {Listing.Mode.DRAINING, false},
         };
     }
 
@@ -146,11 +162,15 @@
         }
         assertTrue(play.all(Action.Dispatch.class).stream().noneMatch(d -> d.server().equals("a")));
         if (comesBack) {
-            play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.RUNNING))));
+            play.tell(
+                    new Event.ListReceived(
+                            false, List.of(Play.listing("a", 0, 0, Listing.Mode.RUNNING))));
             for (int i = 0; i < 20; i++) {
                 play.scan("t" + i, Play.ALL, 4, 4000);
             }
-            assertFalse(play.all(Action.Dispatch.class).stream().noneMatch(d -> d.server().equals("a")));
+            assertFalse(
+                    play.all(Action.Dispatch.class).stream()
+                            .noneMatch(d -> d.server().equals("a")));
         }
     }
 
@@ -158,7 +178,10 @@
     Object[][] copies() {
         return new Object[][] {
             // type, whether another scan keeps the other holder busy, dispatches of the late part
-            {Play.ALL, false, 2}, {Play.KEYED, false, 2}, {Play.ONCE, false, 1}, {Play.ALL, true, 1},
+            {Play.ALL, false, 2},
+            {Play.KEYED, false, 2},
+            {Play.ONCE, false, 1},
+            {Play.ALL, true, 1},
         };
     }
 
@@ -168,7 +191,8 @@
         Play play = fresh().start();
         play.scan("s", type, 1, 4000);
         if (busy) {
-            // Held by b and c: with one part at either, the other holder of segment 0 is taken, whichever it is.
+            // Held by b and c: with one part at either, the other holder of segment 0 is taken,
+            // whichever it is.
             for (int i = 0; i < 4; i++) {
                 play.scan("busy" + i, Play.ONCE, 4, 4000);
             }
@@ -199,14 +223,19 @@
     Object[][] failing() {
         return new Object[][] {
             // failures of server a in a row, how, whether calm scans leave it, whether busy ones do
-            {1, Ending.RESET, true, false}, {2, Ending.RESET, true, true}, {3, Ending.RESET, true, true},
-            {1, Ending.UNCONNECTED, true, true}, {3, Ending.FULL, true, true}, {3, Ending.CANCELLED, false, false},
+            {1, Ending.RESET, true, false},
+            {2, Ending.RESET, true, true},
+            {3, Ending.RESET, true, true},
+            {1, Ending.UNCONNECTED, true, true},
+            {3, Ending.FULL, true, true},
+            {3, Ending.CANCELLED, false, false},
         };
     }
 
     /** Among many gatherers each meets a server too seldom for three failures to come in time. */
     @Test(dataProvider = "failing")
-    public void failingServerIsLeftThenSetAsideThenTriedAgain(int failures, Ending how, boolean left, boolean aside) {
+    public void failingServerIsLeftThenSetAsideThenTriedAgain(
+            int failures, Ending how, boolean left, boolean aside) {
         Play calm = failed(failures, how);
         assertEquals(askedAfter(calm, "calm", true), !left);
         calm.waitFor(21_000);
@@ -256,7 +285,8 @@
     @DataProvider
     Object[][] coldServers() {
         return new Object[][] {
-            // gatherers, how long ago the server started, the most work of its 1,000 ms that may go there: where a
+            // gatherers, how long ago the server started, the most work of its 1,000 ms that may go
+            // there: where a
             // gatherer's part is under one part's work, one part by lot
             {1, 10, 410.0}, {2, 10, 250.0}, {1, 5000, 1250.0}, {1, 20_000, 1e9},
         };
@@ -269,13 +299,18 @@
         play.gatherers = gatherers;
         play.now = 100_000;
         play.start();
-        play.tell(new Event.ListReceived(false,
-                List.of(Play.listing("a", 0, play.now - age, Listing.Mode.RUNNING))));
+        play.tell(
+                new Event.ListReceived(
+                        false,
+                        List.of(Play.listing("a", 0, play.now - age, Listing.Mode.RUNNING))));
         for (int i = 0; i < 40; i++) {
             play.scan("s" + i, Play.ALL, 4, 4000);
             play.waitFor(5);
         }
-        long toCold = play.all(Action.Dispatch.class).stream().filter(d -> d.server().equals("a")).count();
+        long toCold =
+                play.all(Action.Dispatch.class).stream()
+                        .filter(d -> d.server().equals("a"))
+                        .count();
         assertTrue(250 * toCold <= most, toCold + " parts");
         assertTrue(most < 250 || toCold > 0);
     }
@@ -291,7 +326,10 @@
         return rows.toArray(Object[][]::new);
     }
 
-    /** Beyond the N calls of mean work that a cold server may get in a window, twice the root of N and two are chance. */
+    /**
+     * Beyond the N calls of mean work that a cold server may get in a window, twice the root of N
+     * and two are chance.
+     */
     @Test(dataProvider = "fleets")
     public void coldServerStandsUnderTheSumOfAllGatherers(int gatherers, double scansAWindow) {
         double startedAt = 100_000;
@@ -306,7 +344,8 @@
             while (sentAt.get(first) <= sentAt.get(last) - 1000) {
                 first++;
             }
-            // Parts take 50 ms; the server may get twice what it can do, a fifth of a core and more from second to second.
+            // Parts take 50 ms; the server may get twice what it can do, a fifth of a core and more
+            // from second to second.
             double calls = 2 * (0.2 + 0.8 * (sentAt.get(last) - startedAt) / 10_000) * 1000 / 50;
             fullest = Math.max(fullest, (last - first + 1) / (calls + 2 * Math.sqrt(calls) + 2));
         }
@@ -315,8 +354,12 @@
         assertTrue(sentAt.size() >= Math.min(20, scans / 2), "it is used: " + sentAt.size());
     }
 
-    /** When one of many gatherers sends to server a, which has just started, in the time until it is warm. */
-    private List<Double> sendsToAServerThatStarts(int gatherers, int number, double scansAWindow, double startedAt) {
+    /**
+     * When one of many gatherers sends to server a, which has just started, in the time until it is
+     * warm.
+     */
+    private List<Double> sendsToAServerThatStarts(
+            int gatherers, int number, double scansAWindow, double startedAt) {
         Play play = fresh();
         play.seed = number * 0x9E3779B97F4A7C15L;
         play.gatherers = gatherers;
@@ -330,7 +373,10 @@
             play.waitFor(at - play.now);
             if (!listed && play.now > startedAt) {
                 listed = true;
-                play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, startedAt, Listing.Mode.RUNNING))));
+                play.tell(
+                        new Event.ListReceived(
+                                false,
+                                List.of(Play.listing("a", 0, startedAt, Listing.Mode.RUNNING))));
             }
             play.done.clear();
             play.scan("s" + i, Play.ALL, 4, 4000);
@@ -338,18 +384,23 @@
                 play.end(part, 0, Ending.COMPLETED);
             }
             if (listed) {
-                play.dispatches().values().stream().filter(servers -> servers.contains("a")).forEach(sent -> sentAt.add(play.now));
+                play.dispatches().values().stream()
+                        .filter(servers -> servers.contains("a"))
+                        .forEach(sent -> sentAt.add(play.now));
             }
         }
         return sentAt;
     }
 
-    private static Event.OthersTold told(int gatherers, Map<Bound, Integer> room, Map<String, Double> trouble) {
+    private static Event.OthersTold told(
+            int gatherers, Map<Bound, Integer> room, Map<String, Double> trouble) {
         return new Event.OthersTold(new Others(gatherers, room, trouble));
     }
 
     private static long sentTo(Play play, String server) {
-        return play.all(Action.Dispatch.class).stream().filter(d -> d.server().equals(server)).count();
+        return play.all(Action.Dispatch.class).stream()
+                .filter(d -> d.server().equals(server))
+                .count();
     }
 
     @DataProvider
@@ -366,9 +417,12 @@
         play.gatherers = 100;
         play.now = 100_000;
         play.start();
-        play.tell(told(0, Map.of(Bound.cold("a"), room), Map.of()), new Event.ListReceived(false,
-                List.of(Play.listing("a", 0, play.now - 10, Listing.Mode.RUNNING))));
-        // Three, since with twelve parts' times known a part is no longer held to take a quarter of its target time.
+        play.tell(
+                told(0, Map.of(Bound.cold("a"), room), Map.of()),
+                new Event.ListReceived(
+                        false, List.of(Play.listing("a", 0, play.now - 10, Listing.Mode.RUNNING))));
+        // Three, since with twelve parts' times known a part is no longer held to take a quarter of
+        // its target time.
         for (int i = 0; i < 3; i++) {
             play.scan("s" + i, Play.ALL, 4, 4000);
             for (int part = 0; part < 4; part++) {
@@ -378,7 +432,9 @@
             }
         }
         assertEquals(sentTo(play, "a"), parts);
-        assertEquals(play.all(Action.Use.class), Collections.nCopies(parts, new Action.Use(Bound.cold("a"), 250)));
+        assertEquals(
+                play.all(Action.Use.class),
+                Collections.nCopies(parts, new Action.Use(Bound.cold("a"), 250)));
     }
 
     @Test
@@ -391,8 +447,11 @@
                 play.end("s" + i + "/0", 0, Ending.ERROR);
             }
         }
-        assertEquals(play.dispatches().values().stream().mapToInt(sent -> sent.size() - 1).sum(), 2);
-        assertEquals(play.all(Action.Use.class), Collections.nCopies(2, new Action.Use(Bound.FURTHER, 1)));
+        assertEquals(
+                play.dispatches().values().stream().mapToInt(sent -> sent.size() - 1).sum(), 2);
+        assertEquals(
+                play.all(Action.Use.class),
+                Collections.nCopies(2, new Action.Use(Bound.FURTHER, 1)));
     }
 
     @Test
@@ -405,27 +464,36 @@
             play.scan("s" + i, Play.ALL, 1, 4000);
             play.end("s" + i + "/0", 0, Ending.COMPLETED);
         }
-        assertEquals(play.all(Action.Use.class), Collections.nCopies(3, new Action.Use(Bound.customer("acme"), 1)));
+        assertEquals(
+                play.all(Action.Use.class),
+                Collections.nCopies(3, new Action.Use(Bound.customer("acme"), 1)));
     }
 
     @DataProvider
     Object[][] othersTrouble() {
         return new Object[][] {
             // what others saw of a, of b, which hold segment 0: whether a part goes to a
-            {Map.of(), true}, {Map.of("a", 0.5), true}, {Map.of("a", 0.6), false}, {Map.of("b", 1.0), true},
+            {Map.of(), true},
+            {Map.of("a", 0.5), true},
+            {Map.of("a", 0.6), false},
+            {Map.of("b", 1.0), true},
             {Map.of("a", 1.0, "b", 1.0), true},
         };
     }
 
     @Test(dataProvider = "othersTrouble")
-    public void serverThatOthersSeeFailIsLeftForOneThatTheyDont(Map<String, Double> trouble, boolean goes) {
+    public void serverThatOthersSeeFailIsLeftForOneThatTheyDont(
+            Map<String, Double> trouble, boolean goes) {
         boolean went = false;
         for (int seed = 0; seed < 20; seed++) {
             Play play = fresh();
             play.seed = seed * 0x9E3779B97F4A7C15L;
             play.start().tell(told(0, Map.of(), trouble));
             play.scan("s", Play.ALL, 1, 4000);
-            assertEquals(play.all(Action.Dispatch.class).size(), 1, "a segment's last holders are never all left aside");
+            assertEquals(
+                    play.all(Action.Dispatch.class).size(),
+                    1,
+                    "a segment's last holders are never all left aside");
             went |= sentTo(play, "a") > 0;
         }
         assertEquals(went, goes);
@@ -486,12 +554,18 @@
     @Test
     public void segmentWithNoHolderWaitsForOne() {
         Play play = fresh().start();
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.GONE),
-                Play.listing("b", 1, 0, Listing.Mode.GONE))));
+        play.tell(
+                new Event.ListReceived(
+                        false,
+                        List.of(
+                                Play.listing("a", 0, 0, Listing.Mode.GONE),
+                                Play.listing("b", 1, 0, Listing.Mode.GONE))));
         play.scan("s", Play.ALL, 1, 4000);
         assertEquals(play.endings(), List.of());
         play.waitFor(1000);
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("b", 1, 0, Listing.Mode.RUNNING))));
+        play.tell(
+                new Event.ListReceived(
+                        false, List.of(Play.listing("b", 1, 0, Listing.Mode.RUNNING))));
         assertEquals(play.dispatches().get("s/0"), List.of("b"));
     }
 
@@ -526,7 +600,8 @@
 
     /** A scan whose client leaves before any answer takes no server's time (i8abe47). */
     @Test(dataProvider = "hurriedClients")
-    public void scanThatCannotBeAnsweredInTimeIsTurnedAwayOnArrival(double timeLeft, boolean begun) {
+    public void scanThatCannotBeAnsweredInTimeIsTurnedAwayOnArrival(
+            double timeLeft, boolean begun) {
         Play play = fresh().start();
         for (int i = 0; i < 12; i++) {
             completeAll(play, "t" + i);
@@ -550,7 +625,12 @@
         for (int i = 0; i < 20; i++) {
             completeAll(play, "t" + i);
         }
-        assertEquals(play.all(Action.Dispatch.class).stream().map(Action.Dispatch::server).distinct().count(), 4);
+        assertEquals(
+                play.all(Action.Dispatch.class).stream()
+                        .map(Action.Dispatch::server)
+                        .distinct()
+                        .count(),
+                4);
     }
 
     @Test
@@ -587,10 +667,14 @@
             play.scan("s" + i, Play.ALL, 4, 4000);
         }
         // Twelve scans of four parts are sixty held; six of those not begun are enough to let go.
-        assertTrue(play.endings().size() >= 1 && play.endings().stream().allMatch("throttle"::equals));
+        assertTrue(
+                play.endings().size() >= 1 && play.endings().stream().allMatch("throttle"::equals));
     }
 
-    /** A part that later ones have overtaken is lost, so its copy needn't wait for an idle server (i7b02a7). */
+    /**
+     * A part that later ones have overtaken is lost, so its copy needn't wait for an idle server
+     * (i7b02a7).
+     */
     @Test(dataProvider = "overtaking")
     public void overtakenPartGetsACopyOnABusyServer(boolean overtaken) {
         Play play = fresh().start();
@@ -599,7 +683,9 @@
         play.waitFor(5);
         play.scan("busy", Play.ONCE, 4, 4000);
         for (Action.Dispatch dispatch : play.all(Action.Dispatch.class)) {
-            if (overtaken && dispatch.server().equals(first) && dispatch.partId().startsWith("busy")) {
+            if (overtaken
+                    && dispatch.server().equals(first)
+                    && dispatch.partId().startsWith("busy")) {
                 play.end(dispatch.partId(), 0, Ending.COMPLETED);
             }
         }
@@ -616,14 +702,20 @@
     Object[][] brokenParts() {
         return new Object[][] {
             // how each of two parts ends (null: stays out), dispatches of the first, final answer
-            {Ending.RESET, Ending.COMPLETED, 2, List.of()}, {Ending.RESET, null, 1, List.of()},
-            {Ending.RESET, Ending.RESET, 1, List.of("throttle")}, {Ending.ERROR, null, 2, List.of()},
+            {Ending.RESET, Ending.COMPLETED, 2, List.of()},
+            {Ending.RESET, null, 1, List.of()},
+            {Ending.RESET, Ending.RESET, 1, List.of("throttle")},
+            {Ending.ERROR, null, 2, List.of()},
         };
     }
 
-    /** Scans that bring down whatever server begins one of their parts mustn't go on to the next holder. */
+    /**
+     * Scans that bring down whatever server begins one of their parts mustn't go on to the next
+     * holder.
+     */
     @Test(dataProvider = "brokenParts")
-    public void brokenPartGoesAgainOnlyOnceAnotherIsCompleted(Ending one, Ending other, int sent, List<String> ends) {
+    public void brokenPartGoesAgainOnlyOnceAnotherIsCompleted(
+            Ending one, Ending other, int sent, List<String> ends) {
         Play play = fresh().start();
         play.scan("s", Play.ALL, 2, 4000);
         play.end("s/0", 0, one);
@@ -636,7 +728,10 @@
         assertEquals(play.endings(), ends);
     }
 
-    /** After a scan that broke all its connections its customer's next ones begin with one part (verhaegen's poison). */
+    /**
+     * After a scan that broke all its connections its customer's next ones begin with one part
+     * (verhaegen's poison).
+     */
     @Test
     public void customerOfABrokenScanBeginsWithOnePart() {
         Play play = fresh().start();
@@ -646,21 +741,29 @@
         }
         play.waitFor(10);
         play.scan("t", Play.ALL, 4, 4000);
-        assertEquals(play.dispatches().keySet().stream().filter(part -> part.startsWith("t")).count(), 1);
+        assertEquals(
+                play.dispatches().keySet().stream().filter(part -> part.startsWith("t")).count(),
+                1);
         String canary = play.all(Action.Dispatch.class).get(4).partId();
         play.end(canary, 0, Ending.COMPLETED);
-        assertEquals(play.dispatches().keySet().stream().filter(part -> part.startsWith("t")).count(), 4);
+        assertEquals(
+                play.dispatches().keySet().stream().filter(part -> part.startsWith("t")).count(),
+                4);
     }
 
     @DataProvider
     Object[][] mixes() {
         return new Object[][] {
-            // gatherers, scans of the flooding customer for one of the other, whether its last waits behind the other's
+            // gatherers, scans of the flooding customer for one of the other, whether its last
+            // waits behind the other's
             {1, 1, false}, {100, 1, false}, {100, 12, true},
         };
     }
 
-    /** Two customers of equal share: the mix tells of a flood, however little of the traffic comes here. */
+    /**
+     * Two customers of equal share: the mix tells of a flood, however little of the traffic comes
+     * here.
+     */
     @Test(dataProvider = "mixes")
     public void floodingCustomerWaitsBehindOthers(int gatherers, int flood, boolean behind) {
         Play play = fresh();
@@ -695,11 +798,12 @@
             play.done.clear();
             play.scan("s" + i, Play.ONCE, 4, 4000);
             var sent = play.dispatches();
-            sent.forEach((part, servers) -> {
-                if (!late || !"ac".contains(servers.get(0))) {
-                    play.end(part, 0, Ending.COMPLETED);
-                }
-            });
+            sent.forEach(
+                    (part, servers) -> {
+                        if (!late || !"ac".contains(servers.get(0))) {
+                            play.end(part, 0, Ending.COMPLETED);
+                        }
+                    });
             play.waitFor(6000);
             sent.forEach((part, servers) -> play.end(part, 0, Ending.COMPLETED));
         }
@@ -722,7 +826,8 @@
 
     /** Among many gatherers a full fleet shows in times alone (i0feb8a). */
     @Test(dataProvider = "crowds")
-    public void scansAreTurnedAwayWhileTheFleetIsSlow(int gatherers, double took, boolean turnedAway) {
+    public void scansAreTurnedAwayWhileTheFleetIsSlow(
+            int gatherers, double took, boolean turnedAway) {
         Play play = fresh();
         play.gatherers = gatherers;
         play.start();
@@ -739,7 +844,10 @@
         assertEquals(any, turnedAway);
     }
 
-    /** A scan of many parts meets many slow servers at once: as many as half its parts may get a copy. */
+    /**
+     * A scan of many parts meets many slow servers at once: as many as half its parts may get a
+     * copy.
+     */
     @Test
     public void largeScanSavesUpCopiesForHalfItsParts() {
         Play play = fresh();
@@ -766,7 +874,10 @@
         assertTrue(copied > 15, copied + " copies");
     }
 
-    /** Every holder of a part failed twice just now: a stretch that is full, unseen by each of many gatherers. */
+    /**
+     * Every holder of a part failed twice just now: a stretch that is full, unseen by each of many
+     * gatherers.
+     */
     @Test(dataProvider = "overtaking")
     public void scanWaitsWhileEveryHolderHasJustFailed(boolean many) {
         Play play = fresh();
@@ -787,7 +898,10 @@
         return new Object[][] {{500, true}, {509, true}, {560, false}};
     }
 
-    /** A gatherer that was held up itself may have answers lying unread; what it then sees late isn't the server's. */
+    /**
+     * A gatherer that was held up itself may have answers lying unread; what it then sees late
+     * isn't the server's.
+     */
     @Test(dataProvider = "alarms")
     public void alarmThatComesLateItselfMakesNoPartLate(double wokenAfter, boolean copied) {
         Play play = fresh().start();
@@ -800,13 +914,23 @@
         assertEquals(play.dispatches().get("s/0").size(), 2);
     }
 
-    /** Each call while a scan waits for room set a further alarm, and each of those a next: all time went into them. */
+    /**
+     * Each call while a scan waits for room set a further alarm, and each of those a next: all time
+     * went into them.
+     */
     @Test
     public void waitingScansAreLookedAtAgainNoMoreOftenForAllThatHappensMeanwhile() {
         Play play = fresh().start();
         for (int cell = 0; cell < 4; cell++) {
-            play.tell(new Event.ListReceived(false,
-                    List.of(Play.listing("abcd".substring(cell, cell + 1), cell, 0, Listing.Mode.DRAINING))));
+            play.tell(
+                    new Event.ListReceived(
+                            false,
+                            List.of(
+                                    Play.listing(
+                                            "abcd".substring(cell, cell + 1),
+                                            cell,
+                                            0,
+                                            Listing.Mode.DRAINING))));
         }
         play.scan("s", Play.ALL, 1, 4000);
         for (int i = 0; i < 100; i++) {
@@ -815,7 +939,9 @@
         }
         play.done.clear();
         play.waitFor(100);
-        assertTrue(play.all(Action.Wake.class).size() <= 5, play.all(Action.Wake.class).size() + " wakes in 100 ms");
+        assertTrue(
+                play.all(Action.Wake.class).size() <= 5,
+                play.all(Action.Wake.class).size() + " wakes in 100 ms");
     }
 
     /** A flood of scans without room cost more to look through, at each call, than to serve. */
@@ -855,24 +981,32 @@
             }
         }
         play.done.clear();
-        out.forEach(ended -> {
-            play.tell(ended);
-            play.now += apart;
-        });
+        out.forEach(
+                ended -> {
+                    play.tell(ended);
+                    play.now += apart;
+                });
         // What went out again is completed elsewhere.
-        List.copyOf(play.dispatches().keySet()).forEach(part -> play.end(part, 1, Ending.COMPLETED));
+        List.copyOf(play.dispatches().keySet())
+                .forEach(part -> play.end(part, 1, Ending.COMPLETED));
         return play;
     }
 
     @DataProvider
     Object[][] together() {
-        return new Object[][] {{Ending.RESET, 0, false}, {Ending.ERROR, 0, false}, {Ending.RESET, 1, true},
-            {Ending.ERROR, 1, true}, {Ending.UNCONNECTED, 0, true}};
+        return new Object[][] {
+            {Ending.RESET, 0, false},
+            {Ending.ERROR, 0, false},
+            {Ending.RESET, 1, true},
+            {Ending.ERROR, 1, true},
+            {Ending.UNCONNECTED, 0, true}
+        };
     }
 
     /** One answer that can't be read ends all that is out on its connection. */
     @Test(dataProvider = "together")
-    public void partsThatEndTogetherAreOneFailureOfTheirServer(Ending ending, double apart, boolean aside) {
+    public void partsThatEndTogetherAreOneFailureOfTheirServer(
+            Ending ending, double apart, boolean aside) {
         assertEquals(askedAfter(threeOutAtOneServer(ending, apart), "busy", false), !aside);
     }
 
@@ -881,20 +1015,30 @@
         return new Object[][] {{29_000, false}, {31_000, true}};
     }
 
-    /** Fleets that are replaced by servers of new names must leave nothing behind; one that blinks is known again. */
+    /**
+     * Fleets that are replaced by servers of new names must leave nothing behind; one that blinks
+     * is known again.
+     */
     @Test(dataProvider = "returns")
     public void serverGoneForLongIsForgotten(double goneFor, boolean forgotten) {
         Play play = threeOutAtOneServer(Ending.ERROR, 1);
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.GONE))));
+        play.tell(
+                new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.GONE))));
         play.waitFor(goneFor);
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("b", 1, 0, Listing.Mode.RUNNING))));
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.RUNNING))));
+        play.tell(
+                new Event.ListReceived(
+                        false, List.of(Play.listing("b", 1, 0, Listing.Mode.RUNNING))));
+        play.tell(
+                new Event.ListReceived(
+                        false, List.of(Play.listing("a", 0, 0, Listing.Mode.RUNNING))));
         // Three failures in its books count as three parts out.
         play.done.clear();
         for (int i = 0; i < 3; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
         }
-        assertEquals(play.all(Action.Dispatch.class).stream().anyMatch(d -> d.server().equals("a")), forgotten);
+        assertEquals(
+                play.all(Action.Dispatch.class).stream().anyMatch(d -> d.server().equals("a")),
+                forgotten);
     }
 
     @Test
@@ -903,17 +1047,20 @@
         play.limits = new Deployment.Limits(3, 1000, false, true, 500);
         play.start().scan("s", Play.ANY, 9, 4000);
         List<Action.Dispatch> first = play.all(Action.Dispatch.class);
-        assertTrue(first.stream().allMatch(d -> d.reason() == Reason.FIRST_ROUND), first.toString());
+        assertTrue(
+                first.stream().allMatch(d -> d.reason() == Reason.FIRST_ROUND), first.toString());
         play.end(first.get(0).partId(), 0, Ending.COMPLETED);
         play.done.clear();
         play.end(first.get(1).partId(), 0, Ending.FULL);
         play.end(first.get(2).partId(), 0, Ending.ERROR);
         play.waitFor(505);
         List<Action.Dispatch> later = play.all(Action.Dispatch.class);
-        assertEquals(later.stream().map(Action::reason).toList(),
+        assertEquals(
+                later.stream().map(Action::reason).toList(),
                 List.of(Reason.NEVER_RAN, Reason.FURTHER_TRY, Reason.LATER_ROUND));
-        assertEquals(later.get(0).passedOver(), List.of(
-                new PassedOver(first.get(1).server(), PassedOver.Cause.TRIED)));
+        assertEquals(
+                later.get(0).passedOver(),
+                List.of(new PassedOver(first.get(1).server(), PassedOver.Cause.TRIED)));
     }
 
     @Test
@@ -923,32 +1070,43 @@
         play.start().scan("s", Play.ANY, 9, 4000);
         play.done.clear();
         play.waitFor(505);
-        assertEquals(play.all(Action.Dispatch.class).stream().map(Action::reason).toList(),
+        assertEquals(
+                play.all(Action.Dispatch.class).stream().map(Action::reason).toList(),
                 List.of(Reason.EMPTY_ROUND));
     }
 
     @Test
     public void drainingHolderIsNamedAsPassedOver() {
         Play play = fresh().start();
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.DRAINING))));
+        play.tell(
+                new Event.ListReceived(
+                        false, List.of(Play.listing("a", 0, 0, Listing.Mode.DRAINING))));
         play.done.clear();
         // By chance one of the two positions is taken; at one of them segment 0 would be a's.
         for (int i = 0; i < 8; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
             play.end("s" + i + "/0", 0, Ending.COMPLETED);
         }
-        List<List<PassedOver>> passed = play.all(Action.Dispatch.class).stream().map(Action.Dispatch::passedOver)
-                .filter(list -> !list.isEmpty()).toList();
+        List<List<PassedOver>> passed =
+                play.all(Action.Dispatch.class).stream()
+                        .map(Action.Dispatch::passedOver)
+                        .filter(list -> !list.isEmpty())
+                        .toList();
         assertFalse(passed.isEmpty());
-        assertTrue(passed.stream().allMatch(List.of(new PassedOver("a", PassedOver.Cause.DRAINING))::equals));
+        assertTrue(
+                passed.stream()
+                        .allMatch(List.of(new PassedOver("a", PassedOver.Cause.DRAINING))::equals));
     }
 
     @DataProvider
     Object[][] endReasons() {
         return new Object[][] {
-            // type, how its one part's first dispatch ends (null: not at all), reason of the final answer
-            {Play.ALL, Ending.COMPLETED, Reason.WHOLE}, {Play.ONCE, Ending.ERROR, Reason.UNDER_LEAST},
-            {Play.ONCE, Ending.RESET, Reason.ALL_BROKEN}, {Play.ONCE, null, Reason.TIME_OVER},
+            // type, how its one part's first dispatch ends (null: not at all), reason of the final
+            // answer
+            {Play.ALL, Ending.COMPLETED, Reason.WHOLE},
+            {Play.ONCE, Ending.ERROR, Reason.UNDER_LEAST},
+            {Play.ONCE, Ending.RESET, Reason.ALL_BROKEN},
+            {Play.ONCE, null, Reason.TIME_OVER},
         };
     }
 
@@ -960,8 +1118,15 @@
             play.end("s/0", 0, ending);
         }
         play.waitFor(4000);
-        List<Reason> reasons = play.done.stream().filter(action -> action instanceof Action.Answer
-                || action instanceof Action.Throttle || action instanceof Action.Abandon).map(Action::reason).toList();
+        List<Reason> reasons =
+                play.done.stream()
+                        .filter(
+                                action ->
+                                        action instanceof Action.Answer
+                                                || action instanceof Action.Throttle
+                                                || action instanceof Action.Abandon)
+                        .map(Action::reason)
+                        .toList();
         assertEquals(reasons, List.of(reason));
     }
 
@@ -970,13 +1135,24 @@
         Play play = fresh().start();
         play.scan("s", Play.ALL, 2, 4000);
         play.tell(new Event.ClientLeft("s"));
-        assertEquals(play.all(Action.Cancel.class).stream().map(Action::reason).toList(),
+        assertEquals(
+                play.all(Action.Cancel.class).stream().map(Action::reason).toList(),
                 List.of(Reason.CLIENT_LEFT, Reason.CLIENT_LEFT));
     }
 
     private static Deployment facts(Play play, List<TableType> types) {
-        return new Deployment(1, "z", 5, 0.2, types, play.customers, play.layout, play.limits, play.coldRule,
-                play.budget, play.listAccess);
+        return new Deployment(
+                1,
+                "z",
+                5,
+                0.2,
+                types,
+                play.customers,
+                play.layout,
+                play.limits,
+                play.coldRule,
+                play.budget,
+                play.listAccess);
     }
 
     private static TableType repeat(TableType type, TableType.Repeat repeat, double window) {
@@ -988,16 +1164,20 @@
         TableType.Repeat replayable = TableType.Repeat.REPLAYABLE;
         TableType.Repeat once = TableType.Repeat.NON_REPLAYABLE;
         return new Object[][] {
-            // type as the scan was taken, what it turns into while its part is out, whether an error is tried again
-            {Play.ONCE, repeat(Play.ONCE, replayable, 0), false}, {Play.ALL, repeat(Play.ALL, once, 0), false},
-            {Play.ALL, repeat(Play.ALL, replayable, 0), true}, {Play.KEYED, repeat(Play.KEYED, replayable, 0), true},
+            // type as the scan was taken, what it turns into while its part is out, whether an
+            // error is tried again
+            {Play.ONCE, repeat(Play.ONCE, replayable, 0), false},
+            {Play.ALL, repeat(Play.ALL, once, 0), false},
+            {Play.ALL, repeat(Play.ALL, replayable, 0), true},
+            {Play.KEYED, repeat(Play.KEYED, replayable, 0), true},
             {Play.KEYED, repeat(Play.KEYED, TableType.Repeat.KEYED, 20), false},
             {Play.KEYED, repeat(Play.KEYED, TableType.Repeat.KEYED, 9000), true},
         };
     }
 
     @Test(dataProvider = "retyped")
-    public void partThatIsOutIsNeverFreedByAChangeOfItsType(TableType before, TableType after, boolean again) {
+    public void partThatIsOutIsNeverFreedByAChangeOfItsType(
+            TableType before, TableType after, boolean again) {
         Play play = fresh().start();
         play.scan("s", before, 1, 4000);
         play.tell(new Event.FactsChanged(facts(play, List.of(after))));
@@ -1010,7 +1190,9 @@
     public void keyedWindowNeverGrowsOverADispatchAlreadyMade() {
         Play play = fresh().start();
         play.scan("s", Play.KEYED, 1, 4000);
-        play.tell(new Event.FactsChanged(facts(play, List.of(repeat(Play.KEYED, TableType.Repeat.KEYED, 9000)))));
+        play.tell(
+                new Event.FactsChanged(
+                        facts(play, List.of(repeat(Play.KEYED, TableType.Repeat.KEYED, 9000)))));
         play.now += 1600;
         play.end("s/0", 0, Ending.ERROR);
         assertEquals(play.dispatches().get("s/0").size(), 1);
@@ -1028,7 +1210,9 @@
         for (int i = 0; i < 7; i++) {
             play.end("old/" + i, 0, Ending.COMPLETED);
         }
-        assertTrue(play.endings().contains("answer whole"), "seven of nine were enough when it was taken");
+        assertTrue(
+                play.endings().contains("answer whole"),
+                "seven of nine were enough when it was taken");
     }
 
     @Test
@@ -1037,8 +1221,20 @@
         play.customers = List.of(new Customer("acme", 10));
         play.start().scan("s", Play.ALL, 1, 4000);
         Deployment now = facts(play, List.of(Play.ALL));
-        play.tell(new Event.FactsChanged(new Deployment(1, "z", 5, 0.2, List.of(Play.ALL), List.of(), now.layout(),
-                now.limits(), now.coldRule(), now.dispatchBudget(), now.listAccess())));
+        play.tell(
+                new Event.FactsChanged(
+                        new Deployment(
+                                1,
+                                "z",
+                                5,
+                                0.2,
+                                List.of(Play.ALL),
+                                List.of(),
+                                now.layout(),
+                                now.limits(),
+                                now.coldRule(),
+                                now.dispatchBudget(),
+                                now.listAccess())));
         play.end("s/0", 0, Ending.COMPLETED);
         assertEquals(play.endings(), List.of("answer whole"));
         play.customers = List.of();
--- a/core/src/test/java/sprucehold/brain/Play.java
+++ b/core/src/test/java/sprucehold/brain/Play.java
@@ -35,7 +35,8 @@
     private long scans;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    private static TableType type(String name, TableType.Repeat repeat, double whole, double least, int second) {
+    private static TableType type(
+            String name, TableType.Repeat repeat, double whole, double least, int second) {
         return new TableType(name, repeat, 1000, 1, 0.1, 1500, whole, least, second);
     }
 
@@ -43,10 +44,25 @@
         return new Listing(server, cell, "z", startedAt, mode);
     }
 
-    /** Four cells of one server each, a to d; segment s is held by the servers of cells s and s + 1. */
+    /**
+     * Four cells of one server each, a to d; segment s is held by the servers of cells s and s + 1.
+     */
     Play start() {
-        brain = new Brain(seed, new Deployment(gatherers, "z", 5, 0.2, List.of(ALL, ANY, PARTIAL, ONCE, KEYED, STEPS), customers,
-                layout, limits, coldRule, budget, listAccess));
+        brain =
+                new Brain(
+                        seed,
+                        new Deployment(
+                                gatherers,
+                                "z",
+                                5,
+                                0.2,
+                                List.of(ALL, ANY, PARTIAL, ONCE, KEYED, STEPS),
+                                customers,
+                                layout,
+                                limits,
+                                coldRule,
+                                budget,
+                                listAccess));
         var entries = new ArrayList<Listing>();
         for (int cell = 0; cell < 4; cell++) {
             entries.add(listing("abcd".substring(cell, cell + 1), cell, 0, Listing.Mode.RUNNING));
@@ -69,7 +85,13 @@
     /** Takes a scan with parts "ID/0", "ID/1", ... of equal weight at segments 0, 1, ... */
     List<Action> scan(String id, TableType type, int parts, double timeLeft) {
         var events = new ArrayList<Event>();
-        events.add(new Event.ScanTaken(id, ++scans, type, customers.isEmpty() ? null : customers.get(0), timeLeft));
+        events.add(
+                new Event.ScanTaken(
+                        id,
+                        ++scans,
+                        type,
+                        customers.isEmpty() ? null : customers.get(0),
+                        timeLeft));
         events.addAll(parts(id, parts));
         return tell(events.toArray(new Event[0]));
     }
@@ -101,7 +123,8 @@
     Map<String, List<String>> dispatches() {
         var byPart = new LinkedHashMap<String, List<String>>();
         for (Action.Dispatch dispatch : all(Action.Dispatch.class)) {
-            byPart.computeIfAbsent(dispatch.partId(), id -> new ArrayList<>()).add(dispatch.server());
+            byPart.computeIfAbsent(dispatch.partId(), id -> new ArrayList<>())
+                    .add(dispatch.server());
         }
         return byPart;
     }
--- a/core/src/test/java/sprucehold/facts/FactsCheckTest.java
+++ b/core/src/test/java/sprucehold/facts/FactsCheckTest.java
@@ -10,19 +10,24 @@
 
 /** Settings that lack or contradict what is needed to serve by them. */
 public class FactsCheckTest {
-    private static final String SOUND = "{'classes':[{'name':'q','semantics':'retryable','aimMs':100,'giveUpMs':300},"
-            + "{'name':'k','semantics':'dedup','aimMs':100,'giveUpMs':300,'windowMs':700,'worth':2}],"
-            + "'tenants':[{'name':'one','allowancePerS':9.5}],"
-            + "'familyInfo':{'ranges':4,'sets':2,'completeFrom':[0.75,1.0],'leastShare':[0.5,1]},"
-            + "'limits':{'dialTimeoutMs':250.0,'idleCloseMs':15000.0,'streamsPerConn':32,'maxOpen':9},"
-            + "'safety':{'coldFrom':0.2,'coldMs':9000.0},'quantumMs':5.0,'balancers':3}";
+    private static final String SOUND =
+            "{'classes':[{'name':'q','semantics':'retryable','aimMs':100,'giveUpMs':300},"
+                    + "{'name':'k','semantics':'dedup','aimMs':100,'giveUpMs':300,'windowMs':700,'worth':2}],"
+                    + "'tenants':[{'name':'one','allowancePerS':9.5}],"
+                    + "'familyInfo':{'ranges':4,'sets':2,'completeFrom':[0.75,1.0],'leastShare':[0.5,1]},"
+                    + "'limits':{'dialTimeoutMs':250.0,'idleCloseMs':15000.0,'streamsPerConn':32,'maxOpen':9},"
+                    + "'safety':{'coldFrom':0.2,'coldMs':9000.0},'quantumMs':5.0,'balancers':3}";
 
     private static JsonNode settings(String from, String to) throws Exception {
         if (!SOUND.contains(from)) {
             throw new IllegalArgumentException(from);
         }
-        return new ObjectMapper().readTree(SOUND.replaceFirst(java.util.regex.Pattern.quote(from),
-                java.util.regex.Matcher.quoteReplacement(to)).replace('\'', '"'));
+        return new ObjectMapper()
+                .readTree(
+                        SOUND.replaceFirst(
+                                        java.util.regex.Pattern.quote(from),
+                                        java.util.regex.Matcher.quoteReplacement(to))
+                                .replace('\'', '"'));
     }
 
     @DataProvider
@@ -31,39 +36,87 @@
             // What stands there, what comes in its place, the place named, and what was expected.
             {"'classes'", "'other'", "classes is missing", "a list with at least one table type"},
             {"'name':'q'", "'name':''", "classes[0].name is \"\"", "a name"},
-            {"'name':'k'", "'name':'q'", "classes[1].name is \"q\"", "another name than those before it"},
-            {"'semantics':'retryable'", "'semantics':'odd'", "classes[0].semantics is \"odd\"", "retryable, dedup or fragile"},
+            {
+                "'name':'k'",
+                "'name':'q'",
+                "classes[1].name is \"q\"",
+                "another name than those before it"
+            },
+            {
+                "'semantics':'retryable'",
+                "'semantics':'odd'",
+                "classes[0].semantics is \"odd\"",
+                "retryable, dedup or fragile"
+            },
             {"'aimMs':100", "'aimMs':0", "classes[0].aimMs is 0", "a number above 0"},
             {",'giveUpMs':300", "", "classes[0].giveUpMs is missing", "a number above 0"},
-            {"'giveUpMs':300", "'giveUpMs':'300'", "classes[0].giveUpMs is \"300\"", "a number above 0"},
+            {
+                "'giveUpMs':300",
+                "'giveUpMs':'300'",
+                "classes[0].giveUpMs is \"300\"",
+                "a number above 0"
+            },
             {",'windowMs':700", "", "classes[1].windowMs is missing", "a number of at least 0"},
             {"'worth':2", "'worth':-2", "classes[1].worth is -2", "a number of at least 0"},
             {"'tenants':[", "'tenants':3,'others':[", "tenants is 3", "a list"},
-            {"'allowancePerS':9.5", "'rate':9", "tenants[0].allowancePerS is missing", "a number of at least 0"},
+            {
+                "'allowancePerS':9.5",
+                "'rate':9",
+                "tenants[0].allowancePerS is missing",
+                "a number of at least 0"
+            },
             {"'ranges':4", "'ranges':0", "familyInfo.ranges is 0", "a whole number of at least 1"},
             {"'sets':2,", "", "familyInfo.sets is missing", "a whole number of at least 1"},
-            {"[0.75,1.0]", "[0.75]", "familyInfo.completeFrom is [0.75]", "a share for each of 2 table types"},
+            {
+                "[0.75,1.0]",
+                "[0.75]",
+                "familyInfo.completeFrom is [0.75]",
+                "a share for each of 2 table types"
+            },
             {"[0.5,1]", "[0.5,1.5]", "familyInfo.leastShare[1] is 1.5", "a share from 0 to 1"},
-            {"'dialTimeoutMs':250.0", "'dialTimeoutMs':0", "limits.dialTimeoutMs is 0", "a number above 0"},
+            {
+                "'dialTimeoutMs':250.0",
+                "'dialTimeoutMs':0",
+                "limits.dialTimeoutMs is 0",
+                "a number above 0"
+            },
             {"'idleCloseMs':15000.0,", "", "limits.idleCloseMs is missing", "a number above 0"},
-            {"'streamsPerConn':32", "'streamsPerConn':0", "limits.streamsPerConn is 0", "a whole number of at least 1"},
+            {
+                "'streamsPerConn':32",
+                "'streamsPerConn':0",
+                "limits.streamsPerConn is 0",
+                "a whole number of at least 1"
+            },
             {"'coldMs':9000.0", "'coldMs':true", "safety.coldMs is true", "a number of at least 0"},
-            {"'balancers':3", "'balancers':2.5", "balancers is 2.5", "a whole number of at least 1"},
+            {
+                "'balancers':3",
+                "'balancers':2.5",
+                "balancers is 2.5",
+                "a whole number of at least 1"
+            },
         };
     }
 
     @Test(dataProvider = "unusable")
-    public void whatCantBeServedByIsOneErrorThatNamesTheField(String from, String to, String place, String expected)
-            throws Exception {
+    public void whatCantBeServedByIsOneErrorThatNamesTheField(
+            String from, String to, String place, String expected) throws Exception {
         JsonNode settings = settings(from, to);
-        String message = expectThrows(MalformedFactsException.class, () -> Facts.checked(settings)).getMessage();
+        String message =
+                expectThrows(MalformedFactsException.class, () -> Facts.checked(settings))
+                        .getMessage();
         assertEquals(message, "settings." + place + ", expected " + expected);
     }
 
     @DataProvider
     Object[][] usable() {
-        return new Object[][] {{"'q'", "'q'"}, {"'tenants'", "'others'"}, {",'streamsPerConn':32,'maxOpen':9", ""},
-            {",'completeFrom':[0.75,1.0],'leastShare':[0.5,1]", ""}, {"'safety'", "'others'"}, {"'quantumMs':5.0,", ""}};
+        return new Object[][] {
+            {"'q'", "'q'"},
+            {"'tenants'", "'others'"},
+            {",'streamsPerConn':32,'maxOpen':9", ""},
+            {",'completeFrom':[0.75,1.0],'leastShare':[0.5,1]", ""},
+            {"'safety'", "'others'"},
+            {"'quantumMs':5.0,", ""}
+        };
     }
 
     @Test(dataProvider = "usable")
--- a/core/src/test/java/sprucehold/picker/PickerTest.java
+++ b/core/src/test/java/sprucehold/picker/PickerTest.java
@@ -43,19 +43,41 @@
         script.clear();
         seen.clear();
         var type = new TableType("q", TableType.Repeat.REPLAYABLE, 100, 1, 0, 0, 1, 1, 0);
-        picker = new Picker((now, events) -> {
-            seen.add(events);
-            List<Action> actions = script.isEmpty() ? List.of() : script.remove();
-            if (actions == null || actions.contains(PANIC)) {
-                throw new IllegalStateException("scripted");
-            }
-            return actions;
-        }, new Deployment(1, "z", 5, 1, List.of(type), List.of(new Customer("acme", 9)),
-                new Deployment.Layout(1, 1, 1), new Deployment.Limits(4, 5, true, true, 0),
-                new Deployment.ColdRule(1, 0, 1, 0), Deployment.DispatchBudget.NONE,
-                new Deployment.ListAccess(false, 0)));
-        picker.report(0, List.of(new Report.ListCame(true, List.of(
-                new ServerNews("a", "127.0.0.1:1", 0, "z", 0, ServerNews.State.RUNNING)))));
+        picker =
+                new Picker(
+                        (now, events) -> {
+                            seen.add(events);
+                            List<Action> actions = script.isEmpty() ? List.of() : script.remove();
+                            if (actions == null || actions.contains(PANIC)) {
+                                throw new IllegalStateException("scripted");
+                            }
+                            return actions;
+                        },
+                        new Deployment(
+                                1,
+                                "z",
+                                5,
+                                1,
+                                List.of(type),
+                                List.of(new Customer("acme", 9)),
+                                new Deployment.Layout(1, 1, 1),
+                                new Deployment.Limits(4, 5, true, true, 0),
+                                new Deployment.ColdRule(1, 0, 1, 0),
+                                Deployment.DispatchBudget.NONE,
+                                new Deployment.ListAccess(false, 0)));
+        picker.report(
+                0,
+                List.of(
+                        new Report.ListCame(
+                                true,
+                                List.of(
+                                        new ServerNews(
+                                                "a",
+                                                "127.0.0.1:1",
+                                                0,
+                                                "z",
+                                                0,
+                                                ServerNews.State.RUNNING)))));
         seen.clear();
     }
 
@@ -77,7 +99,8 @@
     @DataProvider
     Object[][] endings() {
         return new Object[][] {
-            {HIT, false, Ending.COMPLETED}, {HIT, true, Ending.COMPLETED},
+            {HIT, false, Ending.COMPLETED},
+            {HIT, true, Ending.COMPLETED},
             {new Outcome.Faulty(null), false, Ending.ERROR},
             {new Outcome.TurnedAway(null), false, Ending.FULL},
             {new Outcome.Lost(Progress.NOT_WRITTEN), false, Ending.UNCONNECTED},
@@ -91,7 +114,8 @@
     }
 
     @Test(dataProvider = "endings")
-    public void endingSaysWhetherThePartMayHaveRun(Outcome outcome, boolean patienceOver, Ending ending) {
+    public void endingSaysWhetherThePartMayHaveRun(
+            Outcome outcome, boolean patienceOver, Ending ending) {
         assertEquals(Picker.ending(outcome, patienceOver), ending);
     }
 
@@ -129,7 +153,8 @@
 
     @Test
     public void nothingIsSentForAScanAnsweredAtTheSameMoment() {
-        script.add(List.of(send("s.0"), new Action.Throttle("s", 250), new Action.Cancel("s.0", 0)));
+        script.add(
+                List.of(send("s.0"), new Action.Throttle("s", 250), new Action.Cancel("s.0", 0)));
         Orders orders = picker.pick(1, scan("s", null, 1));
         assertTrue(orders.send().isEmpty());
         assertTrue(orders.cancel().isEmpty());
@@ -165,7 +190,9 @@
         assertEquals(picker.tick(400.5).cancel(), List.of());
         assertEquals(picker.tick(401).cancel(), List.of(dispatch));
         ended(401, dispatch, new Outcome.Cancelled(Progress.WRITTEN));
-        assertEquals(((Event.DispatchEnded) seen.get(seen.size() - 1).get(0)).ending(), Ending.TIMED_OUT);
+        assertEquals(
+                ((Event.DispatchEnded) seen.get(seen.size() - 1).get(0)).ending(),
+                Ending.TIMED_OUT);
     }
 
     @Test
@@ -226,9 +253,22 @@
     public void serversThatWereReplacedLeaveNothingBehindAndPartsOutAtThemEndAsUsual() {
         Dispatch dispatch = sent("s");
         for (int i = 0; i < 100; i++) {
-            ServerNews old = new ServerNews("n" + i, "127.0.0.1:2", 0, "z", 0, ServerNews.State.GONE);
-            picker.report(2, List.of(new Report.ListCame(i % 2 == 0,
-                    List.of(old, new ServerNews("n" + (i + 1), "127.0.0.1:2", 0, "z", 0, ServerNews.State.RUNNING)))));
+            ServerNews old =
+                    new ServerNews("n" + i, "127.0.0.1:2", 0, "z", 0, ServerNews.State.GONE);
+            picker.report(
+                    2,
+                    List.of(
+                            new Report.ListCame(
+                                    i % 2 == 0,
+                                    List.of(
+                                            old,
+                                            new ServerNews(
+                                                    "n" + (i + 1),
+                                                    "127.0.0.1:2",
+                                                    0,
+                                                    "z",
+                                                    0,
+                                                    ServerNews.State.RUNNING)))));
         }
         assertEquals(picker.serversHeld(), 1);
         script.add(List.of(new Action.Answer("s", true)));
@@ -251,13 +291,30 @@
         ShardServer server = sent("s").server();
         assertTrue(server.running());
         for (ServerNews.State state : ServerNews.State.values()) {
-            picker.report(2, List.of(new Report.ListCame(false,
-                    List.of(new ServerNews("a", "127.0.0.1:2", 0, "z", 0, state)))));
+            picker.report(
+                    2,
+                    List.of(
+                            new Report.ListCame(
+                                    false,
+                                    List.of(
+                                            new ServerNews(
+                                                    "a", "127.0.0.1:2", 0, "z", 0, state)))));
             assertEquals(server.running(), state == ServerNews.State.RUNNING);
             assertEquals(server.address(), "127.0.0.1:2");
         }
-        picker.report(3, List.of(new Report.ListCame(false,
-                List.of(new ServerNews("a", "127.0.0.1:2", 0, "z", 0, ServerNews.State.RUNNING)))));
+        picker.report(
+                3,
+                List.of(
+                        new Report.ListCame(
+                                false,
+                                List.of(
+                                        new ServerNews(
+                                                "a",
+                                                "127.0.0.1:2",
+                                                0,
+                                                "z",
+                                                0,
+                                                ServerNews.State.RUNNING)))));
         picker.report(4, List.of(new Report.ListCame(true, List.of())));
         assertFalse(server.running());
     }
--- a/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
@@ -7,7 +7,8 @@
 import sprucehold.settings.SettingsFile;
 
 /**
- * Settings of the HTTP server for operators, from a JSON file of the form {@code deploy/door.schema.json}.
+ * Settings of the HTTP server for operators, from a JSON file of the form {@code
+ * deploy/door.schema.json}.
  *
  * @param host where it listens
  * @param token what callers have to show
@@ -15,12 +16,16 @@
  * @param watchMs how long service has to hold before a version is confirmed
  * @param leastScans and how many scans have to be seen
  */
-public record AdminConfig(String host, int port, String token, Path journal, double watchMs, long leastScans) {
+public record AdminConfig(
+        String host, int port, String token, Path journal, double watchMs, long leastScans) {
     private static final String SCHEMA = "door.schema.json";
+
     /** A shorter one could be tried out. */
     private static final int LEAST_TOKEN_LETTERS = 16;
 
-    /** @throws IOException with all that is wrong with the file, in one line */
+    /**
+     * @throws IOException with all that is wrong with the file, in one line
+     */
     public static AdminConfig read(Path file) throws IOException {
         JsonNode node = SettingsFile.read(file, SCHEMA);
         String listen = node.path("listen").asText("127.0.0.1:8600");
@@ -28,12 +33,21 @@
         Path tokenFile = beside(file, node.get("tokenFile").asText());
         String token = Files.readString(tokenFile).strip();
         if (token.length() < LEAST_TOKEN_LETTERS) {
-            throw new IOException(tokenFile + ": a token of " + token.length() + " letters; at least "
-                    + LEAST_TOKEN_LETTERS + " were expected");
+            throw new IOException(
+                    tokenFile
+                            + ": a token of "
+                            + token.length()
+                            + " letters; at least "
+                            + LEAST_TOKEN_LETTERS
+                            + " were expected");
         }
-        return new AdminConfig(listen.substring(0, colon), Integer.parseInt(listen.substring(colon + 1)), token,
+        return new AdminConfig(
+                listen.substring(0, colon),
+                Integer.parseInt(listen.substring(colon + 1)),
+                token,
                 node.has("journal") ? beside(file, node.get("journal").asText()) : null,
-                node.path("watchSeconds").asDouble(120) * 1000, node.path("leastScans").asLong(100));
+                node.path("watchSeconds").asDouble(120) * 1000,
+                node.path("leastScans").asLong(100));
     }
 
     private static Path beside(Path file, String named) {
--- a/gatherer/src/main/java/sprucehold/admin/AdminServer.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminServer.java
@@ -38,12 +38,18 @@
 /** The HTTP server for operators ({@code --door}): one JSON object in, one out. */
 public final class AdminServer {
     private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
-    /** Operators are few; a door that is flooded must not take the descriptors that clients need. */
+
+    /**
+     * Operators are few; a door that is flooded must not take the descriptors that clients need.
+     */
     private static final int MOST_CONNECTIONS = 16;
+
     /** A proposal's document and what stands round it. */
     private static final int MOST_BYTES = DocumentReader.MOST_BYTES + 4096;
+
     /** Who sends nothing, or reads nothing, for so long is closed. */
     private static final int IDLE_S = 10;
+
     private static final String STATUS = "/status/";
     private static final String PROPOSAL = "/change/proposal/";
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
@@ -55,8 +61,12 @@
     private final Set<HttpConnection> connections = new HashSet<>();
     private HttpServer server;
 
-    /** @param views what may be seen of what stands beside the node, at {@code /status/} and the name of each */
-    public AdminServer(Vertx vertx, String token, Map<String, Supplier<JsonNode>> views, ChangeDesk desk) {
+    /**
+     * @param views what may be seen of what stands beside the node, at {@code /status/} and the
+     *     name of each
+     */
+    public AdminServer(
+            Vertx vertx, String token, Map<String, Supplier<JsonNode>> views, ChangeDesk desk) {
         this.vertx = vertx;
         this.views = views;
         this.desk = desk;
@@ -65,7 +75,8 @@
 
     private static byte[] digest(String token) {
         try {
-            return MessageDigest.getInstance("SHA-256").digest(token.getBytes(StandardCharsets.UTF_8));
+            return MessageDigest.getInstance("SHA-256")
+                    .digest(token.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every JDK has SHA-256", e);
         }
@@ -73,21 +84,28 @@
 
     /** Returns the port on which it listens. */
     public Future<Integer> listen(String host, int port) {
-        server = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(false)
-                .setIdleTimeout(IDLE_S).setMaxHeaderSize(8192));
-        server.connectionHandler(connection -> {
-            if (connections.size() >= MOST_CONNECTIONS) {
-                connection.close();
-                return;
-            }
-            connections.add(connection);
-            connection.closeHandler(none -> connections.remove(connection));
-        });
+        server =
+                vertx.createHttpServer(
+                        new HttpServerOptions()
+                                .setHttp2ClearTextEnabled(false)
+                                .setIdleTimeout(IDLE_S)
+                                .setMaxHeaderSize(8192));
+        server.connectionHandler(
+                connection -> {
+                    if (connections.size() >= MOST_CONNECTIONS) {
+                        connection.close();
+                        return;
+                    }
+                    connections.add(connection);
+                    connection.closeHandler(none -> connections.remove(connection));
+                });
         server.requestHandler(this::request);
-        return server.listen(port, host).map(listening -> {
-            LOG.info("the door is open at " + host + ":" + listening.actualPort());
-            return listening.actualPort();
-        });
+        return server.listen(port, host)
+                .map(
+                        listening -> {
+                            LOG.info("the door is open at " + host + ":" + listening.actualPort());
+                            return listening.actualPort();
+                        });
     }
 
     public Future<Void> close() {
@@ -97,7 +115,8 @@
     private void request(HttpServerRequest request) {
         String shown = request.getHeader("Authorization");
         // Digests are of one length, so the time of the comparison tells nothing of the token.
-        if (shown == null || !shown.startsWith("Bearer ")
+        if (shown == null
+                || !shown.startsWith("Bearer ")
                 || !MessageDigest.isEqual(tokenDigest, digest(shown.substring(7)))) {
             answerAndClose(request, 401, error("no such token"));
             return;
@@ -107,41 +126,53 @@
             return;
         }
         Buffer body = Buffer.buffer();
-        request.handler(bytes -> {
-            if (body.length() + bytes.length() > MOST_BYTES) {
-                request.handler(null);
-                answerAndClose(request, 413, error("at most " + MOST_BYTES + " bytes are read"));
-            } else {
-                body.appendBuffer(bytes);
-            }
-        });
-        request.endHandler(none -> {
-            if (!request.response().ended()) {
-                post(request, body.getBytes());
-            }
-        });
+        request.handler(
+                bytes -> {
+                    if (body.length() + bytes.length() > MOST_BYTES) {
+                        request.handler(null);
+                        answerAndClose(
+                                request, 413, error("at most " + MOST_BYTES + " bytes are read"));
+                    } else {
+                        body.appendBuffer(bytes);
+                    }
+                });
+        request.endHandler(
+                none -> {
+                    if (!request.response().ended()) {
+                        post(request, body.getBytes());
+                    }
+                });
     }
 
     private void get(HttpServerRequest request) {
-        Supplier<JsonNode> view = request.path().startsWith(STATUS) ? views.get(request.path().substring(STATUS.length())) : null;
+        Supplier<JsonNode> view =
+                request.path().startsWith(STATUS)
+                        ? views.get(request.path().substring(STATUS.length()))
+                        : null;
         if (view != null) {
             answer(request, 200, bytes(view.get()));
             return;
         }
         switch (request.path()) {
             case "/change/status" -> answer(request, 200, status());
-            case "/change/document" -> answer(request, 200,
-                    DocumentReader.write(desk.line().live().document()));
+            case "/change/document" ->
+                    answer(request, 200, DocumentReader.write(desk.line().live().document()));
             case "/change/history" -> {
                 ArrayNode versions = MAPPER.createArrayNode();
                 desk.line().history().forEach(outcome -> versions.add(outcome(outcome)));
                 answer(request, 200, bytes(versions));
             }
             default -> {
-                Long version = request.path().startsWith(PROPOSAL)
-                        ? desk.line().numberOf(request.path().substring(PROPOSAL.length())) : null;
-                answer(request, version == null ? 404 : 200, version == null ? error("no such path")
-                        : bytes(MAPPER.createObjectNode().put("version", version)));
+                Long version =
+                        request.path().startsWith(PROPOSAL)
+                                ? desk.line().numberOf(request.path().substring(PROPOSAL.length()))
+                                : null;
+                answer(
+                        request,
+                        version == null ? 404 : 200,
+                        version == null
+                                ? error("no such path")
+                                : bytes(MAPPER.createObjectNode().put("version", version)));
             }
         }
     }
@@ -149,7 +180,8 @@
     private byte[] status() {
         VersionLine line = desk.line();
         ObjectNode node = MAPPER.createObjectNode();
-        node.put("live", line.live().number()).put("watched", line.watched())
+        node.put("live", line.live().number())
+                .put("watched", line.watched())
                 .put("confirmed", line.confirmed().number());
         if (line.staged() != null) {
             node.put("staged", line.staged().number());
@@ -159,9 +191,13 @@
 
     private static ObjectNode outcome(Outcome outcome) {
         Version version = outcome.version();
-        return MAPPER.createObjectNode().put("version", version.number()).put("madeFrom", version.madeFrom())
-                .put("by", version.by()).put("undoes", version.undoes())
-                .put("state", outcome.how().name().toLowerCase(Locale.ROOT)).put("why", outcome.why());
+        return MAPPER.createObjectNode()
+                .put("version", version.number())
+                .put("madeFrom", version.madeFrom())
+                .put("by", version.by())
+                .put("undoes", version.undoes())
+                .put("state", outcome.how().name().toLowerCase(Locale.ROOT))
+                .put("why", outcome.why());
     }
 
     private void post(HttpServerRequest request, byte[] body) {
@@ -186,11 +222,16 @@
                     return;
                 }
                 long version = node.get("version").longValue();
-                boolean due = desk.line().watched() && desk.line().live().number() == version
-                        || request.path().endsWith("undo") && desk.line().staged() != null
-                        && desk.line().staged().number() == version;
+                boolean due =
+                        desk.line().watched() && desk.line().live().number() == version
+                                || request.path().endsWith("undo")
+                                        && desk.line().staged() != null
+                                        && desk.line().staged().number() == version;
                 if (!due) {
-                    answer(request, 409, error("version " + version + " is neither watched nor staged"));
+                    answer(
+                            request,
+                            409,
+                            error("version " + version + " is neither watched nor staged"));
                 } else if (request.path().endsWith("undo")) {
                     desk.undo(version, by);
                     answer(request, 200, status());
@@ -211,12 +252,18 @@
         }
         Document good = ((DocumentReader.Read.Good) read).document();
         List<Fault> faults = MeaningCheck.alone(good);
-        answer(request, faults.isEmpty() ? 200 : 422, faults.isEmpty()
-                ? bytes(difference(Difference.between(desk.line().live().document(), good))) : faults(faults, null));
+        answer(
+                request,
+                faults.isEmpty() ? 200 : 422,
+                faults.isEmpty()
+                        ? bytes(difference(Difference.between(desk.line().live().document(), good)))
+                        : faults(faults, null));
     }
 
     private void propose(HttpServerRequest request, JsonNode node, String by) {
-        if (!node.path("id").isTextual() || by.isEmpty() || !node.path("madeFrom").canConvertToLong()) {
+        if (!node.path("id").isTextual()
+                || by.isEmpty()
+                || !node.path("madeFrom").canConvertToLong()) {
             answer(request, 400, error("id, by, madeFrom and document were expected"));
             return;
         }
@@ -225,16 +272,25 @@
             answer(request, 422, faults(bad.faults(), null));
             return;
         }
-        List<LineAction> actions = desk.propose(node.get("id").asText(), by, node.get("madeFrom").longValue(),
-                ((DocumentReader.Read.Good) read).document());
+        List<LineAction> actions =
+                desk.propose(
+                        node.get("id").asText(),
+                        by,
+                        node.get("madeFrom").longValue(),
+                        ((DocumentReader.Read.Good) read).document());
         for (LineAction action : actions) {
             if (action instanceof LineAction.Accepted accepted) {
                 ObjectNode answer = difference(accepted.difference());
                 answer.put("version", accepted.version().number());
                 answer(request, 202, bytes(answer));
             } else if (action instanceof LineAction.AlreadyThere there) {
-                answer(request, 200, bytes(MAPPER.createObjectNode().put("version", there.number())
-                        .put("already", true)));
+                answer(
+                        request,
+                        200,
+                        bytes(
+                                MAPPER.createObjectNode()
+                                        .put("version", there.number())
+                                        .put("already", true)));
             } else if (action instanceof LineAction.TurnedDown down) {
                 answer(request, 409, faults(down.faults(), down.meanwhile()));
             }
@@ -245,16 +301,26 @@
         ObjectNode node = MAPPER.createObjectNode();
         node.put("risk", difference.risk().name().toLowerCase(Locale.ROOT));
         ArrayNode words = node.putArray("changes");
-        difference.words().forEach(of -> words.addObject().put("path", of.path()).put("words", of.words())
-                .put("risk", of.risk().name().toLowerCase(Locale.ROOT)));
+        difference
+                .words()
+                .forEach(
+                        of ->
+                                words.addObject()
+                                        .put("path", of.path())
+                                        .put("words", of.words())
+                                        .put("risk", of.risk().name().toLowerCase(Locale.ROOT)));
         return node;
     }
 
     private static byte[] faults(List<Fault> faults, Difference meanwhile) {
         ObjectNode node = MAPPER.createObjectNode();
         ArrayNode all = node.putArray("faults");
-        faults.forEach(fault -> all.addObject().put("path", fault.path()).put("what", fault.what())
-                .put("mend", fault.mend()));
+        faults.forEach(
+                fault ->
+                        all.addObject()
+                                .put("path", fault.path())
+                                .put("what", fault.what())
+                                .put("mend", fault.mend()));
         if (meanwhile != null) {
             node.set("meanwhile", difference(meanwhile));
         }
@@ -275,14 +341,19 @@
 
     /** What is left of the request isn't read. */
     private static void answerAndClose(HttpServerRequest request, int status, byte[] json) {
-        request.response().setStatusCode(status).putHeader("Content-Type", "application/json")
-                .putHeader("Connection", "close").end(Buffer.buffer(json))
+        request.response()
+                .setStatusCode(status)
+                .putHeader("Content-Type", "application/json")
+                .putHeader("Connection", "close")
+                .end(Buffer.buffer(json))
                 .onComplete(written -> request.connection().close());
     }
 
     private static void answer(HttpServerRequest request, int status, byte[] json) {
         if (!request.response().ended()) {
-            request.response().setStatusCode(status).putHeader("Content-Type", "application/json")
+            request.response()
+                    .setStatusCode(status)
+                    .putHeader("Content-Type", "application/json")
                     .end(Buffer.buffer(json));
         }
     }
--- a/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
+++ b/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
@@ -14,8 +14,7 @@
 final class AnswerWriter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private AnswerWriter() {
-    }
+    private AnswerWriter() {}
 
     static byte[] body(Answer.Completed answer) {
         var out = new ByteArrayOutputStream(256);
@@ -39,6 +38,9 @@
 
     /** Seconds, as short as they can be said to the millisecond: 0.25, 1. */
     static String seconds(double ms) {
-        return BigDecimal.valueOf(ms / 1000).setScale(3, RoundingMode.HALF_UP).stripTrailingZeros().toPlainString();
+        return BigDecimal.valueOf(ms / 1000)
+                .setScale(3, RoundingMode.HALF_UP)
+                .stripTrailingZeros()
+                .toPlainString();
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -8,8 +8,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The one owner of when a client's connection ends: how many there may be, and which are closed for holding a place
- * without need. Whoever else wants one closed asks here; <em>how</em> it is closed is {@link LingeringClose}'s.
+ * The one owner of when a client's connection ends: how many there may be, and which are closed for
+ * holding a place without need. Whoever else wants one closed asks here; <em>how</em> it is closed
+ * is {@link LingeringClose}'s.
  *
  * <pre>
  *            head of a request            whole request          answer written
@@ -19,15 +20,22 @@
  *   SHUT &lt;----------------- written, or too old ---------- LAST                   SHUT --gone--&gt; forgotten
  * </pre>
  *
- * Nothing is shut by its age before the sockets were read once more ({@link #sweep}, then {@link #settle}): a request
- * that lies whole in the system's buffer has been taken, and its connection isn't idle. Pure: no sockets, no threads.
+ * Nothing is shut by its age before the sockets were read once more ({@link #sweep}, then {@link
+ * #settle}): a request that lies whole in the system's buffer has been taken, and its connection
+ * isn't idle. Pure: no sockets, no threads.
  */
 final class ClientConnections<C> {
-    /** Who hasn't sent a whole request after this time is closed, with time to spare to the 3 s of the protocol. */
+    /**
+     * Who hasn't sent a whole request after this time is closed, with time to spare to the 3 s of
+     * the protocol.
+     */
     static final double NEW_MS = 2500;
+
     /** A kept connection may be closed after 2 s; with room to spare there is no hurry. */
     static final double KEPT_MS = 20_000;
+
     static final double KEPT_CROWDED_MS = 2000;
+
     /** Who opens a connection to ask does so at once: some passes over the sockets, and the way. */
     private static final double ARRIVING_MS = 20;
 
@@ -45,12 +53,16 @@
 
     private static final class State {
         double since;
+
         /** What else it sends is not heard: its next answer is its last. */
         boolean unheard;
+
         /** That answer is on the way. */
         boolean last;
+
         /** To be shut unless the next pass over the sockets brings something of it. */
         boolean doomed;
+
         final Arrival arrival;
 
         State(Arrival arrival) {
@@ -63,11 +75,18 @@
     private final DoubleSupplier clock;
     private final Closer<C> closer;
     private final Map<C, State> all = new HashMap<>();
+
     /** Longest-standing first. */
     private final Set<C> fresh = new LinkedHashSet<>();
+
     private final Set<C> kept = new LinkedHashSet<>();
-    /** Shut and not gone, which takes the other side's close or a bounded time; the longest-standing first. */
+
+    /**
+     * Shut and not gone, which takes the other side's close or a bounded time; the longest-standing
+     * first.
+     */
     private final Set<C> shut = new LinkedHashSet<>();
+
     /** Those on which a request has begun to come in and isn't whole. */
     private final Set<C> begun = new LinkedHashSet<>();
 
@@ -78,9 +97,11 @@
     }
 
     /**
-     * Takes a connection in; true if there are too many now and {@link #trim} is due once they have been read.
+     * Takes a connection in; true if there are too many now and {@link #trim} is due once they have
+     * been read.
      *
-     * @param connectedSince since when it may have been connected: before it was accepted it waited in the backlog
+     * @param connectedSince since when it may have been connected: before it was accepted it waited
+     *     in the backlog
      */
     boolean opened(C connection, double connectedSince) {
         all.put(connection, new State(new Arrival(connectedSince, clock.getAsDouble())));
@@ -93,8 +114,9 @@
     }
 
     /**
-     * Closes what is beyond the most: what is shut already, whose other side had its time; the longest new ones, since
-     * who means to ask does so at once and they stand there to say nothing; then kept ones that may be closed by now.
+     * Closes what is beyond the most: what is shut already, whose other side had its time; the
+     * longest new ones, since who means to ask does so at once and they stand there to say nothing;
+     * then kept ones that may be closed by now.
      */
     void trim() {
         while (held() > most && !shut.isEmpty()) {
@@ -106,7 +128,9 @@
         for (int i = 0; i < beyond && !fresh.isEmpty(); i++) {
             shutUnlessHeard(fresh.iterator().next(), fresh);
         }
-        while (all.size() > most && !kept.isEmpty() && idleFor(kept.iterator().next()) >= KEPT_CROWDED_MS) {
+        while (all.size() > most
+                && !kept.isEmpty()
+                && idleFor(kept.iterator().next()) >= KEPT_CROWDED_MS) {
             shutUnlessHeard(kept.iterator().next(), kept);
         }
     }
@@ -159,7 +183,10 @@
         }
     }
 
-    /** More was sent than may wait: what else it sends is not heard, and its next answer is its last. */
+    /**
+     * More was sent than may wait: what else it sends is not heard, and its next answer is its
+     * last.
+     */
     void flooded(C connection) {
         State state = all.get(connection);
         if (state != null) {
@@ -193,17 +220,25 @@
         return state == null || state.unheard;
     }
 
-    /** Whether so many are held that clients are asked to close after an answer, which loses nothing. */
+    /**
+     * Whether so many are held that clients are asked to close after an answer, which loses
+     * nothing.
+     */
     boolean crowded() {
         return held() > most / 2;
     }
 
-    /** Looks for those that stand too long; true if {@link #settle} is due once the sockets have been read. */
+    /**
+     * Looks for those that stand too long; true if {@link #settle} is due once the sockets have
+     * been read.
+     */
     boolean sweep() {
         return doom(fresh, NEW_MS) | doom(kept, crowded() ? KEPT_CROWDED_MS : KEPT_MS);
     }
 
-    /** Looks for all that are kept; true if {@link #settle} is due once the sockets have been read. */
+    /**
+     * Looks for all that are kept; true if {@link #settle} is due once the sockets have been read.
+     */
     boolean sweepKept() {
         return doom(kept, 0);
     }
@@ -237,7 +272,10 @@
         return state != null && state.doomed;
     }
 
-    /** Ends it: neither answers that aren't read nor requests that wait behind hold up its end for long. */
+    /**
+     * Ends it: neither answers that aren't read nor requests that wait behind hold up its end for
+     * long.
+     */
     void shut(C connection) {
         if (forget(connection)) {
             shut.add(connection);
@@ -265,7 +303,10 @@
         return all.remove(connection) != null;
     }
 
-    /** Connections on which a request has begun to come in, or that are so new that one is most likely on its way. */
+    /**
+     * Connections on which a request has begun to come in, or that are so new that one is most
+     * likely on its way.
+     */
     int arriving() {
         int arriving = begun.size();
         for (C connection : fresh) {
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -34,12 +34,19 @@
     private static final Logger LOG = Logger.getLogger(ClientServer.class.getName());
     private static final int LONGEST_BODY = 64 * 1024;
     private static final String TOO_LONG = "a body holds at most 64 KiB";
-    /** How often connections are looked after; with it, who says nothing is closed well inside 3 s. */
+
+    /**
+     * How often connections are looked after; with it, who says nothing is closed well inside 3 s.
+     */
     private static final int SWEEP_MS = 250;
 
     /** How much is read at once: a request of the usual size several times over. */
     private static final int READ_BYTES = 4096;
-    /** What a connection brings into one pass over the sockets: others are read and decided upon between two parts of a flood. */
+
+    /**
+     * What a connection brings into one pass over the sockets: others are read and decided upon
+     * between two parts of a flood.
+     */
     private static final int READS_A_PASS = 2;
 
     private final HttpServer server;
@@ -50,8 +57,10 @@
     private final Map<Scan, HttpServerRequest> open = new IdentityHashMap<>();
     private final Vertx vertx;
     private final ClientConnections<HttpConnection> connections;
+
     /** Answers that aren't written out. */
     private int writing;
+
     private boolean draining;
     private boolean trimming;
     private boolean settling;
@@ -60,11 +69,18 @@
     private long leftUnread;
 
     /** {@code most} is how many connections clients may hold. */
-    public ClientServer(Vertx vertx, int segments, int most, ScanHandler handler, DoubleSupplier clock) {
+    public ClientServer(
+            Vertx vertx, int segments, int most, ScanHandler handler, DoubleSupplier clock) {
         this(vertx, segments, most, handler, clock, LingeringClose.LINGER_MS);
     }
 
-    ClientServer(Vertx vertx, int segments, int most, ScanHandler handler, DoubleSupplier clock, long lingerMs) {
+    ClientServer(
+            Vertx vertx,
+            int segments,
+            int most,
+            ScanHandler handler,
+            DoubleSupplier clock,
+            long lingerMs) {
         this.lingerMs = lingerMs;
         this.vertx = vertx;
         this.handler = handler;
@@ -72,8 +88,11 @@
         this.passes = new ReadingPasses(clock);
         this.reader = new ScanReader(segments);
         this.connections = new ClientConnections<>(most, clock, new ChannelCloser());
-        var options = new HttpServerOptions().setTcpNoDelay(true).setHandle100ContinueAutomatically(true)
-                .setHttp2ClearTextEnabled(false);
+        var options =
+                new HttpServerOptions()
+                        .setTcpNoDelay(true)
+                        .setHandle100ContinueAutomatically(true)
+                        .setHttp2ClearTextEnabled(false);
         this.server = vertx.createHttpServer(options);
         server.connectionHandler(connection -> opened(connection, options));
         server.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
@@ -94,7 +113,8 @@
 
         @Override
         public void shut(HttpConnection connection) {
-            // Not by way of the HTTP server: what isn't read and who waits behind must not hold up the close.
+            // Not by way of the HTTP server: what isn't read and who waits behind must not hold up
+            // the close.
             ChannelHandlerContext ending = ending(connection);
             ((LingeringClose) ending.handler()).close(ending, ending.newPromise());
         }
@@ -111,21 +131,36 @@
     }
 
     private void opened(HttpConnection connection, HttpServerOptions options) {
-        // A size of its own: one that adapts would shrink with each look at a socket that has nothing.
-        channel(connection).config().setRecvByteBufAllocator(new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_A_PASS));
+        // A size of its own: one that adapts would shrink with each look at a socket that has
+        // nothing.
+        channel(connection)
+                .config()
+                .setRecvByteBufAllocator(
+                        new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_A_PASS));
         connection.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
         connection.closeHandler(none -> connections.gone(connection));
-        var closing = new LingeringClose(lingerMs, () -> passes.reading(channel(connection).eventLoop()),
-                () -> flooded(connection), () -> connections.shutting(connection));
-        channel(connection).pipeline().addFirst(closing).replace("httpDecoder", "httpDecoder", new StrictDecoder(options));
-        double connectedSince = clock.getAsDouble() - AcceptingTransport.backlogSeenEmptyMsAgo(channel(connection));
+        var closing =
+                new LingeringClose(
+                        lingerMs,
+                        () -> passes.reading(channel(connection).eventLoop()),
+                        () -> flooded(connection),
+                        () -> connections.shutting(connection));
+        channel(connection)
+                .pipeline()
+                .addFirst(closing)
+                .replace("httpDecoder", "httpDecoder", new StrictDecoder(options));
+        double connectedSince =
+                clock.getAsDouble() - AcceptingTransport.backlogSeenEmptyMsAgo(channel(connection));
         if (connections.opened(connection, connectedSince) && !trimming) {
             trimming = true;
-            // A pass over the sockets later, so that what they have sent is read: a burst isn't a flood.
-            vertx.setTimer(1, timer -> {
-                trimming = false;
-                connections.trim();
-            });
+            // A pass over the sockets later, so that what they have sent is read: a burst isn't a
+            // flood.
+            vertx.setTimer(
+                    1,
+                    timer -> {
+                        trimming = false;
+                        connections.trim();
+                    });
         }
     }
 
@@ -144,14 +179,19 @@
         settleIf(connections.sweep());
     }
 
-    /** Has what a sweep found closed a pass over the sockets later, so that what they have sent is read. */
+    /**
+     * Has what a sweep found closed a pass over the sockets later, so that what they have sent is
+     * read.
+     */
     private void settleIf(boolean due) {
         if (due && !settling) {
             settling = true;
-            vertx.setTimer(1, timer -> {
-                settling = false;
-                connections.settle();
-            });
+            vertx.setTimer(
+                    1,
+                    timer -> {
+                        settling = false;
+                        connections.settle();
+                    });
         }
     }
 
@@ -165,49 +205,63 @@
         }
         List<String> encodings = request.headers().getAll(HttpHeaders.TRANSFER_ENCODING);
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-        if (!encodings.isEmpty() && (encodings.size() > 1 || !encodings.get(0).equalsIgnoreCase("chunked"))) {
+        if (!encodings.isEmpty()
+                && (encodings.size() > 1 || !encodings.get(0).equalsIgnoreCase("chunked"))) {
             // Where its body ends can't be told.
             last(request, 501, "the only Transfer-Encoding is chunked");
             return;
-        } else if (length != null && (length.length() > 9 || Integer.parseInt(length) > LONGEST_BODY)) {
+        } else if (length != null
+                && (length.length() > 9 || Integer.parseInt(length) > LONGEST_BODY)) {
             last(request, 413, TOO_LONG);
             return;
         }
-        double cameAt = handler.unreadSince(passes.beganAt(), connections.arrival(request.connection()));
+        double cameAt =
+                handler.unreadSince(passes.beganAt(), connections.arrival(request.connection()));
         var body = Buffer.buffer();
-        request.handler(bytes -> {
-            if (body.length() + bytes.length() > LONGEST_BODY) {
-                last(request, 413, TOO_LONG);
-            } else {
-                body.appendBuffer(bytes);
-            }
-        });
-        // Chunks that can't be read; the HTTP server closes the connection next. A client that left needs no answer.
-        request.exceptionHandler(failure -> {
-            if (!(failure instanceof HttpClosedException)) {
-                last(request, 400, "not a body that can be read");
-            }
-        });
-        request.endHandler(none -> {
-            if (request.response().ended()) {
-                return;
-            }
-            connections.busy(request.connection());
-            guarded(request, () -> route(request, body, cameAt));
-        });
+        request.handler(
+                bytes -> {
+                    if (body.length() + bytes.length() > LONGEST_BODY) {
+                        last(request, 413, TOO_LONG);
+                    } else {
+                        body.appendBuffer(bytes);
+                    }
+                });
+        // Chunks that can't be read; the HTTP server closes the connection next. A client that left
+        // needs no answer.
+        request.exceptionHandler(
+                failure -> {
+                    if (!(failure instanceof HttpClosedException)) {
+                        last(request, 400, "not a body that can be read");
+                    }
+                });
+        request.endHandler(
+                none -> {
+                    if (request.response().ended()) {
+                        return;
+                    }
+                    connections.busy(request.connection());
+                    guarded(request, () -> route(request, body, cameAt));
+                });
     }
 
-    /** A request that fails is answered as such, and ends its connection: its client must not wait for nobody. */
+    /**
+     * A request that fails is answered as such, and ends its connection: its client must not wait
+     * for nobody.
+     */
     private void guarded(HttpServerRequest request, Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "panic: a request failed and its connection is closed", e);
-            open.entrySet().stream().filter(entry -> entry.getValue() == request).map(Map.Entry::getKey).findAny()
-                    .ifPresent(scan -> {
-                        open.remove(scan);
-                        handler.left(scan);
-                    });
+            open.entrySet().stream()
+                    .filter(entry -> entry.getValue() == request)
+                    .map(Map.Entry::getKey)
+                    .findAny()
+                    .ifPresent(
+                            scan -> {
+                                open.remove(scan);
+                                handler.left(scan);
+                            });
             last(request, 500, "this request failed");
         }
     }
@@ -237,7 +291,12 @@
     private void take(HttpServerRequest request, String tableType, Buffer body, double cameAt) {
         Scan scan;
         try {
-            scan = reader.read(tableType, request.headers(), body.getBytes(), clock.getAsDouble() - cameAt);
+            scan =
+                    reader.read(
+                            tableType,
+                            request.headers(),
+                            body.getBytes(),
+                            clock.getAsDouble() - cameAt);
         } catch (ScanReader.MalformedException e) {
             reject(request, 400, e.getMessage(), null);
             return;
@@ -258,8 +317,9 @@
     }
 
     /**
-     * Whether the client of a scan that has no answer still waits, by all that has reached its connection up to this moment: what lies
-     * unread there is read first. One that has closed is reported as left right now, before its connection's end is told by the loop.
+     * Whether the client of a scan that has no answer still waits, by all that has reached its
+     * connection up to this moment: what lies unread there is read first. One that has closed is
+     * reported as left right now, before its connection's end is told by the loop.
      */
     public boolean waits(Scan scan) {
         HttpServerRequest request = open.get(scan);
@@ -274,7 +334,9 @@
         return false;
     }
 
-    /** How many clients were found to have left right before an attempt for them would have begun. */
+    /**
+     * How many clients were found to have left right before an attempt for them would have begun.
+     */
     public long leftUnread() {
         return leftUnread;
     }
@@ -303,8 +365,12 @@
     private void unreadable(HttpServerRequest request) {
         if (connections.begun(request.connection())) {
             Throwable why = request.decoderResult().cause();
-            last(request, why instanceof TooLongHttpLineException ? 414 : why instanceof TooLongHttpHeaderException
-                    ? 431 : 400, "not a request that can be read");
+            last(
+                    request,
+                    why instanceof TooLongHttpLineException
+                            ? 414
+                            : why instanceof TooLongHttpHeaderException ? 431 : 400,
+                    "not a request that can be read");
         }
     }
 
@@ -323,7 +389,11 @@
     }
 
     private void end(HttpServerRequest request, int status, Buffer body) {
-        end(request, status, body, draining || connections.crowded() || connections.isUnheard(request.connection()));
+        end(
+                request,
+                status,
+                body,
+                draining || connections.crowded() || connections.isUnheard(request.connection()));
     }
 
     private void end(HttpServerRequest request, int status, Buffer body, boolean close) {
@@ -337,14 +407,17 @@
             connections.last(connection);
         }
         writing++;
-        response.setStatusCode(status).end(body).onComplete(done -> {
-            writing--;
-            if (close) {
-                connections.shut(connection);
-            } else {
-                connections.answered(connection);
-            }
-        });
+        response.setStatusCode(status)
+                .end(body)
+                .onComplete(
+                        done -> {
+                            writing--;
+                            if (close) {
+                                connections.shut(connection);
+                            } else {
+                                connections.answered(connection);
+                            }
+                        });
     }
 
     /** From now on answers ask clients to go elsewhere. */
--- a/gatherer/src/main/java/sprucehold/clients/DryClient.java
+++ b/gatherer/src/main/java/sprucehold/clients/DryClient.java
@@ -11,9 +11,13 @@
 import sprucehold.picker.Answer;
 import sprucehold.picker.Scan;
 
-/** What the way of a client's scan through this package runs, without a socket: for a warm-up where none are granted. */
+/**
+ * What the way of a client's scan through this package runs, without a socket: for a warm-up where
+ * none are granted.
+ */
 public final class DryClient {
-    private final EmbeddedChannel decoder = new EmbeddedChannel(new StrictDecoder(new HttpServerOptions()));
+    private final EmbeddedChannel decoder =
+            new EmbeddedChannel(new StrictDecoder(new HttpServerOptions()));
     private final ScanReader reader;
 
     /** {@code segments} is how many segments there are. */
@@ -26,13 +30,18 @@
         decoder.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.UTF_8));
         HttpRequest head = decoder.readInbound();
         ByteBuf body = Unpooled.buffer();
-        for (HttpContent content = decoder.readInbound(); content != null; content = decoder.readInbound()) {
+        for (HttpContent content = decoder.readInbound();
+                content != null;
+                content = decoder.readInbound()) {
             body.writeBytes(content.content());
             content.release();
         }
         try {
-            return reader.read(head.uri().substring(1), (MultiMap) head.headers(),
-                    body.toString(StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8), 0);
+            return reader.read(
+                    head.uri().substring(1),
+                    (MultiMap) head.headers(),
+                    body.toString(StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8),
+                    0);
         } catch (ScanReader.MalformedException e) {
             throw new IllegalStateException(e);
         }
--- a/gatherer/src/main/java/sprucehold/clients/ReadingPasses.java
+++ b/gatherer/src/main/java/sprucehold/clients/ReadingPasses.java
@@ -4,8 +4,9 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * When the event loop's passes over the sockets begin. All that is read in one pass lay in the system's buffers when the pass
- * began, so a request that is read last in a long pass has waited since then.
+ * When the event loop's passes over the sockets begin. All that is read in one pass lay in the
+ * system's buffers when the pass began, so a request that is read last in a long pass has waited
+ * since then.
  */
 final class ReadingPasses {
     private final DoubleSupplier clock;
--- a/gatherer/src/main/java/sprucehold/clients/ScanHandler.java
+++ b/gatherer/src/main/java/sprucehold/clients/ScanHandler.java
@@ -13,13 +13,17 @@
     boolean isOpen(Scan scan);
 
     /**
-     * Since when what is read on a connection in a pass over the sockets that begins now may have lain unread: a time at or before
-     * {@code nowMs}. It is earlier where the event loop comes straight from other work, in which it did not look at its sockets, and
-     * where the connection waited to be accepted and is read for the first time.
+     * Since when what is read on a connection in a pass over the sockets that begins now may have
+     * lain unread: a time at or before {@code nowMs}. It is earlier where the event loop comes
+     * straight from other work, in which it did not look at its sockets, and where the connection
+     * waited to be accepted and is read for the first time.
      */
     double unreadSince(double nowMs, Arrival arrival);
 
-    /** Takes a scan; its answer comes through {@link ClientServer#answer}, perhaps before this returns. */
+    /**
+     * Takes a scan; its answer comes through {@link ClientServer#answer}, perhaps before this
+     * returns.
+     */
     void take(Scan scan);
 
     /** The client of a scan has gone. */
--- a/gatherer/src/main/java/sprucehold/clients/ScanReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/ScanReader.java
@@ -21,14 +21,20 @@
 /** Reads a client's scan from its headers and body. */
 final class ScanReader {
     /** Nothing is guessed: what two readers might take differently is no request. */
-    private static final ObjectMapper MAPPER = JsonMapper.builder()
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+    private static final ObjectMapper MAPPER =
+            JsonMapper.builder()
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                    .build();
 
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
     private static final List<String> ONCE =
             List.of("X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", IDEMPOTENCY_KEY);
-    /** What fits as a value into the list of a frame's line, where commas and spaces separate: 1 to 128 characters. */
+
+    /**
+     * What fits as a value into the list of a frame's line, where commas and spaces separate: 1 to
+     * 128 characters.
+     */
     private static final Pattern LIST_VALUE = Pattern.compile("[!-+\\--~]{1,128}");
 
     private final int segments;
@@ -46,8 +52,11 @@
         this.segments = segments;
     }
 
-    /** {@code spentMs} is how much of the client's time went by since the request began to come in. */
-    Scan read(String tableType, MultiMap headers, byte[] body, double spentMs) throws MalformedException {
+    /**
+     * {@code spentMs} is how much of the client's time went by since the request began to come in.
+     */
+    Scan read(String tableType, MultiMap headers, byte[] body, double spentMs)
+            throws MalformedException {
         for (String name : ONCE) {
             if (headers.getAll(name).size() > 1) {
                 throw new MalformedException(name + " must stand once");
@@ -66,11 +75,17 @@
         }
         Optional<String> key = Optional.ofNullable(headers.get(IDEMPOTENCY_KEY));
         if (key.isPresent() && !LIST_VALUE.matcher(key.get()).matches()) {
-            throw new MalformedException(IDEMPOTENCY_KEY + " must be 1 to 128 visible characters without commas");
+            throw new MalformedException(
+                    IDEMPOTENCY_KEY + " must be 1 to 128 visible characters without commas");
         }
         JsonNode node;
         try {
-            node = MAPPER.readTree(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString());
+            node =
+                    MAPPER.readTree(
+                            StandardCharsets.UTF_8
+                                    .newDecoder()
+                                    .decode(ByteBuffer.wrap(body))
+                                    .toString());
         } catch (JsonProcessingException | CharacterCodingException e) {
             throw new MalformedException("the body is not JSON");
         }
@@ -94,13 +109,19 @@
         for (JsonNode bucket : buckets) {
             int segment = bucket.path("bucket").isInt() ? bucket.get("bucket").intValue() : -1;
             if (segment < 0 || segment >= segments || !seen.add(segment)) {
-                throw new MalformedException("each bucket must be one of " + segments + " and stand once");
+                throw new MalformedException(
+                        "each bucket must be one of " + segments + " and stand once");
             }
             // Shares that were rounded on the way still make a whole.
             parts.add(new Scan.Part(segment, bucket.get("part").doubleValue() / whole));
         }
-        return new Scan(id, tableType, headers.get("X-Tenant"),
-                Math.max(0, Double.parseDouble(deadline) - spentMs), key, parts,
+        return new Scan(
+                id,
+                tableType,
+                headers.get("X-Tenant"),
+                Math.max(0, Double.parseDouble(deadline) - spentMs),
+                key,
+                parts,
                 node.get("body").textValue().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/gatherer/src/main/java/sprucehold/cluster/ClusterConfig.java
+++ b/gatherer/src/main/java/sprucehold/cluster/ClusterConfig.java
@@ -12,18 +12,27 @@
 import sprucehold.settings.SettingsFile;
 
 /**
- * What an operator says of the gatherers that talk, from a JSON file of the form {@code deploy/together.schema.json}; the same
- * at all of them.
+ * What an operator says of the gatherers that talk, from a JSON file of the form {@code
+ * deploy/together.schema.json}; the same at all of them.
  *
  * @param members all gatherers by name, this one included
  * @param shared which bounds are shared
- * @param further dispatches beyond each part's first that all together may make within {@code furtherWindowMs}
+ * @param further dispatches beyond each part's first that all together may make within {@code
+ *     furtherWindowMs}
  * @param driftPpm how far any clock's rate may be off, in parts of a million
  * @param clocksOffMs how far any two wall clocks may be apart, in milliseconds
- * @param lettersPerS so many letters leave a gatherer in a second at the most; {@code bytesPerS} likewise
+ * @param lettersPerS so many letters leave a gatherer in a second at the most; {@code bytesPerS}
+ *     likewise
  */
-public record ClusterConfig(Map<String, Member> members, Set<Bound.Kind> shared, int further, double furtherWindowMs,
-        double driftPpm, double clocksOffMs, double lettersPerS, double bytesPerS) {
+public record ClusterConfig(
+        Map<String, Member> members,
+        Set<Bound.Kind> shared,
+        int further,
+        double furtherWindowMs,
+        double driftPpm,
+        double clocksOffMs,
+        double lettersPerS,
+        double bytesPerS) {
     private static final String SCHEMA = "together.schema.json";
 
     /**
@@ -32,21 +41,36 @@
      * @param at where the others reach it
      * @param listen where it listens itself, the same where nothing stands between
      */
-    public record Member(String site, PeerMessagingSettings.Address at, PeerMessagingSettings.Address listen) {
-    }
+    public record Member(
+            String site, PeerMessagingSettings.Address at, PeerMessagingSettings.Address listen) {}
 
-    /** @throws IOException with all that is wrong with the file, in one line */
+    /**
+     * @throws IOException with all that is wrong with the file, in one line
+     */
     public static ClusterConfig read(Path file) throws IOException {
         JsonNode node = SettingsFile.read(file, SCHEMA);
         var members = new LinkedHashMap<String, Member>();
         int at = 0;
         for (JsonNode member : node.get("members")) {
             String name = member.get("name").asText();
-            PeerMessagingSettings.Address address = address(file, "members[" + at + "].address", member.get("address").asText());
-            PeerMessagingSettings.Address listen = member.has("listen")
-                    ? address(file, "members[" + at + "].listen", member.get("listen").asText()) : address;
-            if (members.put(name, new Member(member.path("site").asText(""), address, listen)) != null) {
-                throw new IOException(file + ", members[" + at + "].name: " + name + " stands twice; each name once was expected");
+            PeerMessagingSettings.Address address =
+                    address(file, "members[" + at + "].address", member.get("address").asText());
+            PeerMessagingSettings.Address listen =
+                    member.has("listen")
+                            ? address(
+                                    file,
+                                    "members[" + at + "].listen",
+                                    member.get("listen").asText())
+                            : address;
+            if (members.put(name, new Member(member.path("site").asText(""), address, listen))
+                    != null) {
+                throw new IOException(
+                        file
+                                + ", members["
+                                + at
+                                + "].name: "
+                                + name
+                                + " stands twice; each name once was expected");
             }
             at++;
         }
@@ -62,16 +86,24 @@
         if (!further.isMissingNode()) {
             shared.add(Bound.Kind.FURTHER);
         }
-        return new ClusterConfig(members, shared, further.path("dispatches").asInt(0), further.path("windowMs").asDouble(1000),
-                node.path("driftPpm").asDouble(500), node.path("clocksOffMs").asDouble(5000),
-                node.path("lettersPerS").asDouble(100), node.path("bytesPerS").asDouble(262_144));
+        return new ClusterConfig(
+                members,
+                shared,
+                further.path("dispatches").asInt(0),
+                further.path("windowMs").asDouble(1000),
+                node.path("driftPpm").asDouble(500),
+                node.path("clocksOffMs").asDouble(5000),
+                node.path("lettersPerS").asDouble(100),
+                node.path("bytesPerS").asDouble(262_144));
     }
 
-    private static PeerMessagingSettings.Address address(Path file, String path, String text) throws IOException {
+    private static PeerMessagingSettings.Address address(Path file, String path, String text)
+            throws IOException {
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1));
         if (port < 1 || port > 65_535) {
-            throw new IOException(file + ", " + path + ": port " + port + "; 1 to 65535 was expected");
+            throw new IOException(
+                    file + ", " + path + ": port " + port + "; 1 to 65535 was expected");
         }
         return new PeerMessagingSettings.Address(text.substring(0, colon), port);
     }
--- a/gatherer/src/main/java/sprucehold/cluster/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/cluster/ClusterMember.java
@@ -34,18 +34,28 @@
 import sprucehold.together.talk.Talk;
 import sprucehold.together.talk.TalkTerms;
 
-/** One gatherer among others: what happens at its node goes into what they know together, and what comes of that into the node. */
+/**
+ * One gatherer among others: what happens at its node goes into what they know together, and what
+ * comes of that into the node.
+ */
 public final class ClusterMember implements Neighbour {
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
-    /** A rate heard from another counts half after so long: about what a flood takes to come or go. */
+
+    /**
+     * A rate heard from another counts half after so long: about what a flood takes to come or go.
+     */
     private static final double COUNT_HALF_MS = 5000;
+
     /**
-     * How long after it was decided a dispatch may still be written. Each use counts longer by as much, so no more than a busy
-     * event loop and a usual dial within an installation take; what waits longer than that goes elsewhere.
+     * How long after it was decided a dispatch may still be written. Each use counts longer by as
+     * much, so no more than a busy event loop and a usual dial within an installation take; what
+     * waits longer than that goes elsewhere.
      */
     private static final double PATIENCE_MS = 100;
+
     /** Room that has only grown is told this often, rather than with every call. */
     private static final double TELL_MS = 50;
+
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Vertx vertx;
@@ -54,41 +64,76 @@
     private final Rooms rooms;
     private final PeerMessaging messaging;
     private final String self;
+
     /** What the decisions believe, less what they have taken since. */
     private final Map<Bound, Integer> believed = new HashMap<>();
+
     private Others last = Others.NONE;
     private double toldAt = Double.NEGATIVE_INFINITY;
     private long timer = -1;
     private boolean superseded;
     private boolean cutOff;
 
-    /** @throws IllegalArgumentException in one line if the plan doesn't name this gatherer */
+    /**
+     * @throws IllegalArgumentException in one line if the plan doesn't name this gatherer
+     */
     public ClusterMember(Vertx vertx, NodeConfig config, Clock clock, ClusterConfig plan) {
         this.vertx = vertx;
         this.clock = clock;
         this.self = config.name();
         ClusterConfig.Member own = plan.members().get(self);
         if (own == null) {
-            throw new IllegalArgumentException("members: none is called " + self + ", as this gatherer is");
+            throw new IllegalArgumentException(
+                    "members: none is called " + self + ", as this gatherer is");
         }
         var sites = new TreeMap<String, String>();
         var addresses = new TreeMap<String, PeerMessagingSettings.Address>();
-        plan.members().forEach((name, member) -> {
-            sites.put(name, member.site());
-            if (!name.equals(self)) {
-                addresses.put(name, member.at());
-            }
-        });
+        plan.members()
+                .forEach(
+                        (name, member) -> {
+                            sites.put(name, member.site());
+                            if (!name.equals(self)) {
+                                addresses.put(name, member.at());
+                            }
+                        });
         double counted = clock.countedMs();
         double wall = clock.wallMs();
-        this.talk = new Talk(new TalkTerms(Map.of(), plan.lettersPerS(), COUNT_HALF_MS), self, own.site(), (long) wall, sites,
-                config.seed(), counted, wall);
-        this.rooms = new Rooms(config.facts().deployment(), new RoomTerms(self, List.copyOf(plan.members().keySet()), plan.shared(),
-                plan.further(), plan.furtherWindowMs(), Math.min(PATIENCE_MS, config.facts().connections().dialTimeoutMs()),
-                plan.driftPpm() / 1e6, plan.clocksOffMs()), talk, counted, wall);
-        this.messaging = new PeerMessaging(vertx,
-                new PeerMessagingSettings(self, own.listen().host(), own.listen().port(), addresses, plan.bytesPerS()),
-                clock::countedMs, this::read);
+        this.talk =
+                new Talk(
+                        new TalkTerms(Map.of(), plan.lettersPerS(), COUNT_HALF_MS),
+                        self,
+                        own.site(),
+                        (long) wall,
+                        sites,
+                        config.seed(),
+                        counted,
+                        wall);
+        this.rooms =
+                new Rooms(
+                        config.facts().deployment(),
+                        new RoomTerms(
+                                self,
+                                List.copyOf(plan.members().keySet()),
+                                plan.shared(),
+                                plan.further(),
+                                plan.furtherWindowMs(),
+                                Math.min(PATIENCE_MS, config.facts().connections().dialTimeoutMs()),
+                                plan.driftPpm() / 1e6,
+                                plan.clocksOffMs()),
+                        talk,
+                        counted,
+                        wall);
+        this.messaging =
+                new PeerMessaging(
+                        vertx,
+                        new PeerMessagingSettings(
+                                self,
+                                own.listen().host(),
+                                own.listen().port(),
+                                addresses,
+                                plan.bytesPerS()),
+                        clock::countedMs,
+                        this::read);
     }
 
     @Override
@@ -98,11 +143,14 @@
 
     @Override
     public Future<Void> start() {
-        return messaging.open().map(port -> {
-            LOG.info("talking with other gatherers at port " + port);
-            timer = vertx.setPeriodic((long) talk.tickMs(), id -> tick());
-            return null;
-        });
+        return messaging
+                .open()
+                .map(
+                        port -> {
+                            LOG.info("talking with other gatherers at port " + port);
+                            timer = vertx.setPeriodic((long) talk.tickMs(), id -> tick());
+                            return null;
+                        });
     }
 
     @Override
@@ -118,21 +166,32 @@
         rooms.tick(counted, wall);
         send(talk.tick(counted, wall));
         for (News news : talk.changes()) {
-            LOG.info("gatherer " + news.name() + switch (news.state()) {
-                case ALIVE -> " is there";
-                case SUSPECT -> " has not answered and is suspected";
-                case DEAD -> " is held to be gone";
-                case LEFT -> " has left";
-            });
+            LOG.info(
+                    "gatherer "
+                            + news.name()
+                            + switch (news.state()) {
+                                case ALIVE -> " is there";
+                                case SUSPECT -> " has not answered and is suspected";
+                                case DEAD -> " is held to be gone";
+                                case LEFT -> " has left";
+                            });
         }
         if (talk.superseded() != superseded) {
             superseded = talk.superseded();
-            LOG.warning(superseded ? "another process is called " + self + " and has started later: this one shares nothing until"
-                    + " that is gone" : "no other process is called " + self + " any more");
+            LOG.warning(
+                    superseded
+                            ? "another process is called "
+                                    + self
+                                    + " and has started later: this one shares nothing until"
+                                    + " that is gone"
+                            : "no other process is called " + self + " any more");
         }
         if (talk.cutOff() != cutOff) {
             cutOff = talk.cutOff();
-            LOG.warning(cutOff ? "no other gatherer answers: this one does what it may do alone" : "other gatherers answer again");
+            LOG.warning(
+                    cutOff
+                            ? "no other gatherer answers: this one does what it may do alone"
+                            : "other gatherers answer again");
         }
     }
 
@@ -148,7 +207,10 @@
 
     @Override
     public void taken(double nowMs, Scan scan) {
-        rooms.taken(clock.countedMs(), scan.customer(), scan.parts().stream().map(Scan.Part::segment).toList());
+        rooms.taken(
+                clock.countedMs(),
+                scan.customer(),
+                scan.parts().stream().map(Scan.Part::segment).toList());
     }
 
     @Override
@@ -156,22 +218,35 @@
         double counted = clock.countedMs();
         double wall = clock.wallMs();
         if (report instanceof Report.ListCame list) {
-            rooms.listed(counted, wall, list.complete(), list.servers().stream().map(ClusterMember::listing).toList());
+            rooms.listed(
+                    counted,
+                    wall,
+                    list.complete(),
+                    list.servers().stream().map(ClusterMember::listing).toList());
         } else if (report instanceof Report.DispatchEnded ended) {
             boolean calledOff = ended.outcome() instanceof Outcome.Cancelled;
             // What was given up before its time tells nothing of the server.
             if (!calledOff || ended.dispatch().outMs(nowMs) >= ended.dispatch().patienceMs()) {
-                rooms.ended(counted, wall, ended.dispatch().server().name(), ended.outcome() instanceof Outcome.Completed);
+                rooms.ended(
+                        counted,
+                        wall,
+                        ended.dispatch().server().name(),
+                        ended.outcome() instanceof Outcome.Completed);
             }
         }
     }
 
     private static Listing listing(ServerNews news) {
-        return new Listing(news.name(), news.cell(), news.zone(), news.startedAtMs(), switch (news.state()) {
-            case RUNNING -> Listing.Mode.RUNNING;
-            case DRAINING -> Listing.Mode.DRAINING;
-            case GONE -> Listing.Mode.GONE;
-        });
+        return new Listing(
+                news.name(),
+                news.cell(),
+                news.zone(),
+                news.startedAtMs(),
+                switch (news.state()) {
+                    case RUNNING -> Listing.Mode.RUNNING;
+                    case DRAINING -> Listing.Mode.DRAINING;
+                    case GONE -> Listing.Mode.GONE;
+                });
     }
 
     @Override
@@ -182,10 +257,14 @@
     @Override
     public Others told(double nowMs) {
         Others now = rooms.others(clock.countedMs(), clock.wallMs());
-        boolean less = !now.room().keySet().equals(believed.keySet())
-                || now.room().entrySet().stream().anyMatch(one -> one.getValue() < believed.get(one.getKey()));
-        boolean other = !now.trouble().equals(last.trouble()) || now.gatherers() != last.gatherers()
-                || !now.room().equals(believed);
+        boolean less =
+                !now.room().keySet().equals(believed.keySet())
+                        || now.room().entrySet().stream()
+                                .anyMatch(one -> one.getValue() < believed.get(one.getKey()));
+        boolean other =
+                !now.trouble().equals(last.trouble())
+                        || now.gatherers() != last.gatherers()
+                        || !now.room().equals(believed);
         if (!less && (!other || nowMs - toldAt < TELL_MS)) {
             return null;
         }
@@ -208,21 +287,45 @@
     @Override
     public JsonNode status() {
         Talk.Status status = talk.status(clock.countedMs(), clock.wallMs());
-        ObjectNode node = MAPPER.createObjectNode().put("name", self).put("there", talk.there() + 1)
-                .put("superseded", status.superseded()).put("cutOff", status.cutOff()).put("health", status.health());
+        ObjectNode node =
+                MAPPER.createObjectNode()
+                        .put("name", self)
+                        .put("there", talk.there() + 1)
+                        .put("superseded", status.superseded())
+                        .put("cutOff", status.cutOff())
+                        .put("health", status.health());
         ArrayNode members = node.putArray("members");
         for (News news : status.members()) {
-            members.addObject().put("name", news.name()).put("site", news.site()).put("state", news.state().name().toLowerCase())
-                    .put("life", news.life()).put("incarnation", news.incarnation());
+            members.addObject()
+                    .put("name", news.name())
+                    .put("site", news.site())
+                    .put("state", news.state().name().toLowerCase())
+                    .put("life", news.life())
+                    .put("incarnation", news.incarnation());
         }
         ArrayNode bounds = node.putArray("bounds");
-        status.bounds().forEach((bound, held) -> bounds.addObject().put("bound", bound).put("home", held.home())
-                .put("lent", held.lent()).put("borrowed", held.borrowed()).put("used", held.used()).put("free", held.free()));
+        status.bounds()
+                .forEach(
+                        (bound, held) ->
+                                bounds.addObject()
+                                        .put("bound", bound)
+                                        .put("home", held.home())
+                                        .put("lent", held.lent())
+                                        .put("borrowed", held.borrowed())
+                                        .put("used", held.used())
+                                        .put("free", held.free()));
         ArrayNode trouble = node.putArray("trouble");
-        last.trouble().forEach((server, share) -> trouble.addObject().put("server", server).put("trouble", share));
+        last.trouble()
+                .forEach(
+                        (server, share) ->
+                                trouble.addObject().put("server", server).put("trouble", share));
         PeerMessaging.Tally tally = messaging.tally();
-        node.putObject("letters").put("sent", tally.sent()).put("received", tally.received())
-                .put("unsent", tally.unsent() + status.dropped()).put("foreign", tally.foreign()).put("unread", tally.unread());
+        node.putObject("letters")
+                .put("sent", tally.sent())
+                .put("received", tally.received())
+                .put("unsent", tally.unsent() + status.dropped())
+                .put("foreign", tally.foreign())
+                .put("unread", tally.unread());
         return node;
     }
 }
--- a/gatherer/src/main/java/sprucehold/command/Recording.java
+++ b/gatherer/src/main/java/sprucehold/command/Recording.java
@@ -27,8 +27,16 @@
     /** Starts modules whose every call is recorded. */
     Gatherer.Factory of(Gatherer.Factory factory) {
         return (seed, facts) -> {
-            recorder = new Recorder(plan, new Source(gatherer, new Main.Version().getVersion()[0], seed, 0, facts,
-                    ClockFit.REFERENCE));
+            recorder =
+                    new Recorder(
+                            plan,
+                            new Source(
+                                    gatherer,
+                                    new Main.Version().getVersion()[0],
+                                    seed,
+                                    0,
+                                    facts,
+                                    ClockFit.REFERENCE));
             return new RecordingGatherer(factory.start(seed, facts), recorder);
         };
     }
--- a/gatherer/src/main/java/sprucehold/command/Talking.java
+++ b/gatherer/src/main/java/sprucehold/command/Talking.java
@@ -8,8 +8,7 @@
 
 /** Talk among gatherers; loaded only where an operator has switched it on. */
 final class Talking {
-    private Talking() {
-    }
+    private Talking() {}
 
     static Neighbour.Factory read(Path file) throws IOException {
         ClusterConfig plan = ClusterConfig.read(file);
--- a/gatherer/src/main/java/sprucehold/command/package-info.java
+++ b/gatherer/src/main/java/sprucehold/command/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The commands of a gatherer, in its lean jar; the entry point is {@link sprucehold.command.Main}. Only wiring.
+ * The commands of a gatherer, in its lean jar; the entry point is {@link sprucehold.command.Main}.
+ * Only wiring.
  */
 package sprucehold.command;
--- a/gatherer/src/main/java/sprucehold/discovery/ListNews.java
+++ b/gatherer/src/main/java/sprucehold/discovery/ListNews.java
@@ -39,15 +39,20 @@
     }
 
     public static ListNews decode(JsonNode node, int cells) throws MalformedException {
-        if (!node.path("index").canConvertToLong() || !node.path("index").isIntegralNumber()
-                || !node.path("snapshot").isBoolean() || !node.path("endpoints").isArray()) {
+        if (!node.path("index").canConvertToLong()
+                || !node.path("index").isIntegralNumber()
+                || !node.path("snapshot").isBoolean()
+                || !node.path("endpoints").isArray()) {
             throw new MalformedException("a list needs index, snapshot and endpoints");
         }
         var servers = new ArrayList<ServerNews>();
         for (JsonNode endpoint : node.get("endpoints")) {
             servers.add(server(endpoint, cells));
         }
-        return new ListNews(node.get("index").longValue(), node.get("snapshot").booleanValue(), List.copyOf(servers));
+        return new ListNews(
+                node.get("index").longValue(),
+                node.get("snapshot").booleanValue(),
+                List.copyOf(servers));
     }
 
     private static ServerNews server(JsonNode endpoint, int cells) throws MalformedException {
@@ -57,26 +62,36 @@
         }
         int cell = endpoint.path("group").asInt(-1);
         String address = endpoint.path("address").asText();
-        ServerNews.State state = switch (endpoint.path("status").asText()) {
-            case "active" -> ServerNews.State.RUNNING;
-            case "leaving" -> ServerNews.State.DRAINING;
-            case "left" -> ServerNews.State.GONE;
-            default -> null;
-        };
+        ServerNews.State state =
+                switch (endpoint.path("status").asText()) {
+                    case "active" -> ServerNews.State.RUNNING;
+                    case "leaving" -> ServerNews.State.DRAINING;
+                    case "left" -> ServerNews.State.GONE;
+                    default -> null;
+                };
         boolean placed = cell >= 0 && cell < cells && isAddress(address);
         if (state == null || state != ServerNews.State.GONE && !placed) {
             // One odd entry mustn't hide the others, and where it isn't understood nothing is sent.
-            LOG.warning("the list tells of shard server " + name + " what can't be used; it gets nothing");
+            LOG.warning(
+                    "the list tells of shard server "
+                            + name
+                            + " what can't be used; it gets nothing");
             state = ServerNews.State.GONE;
         }
-        return new ServerNews(name, address, placed ? cell : 0, endpoint.path("zone").asText(),
-                endpoint.path("since_ms").doubleValue(), state);
+        return new ServerNews(
+                name,
+                address,
+                placed ? cell : 0,
+                endpoint.path("zone").asText(),
+                endpoint.path("since_ms").doubleValue(),
+                state);
     }
 
     /** Names are never looked up, so a host is its number. */
     private static boolean isAddress(String address) {
         int colon = address.lastIndexOf(':');
-        return colon > 0 && NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon)) != null
+        return colon > 0
+                && NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon)) != null
                 && address.substring(colon + 1).matches("[0-9]{1,5}")
                 && Integer.parseInt(address.substring(colon + 1)) <= 65_535;
     }
--- a/gatherer/src/main/java/sprucehold/discovery/Watch.java
+++ b/gatherer/src/main/java/sprucehold/discovery/Watch.java
@@ -20,8 +20,9 @@
 import sprucehold.picker.Report;
 
 /**
- * Follows the list of shard servers over HTTP, as {@link WatchPlan} says. A call that fails is reported and not repeated until
- * {@link #ask} or, should nobody ask, until the longest wait between calls is over.
+ * Follows the list of shard servers over HTTP, as {@link WatchPlan} says. A call that fails is
+ * reported and not repeated until {@link #ask} or, should nobody ask, until the longest wait
+ * between calls is over.
  */
 public final class Watch {
     private static final Logger LOG = Logger.getLogger(Watch.class.getName());
@@ -37,17 +38,27 @@
     private boolean stopped;
     private long timer = -1;
     private double timerAt = Double.POSITIVE_INFINITY;
+
     /** Calls under way by their numbers; null while its connection isn't up. */
     private final Map<Long, HttpClientRequest> calls = new HashMap<>();
+
     /** Over once the first call is. */
     private final Promise<Void> first = Promise.promise();
 
     /**
      * @param cells how many cells there are
-     * @param asked whether the list comes only when asked for, so that each call costs the list service
+     * @param asked whether the list comes only when asked for, so that each call costs the list
+     *     service
      * @param askWithinMs the longest wait between calls, in milliseconds
      */
-    public Watch(Vertx vertx, String host, int port, int cells, boolean asked, double askWithinMs, DoubleSupplier clock,
+    public Watch(
+            Vertx vertx,
+            String host,
+            int port,
+            int cells,
+            boolean asked,
+            double askWithinMs,
+            DoubleSupplier clock,
             Consumer<Report> reports) {
         this.vertx = vertx;
         this.cells = cells;
@@ -60,17 +71,27 @@
     private void address(String newHost, int newPort) {
         host = newHost;
         port = newPort;
-        // One connection for the call that waits, one for a call without an answer beside it, and one that is being closed.
-        client = vertx.httpClientBuilder().with(new HttpClientOptions().setConnectTimeout(WatchPlan.WAY_MS))
-                .with(new PoolOptions().setHttp1MaxSize(3))
-                .withConnectHandler(connection -> connection.exceptionHandler(
-                        failure -> LOG.log(Level.FINE, "connection to discovery", failure)))
-                .build();
+        // One connection for the call that waits, one for a call without an answer beside it, and
+        // one that is being closed.
+        client =
+                vertx.httpClientBuilder()
+                        .with(new HttpClientOptions().setConnectTimeout(WatchPlan.WAY_MS))
+                        .with(new PoolOptions().setHttp1MaxSize(3))
+                        .withConnectHandler(
+                                connection ->
+                                        connection.exceptionHandler(
+                                                failure ->
+                                                        LOG.log(
+                                                                Level.FINE,
+                                                                "connection to discovery",
+                                                                failure)))
+                        .build();
     }
 
     /**
-     * Follows the list at another address from now on. The whole list is asked for there at once: what the old
-     * address had still to tell is in it, and versions of the two need not go together.
+     * Follows the list at another address from now on. The whole list is asked for there at once:
+     * what the old address had still to tell is in it, and versions of the two need not go
+     * together.
      */
     public void move(String newHost, int newPort) {
         if (stopped || host.equals(newHost) && port == newPort) {
@@ -84,8 +105,9 @@
     }
 
     /**
-     * Begins with the whole list, which is answered at once: a version that is known from before may be another discovery's.
-     * Returns when that call is over or its answer overdue, whether or not it brought a list.
+     * Begins with the whole list, which is answered at once: a version that is known from before
+     * may be another discovery's. Returns when that call is over or its answer overdue, whether or
+     * not it brought a list.
      */
     public Future<Void> start() {
         ask();
@@ -128,30 +150,54 @@
         vertx.cancelTimer(timer);
         timerAt = at;
         if (at < Double.POSITIVE_INFINITY) {
-            timer = vertx.setTimer(Math.max(1, (long) Math.ceil(at - clock.getAsDouble())), fired -> {
-                timerAt = Double.POSITIVE_INFINITY;
-                carryOut(plan.woken(clock.getAsDouble()));
-            });
+            timer =
+                    vertx.setTimer(
+                            Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
+                            fired -> {
+                                timerAt = Double.POSITIVE_INFINITY;
+                                carryOut(plan.woken(clock.getAsDouble()));
+                            });
         }
     }
 
     private void call(WatchPlan.Call call) {
         calls.put(call.number(), null);
-        String uri = call.after() < 0 ? "/discovery/hosts"
-                : "/discovery/hosts?after=" + call.after() + "&wait_ms=" + call.waitMs();
-        client.request(new RequestOptions().setMethod(HttpMethod.GET).setHost(host).setPort(port).setURI(uri)
-                        .setIdleTimeout(call.giveUpMs()))
-                .compose(request -> {
-                    if (!calls.containsKey(call.number())) {
-                        request.reset();
-                        return Future.failedFuture("dropped");
-                    }
-                    calls.put(call.number(), request);
-                    return request.send().compose(response -> response.statusCode() == 200 ? response.body()
-                            : Future.failedFuture("status " + response.statusCode()));
-                })
-                .onComplete(called -> ended(call, called.succeeded() ? called.result() : null,
-                        called.succeeded() ? null : String.valueOf(called.cause().getMessage())));
+        String uri =
+                call.after() < 0
+                        ? "/discovery/hosts"
+                        : "/discovery/hosts?after=" + call.after() + "&wait_ms=" + call.waitMs();
+        client.request(
+                        new RequestOptions()
+                                .setMethod(HttpMethod.GET)
+                                .setHost(host)
+                                .setPort(port)
+                                .setURI(uri)
+                                .setIdleTimeout(call.giveUpMs()))
+                .compose(
+                        request -> {
+                            if (!calls.containsKey(call.number())) {
+                                request.reset();
+                                return Future.failedFuture("dropped");
+                            }
+                            calls.put(call.number(), request);
+                            return request.send()
+                                    .compose(
+                                            response ->
+                                                    response.statusCode() == 200
+                                                            ? response.body()
+                                                            : Future.failedFuture(
+                                                                    "status "
+                                                                            + response
+                                                                                    .statusCode()));
+                        })
+                .onComplete(
+                        called ->
+                                ended(
+                                        call,
+                                        called.succeeded() ? called.result() : null,
+                                        called.succeeded()
+                                                ? null
+                                                : String.valueOf(called.cause().getMessage())));
     }
 
     private void ended(WatchPlan.Call call, Buffer body, String failure) {
@@ -170,7 +216,10 @@
             }
         }
         double now = clock.getAsDouble();
-        carryOut(why == null ? plan.answered(now, call.number(), news) : plan.failed(now, call.number(), why));
+        carryOut(
+                why == null
+                        ? plan.answered(now, call.number(), news)
+                        : plan.failed(now, call.number(), why));
         first.tryComplete();
     }
 
--- a/gatherer/src/main/java/sprucehold/drill/Drill.java
+++ b/gatherer/src/main/java/sprucehold/drill/Drill.java
@@ -22,13 +22,20 @@
 import sprucehold.port.Gatherer;
 import sprucehold.port.Listing;
 
-/** Runs many gatherers on the bench's wire: a line in holds a batch of events, a line out the actions. */
+/**
+ * Runs many gatherers on the bench's wire: a line in holds a batch of events, a line out the
+ * actions.
+ */
 public final class Drill {
     private final Gatherer.Factory factory;
     private final ObjectMapper mapper = new ObjectMapper();
-    private final ObjectReader reader = mapper.reader()
-            .with(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+    private final ObjectReader reader =
+            mapper.reader()
+                    .with(
+                            com.fasterxml.jackson.databind.DeserializationFeature
+                                    .FAIL_ON_TRAILING_TOKENS);
     private final Map<Integer, Seat> seats = new HashMap<>();
+
     /** The numbered lists last received; they serve all instances. */
     private final Map<Integer, List<Listing>> tables = new HashMap<>();
 
@@ -99,7 +106,10 @@
                 List<Action> actions;
                 String panic = null;
                 try {
-                    actions = entry.getValue().gatherer.decide(now, List.copyOf(entry.getValue().events));
+                    actions =
+                            entry.getValue()
+                                    .gatherer
+                                    .decide(now, List.copyOf(entry.getValue().events));
                 } catch (RuntimeException | StackOverflowError e) {
                     actions = List.of();
                     panic = describe(e);
@@ -118,14 +128,23 @@
         switch (name) {
             case "PowerOn" -> {
                 var wire = new WireReader(fields.path("params"));
-                seats.put(who, new Seat(factory.start(fields.path("rngSeed").longValue(), wire.deployment()), wire));
+                seats.put(
+                        who,
+                        new Seat(
+                                factory.start(
+                                        fields.path("rngSeed").longValue(), wire.deployment()),
+                                wire));
             }
             case "CrashNow" -> seats.remove(who);
-            case "Table" -> tables.put(fields.path("slot").intValue(), WireReader.listings(fields.path("hosts")));
+            case "Table" ->
+                    tables.put(
+                            fields.path("slot").intValue(),
+                            WireReader.listings(fields.path("hosts")));
             default -> {
                 Seat seat = seats.get(who);
                 if (seat == null) {
-                    throw new MalformedBatchException(name + " for instance " + who + ", which isn't running");
+                    throw new MalformedBatchException(
+                            name + " for instance " + who + ", which isn't running");
                 }
                 Event event = seat.wire.event(name, fields, tables);
                 if (event != null) {
--- a/gatherer/src/main/java/sprucehold/drill/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/drill/WireReader.java
@@ -15,7 +15,9 @@
 import sprucehold.port.LoadReport;
 import sprucehold.port.TableType;
 
-/** Reads one instance's facts and events. Unknown fields are skipped, absent ones are zero or empty. */
+/**
+ * Reads one instance's facts and events. Unknown fields are skipped, absent ones are zero or empty.
+ */
 final class WireReader {
     private final Facts facts;
     private final Map<String, TableType> tableTypes = new HashMap<>();
@@ -28,7 +30,9 @@
             throw new MalformedBatchException(e.getMessage());
         }
         facts.deployment().tableTypes().forEach(type -> tableTypes.put(type.name(), type));
-        facts.deployment().customers().forEach(customer -> customers.put(customer.name(), customer));
+        facts.deployment()
+                .customers()
+                .forEach(customer -> customers.put(customer.name(), customer));
     }
 
     Deployment deployment() {
@@ -36,15 +40,25 @@
     }
 
     /** Returns null for events that mean nothing to a gatherer of this kind. */
-    Event event(String name, JsonNode fields, Map<Integer, List<Listing>> tables) throws MalformedBatchException {
+    Event event(String name, JsonNode fields, Map<Integer, List<Listing>> tables)
+            throws MalformedBatchException {
         return switch (name) {
             case "Order" -> order(fields);
-            case "Outcome" -> new Event.DispatchEnded(fields.path("id").asText(), fields.path("sendNo").intValue(),
-                    ending(fields), fields.path("elapsedMs").doubleValue(), load(fields));
+            case "Outcome" ->
+                    new Event.DispatchEnded(
+                            fields.path("id").asText(),
+                            fields.path("sendNo").intValue(),
+                            ending(fields),
+                            fields.path("elapsedMs").doubleValue(),
+                            load(fields));
             case "Aborted" -> new Event.ClientLeft(fields.path("id").asText());
             case "Registry" -> list(fields, tables);
-            case "CheckResult" -> new Event.ProbeEnded(fields.path("server").asText(), ending(fields),
-                    fields.path("elapsedMs").doubleValue(), load(fields));
+            case "CheckResult" ->
+                    new Event.ProbeEnded(
+                            fields.path("server").asText(),
+                            ending(fields),
+                            fields.path("elapsedMs").doubleValue(),
+                            load(fields));
             case "Bell" -> new Event.Woken();
             case "Flowing", "Peer" -> null;
             default -> throw new MalformedBatchException("unknown message " + name);
@@ -62,11 +76,16 @@
         if (type == null) {
             throw new MalformedBatchException("unknown kind " + fields.path("kind"));
         }
-        return new Event.ScanTaken(id, number, type, customers.get(fields.path("realm").asText()),
+        return new Event.ScanTaken(
+                id,
+                number,
+                type,
+                customers.get(fields.path("realm").asText()),
                 fields.path("timeBudgetMs").doubleValue());
     }
 
-    private static Event list(JsonNode fields, Map<Integer, List<Listing>> tables) throws MalformedBatchException {
+    private static Event list(JsonNode fields, Map<Integer, List<Listing>> tables)
+            throws MalformedBatchException {
         String kind = fields.path("kind").asText();
         if (kind.equals("unavailable")) {
             return new Event.ListUnavailable();
@@ -81,14 +100,22 @@
     static List<Listing> listings(JsonNode hosts) throws MalformedBatchException {
         var listings = new ArrayList<Listing>();
         for (JsonNode host : hosts) {
-            Listing.Mode mode = switch (host.path("mode").asText()) {
-                case "Running" -> Listing.Mode.RUNNING;
-                case "Stopping" -> Listing.Mode.DRAINING;
-                case "Deleted" -> Listing.Mode.GONE;
-                default -> throw new MalformedBatchException("unknown mode " + host.path("mode"));
-            };
-            listings.add(new Listing(host.path("server").asText(), host.path("place").intValue(),
-                    host.path("site").asText(), host.path("bornMs").doubleValue(), mode));
+            Listing.Mode mode =
+                    switch (host.path("mode").asText()) {
+                        case "Running" -> Listing.Mode.RUNNING;
+                        case "Stopping" -> Listing.Mode.DRAINING;
+                        case "Deleted" -> Listing.Mode.GONE;
+                        default ->
+                                throw new MalformedBatchException(
+                                        "unknown mode " + host.path("mode"));
+                    };
+            listings.add(
+                    new Listing(
+                            host.path("server").asText(),
+                            host.path("place").intValue(),
+                            host.path("site").asText(),
+                            host.path("bornMs").doubleValue(),
+                            mode));
         }
         return List.copyOf(listings);
     }
--- a/gatherer/src/main/java/sprucehold/drill/WireWriter.java
+++ b/gatherer/src/main/java/sprucehold/drill/WireWriter.java
@@ -7,11 +7,11 @@
 
 /** Writes one instance's actions. */
 final class WireWriter {
-    private WireWriter() {
-    }
+    private WireWriter() {}
 
     /** {@code panic} is the text of a failure of the decisions, or null. */
-    static void write(JsonGenerator json, int who, List<Action> actions, String panic) throws IOException {
+    static void write(JsonGenerator json, int who, List<Action> actions, String panic)
+            throws IOException {
         json.writeStartObject();
         json.writeNumberField("who", who);
         json.writeArrayFieldStart("outbox");
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
@@ -27,17 +27,28 @@
 /** Takes letters to other gatherers and hands on those that come. On one event loop. */
 public final class PeerMessaging {
     private static final Logger LOG = Logger.getLogger(PeerMessaging.class.getName());
+
     /**
-     * So many datagrams are read in a second, some ten times what a hundred gatherers in trouble send one; the rest is dropped
-     * unread. Guards against a flood that would keep the event loop from clients.
+     * So many datagrams are read in a second, some ten times what a hundred gatherers in trouble
+     * send one; the rest is dropped unread. Guards against a flood that would keep the event loop
+     * from clients.
      */
     private static final double READ_PER_S = 5000;
-    /** Connections that bring long letters, at once; a second that finds no place asks again in two. */
+
+    /**
+     * Connections that bring long letters, at once; a second that finds no place asks again in two.
+     */
     private static final int MOST_STREAMS = 8;
+
     /** A long letter is through in a moment; who takes longer has gone, or means no letter. */
     private static final int STREAM_S = 2;
+
     private static final int DIAL_MS = 500;
-    /** What isn't a letter, or is of a version that can't be read, is told once of each sender, and of no more than so many. */
+
+    /**
+     * What isn't a letter, or is of a version that can't be read, is told once of each sender, and
+     * of no more than so many.
+     */
     private static final int MOST_TOLD = 256;
 
     /** What came and went. */
@@ -93,25 +104,37 @@
      * @param clock counts milliseconds
      * @param reader takes who wrote a letter, and the letter
      */
-    public PeerMessaging(Vertx vertx, PeerMessagingSettings terms, DoubleSupplier clock, BiConsumer<String, Letter> reader) {
+    public PeerMessaging(
+            Vertx vertx,
+            PeerMessagingSettings terms,
+            DoubleSupplier clock,
+            BiConsumer<String, Letter> reader) {
         this.vertx = vertx;
         this.terms = terms;
         this.codec = new Codec(terms.self());
         this.clock = clock;
         this.reader = reader;
         this.writes = new Allowance(terms.bytesPerS());
-        this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(DIAL_MS).setIdleTimeout(STREAM_S));
+        this.client =
+                vertx.createNetClient(
+                        new NetClientOptions().setConnectTimeout(DIAL_MS).setIdleTimeout(STREAM_S));
     }
 
     /** Opens it; fails in one line if the address can't be had. Returns the port. */
     public Future<Integer> open() {
         datagrams = vertx.createDatagramSocket();
         datagrams.exceptionHandler(failure -> LOG.log(Level.FINE, "peer messaging", failure));
-        server = vertx.createNetServer(new NetServerOptions().setIdleTimeout(STREAM_S)).connectHandler(this::accepted);
-        return datagrams.handler(this::came).listen(terms.port(), terms.host()).compose(open -> {
-            int port = open.localAddress().port();
-            return server.listen(port, terms.host()).map(listening -> port);
-        });
+        server =
+                vertx.createNetServer(new NetServerOptions().setIdleTimeout(STREAM_S))
+                        .connectHandler(this::accepted);
+        return datagrams
+                .handler(this::came)
+                .listen(terms.port(), terms.host())
+                .compose(
+                        open -> {
+                            int port = open.localAddress().port();
+                            return server.listen(port, terms.host()).map(listening -> port);
+                        });
     }
 
     public Future<Void> close() {
@@ -130,20 +153,35 @@
     /** Sends a letter; it may get lost like any datagram, and nobody is told. */
     public void send(String to, Letter letter) {
         PeerMessagingSettings.Address at = terms.others().get(to);
-        byte[] bytes = at == null ? null : codec.write(to, letter, codec.common(versions.getOrDefault(to, codec.lowest())));
+        byte[] bytes =
+                at == null
+                        ? null
+                        : codec.write(
+                                to,
+                                letter,
+                                codec.common(versions.getOrDefault(to, codec.lowest())));
         if (bytes == null || !writes.take(clock.getAsDouble(), bytes.length)) {
             tally.unsent++;
             return;
         }
         tally.sent++;
         if (bytes.length <= Codec.MOST_BYTES) {
-            datagrams.send(Buffer.buffer(bytes), at.port(), at.host()).onFailure(failure -> LOG.log(Level.FINE, "peer messaging", failure));
+            datagrams
+                    .send(Buffer.buffer(bytes), at.port(), at.host())
+                    .onFailure(failure -> LOG.log(Level.FINE, "peer messaging", failure));
         } else {
-            client.connect(SocketAddress.inetSocketAddress(at.port(), at.host())).onComplete(socket -> {
-                socket.exceptionHandler(failure -> LOG.log(Level.FINE, "peer messaging", failure));
-                socket.write(Buffer.buffer(4 + bytes.length).appendInt(bytes.length).appendBytes(bytes))
-                        .onComplete(written -> socket.close());
-            }, failure -> tally.unsent++);
+            client.connect(SocketAddress.inetSocketAddress(at.port(), at.host()))
+                    .onComplete(
+                            socket -> {
+                                socket.exceptionHandler(
+                                        failure -> LOG.log(Level.FINE, "peer messaging", failure));
+                                socket.write(
+                                                Buffer.buffer(4 + bytes.length)
+                                                        .appendInt(bytes.length)
+                                                        .appendBytes(bytes))
+                                        .onComplete(written -> socket.close());
+                            },
+                            failure -> tally.unsent++);
         }
     }
 
@@ -155,8 +193,13 @@
             return;
         }
         SocketAddress sender = packet.sender();
-        read(packet.data().getBytes(), sender.toString(), refusal ->
-                datagrams.send(refusal, sender.port(), sender.host()).onFailure(none -> { }));
+        read(
+                packet.data().getBytes(),
+                sender.toString(),
+                refusal ->
+                        datagrams
+                                .send(refusal, sender.port(), sender.host())
+                                .onFailure(none -> {}));
     }
 
     private void accepted(NetSocket socket) {
@@ -170,22 +213,29 @@
         long late = vertx.setTimer(1000L * STREAM_S, none -> socket.close());
         var bytes = Buffer.buffer();
         socket.exceptionHandler(failure -> LOG.log(Level.FINE, "peer messaging", failure));
-        socket.closeHandler(none -> {
-            vertx.cancelTimer(late);
-            streams.remove(socket);
-        });
-        socket.handler(more -> {
-            bytes.appendBuffer(more);
-            int length = bytes.length() < 4 ? 0 : bytes.getInt(0);
-            if (length < 0 || length > Codec.MOST_LONG_BYTES || bytes.length() > 4 + Codec.MOST_LONG_BYTES) {
-                tally.foreign++;
-                socket.close();
-            } else if (bytes.length() >= 4 && bytes.length() >= 4 + length) {
-                socket.handler(null);
-                read(bytes.getBytes(4, 4 + length), socket.remoteAddress().toString(), refusal -> { });
-                socket.close();
-            }
-        });
+        socket.closeHandler(
+                none -> {
+                    vertx.cancelTimer(late);
+                    streams.remove(socket);
+                });
+        socket.handler(
+                more -> {
+                    bytes.appendBuffer(more);
+                    int length = bytes.length() < 4 ? 0 : bytes.getInt(0);
+                    if (length < 0
+                            || length > Codec.MOST_LONG_BYTES
+                            || bytes.length() > 4 + Codec.MOST_LONG_BYTES) {
+                        tally.foreign++;
+                        socket.close();
+                    } else if (bytes.length() >= 4 && bytes.length() >= 4 + length) {
+                        socket.handler(null);
+                        read(
+                                bytes.getBytes(4, 4 + length),
+                                socket.remoteAddress().toString(),
+                                refusal -> {});
+                        socket.close();
+                    }
+                });
     }
 
     private void read(byte[] bytes, String sender, Consumer<Buffer> answer) {
@@ -196,20 +246,35 @@
             try {
                 reader.accept(letter.from(), letter.letter());
             } catch (RuntimeException e) {
-                LOG.log(Level.SEVERE, "panic: a letter of " + letter.from() + " could not be taken", e);
+                LOG.log(
+                        Level.SEVERE,
+                        "panic: a letter of " + letter.from() + " could not be taken",
+                        e);
             }
             return;
         }
         tally.foreign++;
         if (received instanceof Received.Unknown unknown) {
             if (first(sender)) {
-                LOG.warning("letters of version " + unknown.version() + " from " + sender + " can't be read, " + codec.lowest()
-                        + " to " + codec.highest() + " can; nothing is shared with whoever sends them");
+                LOG.warning(
+                        "letters of version "
+                                + unknown.version()
+                                + " from "
+                                + sender
+                                + " can't be read, "
+                                + codec.lowest()
+                                + " to "
+                                + codec.highest()
+                                + " can; nothing is shared with whoever sends them");
                 answer.accept(Buffer.buffer(codec.refusal(unknown.version())));
             }
         } else if (received instanceof Received.Refused refused) {
             if (first("refused by " + sender)) {
-                LOG.warning("a gatherer at " + sender + " can't read the letters of this one: " + refused.why());
+                LOG.warning(
+                        "a gatherer at "
+                                + sender
+                                + " can't read the letters of this one: "
+                                + refused.why());
             }
         } else if (LOG.isLoggable(Level.FINE)) {
             LOG.fine("not a letter from a known gatherer, from " + sender + ": " + received);
--- a/gatherer/src/main/java/sprucehold/node/Changes.java
+++ b/gatherer/src/main/java/sprucehold/node/Changes.java
@@ -21,19 +21,21 @@
 import sprucehold.change.watch.Slot;
 import sprucehold.picker.Answer;
 import sprucehold.picker.Scan;
-import sprucehold.port.Action;
 import sprucehold.port.Deployment;
 import sprucehold.port.Event;
 import sprucehold.port.Gatherer;
 import sprucehold.port.Listing;
 
 /**
- * Changes of one gatherer's facts: carries what happens to the line of versions, and what that wants to the gatherer. All
- * of it belongs to the event loop.
+ * Changes of one gatherer's facts: carries what happens to the line of versions, and what that
+ * wants to the gatherer. All of it belongs to the event loop.
  */
 final class Changes {
     private static final Logger LOG = Logger.getLogger(Changes.class.getName());
-    /** Service is counted in stretches of a quarter of a second: a harm shows within a few of them. */
+
+    /**
+     * Service is counted in stretches of a quarter of a second: a harm shows within a few of them.
+     */
     static final long SLOT_MS = 250;
 
     private final Deployment first;
@@ -48,6 +50,7 @@
     private final Apply apply;
     private ServiceWatch watch;
     private long watched;
+
     /** News for the module that go along with the facts that come next. */
     private List<Listing> news = List.of();
 
@@ -59,20 +62,25 @@
     /** Writes an entry down before its step is taken. */
     interface Journal {
         /** Where no folder lasts. */
-        Journal NONE = entry -> { };
+        Journal NONE = entry -> {};
 
         void write(JournalEntry entry);
     }
 
-    private record Taken(double atMs, Document.Type type, String customer) {
-    }
+    private record Taken(double atMs, Document.Type type, String customer) {}
 
     /**
      * @param start the document that the start brought
      * @param watchMs how long service has to hold before a version is confirmed
      * @param leastScans and how many scans have to be seen
      */
-    Changes(Document start, Deployment first, Journal journal, double watchMs, long leastScans, Apply apply) {
+    Changes(
+            Document start,
+            Deployment first,
+            Journal journal,
+            double watchMs,
+            long leastScans,
+            Apply apply) {
         this.first = first;
         this.line = new VersionLine(start);
         this.journal = journal;
@@ -90,8 +98,11 @@
     }
 
     private List<Event> joined(List<Event> events) {
-        if (events.stream().noneMatch(event -> event instanceof Event.ListReceived
-                || event instanceof Event.FactsChanged)) {
+        if (events.stream()
+                .noneMatch(
+                        event ->
+                                event instanceof Event.ListReceived
+                                        || event instanceof Event.FactsChanged)) {
             return events;
         }
         var joined = new ArrayList<Event>(events.size() + 1);
@@ -113,8 +124,10 @@
         }
     }
 
-    List<LineAction> propose(double nowMs, String id, String by, long madeFrom, Document document, int held) {
-        return carryOut(nowMs, line.on(new LineEvent.Proposed(id, by, madeFrom, document, running(held))));
+    List<LineAction> propose(
+            double nowMs, String id, String by, long madeFrom, Document document, int held) {
+        return carryOut(
+                nowMs, line.on(new LineEvent.Proposed(id, by, madeFrom, document, running(held))));
     }
 
     void confirm(double nowMs, long version, String by) {
@@ -137,16 +150,29 @@
     }
 
     void taken(double nowMs, Scan scan) {
-        line.live().document().type(scan.tableType()).ifPresent(type ->
-                open.put(scan, new Taken(nowMs, type, line.live().document().customer(scan.customer())
-                        .map(customer -> customer.name()).orElse(null))));
+        line.live()
+                .document()
+                .type(scan.tableType())
+                .ifPresent(
+                        type ->
+                                open.put(
+                                        scan,
+                                        new Taken(
+                                                nowMs,
+                                                type,
+                                                line.live()
+                                                        .document()
+                                                        .customer(scan.customer())
+                                                        .map(customer -> customer.name())
+                                                        .orElse(null))));
     }
 
     void answered(double nowMs, Scan scan, Answer answer) {
         Taken taken = open.remove(scan);
         if (taken != null) {
-            boolean inTime = answer instanceof Answer.Completed
-                    && nowMs - taken.atMs <= taken.type.facts().targetMs();
+            boolean inTime =
+                    answer instanceof Answer.Completed
+                            && nowMs - taken.atMs <= taken.type.facts().targetMs();
             slot.add(taken.type.name(), taken.customer, taken.type.facts().benefit(), inTime);
         }
     }
@@ -190,8 +216,20 @@
             } else if (action instanceof LineAction.StopWatch) {
                 watch = null;
             } else if (action instanceof LineAction.Tell tell) {
-                LOG.log(Level.INFO, tell.line(), new Object[] {Map.of("version", line.live().number(), "watched",
-                        line.watched(), "confirmed", line.confirmed().number(), "by", line.live().by())});
+                LOG.log(
+                        Level.INFO,
+                        tell.line(),
+                        new Object[] {
+                            Map.of(
+                                    "version",
+                                    line.live().number(),
+                                    "watched",
+                                    line.watched(),
+                                    "confirmed",
+                                    line.confirmed().number(),
+                                    "by",
+                                    line.live().by())
+                        });
             }
         }
         return actions;
@@ -200,13 +238,16 @@
     private Running running(int held) {
         Map<String, Integer> byType = new HashMap<>();
         Map<String, Integer> byCustomer = new HashMap<>();
-        open.values().forEach(taken -> {
-            byType.merge(taken.type.name(), 1, Integer::sum);
-            if (taken.customer != null) {
-                byCustomer.merge(taken.customer, 1, Integer::sum);
-            }
-        });
-        // A segment's holders are those of some cells in a row, so one segment for each cell tells of all.
+        open.values()
+                .forEach(
+                        taken -> {
+                            byType.merge(taken.type.name(), 1, Integer::sum);
+                            if (taken.customer != null) {
+                                byCustomer.merge(taken.customer, 1, Integer::sum);
+                            }
+                        });
+        // A segment's holders are those of some cells in a row, so one segment for each cell tells
+        // of all.
         Map<Integer, Set<String>> byCell = words.byCell();
         Map<Integer, Set<String>> holders = new HashMap<>();
         for (int cell = 0; cell < first.layout().cells(); cell++) {
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -26,8 +26,9 @@
 import sprucehold.port.Gatherer;
 
 /**
- * Changes of the facts of a gatherer that serves: the line of versions, its journal on disk, and the admin server through which
- * operators propose, confirm and undo. All of it belongs to the event loop.
+ * Changes of the facts of a gatherer that serves: the line of versions, its journal on disk, and
+ * the admin server through which operators propose, confirm and undo. All of it belongs to the
+ * event loop.
  */
 final class ConfigurationAdmin {
     private static final Logger LOG = Logger.getLogger(ConfigurationAdmin.class.getName());
@@ -46,14 +47,26 @@
      * @param journal where versions are written down; null where no folder lasts
      * @param apply puts facts in force between two moments of the decisions
      */
-    ConfigurationAdmin(Vertx vertx, NodeConfig config, AdminConfig plan, JournalFile journal, Clock clock, Changes.Apply apply) {
+    ConfigurationAdmin(
+            Vertx vertx,
+            NodeConfig config,
+            AdminConfig plan,
+            JournalFile journal,
+            Clock clock,
+            Changes.Apply apply) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.plan = plan;
         this.journal = journal;
         this.clock = clock;
-        this.changes = new Changes(document(config), config.facts().deployment(),
-                journal == null ? Changes.Journal.NONE : this::write, plan.watchMs(), plan.leastScans(), apply);
+        this.changes =
+                new Changes(
+                        document(config),
+                        config.facts().deployment(),
+                        journal == null ? Changes.Journal.NONE : this::write,
+                        plan.watchMs(),
+                        plan.leastScans(),
+                        apply);
     }
 
     /**
@@ -74,18 +87,31 @@
         var deployment = config.facts().deployment();
         var types = new ArrayList<Document.Type>();
         for (int i = 0; i < deployment.tableTypes().size(); i++) {
-            types.add(new Document.Type(deployment.tableTypes().get(i), config.facts().timeoutsMs().get(i)));
+            types.add(
+                    new Document.Type(
+                            deployment.tableTypes().get(i), config.facts().timeoutsMs().get(i)));
         }
-        return new Document(types, deployment.customers(), deployment.limits(), deployment.dispatchBudget(),
-                deployment.coldRule(), new TreeSet<>(), "", "", "INFO");
+        return new Document(
+                types,
+                deployment.customers(),
+                deployment.limits(),
+                deployment.dispatchBudget(),
+                deployment.coldRule(),
+                new TreeSet<>(),
+                "",
+                "",
+                "INFO");
     }
 
     private void write(JournalEntry entry) {
         try {
-            // The only wait on the event loop: a change is rare, and must be on the disk before it is in force.
+            // The only wait on the event loop: a change is rare, and must be on the disk before it
+            // is in force.
             journal.write(entry);
         } catch (IOException e) {
-            LOG.warning("the journal of versions can't be written, and a restart will not know of this: " + e);
+            LOG.warning(
+                    "the journal of versions can't be written, and a restart will not know of this: "
+                            + e);
         }
     }
 
@@ -119,30 +145,43 @@
     Future<Integer> open(Map<String, Supplier<JsonNode>> views, IntSupplier held) {
         changes.started(clock.now(), journal == null ? List.of() : journal.entries());
         slots = vertx.setPeriodic(Changes.SLOT_MS, id -> changes.slotEnds(clock.now()));
-        server = new AdminServer(vertx, plan.token(), views, new ChangeDesk() {
-            @Override
-            public VersionLine line() {
-                return changes.line();
-            }
-
-            @Override
-            public List<LineAction> propose(String id, String by, long madeFrom, Document document) {
-                List<LineAction> answer = changes.propose(clock.now(), id, by, madeFrom, document, held.getAsInt());
-                // It is called between two moments of the decisions.
-                context.runOnContext(none -> changes.moment(clock.now()));
-                return answer;
-            }
-
-            @Override
-            public void confirm(long version, String by) {
-                changes.confirm(clock.now(), version, by);
-            }
-
-            @Override
-            public void undo(long version, String by) {
-                changes.undo(clock.now(), version, by);
-            }
-        });
+        server =
+                new AdminServer(
+                        vertx,
+                        plan.token(),
+                        views,
+                        new ChangeDesk() {
+                            @Override
+                            public VersionLine line() {
+                                return changes.line();
+                            }
+
+                            @Override
+                            public List<LineAction> propose(
+                                    String id, String by, long madeFrom, Document document) {
+                                List<LineAction> answer =
+                                        changes.propose(
+                                                clock.now(),
+                                                id,
+                                                by,
+                                                madeFrom,
+                                                document,
+                                                held.getAsInt());
+                                // It is called between two moments of the decisions.
+                                context.runOnContext(none -> changes.moment(clock.now()));
+                                return answer;
+                            }
+
+                            @Override
+                            public void confirm(long version, String by) {
+                                changes.confirm(clock.now(), version, by);
+                            }
+
+                            @Override
+                            public void undo(long version, String by) {
+                                changes.undo(clock.now(), version, by);
+                            }
+                        });
         return server.listen(plan.host(), plan.port()).onSuccess(listening -> port = listening);
     }
 
@@ -161,15 +200,17 @@
         if (server == null) {
             return Future.succeededFuture();
         }
-        return server.close().eventually(() -> {
-            try {
-                if (journal != null) {
-                    journal.close();
-                }
-            } catch (IOException e) {
-                LOG.log(Level.FINE, "the journal of versions", e);
-            }
-            return Future.succeededFuture();
-        });
+        return server.close()
+                .eventually(
+                        () -> {
+                            try {
+                                if (journal != null) {
+                                    journal.close();
+                                }
+                            } catch (IOException e) {
+                                LOG.log(Level.FINE, "the journal of versions", e);
+                            }
+                            return Future.succeededFuture();
+                        });
     }
 }
