--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -6,14 +6,16 @@
 import sprucehold.picker.Orders;
 
 /**
- * Calls of the decisions that wait for their turn, made in turns of bounded length. Between two turns the event loop reads its
- * sockets: a client that leaves while a hundred queries are decided upon is seen before the next attempt for it begins, and
- * what shard servers answer isn't taken for late because it lies unread. Pure: no sockets, no threads, told the time.
+ * Calls of the decisions that wait for their turn, made in turns of bounded length. Between two
+ * turns the event loop reads its sockets: a client that leaves while a hundred queries are decided
+ * upon is seen before the next attempt for it begins, and what shard servers answer isn't taken for
+ * late because it lies unread. Pure: no sockets, no threads, told the time.
  */
 final class DecisionQueue {
     /**
-     * How long a turn lasts, in milliseconds, before the sockets are read again; the call under way is finished. A twentieth of
-     * the 100 ms within which an attempt for a client that left may still begin, and several usual calls of 0.1 to 1 ms.
+     * How long a turn lasts, in milliseconds, before the sockets are read again; the call under way
+     * is finished. A twentieth of the 100 ms within which an attempt for a client that left may
+     * still begin, and several usual calls of 0.1 to 1 ms.
      */
     static final double LONGEST_TURN_MS = 5;
 
--- a/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
@@ -3,7 +3,10 @@
 import io.vertx.core.Vertx;
 import java.util.function.DoubleSupplier;
 
-/** The one timer of the decisions: it fires at the time at which they want to be asked again, or soon after. */
+/**
+ * The one timer of the decisions: it fires at the time at which they want to be asked again, or
+ * soon after.
+ */
 final class DecisionTimer {
     private final Vertx vertx;
     private final DoubleSupplier clock;
@@ -11,7 +14,9 @@
     private long timer = -1;
     private double at = Double.POSITIVE_INFINITY;
 
-    /** @param due is called on the event loop each time it fires */
+    /**
+     * @param due is called on the event loop each time it fires
+     */
     DecisionTimer(Vertx vertx, DoubleSupplier clock, Runnable due) {
         this.vertx = vertx;
         this.clock = clock;
@@ -31,10 +36,13 @@
         vertx.cancelTimer(timer);
         at = wanted;
         if (at < Double.POSITIVE_INFINITY) {
-            timer = vertx.setTimer(Math.max(1, (long) Math.ceil(at - clock.getAsDouble())), fired -> {
-                at = Double.POSITIVE_INFINITY;
-                due.run();
-            });
+            timer =
+                    vertx.setTimer(
+                            Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
+                            fired -> {
+                                at = Double.POSITIVE_INFINITY;
+                                due.run();
+                            });
         }
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/Drain.java
+++ b/gatherer/src/main/java/sprucehold/node/Drain.java
@@ -1,8 +1,9 @@
 package sprucehold.node;
 
 /**
- * How a gatherer that is told to end goes on, as a state machine: it serves as before, then sends away whom it answers, then
- * turns away whoever still comes, and is over once nothing is owed to anybody. Pure: told the time and what is owed.
+ * How a gatherer that is told to end goes on, as a state machine: it serves as before, then sends
+ * away whom it answers, then turns away whoever still comes, and is over once nothing is owed to
+ * anybody. Pure: told the time and what is owed.
  */
 final class Drain {
     /** What is done in each phase, and so in every later one. */
@@ -22,14 +23,21 @@
      *
      * @param scans that have no final answer
      * @param answers that aren't written out
-     * @param arriving connections on which a request has begun to come in, or that have only just been opened
+     * @param arriving connections on which a request has begun to come in, or that have only just
+     *     been opened
      */
-    record Owed(int scans, int answers, int arriving) {
-    }
+    record Owed(int scans, int answers, int arriving) {}
 
-    /** How often it is looked whether something is owed: less than a scan's share of time is lost by it. */
+    /**
+     * How often it is looked whether something is owed: less than a scan's share of time is lost by
+     * it.
+     */
     private static final long LOOK_MS = 10;
-    /** How long a request that comes in slowly is waited for at the end; a sound one is whole within a few ms. */
+
+    /**
+     * How long a request that comes in slowly is waited for at the end; a sound one is whole within
+     * a few ms.
+     */
     private static final long ARRIVING_MS = 100;
 
     private final DrainSchedule schedule;
@@ -54,12 +62,17 @@
     /** When to ask for the phase again, in milliseconds from now; at least 1. */
     long lookAgainMs(double nowMs) {
         double passed = nowMs - beganAt;
-        double next = passed < schedule.serveMs() ? schedule.serveMs() : passed < schedule.closeMs() ? schedule.closeMs()
-                : passed + LOOK_MS;
+        double next =
+                passed < schedule.serveMs()
+                        ? schedule.serveMs()
+                        : passed < schedule.closeMs() ? schedule.closeMs() : passed + LOOK_MS;
         return Math.max(1, (long) Math.ceil(next - passed));
     }
 
-    /** The most time that a scan taken now may get: its answer has to be out before the process may be killed. */
+    /**
+     * The most time that a scan taken now may get: its answer has to be out before the process may
+     * be killed.
+     */
     double timeLeftMs(double nowMs) {
         return schedule.timeLeftMs(nowMs - beganAt);
     }
--- a/gatherer/src/main/java/sprucehold/node/DryWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/DryWarmUp.java
@@ -12,17 +12,21 @@
 import sprucehold.shards.DryServers;
 
 /**
- * Runs scans through decisions and codecs without any socket, on a clock of its own. For platforms that grant a process no sockets
- * within itself: there the first scan after a start, interpreted, held the loop for half a second, and others were answered late.
+ * Runs scans through decisions and codecs without any socket, on a clock of its own. For platforms
+ * that grant a process no sockets within itself: there the first scan after a start, interpreted,
+ * held the loop for half a second, and others were answered late.
  */
 final class DryWarmUp {
-    /** Two wide scans make two hundred parts, after which most of what is called for each is compiled; more starts later. */
+    /**
+     * Two wide scans make two hundred parts, after which most of what is called for each is
+     * compiled; more starts later.
+     */
     private static final int SCANS = 3;
+
     /** The widest scans that are rehearsed. */
     private static final int MOST_PARTS = 100;
 
-    private DryWarmUp() {
-    }
+    private DryWarmUp() {}
 
     /** Returns how many scans were answered. */
     static int run(NodeConfig config, Gatherer.Factory factory) {
@@ -34,7 +38,14 @@
         var list = new ArrayList<ServerNews>();
         for (int cell = 0; cell < deployment.layout().cells(); cell++) {
             for (String holder : List.of("a", "b")) {
-                list.add(new ServerNews(holder + cell, "127.0.0.1:1", cell, deployment.zone(), 0, ServerNews.State.RUNNING));
+                list.add(
+                        new ServerNews(
+                                holder + cell,
+                                "127.0.0.1:1",
+                                cell,
+                                deployment.zone(),
+                                0,
+                                ServerNews.State.RUNNING));
             }
         }
         double now = 1;
--- a/gatherer/src/main/java/sprucehold/node/JsonLines.java
+++ b/gatherer/src/main/java/sprucehold/node/JsonLines.java
@@ -14,8 +14,8 @@
 import java.util.logging.Logger;
 
 /**
- * The log as JSON lines: time, level, logger, text, and as fields of their own whatever a line's one parameter holds as
- * a map. Jackson writes them; java.util.logging stays the way in.
+ * The log as JSON lines: time, level, logger, text, and as fields of their own whatever a line's
+ * one parameter holds as a map. Jackson writes them; java.util.logging stays the way in.
  */
 public final class JsonLines extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
@@ -27,7 +27,10 @@
         }
     }
 
-    /** Logs a line for each scan taken, each dispatch that ends, and each scan that ends, with their ids as fields. */
+    /**
+     * Logs a line for each scan taken, each dispatch that ends, and each scan that ends, with their
+     * ids as fields.
+     */
     public static void logScans() {
         var handler = new ConsoleHandler();
         handler.setFormatter(new JsonLines());
@@ -43,7 +46,8 @@
             json.writeStringField("level", line.getLevel().getName());
             json.writeStringField("logger", line.getLoggerName());
             json.writeStringField("text", formatMessage(line));
-            if (line.getParameters() != null && line.getParameters().length == 1
+            if (line.getParameters() != null
+                    && line.getParameters().length == 1
                     && line.getParameters()[0] instanceof Map<?, ?> fields) {
                 for (Map.Entry<?, ?> field : fields.entrySet()) {
                     field(json, String.valueOf(field.getKey()), field.getValue());
--- a/gatherer/src/main/java/sprucehold/node/Neighbour.java
+++ b/gatherer/src/main/java/sprucehold/node/Neighbour.java
@@ -11,13 +11,15 @@
 import sprucehold.port.Others;
 
 /**
- * What stands beside a node: it hears what happens there, and may give the decisions typed values. All calls come on the node's
- * event loop, with the time of the node's clock; none may wait.
+ * What stands beside a node: it hears what happens there, and may give the decisions typed values.
+ * All calls come on the node's event loop, with the time of the node's clock; none may wait.
  */
 public interface Neighbour {
     /** Makes one for a node that is about to start. */
     interface Factory {
-        /** @throws IllegalArgumentException in one line if it doesn't fit the configuration */
+        /**
+         * @throws IllegalArgumentException in one line if it doesn't fit the configuration
+         */
         Neighbour beside(Vertx vertx, NodeConfig config, Clock clock);
     }
 
@@ -36,13 +38,17 @@
     /** A dispatch is about to be written. */
     void sent(double nowMs, Dispatch dispatch);
 
-    /** What the decisions are to know from this moment on, asked before each call of theirs; null if that is nothing new. */
+    /**
+     * What the decisions are to know from this moment on, asked before each call of theirs; null if
+     * that is nothing new.
+     */
     Others told(double nowMs);
 
     /**
      * The decisions take units of a shared bound.
      *
-     * @return whether what they are taken for may be written, to be asked right before that; null if they are not to be had
+     * @return whether what they are taken for may be written, to be asked right before that; null
+     *     if they are not to be had
      */
     BooleanSupplier use(double nowMs, Action.Use use);
 
--- a/gatherer/src/main/java/sprucehold/node/Node.java
+++ b/gatherer/src/main/java/sprucehold/node/Node.java
@@ -41,8 +41,8 @@
 import sprucehold.shards.ShardServers;
 
 /**
- * One gatherer: it carries what happens outside to the picker, and what the picker orders to the network. All of
- * it runs on the one event loop.
+ * One gatherer: it carries what happens outside to the picker, and what the picker orders to the
+ * network. All of it runs on the one event loop.
  */
 final class Node implements ScanHandler {
     private static final Logger LOG = Logger.getLogger(Node.class.getName());
@@ -54,23 +54,32 @@
     private final Watch watch;
     private final ClientServer clients;
     private final Set<String> tableTypes;
+
     /** What was reported since the picker was last told. */
     private final List<Report> reports = new ArrayList<>();
+
     /** Calls of the picker wait here until all that came in at one moment is read. */
     private final DecisionQueue calls = new DecisionQueue();
+
     private boolean carrying;
     private boolean due;
+
     /** The ids of scans among those calls. */
     private final Set<String> coming = new HashSet<>();
+
     private final Context context;
     private final SocketPasses passes;
     private boolean hasList;
+
     /** How it ends; null while it serves. */
     private Drain drain;
+
     private Drain.Phase phase;
     private Future<Void> ended;
+
     /** Clients may come from now on; before, nothing is owed to anybody. */
     private boolean listens;
+
     private final DecisionTimer timer;
     private boolean tickDue;
     private double nextTickAt = Double.POSITIVE_INFINITY;
@@ -86,58 +95,108 @@
      * @param plan where operators change its configuration, or null
      * @param beside makes what stands beside it
      */
-    Node(Vertx vertx, NodeConfig config, Gatherer.Factory factory, AdminConfig plan, List<Neighbour.Factory> beside) throws IOException {
-        this(vertx, config, factory, plan == null ? null : ConfigurationAdmin.journalOf(plan), plan, beside);
+    Node(
+            Vertx vertx,
+            NodeConfig config,
+            Gatherer.Factory factory,
+            AdminConfig plan,
+            List<Neighbour.Factory> beside)
+            throws IOException {
+        this(
+                vertx,
+                config,
+                factory,
+                plan == null ? null : ConfigurationAdmin.journalOf(plan),
+                plan,
+                beside);
     }
 
     Node(Vertx vertx, NodeConfig config, Gatherer.Factory factory) {
         this(vertx, config, factory, null, null, List.of());
     }
 
-    private Node(Vertx vertx, NodeConfig config, Gatherer.Factory factory, JournalFile journal, AdminConfig plan,
+    private Node(
+            Vertx vertx,
+            NodeConfig config,
+            Gatherer.Factory factory,
+            JournalFile journal,
+            AdminConfig plan,
             List<Neighbour.Factory> beside) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.passes = new SocketPasses(clock::now, this::schedule);
-        this.timer = new DecisionTimer(vertx, clock::now, () -> {
-            tickDue = true;
-            runSoon();
-        });
+        this.timer =
+                new DecisionTimer(
+                        vertx,
+                        clock::now,
+                        () -> {
+                            tickDue = true;
+                            runSoon();
+                        });
         this.config = config;
         var deployment = config.facts().deployment();
-        this.tableTypes = deployment.tableTypes().stream().map(TableType::name).collect(Collectors.toSet());
-        this.admin = plan == null ? null : new ConfigurationAdmin(vertx, config, plan, journal, clock, this::applied);
+        this.tableTypes =
+                deployment.tableTypes().stream().map(TableType::name).collect(Collectors.toSet());
+        this.admin =
+                plan == null
+                        ? null
+                        : new ConfigurationAdmin(
+                                vertx, config, plan, journal, clock, this::applied);
         Gatherer.Factory behind = admin == null ? factory : admin.behindWords(factory);
         this.picker = new Picker(behind.start(config.seed(), deployment), deployment);
-        this.shards = new ShardServers(vertx, config.facts().connections(), deployment.layout().callParts(),
-                config.facts().loadByProbe(), clock::now, this::report,
-                gate());
-        this.watch = new Watch(vertx, config.discovery().host(), config.discovery().port(), deployment.layout().cells(),
-                deployment.listAccess().mustAsk(), deployment.listAccess().askWithinMs(), clock::now, this::report);
-        this.clients = new ClientServer(vertx, config.facts().segments(), config.sockets() / 2, this, clock::now);
+        this.shards =
+                new ShardServers(
+                        vertx,
+                        config.facts().connections(),
+                        deployment.layout().callParts(),
+                        config.facts().loadByProbe(),
+                        clock::now,
+                        this::report,
+                        gate());
+        this.watch =
+                new Watch(
+                        vertx,
+                        config.discovery().host(),
+                        config.discovery().port(),
+                        deployment.layout().cells(),
+                        deployment.listAccess().mustAsk(),
+                        deployment.listAccess().askWithinMs(),
+                        clock::now,
+                        this::report);
+        this.clients =
+                new ClientServer(
+                        vertx, config.facts().segments(), config.sockets() / 2, this, clock::now);
         this.neighbours = beside.stream().map(one -> one.beside(vertx, config, clock)).toList();
     }
 
     /**
-     * Returns the port on which clients are served. It listens only once its list is checked: what it knows from before may be
-     * out of date, and what discovery's agent has counts as told from a process's first moment.
+     * Returns the port on which clients are served. It listens only once its list is checked: what
+     * it knows from before may be out of date, and what discovery's agent has counts as told from a
+     * process's first moment.
      */
     Future<Integer> start() {
         LOG.info(config.summary());
-        return firstList().compose(checked -> stillWanted()).compose(wanted -> openAdmin())
+        return firstList()
+                .compose(checked -> stillWanted())
+                .compose(wanted -> openAdmin())
                 .compose(opened -> Future.all(neighbours.stream().map(Neighbour::start).toList()))
                 .compose(begun -> stillWanted())
-                .compose(wanted -> {
-                    listens = true;
-                    return clients.listen(config.listen().socket());
-                }).map(server -> {
-            LOG.info("listening at " + config.listen());
-            return server.actualPort();
-        });
+                .compose(
+                        wanted -> {
+                            listens = true;
+                            return clients.listen(config.listen().socket());
+                        })
+                .map(
+                        server -> {
+                            LOG.info("listening at " + config.listen());
+                            return server.actualPort();
+                        });
     }
 
     private Future<Void> stillWanted() {
-        return drain == null ? Future.succeededFuture() : Future.failedFuture("told to end before it listened");
+        return drain == null
+                ? Future.succeededFuture()
+                : Future.failedFuture("told to end before it listened");
     }
 
     /** Where discovery is silent, the list that is known from before is better than none. */
@@ -146,12 +205,14 @@
         if (alone) {
             watch.stop();
         }
-        return (alone ? Future.<Void>succeededFuture() : watch.start()).map(asked -> {
-            if (!hasList && config.known() != null) {
-                report(new Report.ListCame(true, config.known().servers()));
-            }
-            return null;
-        });
+        return (alone ? Future.<Void>succeededFuture() : watch.start())
+                .map(
+                        asked -> {
+                            if (!hasList && config.known() != null) {
+                                report(new Report.ListCame(true, config.known().servers()));
+                            }
+                            return null;
+                        });
     }
 
     @Override
@@ -189,12 +250,16 @@
             admin.taken(scan);
         }
         double takenAt = clock.now();
-        soon(() -> {
-            double now = clock.now();
-            // Whoever left meanwhile gets no work done, and what has passed meanwhile is no longer left to the client.
-            return coming.remove(scan.id()) ? picker.pick(now, scan, Math.min(most, scan.timeLeftMs()) - (now - takenAt))
-                    : picker.report(now, List.of());
-        });
+        soon(
+                () -> {
+                    double now = clock.now();
+                    // Whoever left meanwhile gets no work done, and what has passed meanwhile is no
+                    // longer left to the client.
+                    return coming.remove(scan.id())
+                            ? picker.pick(
+                                    now, scan, Math.min(most, scan.timeLeftMs()) - (now - takenAt))
+                            : picker.report(now, List.of());
+                });
     }
 
     @Override
@@ -255,17 +320,21 @@
     }
 
     /**
-     * Has the decisions take a turn once this pass over the sockets is through, and a whole further one. What one socket brings
-     * mustn't be decided upon while what came with it lies unread on others, or behind it: answers would look late, and the end of a
-     * stream is only read in the pass after the bytes before it.
+     * Has the decisions take a turn once this pass over the sockets is through, and a whole further
+     * one. What one socket brings mustn't be decided upon while what came with it lies unread on
+     * others, or behind it: answers would look late, and the end of a stream is only read in the
+     * pass after the bytes before it.
      */
     private void runSoon() {
         if (!due) {
             due = true;
-            context.runOnContext(none -> passes.afterNextPass(() -> {
-                due = false;
-                run();
-            }));
+            context.runOnContext(
+                    none ->
+                            passes.afterNextPass(
+                                    () -> {
+                                        due = false;
+                                        run();
+                                    }));
         }
     }
 
@@ -286,7 +355,10 @@
         timer.arm(nextTickAt);
     }
 
-    /** What happened is told before anything new is begun, so that nothing is sent on for a client that has left. */
+    /**
+     * What happened is told before anything new is begun, so that nothing is sent on for a client
+     * that has left.
+     */
     private void turn() {
         decideOnReports();
         guarded(shards::writeWaiting);
@@ -295,7 +367,9 @@
             decide(() -> picker.tick(clock.now()));
         }
         calls.beginTurn(clock.now());
-        for (Supplier<Orders> call = calls.next(clock.now()); call != null; call = calls.next(clock.now())) {
+        for (Supplier<Orders> call = calls.next(clock.now());
+                call != null;
+                call = calls.next(clock.now())) {
             decide(call);
             decideOnReports();
         }
@@ -316,8 +390,12 @@
 
     /** A task's timer, even one of no delay, fires after the sockets were read once more. */
     private void schedule(long delayMs, Runnable work) {
-        ((ContextInternal) context).nettyEventLoop().schedule(() -> context.runOnContext(none -> work.run()), delayMs,
-                TimeUnit.MILLISECONDS);
+        ((ContextInternal) context)
+                .nettyEventLoop()
+                .schedule(
+                        () -> context.runOnContext(none -> work.run()),
+                        delayMs,
+                        TimeUnit.MILLISECONDS);
     }
 
     /** What neighbours know by now, before the decisions are asked. */
@@ -330,11 +408,20 @@
         }
     }
 
-    /** Each order stands alone: one that can't be carried out must not lose an answer that is owed to a client. */
+    /**
+     * Each order stands alone: one that can't be carried out must not lose an answer that is owed
+     * to a client.
+     */
     private void carryOut(Orders orders) {
         guarded(() -> shards.cancel(orders.cancel()));
         guarded(() -> shards.send(neighbours.isEmpty() ? orders.send() : permitted(orders.send())));
-        guarded(() -> orders.uses().forEach(use -> neighbours.forEach(one -> one.use(clock.now(), use))));
+        guarded(
+                () ->
+                        orders.uses()
+                                .forEach(
+                                        use ->
+                                                neighbours.forEach(
+                                                        one -> one.use(clock.now(), use))));
         orders.replies().forEach(reply -> guarded(() -> reply(reply)));
         guarded(() -> shards.probe(orders.probe()));
         orders.notes().forEach(LOG::info);
@@ -361,7 +448,10 @@
         clients.answer(reply.scan(), reply.answer());
     }
 
-    /** Those that still have what they take of shared bounds; the others are not sent, and told of as such. */
+    /**
+     * Those that still have what they take of shared bounds; the others are not sent, and told of
+     * as such.
+     */
     private List<Dispatch> permitted(List<Dispatch> dispatches) {
         var send = new ArrayList<Dispatch>();
         for (Dispatch dispatch : dispatches) {
@@ -370,7 +460,9 @@
                 neighbours.forEach(one -> leaves.add(one.use(clock.now(), use)));
             }
             if (leaves.contains(null)) {
-                report(new Report.DispatchEnded(dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN)));
+                report(
+                        new Report.DispatchEnded(
+                                dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN)));
                 continue;
             }
             if (!leaves.isEmpty()) {
@@ -406,41 +498,77 @@
         return admin == null ? Future.succeededFuture() : admin.close();
     }
 
-    /** Follows the list at the address that the configuration names now; nothing else of it is taken while serving. */
+    /**
+     * Follows the list at the address that the configuration names now; nothing else of it is taken
+     * while serving.
+     */
     void reconfigure(NodeConfig now) {
         watch.move(now.discovery().host(), now.discovery().port());
     }
 
-    /** Ends the gatherer once nothing is owed to anybody, as {@link Drain} says; asked again, it ends no other way. */
+    /**
+     * Ends the gatherer once nothing is owed to anybody, as {@link Drain} says; asked again, it
+     * ends no other way.
+     */
     Future<Void> end(DrainSchedule how) {
         if (drain != null) {
             return ended;
         }
-        LOG.info("draining: " + picker.openScans() + " scans open, " + clients.connections() + " client connections");
+        LOG.info(
+                "draining: "
+                        + picker.openScans()
+                        + " scans open, "
+                        + clients.connections()
+                        + " client connections");
         drain = new Drain(how, clock.now());
         phase = Drain.Phase.SERVING_ON;
         if (admin != null) {
             admin.ending();
         }
-        ended = (listens ? drained() : Future.<Void>succeededFuture()).compose(done -> clients.close()).compose(done -> closeAdmin())
-                .compose(done -> Future.join(neighbours.stream().map(Neighbour::end).toList()).otherwiseEmpty()).map(closed -> {
-            watch.stop();
-            passes.stop();
-            LOG.info("end: " + scansTaken + " scans taken, " + picker.openScans() + " left open, " + passes.summary() + ", "
-                    + clients.leftUnread() + " clients found gone right before an attempt");
-            return null;
-        });
+        ended =
+                (listens ? drained() : Future.<Void>succeededFuture())
+                        .compose(done -> clients.close())
+                        .compose(done -> closeAdmin())
+                        .compose(
+                                done ->
+                                        Future.join(
+                                                        neighbours.stream()
+                                                                .map(Neighbour::end)
+                                                                .toList())
+                                                .otherwiseEmpty())
+                        .map(
+                                closed -> {
+                                    watch.stop();
+                                    passes.stop();
+                                    LOG.info(
+                                            "end: "
+                                                    + scansTaken
+                                                    + " scans taken, "
+                                                    + picker.openScans()
+                                                    + " left open, "
+                                                    + passes.summary()
+                                                    + ", "
+                                                    + clients.leftUnread()
+                                                    + " clients found gone right before an attempt");
+                                    return null;
+                                });
         return ended;
     }
 
     private Future<Void> drained() {
-        phase = drain.phase(clock.now(), new Drain.Owed(picker.openScans() + coming.size(), clients.underWay(),
-                clients.arriving()));
+        phase =
+                drain.phase(
+                        clock.now(),
+                        new Drain.Owed(
+                                picker.openScans() + coming.size(),
+                                clients.underWay(),
+                                clients.arriving()));
         if (phase != Drain.Phase.SERVING_ON) {
             clients.drain();
             clients.closeIdle();
         }
-        return phase == Drain.Phase.OVER ? Future.succeededFuture()
+        return phase == Drain.Phase.OVER
+                ? Future.succeededFuture()
                 : vertx.timer(drain.lookAgainMs(clock.now())).compose(waited -> drained());
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -17,8 +17,14 @@
  * @param sockets how many descriptors the process may hold
  * @param known the list as it was last held
  */
-public record NodeConfig(String name, Address listen, Address discovery, long seed, int sockets,
-        ListNews known, Facts facts) {
+public record NodeConfig(
+        String name,
+        Address listen,
+        Address discovery,
+        long seed,
+        int sockets,
+        ListNews known,
+        Facts facts) {
 
     /** Where to listen or call. */
     public record Address(String host, int port) {
@@ -27,17 +33,20 @@
 
         /** A host that begins with a slash is the path of a socket. */
         SocketAddress socket() {
-            return host.startsWith("/") ? SocketAddress.domainSocketAddress(host)
+            return host.startsWith("/")
+                    ? SocketAddress.domainSocketAddress(host)
                     : SocketAddress.inetSocketAddress(port, host);
         }
 
         static Address parse(String text, String what) throws MalformedFactsException {
             int colon = text.lastIndexOf(':');
-            if (colon <= 0 || !text.substring(colon + 1).matches("[0-9]{1,5}")
+            if (colon <= 0
+                    || !text.substring(colon + 1).matches("[0-9]{1,5}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
                 throw new MalformedFactsException(what + " needs HOST:PORT");
             }
-            return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+            return new Address(
+                    text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
         }
 
         @Override
@@ -46,8 +55,11 @@
         }
     }
 
-    /** Reads the file; what the environment names wins over it. Null or empty values are not given. */
-    public static NodeConfig read(Path file, String name, String listen, String discovery) throws IOException {
+    /**
+     * Reads the file; what the environment names wins over it. Null or empty values are not given.
+     */
+    public static NodeConfig read(Path file, String name, String listen, String discovery)
+            throws IOException {
         JsonNode node;
         try {
             node = new ObjectMapper().readTree(Files.readAllBytes(file));
@@ -59,7 +71,8 @@
         }
         Facts facts = Facts.checked(node.get("settings"));
         if (facts.deployment().tableTypes().stream().anyMatch(type -> type.secondStepParts() > 0)) {
-            throw new MalformedFactsException("table types of two steps can't be served by this protocol");
+            throw new MalformedFactsException(
+                    "table types of two steps can't be served by this protocol");
         }
         long seed;
         try {
@@ -69,15 +82,22 @@
         }
         ListNews known;
         try {
-            known = node.path("known").isObject()
-                    ? ListNews.decode(node.get("known"), facts.deployment().layout().cells()) : null;
+            known =
+                    node.path("known").isObject()
+                            ? ListNews.decode(
+                                    node.get("known"), facts.deployment().layout().cells())
+                            : null;
         } catch (ListNews.MalformedException e) {
             throw new MalformedFactsException("known: " + e.getMessage());
         }
-        return new NodeConfig(either(name, node.path("name")),
+        return new NodeConfig(
+                either(name, node.path("name")),
                 Address.parse(either(listen, node.path("listen")), "listen"),
-                Address.parse(either(discovery, node.path("discovery")), "discovery"), seed,
-                node.path("limits").path("sockets").asInt(Integer.MAX_VALUE), known, facts);
+                Address.parse(either(discovery, node.path("discovery")), "discovery"),
+                seed,
+                node.path("limits").path("sockets").asInt(Integer.MAX_VALUE),
+                known,
+                facts);
     }
 
     private static String either(String given, JsonNode inFile) {
@@ -87,11 +107,29 @@
     /** The facts that matter to an operator, in a line. */
     public String summary() {
         var deployment = facts.deployment();
-        return "gatherer " + name + " in " + deployment.zone() + ", one of " + deployment.gatherers() + "; listens at "
-                + listen + ", discovery at " + discovery + "; " + facts.segments() + " segments in "
-                + deployment.layout().cells() + " cells, " + deployment.tableTypes().size() + " table types, "
-                + deployment.customers().size() + " customers; "
-                + (known == null ? "no list known" : known.servers().size() + " shard servers known at index "
-                + known.index());
+        return "gatherer "
+                + name
+                + " in "
+                + deployment.zone()
+                + ", one of "
+                + deployment.gatherers()
+                + "; listens at "
+                + listen
+                + ", discovery at "
+                + discovery
+                + "; "
+                + facts.segments()
+                + " segments in "
+                + deployment.layout().cells()
+                + " cells, "
+                + deployment.tableTypes().size()
+                + " table types, "
+                + deployment.customers().size()
+                + " customers; "
+                + (known == null
+                        ? "no list known"
+                        : known.servers().size()
+                                + " shard servers known at index "
+                                + known.index());
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/ScanLog.java
+++ b/gatherer/src/main/java/sprucehold/node/ScanLog.java
@@ -13,8 +13,8 @@
 import sprucehold.picker.Scan;
 
 /**
- * What becomes of each scan, a line for each step; off unless switched on. With it one scan's id is followed through the
- * logs of all gatherers that it came to, and losses are added up by cause.
+ * What becomes of each scan, a line for each step; off unless switched on. With it one scan's id is
+ * followed through the logs of all gatherers that it came to, and losses are added up by cause.
  */
 final class ScanLog {
     private static final Logger LOG = Logger.getLogger("sprucehold.scans");
@@ -23,8 +23,7 @@
         LOG.setLevel(Level.OFF);
     }
 
-    private ScanLog() {
-    }
+    private ScanLog() {}
 
     /** Switches it on; where the level above is off, as during the warm-up, it stays silent. */
     static void to(Handler handler) {
@@ -35,7 +34,9 @@
 
     static void taken(Scan scan) {
         if (LOG.isLoggable(Level.INFO)) {
-            log("a scan is taken", fields(scan, "time_left_ms", scan.timeLeftMs(), "parts", scan.parts().size()));
+            log(
+                    "a scan is taken",
+                    fields(scan, "time_left_ms", scan.timeLeftMs(), "parts", scan.parts().size()));
         }
     }
 
@@ -45,9 +46,18 @@
         }
         if (report instanceof Report.DispatchEnded ended) {
             var dispatch = ended.dispatch();
-            log("a dispatch has ended", fields(dispatch.scan(), "segment", dispatch.segment(),
-                    "server", dispatch.server().name(), "outcome", words(ended.outcome()),
-                    "took_ms", rounded(dispatch.outMs(nowMs))));
+            log(
+                    "a dispatch has ended",
+                    fields(
+                            dispatch.scan(),
+                            "segment",
+                            dispatch.segment(),
+                            "server",
+                            dispatch.server().name(),
+                            "outcome",
+                            words(ended.outcome()),
+                            "took_ms",
+                            rounded(dispatch.outMs(nowMs))));
         }
     }
 
@@ -61,17 +71,36 @@
     /** An attempt is written now; {@code waited_ms} counts from when the decisions wanted it. */
     static void begun(Dispatch attempt, double nowMs) {
         if (LOG.isLoggable(Level.INFO)) {
-            log("an attempt begins", fields(attempt.scan(), "segment", attempt.segment(), "number", attempt.number(),
-                    "server", attempt.server().name(), "reason", attempt.reason().name(),
-                    "waited_ms", rounded(attempt.outMs(nowMs)), "told_ms", rounded(attempt.patienceLeftMs(nowMs))));
+            log(
+                    "an attempt begins",
+                    fields(
+                            attempt.scan(),
+                            "segment",
+                            attempt.segment(),
+                            "number",
+                            attempt.number(),
+                            "server",
+                            attempt.server().name(),
+                            "reason",
+                            attempt.reason().name(),
+                            "waited_ms",
+                            rounded(attempt.outMs(nowMs)),
+                            "told_ms",
+                            rounded(attempt.patienceLeftMs(nowMs))));
         }
     }
 
     static void ended(Orders.Reply reply) {
         if (LOG.isLoggable(Level.INFO)) {
-            String outcome = reply.answer() instanceof Answer.Completed completed ? completed.whole() ? "whole" : "part"
-                    : reply.answer() instanceof Answer.Throttled ? "throttled" : "abandoned";
-            log("a scan has ended", fields(reply.scan(), "outcome", outcome, "reason", reply.reason().name()));
+            String outcome =
+                    reply.answer() instanceof Answer.Completed completed
+                            ? completed.whole() ? "whole" : "part"
+                            : reply.answer() instanceof Answer.Throttled
+                                    ? "throttled"
+                                    : "abandoned";
+            log(
+                    "a scan has ended",
+                    fields(reply.scan(), "outcome", outcome, "reason", reply.reason().name()));
         }
     }
 
@@ -81,8 +110,9 @@
         } else if (outcome instanceof Outcome.Cancelled off) {
             return "called off " + off.progress();
         }
-        return outcome instanceof Outcome.Completed ? "completed" : outcome instanceof Outcome.Faulty ? "faulty"
-                : "turned away";
+        return outcome instanceof Outcome.Completed
+                ? "completed"
+                : outcome instanceof Outcome.Faulty ? "faulty" : "turned away";
     }
 
     private static double rounded(double ms) {
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -21,8 +21,8 @@
 /** The process around a node: its event loop, and its end on a signal. */
 public final class Service {
     private static final Logger LOG = Logger.getLogger(Service.class.getName());
-    private Service() {
-    }
+
+    private Service() {}
 
     /**
      * Serves until the process is ended; returns once it serves.
@@ -34,33 +34,52 @@
      * @param reread reads the configuration anew when SIGHUP asks for it
      * @param ended is called once all is answered, on the thread that ends the process
      */
-    public static void start(NodeConfig config, Gatherer.Factory rehearsed, Gatherer.Factory factory, AdminConfig door,
-            List<Neighbour.Factory> beside, Callable<NodeConfig> reread, Runnable ended) throws StartFailedException {
+    public static void start(
+            NodeConfig config,
+            Gatherer.Factory rehearsed,
+            Gatherer.Factory factory,
+            AdminConfig door,
+            List<Neighbour.Factory> beside,
+            Callable<NodeConfig> reread,
+            Runnable ended)
+            throws StartFailedException {
         WarmUp.run(config, rehearsed);
         Vertx vertx = vertx();
         var started = new CompletableFuture<Node>();
         var made = new AtomicReference<Node>();
         // Before it listens: what it takes from its first moment on is owed an answer.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            end(vertx, made, config);
-            ended.run();
-        }, "end"));
-        vertx.runOnContext(none -> {
-            try {
-                var node = new Node(vertx, config, factory, door, beside);
-                made.set(node);
-                node.start().onComplete(done -> started.complete(node), started::completeExceptionally);
-            } catch (IOException | RuntimeException e) {
-                started.completeExceptionally(e);
-            }
-        });
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    end(vertx, made, config);
+                                    ended.run();
+                                },
+                                "end"));
+        vertx.runOnContext(
+                none -> {
+                    try {
+                        var node = new Node(vertx, config, factory, door, beside);
+                        made.set(node);
+                        node.start()
+                                .onComplete(
+                                        done -> started.complete(node),
+                                        started::completeExceptionally);
+                    } catch (IOException | RuntimeException e) {
+                        started.completeExceptionally(e);
+                    }
+                });
         Node node = await(started);
         Signals.onHangUp(() -> reconfigure(vertx, node, reread));
     }
 
     /** One event loop for everything, and no more threads than must be. */
     static Vertx vertx() {
-        var options = new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1);
+        var options =
+                new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1);
         return Vertx.builder().with(options).withTransport(new AcceptingTransport()).build();
     }
 
@@ -71,11 +90,22 @@
         }
         Vertx vertx = vertx();
         var started = new CompletableFuture<Integer>();
-        vertx.runOnContext(none -> StandIns.start(vertx, config.discovery().host(), config.discovery().port(),
-                config.known().servers(), false).onComplete(started::complete, started::completeExceptionally));
+        vertx.runOnContext(
+                none ->
+                        StandIns.start(
+                                        vertx,
+                                        config.discovery().host(),
+                                        config.discovery().port(),
+                                        config.known().servers(),
+                                        false)
+                                .onComplete(started::complete, started::completeExceptionally));
         await(started);
-        LOG.info("standing in for discovery at " + config.discovery() + " and " + config.known().servers().size()
-                + " shard servers");
+        LOG.info(
+                "standing in for discovery at "
+                        + config.discovery()
+                        + " and "
+                        + config.known().servers().size()
+                        + " shard servers");
     }
 
     private static <T> T await(CompletableFuture<T> started) throws StartFailedException {
@@ -89,24 +119,32 @@
     }
 
     /** Runs on the signal's own thread; one at a time, so that what was read last counts. */
-    private static synchronized void reconfigure(Vertx vertx, Node node, Callable<NodeConfig> reread) {
+    private static synchronized void reconfigure(
+            Vertx vertx, Node node, Callable<NodeConfig> reread) {
         LOG.info("SIGHUP: the configuration is read again");
         try {
             NodeConfig now = reread.call();
             vertx.runOnContext(none -> node.reconfigure(now));
         } catch (Exception e) {
-            LOG.log(Level.WARNING, "the configuration can't be used and the one held is kept: " + e.getMessage());
+            LOG.log(
+                    Level.WARNING,
+                    "the configuration can't be used and the one held is kept: " + e.getMessage());
         }
     }
 
     /** Runs on the hook's own thread, and only waits there for what the event loop does. */
     private static void end(Vertx vertx, AtomicReference<Node> made, NodeConfig config) {
         var ended = new CompletableFuture<Void>();
-        vertx.runOnContext(none -> {
-            Node node = made.get();
-            (node == null ? Future.<Void>succeededFuture() : node.end(DrainSchedule.within(config.facts().longestTimeoutMs())))
-                    .onComplete(ended::complete, ended::completeExceptionally);
-        });
+        vertx.runOnContext(
+                none -> {
+                    Node node = made.get();
+                    (node == null
+                                    ? Future.<Void>succeededFuture()
+                                    : node.end(
+                                            DrainSchedule.within(
+                                                    config.facts().longestTimeoutMs())))
+                            .onComplete(ended::complete, ended::completeExceptionally);
+                });
         try {
             // Beyond the time at which it may be killed, for what was taken with more time left.
             ended.get((long) config.facts().longestTimeoutMs() + 5000, TimeUnit.MILLISECONDS);
--- a/gatherer/src/main/java/sprucehold/node/ServiceLogManager.java
+++ b/gatherer/src/main/java/sprucehold/node/ServiceLogManager.java
@@ -3,8 +3,8 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log open while the process ends: java.util.logging resets itself in a shutdown hook of its own, and
- * would lose the lines of ours.
+ * Keeps the log open while the process ends: java.util.logging resets itself in a shutdown hook of
+ * its own, and would lose the lines of ours.
  */
 public final class ServiceLogManager extends LogManager {
     @Override
--- a/gatherer/src/main/java/sprucehold/node/SocketPasses.java
+++ b/gatherer/src/main/java/sprucehold/node/SocketPasses.java
@@ -5,35 +5,53 @@
 import sprucehold.clients.Arrival;
 
 /**
- * The passes of the event loop over its sockets. In each pass the loop asks the system once which sockets can be read, reads
- * those, and then does the work that was handed to it. This class knows when a pass has asked the system, and from that since
- * when something that is read now may have lain unread; a heartbeat keeps that knowledge fresh while nothing else happens, and
- * tells hold-ups of the process: a stopped process, a spent CPU quota, a long collection. Pure: timers and clock are handed in.
+ * The passes of the event loop over its sockets. In each pass the loop asks the system once which
+ * sockets can be read, reads those, and then does the work that was handed to it. This class knows
+ * when a pass has asked the system, and from that since when something that is read now may have
+ * lain unread; a heartbeat keeps that knowledge fresh while nothing else happens, and tells
+ * hold-ups of the process: a stopped process, a spent CPU quota, a long collection. Pure: timers
+ * and clock are handed in.
  */
 final class SocketPasses {
     private static final Logger LOG = Logger.getLogger(SocketPasses.class.getName());
-    /** How old the knowledge of the last pass becomes at rest. With its fifty wake-ups a second an idle loop used 0.4% of a core. */
+
+    /**
+     * How old the knowledge of the last pass becomes at rest. With its fifty wake-ups a second an
+     * idle loop used 0.4% of a core.
+     */
     static final long HEARTBEAT_MS = 20;
-    /** What sound passes and heartbeats stay under; an error of that size is a third of what may be told too much. */
+
+    /**
+     * What sound passes and heartbeats stay under; an error of that size is a third of what may be
+     * told too much.
+     */
     static final double ON_TIME_MS = 50;
-    /** A heartbeat that is so late is told of: a client's close then lies unread for as long as an attempt may follow it. */
+
+    /**
+     * A heartbeat that is so late is told of: a client's close then lies unread for as long as an
+     * attempt may follow it.
+     */
     static final double HELD_UP_MS = 100;
+
     private static final double TELL_EACH_MS = 1000;
 
     /** Timers of the event loop. */
     @FunctionalInterface
     interface Timers {
         /**
-         * Has work done once so much time has passed, in the part of a pass that comes after its sockets were read. Work that
-         * is handed over in that part, whatever its delay, is done in a later pass.
+         * Has work done once so much time has passed, in the part of a pass that comes after its
+         * sockets were read. Work that is handed over in that part, whatever its delay, is done in
+         * a later pass.
          */
         void schedule(long delayMs, Runnable work);
     }
 
     private final DoubleSupplier clock;
     private final Timers timers;
+
     /** The last pass that is known to have read its sockets asked the system after this moment. */
     private double polledAfter;
+
     private boolean stopped;
     private long holdUps;
     private double longestMs;
@@ -49,19 +67,22 @@
 
     private void beat() {
         double from = clock.getAsDouble();
-        timers.schedule(HEARTBEAT_MS, () -> {
-            if (stopped) {
-                return;
-            }
-            polledAfter = Math.max(polledAfter, from);
-            double lateMs = clock.getAsDouble() - from - HEARTBEAT_MS;
-            heldUp(lateMs);
-            if (lateMs > ON_TIME_MS - HEARTBEAT_MS) {
-                // Known anew at once: whoever asks right after a hold-up has not waited for all of it.
-                afterNextPass(() -> { });
-            }
-            beat();
-        });
+        timers.schedule(
+                HEARTBEAT_MS,
+                () -> {
+                    if (stopped) {
+                        return;
+                    }
+                    polledAfter = Math.max(polledAfter, from);
+                    double lateMs = clock.getAsDouble() - from - HEARTBEAT_MS;
+                    heldUp(lateMs);
+                    if (lateMs > ON_TIME_MS - HEARTBEAT_MS) {
+                        // Known anew at once: whoever asks right after a hold-up has not waited for
+                        // all of it.
+                        afterNextPass(() -> {});
+                    }
+                    beat();
+                });
     }
 
     private void heldUp(double ms) {
@@ -78,23 +99,30 @@
     }
 
     /**
-     * Has work done after a whole pass over the sockets that begins from now on, so that it knows all that lay unread until then. To
-     * be called in the part of a pass after its sockets were read.
+     * Has work done after a whole pass over the sockets that begins from now on, so that it knows
+     * all that lay unread until then. To be called in the part of a pass after its sockets were
+     * read.
      */
     void afterNextPass(Runnable work) {
         double from = clock.getAsDouble();
-        timers.schedule(0, () -> {
-            polledAfter = Math.max(polledAfter, from);
-            work.run();
-        });
+        timers.schedule(
+                0,
+                () -> {
+                    polledAfter = Math.max(polledAfter, from);
+                    work.run();
+                });
     }
 
     /**
-     * Since when something that is read at a moment on a connection may have lain unread: that moment itself where the loop is on
-     * time. A connection that no whole pass has read since it was opened may bring what came while it waited to be accepted.
+     * Since when something that is read at a moment on a connection may have lain unread: that
+     * moment itself where the loop is on time. A connection that no whole pass has read since it
+     * was opened may bring what came while it waited to be accepted.
      */
     double unreadSince(double nowMs, Arrival arrival) {
-        double since = polledAfter >= arrival.openedAt() ? polledAfter : Math.min(polledAfter, arrival.connectedSince());
+        double since =
+                polledAfter >= arrival.openedAt()
+                        ? polledAfter
+                        : Math.min(polledAfter, arrival.connectedSince());
         return nowMs - since <= ON_TIME_MS ? nowMs : since;
     }
 
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -26,19 +26,27 @@
 import sprucehold.standin.StandIns;
 
 /**
- * Runs scans through a gatherer of its own before the real one listens, so that what serving needs is loaded and
- * compiled by then: a JVM that begins under load with a part of a core answers nothing in time for seconds. All
- * stays within the process: its sockets are files in a directory that nobody else knows, and go with it. Where such
- * sockets aren't granted, {@link DryWarmUp} does what goes without.
+ * Runs scans through a gatherer of its own before the real one listens, so that what serving needs
+ * is loaded and compiled by then: a JVM that begins under load with a part of a core answers
+ * nothing in time for seconds. All stays within the process: its sockets are files in a directory
+ * that nobody else knows, and go with it. Where such sockets aren't granted, {@link DryWarmUp} does
+ * what goes without.
  */
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
+
     /** Most of what a scan runs is compiled by then. */
     private static final int SCANS = 300;
+
     /** Whoever waits for this gatherer waits no longer for it. */
     private static final long LONGEST_MS = 6000;
+
     private static final int CLIENTS = 4;
-    /** Whoever finds a gatherer back after a restart comes on a new connection, so those are rehearsed as well. */
+
+    /**
+     * Whoever finds a gatherer back after a restart comes on a new connection, so those are
+     * rehearsed as well.
+     */
     private static final int SCANS_A_CONNECTION = 3;
 
     private final Vertx vertx = Service.vertx();
@@ -65,7 +73,12 @@
         } finally {
             all.setLevel(null);
         }
-        LOG.info("warmed up by " + scans + " scans in " + (System.nanoTime() - begun) / 1_000_000 + " ms");
+        LOG.info(
+                "warmed up by "
+                        + scans
+                        + " scans in "
+                        + (System.nanoTime() - begun) / 1_000_000
+                        + " ms");
     }
 
     /** Whether sockets that stay within the process are granted. */
@@ -82,7 +95,9 @@
         var warmUp = new WarmUp(config);
         try {
             directory = Files.createTempDirectory("warm-up");
-            warmUp.start(directory, factory).toCompletionStage().toCompletableFuture()
+            warmUp.start(directory, factory)
+                    .toCompletionStage()
+                    .toCompletableFuture()
                     .get(LONGEST_MS, TimeUnit.MILLISECONDS);
         } catch (IOException | ExecutionException | TimeoutException e) {
             // Served cold then.
@@ -113,23 +128,38 @@
         var servers = new ArrayList<ServerNews>();
         for (int cell = 0; cell < config.facts().deployment().layout().cells(); cell++) {
             for (String holder : List.of("a", "b")) {
-                servers.add(new ServerNews(holder + cell, shards, cell, "", 0, ServerNews.State.RUNNING));
+                servers.add(
+                        new ServerNews(
+                                holder + cell, shards, cell, "", 0, ServerNews.State.RUNNING));
             }
         }
         var clients = new NodeConfig.Address(directory.resolve("clients").toString(), 0);
-        var warm = new NodeConfig(config.name(), clients, NodeConfig.Address.NONE, config.seed(), config.sockets(),
-                new ListNews(0, true, servers), config.facts());
+        var warm =
+                new NodeConfig(
+                        config.name(),
+                        clients,
+                        NodeConfig.Address.NONE,
+                        config.seed(),
+                        config.sockets(),
+                        new ListNews(0, true, servers),
+                        config.facts());
         Promise<Void> done = Promise.promise();
-        vertx.runOnContext(none -> StandIns.shardServer(vertx, shards)
-                .compose(listening -> new Node(vertx, warm, factory).start())
-                .compose(listening -> {
-                    var asking = new ArrayList<Future<Void>>();
-                    for (int i = 0; i < CLIENTS; i++) {
-                        asking.add(ask(vertx.createNetClient(), clients.socket()));
-                    }
-                    return Future.all(asking);
-                })
-                .onComplete(all -> done.complete(), done::fail));
+        vertx.runOnContext(
+                none ->
+                        StandIns.shardServer(vertx, shards)
+                                .compose(listening -> new Node(vertx, warm, factory).start())
+                                .compose(
+                                        listening -> {
+                                            var asking = new ArrayList<Future<Void>>();
+                                            for (int i = 0; i < CLIENTS; i++) {
+                                                asking.add(
+                                                        ask(
+                                                                vertx.createNetClient(),
+                                                                clients.socket()));
+                                            }
+                                            return Future.all(asking);
+                                        })
+                                .onComplete(all -> done.complete(), done::fail));
         return done.future();
     }
 
@@ -138,25 +168,29 @@
         if (scans.asked() >= SCANS) {
             return Future.succeededFuture();
         }
-        return client.connect(at).compose(socket -> {
-            Promise<Void> done = Promise.promise();
-            var answers = new AtomicInteger();
-            socket.closeHandler(none -> done.tryComplete());
-            socket.handler(bytes -> {
-                // The end of an answer's body, completed or not.
-                byte last = bytes.getByte(bytes.length() - 1);
-                if (last != '}' && last != '\n') {
-                    return;
-                }
-                if (answers.incrementAndGet() == SCANS_A_CONNECTION) {
-                    socket.close();
-                } else {
-                    next(socket);
-                }
-            });
-            next(socket);
-            return done.future();
-        }).compose(closed -> ask(client, at));
+        return client.connect(at)
+                .compose(
+                        socket -> {
+                            Promise<Void> done = Promise.promise();
+                            var answers = new AtomicInteger();
+                            socket.closeHandler(none -> done.tryComplete());
+                            socket.handler(
+                                    bytes -> {
+                                        // The end of an answer's body, completed or not.
+                                        byte last = bytes.getByte(bytes.length() - 1);
+                                        if (last != '}' && last != '\n') {
+                                            return;
+                                        }
+                                        if (answers.incrementAndGet() == SCANS_A_CONNECTION) {
+                                            socket.close();
+                                        } else {
+                                            next(socket);
+                                        }
+                                    });
+                            next(socket);
+                            return done.future();
+                        })
+                .compose(closed -> ask(client, at));
     }
 
     private void next(NetSocket socket) {
--- a/gatherer/src/main/java/sprucehold/node/WarmUpScans.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUpScans.java
@@ -12,7 +12,9 @@
         this.config = config;
     }
 
-    /** The next request, as a client sends it, for so many parts at most; table types take turns. */
+    /**
+     * The next request, as a client sends it, for so many parts at most; table types take turns.
+     */
     String next(int mostParts) {
         asked++;
         List<TableType> types = config.facts().deployment().tableTypes();
@@ -21,13 +23,24 @@
         int parts = Math.min(mostParts, segments);
         var buckets = new StringBuilder();
         for (int i = 0; i < parts; i++) {
-            buckets.append(i == 0 ? "" : ",").append("{\"bucket\":").append((asked + i) % segments)
-                    .append(",\"part\":").append(1.0 / parts).append('}');
+            buckets.append(i == 0 ? "" : ",")
+                    .append("{\"bucket\":")
+                    .append((asked + i) % segments)
+                    .append(",\"part\":")
+                    .append(1.0 / parts)
+                    .append('}');
         }
         String body = "{\"buckets\":[" + buckets + "],\"body\":\"c41e77d0\"}";
-        return "POST /" + type + " HTTP/1.1\r\nHost: warm-up\r\nX-Request-Id: warm-up-" + asked
-                + "\r\nX-Class: " + type + "\r\nX-Tenant: none\r\nX-Deadline-Ms: 2000\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body;
+        return "POST /"
+                + type
+                + " HTTP/1.1\r\nHost: warm-up\r\nX-Request-Id: warm-up-"
+                + asked
+                + "\r\nX-Class: "
+                + type
+                + "\r\nX-Tenant: none\r\nX-Deadline-Ms: 2000\r\nContent-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     int asked() {
--- a/gatherer/src/main/java/sprucehold/settings/SettingsFile.java
+++ b/gatherer/src/main/java/sprucehold/settings/SettingsFile.java
@@ -16,13 +16,18 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads a settings file strictly: one JSON document, no field twice, of the form that its schema gives. */
+/**
+ * Reads a settings file strictly: one JSON document, no field twice, of the form that its schema
+ * gives.
+ */
 public final class SettingsFile {
-    private static final JsonMapper MAPPER = JsonMapper.builder().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+    private static final JsonMapper MAPPER =
+            JsonMapper.builder()
+                    .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .build();
 
-    private SettingsFile() {
-    }
+    private SettingsFile() {}
 
     /**
      * @param schema the name of a JSON schema among the program's resources
@@ -32,8 +37,13 @@
         JsonNode settings = parse(file);
         Set<ValidationMessage> faults = schema(schema).validate(settings);
         if (!faults.isEmpty()) {
-            throw new IOException(file + ": " + faults.stream().map(ValidationMessage::getMessage).sorted()
-                    .collect(Collectors.joining("; ")));
+            throw new IOException(
+                    file
+                            + ": "
+                            + faults.stream()
+                                    .map(ValidationMessage::getMessage)
+                                    .sorted()
+                                    .collect(Collectors.joining("; ")));
         }
         return settings;
     }
@@ -42,8 +52,13 @@
         try {
             return MAPPER.readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw new IOException(file + ", line " + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
-                    + ": not JSON: " + e.getOriginalMessage(), e);
+            throw new IOException(
+                    file
+                            + ", line "
+                            + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
+                            + ": not JSON: "
+                            + e.getOriginalMessage(),
+                    e);
         }
     }
 
--- a/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
+++ b/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
@@ -4,16 +4,23 @@
 import sprucehold.picker.Scan;
 
 /**
- * Stands between an attempt that is decided and its first byte, for whatever reason it is made and however long it waited: asked by
- * the one method that writes attempts, with nothing between the answer and the write.
+ * Stands between an attempt that is decided and its first byte, for whatever reason it is made and
+ * however long it waited: asked by the one method that writes attempts, with nothing between the
+ * answer and the write.
  */
 public interface AttemptGate {
-    /** Whether the query's client still waits, by all that has reached its connection up to this moment. */
+    /**
+     * Whether the query's client still waits, by all that has reached its connection up to this
+     * moment.
+     */
     boolean clientWaits(Scan query);
 
     /** The frame of the attempt is handed to its connection now. */
     void begun(Dispatch attempt);
 
-    /** Attempts wait that can be written now: {@link ShardServers#writeWaiting} is due in a turn of the decisions. */
+    /**
+     * Attempts wait that can be written now: {@link ShardServers#writeWaiting} is due in a turn of
+     * the decisions.
+     */
     void turnWanted();
 }
--- a/gatherer/src/main/java/sprucehold/shards/FrameReader.java
+++ b/gatherer/src/main/java/sprucehold/shards/FrameReader.java
@@ -29,7 +29,9 @@
         }
     }
 
-    /** Whether a frame has begun and nothing more of it came for so long: its length doesn't fit. */
+    /**
+     * Whether a frame has begun and nothing more of it came for so long: its length doesn't fit.
+     */
     boolean stalled(double now, double silenceMs) {
         return inFrame && !broken && now - heardAt > silenceMs;
     }
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -9,20 +9,19 @@
 /** What a shard server sends. */
 sealed interface ShardFrame {
     /** The end of a part. */
-    record Ended(String partId, End end, Load load, byte[] value) implements ShardFrame {
-    }
+    record Ended(String partId, End end, Load load, byte[] value) implements ShardFrame {}
 
     /** The answer to a probe; {@code load} is null where none came along. */
-    record Probed(boolean sound, Load load) implements ShardFrame {
-    }
+    record Probed(boolean sound, Load load) implements ShardFrame {}
 
     /** A frame of ours could not be used, and the connection is closed. */
-    record Unusable(String words) implements ShardFrame {
-    }
+    record Unusable(String words) implements ShardFrame {}
 
     /** How a part ended, by its word on the wire. */
     enum End {
-        HIT, FAULT, OVERLOAD
+        HIT,
+        FAULT,
+        OVERLOAD
     }
 
     /** The frame can't be read. */
@@ -58,22 +57,32 @@
         if (fields.length != 4 || fields[0].isEmpty() || !fields[2].matches("-?[0-9.]{1,40}")) {
             throw new MalformedException("a part's line that isn't one");
         }
-        End end = switch (fields[1]) {
-            case "hit" -> End.HIT;
-            case "fault" -> End.FAULT;
-            case "overload" -> End.OVERLOAD;
-            default -> throw new MalformedException("a part's unknown end");
-        };
-        return new Ended(fields[0], end, load(fields[3]), value(frame.getBytes(lineEnd + 1, frame.length())));
+        End end =
+                switch (fields[1]) {
+                    case "hit" -> End.HIT;
+                    case "fault" -> End.FAULT;
+                    case "overload" -> End.OVERLOAD;
+                    default -> throw new MalformedException("a part's unknown end");
+                };
+        return new Ended(
+                fields[0],
+                end,
+                load(fields[3]),
+                value(frame.getBytes(lineEnd + 1, frame.length())));
     }
 
     /**
-     * A value is text, and no text holds a zero byte; a frame whose length is too large holds those of the next
-     * one's length.
+     * A value is text, and no text holds a zero byte; a frame whose length is too large holds those
+     * of the next one's length.
      */
     private static byte[] value(byte[] bytes) throws MalformedException {
         try {
-            if (StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString().indexOf(0) < 0) {
+            if (StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(bytes))
+                            .toString()
+                            .indexOf(0)
+                    < 0) {
                 return bytes;
             }
         } catch (CharacterCodingException e) {
@@ -109,7 +118,7 @@
                 case "inflight" -> held = value;
                 case "queue" -> queued = value;
                 case "util" -> busy = value;
-                default -> { }
+                default -> {}
             }
         }
         boolean nothing = Double.isNaN(held) && Double.isNaN(queued) && Double.isNaN(busy);
--- a/gatherer/src/main/java/sprucehold/shards/ShardLink.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardLink.java
@@ -40,7 +40,9 @@
 
         void up(ShardLink link);
 
-        /** Calls wait on it that can be written now: {@link #writeWaiting} is due in the next turn. */
+        /**
+         * Calls wait on it that can be written now: {@link #writeWaiting} is due in the next turn.
+         */
         void turnWanted(ShardLink link);
 
         /** The link is over; {@code neverUp} if the dial failed. */
@@ -50,7 +52,10 @@
     private static final class Flight {
         final Dispatch dispatch;
         final double writtenAt;
-        /** Succeeds once the last byte of its frame is handed over; fails if that never came to be. */
+
+        /**
+         * Succeeds once the last byte of its frame is handed over; fails if that never came to be.
+         */
         Future<Void> write;
 
         Flight(Dispatch dispatch, double writtenAt) {
@@ -62,20 +67,31 @@
     private final Owner owner;
     private final String address;
     private final int mostParts;
-    /** Calls that wait for the connection to come up, or for the system to take what was written before; each with parts of one scan. */
+
+    /**
+     * Calls that wait for the connection to come up, or for the system to take what was written
+     * before; each with parts of one scan.
+     */
     private final Queue<List<Dispatch>> waiting = new ArrayDeque<>();
+
     private final Map<String, Flight> flights = new LinkedHashMap<>();
+
     /**
-     * Parts called off whose answers may still come, the longest-standing first. A server that stood still for minutes answers
-     * all that it held, and that is no noise; so not time bounds them but their number.
+     * Parts called off whose answers may still come, the longest-standing first. A server that
+     * stood still for minutes answers all that it held, and that is no noise; so not time bounds
+     * them but their number.
      */
     private final Set<String> cancelled = new LinkedHashSet<>();
+
     /** More than a server of the usual size runs and queues, for all gatherers together. */
     private static final int MOST_CANCELLED = 1024;
+
     /** When each probe that has no answer yet was sent. */
     private final Queue<Double> probes = new ArrayDeque<>();
+
     /** Probes that wait for the connection to come up, and whether they ask for the load. */
     private final List<Boolean> waitingProbes = new ArrayList<>();
+
     private int waitingParts;
     private NetSocket socket;
     private double heardAt;
@@ -107,17 +123,24 @@
         socket = opened;
         heardAt = owner.now();
         idleSince = heardAt;
-        socket.exceptionHandler(failure -> LOG.log(Level.FINE, "connection to " + address, failure));
+        socket.exceptionHandler(
+                failure -> LOG.log(Level.FINE, "connection to " + address, failure));
         socket.closeHandler(none -> close(false, "closed by the other side"));
         reader = new FrameReader(this::received, this::unreadable);
-        socket.handler(bytes -> {
-            try {
-                reader.handle(bytes, owner.now());
-            } catch (RuntimeException e) {
-                LOG.log(Level.SEVERE, "panic: the connection to the shard server at " + address + " is closed", e);
-                close(false, "panic");
-            }
-        });
+        socket.handler(
+                bytes -> {
+                    try {
+                        reader.handle(bytes, owner.now());
+                    } catch (RuntimeException e) {
+                        LOG.log(
+                                Level.SEVERE,
+                                "panic: the connection to the shard server at "
+                                        + address
+                                        + " is closed",
+                                e);
+                        close(false, "panic");
+                    }
+                });
         owner.up(this);
         waitingProbes.forEach(this::probe);
         waitingProbes.clear();
@@ -133,9 +156,14 @@
     /** Whether a call of so many parts can go out on it, now or when it is up. */
     boolean fits(List<Dispatch> call) {
         boolean blocked = socket != null && (doubtful || socket.writeQueueFull());
-        return !over && !blocked && flights.size() + waitingParts + call.size() <= mostParts
-                && call.stream().noneMatch(dispatch -> flights.containsKey(dispatch.partId())
-                        || cancelled.contains(dispatch.partId()));
+        return !over
+                && !blocked
+                && flights.size() + waitingParts + call.size() <= mostParts
+                && call.stream()
+                        .noneMatch(
+                                dispatch ->
+                                        flights.containsKey(dispatch.partId())
+                                                || cancelled.contains(dispatch.partId()));
     }
 
     /** To be called in a turn of the decisions, as {@link #writeWaiting} is. */
@@ -146,9 +174,11 @@
     }
 
     /**
-     * Writes what waits, as far as the system takes it. To be called in a turn of the decisions, once they know all that had come when
-     * the turn began: what comes up, or is written out, in the middle of a pass over the sockets knows nothing of a list that tells
-     * of a drain and lies unread on another. Nothing waits in the process behind other frames: it could not be taken back.
+     * Writes what waits, as far as the system takes it. To be called in a turn of the decisions,
+     * once they know all that had come when the turn began: what comes up, or is written out, in
+     * the middle of a pass over the sockets knows nothing of a list that tells of a drain and lies
+     * unread on another. Nothing waits in the process behind other frames: it could not be taken
+     * back.
      */
     void writeWaiting() {
         while (socket != null && !over && !waiting.isEmpty() && UnsentOutput.isEmpty(channel())) {
@@ -169,8 +199,9 @@
     }
 
     /**
-     * Whether the server has kept it open, by all that has come up to now: what is written to one whose end lies unread would count as
-     * reset, and may not be tried again where the effect might happen twice. One that isn't up yet may still come up.
+     * Whether the server has kept it open, by all that has come up to now: what is written to one
+     * whose end lies unread would count as reset, and may not be tried again where the effect might
+     * happen twice. One that isn't up yet may still come up.
      */
     boolean isOpenStill() {
         return socket == null || UnreadInput.readAll(channel()) && !over;
@@ -186,7 +217,8 @@
         Buffer frame = GathererFrame.call(call, now);
         // Last, so that a hold-up in all that comes before it changes nothing.
         if (!owner.clientWaits(call.get(0).scan())) {
-            call.forEach(dispatch -> owner.ended(dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN)));
+            call.forEach(
+                    dispatch -> owner.ended(dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN)));
             return;
         }
         Future<Void> write = put(frame);
@@ -194,14 +226,22 @@
         out.forEach(flight -> flights.put(flight.dispatch.partId(), flight));
         out.forEach(flight -> flight.write = write);
         call.forEach(owner::begun);
-        write.onFailure(failure -> out.forEach(flight -> {
-            if (flights.remove(flight.dispatch.partId(), flight)) {
-                owner.ended(flight.dispatch, new Outcome.Lost(Progress.PARTLY_WRITTEN));
-            }
-        }));
+        write.onFailure(
+                failure ->
+                        out.forEach(
+                                flight -> {
+                                    if (flights.remove(flight.dispatch.partId(), flight)) {
+                                        owner.ended(
+                                                flight.dispatch,
+                                                new Outcome.Lost(Progress.PARTLY_WRITTEN));
+                                    }
+                                }));
     }
 
-    /** Those that may still be written: while the call waited the list may have said that its server drains, or its time have run out. */
+    /**
+     * Those that may still be written: while the call waited the list may have said that its server
+     * drains, or its time have run out.
+     */
     private List<Dispatch> writable(List<Dispatch> waited, double now) {
         var call = new ArrayList<Dispatch>();
         for (Dispatch dispatch : waited) {
@@ -216,7 +256,10 @@
         return call;
     }
 
-    /** A frame whose last byte was never handed over has not run; that may be known only after the close. */
+    /**
+     * A frame whose last byte was never handed over has not run; that may be known only after the
+     * close.
+     */
     private void lost(Flight flight) {
         if (spoilt) {
             owner.ended(flight.dispatch, new Outcome.Faulty(null));
@@ -226,8 +269,14 @@
             owner.ended(flight.dispatch, new Outcome.Lost(Progress.WRITTEN));
             return;
         }
-        flight.write.onComplete(written -> owner.ended(flight.dispatch, new Outcome.Lost(
-                written.succeeded() ? Progress.WRITTEN : Progress.PARTLY_WRITTEN)));
+        flight.write.onComplete(
+                written ->
+                        owner.ended(
+                                flight.dispatch,
+                                new Outcome.Lost(
+                                        written.succeeded()
+                                                ? Progress.WRITTEN
+                                                : Progress.PARTLY_WRITTEN)));
     }
 
     /** Gives a part up; false if it isn't on this link. */
@@ -264,8 +313,8 @@
     }
 
     /**
-     * What the server sent can't be read or isn't the answer to anything, so nothing that follows can be trusted.
-     * One of the parts out was meant, or all are answered and it came on top.
+     * What the server sent can't be read or isn't the answer to anything, so nothing that follows
+     * can be trusted. One of the parts out was meant, or all are answered and it came on top.
      */
     private void unreadable(String why) {
         if (!over) {
@@ -289,18 +338,25 @@
             }
             idle();
             if (flight != null) {
-                owner.ended(flight.dispatch, switch (ended.end()) {
-                    case HIT -> new Outcome.Completed(ended.value(), ended.load());
-                    case FAULT -> new Outcome.Faulty(ended.load());
-                    case OVERLOAD -> new Outcome.TurnedAway(ended.load());
-                });
+                owner.ended(
+                        flight.dispatch,
+                        switch (ended.end()) {
+                            case HIT -> new Outcome.Completed(ended.value(), ended.load());
+                            case FAULT -> new Outcome.Faulty(ended.load());
+                            case OVERLOAD -> new Outcome.TurnedAway(ended.load());
+                        });
             }
         } else if (frame instanceof ShardFrame.Probed probed && !probes.isEmpty()) {
             double took = owner.now() - probes.poll();
-            owner.probeEnded(this, probed.sound() ? new Outcome.Completed(new byte[0], probed.load())
-                    : new Outcome.Faulty(probed.load()), took);
+            owner.probeEnded(
+                    this,
+                    probed.sound()
+                            ? new Outcome.Completed(new byte[0], probed.load())
+                            : new Outcome.Faulty(probed.load()),
+                    took);
         } else if (frame instanceof ShardFrame.Unusable unusable) {
-            LOG.warning("shard server at " + address + " could not use a frame: " + unusable.words());
+            LOG.warning(
+                    "shard server at " + address + " could not use a frame: " + unusable.words());
             close(false, "a frame could not be used");
         }
     }
@@ -312,8 +368,8 @@
     }
 
     /**
-     * Looks after the link from time to time. One on which a part was written and nothing heard for as long as a
-     * dial may take is doubtful: its machine may have vanished, and a new dial tells.
+     * Looks after the link from time to time. One on which a part was written and nothing heard for
+     * as long as a dial may take is doubtful: its machine may have vanished, and a new dial tells.
      */
     void sweep(double silenceMs, double idleMs) {
         if (socket == null) {
@@ -340,7 +396,10 @@
 
     /** Whether a part that was written so long ago is the last that there was on the link. */
     private boolean unheard(double now, double silenceMs) {
-        return flights.values().stream().anyMatch(flight -> flight.writtenAt >= heardAt && now - flight.writtenAt > silenceMs);
+        return flights.values().stream()
+                .anyMatch(
+                        flight ->
+                                flight.writtenAt >= heardAt && now - flight.writtenAt > silenceMs);
     }
 
     /** Ends the link: {@code why} is null where that was our own wish. */
@@ -357,9 +416,12 @@
         waiting.clear();
         List<Flight> written = List.copyOf(flights.values());
         flights.clear();
-        unwritten.forEach(dispatch -> owner.ended(dispatch, new Outcome.Lost(Progress.NOT_WRITTEN)));
+        unwritten.forEach(
+                dispatch -> owner.ended(dispatch, new Outcome.Lost(Progress.NOT_WRITTEN)));
         written.forEach(this::lost);
-        waitingProbes.forEach(probe -> owner.probeEnded(this, new Outcome.Lost(Progress.NOT_WRITTEN), 0));
-        probes.forEach(at -> owner.probeEnded(this, new Outcome.Lost(Progress.WRITTEN), owner.now() - at));
+        waitingProbes.forEach(
+                probe -> owner.probeEnded(this, new Outcome.Lost(Progress.NOT_WRITTEN), 0));
+        probes.forEach(
+                at -> owner.probeEnded(this, new Outcome.Lost(Progress.WRITTEN), owner.now() - at));
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -24,7 +24,9 @@
 import sprucehold.picker.Scan;
 import sprucehold.picker.ShardServer;
 
-/** The connections to all shard servers: one each, a further one only when that can take no more. */
+/**
+ * The connections to all shard servers: one each, a further one only when that can take no more.
+ */
 public final class ShardServers {
     private static final Logger LOG = Logger.getLogger(ShardServers.class.getName());
 
@@ -36,6 +38,7 @@
     private final Consumer<Report> reports;
     private final AttemptGate gate;
     private final Map<ShardServer, Peer> peers = new HashMap<>();
+
     /** Links on which calls wait that can be written in the next turn. */
     private final Set<ShardLink> ready = new LinkedHashSet<>();
 
@@ -99,7 +102,9 @@
         /** A link that can take the call: an open one or a new one. */
         ShardLink link(List<Dispatch> call) {
             for (ShardLink link : List.copyOf(links)) {
-                if (link.address().equals(server.address()) && link.fits(call) && link.isOpenStill()) {
+                if (link.address().equals(server.address())
+                        && link.fits(call)
+                        && link.isOpenStill()) {
                     return link;
                 }
             }
@@ -110,8 +115,14 @@
         }
     }
 
-    public ShardServers(Vertx vertx, Connections limits, int callParts, boolean loadByProbe, DoubleSupplier clock,
-            Consumer<Report> reports, AttemptGate gate) {
+    public ShardServers(
+            Vertx vertx,
+            Connections limits,
+            int callParts,
+            boolean loadByProbe,
+            DoubleSupplier clock,
+            Consumer<Report> reports,
+            AttemptGate gate) {
         this.gate = gate;
         this.limits = limits;
         this.callParts = callParts;
@@ -119,7 +130,9 @@
         this.clock = clock;
         this.reports = reports;
         int dialMs = Math.max(1, (int) limits.dialTimeoutMs());
-        this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(dialMs).setTcpNoDelay(true));
+        this.client =
+                vertx.createNetClient(
+                        new NetClientOptions().setConnectTimeout(dialMs).setTcpNoDelay(true));
         vertx.setPeriodic(dialMs, timer -> sweep(dialMs));
     }
 
@@ -128,11 +141,16 @@
             return client.connect(SocketAddress.domainSocketAddress(address));
         }
         int colon = address.lastIndexOf(':');
-        return client.connect(SocketAddress.inetSocketAddress(
-                Integer.parseInt(address.substring(colon + 1)), address.substring(0, colon)));
+        return client.connect(
+                SocketAddress.inetSocketAddress(
+                        Integer.parseInt(address.substring(colon + 1)),
+                        address.substring(0, colon)));
     }
 
-    /** Links are closed well before the other side may: two dials' time is left for the way and the sweep. */
+    /**
+     * Links are closed well before the other side may: two dials' time is left for the way and the
+     * sweep.
+     */
     void sweep(double dialMs) {
         for (Peer peer : peers.values()) {
             // What isn't listed any more gets nothing new, so its links only hold descriptors.
@@ -144,27 +162,38 @@
 
     /** Sends dispatches ordered at one moment; those of one scan to one server share calls. */
     public void send(List<Dispatch> dispatches) {
-        record Call(ShardServer server, Object scan) {
-        }
+        record Call(ShardServer server, Object scan) {}
         var calls = new LinkedHashMap<Call, List<Dispatch>>();
         for (Dispatch dispatch : dispatches) {
-            calls.computeIfAbsent(new Call(dispatch.server(), dispatch.scan()), key -> new ArrayList<>()).add(dispatch);
+            calls.computeIfAbsent(
+                            new Call(dispatch.server(), dispatch.scan()), key -> new ArrayList<>())
+                    .add(dispatch);
         }
-        calls.forEach((key, parts) -> {
-            int most = Math.min(callParts, limits.parts());
-            for (int from = 0; from < parts.size(); from += most) {
-                List<Dispatch> call = parts.subList(from, Math.min(parts.size(), from + most));
-                if (!key.server.running()) {
-                    call.forEach(dispatch -> reports.accept(
-                            new Report.DispatchEnded(dispatch, new Outcome.Lost(Progress.NOT_WRITTEN))));
-                } else {
-                    peers.computeIfAbsent(key.server, Peer::new).link(call).send(call);
-                }
-            }
-        });
+        calls.forEach(
+                (key, parts) -> {
+                    int most = Math.min(callParts, limits.parts());
+                    for (int from = 0; from < parts.size(); from += most) {
+                        List<Dispatch> call =
+                                parts.subList(from, Math.min(parts.size(), from + most));
+                        if (!key.server.running()) {
+                            call.forEach(
+                                    dispatch ->
+                                            reports.accept(
+                                                    new Report.DispatchEnded(
+                                                            dispatch,
+                                                            new Outcome.Lost(
+                                                                    Progress.NOT_WRITTEN))));
+                        } else {
+                            peers.computeIfAbsent(key.server, Peer::new).link(call).send(call);
+                        }
+                    }
+                });
     }
 
-    /** Writes calls that waited for a connection. To be called in a turn, once the decisions know all that had come when it began. */
+    /**
+     * Writes calls that waited for a connection. To be called in a turn, once the decisions know
+     * all that had come when it began.
+     */
     public void writeWaiting() {
         List<ShardLink> links = List.copyOf(ready);
         ready.clear();
@@ -174,16 +203,26 @@
     public void cancel(List<Dispatch> dispatches) {
         for (Dispatch dispatch : dispatches) {
             Peer peer = peers.get(dispatch.server());
-            boolean found = peer != null && List.copyOf(peer.links).stream().anyMatch(link -> link.cancel(dispatch));
+            boolean found =
+                    peer != null
+                            && List.copyOf(peer.links).stream()
+                                    .anyMatch(link -> link.cancel(dispatch));
             if (!found) {
-                // Only after a panic is one on no link and not reported; nobody knows whether it was written.
-                reports.accept(new Report.DispatchEnded(dispatch, new Outcome.Cancelled(Progress.WRITTEN)));
+                // Only after a panic is one on no link and not reported; nobody knows whether it
+                // was written.
+                reports.accept(
+                        new Report.DispatchEnded(
+                                dispatch, new Outcome.Cancelled(Progress.WRITTEN)));
             }
         }
     }
 
     public void probe(List<ShardServer> servers) {
-        servers.forEach(server -> peers.computeIfAbsent(server, Peer::new).link(List.of()).probe(loadByProbe));
+        servers.forEach(
+                server ->
+                        peers.computeIfAbsent(server, Peer::new)
+                                .link(List.of())
+                                .probe(loadByProbe));
     }
 
     public int links() {
--- a/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
+++ b/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
@@ -7,25 +7,32 @@
 import io.vertx.core.impl.transports.NioTransport;
 import io.vertx.core.transport.Transport;
 
-/** The usual transport, with listeners that go on right after a failed accept and loops that wait for their timers without polling. */
+/**
+ * The usual transport, with listeners that go on right after a failed accept and loops that wait
+ * for their timers without polling.
+ */
 public final class AcceptingTransport implements Transport {
     private static final double NANOS_A_MS = 1e6;
 
-    private final io.vertx.core.spi.transport.Transport sockets = new NioTransport() {
-        @Override
-        public IoHandlerFactory ioHandlerFactory() {
-            return RoundedUpWaits.around(super.ioHandlerFactory());
-        }
-
-        @Override
-        public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-            return domainSocket ? super.serverChannelFactory(true) : AcceptingServerChannel::new;
-        }
-    };
+    private final io.vertx.core.spi.transport.Transport sockets =
+            new NioTransport() {
+                @Override
+                public IoHandlerFactory ioHandlerFactory() {
+                    return RoundedUpWaits.around(super.ioHandlerFactory());
+                }
+
+                @Override
+                public ChannelFactory<? extends ServerChannel> serverChannelFactory(
+                        boolean domainSocket) {
+                    return domainSocket
+                            ? super.serverChannelFactory(true)
+                            : AcceptingServerChannel::new;
+                }
+            };
 
     /**
-     * How long ago the backlog was last seen empty before a connection was accepted, in milliseconds: what is read first on the
-     * connection may have come at any time since.
+     * How long ago the backlog was last seen empty before a connection was accepted, in
+     * milliseconds: what is read first on the connection may have come at any time since.
      */
     public static double backlogSeenEmptyMsAgo(Channel connection) {
         long seenEmptyAt = AcceptingServerChannel.backlogSeenEmptyAt(connection);
--- a/gatherer/src/main/java/sprucehold/sockets/RoundedUpWaits.java
+++ b/gatherer/src/main/java/sprucehold/sockets/RoundedUpWaits.java
@@ -8,9 +8,10 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Has an event loop wait for its next timer in whole milliseconds, rounded up. The system's wait takes whole milliseconds; Netty's own
- * handler rounds to the nearest one, and polls its sockets without a pause for the last half millisecond before each timer. On a spent
- * share of a core that polling is what holds the process up.
+ * Has an event loop wait for its next timer in whole milliseconds, rounded up. The system's wait
+ * takes whole milliseconds; Netty's own handler rounds to the nearest one, and polls its sockets
+ * without a pause for the last half millisecond before each timer. On a spent share of a core that
+ * polling is what holds the process up.
  */
 final class RoundedUpWaits implements IoHandler {
     private static final long NANOS_A_MS = 1_000_000;
@@ -36,7 +37,10 @@
         };
     }
 
-    /** The wait for a timer that is due in so many nanoseconds: never shorter, under a millisecond longer; none where it is due. */
+    /**
+     * The wait for a timer that is due in so many nanoseconds: never shorter, under a millisecond
+     * longer; none where it is due.
+     */
     static long roundedUp(long nanos) {
         if (nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_A_MS) {
             return nanos;
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -25,26 +25,30 @@
         now = 0;
         unread = null;
         done.clear();
-        connections = new ClientConnections<>(4, () -> now, new ClientConnections.Closer<>() {
-            @Override
-            public void readUnread(String connection) {
-                if (connection.equals(unread)) {
-                    unread = null;
-                    connections.begun(connection);
-                    connections.busy(connection);
-                }
-            }
-
-            @Override
-            public void shut(String connection) {
-                done.add("shut " + connection);
-            }
-
-            @Override
-            public void cut(String connection) {
-                done.add("cut " + connection);
-            }
-        });
+        connections =
+                new ClientConnections<>(
+                        4,
+                        () -> now,
+                        new ClientConnections.Closer<>() {
+                            @Override
+                            public void readUnread(String connection) {
+                                if (connection.equals(unread)) {
+                                    unread = null;
+                                    connections.begun(connection);
+                                    connections.busy(connection);
+                                }
+                            }
+
+                            @Override
+                            public void shut(String connection) {
+                                done.add("shut " + connection);
+                            }
+
+                            @Override
+                            public void cut(String connection) {
+                                done.add("cut " + connection);
+                            }
+                        });
     }
 
     /** The connection on which a whole request lies unread. */
@@ -93,10 +97,16 @@
             {"open a, open b, open c, open d, open e, trim", "shut a"},
             {"open a, open b, open c, open d, open e, trim, open f, trim", "shut a, cut a, shut b"},
             {"open a, open b, open c, open d, open e, unread a, trim", ""},
-            {"open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
-                    + "open e, head e, whole e, 2000, unread a, trim", ""},
-            {"open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
-                    + "open e, head e, whole e, 2000, trim", "shut a"},
+            {
+                "open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
+                        + "open e, head e, whole e, 2000, unread a, trim",
+                ""
+            },
+            {
+                "open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
+                        + "open e, head e, whole e, 2000, trim",
+                "shut a"
+            },
             {"open a, open b, open c, open d, open e, trim, gone a, trim", "shut a"},
             {"open a, head a, whole a, open b, open c, open d, open e, trim", "shut b"},
             {"open a, head a, whole a, last a, 2499, sweep, settle", ""},
@@ -121,8 +131,12 @@
     @DataProvider
     Object[][] heard() {
         return new Object[][] {
-            {"open a", true}, {"open a, head a, whole a, answered a", true}, {"open a, flooded a", false},
-            {"open a, head a, whole a, last a", false}, {"open a, ends a", false}, {"open a, gone a", false},
+            {"open a", true},
+            {"open a, head a, whole a, answered a", true},
+            {"open a, flooded a", false},
+            {"open a, head a, whole a, last a", false},
+            {"open a, ends a", false},
+            {"open a, gone a", false},
         };
     }
 
@@ -138,8 +152,13 @@
     @DataProvider
     Object[][] arriving() {
         return new Object[][] {
-            {"open a", 1}, {"open a, 20", 0}, {"open a, head a, 2000", 1}, {"open a, head a, whole a", 0},
-            {"open a, head a, whole a, answered a", 0}, {"open a, head a, gone a", 0}, {"open a, open b, head b, 15", 2},
+            {"open a", 1},
+            {"open a, 20", 0},
+            {"open a, head a, 2000", 1},
+            {"open a, head a, whole a", 0},
+            {"open a, head a, whole a, answered a", 0},
+            {"open a, head a, gone a", 0},
+            {"open a, open b, head b, 15", 2},
         };
     }
 
@@ -153,7 +172,8 @@
 
     @Test
     public void whenAConnectionCameStaysKnownThroughItsRequests() {
-        for (String step : List.of("100", "open a", "head a", "whole a", "7", "answered a", "5", "head a")) {
+        for (String step :
+                List.of("100", "open a", "head a", "whole a", "7", "answered a", "5", "head a")) {
             step(step);
             if (now > 0 && connections.size() > 0) {
                 assertEquals(connections.arrival("a"), new Arrival(100 - BACKLOG_MS, 100), step);
@@ -162,11 +182,28 @@
         assertEquals(connections.size(), 1);
     }
 
-    /** Whatever happens in whatever order: none is shut twice, none is cut that wasn't shut, and none is forgotten. */
+    /**
+     * Whatever happens in whatever order: none is shut twice, none is cut that wasn't shut, and
+     * none is forgotten.
+     */
     @Test
     public void anyOrderOfEventsEndsEachConnectionOnce() {
-        String[] events = {"open", "head", "whole", "answered", "flooded", "last", "ends", "shutting", "gone", "trim", "sweep", "rests",
-            "settle", "700"};
+        String[] events = {
+            "open",
+            "head",
+            "whole",
+            "answered",
+            "flooded",
+            "last",
+            "ends",
+            "shutting",
+            "gone",
+            "trim",
+            "sweep",
+            "rests",
+            "settle",
+            "700"
+        };
         for (long seed = 0; seed < 300; seed++) {
             open();
             var chance = new Random(seed);
@@ -174,8 +211,12 @@
             var shutting = new HashSet<String>();
             for (int i = 0; i < 200; i++) {
                 String event = events[chance.nextInt(events.length)];
-                String c = event.equals("open") ? "c" + opened.size()
-                        : opened.isEmpty() ? "c0" : opened.get(chance.nextInt(opened.size()));
+                String c =
+                        event.equals("open")
+                                ? "c" + opened.size()
+                                : opened.isEmpty()
+                                        ? "c0"
+                                        : opened.get(chance.nextInt(opened.size()));
                 if (event.equals("open")) {
                     opened.add(c);
                 }
@@ -184,11 +225,15 @@
                 }
                 step(event.matches("trim|sweep|rests|settle|700") ? event : event + " " + c);
             }
-            assertEquals(done.stream().distinct().count(), done.size(), "seed " + seed + ": " + done);
+            assertEquals(
+                    done.stream().distinct().count(), done.size(), "seed " + seed + ": " + done);
             for (String end : done) {
                 // What is cut was shut before, by us or by its client's wish.
-                assertTrue(!end.startsWith("cut") || done.contains(end.replace("cut", "shut"))
-                        || shutting.contains(end.substring(4)), "seed " + seed);
+                assertTrue(
+                        !end.startsWith("cut")
+                                || done.contains(end.replace("cut", "shut"))
+                                || shutting.contains(end.substring(4)),
+                        "seed " + seed);
             }
             opened.forEach(c -> step("gone " + c));
             assertEquals(connections.size(), 0, "seed " + seed);
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -14,13 +14,13 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
-import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.AfterMethod;
@@ -34,17 +34,25 @@
 /** The HTTP server with a handler that is scripted, asked over plain sockets. */
 public class ClientServerTest {
     private static final String BODY = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
-    private static final Answer HIT = new Answer.Completed(true,
-            List.of(new Answer.Value(0, "v".getBytes(StandardCharsets.UTF_8))));
+    private static final Answer HIT =
+            new Answer.Completed(
+                    true, List.of(new Answer.Value(0, "v".getBytes(StandardCharsets.UTF_8))));
 
     /** How many connections clients may hold. */
     private static final int MOST = 6;
-    /** No test is so slow that it would meet the end of a connection's lingering unless it means to. */
+
+    /**
+     * No test is so slow that it would meet the end of a connection's lingering unless it means to.
+     */
     private static final long LONG_MS = 60_000;
 
     /** Some 44 KB, far more than anybody asks at once. */
     private static final int FLOOD_REQUESTS = 400;
-    /** What one connection may take of a pass, so that others' sockets are read soon: two reads, and the rest of a request before them. */
+
+    /**
+     * What one connection may take of a pass, so that others' sockets are read soon: two reads, and
+     * the rest of a request before them.
+     */
     private static final int MOST_BYTES_A_PASS = 8 * 1024 + 512;
 
     private Vertx vertx;
@@ -79,54 +87,59 @@
         arrivals = new LinkedBlockingQueue<>();
         vertx = Vertx.vertx();
         loop = new TestLoop(vertx);
-        var handler = new ScanHandler() {
-            @Override
-            public boolean ready() {
-                return ready;
-            }
-
-            @Override
-            public boolean isTableType(String name) {
-                return name.equals("q");
-            }
-
-            @Override
-            public boolean isOpen(Scan scan) {
-                return scan.id().equals("open");
-            }
-
-            @Override
-            public double unreadSince(double nowMs, Arrival arrival) {
-                arrivals.add(arrival);
-                countInPass();
-                return nowMs - heldUpMs;
-            }
-
-            @Override
-            public void take(Scan scan) {
-                taken.add(scan);
-                if (scan.id().equals("panic")) {
-                    throw new IllegalStateException("scripted");
-                }
-                if (atOnce != null) {
-                    server.answer(scan, atOnce);
-                }
-            }
-
-            @Override
-            public void left(Scan scan) {
-                left.add(scan);
-            }
-        };
+        var handler =
+                new ScanHandler() {
+                    @Override
+                    public boolean ready() {
+                        return ready;
+                    }
+
+                    @Override
+                    public boolean isTableType(String name) {
+                        return name.equals("q");
+                    }
+
+                    @Override
+                    public boolean isOpen(Scan scan) {
+                        return scan.id().equals("open");
+                    }
+
+                    @Override
+                    public double unreadSince(double nowMs, Arrival arrival) {
+                        arrivals.add(arrival);
+                        countInPass();
+                        return nowMs - heldUpMs;
+                    }
+
+                    @Override
+                    public void take(Scan scan) {
+                        taken.add(scan);
+                        if (scan.id().equals("panic")) {
+                            throw new IllegalStateException("scripted");
+                        }
+                        if (atOnce != null) {
+                            server.answer(scan, atOnce);
+                        }
+                    }
+
+                    @Override
+                    public void left(Scan scan) {
+                        left.add(scan);
+                    }
+                };
         var listening = new CompletableFuture<HttpServer>();
-        loop.run(() -> {
-            server = new ClientServer(vertx, 10, MOST, handler, () -> now, lingerMs);
-            server.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1")).onComplete(listening::complete, listening::completeExceptionally);
-        });
+        loop.run(
+                () -> {
+                    server = new ClientServer(vertx, 10, MOST, handler, () -> now, lingerMs);
+                    server.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
+                            .onComplete(listening::complete, listening::completeExceptionally);
+                });
         port = listening.get(5, TimeUnit.SECONDS).actualPort();
     }
 
-    /** Work that is handed over while sockets are read is done once the pass over them is through. */
+    /**
+     * Work that is handed over while sockets are read is done once the pass over them is through.
+     */
     private void countInPass() {
         if (!inPass) {
             inPass = true;
@@ -143,8 +156,15 @@
     }
 
     private static String post(String path, String id, String body) {
-        return "POST " + path + " HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: q\r\n"
-                + "X-Deadline-Ms: 480\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+        return "POST "
+                + path
+                + " HTTP/1.1\r\nHost: h\r\nX-Request-Id: "
+                + id
+                + "\r\nX-Class: q\r\n"
+                + "X-Deadline-Ms: 480\r\nContent-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     private Socket connect(String bytes) throws IOException {
@@ -159,15 +179,18 @@
         String request = post("/none", "f", "");
         try (Socket client = connect(request)) {
             assertTrue(response(client).startsWith("HTTP/1.1 404"));
-            Runnable goOn = loop.hold(() -> { });
-            client.getOutputStream().write(request.repeat(FLOOD_REQUESTS).getBytes(StandardCharsets.UTF_8));
+            Runnable goOn = loop.hold(() -> {});
+            client.getOutputStream()
+                    .write(request.repeat(FLOOD_REQUESTS).getBytes(StandardCharsets.UTF_8));
             goOn.run();
             for (int i = 0; i < FLOOD_REQUESTS; i++) {
                 assertTrue(response(client).startsWith("HTTP/1.1 404"), "request " + i);
             }
         }
         assertTrue(mostRequestsOfAPass > 0, "no pass was counted");
-        assertTrue(mostRequestsOfAPass * request.length() <= MOST_BYTES_A_PASS, mostRequestsOfAPass + " requests in one pass");
+        assertTrue(
+                mostRequestsOfAPass * request.length() <= MOST_BYTES_A_PASS,
+                mostRequestsOfAPass + " requests in one pass");
     }
 
     /** Reads one response, headers and sized body. */
@@ -183,7 +206,8 @@
         }
         String head = text.toString().toLowerCase();
         int at = head.indexOf("content-length: ");
-        int length = at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
+        int length =
+                at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
         return text + new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
@@ -192,7 +216,10 @@
         loop.until(() -> server.connections() == connections);
     }
 
-    /** Waits until the server itself counts all its answers as written, which it may do after the client has read them. */
+    /**
+     * Waits until the server itself counts all its answers as written, which it may do after the
+     * client has read them.
+     */
     private void settled() throws Exception {
         loop.until(() -> server.underWay() == 0);
     }
@@ -214,16 +241,19 @@
     @DataProvider
     Object[][] refused() {
         return new Object[][] {
-            {post("/other", "s", BODY), 404, "no such table type"}, {post("/", "s", BODY), 404, ""},
+            {post("/other", "s", BODY), 404, "no such table type"},
+            {post("/", "s", BODY), 404, ""},
             {"GET /q HTTP/1.1\r\nHost: h\r\n\r\n", 405, "Allow: POST"},
             {"DELETE /up HTTP/1.1\r\nHost: h\r\n\r\n", 405, "Allow: GET"},
-            {post("/q", "open", BODY), 400, "open"}, {post("/q", "s", "{}"), 400, "buckets"},
+            {post("/q", "open", BODY), 400, "open"},
+            {post("/q", "s", "{}"), 400, "buckets"},
             {post("/q", "s", " ".repeat(64 * 1024 + 1)), 413, "64 KiB"},
         };
     }
 
     @Test(dataProvider = "refused")
-    public void whatCantBeTakenIsRefusedWithItsReason(String request, int status, String says) throws IOException {
+    public void whatCantBeTakenIsRefusedWithItsReason(String request, int status, String says)
+            throws IOException {
         try (Socket socket = connect(request)) {
             String response = response(socket);
             assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
@@ -233,8 +263,10 @@
     }
 
     private static String framed(String headers, String rest) {
-        return "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: s\r\nX-Class: q\r\nX-Deadline-Ms: 480\r\n" + headers
-                + "\r\n\r\n" + rest;
+        return "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: s\r\nX-Class: q\r\nX-Deadline-Ms: 480\r\n"
+                + headers
+                + "\r\n\r\n"
+                + rest;
     }
 
     @DataProvider
@@ -245,20 +277,28 @@
             {framed("Transfer-Encoding: chunked\r\n" + length, chunks), 400},
             {framed(length + "\r\nTransfer-Encoding: chunked", chunks), 400},
             {framed("Transfer-Encoding: chunked\r\nContent-Length: 0", chunks), 400},
-            {framed("Transfer-Encoding: gzip", ""), 501}, {framed("Transfer-Encoding: gzip, chunked", chunks), 501},
+            {framed("Transfer-Encoding: gzip", ""), 501},
+            {framed("Transfer-Encoding: gzip, chunked", chunks), 501},
             {framed("Transfer-Encoding: chunked\r\nTransfer-Encoding: identity", chunks), 501},
-            {framed(length + "\r\nContent-Length: 0", BODY), 400}, {framed("Content-Length: +" + BODY.length(), BODY), 400},
-            {framed("Content-Length: -1", BODY), 400}, {framed("Content-Length: 0x10", BODY), 400},
-            {framed("Content-Length: 9999999999999999999", BODY), 400}, {framed("Content-Length: 3000000000", BODY), 413},
-            {framed("Content-Length: 62914560", " "), 413}, {framed("Transfer-Encoding: chunked", "zz\r\n" + BODY), 400},
+            {framed(length + "\r\nContent-Length: 0", BODY), 400},
+            {framed("Content-Length: +" + BODY.length(), BODY), 400},
+            {framed("Content-Length: -1", BODY), 400},
+            {framed("Content-Length: 0x10", BODY), 400},
+            {framed("Content-Length: 9999999999999999999", BODY), 400},
+            {framed("Content-Length: 3000000000", BODY), 413},
+            {framed("Content-Length: 62914560", " "), 413},
+            {framed("Transfer-Encoding: chunked", "zz\r\n" + BODY), 400},
             {framed("Transfer-Encoding: chunked", "10001\r\n" + " ".repeat(0x10001) + "\r\n"), 413},
-            {framed("X-Long: " + "x".repeat(10_000), ""), 431}, {"POST /" + "q".repeat(5000) + " HTTP/1.1\r\n\r\n", 414},
-            {framed("no header", ""), 400}, {"\u0000\u0001 nothing\r\n\r\n", 400},
+            {framed("X-Long: " + "x".repeat(10_000), ""), 431},
+            {"POST /" + "q".repeat(5000) + " HTTP/1.1\r\n\r\n", 414},
+            {framed("no header", ""), 400},
+            {"\u0000\u0001 nothing\r\n\r\n", 400},
         };
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCantBeReadIsTheLastOfItsConnection(String request, int status) throws Exception {
+    public void whatCantBeReadIsTheLastOfItsConnection(String request, int status)
+            throws Exception {
         try (Socket socket = connect(request + post("/q", "hidden", BODY))) {
             String response = rest(socket);
             assertTrue(response.matches("(?s)HTTP/1.[01] " + status + " .*"), response);
@@ -279,30 +319,47 @@
         String length = "Content-Length: ";
         return new Object[][] {
             // What comes, the status, and what is sent before that answer is read.
-            {framed(length + (1 << 20), ""), 413, " ".repeat(1 << 17)}, {"nothing\r\n\r\n", 400, " ".repeat(1 << 17)},
+            {framed(length + (1 << 20), ""), 413, " ".repeat(1 << 17)},
+            {"nothing\r\n\r\n", 400, " ".repeat(1 << 17)},
             {framed("Transfer-Encoding: gzip", ""), 501, " ".repeat(1 << 17)},
             {post("/q", "panic", BODY), 500, post("/q", "t", BODY)},
-            {framed("Connection: close\r\n" + length + BODY.length(), BODY), 200, post("/q", "t", BODY)},
-            {framed(length + BODY.length(), BODY).replace("HTTP/1.1", "HTTP/1.0"), 200, post("/q", "t", BODY)},
+            {
+                framed("Connection: close\r\n" + length + BODY.length(), BODY),
+                200,
+                post("/q", "t", BODY)
+            },
+            {
+                framed(length + BODY.length(), BODY).replace("HTTP/1.1", "HTTP/1.0"),
+                200,
+                post("/q", "t", BODY)
+            },
         };
     }
 
-    /** A close over unread bytes resets the connection, and the answer that is on its way goes with it. */
+    /**
+     * A close over unread bytes resets the connection, and the answer that is on its way goes with
+     * it.
+     */
     @Test(dataProvider = "lastAnswers")
-    public void lastAnswerArrivesWhateverLiesUnreadBehindIt(String request, int status, String more) throws Exception {
+    public void lastAnswerArrivesWhateverLiesUnreadBehindIt(String request, int status, String more)
+            throws Exception {
         atOnce = HIT;
         try (Socket socket = connect(request + more)) {
             String response = rest(socket);
             assertTrue(response.matches("(?s)HTTP/1.[01] " + status + " .*"), response);
-            // The other side has shut its output and reads on: what is sent now does not reset it, and reaches nobody. A
+            // The other side has shut its output and reads on: what is sent now does not reset it,
+            // and reaches nobody. A
             // reset would come between the two.
             for (int i = 0; i < 2; i++) {
-                socket.getOutputStream().write(post("/q", "u", BODY).getBytes(StandardCharsets.UTF_8));
+                socket.getOutputStream()
+                        .write(post("/q", "u", BODY).getBytes(StandardCharsets.UTF_8));
                 loop.until(() -> server.connections() == 1);
             }
             assertEquals(socket.getInputStream().read(), -1);
         }
-        assertTrue(taken.stream().noneMatch(scan -> scan.id().equals("t") || scan.id().equals("u")), String.valueOf(taken));
+        assertTrue(
+                taken.stream().noneMatch(scan -> scan.id().equals("t") || scan.id().equals("u")),
+                String.valueOf(taken));
     }
 
     @Test
@@ -321,19 +378,26 @@
             assertTrue(rest(loud).contains(" 400 "));
             accepted(1);
             byte[] noise = new byte[64 * 1024];
-            assertThrows(IOException.class, () -> {
-                // Many times what is read and dropped, and what the buffers of both ends hold.
-                for (int i = 0; i < 1024; i++) {
-                    loud.getOutputStream().write(noise);
-                }
-            });
+            assertThrows(
+                    IOException.class,
+                    () -> {
+                        // Many times what is read and dropped, and what the buffers of both ends
+                        // hold.
+                        for (int i = 0; i < 1024; i++) {
+                            loud.getOutputStream().write(noise);
+                        }
+                    });
             accepted(0);
         }
     }
 
-    /** A request that is whole in the system's buffer has been taken; its connection isn't idle, however long unread. */
+    /**
+     * A request that is whole in the system's buffer has been taken; its connection isn't idle,
+     * however long unread.
+     */
     @Test(dataProvider = "aged")
-    public void requestThatLiesUnreadWhenItsConnectionIsOldIsAnswered(String before, double age) throws Exception {
+    public void requestThatLiesUnreadWhenItsConnectionIsOldIsAnswered(String before, double age)
+            throws Exception {
         atOnce = HIT;
         try (Socket socket = connect(before)) {
             accepted(1);
@@ -341,7 +405,8 @@
                 response(socket);
                 settled();
             }
-            // The loop stands still while the request comes and the time passes, and then sweeps before it reads.
+            // The loop stands still while the request comes and the time passes, and then sweeps
+            // before it reads.
             Runnable free = loop.hold(() -> server.sweep());
             socket.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
             now += age;
@@ -361,12 +426,17 @@
         return new Object[][] {{1, 0}, {12, 0}, {40, 0}, {3, 20_000}, {200, 100}};
     }
 
-    /** Behind a request that waits the HTTP server reads no further, so it would see the close only once all were sent on. */
+    /**
+     * Behind a request that waits the HTTP server reads no further, so it would see the close only
+     * once all were sent on.
+     */
     @Test(dataProvider = "crowds")
-    public void clientThatLeavesWhileItsRequestsStandInLineHasLeftAllOfThem(int behind, int longer) throws Exception {
+    public void clientThatLeavesWhileItsRequestsStandInLineHasLeftAllOfThem(int behind, int longer)
+            throws Exception {
         var requests = new StringBuilder(post("/q", "s", BODY));
         for (int i = 0; i < behind; i++) {
-            requests.append(post("/q", "behind" + i, BODY.replace("c4", "c4".repeat(1 + longer / 2))));
+            requests.append(
+                    post("/q", "behind" + i, BODY.replace("c4", "c4".repeat(1 + longer / 2))));
         }
         Socket socket = connect(requests.toString());
         Scan scan = taken.poll(5, TimeUnit.SECONDS);
@@ -380,26 +450,35 @@
 
     @Test
     public void whoSendsFarTooMuchAtOnceGetsOneAnswerAndNoMore() throws Exception {
-        try (Socket socket = connect(post("/q", "s", BODY) + post("/q", "t", BODY.replace("c4", "c4".repeat(2_000_000))))) {
+        try (Socket socket =
+                connect(
+                        post("/q", "s", BODY)
+                                + post("/q", "t", BODY.replace("c4", "c4".repeat(2_000_000))))) {
             Scan scan = taken.poll(5, TimeUnit.SECONDS);
             // Read on until it was too much.
             loop.until(() -> server.floods() > 0);
             answer(scan, HIT);
             String rest = rest(socket);
-            assertTrue(rest.startsWith("HTTP/1.1 200 ") && rest.contains("Connection: close"), rest);
+            assertTrue(
+                    rest.startsWith("HTTP/1.1 200 ") && rest.contains("Connection: close"), rest);
             assertTrue(taken.isEmpty(), String.valueOf(taken));
         }
     }
 
     @DataProvider
     Object[][] unfinished() {
-        return new Object[][] {{""}, {"POST /q HT"}, {framed("Content-Length: 9", "{")},
-            {framed("Transfer-Encoding: chunked", "5\r\n{")}};
+        return new Object[][] {
+            {""},
+            {"POST /q HT"},
+            {framed("Content-Length: 9", "{")},
+            {framed("Transfer-Encoding: chunked", "5\r\n{")}
+        };
     }
 
     @Test(dataProvider = "unfinished")
     public void requestThatDoesntComeInTimeClosesItsConnectionAlone(String bytes) throws Exception {
-        try (Socket other = connect(post("/q", "s", BODY)); Socket socket = connect(bytes)) {
+        try (Socket other = connect(post("/q", "s", BODY));
+                Socket socket = connect(bytes)) {
             Scan scan = taken.poll(5, TimeUnit.SECONDS);
             accepted(2);
             now = 2400;
@@ -442,8 +521,8 @@
     }
 
     @Test(dataProvider = "kept")
-    public void keptConnectionsAreClosedOnceIdleAndSoonerWhenThereAreMany(int connections, double stays, double goes)
-            throws Exception {
+    public void keptConnectionsAreClosedOnceIdleAndSoonerWhenThereAreMany(
+            int connections, double stays, double goes) throws Exception {
         atOnce = HIT;
         try (Socket first = connect(post("/q", "s", BODY))) {
             response(first);
@@ -470,12 +549,14 @@
         return new Object[][] {
             {HIT, "200", "{\"finished\":true,\"found\":[{\"bucket\":0,\"item\":\"v\"}]}"},
             {new Answer.Throttled(250), "503", "Retry-After: 0.25\r\n"},
-            {new Answer.Throttled(0), "503", "throttled"}, {new Answer.Abandoned(), "502", "abandoned"},
+            {new Answer.Throttled(0), "503", "throttled"},
+            {new Answer.Abandoned(), "502", "abandoned"},
         };
     }
 
     @Test(dataProvider = "answers")
-    public void answersHaveTheirForms(Answer answer, String status, String holds) throws IOException {
+    public void answersHaveTheirForms(Answer answer, String status, String holds)
+            throws IOException {
         atOnce = answer;
         try (Socket socket = connect(post("/q/more", "s", BODY))) {
             String response = response(socket);
@@ -498,12 +579,14 @@
     @Test
     public void chunkedAndPipelinedRequestsAreAllTaken() throws IOException {
         atOnce = HIT;
-        String chunked = "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: c\r\nX-Class: q\r\nX-Deadline-Ms: 480\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\n";
+        String chunked =
+                "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: c\r\nX-Class: q\r\nX-Deadline-Ms: 480\r\n"
+                        + "Transfer-Encoding: chunked\r\n\r\n";
         for (int i = 0; i < BODY.length(); i++) {
             chunked += "1\r\n" + BODY.charAt(i) + "\r\n";
         }
-        try (Socket socket = connect(post("/q", "a", BODY) + chunked + "0\r\n\r\n" + post("/q", "b", BODY))) {
+        try (Socket socket =
+                connect(post("/q", "a", BODY) + chunked + "0\r\n\r\n" + post("/q", "b", BODY))) {
             for (String id : List.of("a", "c", "b")) {
                 assertTrue(response(socket).startsWith("HTTP/1.1 200 "));
                 assertEquals(taken.remove().id(), id);
@@ -519,14 +602,49 @@
         return new Object[][] {
             {"POST /q HTTP/1.1\r\nHost: h\r\n" + sized + "\r\n" + BODY},
             {"POST /q HTTP/1.1\r\nhost: h\r\n" + sized.toLowerCase(Locale.ROOT) + "\r\n" + BODY},
-            {"POST /q HTTP/1.1\r\nHOST:h\r\n" + sized.replace(": ", ":\t  ").replace("\r\n", " \r\n") + "\r\n" + BODY},
-            {"POST /q/more?x=1 HTTP/1.1\r\nHost: h\r\nX-Other: 1\r\nX-Other: 2\r\n" + sized + "\r\n" + BODY},
-            {"POST http://service.internal/q HTTP/1.1\r\nHost: service.internal\r\n" + sized + "\r\n" + BODY},
+            {
+                "POST /q HTTP/1.1\r\nHOST:h\r\n"
+                        + sized.replace(": ", ":\t  ").replace("\r\n", " \r\n")
+                        + "\r\n"
+                        + BODY
+            },
+            {
+                "POST /q/more?x=1 HTTP/1.1\r\nHost: h\r\nX-Other: 1\r\nX-Other: 2\r\n"
+                        + sized
+                        + "\r\n"
+                        + BODY
+            },
+            {
+                "POST http://service.internal/q HTTP/1.1\r\nHost: service.internal\r\n"
+                        + sized
+                        + "\r\n"
+                        + BODY
+            },
             {"\r\nPOST /q HTTP/1.1\r\nHost: h\r\n" + sized + "\r\n" + BODY},
-            {"POST /q HTTP/1.1\r\nHost: h\r\n" + needed + "transfer-encoding: Chunked\r\n\r\n" + chunk + "\r\n" + BODY + "\r\n0\r\n\r\n"},
-            {"POST /q HTTP/1.1\r\nHost: h\r\n" + needed + "Transfer-Encoding: chunked\r\n\r\n00" + chunk.toUpperCase(Locale.ROOT)
-                + ";name=value\r\n" + BODY + "\r\n000\r\nX-Trailer: 1\r\n\r\n"},
-            {"POST /q HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, close\r\n" + sized + "\r\n" + BODY},
+            {
+                "POST /q HTTP/1.1\r\nHost: h\r\n"
+                        + needed
+                        + "transfer-encoding: Chunked\r\n\r\n"
+                        + chunk
+                        + "\r\n"
+                        + BODY
+                        + "\r\n0\r\n\r\n"
+            },
+            {
+                "POST /q HTTP/1.1\r\nHost: h\r\n"
+                        + needed
+                        + "Transfer-Encoding: chunked\r\n\r\n00"
+                        + chunk.toUpperCase(Locale.ROOT)
+                        + ";name=value\r\n"
+                        + BODY
+                        + "\r\n000\r\nX-Trailer: 1\r\n\r\n"
+            },
+            {
+                "POST /q HTTP/1.1\r\nHost: h\r\nConnection: keep-alive, close\r\n"
+                        + sized
+                        + "\r\n"
+                        + BODY
+            },
         };
     }
 
@@ -534,7 +652,8 @@
     @Test(dataProvider = "forms")
     public void requestOfAnyFormIsTakenOnceAlsoByteByByte(String request) throws Exception {
         atOnce = HIT;
-        try (Socket whole = connect(request); Socket pieces = connect("")) {
+        try (Socket whole = connect(request);
+                Socket pieces = connect("")) {
             assertTrue(response(whole).startsWith("HTTP/1.1 200 "));
             pieces.setTcpNoDelay(true);
             for (byte one : request.getBytes(StandardCharsets.UTF_8)) {
@@ -579,7 +698,8 @@
     }
 
     @Test
-    public void drainClosesIdleConnectionsAndSendsOthersElsewhereAfterTheirAnswer() throws Exception {
+    public void drainClosesIdleConnectionsAndSendsOthersElsewhereAfterTheirAnswer()
+            throws Exception {
         atOnce = HIT;
         try (Socket idle = connect(post("/q", "i", BODY))) {
             response(idle);
@@ -588,14 +708,18 @@
             try (Socket busy = connect(post("/q", "s", BODY))) {
                 taken.poll(5, TimeUnit.SECONDS);
                 Scan scan = taken.poll(5, TimeUnit.SECONDS);
-                loop.run(() -> {
-                    server.drain();
-                    server.closeIdle();
-                });
+                loop.run(
+                        () -> {
+                            server.drain();
+                            server.closeIdle();
+                        });
                 assertEquals(idle.getInputStream().read(), -1);
                 answer(scan, HIT);
                 String response = response(busy);
-                assertTrue(response.startsWith("HTTP/1.1 200 ") && response.contains("Connection: close"), response);
+                assertTrue(
+                        response.startsWith("HTTP/1.1 200 ")
+                                && response.contains("Connection: close"),
+                        response);
                 assertEquals(busy.getInputStream().read(), -1);
             }
         }
@@ -613,10 +737,13 @@
         }
         var waits = new HashMap<String, Boolean>();
         var asked = new CountDownLatch(1);
-        Runnable free = loop.hold(() -> {
-            scans.values().forEach(scan -> waits.put(scan.id(), server.waits(scan)));
-            asked.countDown();
-        });
+        Runnable free =
+                loop.hold(
+                        () -> {
+                            scans.values()
+                                    .forEach(scan -> waits.put(scan.id(), server.waits(scan)));
+                            asked.countDown();
+                        });
         // Bytes before the end: it is not the first thing that is read.
         leaves.getOutputStream().write("POST /q HTTP/1.1\r\n".getBytes(StandardCharsets.UTF_8));
         leaves.close();
--- a/gatherer/src/test/java/sprucehold/clients/ScanReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ScanReaderTest.java
@@ -15,7 +15,8 @@
 public class ScanReaderTest {
     private static final String PART = "{\"bucket\":3,\"part\":1.0}";
 
-    private static Scan read(String id, String tableType, String deadline, String body) throws Exception {
+    private static Scan read(String id, String tableType, String deadline, String body)
+            throws Exception {
         MultiMap headers = MultiMap.caseInsensitiveMultiMap();
         if (id != null) {
             headers.add("x-request-id", id);
@@ -25,7 +26,8 @@
             headers.add("X-Deadline-Ms", deadline);
         }
         // A single byte for what isn't ASCII, which is no UTF-8.
-        return new ScanReader(10).read("q", headers, body.getBytes(StandardCharsets.ISO_8859_1), 30);
+        return new ScanReader(10)
+                .read("q", headers, body.getBytes(StandardCharsets.ISO_8859_1), 30);
     }
 
     private static String body(String buckets) {
@@ -35,46 +37,91 @@
     @DataProvider
     Object[][] malformed() {
         return new Object[][] {
-            {null, "q", "9", body(PART)}, {"", "q", "9", body(PART)}, {"a b", "q", "9", body(PART)},
-            {"a\n", "q", "9", body(PART)}, {"s", "r", "9", body(PART)}, {"s", "q", null, body(PART)},
-            {"s", "q", "9.5", body(PART)}, {"s", "q", "-9", body(PART)}, {"s", "q", "", body(PART)},
-            {"s", "q", "9", ""}, {"s", "q", "9", "{"}, {"s", "q", "9", "[]"}, {"s", "q", "9", body("")},
-            {"s", "q", "9", "{\"buckets\":[" + PART + "]}"}, {"s", "q", "9", body("3")},
-            {"s", "q", "9", body("{\"part\":1}")}, {"s", "q", "9", body("{\"bucket\":10,\"part\":1}")},
-            {"s", "q", "9", body("{\"bucket\":-1,\"part\":1}")}, {"s", "q", "9", body("{\"bucket\":1.5,\"part\":1}")},
+            {null, "q", "9", body(PART)},
+            {"", "q", "9", body(PART)},
+            {"a b", "q", "9", body(PART)},
+            {"a\n", "q", "9", body(PART)},
+            {"s", "r", "9", body(PART)},
+            {"s", "q", null, body(PART)},
+            {"s", "q", "9.5", body(PART)},
+            {"s", "q", "-9", body(PART)},
+            {"s", "q", "", body(PART)},
+            {"s", "q", "9", ""},
+            {"s", "q", "9", "{"},
+            {"s", "q", "9", "[]"},
+            {"s", "q", "9", body("")},
+            {"s", "q", "9", "{\"buckets\":[" + PART + "]}"},
+            {"s", "q", "9", body("3")},
+            {"s", "q", "9", body("{\"part\":1}")},
+            {"s", "q", "9", body("{\"bucket\":10,\"part\":1}")},
+            {"s", "q", "9", body("{\"bucket\":-1,\"part\":1}")},
+            {"s", "q", "9", body("{\"bucket\":1.5,\"part\":1}")},
             {"s", "q", "9", body("{\"bucket\":1,\"part\":0.5},{\"bucket\":1,\"part\":0.5}")},
-            {"s", "q", "9", body("{\"bucket\":1}")}, {"s", "q", "9", body("{\"bucket\":1,\"part\":0.5}")},
+            {"s", "q", "9", body("{\"bucket\":1}")},
+            {"s", "q", "9", body("{\"bucket\":1,\"part\":0.5}")},
             {"s", "q", "9", body("{\"bucket\":1,\"part\":1.5},{\"bucket\":2,\"part\":-0.5}")},
-            {"s", "q", "9", body("{\"bucket\":1,\"part\":\"1\"}")}, {"s", "q", "9", body("{\"bucket\":1,\"part\":true}")},
-            {"s", "q", "9", body("{\"bucket\":\"1\",\"part\":1}")}, {"s", "q", "9", body("{\"bucket\":1,\"part\":NaN}")},
+            {"s", "q", "9", body("{\"bucket\":1,\"part\":\"1\"}")},
+            {"s", "q", "9", body("{\"bucket\":1,\"part\":true}")},
+            {"s", "q", "9", body("{\"bucket\":\"1\",\"part\":1}")},
+            {"s", "q", "9", body("{\"bucket\":1,\"part\":NaN}")},
             {"s", "q", "9", body("{\"bucket\":1,\"part\":1},{\"bucket\":2,\"part\":0}")},
-            {"s", "q", "9", body("{\"bucket\":1,\"bucket\":2,\"part\":1}")}, {"s", "q", "9", body("[1]")},
-            {"s", "q", "9", body(PART) + "{}"}, {"s", "q", "9", body(PART) + " x"}, {"s", "q", "9", "\ufeff" + body(PART)},
-            {"s", "q", "9", body(PART).replace("c4", "\u00e9")}, {"s", "q", "1e3", body(PART)},
-            {"s\r\nt", "q", "9", body(PART)}, {"s", "q", "99999999999", body(PART)},
+            {"s", "q", "9", body("{\"bucket\":1,\"bucket\":2,\"part\":1}")},
+            {"s", "q", "9", body("[1]")},
+            {"s", "q", "9", body(PART) + "{}"},
+            {"s", "q", "9", body(PART) + " x"},
+            {"s", "q", "9", "\ufeff" + body(PART)},
+            {"s", "q", "9", body(PART).replace("c4", "\u00e9")},
+            {"s", "q", "1e3", body(PART)},
+            {"s\r\nt", "q", "9", body(PART)},
+            {"s", "q", "99999999999", body(PART)},
         };
     }
 
     @Test(dataProvider = "malformed")
-    public void scansThatCantBeTakenAreRefused(String id, String tableType, String deadline, String body) {
-        assertThrows(ScanReader.MalformedException.class, () -> read(id, tableType, deadline, body));
+    public void scansThatCantBeTakenAreRefused(
+            String id, String tableType, String deadline, String body) {
+        assertThrows(
+                ScanReader.MalformedException.class, () -> read(id, tableType, deadline, body));
     }
 
     @Test
     public void headerThatStandsTwiceIsRefused() {
-        for (String name : List.of("X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", "Idempotency-Key")) {
-            MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Request-Id", "s").add("X-Class", "q")
-                    .add("X-Tenant", "acme").add("X-Deadline-Ms", "9").add("Idempotency-Key", "k");
+        for (String name :
+                List.of(
+                        "X-Request-Id",
+                        "X-Class",
+                        "X-Tenant",
+                        "X-Deadline-Ms",
+                        "Idempotency-Key")) {
+            MultiMap headers =
+                    MultiMap.caseInsensitiveMultiMap()
+                            .add("X-Request-Id", "s")
+                            .add("X-Class", "q")
+                            .add("X-Tenant", "acme")
+                            .add("X-Deadline-Ms", "9")
+                            .add("Idempotency-Key", "k");
             headers.add(name, headers.get(name));
-            assertThrows(ScanReader.MalformedException.class,
-                    () -> new ScanReader(10).read("q", headers, body(PART).getBytes(StandardCharsets.UTF_8), 0));
+            assertThrows(
+                    ScanReader.MalformedException.class,
+                    () ->
+                            new ScanReader(10)
+                                    .read(
+                                            "q",
+                                            headers,
+                                            body(PART).getBytes(StandardCharsets.UTF_8),
+                                            0));
         }
     }
 
     private static Scan withKey(String key) throws Exception {
-        MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Request-Id", "s").add("X-Class", "q")
-                .add("X-Deadline-Ms", "9").add("Idempotency-Key", key);
-        return new ScanReader(10).read("q", headers, body(PART).getBytes(StandardCharsets.UTF_8), 0);
+        MultiMap headers =
+                MultiMap.caseInsensitiveMultiMap()
+                        .add("X-Request-Id", "s")
+                        .add("X-Class", "q")
+                        .add("X-Deadline-Ms", "9")
+                        .add("Idempotency-Key", key);
+        return new ScanReader(10)
+                .read("q", headers, body(PART).getBytes(StandardCharsets.UTF_8), 0);
     }
 
     @Test
@@ -95,8 +142,13 @@
 
     @Test
     public void scanIsReadWithItsSharesMadeWhole() throws Exception {
-        Scan scan = read("s", "q", "480", "{\"more\":1,\"buckets\":[{\"bucket\":3,\"part\":0.333,\"effort\":9000},"
-                + "{\"bucket\":9,\"part\":0.333},{\"bucket\":0,\"part\":0.333}],\"body\":\"c4\\u00e9\"}");
+        Scan scan =
+                read(
+                        "s",
+                        "q",
+                        "480",
+                        "{\"more\":1,\"buckets\":[{\"bucket\":3,\"part\":0.333,\"effort\":9000},"
+                                + "{\"bucket\":9,\"part\":0.333},{\"bucket\":0,\"part\":0.333}],\"body\":\"c4\\u00e9\"}");
         assertEquals(scan.customer(), "acme");
         assertEquals(scan.timeLeftMs(), 450.0);
         assertEquals(read("s", "q", "29", body(PART)).timeLeftMs(), 0.0);
@@ -107,7 +159,9 @@
 
     @DataProvider
     Object[][] seconds() {
-        return new Object[][] {{250, "0.25"}, {1000, "1"}, {10_000, "10"}, {1, "0.001"}, {1234.4, "1.234"}};
+        return new Object[][] {
+            {250, "0.25"}, {1000, "1"}, {10_000, "10"}, {1, "0.001"}, {1234.4, "1.234"}
+        };
     }
 
     @Test(dataProvider = "seconds")
@@ -118,7 +172,10 @@
     @Test
     public void valuesStandInTheAnswerAsTheyCame() {
         var values = List.of(new Answer.Value(3, "5b\"é".getBytes(StandardCharsets.UTF_8)));
-        assertEquals(new String(AnswerWriter.body(new Answer.Completed(false, values)), StandardCharsets.UTF_8),
+        assertEquals(
+                new String(
+                        AnswerWriter.body(new Answer.Completed(false, values)),
+                        StandardCharsets.UTF_8),
                 "{\"finished\":false,\"found\":[{\"bucket\":3,\"item\":\"5b\\\"é\"}]}");
     }
 }
--- a/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
+++ b/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
@@ -25,11 +25,18 @@
 
     @Test
     public void whatIsNotSaidHasItsDefault() throws IOException {
-        ClusterConfig plan = read("{\"members\":[{\"name\":\"a\",\"address\":\"10.0.0.1:8700\"},"
-                + "{\"name\":\"b\",\"site\":\"y\",\"address\":\"10.0.0.2:8700\",\"listen\":\"0.0.0.0:9\"}]}");
-        assertEquals(plan.members().get("a"), new ClusterConfig.Member("", new PeerMessagingSettings.Address("10.0.0.1", 8700),
-                new PeerMessagingSettings.Address("10.0.0.1", 8700)));
-        assertEquals(plan.members().get("b").listen(), new PeerMessagingSettings.Address("0.0.0.0", 9));
+        ClusterConfig plan =
+                read(
+                        "{\"members\":[{\"name\":\"a\",\"address\":\"10.0.0.1:8700\"},"
+                                + "{\"name\":\"b\",\"site\":\"y\",\"address\":\"10.0.0.2:8700\",\"listen\":\"0.0.0.0:9\"}]}");
+        assertEquals(
+                plan.members().get("a"),
+                new ClusterConfig.Member(
+                        "",
+                        new PeerMessagingSettings.Address("10.0.0.1", 8700),
+                        new PeerMessagingSettings.Address("10.0.0.1", 8700)));
+        assertEquals(
+                plan.members().get("b").listen(), new PeerMessagingSettings.Address("0.0.0.0", 9));
         assertEquals(plan.shared(), Set.of(Bound.Kind.COLD));
     }
 
@@ -44,11 +51,20 @@
     Object[][] malformed() {
         String one = "{\"name\":\"a\",\"address\":\"h:1\"}";
         return new Object[][] {
-            {"{", "line 1: not JSON"}, {"{}", "members"}, {"{\"members\":[]}", "members"},
-            {"{\"members\":[" + one + "],\"odd\":1}", "odd"}, {"{\"members\":[" + one + "," + one + "]}", "members[1].name: a stands twice"},
+            {"{", "line 1: not JSON"},
+            {"{}", "members"},
+            {"{\"members\":[]}", "members"},
+            {"{\"members\":[" + one + "],\"odd\":1}", "odd"},
+            {"{\"members\":[" + one + "," + one + "]}", "members[1].name: a stands twice"},
             {"{\"members\":[{\"name\":\"a\",\"address\":\"h\"}]}", "address"},
-            {"{\"members\":[{\"name\":\"a\",\"address\":\"h:0\"}]}", "members[0].address: port 0; 1 to 65535 was expected"},
-            {"{\"members\":[{\"name\":\"a\",\"address\":\"h:1\",\"listen\":\"h:99999\"}]}", "members[0].listen: port 99999"},
+            {
+                "{\"members\":[{\"name\":\"a\",\"address\":\"h:0\"}]}",
+                "members[0].address: port 0; 1 to 65535 was expected"
+            },
+            {
+                "{\"members\":[{\"name\":\"a\",\"address\":\"h:1\",\"listen\":\"h:99999\"}]}",
+                "members[0].listen: port 99999"
+            },
             {"{\"members\":[{\"name\":\"a b\",\"address\":\"h:1\"}]}", "name"},
             {"{\"members\":[" + one + "],\"bounds\":{\"further\":{}}}", "dispatches"},
             {"{\"members\":[" + one + "],\"driftPpm\":-1}", "driftPpm"},
--- a/gatherer/src/test/java/sprucehold/command/MainTest.java
+++ b/gatherer/src/test/java/sprucehold/command/MainTest.java
@@ -15,14 +15,19 @@
     @DataProvider
     Object[][] commands() {
         return new Object[][] {
-            {new String[] {}, 2}, {new String[] {"what"}, 2}, {new String[] {"drill", "more"}, 2},
-            {new String[] {"check", "--config"}, 2}, {new String[] {"check", "--config", "/no/such/file"}, 1},
-            {new String[] {"serve", "--config", "EMPTY"}, 1}, {new String[] {"rehearse", "--config", "EMPTY"}, 1},
+            {new String[] {}, 2},
+            {new String[] {"what"}, 2},
+            {new String[] {"drill", "more"}, 2},
+            {new String[] {"check", "--config"}, 2},
+            {new String[] {"check", "--config", "/no/such/file"}, 1},
+            {new String[] {"serve", "--config", "EMPTY"}, 1},
+            {new String[] {"rehearse", "--config", "EMPTY"}, 1},
         };
     }
 
     @Test(dataProvider = "commands")
-    public void whatCantBeDoneIsOneLineAndAnExitCode(String[] arguments, int exit) throws IOException {
+    public void whatCantBeDoneIsOneLineAndAnExitCode(String[] arguments, int exit)
+            throws IOException {
         Path empty = Files.createTempFile("empty", ".json");
         for (int i = 0; i < arguments.length; i++) {
             arguments[i] = arguments[i].equals("EMPTY") ? empty.toString() : arguments[i];
--- a/gatherer/src/test/java/sprucehold/command/RecordingShardServer.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingShardServer.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** A shard server of a test: it keeps the ids of all queries of which a part came, and ends each part as it is told. */
+/**
+ * A shard server of a test: it keeps the ids of all queries of which a part came, and ends each
+ * part as it is told.
+ */
 final class RecordingShardServer implements AutoCloseable {
     private static final int LONGEST_FRAME = 1 << 20;
 
@@ -29,7 +32,9 @@
 
         /** Ends it: {@code hit}, {@code fault} or {@code overload}. */
         void end(String as) throws IOException {
-            byte[] frame = ("E" + id + " " + as + " 0 -\n" + (as.equals("hit") ? "value" : "")).getBytes(StandardCharsets.US_ASCII);
+            byte[] frame =
+                    ("E" + id + " " + as + " 0 -\n" + (as.equals("hit") ? "value" : ""))
+                            .getBytes(StandardCharsets.US_ASCII);
             synchronized (to) {
                 to.write(new byte[] {(byte) frame.length, (byte) (frame.length >> 8), 0, 0});
                 to.write(frame);
@@ -38,20 +43,25 @@
         }
     }
 
-    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    private final ServerSocket listener =
+            new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final List<Part> came = new ArrayList<>();
     private final List<Part> kept = new ArrayList<>();
     private final Function<String, String> ends;
 
-    /** @param ends how the parts of a query end by its id; null for one whose parts are kept until the test ends them */
+    /**
+     * @param ends how the parts of a query end by its id; null for one whose parts are kept until
+     *     the test ends them
+     */
     RecordingShardServer(Function<String, String> ends) throws IOException {
         this.ends = ends;
-        daemon(() -> {
-            while (true) {
-                Socket connection = listener.accept();
-                daemon(() -> serve(connection));
-            }
-        });
+        daemon(
+                () -> {
+                    while (true) {
+                        Socket connection = listener.accept();
+                        daemon(() -> serve(connection));
+                    }
+                });
     }
 
     private interface Work {
@@ -59,13 +69,16 @@
     }
 
     private static void daemon(Work work) {
-        var thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (IOException e) {
-                // The other side, or the test, has ended.
-            }
-        }, "shard server");
+        var thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (IOException e) {
+                                // The other side, or the test, has ended.
+                            }
+                        },
+                        "shard server");
         thread.setDaemon(true);
         thread.start();
     }
@@ -79,7 +92,9 @@
             }
             byte[] frame = in.readNBytes(length);
             if (frame[0] == 'A') {
-                call(new String(frame, 1, length - 1, StandardCharsets.US_ASCII), connection.getOutputStream());
+                call(
+                        new String(frame, 1, length - 1, StandardCharsets.US_ASCII),
+                        connection.getOutputStream());
             }
         }
     }
@@ -95,8 +110,11 @@
     }
 
     private static double toldMs(String options) {
-        return Arrays.stream(options.split(",")).filter(option -> option.startsWith("d=")).findFirst()
-                .map(option -> Double.parseDouble(option.substring(2))).orElseThrow();
+        return Arrays.stream(options.split(","))
+                .filter(option -> option.startsWith("d="))
+                .findFirst()
+                .map(option -> Double.parseDouble(option.substring(2)))
+                .orElseThrow();
     }
 
     private void take(Part part) throws IOException {
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -17,10 +17,19 @@
 import sprucehold.trace.format.TraceReader;
 
 public class RecordingTest {
-    private static final Deployment FACTS = new Deployment(1, "a", 5, 1, List.of(), List.of(),
-            new Deployment.Layout(1, 1, 1), new Deployment.Limits(1, 10, false, false, 0),
-            new Deployment.ColdRule(1, 0, 1, 0), Deployment.DispatchBudget.NONE,
-            new Deployment.ListAccess(true, 1000));
+    private static final Deployment FACTS =
+            new Deployment(
+                    1,
+                    "a",
+                    5,
+                    1,
+                    List.of(),
+                    List.of(),
+                    new Deployment.Layout(1, 1, 1),
+                    new Deployment.Limits(1, 10, false, false, 0),
+                    new Deployment.ColdRule(1, 0, 1, 0),
+                    Deployment.DispatchBudget.NONE,
+                    new Deployment.ListAccess(true, 1000));
 
     @Test
     public void switchedOnByAFileItRecordsTheModulesEveryCallWithSeedAndFacts() throws IOException {
@@ -31,8 +40,12 @@
         module.decide(5, List.of(new Event.ListReceived(true, List.of())));
         module.decide(6, List.of(new Event.ListUnavailable()));
         recording.end();
-        try (Stream<Path> files = Files.list(folder); TraceReader reader = TraceReader.open(
-                files.filter(of -> of.toString().endsWith(".trace")).findFirst().orElseThrow())) {
+        try (Stream<Path> files = Files.list(folder);
+                TraceReader reader =
+                        TraceReader.open(
+                                files.filter(of -> of.toString().endsWith(".trace"))
+                                        .findFirst()
+                                        .orElseThrow())) {
             assertEquals(reader.head().sources().get(0).gatherer(), "g7");
             assertEquals(reader.head().sources().get(0).seed(), 77);
             assertEquals(reader.head().sources().get(0).facts(), FACTS);
--- a/gatherer/src/test/java/sprucehold/command/ServeEndTest.java
+++ b/gatherer/src/test/java/sprucehold/command/ServeEndTest.java
@@ -25,9 +25,17 @@
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     private Process start(Path config, boolean options, Path classes) throws IOException {
-        var command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-Xmx64m", "-Xlog:class+load:file=" + classes, "-cp",
-                System.getProperty("java.class.path"), "sprucehold.command.Main", "serve"));
+        var command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xmx64m",
+                                "-Xlog:class+load:file=" + classes,
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "sprucehold.command.Main",
+                                "serve"));
         if (options) {
             command.addAll(List.of("--config", config.toString()));
         }
@@ -38,13 +46,18 @@
             builder.environment().put("EDGE_NAME", "n-env");
         }
         Process process = builder.start();
-        var reader = new Thread(() -> {
-            try (var lines = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-                lines.lines().forEach(log::add);
-            } catch (IOException | RuntimeException e) {
-                log.add("log ended: " + e);
-            }
-        }, "log");
+        var reader =
+                new Thread(
+                        () -> {
+                            try (var lines =
+                                    new BufferedReader(
+                                            new InputStreamReader(process.getInputStream()))) {
+                                lines.lines().forEach(log::add);
+                            } catch (IOException | RuntimeException e) {
+                                log.add("log ended: " + e);
+                            }
+                        },
+                        "log");
         reader.setDaemon(true);
         reader.start();
         return process;
@@ -59,13 +72,21 @@
     }
 
     private static void signal(Process process, String name) throws Exception {
-        assertEquals(new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor(), 0);
+        assertEquals(
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor(),
+                0);
     }
 
     /** Started with SIGHUP ignored, as under nohup, a JVM keeps it so. */
     private static boolean ignoresHangUp(Process process) throws IOException {
-        String ignored = Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
-                .filter(line -> line.startsWith("SigIgn:")).findAny().orElseThrow().replaceAll(".*\\s", "");
+        String ignored =
+                Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
+                        .filter(line -> line.startsWith("SigIgn:"))
+                        .findAny()
+                        .orElseThrow()
+                        .replaceAll(".*\\s", "");
         return (Long.parseUnsignedLong(ignored, 16) & 1) != 0;
     }
 
@@ -73,9 +94,16 @@
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
         try (var socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
             socket.setSoTimeout(10_000);
-            socket.getOutputStream().write(("POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Class: q\r\n"
-                    + "X-Deadline-Ms: 3000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-                    .getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream()
+                    .write(
+                            ("POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: "
+                                            + id
+                                            + "\r\nX-Class: q\r\n"
+                                            + "X-Deadline-Ms: 3000\r\nContent-Length: "
+                                            + body.length()
+                                            + "\r\n\r\n"
+                                            + body)
+                                    .getBytes(StandardCharsets.UTF_8));
             return new BufferedReader(new InputStreamReader(socket.getInputStream())).readLine();
         }
     }
@@ -86,17 +114,22 @@
     }
 
     @Test(dataProvider = "ways")
-    public void whoComesAfterSigtermIsAnsweredAndFurtherSignalsChangeNothing(boolean options, String says) throws Exception {
+    public void whoComesAfterSigtermIsAnsweredAndFurtherSignalsChangeNothing(
+            boolean options, String says) throws Exception {
         int port;
         try (var free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
         }
         Path config = Files.createTempFile("serve", ".json");
-        Files.writeString(config, "{\"name\":\"n\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\","
-                + "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"group\":0,"
-                + "\"status\":\"active\"}]},\"settings\":{\"classes\":[{\"name\":\"q\",\"semantics\":\"retryable\",\"aimMs\":100,"
-                + "\"giveUpMs\":3000}],\"familyInfo\":{\"ranges\":1,\"sets\":1},\"limits\":{\"dialTimeoutMs\":250,"
-                + "\"idleCloseMs\":15000}}}");
+        Files.writeString(
+                config,
+                "{\"name\":\"n\",\"listen\":\"127.0.0.1:"
+                        + port
+                        + "\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1\","
+                        + "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:1\",\"group\":0,"
+                        + "\"status\":\"active\"}]},\"settings\":{\"classes\":[{\"name\":\"q\",\"semantics\":\"retryable\",\"aimMs\":100,"
+                        + "\"giveUpMs\":3000}],\"familyInfo\":{\"ranges\":1,\"sets\":1},\"limits\":{\"dialTimeoutMs\":250,"
+                        + "\"idleCloseMs\":15000}}}");
         Path classes = Files.createTempFile("classes", ".txt");
         Process process = start(config, options, classes);
         try {
--- a/gatherer/src/test/java/sprucehold/discovery/WatchPlanTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/WatchPlanTest.java
@@ -12,19 +12,28 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** When each change of the list counts as told, and when the gatherer knows it, on a clock of its own. */
+/**
+ * When each change of the list counts as told, and when the gatherer knows it, on a clock of its
+ * own.
+ */
 public class WatchPlanTest {
     private static final double WAY = 1;
-    /** The shortest grace of any deployment, within which a drain that was told may be overlooked. */
+
+    /**
+     * The shortest grace of any deployment, within which a drain that was told may be overlooked.
+     */
     private static final double GRACE = 250;
 
-    private record Due(double at, long order, Runnable what) {
-    }
+    private record Due(double at, long order, Runnable what) {}
 
-    /** An agent of discovery, as the protocol and the standing test tell of it, and a gatherer's plan before it. */
+    /**
+     * An agent of discovery, as the protocol and the standing test tell of it, and a gatherer's
+     * plan before it.
+     */
     private static final class Play {
-        private final PriorityQueue<Due> due = new PriorityQueue<>(
-                Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+        private final PriorityQueue<Due> due =
+                new PriorityQueue<>(
+                        Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
         private final WatchPlan plan;
         private long orders;
         private double now;
@@ -32,8 +41,10 @@
         private boolean down;
         private long moves;
         private final Map<Long, WatchPlan.Call> waiting = new HashMap<>();
+
         /** When each call was made, and since when those that have fallen silent are. */
         private final Map<Long, Double> calledAt = new HashMap<>();
+
         private final Map<Long, Double> silentSince = new HashMap<>();
         final Map<Long, Double> knownAt = new HashMap<>();
         int calls;
@@ -53,8 +64,17 @@
                     long to = moves;
                     calledAt.put(ask.call().number(), now);
                     at(now + WAY, () -> arrive(ask.call(), to));
-                    at(now + ask.call().giveUpMs(), () -> end(ask.call().number(), () ->
-                            carryOut(plan.failed(now, ask.call().number(), "no answer"))));
+                    at(
+                            now + ask.call().giveUpMs(),
+                            () ->
+                                    end(
+                                            ask.call().number(),
+                                            () ->
+                                                    carryOut(
+                                                            plan.failed(
+                                                                    now,
+                                                                    ask.call().number(),
+                                                                    "no answer"))));
                 } else if (step instanceof WatchPlan.Step.Drop drop) {
                     waiting.remove(drop.number());
                     calledAt.remove(drop.number());
@@ -92,13 +112,28 @@
 
         private void answer(long number, boolean over) {
             WatchPlan.Call call = waiting.get(number);
-            if (call == null || down || silentSince.containsKey(number) || !over && call.after() >= version) {
+            if (call == null
+                    || down
+                    || silentSince.containsKey(number)
+                    || !over && call.after() >= version) {
                 return;
             }
             long told = version;
             waiting.remove(number);
-            at(now + WAY, () -> end(number, () -> carryOut(plan.answered(now, number,
-                    new ListNews(told, call.after() < 0, List.of())))));
+            at(
+                    now + WAY,
+                    () ->
+                            end(
+                                    number,
+                                    () ->
+                                            carryOut(
+                                                    plan.answered(
+                                                            now,
+                                                            number,
+                                                            new ListNews(
+                                                                    told,
+                                                                    call.after() < 0,
+                                                                    List.of())))));
         }
 
         private void answerAll() {
@@ -115,8 +150,10 @@
         }
 
         void reset() {
-            List.copyOf(waiting.keySet()).forEach(number ->
-                    end(number, () -> carryOut(plan.failed(now, number, "reset"))));
+            List.copyOf(waiting.keySet())
+                    .forEach(
+                            number ->
+                                    end(number, () -> carryOut(plan.failed(now, number, "reset"))));
         }
 
         void down(boolean is) {
@@ -156,13 +193,17 @@
     @DataProvider
     Object[][] changes() {
         var rows = new ArrayList<Object[]>();
-        // What happens (at START), how long after it the list changes, and how long after START that counts as told.
+        // What happens (at START), how long after it the list changes, and how long after START
+        // that counts as told.
         for (double after : new double[] {0, 1, 60, 199, 900, 2500, 5900, 7000, 20_500}) {
             rows.add(new Object[] {"nothing", after, after});
             rows.add(new Object[] {"reset", after, after});
             // It fell silent: six seconds, whenever it was made and however long it may wait.
             rows.add(new Object[] {"silence", after, Math.max(6000, after)});
-            rows.add(new Object[] {"silence of all calls for a second", after, Math.max(6000, after)});
+            rows.add(
+                    new Object[] {
+                        "silence of all calls for a second", after, Math.max(6000, after)
+                    });
             rows.add(new Object[] {"down for 8 s", after, Math.max(8000, after)});
             rows.add(new Object[] {"down for 25 s", after, Math.max(25_000, after)});
             rows.add(new Object[] {"silence and down for 8 s", after, Math.max(8000, after)});
@@ -172,23 +213,28 @@
     }
 
     @Test(dataProvider = "changes")
-    public void eachChangeIsKnownByTheTimeItCountsAsToldAndItsGraceIsOver(String what, double after, double told) {
+    public void eachChangeIsKnownByTheTimeItCountsAsToldAndItsGraceIsOver(
+            String what, double after, double told) {
         // Whatever the place in the rhythm of its calls at which it happens.
         for (double phase = 0; phase < 2200; phase += 37) {
             var play = new Play(true);
             double start = START + phase;
-            play.at(start, () -> {
-                switch (what) {
-                    case "reset" -> play.reset();
-                    case "silence", "silence and down for 8 s" -> play.silence();
-                    case "move" -> play.move();
-                    default -> { }
-                }
-                if (what.contains("down")) {
-                    play.down(true);
-                    play.at(start + (what.contains("25") ? 25_000 : 8000), () -> play.down(false));
-                }
-            });
+            play.at(
+                    start,
+                    () -> {
+                        switch (what) {
+                            case "reset" -> play.reset();
+                            case "silence", "silence and down for 8 s" -> play.silence();
+                            case "move" -> play.move();
+                            default -> {}
+                        }
+                        if (what.contains("down")) {
+                            play.down(true);
+                            play.at(
+                                    start + (what.contains("25") ? 25_000 : 8000),
+                                    () -> play.down(false));
+                        }
+                    });
             if (what.contains("of all")) {
                 for (double at = 0; at < 1000; at += 5) {
                     play.at(start + at, play::silence);
@@ -197,7 +243,15 @@
             play.at(start + after, play::change);
             play.run(start + 60_000);
             double known = play.knownAt.get(2L) - start;
-            assertTrue(known <= told + GRACE, what + ", phase " + phase + ": known after " + known + " ms, told after " + told);
+            assertTrue(
+                    known <= told + GRACE,
+                    what
+                            + ", phase "
+                            + phase
+                            + ": known after "
+                            + known
+                            + " ms, told after "
+                            + told);
         }
     }
 
@@ -214,28 +268,45 @@
         return rows.toArray(Object[][]::new);
     }
 
-    /** Failed and given-up calls put nothing off: six seconds after discovery had a change and could be reached it is told. */
+    /**
+     * Failed and given-up calls put nothing off: six seconds after discovery had a change and could
+     * be reached it is told.
+     */
     @Test(dataProvider = "waysToBeDown")
-    public void changeIsKnownSixSecondsAfterDiscoveryCouldBeReachedWhateverCallsFailedBefore(boolean pushed, double downMs,
-            double after) {
+    public void changeIsKnownSixSecondsAfterDiscoveryCouldBeReachedWhateverCallsFailedBefore(
+            boolean pushed, double downMs, double after) {
         for (double phase = 0; phase < 4000; phase += 37) {
             var play = new Play(pushed);
             // Longer than any call waits, so that none from before is still open.
             double start = START + phase;
-            play.at(start, () -> {
-                play.reset();
-                play.down(true);
-            });
+            play.at(
+                    start,
+                    () -> {
+                        play.reset();
+                        play.down(true);
+                    });
             play.at(start + downMs, play::backWithoutWhatWasAsked);
             play.at(start + after, play::change);
             play.run(start + 80_000);
             double known = play.knownAt.get(2L) - start;
             double told = Math.max(downMs, after) + 6000;
-            assertTrue(known <= told, "pushed " + pushed + ", phase " + phase + ": known after " + known + " ms, told after " + told);
+            assertTrue(
+                    known <= told,
+                    "pushed "
+                            + pushed
+                            + ", phase "
+                            + phase
+                            + ": known after "
+                            + known
+                            + " ms, told after "
+                            + told);
         }
     }
 
-    /** What the agent has counts as told from a process's first moment, and what it gets at the return at once. */
+    /**
+     * What the agent has counts as told from a process's first moment, and what it gets at the
+     * return at once.
+     */
     @Test
     public void processThatBeginsWhileDiscoveryIsDownKnowsTheListAtItsReturn() {
         for (double downMs = 10; downMs < 60_000; downMs += 173) {
@@ -243,7 +314,9 @@
             play.down(true);
             play.at(downMs, () -> play.down(false));
             play.run(downMs + 30_000);
-            assertTrue(play.knownAt.get(1L) <= downMs + GRACE, downMs + " ms down, list known at " + play.knownAt.get(1L));
+            assertTrue(
+                    play.knownAt.get(1L) <= downMs + GRACE,
+                    downMs + " ms down, list known at " + play.knownAt.get(1L));
         }
     }
 
@@ -253,7 +326,9 @@
             var play = new Play(pushed);
             play.run(60_000);
             // The whole list, and a call every two seconds, or every twenty.
-            assertTrue(pushed ? play.calls >= 29 && play.calls <= 32 : play.calls == 4, String.valueOf(play.calls));
+            assertTrue(
+                    pushed ? play.calls >= 29 && play.calls <= 32 : play.calls == 4,
+                    String.valueOf(play.calls));
         }
     }
 
@@ -265,7 +340,9 @@
         plan.woken(3001);
         List<WatchPlan.Step> steps = plan.answered(3002, 3, new ListNews(4, false, List.of()));
         assertEquals(steps.get(0), new WatchPlan.Step.Drop(2));
-        assertTrue(steps.contains(new WatchPlan.Step.TellFailed("its index went back")), steps.toString());
+        assertTrue(
+                steps.contains(new WatchPlan.Step.TellFailed("its index went back")),
+                steps.toString());
         assertEquals(((WatchPlan.Step.Ask) plan.ask(3010).get(0)).call().after(), -1);
     }
 
--- a/gatherer/src/test/java/sprucehold/discovery/WatchTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/WatchTest.java
@@ -37,13 +37,27 @@
         reports = new LinkedBlockingQueue<>();
         calls = new LinkedBlockingQueue<>();
         vertx = Vertx.vertx();
-        port = vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1").toCompletionStage()
-                .toCompletableFuture().get(5, TimeUnit.SECONDS).actualPort();
+        port =
+                vertx.createHttpServer()
+                        .requestHandler(calls::add)
+                        .listen(0, "127.0.0.1")
+                        .toCompletionStage()
+                        .toCompletableFuture()
+                        .get(5, TimeUnit.SECONDS)
+                        .actualPort();
         watch = watch(port, false);
     }
 
     private Watch watch(int at, boolean asked) {
-        return new Watch(vertx, "127.0.0.1", at, 2, asked, 60_000, () -> System.nanoTime() / 1e6, reports::add);
+        return new Watch(
+                vertx,
+                "127.0.0.1",
+                at,
+                2,
+                asked,
+                60_000,
+                () -> System.nanoTime() / 1e6,
+                reports::add);
     }
 
     @AfterMethod
@@ -53,11 +67,18 @@
     }
 
     private static String endpoint(String fields) {
-        return "{\"name\":\"s\",\"address\":\"127.0.0.1:1\",\"group\":1,\"status\":\"active\"" + fields + "}";
+        return "{\"name\":\"s\",\"address\":\"127.0.0.1:1\",\"group\":1,\"status\":\"active\""
+                + fields
+                + "}";
     }
 
     private static String list(long index, boolean complete, String... endpoints) {
-        return "{\"index\":" + index + ",\"snapshot\":" + complete + ",\"endpoints\":[" + String.join(",", endpoints)
+        return "{\"index\":"
+                + index
+                + ",\"snapshot\":"
+                + complete
+                + ",\"endpoints\":["
+                + String.join(",", endpoints)
                 + "]}";
     }
 
@@ -100,8 +121,13 @@
     @DataProvider
     Object[][] malformed() {
         return new Object[][] {
-            {""}, {"[]"}, {"{}"}, {"{\"index\":1,\"snapshot\":true}"}, {list(1, true, "3")},
-            {"{\"index\":\"1\",\"snapshot\":true,\"endpoints\":[]}"}, {"{\"index\":1.5,\"snapshot\":true,\"endpoints\":[]}"},
+            {""},
+            {"[]"},
+            {"{}"},
+            {"{\"index\":1,\"snapshot\":true}"},
+            {list(1, true, "3")},
+            {"{\"index\":\"1\",\"snapshot\":true,\"endpoints\":[]}"},
+            {"{\"index\":1.5,\"snapshot\":true,\"endpoints\":[]}"},
             {list(1, true, "{\"address\":\"127.0.0.1:1\",\"group\":0,\"status\":\"active\"}")},
         };
     }
@@ -109,15 +135,22 @@
     @DataProvider
     Object[][] odd() {
         return new Object[][] {
-            {"\"status\":\"odd\""}, {"\"status\":3"}, {"\"group\":2"}, {"\"group\":-1"}, {"\"group\":null"},
-            {"\"address\":\"localhost:1\""}, {"\"address\":\"127.0.0.1\""}, {"\"address\":\"127.0.0.1:70000\""},
+            {"\"status\":\"odd\""},
+            {"\"status\":3"},
+            {"\"group\":2"},
+            {"\"group\":-1"},
+            {"\"group\":null"},
+            {"\"address\":\"localhost:1\""},
+            {"\"address\":\"127.0.0.1\""},
+            {"\"address\":\"127.0.0.1:70000\""},
         };
     }
 
     @Test(dataProvider = "odd")
     public void oddEntryGetsNothingAndHidesNoOther(String field) throws Exception {
         String body = list(1, true, endpoint("," + field), endpoint(",\"name\":\"t\""));
-        List<ServerNews> servers = ListNews.decode(body.getBytes(StandardCharsets.UTF_8), 2).servers();
+        List<ServerNews> servers =
+                ListNews.decode(body.getBytes(StandardCharsets.UTF_8), 2).servers();
         assertEquals(servers.get(0).state(), ServerNews.State.GONE);
         assertEquals(servers.get(0).cell() < 2, true);
         assertEquals(servers.get(1).state(), ServerNews.State.RUNNING);
@@ -125,23 +158,33 @@
 
     @Test(dataProvider = "malformed")
     public void listThatCantBeUsedIsRefusedWhole(String body) {
-        assertThrows(ListNews.MalformedException.class,
+        assertThrows(
+                ListNews.MalformedException.class,
                 () -> ListNews.decode(body.getBytes(StandardCharsets.UTF_8), 2));
     }
 
     @DataProvider
     Object[][] states() {
-        return new Object[][] {{"active", ServerNews.State.RUNNING}, {"leaving", ServerNews.State.DRAINING},
-            {"left", ServerNews.State.GONE}};
+        return new Object[][] {
+            {"active", ServerNews.State.RUNNING},
+            {"leaving", ServerNews.State.DRAINING},
+            {"left", ServerNews.State.GONE}
+        };
     }
 
     @Test(dataProvider = "states")
     public void entriesAreReadAsTheyStand(String status, ServerNews.State state) throws Exception {
-        String entry = endpoint(",\"zone\":\"z\",\"since_ms\":1700000000123,\"status\":\"" + status + "\",\"new\":[]");
+        String entry =
+                endpoint(
+                        ",\"zone\":\"z\",\"since_ms\":1700000000123,\"status\":\""
+                                + status
+                                + "\",\"new\":[]");
         ListNews news = ListNews.decode(list(41, false, entry).getBytes(StandardCharsets.UTF_8), 2);
         assertEquals(news.index(), 41);
         assertFalse(news.complete());
-        assertEquals(news.servers().get(0), new ServerNews("s", "127.0.0.1:1", 1, "z", 1700000000123.0, state));
+        assertEquals(
+                news.servers().get(0),
+                new ServerNews("s", "127.0.0.1:1", 1, "z", 1700000000123.0, state));
     }
 
     @Test
@@ -149,7 +192,9 @@
         watch.start();
         call("/discovery/hosts").response().end(list(41, true, endpoint("")));
         assertTrue(((Report.ListCame) report()).complete());
-        call("/discovery/hosts?after=41&wait_ms=2000").response().end(list(43, false, endpoint("")));
+        call("/discovery/hosts?after=41&wait_ms=2000")
+                .response()
+                .end(list(43, false, endpoint("")));
         assertFalse(((Report.ListCame) report()).complete());
         // Nothing new: nothing told, and asked again.
         call("/discovery/hosts?after=43&wait_ms=2000").response().end(list(43, false));
@@ -160,8 +205,14 @@
     @Test
     public void listIsFollowedAtItsNewAddressAtOnceAndTheOldOneIsNotHeard() throws Exception {
         var moved = new LinkedBlockingQueue<HttpServerRequest>();
-        int port = vertx.createHttpServer().requestHandler(moved::add).listen(0, "127.0.0.1").toCompletionStage()
-                .toCompletableFuture().get(5, TimeUnit.SECONDS).actualPort();
+        int port =
+                vertx.createHttpServer()
+                        .requestHandler(moved::add)
+                        .listen(0, "127.0.0.1")
+                        .toCompletionStage()
+                        .toCompletableFuture()
+                        .get(5, TimeUnit.SECONDS)
+                        .actualPort();
         HttpServerRequest old = following(2000);
         vertx.runOnContext(none -> watch.move("127.0.0.1", port));
         // The whole list, since the versions of the two need not go together.
@@ -170,7 +221,8 @@
         old.response().end(list(42, false, endpoint("")));
         first.response().end(list(7, true, endpoint(",\"name\":\"new\"")));
         assertEquals(((Report.ListCame) report()).servers().get(0).name(), "new");
-        assertEquals(moved.poll(5, TimeUnit.SECONDS).uri(), "/discovery/hosts?after=7&wait_ms=2000");
+        assertEquals(
+                moved.poll(5, TimeUnit.SECONDS).uri(), "/discovery/hosts?after=7&wait_ms=2000");
         assertTrue(reports.isEmpty());
     }
 
@@ -188,7 +240,8 @@
         assertTrue(report() instanceof Report.ListFailed);
         assertFalse(closed.isDone());
         beside.response().end(list(44, false, endpoint(",\"status\":\"leaving\"")));
-        assertEquals(((Report.ListCame) report()).servers().get(0).state(), ServerNews.State.DRAINING);
+        assertEquals(
+                ((Report.ListCame) report()).servers().get(0).state(), ServerNews.State.DRAINING);
         call("/discovery/hosts?after=44&wait_ms=2000");
         closed.get(5, TimeUnit.SECONDS);
         assertTrue(reports.isEmpty());
@@ -214,7 +267,10 @@
         assertTrue(report() instanceof Report.ListCame);
     }
 
-    /** Whole as it reads, but without a length: whether more would have come nobody knows. A reset is no end. */
+    /**
+     * Whole as it reads, but without a length: whether more would have come nobody knows. A reset
+     * is no end.
+     */
     @Test
     public void listWithoutLengthThatIsResetIsNoList() throws Exception {
         try (var cutting = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
@@ -223,8 +279,11 @@
             Future<Void> first = watch.start();
             try (Socket socket = cutting.accept()) {
                 socket.getInputStream().read();
-                socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
-                        + list(41, true, endpoint(""))).getBytes(StandardCharsets.UTF_8));
+                socket.getOutputStream()
+                        .write(
+                                ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n"
+                                                + list(41, true, endpoint("")))
+                                        .getBytes(StandardCharsets.UTF_8));
                 socket.setSoLinger(true, 0);
             }
             first.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
@@ -256,7 +315,11 @@
         assertTrue(calls.isEmpty());
         vertx.runOnContext(none -> watch.ask());
         // A list whose index went back is asked for anew, whole.
-        request = call(how.equals("back") ? "/discovery/hosts" : "/discovery/hosts?after=41&wait_ms=1");
+        request =
+                call(
+                        how.equals("back")
+                                ? "/discovery/hosts"
+                                : "/discovery/hosts?after=41&wait_ms=1");
         request.response().end(list(40 + (how.equals("back") ? 0 : 2), true, endpoint("")));
         assertTrue(report() instanceof Report.ListCame);
     }
--- a/gatherer/src/test/java/sprucehold/drill/DrillTest.java
+++ b/gatherer/src/test/java/sprucehold/drill/DrillTest.java
@@ -18,8 +18,9 @@
 import sprucehold.port.Gatherer;
 
 public class DrillTest {
-    private static final String ON = "{\"PowerOn\":{\"rngSeed\":5,\"params\":{\"balancers\":2,\"new\":[1],\"classes\":"
-            + "[{\"name\":\"q\",\"semantics\":\"dedup\",\"aimMs\":100}],\"familyInfo\":{\"sets\":2}}}}";
+    private static final String ON =
+            "{\"PowerOn\":{\"rngSeed\":5,\"params\":{\"balancers\":2,\"new\":[1],\"classes\":"
+                    + "[{\"name\":\"q\",\"semantics\":\"dedup\",\"aimMs\":100}],\"familyInfo\":{\"sets\":2}}}}";
 
     private static String play(Gatherer.Factory factory, String... lines) throws IOException {
         var out = new ByteArrayOutputStream();
@@ -35,8 +36,14 @@
     @DataProvider
     Object[][] malformed() {
         return new Object[][] {
-            {"x"}, {"{}"}, {"[]"}, {"{\"tsMs\":1,\"parts\":[{}]}"}, {"{\"tsMs\":1,\"parts\":[]} 2"},
-            {batch("{\"Bell\":{}}")}, {batch(ON + ",{\"What\":{}}")}, {batch(ON + ",{}")},
+            {"x"},
+            {"{}"},
+            {"[]"},
+            {"{\"tsMs\":1,\"parts\":[{}]}"},
+            {"{\"tsMs\":1,\"parts\":[]} 2"},
+            {batch("{\"Bell\":{}}")},
+            {batch(ON + ",{\"What\":{}}")},
+            {batch(ON + ",{}")},
             {batch(ON + ",{\"Registry\":{\"kind\":\"replace\",\"slot\":4}}")},
         };
     }
@@ -45,46 +52,76 @@
     public void malformedInputEndsTheRunWithNothingWritten(String line) {
         var out = new ByteArrayOutputStream();
         byte[] in = (line + "\n").getBytes(StandardCharsets.UTF_8);
-        assertThrows(MalformedBatchException.class,
+        assertThrows(
+                MalformedBatchException.class,
                 () -> new Drill(Brain::new).run(new ByteArrayInputStream(in), out));
         assertEquals(out.size(), 0);
     }
 
     @Test
     public void everyActionHasItsWireForm() throws IOException {
-        List<Action> actions = List.of(new Action.Dispatch("p", "s", 2), new Action.Cancel("p", 1),
-                new Action.Answer("q", true), new Action.Throttle("q", 5), new Action.Abandon("q"),
-                new Action.Wake(1), new Action.Probe("s"), new Action.FollowList(), new Action.Note("n"));
-        assertEquals(play((seed, facts) -> (now, events) -> actions, batch(ON)),
+        List<Action> actions =
+                List.of(
+                        new Action.Dispatch("p", "s", 2),
+                        new Action.Cancel("p", 1),
+                        new Action.Answer("q", true),
+                        new Action.Throttle("q", 5),
+                        new Action.Abandon("q"),
+                        new Action.Wake(1),
+                        new Action.Probe("s"),
+                        new Action.FollowList(),
+                        new Action.Note("n"));
+        assertEquals(
+                play((seed, facts) -> (now, events) -> actions, batch(ON)),
                 "{\"parts\":[{\"who\":3,\"outbox\":[{\"Attempt\":{\"id\":\"p\",\"server\":\"s\",\"timeoutMs\":2.0}},"
-                + "{\"UndoSend\":{\"id\":\"p\",\"sendNo\":1}},{\"Assemble\":{\"id\":\"q\",\"complete\":true}},"
-                + "{\"Busy\":{\"id\":\"q\",\"comeBackMs\":5.0}},{\"GiveUp\":{\"id\":\"q\"}},"
-                + "{\"Timer\":{\"offsetMs\":1.0,\"ref\":\"wake\"}},{\"Ping\":{\"server\":\"s\"}},"
-                + "{\"KeepInformed\":{\"complete\":true}},{\"Record\":{\"line\":\"n\"}}]}]}\n");
+                        + "{\"UndoSend\":{\"id\":\"p\",\"sendNo\":1}},{\"Assemble\":{\"id\":\"q\",\"complete\":true}},"
+                        + "{\"Busy\":{\"id\":\"q\",\"comeBackMs\":5.0}},{\"GiveUp\":{\"id\":\"q\"}},"
+                        + "{\"Timer\":{\"offsetMs\":1.0,\"ref\":\"wake\"}},{\"Ping\":{\"server\":\"s\"}},"
+                        + "{\"KeepInformed\":{\"complete\":true}},{\"Record\":{\"line\":\"n\"}}]}]}\n");
     }
 
     @Test
     public void exceptionBecomesPanicOfThatInstance() throws IOException {
-        String reply = play((seed, facts) -> (now, events) -> {
-            throw new IllegalStateException("lost");
-        }, batch(ON));
-        assertTrue(reply.startsWith("{\"parts\":[{\"who\":3,\"outbox\":[{\"Panic\":{\"line\":\"java.lang."
-                + "IllegalStateException: lost at "), reply);
+        String reply =
+                play(
+                        (seed, facts) ->
+                                (now, events) -> {
+                                    throw new IllegalStateException("lost");
+                                },
+                        batch(ON));
+        assertTrue(
+                reply.startsWith(
+                        "{\"parts\":[{\"who\":3,\"outbox\":[{\"Panic\":{\"line\":\"java.lang."
+                                + "IllegalStateException: lost at "),
+                reply);
     }
 
     @Test
     public void eventsComeDecodedInOrderWithTablesResolvedWhereTheyStand() throws IOException {
         var seen = new ArrayList<Event>();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            seen.addAll(events);
-            return List.of();
-        };
-        String table = "{\"Table\":{\"slot\":0,\"hosts\":[{\"server\":\"%s\",\"mode\":\"Running\",\"site\":\"z\"}]}}";
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            seen.addAll(events);
+                            return List.of();
+                        };
+        String table =
+                "{\"Table\":{\"slot\":0,\"hosts\":[{\"server\":\"%s\",\"mode\":\"Running\",\"site\":\"z\"}]}}";
         String list = ",{\"Registry\":{\"kind\":\"restored\",\"slot\":0}},";
-        play(factory, batch(ON + ",{\"Bell\":{}},{\"CrashNow\":{}}," + ON + "," + table.formatted("a") + list
-                + table.formatted("b") + list + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":9,"
-                + "\"wholeNo\":4,\"rangeNo\":-1}},{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}},"
-                + "{\"Outcome\":{\"id\":\"p1\",\"rc\":14}},{\"Aborted\":{\"id\":\"q1\"}}"));
+        play(
+                factory,
+                batch(
+                        ON
+                                + ",{\"Bell\":{}},{\"CrashNow\":{}},"
+                                + ON
+                                + ","
+                                + table.formatted("a")
+                                + list
+                                + table.formatted("b")
+                                + list
+                                + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":9,"
+                                + "\"wholeNo\":4,\"rangeNo\":-1}},{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}},"
+                                + "{\"Outcome\":{\"id\":\"p1\",\"rc\":14}},{\"Aborted\":{\"id\":\"q1\"}}"));
         assertEquals(seen.size(), 6);
         assertEquals(((Event.ListReceived) seen.get(0)).servers().get(0).server(), "a");
         assertEquals(((Event.ListReceived) seen.get(1)).servers().get(0).server(), "b");
@@ -96,10 +133,14 @@
 
     @Test
     public void sameEventsBringTheSameActions() throws IOException {
-        String[] lines = {batch(ON + ",{\"Table\":{\"slot\":0,\"hosts\":[{\"server\":\"a\",\"mode\":\"Running\"},"
-                + "{\"server\":\"b\",\"mode\":\"Running\"}]}},{\"Registry\":{\"kind\":\"restored\",\"slot\":0}},"
-                + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":90,\"wholeNo\":4,\"rangeNo\":-1}},"
-                + "{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}}")};
+        String[] lines = {
+            batch(
+                    ON
+                            + ",{\"Table\":{\"slot\":0,\"hosts\":[{\"server\":\"a\",\"mode\":\"Running\"},"
+                            + "{\"server\":\"b\",\"mode\":\"Running\"}]}},{\"Registry\":{\"kind\":\"restored\",\"slot\":0}},"
+                            + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":90,\"wholeNo\":4,\"rangeNo\":-1}},"
+                            + "{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}}")
+        };
         String first = play(Brain::new, lines);
         assertTrue(first.contains("Attempt"), first);
         assertEquals(play(Brain::new, lines), first);
