--- a/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
+++ b/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
@@ -43,8 +43,7 @@
     private static final String HERE = "127.0.0.1";
     private static final Letter PING = new Letter.OfMembers(new MemberMessage.Ping(1, List.of()));
 
-    private record Came(String from, Letter letter) {
-    }
+    private record Came(String from, Letter letter) {}
 
     private Vertx vertx;
     private int portA;
@@ -59,7 +58,9 @@
     private static int free() throws Exception {
         while (true) {
             try (ServerSocket stream = new ServerSocket(0, 1, InetAddress.getByName(HERE));
-                    DatagramSocket datagram = new DatagramSocket(new InetSocketAddress(HERE, stream.getLocalPort()))) {
+                    DatagramSocket datagram =
+                            new DatagramSocket(
+                                    new InetSocketAddress(HERE, stream.getLocalPort()))) {
                 return datagram.getLocalPort();
             } catch (BindException e) {
                 // Taken for UDP; another.
@@ -79,12 +80,22 @@
         b = post("b", portB, Map.of("a", new PeerMessagingSettings.Address(HERE, portA)), toB);
     }
 
-    private PeerMessaging post(String self, int port, Map<String, PeerMessagingSettings.Address> others, BlockingQueue<Came> into) throws Exception {
-        return on(() -> {
-            var post = new PeerMessaging(vertx, new PeerMessagingSettings(self, HERE, port, others, 100_000), () -> now,
-                    (from, letter) -> into.add(new Came(from, letter)));
-            return post.open().map(post);
-        });
+    private PeerMessaging post(
+            String self,
+            int port,
+            Map<String, PeerMessagingSettings.Address> others,
+            BlockingQueue<Came> into)
+            throws Exception {
+        return on(
+                () -> {
+                    var post =
+                            new PeerMessaging(
+                                    vertx,
+                                    new PeerMessagingSettings(self, HERE, port, others, 100_000),
+                                    () -> now,
+                                    (from, letter) -> into.add(new Came(from, letter)));
+                    return post.open().map(post);
+                });
     }
 
     @AfterMethod
@@ -94,25 +105,35 @@
 
     private <T> T on(Supplier<Future<T>> what) throws Exception {
         var done = new CompletableFuture<T>();
-        vertx.runOnContext(none -> what.get().onComplete(done::complete, done::completeExceptionally));
+        vertx.runOnContext(
+                none -> what.get().onComplete(done::complete, done::completeExceptionally));
         return done.get(WITHIN_S, TimeUnit.SECONDS);
     }
 
     private void send(PeerMessaging from, String to, Letter letter) throws Exception {
-        on(() -> {
-            from.send(to, letter);
-            return Future.succeededFuture();
-        });
+        on(
+                () -> {
+                    from.send(to, letter);
+                    return Future.succeededFuture();
+                });
     }
 
     private static Letter table(int members) {
-        return new Letter.OfMembers(new MemberMessage.Table(true, Collections.nCopies(members,
-                new News("gatherer-one", "site", 5, 0, News.State.ALIVE))));
+        return new Letter.OfMembers(
+                new MemberMessage.Table(
+                        true,
+                        Collections.nCopies(
+                                members,
+                                new News("gatherer-one", "site", 5, 0, News.State.ALIVE))));
     }
 
     @DataProvider
     Object[][] letters() {
-        return new Object[][] {{"a datagram", PING}, {"longer than a datagram", table(200)}, {"a thousand members", table(1000)}};
+        return new Object[][] {
+            {"a datagram", PING},
+            {"longer than a datagram", table(200)},
+            {"a thousand members", table(1000)}
+        };
     }
 
     @Test(dataProvider = "letters")
@@ -127,17 +148,23 @@
         byte[] flipped = letter.clone();
         flipped[9] ^= 4;
         return new Object[][] {
-            {"nothing", new byte[0]}, {"noise", new byte[] {1, 2, 3}}, {"cut short", Arrays.copyOf(letter, letter.length - 1)},
-            {"changed on the way", flipped}, {"longer than any", Arrays.copyOf(letter, 60_000)},
-            {"to another", new Codec("a").write("c", PING, 1)}, {"from a stranger", new Codec("z").write("b", PING, 1)},
+            {"nothing", new byte[0]},
+            {"noise", new byte[] {1, 2, 3}},
+            {"cut short", Arrays.copyOf(letter, letter.length - 1)},
+            {"changed on the way", flipped},
+            {"longer than any", Arrays.copyOf(letter, 60_000)},
+            {"to another", new Codec("a").write("c", PING, 1)},
+            {"from a stranger", new Codec("z").write("b", PING, 1)},
             {"from itself", new Codec("b").write("b", PING, 1)},
         };
     }
 
     @Test(dataProvider = "notLetters")
-    public void whatIsNoLetterChangesNothingAndTheNextIsRead(String what, byte[] bytes) throws Exception {
+    public void whatIsNoLetterChangesNothingAndTheNextIsRead(String what, byte[] bytes)
+            throws Exception {
         try (var socket = new DatagramSocket()) {
-            socket.send(new DatagramPacket(bytes, bytes.length, new InetSocketAddress(HERE, portB)));
+            socket.send(
+                    new DatagramPacket(bytes, bytes.length, new InetSocketAddress(HERE, portB)));
             byte[] good = new Codec("a").write("b", PING, 1);
             socket.send(new DatagramPacket(good, good.length, new InetSocketAddress(HERE, portB)));
         }
@@ -153,19 +180,23 @@
         out.writeInt(letter.length);
         out.write(letter);
         return new Object[][] {
-            {"a length below nothing", new byte[] {-1, 0, 0, 0, 9}}, {"a length beyond all", new byte[] {127, 0, 0, 0, 9}},
-            {"noise", new byte[] {0, 0, 0, 3, 1, 2, 3}}, {"half of a letter, then a close", Arrays.copyOf(good.toByteArray(), 500)},
+            {"a length below nothing", new byte[] {-1, 0, 0, 0, 9}},
+            {"a length beyond all", new byte[] {127, 0, 0, 0, 9}},
+            {"noise", new byte[] {0, 0, 0, 3, 1, 2, 3}},
+            {"half of a letter, then a close", Arrays.copyOf(good.toByteArray(), 500)},
             {"nothing", new byte[0]},
         };
     }
 
     @Test(dataProvider = "streams")
-    public void aStreamThatBringsNoLetterIsClosedAndTheNextIsRead(String what, byte[] bytes) throws Exception {
+    public void aStreamThatBringsNoLetterIsClosedAndTheNextIsRead(String what, byte[] bytes)
+            throws Exception {
         try (var socket = new Socket(HERE, portB)) {
             socket.getOutputStream().write(bytes);
             if (bytes.length > 4 && bytes.length < 100) {
                 socket.setSoTimeout(1000 * WITHIN_S);
-                assertEquals(socket.getInputStream().read(), -1, "closed by the other side: " + what);
+                assertEquals(
+                        socket.getInputStream().read(), -1, "closed by the other side: " + what);
             }
         }
         send(a, "b", table(200));
@@ -184,7 +215,8 @@
                 held.add(socket);
             }
             for (Socket socket : held) {
-                // Those that are held say nothing until their time is over, and then all are closed.
+                // Those that are held say nothing until their time is over, and then all are
+                // closed.
                 assertEquals(socket.getInputStream().read(), -1);
                 closed++;
             }
@@ -201,17 +233,19 @@
 
     @Test
     public void noMoreBytesLeaveThanWereAgreed() throws Exception {
-        on(() -> {
-            for (int i = 0; i < 10_000; i++) {
-                a.send("b", PING);
-            }
-            return Future.succeededFuture();
-        });
+        on(
+                () -> {
+                    for (int i = 0; i < 10_000; i++) {
+                        a.send("b", PING);
+                    }
+                    return Future.succeededFuture();
+                });
         int size = new Codec("a").write("b", PING, 1).length;
         assertEquals((long) on(() -> Future.succeededFuture(a.tally().sent())), 100_000L / size);
         now = 1000;
         send(a, "b", PING);
-        assertEquals((long) on(() -> Future.succeededFuture(a.tally().sent())), 100_000L / size + 1);
+        assertEquals(
+                (long) on(() -> Future.succeededFuture(a.tally().sent())), 100_000L / size + 1);
     }
 
     @Test
@@ -220,15 +254,19 @@
         try (var socket = new DatagramSocket()) {
             long until = System.nanoTime() + 1_000_000_000L * WITHIN_S;
             // As the system drops some of a flood itself, it goes on until enough has come.
-            while (on(() -> Future.succeededFuture(b.tally().unread())) < 1000 && System.nanoTime() < until) {
+            while (on(() -> Future.succeededFuture(b.tally().unread())) < 1000
+                    && System.nanoTime() < until) {
                 for (int i = 0; i < 200; i++) {
-                    socket.send(new DatagramPacket(letter, letter.length, new InetSocketAddress(HERE, portB)));
+                    socket.send(
+                            new DatagramPacket(
+                                    letter, letter.length, new InetSocketAddress(HERE, portB)));
                 }
             }
             assertEquals((long) on(() -> Future.succeededFuture(b.tally().received())), 5000L);
             now = 1000;
             toB.clear();
-            socket.send(new DatagramPacket(letter, letter.length, new InetSocketAddress(HERE, portB)));
+            socket.send(
+                    new DatagramPacket(letter, letter.length, new InetSocketAddress(HERE, portB)));
         }
         assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING));
     }
@@ -246,15 +284,20 @@
         try (var socket = new DatagramSocket(new InetSocketAddress(HERE, 0))) {
             socket.setSoTimeout(1000 * WITHIN_S);
             for (int i = 0; i < 3; i++) {
-                socket.send(new DatagramPacket(letter, letter.length, new InetSocketAddress(HERE, portB)));
+                socket.send(
+                        new DatagramPacket(
+                                letter, letter.length, new InetSocketAddress(HERE, portB)));
             }
             byte[] good = new Codec("a").write("b", PING, 1);
             socket.send(new DatagramPacket(good, good.length, new InetSocketAddress(HERE, portB)));
             var answer = new DatagramPacket(new byte[1500], 1500);
             socket.receive(answer);
-            assertEquals(new String(answer.getData(), 7, answer.getLength() - 7), "version 9 can't be read here, 1 to 1 can");
+            assertEquals(
+                    new String(answer.getData(), 7, answer.getLength() - 7),
+                    "version 9 can't be read here, 1 to 1 can");
             assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING));
-            // All three were read before the good letter: had there been a second answer, it would be here.
+            // All three were read before the good letter: had there been a second answer, it would
+            // be here.
             socket.setSoTimeout(200);
             expectThrows(SocketTimeoutException.class, () -> socket.receive(answer));
         }
@@ -264,15 +307,31 @@
     public void aReaderThatFailsEndsNothing() throws Exception {
         int port = free();
         var came = new LinkedBlockingQueue<Came>();
-        on(() -> new PeerMessaging(vertx, new PeerMessagingSettings("c", HERE, port, Map.of("a", new PeerMessagingSettings.Address(HERE, portA)), 1e6), () -> now,
-                (from, letter) -> {
-                    came.add(new Came(from, letter));
-                    throw new IllegalStateException("scripted");
-                }).open());
+        on(
+                () ->
+                        new PeerMessaging(
+                                        vertx,
+                                        new PeerMessagingSettings(
+                                                "c",
+                                                HERE,
+                                                port,
+                                                Map.of(
+                                                        "a",
+                                                        new PeerMessagingSettings.Address(
+                                                                HERE, portA)),
+                                                1e6),
+                                        () -> now,
+                                        (from, letter) -> {
+                                            came.add(new Came(from, letter));
+                                            throw new IllegalStateException("scripted");
+                                        })
+                                .open());
         try (var socket = new DatagramSocket()) {
             byte[] letter = new Codec("a").write("c", PING, 1);
             for (int i = 0; i < 2; i++) {
-                socket.send(new DatagramPacket(letter, letter.length, new InetSocketAddress(HERE, port)));
+                socket.send(
+                        new DatagramPacket(
+                                letter, letter.length, new InetSocketAddress(HERE, port)));
                 assertEquals(came.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING));
             }
         }
@@ -281,8 +340,17 @@
     @Test
     public void anAddressThatIsTakenIsOneClearError() throws Exception {
         var failed = new CompletableFuture<String>();
-        vertx.runOnContext(none -> new PeerMessaging(vertx, new PeerMessagingSettings("d", HERE, portB, Map.of(), 1e6), () -> now, (from, letter) -> { })
-                .open().onComplete(open -> failed.complete("opened"), why -> failed.complete(why.getMessage())));
+        vertx.runOnContext(
+                none ->
+                        new PeerMessaging(
+                                        vertx,
+                                        new PeerMessagingSettings("d", HERE, portB, Map.of(), 1e6),
+                                        () -> now,
+                                        (from, letter) -> {})
+                                .open()
+                                .onComplete(
+                                        open -> failed.complete("opened"),
+                                        why -> failed.complete(why.getMessage())));
         assertTrue(failed.get(WITHIN_S, TimeUnit.SECONDS).contains("in use"), failed.get());
     }
 }
--- a/gatherer/src/test/java/sprucehold/node/ChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ChangesTest.java
@@ -34,10 +34,13 @@
 /** A gatherer among stand-ins, under load, changed through its door. */
 public class ChangesTest {
     private static final String TOKEN = "a token of some letters";
-    private static final java.net.http.HttpClient CALLS = java.net.http.HttpClient.newBuilder()
-            .version(java.net.http.HttpClient.Version.HTTP_1_1).build();
+    private static final java.net.http.HttpClient CALLS =
+            java.net.http.HttpClient.newBuilder()
+                    .version(java.net.http.HttpClient.Version.HTTP_1_1)
+                    .build();
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"5","known":{"index":1,"snapshot":true,
             "endpoints":[{"name":"s-0","address":"127.0.0.1:1","group":0,"status":"active"},
             {"name":"s-1","address":"127.0.0.1:2","group":0,"status":"active"}]},
@@ -65,23 +68,50 @@
     }
 
     private Node serve() throws Exception {
-        NodeConfig config = NodeConfig.read(Files.writeString(folder.resolve("config.json"), CONFIG), null, null, null);
+        NodeConfig config =
+                NodeConfig.read(
+                        Files.writeString(folder.resolve("config.json"), CONFIG), null, null, null);
         var started = new CompletableFuture<Node>();
-        vertx.runOnContext(none -> StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true)
-                .compose(discovery -> {
-                    var moved = new NodeConfig("n", config.listen(), new NodeConfig.Address("127.0.0.1", discovery), 5,
-                            config.sockets(), null, config.facts());
-                    try {
-                        var serving = new Node(vertx, moved, Brain::new, new AdminConfig("127.0.0.1", 0, TOKEN,
-                                folder.resolve("journal"), 1500, 50), List.of());
-                        return serving.start().map(listening -> {
-                            port = listening;
-                            return serving;
-                        });
-                    } catch (IOException e) {
-                        throw new IllegalStateException(e);
-                    }
-                }).onComplete(started::complete, started::completeExceptionally));
+        vertx.runOnContext(
+                none ->
+                        StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true)
+                                .compose(
+                                        discovery -> {
+                                            var moved =
+                                                    new NodeConfig(
+                                                            "n",
+                                                            config.listen(),
+                                                            new NodeConfig.Address(
+                                                                    "127.0.0.1", discovery),
+                                                            5,
+                                                            config.sockets(),
+                                                            null,
+                                                            config.facts());
+                                            try {
+                                                var serving =
+                                                        new Node(
+                                                                vertx,
+                                                                moved,
+                                                                Brain::new,
+                                                                new AdminConfig(
+                                                                        "127.0.0.1",
+                                                                        0,
+                                                                        TOKEN,
+                                                                        folder.resolve("journal"),
+                                                                        1500,
+                                                                        50),
+                                                                List.of());
+                                                return serving.start()
+                                                        .map(
+                                                                listening -> {
+                                                                    port = listening;
+                                                                    return serving;
+                                                                });
+                                            } catch (IOException e) {
+                                                throw new IllegalStateException(e);
+                                            }
+                                        })
+                                .onComplete(started::complete, started::completeExceptionally));
         Node serving = started.get(10, TimeUnit.SECONDS);
         while (!serving.ready()) {
             Thread.onSpinWait();
@@ -93,26 +123,43 @@
     public void stop() throws Exception {
         loadEnds();
         var ended = new CompletableFuture<Void>();
-        vertx.runOnContext(none -> node.end(DrainSchedule.NOW).onComplete(ended::complete, ended::completeExceptionally));
+        vertx.runOnContext(
+                none ->
+                        node.end(DrainSchedule.NOW)
+                                .onComplete(ended::complete, ended::completeExceptionally));
         ended.get(10, TimeUnit.SECONDS);
         vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     }
 
     private void load() {
         HttpClient client = vertx.createHttpClient();
-        load = vertx.setPeriodic(5, id -> {
-            int number = asked.incrementAndGet();
-            String body = "{\"buckets\":[{\"bucket\":" + number % 4 + ",\"part\":1.0}],\"body\":\"c4\"}";
-            client.request(HttpMethod.POST, port, "127.0.0.1", "/offers")
-                    .compose(request -> request.putHeader("X-Request-Id", "id-" + number)
-                            .putHeader("X-Class", "offers").putHeader("X-Tenant", "acme")
-                            .putHeader("X-Deadline-Ms", "2500").send(Buffer.buffer(body)))
-                    .compose(response -> response.body())
-                    .onSuccess(bytes -> answered.incrementAndGet());
-        });
+        load =
+                vertx.setPeriodic(
+                        5,
+                        id -> {
+                            int number = asked.incrementAndGet();
+                            String body =
+                                    "{\"buckets\":[{\"bucket\":"
+                                            + number % 4
+                                            + ",\"part\":1.0}],\"body\":\"c4\"}";
+                            client.request(HttpMethod.POST, port, "127.0.0.1", "/offers")
+                                    .compose(
+                                            request ->
+                                                    request.putHeader(
+                                                                    "X-Request-Id", "id-" + number)
+                                                            .putHeader("X-Class", "offers")
+                                                            .putHeader("X-Tenant", "acme")
+                                                            .putHeader("X-Deadline-Ms", "2500")
+                                                            .send(Buffer.buffer(body)))
+                                    .compose(response -> response.body())
+                                    .onSuccess(bytes -> answered.incrementAndGet());
+                        });
     }
 
-    /** Asks no more, and waits for the last answer: a request that crosses the close of its connection would have none. */
+    /**
+     * Asks no more, and waits for the last answer: a request that crosses the close of its
+     * connection would have none.
+     */
     private void loadEnds() throws Exception {
         var cancelled = new CompletableFuture<Boolean>();
         vertx.runOnContext(none -> cancelled.complete(vertx.cancelTimer(load)));
@@ -124,10 +171,13 @@
         assertEquals(answered.get(), asked.get(), "each scan has one answer");
     }
 
-    private HttpResponse<String> call(String method, String path, String token, String body) throws Exception {
-        return CALLS.send(HttpRequest.newBuilder(
-                URI.create("http://127.0.0.1:" + node.adminPort() + path)).header("Authorization", "Bearer " + token)
-                .method(method, HttpRequest.BodyPublishers.ofString(body)).build(),
+    private HttpResponse<String> call(String method, String path, String token, String body)
+            throws Exception {
+        return CALLS.send(
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.adminPort() + path))
+                        .header("Authorization", "Bearer " + token)
+                        .method(method, HttpRequest.BodyPublishers.ofString(body))
+                        .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
@@ -140,8 +190,16 @@
     }
 
     private HttpResponse<String> propose(String id, long from, JsonNode document) throws Exception {
-        return call("POST", "/change/propose", TOKEN, MAPPER.createObjectNode().put("id", id).put("by", "operator")
-                .put("madeFrom", from).set("document", document).toString());
+        return call(
+                "POST",
+                "/change/propose",
+                TOKEN,
+                MAPPER.createObjectNode()
+                        .put("id", id)
+                        .put("by", "operator")
+                        .put("madeFrom", from)
+                        .set("document", document)
+                        .toString());
     }
 
     private JsonNode await(String field, long value) throws Exception {
@@ -169,10 +227,13 @@
         assertEquals(taken.statusCode(), 202, taken.body());
         long live = System.nanoTime();
         await("live", 3);
-        assertTrue(System.nanoTime() - live < 5_000_000_000L, (System.nanoTime() - live) / 1_000_000 + " ms");
+        assertTrue(
+                System.nanoTime() - live < 5_000_000_000L,
+                (System.nanoTime() - live) / 1_000_000 + " ms");
         JsonNode history = get("/change/history");
         assertEquals(history.get(1).get("state").asText(), "undone");
-        assertTrue(history.get(1).get("why").asText().startsWith("service fell"), history.toString());
+        assertTrue(
+                history.get(1).get("why").asText().startsWith("service fell"), history.toString());
         assertEquals(document().get("tableTypes").get(0).get("targetMs").asDouble(), 1000.0);
     }
 
@@ -190,7 +251,10 @@
         assertEquals(propose("p1", 1, document).statusCode(), 200, "the same proposal again");
         loadEnds();
         var ended = new CompletableFuture<Void>();
-        vertx.runOnContext(none -> node.end(DrainSchedule.NOW).onComplete(ended::complete, ended::completeExceptionally));
+        vertx.runOnContext(
+                none ->
+                        node.end(DrainSchedule.NOW)
+                                .onComplete(ended::complete, ended::completeExceptionally));
         ended.get(10, TimeUnit.SECONDS);
         node = serve();
         assertEquals(document().get("limits").get("maxOpen").asInt(), 450);
@@ -201,9 +265,12 @@
     Object[][] refused() {
         return new Object[][] {
             // method, path, token, body, status
-            {"GET", "/change/status", "wrong", "", 401}, {"POST", "/change/propose", "", "{}", 401},
-            {"GET", "/else", TOKEN, "", 404}, {"POST", "/change/propose", TOKEN, "nothing", 400},
-            {"POST", "/change/propose", TOKEN, "{}", 400}, {"POST", "/change/confirm", TOKEN, "{\"version\":7}", 400},
+            {"GET", "/change/status", "wrong", "", 401},
+            {"POST", "/change/propose", "", "{}", 401},
+            {"GET", "/else", TOKEN, "", 404},
+            {"POST", "/change/propose", TOKEN, "nothing", 400},
+            {"POST", "/change/propose", TOKEN, "{}", 400},
+            {"POST", "/change/confirm", TOKEN, "{\"version\":7}", 400},
             {"POST", "/change/undo", TOKEN, "{\"version\":1,\"by\":\"o\"}", 409},
             {"POST", "/change/check", TOKEN, "{\"document\":{\"limits\":{}}}", 422},
             {"POST", "/change/propose", TOKEN, "[".repeat(5000), 400},
@@ -212,8 +279,8 @@
     }
 
     @Test(dataProvider = "refused")
-    public void whatCantBeTakenIsRefusedAndChangesNothing(String method, String path, String token, String body,
-            int status) throws Exception {
+    public void whatCantBeTakenIsRefusedAndChangesNothing(
+            String method, String path, String token, String body, int status) throws Exception {
         try {
             HttpResponse<String> response = call(method, path, token, body);
             assertEquals(response.statusCode(), status, response.body());
@@ -250,7 +317,11 @@
         assertEquals(propose("p1", 1, one).statusCode(), 202);
         HttpResponse<String> second = propose("p2", 1, two);
         assertEquals(second.statusCode(), 409);
-        assertTrue(MAPPER.readTree(second.body()).get("meanwhile").toString().contains("from 500 to 450"),
+        assertTrue(
+                MAPPER.readTree(second.body())
+                        .get("meanwhile")
+                        .toString()
+                        .contains("from 500 to 450"),
                 second.body());
     }
 }
--- a/gatherer/src/test/java/sprucehold/node/JsonLinesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/JsonLinesTest.java
@@ -16,7 +16,8 @@
     public void lineIsOneJsonObjectWithItsFieldsAndNoNewLineWithin() throws IOException {
         var line = new LogRecord(Level.WARNING, "two\nlines \"quoted\" and {0}");
         line.setLoggerName("sprucehold.x");
-        line.setParameters(new Object[] {Map.of("version", 7L, "late", true, "took_ms", 1.5, "scan", "a\"b")});
+        line.setParameters(
+                new Object[] {Map.of("version", 7L, "late", true, "took_ms", 1.5, "scan", "a\"b")});
         line.setThrown(new IllegalStateException("lost"));
         String text = new JsonLines().format(line);
         assertEquals(text.lines().count(), 1);
--- a/gatherer/src/test/java/sprucehold/node/NodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeTest.java
@@ -60,17 +60,24 @@
 
 /** A whole gatherer with scripted decisions, and how its file is read. */
 public class NodeTest {
-    private static final String SETTINGS = "\"settings\":{\"classes\":[{\"name\":\"q\",\"semantics\":\"retryable\","
-            + "\"aimMs\":100,\"giveUpMs\":300}],\"familyInfo\":{\"ranges\":4,\"sets\":2},"
-            + "\"limits\":{\"dialTimeoutMs\":5000,\"idleCloseMs\":15000,\"streamsPerConn\":32}}";
-    private static final String KNOWN = "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\","
-            + "\"address\":\"127.0.0.1:8100\",\"group\":0,\"status\":\"active\"}]}";
-    private static final String PLACE = "\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
-            + "\"seed\":\"ffffffffffffffff\"";
+    private static final String SETTINGS =
+            "\"settings\":{\"classes\":[{\"name\":\"q\",\"semantics\":\"retryable\","
+                    + "\"aimMs\":100,\"giveUpMs\":300}],\"familyInfo\":{\"ranges\":4,\"sets\":2},"
+                    + "\"limits\":{\"dialTimeoutMs\":5000,\"idleCloseMs\":15000,\"streamsPerConn\":32}}";
+    private static final String KNOWN =
+            "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\","
+                    + "\"address\":\"127.0.0.1:8100\",\"group\":0,\"status\":\"active\"}]}";
+    private static final String PLACE =
+            "\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
+                    + "\"seed\":\"ffffffffffffffff\"";
 
     private Path file;
     private Vertx vertx;
-    /** Held for as long as a test lasts: Vert.x closes a client that nobody holds once it is collected, and its requests with it. */
+
+    /**
+     * Held for as long as a test lasts: Vert.x closes a client that nobody holds once it is
+     * collected, and its requests with it.
+     */
     private HttpClient client;
 
     @BeforeMethod
@@ -94,7 +101,9 @@
     @DataProvider
     Object[][] malformed() {
         return new Object[][] {
-            {new String[] {PLACE}}, {new String[] {SETTINGS}}, {new String[] {PLACE, SETTINGS, "x"}},
+            {new String[] {PLACE}},
+            {new String[] {SETTINGS}},
+            {new String[] {PLACE, SETTINGS, "x"}},
             {new String[] {SETTINGS, PLACE.replace("127.0.0.1:0", "127.0.0.1")}},
             {new String[] {SETTINGS, PLACE.replace("127.0.0.1:1", ":1")}},
             {new String[] {SETTINGS, PLACE.replace("ffffffffffffffff", "seed")}},
@@ -116,9 +125,13 @@
         assertEquals(config.known().index(), 7);
         assertEquals(config.facts().segments(), 4);
         assertEquals(config.facts().longestTimeoutMs(), 300.0);
-        assertEquals(NodeConfig.read(file, "m", "127.0.0.2:5", null).listen(), new NodeConfig.Address("127.0.0.2", 5));
+        assertEquals(
+                NodeConfig.read(file, "m", "127.0.0.2:5", null).listen(),
+                new NodeConfig.Address("127.0.0.2", 5));
         assertEquals(NodeConfig.read(file, "m", null, null).name(), "m");
-        assertEquals(NodeConfig.read(file, null, null, "127.0.0.3:9").discovery(), new NodeConfig.Address("127.0.0.3", 9));
+        assertEquals(
+                NodeConfig.read(file, null, null, "127.0.0.3:9").discovery(),
+                new NodeConfig.Address("127.0.0.3", 9));
     }
 
     private <T> T await(Future<T> future) throws Exception {
@@ -132,26 +145,43 @@
         return await(begin(config(members), factory, List.of()).start);
     }
 
-    private record Begun(Node node, Future<Node> start) {
-    }
+    private record Begun(Node node, Future<Node> start) {}
 
     /** Makes a node, and returns it with what is over once it listens. */
-    private Begun begin(NodeConfig config, Gatherer.Factory factory, List<Neighbour.Factory> beside) throws Exception {
+    private Begun begin(NodeConfig config, Gatherer.Factory factory, List<Neighbour.Factory> beside)
+            throws Exception {
         loop = new TestLoop(vertx);
-        return loop.call(() -> {
-            var node = new Node(vertx, config, factory, null, beside);
-            return new Begun(node, node.start().map(listening -> {
-                port = listening;
-                return node;
-            }));
-        });
-    }
-
-    /** The configuration of one that knows a list, and asks a discovery that hands its calls over. */
-    private NodeConfig asking(BlockingQueue<HttpServerRequest> calls, NodeConfig.Address listen) throws Exception {
-        int discovery = await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1")).actualPort();
+        return loop.call(
+                () -> {
+                    var node = new Node(vertx, config, factory, null, beside);
+                    return new Begun(
+                            node,
+                            node.start()
+                                    .map(
+                                            listening -> {
+                                                port = listening;
+                                                return node;
+                                            }));
+                });
+    }
+
+    /**
+     * The configuration of one that knows a list, and asks a discovery that hands its calls over.
+     */
+    private NodeConfig asking(BlockingQueue<HttpServerRequest> calls, NodeConfig.Address listen)
+            throws Exception {
+        int discovery =
+                await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1"))
+                        .actualPort();
         NodeConfig told = config(PLACE, SETTINGS, KNOWN);
-        return new NodeConfig("n", listen, new NodeConfig.Address("127.0.0.1", discovery), 5, told.sockets(), told.known(), told.facts());
+        return new NodeConfig(
+                "n",
+                listen,
+                new NodeConfig.Address("127.0.0.1", discovery),
+                5,
+                told.sockets(),
+                told.known(),
+                told.facts());
     }
 
     private void end(Node node, DrainSchedule how) throws Exception {
@@ -162,41 +192,56 @@
     public void scanIsAnsweredThroughTheWholeGatherer() throws Exception {
         var lines = new ArrayList<String>();
         // The scripted decisions send every part and answer when one is completed.
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.PartTaken part) {
-                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
-                } else if (event instanceof Event.DispatchEnded) {
-                    actions.add(new Action.Answer("rehearsal-0", true));
-                }
-            }
-            return actions;
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.PartTaken part) {
+                                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
+                                } else if (event instanceof Event.DispatchEnded) {
+                                    actions.add(new Action.Answer("rehearsal-0", true));
+                                }
+                            }
+                            return actions;
+                        };
         assertTrue(Rehearsal.run(config(PLACE, SETTINGS, KNOWN), factory, lines::add));
-        assertEquals(lines, List.of("q: 200 {\"finished\":true,\"found\":[{\"bucket\":0,\"item\":\"0:c41e77d0\"}]}"));
+        assertEquals(
+                lines,
+                List.of(
+                        "q: 200 {\"finished\":true,\"found\":[{\"bucket\":0,\"item\":\"0:c41e77d0\"}]}"));
     }
 
-    /** What discovery's agent has counts as told from a process's first moment, so a list of before may already be forbidden. */
+    /**
+     * What discovery's agent has counts as told from a process's first moment, so a list of before
+     * may already be forbidden.
+     */
     @Test
     public void whatIsKnownFromBeforeIsCheckedBeforeAnythingIsTaken() throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
         var lists = new LinkedBlockingQueue<Event.ListReceived>();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            events.stream().filter(Event.ListReceived.class::isInstance).forEach(list -> lists.add((Event.ListReceived) list));
-            return List.of();
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            events.stream()
+                                    .filter(Event.ListReceived.class::isInstance)
+                                    .forEach(list -> lists.add((Event.ListReceived) list));
+                            return List.of();
+                        };
         int free;
         try (var socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             free = socket.getLocalPort();
         }
-        Begun begun = begin(asking(calls, new NodeConfig.Address("127.0.0.1", free)), factory, List.of());
+        Begun begun =
+                begin(asking(calls, new NodeConfig.Address("127.0.0.1", free)), factory, List.of());
         HttpServerRequest call = calls.poll(10, TimeUnit.SECONDS);
         assertEquals(call.uri(), "/discovery/hosts");
         assertThrows(ConnectException.class, () -> new Socket("127.0.0.1", free).close());
         assertTrue(lists.isEmpty());
-        call.response().end("{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:8100\","
-                + "\"group\":0,\"status\":\"leaving\"}]}");
+        call.response()
+                .end(
+                        "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:8100\","
+                                + "\"group\":0,\"status\":\"leaving\"}]}");
         assertTrue(await(begun.start).ready());
         Event.ListReceived list = lists.poll(10, TimeUnit.SECONDS);
         assertEquals(list.servers().get(0).mode(), Listing.Mode.DRAINING);
@@ -206,7 +251,11 @@
     @Test
     public void gathererThatIsToldToEndBeforeItListensNeverListens() throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
-        Begun begun = begin(asking(calls, new NodeConfig.Address("127.0.0.1", 0)), (seed, facts) -> (now, events) -> List.of(), List.of());
+        Begun begun =
+                begin(
+                        asking(calls, new NodeConfig.Address("127.0.0.1", 0)),
+                        (seed, facts) -> (now, events) -> List.of(),
+                        List.of());
         HttpServerRequest call = calls.poll(10, TimeUnit.SECONDS);
         // Nothing is owed to anybody, so it doesn't serve on.
         end(begun.node, new DrainSchedule(60_000, 60_000, 90_000));
@@ -218,11 +267,18 @@
     @Test
     public void whoIsToldToEndTwiceEndsOnceAndAsItWasToldFirst() throws Exception {
         Node node = node((seed, facts) -> (now, events) -> List.of(), PLACE, SETTINGS, KNOWN);
-        assertTrue(loop.call(() -> node.end(DrainSchedule.NOW) == node.end(new DrainSchedule(60_000, 60_000, 60_000))));
+        assertTrue(
+                loop.call(
+                        () ->
+                                node.end(DrainSchedule.NOW)
+                                        == node.end(new DrainSchedule(60_000, 60_000, 60_000))));
         end(node, DrainSchedule.NOW);
     }
 
-    /** One that leaves so many dispatches their units, says that it withdraws them again, and tells what it is asked. */
+    /**
+     * One that leaves so many dispatches their units, says that it withdraws them again, and tells
+     * what it is asked.
+     */
     private static final class Lender implements Neighbour {
         final List<String> heard = new ArrayList<>();
         int units;
@@ -295,15 +351,27 @@
 
     private static void ask(Socket socket, String id) throws IOException {
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c4\"}";
-        socket.getOutputStream().write(("POST /q HTTP/1.1\r\nHost: s\r\nX-Request-Id: " + id + "\r\nX-Class: q\r\nX-Deadline-Ms: 30000\r\n"
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body).getBytes(StandardCharsets.UTF_8));
-    }
-
-    /** A connection that the gatherer has accepted and answered on, so that what is written to it next needs only to be read. */
+        socket.getOutputStream()
+                .write(
+                        ("POST /q HTTP/1.1\r\nHost: s\r\nX-Request-Id: "
+                                        + id
+                                        + "\r\nX-Class: q\r\nX-Deadline-Ms: 30000\r\n"
+                                        + "Content-Length: "
+                                        + body.length()
+                                        + "\r\n\r\n"
+                                        + body)
+                                .getBytes(StandardCharsets.UTF_8));
+    }
+
+    /**
+     * A connection that the gatherer has accepted and answered on, so that what is written to it
+     * next needs only to be read.
+     */
     private static Socket connected(int port) throws IOException {
         var socket = new Socket("127.0.0.1", port);
         socket.setSoTimeout(10_000);
-        socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+        socket.getOutputStream()
+                .write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n".getBytes(StandardCharsets.UTF_8));
         var answer = new StringBuilder();
         while (!answer.toString().endsWith("\r\n\r\nup\n")) {
             int read = socket.getInputStream().read();
@@ -313,7 +381,10 @@
         return socket;
     }
 
-    /** Decisions that stand still at each scan until they are told to go on, and then for longer than a turn may last. */
+    /**
+     * Decisions that stand still at each scan until they are told to go on, and then for longer
+     * than a turn may last.
+     */
     private static final class Halting implements Gatherer {
         final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
         final Map<String, Double> timeLeftMs = new ConcurrentHashMap<>();
@@ -326,7 +397,10 @@
                     timeLeftMs.put(scan.id(), scan.timeLeftMs());
                     taken.add(scan.id());
                     goOn.acquireUninterruptibly();
-                    long turnEnds = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos((long) (2 * DecisionQueue.LONGEST_TURN_MS));
+                    long turnEnds =
+                            System.nanoTime()
+                                    + TimeUnit.MILLISECONDS.toNanos(
+                                            (long) (2 * DecisionQueue.LONGEST_TURN_MS));
                     while (System.nanoTime() < turnEnds) {
                         Thread.onSpinWait();
                     }
@@ -374,49 +448,74 @@
         halting.goOn.release(2);
         assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "unread");
         double timeLeftMs = halting.timeLeftMs.get("unread");
-        assertTrue(timeLeftMs <= 30_000 - unreadMs, timeLeftMs + " ms left after " + unreadMs + " ms unread");
+        assertTrue(
+                timeLeftMs <= 30_000 - unreadMs,
+                timeLeftMs + " ms left after " + unreadMs + " ms unread");
         first.close();
         unread.close();
         end(node, DrainSchedule.NOW);
     }
 
     @Test
-    public void idleClientsThatFillTheDescriptorsLeaveRoomForTheListTheServersAndWhoAsks() throws Exception {
+    public void idleClientsThatFillTheDescriptorsLeaveRoomForTheListTheServersAndWhoAsks()
+            throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
         var lists = new LinkedBlockingQueue<Event.ListReceived>();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.ListReceived list) {
-                    lists.add(list);
-                } else if (event instanceof Event.PartTaken part) {
-                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
-                } else if (event instanceof Event.DispatchEnded ended) {
-                    actions.add(new Action.Answer(ended.partId().split("\\.")[0], true));
-                }
-            }
-            return actions;
-        };
-        int discovery = await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1")).actualPort();
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.ListReceived list) {
+                                    lists.add(list);
+                                } else if (event instanceof Event.PartTaken part) {
+                                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
+                                } else if (event instanceof Event.DispatchEnded ended) {
+                                    actions.add(
+                                            new Action.Answer(
+                                                    ended.partId().split("\\.")[0], true));
+                                }
+                            }
+                            return actions;
+                        };
+        int discovery =
+                await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1"))
+                        .actualPort();
         int server = await(StandIns.shardServerAt(vertx, "127.0.0.1"));
         NodeConfig told = config(PLACE, SETTINGS, KNOWN.replace("8100", String.valueOf(server)));
         // Discovery is silent: the list is the one from before.
-        Node node = await(begin(new NodeConfig("n", told.listen(), new NodeConfig.Address("127.0.0.1", discovery), 5, 40, told.known(),
-                told.facts()), factory, List.of()).start);
+        Node node =
+                await(
+                        begin(
+                                        new NodeConfig(
+                                                "n",
+                                                told.listen(),
+                                                new NodeConfig.Address("127.0.0.1", discovery),
+                                                5,
+                                                40,
+                                                told.known(),
+                                                told.facts()),
+                                        factory,
+                                        List.of())
+                                .start);
         var idle = new ArrayList<Socket>();
         for (int i = 0; i < 200; i++) {
             idle.add(new Socket("127.0.0.1", port));
         }
         for (String id : List.of("s", "t")) {
             Socket asks = ask(port, id);
-            assertEquals(asks.getInputStream().readNBytes(12), "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII));
+            assertEquals(
+                    asks.getInputStream().readNBytes(12),
+                    "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII));
             asks.close();
         }
         lists.clear();
         Event.ListReceived list = null;
         while (list == null) {
             // The earliest calls may have been given up by now; one that is open is answered.
-            calls.poll(10, TimeUnit.SECONDS).response().end("{\"index\":9,\"snapshot\":true,\"endpoints\":[]}");
+            calls.poll(10, TimeUnit.SECONDS)
+                    .response()
+                    .end("{\"index\":9,\"snapshot\":true,\"endpoints\":[]}");
             list = lists.poll(1, TimeUnit.SECONDS);
         }
         assertTrue(list.complete());
@@ -429,48 +528,83 @@
     @DataProvider
     Object[][] lenders() {
         return new Object[][] {
-            // units it has, whether it takes leave back before the write, how the dispatch that takes one ends, what it hears
-            {1, false, Ending.COMPLETED, List.of("start", "taken s", "sent s.0", "ended Completed", "end")},
+            // units it has, whether it takes leave back before the write, how the dispatch that
+            // takes one ends, what it hears
+            {
+                1,
+                false,
+                Ending.COMPLETED,
+                List.of("start", "taken s", "sent s.0", "ended Completed", "end")
+            },
             {0, false, Ending.NEVER_SENT, List.of("start", "taken s", "ended Cancelled", "end")},
-            {1, true, Ending.NEVER_SENT, List.of("start", "taken s", "sent s.0", "ended Cancelled", "end")},
+            {
+                1,
+                true,
+                Ending.NEVER_SENT,
+                List.of("start", "taken s", "sent s.0", "ended Cancelled", "end")
+            },
         };
     }
 
     @Test(dataProvider = "lenders")
-    public void whatADispatchTakesOfASharedBoundIsAskedForAndAgainBeforeItsWrite(int units, boolean withdrawn, Ending ending,
-            List<String> heard) throws Exception {
+    public void whatADispatchTakesOfASharedBoundIsAskedForAndAgainBeforeItsWrite(
+            int units, boolean withdrawn, Ending ending, List<String> heard) throws Exception {
         var lender = new Lender();
         lender.units = units;
         lender.withdrawn = withdrawn;
         lender.next = new Others(3, Map.of(Bound.FURTHER, units), Map.of());
         var endings = new CompletableFuture<Ending>();
         var told = new CompletableFuture<Others>();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.OthersTold others) {
-                    told.complete(others.others());
-                } else if (event instanceof Event.PartTaken part) {
-                    actions.add(new Action.Use(Bound.FURTHER, 1));
-                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
-                } else if (event instanceof Event.DispatchEnded ended) {
-                    endings.complete(ended.ending());
-                    actions.add(new Action.Answer("s", true));
-                }
-            }
-            return actions;
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.OthersTold others) {
+                                    told.complete(others.others());
+                                } else if (event instanceof Event.PartTaken part) {
+                                    actions.add(new Action.Use(Bound.FURTHER, 1));
+                                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
+                                } else if (event instanceof Event.DispatchEnded ended) {
+                                    endings.complete(ended.ending());
+                                    actions.add(new Action.Answer("s", true));
+                                }
+                            }
+                            return actions;
+                        };
         NodeConfig config = config(PLACE, SETTINGS, KNOWN);
-        int discovery = await(StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true));
-        Node node = await(begin(new NodeConfig("n", config.listen(), new NodeConfig.Address("127.0.0.1", discovery), 5, config.sockets(), null,
-                config.facts()), factory, List.of((on, at, clock) -> lender)).start);
+        int discovery =
+                await(StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true));
+        Node node =
+                await(
+                        begin(
+                                        new NodeConfig(
+                                                "n",
+                                                config.listen(),
+                                                new NodeConfig.Address("127.0.0.1", discovery),
+                                                5,
+                                                config.sockets(),
+                                                null,
+                                                config.facts()),
+                                        factory,
+                                        List.of((on, at, clock) -> lender))
+                                .start);
         loop.until(node::ready);
         HttpClient client = vertx.createHttpClient();
-        await(client.request(HttpMethod.POST, port, "127.0.0.1", "/q").compose(request -> request.putHeader("X-Request-Id", "s")
-                .putHeader("X-Class", "q").putHeader("X-Deadline-Ms", "3000")
-                .send("{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c4\"}")).compose(response -> response.body()));
+        await(
+                client.request(HttpMethod.POST, port, "127.0.0.1", "/q")
+                        .compose(
+                                request ->
+                                        request.putHeader("X-Request-Id", "s")
+                                                .putHeader("X-Class", "q")
+                                                .putHeader("X-Deadline-Ms", "3000")
+                                                .send(
+                                                        "{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c4\"}"))
+                        .compose(response -> response.body()));
         assertEquals(endings.get(10, TimeUnit.SECONDS), ending);
-        assertEquals(told.get(10, TimeUnit.SECONDS), new Others(3, Map.of(Bound.FURTHER, units), Map.of()));
+        assertEquals(
+                told.get(10, TimeUnit.SECONDS),
+                new Others(3, Map.of(Bound.FURTHER, units), Map.of()));
         end(node, DrainSchedule.NOW);
         assertEquals(lender.heard, heard);
     }
@@ -479,15 +613,34 @@
     public void orderThatFailsLosesNoAnswer() throws Exception {
         var lender = new Lender();
         lender.panics = true;
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            boolean second = events.stream().anyMatch(event -> event instanceof Event.PartTaken part && part.id().equals("t.0"));
-            return second ? List.of(new Action.Dispatch("t.0", "a", 5000), new Action.Throttle("s", 0)) : List.of();
-        };
-        Node node = await(begin(config(PLACE, SETTINGS, KNOWN), factory, List.of((on, at, clock) -> lender)).start);
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            boolean second =
+                                    events.stream()
+                                            .anyMatch(
+                                                    event ->
+                                                            event instanceof Event.PartTaken part
+                                                                    && part.id().equals("t.0"));
+                            return second
+                                    ? List.of(
+                                            new Action.Dispatch("t.0", "a", 5000),
+                                            new Action.Throttle("s", 0))
+                                    : List.of();
+                        };
+        Node node =
+                await(
+                        begin(
+                                        config(PLACE, SETTINGS, KNOWN),
+                                        factory,
+                                        List.of((on, at, clock) -> lender))
+                                .start);
         Socket owed = ask(port, "s");
         loop.until(() -> lender.heard.contains("taken s"));
         Socket other = ask(port, "t");
-        assertEquals(owed.getInputStream().readNBytes(12), "HTTP/1.1 503".getBytes(StandardCharsets.US_ASCII));
+        assertEquals(
+                owed.getInputStream().readNBytes(12),
+                "HTTP/1.1 503".getBytes(StandardCharsets.US_ASCII));
         assertTrue(lender.heard.contains("sent t.0"));
         owed.close();
         other.close();
@@ -497,18 +650,23 @@
     @Test
     public void warmUpRunsScansThroughTheDecisionsAndLeavesNothing() throws Exception {
         var answered = new AtomicInteger();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.PartTaken part) {
-                    actions.add(new Action.Dispatch(part.id(), "a0", 5000));
-                } else if (event instanceof Event.DispatchEnded ended && ended.ending() == Ending.COMPLETED) {
-                    answered.incrementAndGet();
-                    actions.add(new Action.Answer(ended.partId().replaceAll("[.].*", ""), true));
-                }
-            }
-            return actions;
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.PartTaken part) {
+                                    actions.add(new Action.Dispatch(part.id(), "a0", 5000));
+                                } else if (event instanceof Event.DispatchEnded ended
+                                        && ended.ending() == Ending.COMPLETED) {
+                                    answered.incrementAndGet();
+                                    actions.add(
+                                            new Action.Answer(
+                                                    ended.partId().replaceAll("[.].*", ""), true));
+                                }
+                            }
+                            return actions;
+                        };
         Set<String> before = files();
         WarmUp.run(config(PLACE, SETTINGS), factory);
         assertTrue(answered.get() > 100, String.valueOf(answered));
@@ -520,46 +678,65 @@
     @Test
     public void withoutSocketsScansAreRunThroughDecisionsAndCodecs() throws Exception {
         var parts = new AtomicInteger();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.PartTaken part) {
-                    parts.incrementAndGet();
-                    actions.add(new Action.Dispatch(part.id(), "a0", 5000));
-                } else if (event instanceof Event.DispatchEnded ended && ended.ending() == Ending.COMPLETED) {
-                    actions.add(new Action.Answer(ended.partId().replaceAll("[.].*", ""), true));
-                }
-            }
-            return actions;
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.PartTaken part) {
+                                    parts.incrementAndGet();
+                                    actions.add(new Action.Dispatch(part.id(), "a0", 5000));
+                                } else if (event instanceof Event.DispatchEnded ended
+                                        && ended.ending() == Ending.COMPLETED) {
+                                    actions.add(
+                                            new Action.Answer(
+                                                    ended.partId().replaceAll("[.].*", ""), true));
+                                }
+                            }
+                            return actions;
+                        };
         int answered = DryWarmUp.run(config(PLACE, SETTINGS), factory);
         assertEquals(answered, 3);
         assertTrue(parts.get() >= 3 * 4, String.valueOf(parts));
     }
 
     private static Set<String> files() {
-        return new HashSet<>(List.of(new File(System.getProperty("java.io.tmpdir"))
-                .list((directory, name) -> name.startsWith("warm-up"))));
+        return new HashSet<>(
+                List.of(
+                        new File(System.getProperty("java.io.tmpdir"))
+                                .list((directory, name) -> name.startsWith("warm-up"))));
     }
 
     @Test
     public void requestsOnTheHeelsOfAnAnswerAreWokenFor() throws Exception {
         // The first scan is answered at once, the second only when the decisions are woken.
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            for (Event event : events) {
-                if (event instanceof Event.ScanTaken scan) {
-                    return List.of(scan.id().equals("a") ? new Action.Throttle("a", 0) : new Action.Wake(20));
-                }
-            }
-            return events.contains(new Event.Woken()) ? List.of(new Action.Throttle("b", 500)) : List.of();
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            for (Event event : events) {
+                                if (event instanceof Event.ScanTaken scan) {
+                                    return List.of(
+                                            scan.id().equals("a")
+                                                    ? new Action.Throttle("a", 0)
+                                                    : new Action.Wake(20));
+                                }
+                            }
+                            return events.contains(new Event.Woken())
+                                    ? List.of(new Action.Throttle("b", 500))
+                                    : List.of();
+                        };
         node(factory, PLACE, SETTINGS, KNOWN);
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"\"}";
-        String request = "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Class: q\r\nX-Deadline-Ms: 9000\r\n"
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+        String request =
+                "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Class: q\r\nX-Deadline-Ms: 9000\r\n"
+                        + "Content-Length: "
+                        + body.length()
+                        + "\r\n\r\n"
+                        + body;
         try (var socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout(5000);
-            socket.getOutputStream().write((request.formatted("a") + request.formatted("b")).getBytes());
+            socket.getOutputStream()
+                    .write((request.formatted("a") + request.formatted("b")).getBytes());
             var in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
             String line;
             do {
@@ -569,75 +746,123 @@
         }
     }
 
-    /** Of what comes while the loop is held up, nothing may look late because something else was read first. */
+    /**
+     * Of what comes while the loop is held up, nothing may look late because something else was
+     * read first.
+     */
     @Test
     public void answersThatAreThereTogetherAreDecidedUponTogether() throws Exception {
         var endings = new LinkedBlockingQueue<Integer>();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.PartTaken part) {
-                    actions.add(new Action.Dispatch(part.id(), part.id().endsWith("0") ? "a" : "b", 5000));
-                }
-            }
-            int ended = (int) events.stream().filter(Event.DispatchEnded.class::isInstance).count();
-            if (ended > 0) {
-                endings.add(ended);
-            }
-            return actions;
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.PartTaken part) {
+                                    actions.add(
+                                            new Action.Dispatch(
+                                                    part.id(),
+                                                    part.id().endsWith("0") ? "a" : "b",
+                                                    5000));
+                                }
+                            }
+                            int ended =
+                                    (int)
+                                            events.stream()
+                                                    .filter(Event.DispatchEnded.class::isInstance)
+                                                    .count();
+                            if (ended > 0) {
+                                endings.add(ended);
+                            }
+                            return actions;
+                        };
         try (var a = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 var b = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             a.setSoTimeout(10_000);
             b.setSoTimeout(10_000);
-            String entry = "{\"name\":\"%s\",\"address\":\"127.0.0.1:%d\",\"group\":0,\"status\":\"active\"}";
-            node(factory, PLACE, SETTINGS, "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":["
-                    + entry.formatted("a", a.getLocalPort()) + "," + entry.formatted("b", b.getLocalPort()) + "]}");
-            ask("s", "{\"buckets\":[{\"bucket\":0,\"part\":0.5},{\"bucket\":1,\"part\":0.5}],\"body\":\"\"}");
-            try (Socket first = a.accept(); Socket second = b.accept()) {
+            String entry =
+                    "{\"name\":\"%s\",\"address\":\"127.0.0.1:%d\",\"group\":0,\"status\":\"active\"}";
+            node(
+                    factory,
+                    PLACE,
+                    SETTINGS,
+                    "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":["
+                            + entry.formatted("a", a.getLocalPort())
+                            + ","
+                            + entry.formatted("b", b.getLocalPort())
+                            + "]}");
+            ask(
+                    "s",
+                    "{\"buckets\":[{\"bucket\":0,\"part\":0.5},{\"bucket\":1,\"part\":0.5}],\"body\":\"\"}");
+            try (Socket first = a.accept();
+                    Socket second = b.accept()) {
                 first.getInputStream().read();
                 second.getInputStream().read();
-                Runnable free = loop.hold(() -> { });
-                first.getOutputStream().write(Buffer.buffer().appendIntLE(14).appendString("Es.0 hit 5 -\nv").getBytes());
-                second.getOutputStream().write(Buffer.buffer().appendIntLE(14).appendString("Es.1 hit 5 -\nv").getBytes());
+                Runnable free = loop.hold(() -> {});
+                first.getOutputStream()
+                        .write(
+                                Buffer.buffer()
+                                        .appendIntLE(14)
+                                        .appendString("Es.0 hit 5 -\nv")
+                                        .getBytes());
+                second.getOutputStream()
+                        .write(
+                                Buffer.buffer()
+                                        .appendIntLE(14)
+                                        .appendString("Es.1 hit 5 -\nv")
+                                        .getBytes());
                 free.run();
                 assertEquals((int) endings.poll(5, TimeUnit.SECONDS), 2);
             }
         }
     }
 
-    /** What a query waits for its decision is no longer left to its client, and no shard server may be told that it is. */
+    /**
+     * What a query waits for its decision is no longer left to its client, and no shard server may
+     * be told that it is.
+     */
     @Test
     public void timeInTheQueueOfDecisionsIsTakenFromTheClientsTime() throws Exception {
         var left = new LinkedBlockingQueue<Double>();
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            var actions = new ArrayList<Action>();
-            for (Event event : events) {
-                if (event instanceof Event.ScanTaken scan) {
-                    left.add(scan.timeLeftMs());
-                    actions.add(new Action.Throttle(scan.id(), 0));
-                    // The first decision takes this long, and the second query waits for it.
-                    long end = System.nanoTime() + 60_000_000;
-                    while (System.nanoTime() < end) {
-                        Thread.onSpinWait();
-                    }
-                }
-            }
-            return actions;
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            var actions = new ArrayList<Action>();
+                            for (Event event : events) {
+                                if (event instanceof Event.ScanTaken scan) {
+                                    left.add(scan.timeLeftMs());
+                                    actions.add(new Action.Throttle(scan.id(), 0));
+                                    // The first decision takes this long, and the second query
+                                    // waits for it.
+                                    long end = System.nanoTime() + 60_000_000;
+                                    while (System.nanoTime() < end) {
+                                        Thread.onSpinWait();
+                                    }
+                                }
+                            }
+                            return actions;
+                        };
         node(factory, PLACE, SETTINGS, KNOWN);
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"\"}";
-        try (var one = new Socket("127.0.0.1", port); var other = new Socket("127.0.0.1", port)) {
+        try (var one = new Socket("127.0.0.1", port);
+                var other = new Socket("127.0.0.1", port)) {
             // Both connections are up, so that what comes on them in the hold is read in one pass.
             for (Socket socket : List.of(one, other)) {
                 socket.setSoTimeout(10_000);
                 socket.getOutputStream().write("GET /up HTTP/1.1\r\nHost: h\r\n\r\n".getBytes());
                 assertEquals(socket.getInputStream().read(), 'H');
             }
-            Runnable free = loop.hold(() -> { });
+            Runnable free = loop.hold(() -> {});
             for (Socket socket : List.of(one, other)) {
-                socket.getOutputStream().write(("POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + socket.getLocalPort()
-                        + "\r\nX-Class: q\r\nX-Deadline-Ms: 9000\r\nContent-Length: " + body.length() + "\r\n\r\n" + body).getBytes());
+                socket.getOutputStream()
+                        .write(
+                                ("POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: "
+                                                + socket.getLocalPort()
+                                                + "\r\nX-Class: q\r\nX-Deadline-Ms: 9000\r\nContent-Length: "
+                                                + body.length()
+                                                + "\r\n\r\n"
+                                                + body)
+                                        .getBytes());
             }
             free.run();
             double first = left.poll(10, TimeUnit.SECONDS);
@@ -648,15 +873,22 @@
 
     @Test
     public void hangUpIsTakenOverEachTime() throws Exception {
-        String ignored = Files.readAllLines(Path.of("/proc/self/status")).stream()
-                .filter(line -> line.startsWith("SigIgn:")).findAny().orElseThrow().replaceAll(".*\\s", "");
+        String ignored =
+                Files.readAllLines(Path.of("/proc/self/status")).stream()
+                        .filter(line -> line.startsWith("SigIgn:"))
+                        .findAny()
+                        .orElseThrow()
+                        .replaceAll(".*\\s", "");
         if ((Long.parseUnsignedLong(ignored, 16) & 1) != 0) {
-            throw new SkipException("started with SIGHUP ignored, as under nohup, which the JVM keeps");
+            throw new SkipException(
+                    "started with SIGHUP ignored, as under nohup, which the JVM keeps");
         }
         var hungUp = new Semaphore(0);
         Signals.onHangUp(hungUp::release);
         for (int i = 0; i < 2; i++) {
-            new ProcessBuilder("kill", "-HUP", String.valueOf(ProcessHandle.current().pid())).start().waitFor();
+            new ProcessBuilder("kill", "-HUP", String.valueOf(ProcessHandle.current().pid()))
+                    .start()
+                    .waitFor();
             assertTrue(hungUp.tryAcquire(10, TimeUnit.SECONDS));
         }
     }
@@ -667,42 +899,57 @@
 
     private Future<Integer> ask(String id, String body) {
         return client.request(HttpMethod.POST, port, "127.0.0.1", "/q")
-                .compose(request -> request.putHeader("X-Request-Id", id).putHeader("X-Class", "q")
-                        .putHeader("X-Deadline-Ms", "9000")
-                        .send(Buffer.buffer(body)))
+                .compose(
+                        request ->
+                                request.putHeader("X-Request-Id", id)
+                                        .putHeader("X-Class", "q")
+                                        .putHeader("X-Deadline-Ms", "9000")
+                                        .send(Buffer.buffer(body)))
                 .map(response -> response.statusCode());
     }
 
     @Test
-    public void gathererThatEndsAnswersWhatItHasTakenAndTurnsAwayWhoComesTooLate() throws Exception {
+    public void gathererThatEndsAnswersWhatItHasTakenAndTurnsAwayWhoComesTooLate()
+            throws Exception {
         var taken = new CompletableFuture<Void>();
         var late = new CompletableFuture<Integer>();
         var between = new CompletableFuture<Double>();
         // The first scan is held until the late one has its answer; the late one isn't asked about.
-        Gatherer.Factory factory = (seed, facts) -> (now, events) -> {
-            for (Event event : events) {
-                if (event instanceof Event.ScanTaken scan && scan.id().equals("between")) {
-                    between.complete(scan.timeLeftMs());
-                    return List.of(new Action.Throttle("between", 0), new Action.Wake(10));
-                } else if (event instanceof Event.ScanTaken scan) {
-                    assertEquals(scan.id(), "s");
-                    taken.complete(null);
-                }
-            }
-            return !taken.isDone() ? List.of()
-                    : List.of(late.isDone() ? new Action.Abandon("s") : new Action.Wake(10));
-        };
+        Gatherer.Factory factory =
+                (seed, facts) ->
+                        (now, events) -> {
+                            for (Event event : events) {
+                                if (event instanceof Event.ScanTaken scan
+                                        && scan.id().equals("between")) {
+                                    between.complete(scan.timeLeftMs());
+                                    return List.of(
+                                            new Action.Throttle("between", 0), new Action.Wake(10));
+                                } else if (event instanceof Event.ScanTaken scan) {
+                                    assertEquals(scan.id(), "s");
+                                    taken.complete(null);
+                                }
+                            }
+                            return !taken.isDone()
+                                    ? List.of()
+                                    : List.of(
+                                            late.isDone()
+                                                    ? new Action.Abandon("s")
+                                                    : new Action.Wake(10));
+                        };
         Node node = node(factory, PLACE, SETTINGS, KNOWN);
         assertTrue(node.ready());
         Future<Integer> status = ask("s");
         taken.get(10, TimeUnit.SECONDS);
         var lingered = new CompletableFuture<Void>();
         var ended = new CompletableFuture<Void>();
-        vertx.runOnContext(none -> {
-            node.end(new DrainSchedule(2000, 2200, 9000)).onComplete(ended::complete, ended::completeExceptionally);
-            vertx.setTimer(2300, timer -> lingered.complete(null));
-        });
-        // Who is told to leave serves on for a while, but promises no answer for when it may have been killed.
+        vertx.runOnContext(
+                none -> {
+                    node.end(new DrainSchedule(2000, 2200, 9000))
+                            .onComplete(ended::complete, ended::completeExceptionally);
+                    vertx.setTimer(2300, timer -> lingered.complete(null));
+                });
+        // Who is told to leave serves on for a while, but promises no answer for when it may have
+        // been killed.
         assertEquals((int) await(ask("between")), 503);
         assertTrue(between.get() <= 8800, String.valueOf(between));
         lingered.get(10, TimeUnit.SECONDS);
--- a/gatherer/src/test/java/sprucehold/node/SocketPassesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/SocketPassesTest.java
@@ -12,8 +12,7 @@
 
 /** What is known of the passes over the sockets, on a clock and timers of the test's own. */
 public class SocketPassesTest {
-    private record Timer(double at, Runnable work) {
-    }
+    private record Timer(double at, Runnable work) {}
 
     private double now;
     private List<Timer> timers;
@@ -23,10 +22,15 @@
     public void begin() {
         now = 1000;
         timers = new ArrayList<>();
-        passes = new SocketPasses(() -> now, (delayMs, work) -> timers.add(new Timer(now + delayMs, work)));
+        passes =
+                new SocketPasses(
+                        () -> now, (delayMs, work) -> timers.add(new Timer(now + delayMs, work)));
     }
 
-    /** Since when something may have lain unread that is read on a connection which the loop has read for long. */
+    /**
+     * Since when something may have lain unread that is read on a connection which the loop has
+     * read for long.
+     */
     private double unreadSince(double nowMs) {
         return passes.unreadSince(nowMs, new Arrival(0, 0));
     }
@@ -52,10 +56,12 @@
     public void whatIsReadAfterAHoldUpMayHaveLainUnreadSinceBeforeIt() {
         pass(1020);
         pass(1040);
-        // Held up from 1041 on. The pass at 1040 asked the system after the heartbeat before it was set, at 1020.
+        // Held up from 1041 on. The pass at 1040 asked the system after the heartbeat before it was
+        // set, at 1020.
         assertEquals(unreadSince(1191), 1020.0);
         pass(1191);
-        // The pass at 1191 is known to have asked after 1040 only, so what it left may be as old; the next one has asked after 1191.
+        // The pass at 1191 is known to have asked after 1040 only, so what it left may be as old;
+        // the next one has asked after 1191.
         assertEquals(unreadSince(1192), 1040.0);
         pass(1192);
         assertEquals(unreadSince(1193), 1193.0);
@@ -64,23 +70,28 @@
     @DataProvider
     Object[][] newcomers() {
         return new Object[][] {
-            // Connected since, opened at, and since when its first request that is read at 1200 may have lain unread.
+            // Connected since, opened at, and since when its first request that is read at 1200 may
+            // have lain unread.
             {"waited to be accepted for longer than the loop did not read", 300, 1195, 300},
             {"waited as long as is on time", 1160, 1195, 1200},
             {"opened before the last whole pass, which found nothing", 300, 1170, 1200},
         };
     }
 
-    /** As after a hold-up of the whole process: the loop was on time again before the listener came to accept. */
+    /**
+     * As after a hold-up of the whole process: the loop was on time again before the listener came
+     * to accept.
+     */
     @Test(dataProvider = "newcomers")
-    public void whatIsReadFirstOnAConnectionMayHaveComeWhileItWaitedToBeAccepted(String which, double connectedSince, double openedAt,
-            double expected) {
+    public void whatIsReadFirstOnAConnectionMayHaveComeWhileItWaitedToBeAccepted(
+            String which, double connectedSince, double openedAt, double expected) {
         pass(1020);
         pass(1150);
         for (double at = 1170; at <= 1200; at += 10) {
             pass(at);
         }
-        assertEquals(passes.unreadSince(1200, new Arrival(connectedSince, openedAt)), expected, which);
+        assertEquals(
+                passes.unreadSince(1200, new Arrival(connectedSince, openedAt)), expected, which);
     }
 
     @Test
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -18,41 +18,61 @@
     @DataProvider
     Object[][] malformed() {
         return new Object[][] {
-            {"A"}, {"Zwhat"}, {"E"}, {"Ep.1 hit 0 -"}, {"Ep.1 hit 0\nv"}, {"Ep.1 hit 0 - -\nv"}, {"Ep.1 done 0 -\nv"},
+            {"A"},
+            {"Zwhat"},
+            {"E"},
+            {"Ep.1 hit 0 -"},
+            {"Ep.1 hit 0\nv"},
+            {"Ep.1 hit 0 - -\nv"},
+            {"Ep.1 done 0 -\nv"},
             {"E hit 0 -\nv"},
         };
     }
 
     @Test(dataProvider = "malformed")
     public void whatCantBeReadIsSaid(String text) {
-        assertThrows(ShardFrame.MalformedException.class, () -> ShardFrame.decode(Buffer.buffer(text)));
+        assertThrows(
+                ShardFrame.MalformedException.class, () -> ShardFrame.decode(Buffer.buffer(text)));
     }
 
     @DataProvider
     Object[][] loads() {
         return new Object[][] {
-            {"-", null}, {"inflight=7,util=0.61", new Load(7, Double.NaN, 0.61)},
-            {"queue=3", new Load(Double.NaN, 3, Double.NaN)}, {"other=1,queue=x", null}, {"", null},
-            {"inflight=NaN,util=0.5", new Load(Double.NaN, Double.NaN, 0.5)}, {"inflight=-1,queue=Infinity", null},
+            {"-", null},
+            {"inflight=7,util=0.61", new Load(7, Double.NaN, 0.61)},
+            {"queue=3", new Load(Double.NaN, 3, Double.NaN)},
+            {"other=1,queue=x", null},
+            {"", null},
+            {"inflight=NaN,util=0.5", new Load(Double.NaN, Double.NaN, 0.5)},
+            {"inflight=-1,queue=Infinity", null},
         };
     }
 
     @Test(dataProvider = "loads")
     public void loadIsReadAsFarAsItCanBe(String report, Load load) throws Exception {
-        var ended = (ShardFrame.Ended) ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
+        var ended =
+                (ShardFrame.Ended)
+                        ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
         assertEquals(ended.load(), load);
-        assertEquals(((ShardFrame.Probed) ShardFrame.decode(Buffer.buffer("D" + report))).load(), load);
+        assertEquals(
+                ((ShardFrame.Probed) ShardFrame.decode(Buffer.buffer("D" + report))).load(), load);
     }
 
     @Test
     public void framesAreReadWhereverTheyAreSplit() {
-        Buffer bytes = frame("Ep.1 hit 18 -\nva\nlue").appendBuffer(frame("Chit")).appendBuffer(frame("Ep.2 fault 0 -\n"))
-                .appendBuffer(frame("Fno"));
+        Buffer bytes =
+                frame("Ep.1 hit 18 -\nva\nlue")
+                        .appendBuffer(frame("Chit"))
+                        .appendBuffer(frame("Ep.2 fault 0 -\n"))
+                        .appendBuffer(frame("Fno"));
         for (int cut = 1; cut < bytes.length(); cut++) {
             var frames = new ArrayList<ShardFrame>();
-            var reader = new FrameReader(frames::add, why -> {
-                throw new AssertionError(why);
-            });
+            var reader =
+                    new FrameReader(
+                            frames::add,
+                            why -> {
+                                throw new AssertionError(why);
+                            });
             for (int from = 0; from < bytes.length(); from += cut) {
                 reader.handle(bytes.getBuffer(from, Math.min(bytes.length(), from + cut)), 0);
             }
@@ -83,7 +103,9 @@
 
     @Test
     public void framesOfAGathererAreAsTheProtocolSays() {
-        assertEquals(GathererFrame.giveUp("s.3"), Buffer.buffer(new byte[] {4, 0, 0, 0, 'B', 's', '.', '3'}));
+        assertEquals(
+                GathererFrame.giveUp("s.3"),
+                Buffer.buffer(new byte[] {4, 0, 0, 0, 'B', 's', '.', '3'}));
         assertEquals(GathererFrame.probe(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'C'}));
         assertEquals(GathererFrame.loadProbe(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'D'}));
     }
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -61,27 +61,30 @@
     private BlockingQueue<String> heard;
     private TestLoop loop;
     private volatile boolean clientWaits;
-    private final AttemptGate gate = new AttemptGate() {
-        @Override
-        public boolean clientWaits(Scan query) {
-            return clientWaits;
-        }
-
-        @Override
-        public void begun(Dispatch attempt) {
-            begun.add(attempt.partId());
-        }
+    private final AttemptGate gate =
+            new AttemptGate() {
+                @Override
+                public boolean clientWaits(Scan query) {
+                    return clientWaits;
+                }
+
+                @Override
+                public void begun(Dispatch attempt) {
+                    begun.add(attempt.partId());
+                }
+
+                @Override
+                public void turnWanted() {
+                    turnsWanted.incrementAndGet();
+                    if (!holdsTurns) {
+                        vertx.runOnContext(none -> shards.writeWaiting());
+                    }
+                }
+            };
 
-        @Override
-        public void turnWanted() {
-            turnsWanted.incrementAndGet();
-            if (!holdsTurns) {
-                vertx.runOnContext(none -> shards.writeWaiting());
-            }
-        }
-    };
     /** Turns come when the test says so. */
     private volatile boolean holdsTurns;
+
     private final AtomicInteger turnsWanted = new AtomicInteger();
     private final List<String> begun = new CopyOnWriteArrayList<>();
 
@@ -105,29 +108,85 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     }
 
-    /** Starts a server that does this with what it is sent, and connections that hold so many parts. */
-    private void start(int parts, int callParts, BiConsumer<NetSocket, String> script) throws Exception {
-        serve(parts, callParts, socket -> socket.handler(bytes -> {
-            heard.add(bytes.toString());
-            script.accept(socket, bytes.toString());
-        }));
+    /**
+     * Starts a server that does this with what it is sent, and connections that hold so many parts.
+     */
+    private void start(int parts, int callParts, BiConsumer<NetSocket, String> script)
+            throws Exception {
+        serve(
+                parts,
+                callParts,
+                socket ->
+                        socket.handler(
+                                bytes -> {
+                                    heard.add(bytes.toString());
+                                    script.accept(socket, bytes.toString());
+                                }));
     }
 
     private void serve(int parts, int callParts, Handler<NetSocket> connected) throws Exception {
         server = vertx.createNetServer().connectHandler(connected);
-        int port = server.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS)
-                .actualPort();
-        shards = loop.call(() -> new ShardServers(vertx, new Connections(5000, 15_000, parts), callParts, false, () -> now,
-                this::reported, gate));
+        int port =
+                server.listen(0, "127.0.0.1")
+                        .toCompletionStage()
+                        .toCompletableFuture()
+                        .get(5, TimeUnit.SECONDS)
+                        .actualPort();
+        shards =
+                loop.call(
+                        () ->
+                                new ShardServers(
+                                        vertx,
+                                        new Connections(5000, 15_000, parts),
+                                        callParts,
+                                        false,
+                                        () -> now,
+                                        this::reported,
+                                        gate));
         var type = new TableType("q", repeat, 100, 1, 0, 150, 1, 1, 0);
-        picker = new Picker((time, events) -> events.stream().flatMap(event -> event instanceof Event.PartTaken part
-                ? Stream.of((Action) new Action.Dispatch(part.id(), "a", 240.9))
-                : event instanceof Event.Woken ? Stream.of(new Action.Dispatch("s.0", "a", 240.9))
-                : event instanceof Event.ScanTaken scan && scan.id().equals("over") ? Stream.of(new Action.Abandon("s"))
-                : Stream.of()).toList(),
-                new Deployment(1, "z", 5, 1, List.of(type), List.of(), new Deployment.Layout(1, 1, 1),
-                        new Deployment.Limits(4, 1000, true, true, 0), new Deployment.ColdRule(1, 0, 1, 0),
-                        Deployment.DispatchBudget.NONE, new Deployment.ListAccess(false, 0)));
+        picker =
+                new Picker(
+                        (time, events) ->
+                                events.stream()
+                                        .flatMap(
+                                                event ->
+                                                        event instanceof Event.PartTaken part
+                                                                ? Stream.of(
+                                                                        (Action)
+                                                                                new Action.Dispatch(
+                                                                                        part.id(),
+                                                                                        "a", 240.9))
+                                                                : event instanceof Event.Woken
+                                                                        ? Stream.of(
+                                                                                new Action.Dispatch(
+                                                                                        "s.0", "a",
+                                                                                        240.9))
+                                                                        : event
+                                                                                                instanceof
+                                                                                                Event
+                                                                                                                .ScanTaken
+                                                                                                        scan
+                                                                                        && scan.id()
+                                                                                                .equals(
+                                                                                                        "over")
+                                                                                ? Stream.of(
+                                                                                        new Action
+                                                                                                .Abandon(
+                                                                                                "s"))
+                                                                                : Stream.of())
+                                        .toList(),
+                        new Deployment(
+                                1,
+                                "z",
+                                5,
+                                1,
+                                List.of(type),
+                                List.of(),
+                                new Deployment.Layout(1, 1, 1),
+                                new Deployment.Limits(4, 1000, true, true, 0),
+                                new Deployment.ColdRule(1, 0, 1, 0),
+                                Deployment.DispatchBudget.NONE,
+                                new Deployment.ListAccess(false, 0)));
         list(ServerNews.State.RUNNING, port);
     }
 
@@ -140,8 +199,14 @@
     }
 
     private void list(ServerNews.State state, int port) {
-        picker.report(0, List.of(new Report.ListCame(false,
-                List.of(new ServerNews("a", "127.0.0.1:" + port, 0, "z", 0, state)))));
+        picker.report(
+                0,
+                List.of(
+                        new Report.ListCame(
+                                false,
+                                List.of(
+                                        new ServerNews(
+                                                "a", "127.0.0.1:" + port, 0, "z", 0, state)))));
     }
 
     private List<Dispatch> dispatches(String id, int parts, String text) {
@@ -182,51 +247,81 @@
     @DataProvider
     Object[][] answers() {
         return new Object[][] {
-            {"Es.0 hit 5 -\nvalue", "Completed"}, {"Es.0 fault 0 -\n", "Faulty"}, {"Es.0 overload 0 -\n", "TurnedAway"},
-            {"Fwhat was that", "Lost[progress=WRITTEN]"}, {"Xunknown", "Faulty"},
-            {"Es.0 maybe 0 -\n", "Faulty"}, {"Et.0 hit 5 -\nvalue", "Faulty"}, {"Es.00 hit 5 -\nvalue", "Faulty"},
-            {"Es.0 hit 0x5 -\nvalue", "Faulty"}, {"Es.0 hit 5 -\nval\0ue", "Faulty"},
-            {"Es.0 hit 5 -\nval\u00ffue", "Faulty"}, {"close", "Lost[progress=WRITTEN]"},
+            {"Es.0 hit 5 -\nvalue", "Completed"},
+            {"Es.0 fault 0 -\n", "Faulty"},
+            {"Es.0 overload 0 -\n", "TurnedAway"},
+            {"Fwhat was that", "Lost[progress=WRITTEN]"},
+            {"Xunknown", "Faulty"},
+            {"Es.0 maybe 0 -\n", "Faulty"},
+            {"Et.0 hit 5 -\nvalue", "Faulty"},
+            {"Es.00 hit 5 -\nvalue", "Faulty"},
+            {"Es.0 hit 0x5 -\nvalue", "Faulty"},
+            {"Es.0 hit 5 -\nval\0ue", "Faulty"},
+            {"Es.0 hit 5 -\nval\u00ffue", "Faulty"},
+            {"close", "Lost[progress=WRITTEN]"},
             {"half", "Lost[progress=WRITTEN]"},
         };
     }
 
     @Test(dataProvider = "answers")
     public void whatComesBackIsTheOutcome(String frame, String outcome) throws Exception {
-        start(32, 1, (socket, bytes) -> {
-            if (frame.equals("close")) {
-                socket.close();
-            } else if (frame.equals("half")) {
-                socket.write(Buffer.buffer().appendIntLE(19).appendString("Es.0 hit 5 -\nva")).onComplete(done -> socket.close());
-            } else {
-                answer(socket, frame);
-            }
-        });
+        start(
+                32,
+                1,
+                (socket, bytes) -> {
+                    if (frame.equals("close")) {
+                        socket.close();
+                    } else if (frame.equals("half")) {
+                        socket.write(
+                                        Buffer.buffer()
+                                                .appendIntLE(19)
+                                                .appendString("Es.0 hit 5 -\nva"))
+                                .onComplete(done -> socket.close());
+                    } else {
+                        answer(socket, frame);
+                    }
+                });
         List<Dispatch> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)).toString().startsWith(outcome));
         String call = "As.0 0 d=240 4\ntext";
-        assertEquals(heard.poll(5, TimeUnit.SECONDS),
+        assertEquals(
+                heard.poll(5, TimeUnit.SECONDS),
                 Buffer.buffer().appendIntLE(call.length()).appendString(call).toString());
     }
 
     @Test
     public void idempotencyKeyOfItsClientGoesWithEachPart() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
-        var scan = new Scan("s", "q", null, 500, Optional.of("b086b1d5"), List.of(new Scan.Part(0, 1)), "text".getBytes());
+        var scan =
+                new Scan(
+                        "s",
+                        "q",
+                        null,
+                        500,
+                        Optional.of("b086b1d5"),
+                        List.of(new Scan.Part(0, 1)),
+                        "text".getBytes());
         send(picker.pick(now, scan).send());
         String call = "As.0 0 d=240,k=b086b1d5 4\ntext";
-        assertEquals(heard.poll(5, TimeUnit.SECONDS),
+        assertEquals(
+                heard.poll(5, TimeUnit.SECONDS),
                 Buffer.buffer().appendIntLE(call.length()).appendString(call).toString());
     }
 
-    /** As it comes once a sound answer is followed by noise or by a copy of itself: only the link is lost. */
+    /**
+     * As it comes once a sound answer is followed by noise or by a copy of itself: only the link is
+     * lost.
+     */
     @Test
     public void whatComesOnTopOfASoundAnswerEndsTheLinkAlone() throws Exception {
-        start(32, 1, (socket, bytes) -> {
-            answer(socket, "Es.0 hit 5 -\nvalue");
-            answer(socket, "Es.0 hit 5 -\nvalue");
-        });
+        start(
+                32,
+                1,
+                (socket, bytes) -> {
+                    answer(socket, "Es.0 hit 5 -\nvalue");
+                    answer(socket, "Es.0 hit 5 -\nvalue");
+                });
         List<Dispatch> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof Outcome.Completed);
@@ -236,26 +331,37 @@
 
     @Test
     public void frameThatDoesntEndFailsWhatIsOutOnceNothingMoreComes() throws Exception {
-        start(32, 1, (socket, bytes) -> socket.write(Buffer.buffer().appendIntLE(99).appendString("Es.0 hit 5 -\nvalue")));
+        start(
+                32,
+                1,
+                (socket, bytes) ->
+                        socket.write(
+                                Buffer.buffer()
+                                        .appendIntLE(99)
+                                        .appendString("Es.0 hit 5 -\nvalue")));
         List<Dispatch> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
-        loop.until(() -> {
-            now += 301;
-            shards.sweep(300);
-            return !reports.isEmpty();
-        });
+        loop.until(
+                () -> {
+                    now += 301;
+                    shards.sweep(300);
+                    return !reports.isEmpty();
+                });
         assertEquals(outcome(sent.get(0)), new Outcome.Faulty(null));
         assertEquals(links(), 0);
     }
 
     @Test
     public void panicClosesItsConnectionAndAllThatIsOutOnItIsLost() throws Exception {
-        start(32, 1, (socket, bytes) -> {
-            if (bytes.contains("As.1")) {
-                answer(socket, "Es.0 hit 5 -\nvalue");
-            }
-        });
+        start(
+                32,
+                1,
+                (socket, bytes) -> {
+                    if (bytes.contains("As.1")) {
+                        answer(socket, "Es.0 hit 5 -\nvalue");
+                    }
+                });
         List<Dispatch> sent = dispatches("s", 2, "text");
         panics = true;
         send(sent);
@@ -263,7 +369,10 @@
         assertEquals(links(), 0);
     }
 
-    /** A closed listener is gone only once its loop has looked at its sockets again; until then connections come up. */
+    /**
+     * A closed listener is gone only once its loop has looked at its sockets again; until then
+     * connections come up.
+     */
     private static void untilRefused(int port) throws IOException {
         for (int tries = 0; tries < 10_000; tries++) {
             try (var probe = new Socket()) {
@@ -277,7 +386,7 @@
 
     @Test
     public void refusedConnectionProvesThatNothingRan() throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         int port = server.actualPort();
         server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
         untilRefused(port);
@@ -289,10 +398,13 @@
     @Test
     public void frameCutOffBeforeItsLastByteProvesThatNothingRan() throws Exception {
         // More than the socket's buffers hold, to a server that reads none of it and then resets.
-        serve(32, 1, socket -> {
-            socket.pause();
-            vertx.setTimer(100, timer -> socket.close());
-        });
+        serve(
+                32,
+                1,
+                socket -> {
+                    socket.pause();
+                    vertx.setTimer(100, timer -> socket.close());
+                });
         List<Dispatch> sent = dispatches("s", 1, "x".repeat(BIG));
         send(sent);
         assertEquals(outcome(sent.get(0)), new Outcome.Lost(Progress.PARTLY_WRITTEN));
@@ -300,12 +412,15 @@
 
     @Test
     public void partGivenUpIsToldAndItsLateAnswerIsDropped() throws Exception {
-        start(32, 1, (socket, bytes) -> {
-            if (bytes.charAt(4) == 'B') {
-                answer(socket, "Es.0 hit 5 -\nvalue");
-                answer(socket, "Es.1 hit 5 -\nvalue");
-            }
-        });
+        start(
+                32,
+                1,
+                (socket, bytes) -> {
+                    if (bytes.charAt(4) == 'B') {
+                        answer(socket, "Es.0 hit 5 -\nvalue");
+                        answer(socket, "Es.1 hit 5 -\nvalue");
+                    }
+                });
         List<Dispatch> sent = dispatches("s", 2, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
@@ -318,12 +433,15 @@
     /** A server that stood still for minutes answers all that it held; none of that is noise. */
     @Test
     public void answerToAPartGivenUpLongAgoSpoilsNothingElse() throws Exception {
-        start(32, 1, (socket, bytes) -> {
-            if (bytes.contains("At.0")) {
-                answer(socket, "Es.0 hit 5 -\nvalue");
-                answer(socket, "Et.0 hit 5 -\nvalue");
-            }
-        });
+        start(
+                32,
+                1,
+                (socket, bytes) -> {
+                    if (bytes.contains("At.0")) {
+                        answer(socket, "Es.0 hit 5 -\nvalue");
+                        answer(socket, "Et.0 hit 5 -\nvalue");
+                    }
+                });
         List<Dispatch> first = dispatches("s", 1, "text");
         send(first);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
@@ -334,11 +452,22 @@
         List<Dispatch> between = dispatches("u", 1, "text");
         send(between);
         now = 90_000;
-        List<Dispatch> second = picker.pick(now, new Scan("t", "q", null, 500, List.of(new Scan.Part(0, 1)), new byte[4])).send();
-        loop.act(() -> {
-            shards.sweep(1e9);
-            shards.send(second);
-        });
+        List<Dispatch> second =
+                picker.pick(
+                                now,
+                                new Scan(
+                                        "t",
+                                        "q",
+                                        null,
+                                        500,
+                                        List.of(new Scan.Part(0, 1)),
+                                        new byte[4]))
+                        .send();
+        loop.act(
+                () -> {
+                    shards.sweep(1e9);
+                    shards.send(second);
+                });
         Report.DispatchEnded ended;
         do {
             ended = (Report.DispatchEnded) reports.poll(5, TimeUnit.SECONDS);
@@ -349,24 +478,29 @@
 
     @Test
     public void partCalledOffBeforeTheConnectionIsUpIsNeverWritten() throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> sent = dispatches("s", 2, "text");
-        loop.act(() -> {
-            shards.send(sent);
-            shards.cancel(List.of(sent.get(0)));
-        });
+        loop.act(
+                () -> {
+                    shards.send(sent);
+                    shards.cancel(List.of(sent.get(0)));
+                });
         assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.1"));
     }
 
-    /** Has what was sent wait for its connection until so much time has passed and this was done. */
-    private void sendAndComeUpLate(List<Dispatch> dispatches, double at, Runnable meanwhile) throws Exception {
-        loop.act(() -> {
-            // Both in one task of the loop, so that the connection comes up after it.
-            shards.send(dispatches);
-            now = at;
-            meanwhile.run();
-        });
+    /**
+     * Has what was sent wait for its connection until so much time has passed and this was done.
+     */
+    private void sendAndComeUpLate(List<Dispatch> dispatches, double at, Runnable meanwhile)
+            throws Exception {
+        loop.act(
+                () -> {
+                    // Both in one task of the loop, so that the connection comes up after it.
+                    shards.send(dispatches);
+                    now = at;
+                    meanwhile.run();
+                });
     }
 
     @DataProvider
@@ -375,9 +509,10 @@
     }
 
     @Test(dataProvider = "lateWrites")
-    public void serverIsToldHowLongItsAnswerIsStillWaitedForWhenThePartIsWritten(double at, String told) throws Exception {
-        start(32, 1, (socket, bytes) -> { });
-        sendAndComeUpLate(dispatches("s", 1, "text"), at, () -> { });
+    public void serverIsToldHowLongItsAnswerIsStillWaitedForWhenThePartIsWritten(
+            double at, String told) throws Exception {
+        start(32, 1, (socket, bytes) -> {});
+        sendAndComeUpLate(dispatches("s", 1, "text"), at, () -> {});
         String call = heard.poll(5, TimeUnit.SECONDS);
         assertTrue(call.contains("As.0 0 " + told), call);
     }
@@ -392,16 +527,22 @@
 
     /** The decisions may not be allowed to call anything off, or not have been woken in time. */
     @Test(dataProvider = "tooLate")
-    public void nothingIsWrittenToAConnectionThatComesUpAfterThePartIsOver(double at, String happened) throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+    public void nothingIsWrittenToAConnectionThatComesUpAfterThePartIsOver(
+            double at, String happened) throws Exception {
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> sent = dispatches("s", 1, "text");
-        sendAndComeUpLate(sent, at, () -> {
-            switch (happened) {
-                case "left" -> picker.report(at, List.of(new Report.ClientLeft(sent.get(0).scan())));
-                case "abandoned" -> dispatches("over", 1, "text");
-                default -> { }
-            }
-        });
+        sendAndComeUpLate(
+                sent,
+                at,
+                () -> {
+                    switch (happened) {
+                        case "left" ->
+                                picker.report(
+                                        at, List.of(new Report.ClientLeft(sent.get(0).scan())));
+                        case "abandoned" -> dispatches("over", 1, "text");
+                        default -> {}
+                    }
+                });
         assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
         assertNull(heard.poll());
     }
@@ -409,30 +550,39 @@
     @DataProvider
     Object[][] repeats() {
         return new Object[][] {
-            // How the part may repeat, how its first dispatch ended, when the connection of the second is up, whether it goes out.
+            // How the part may repeat, how its first dispatch ended, when the connection of the
+            // second is up, whether it goes out.
             {TableType.Repeat.KEYED, new Outcome.Lost(Progress.WRITTEN), 149.0, true},
             {TableType.Repeat.KEYED, new Outcome.Lost(Progress.WRITTEN), 151.0, false},
             {TableType.Repeat.KEYED, null, 151.0, false},
             {TableType.Repeat.KEYED, new Outcome.Lost(Progress.PARTLY_WRITTEN), 151.0, true},
             {TableType.Repeat.KEYED, new Outcome.TurnedAway(null), 151.0, true},
             {TableType.Repeat.REPLAYABLE, new Outcome.Lost(Progress.WRITTEN), 151.0, true},
-            {TableType.Repeat.NON_REPLAYABLE, new Outcome.Lost(Progress.PARTLY_WRITTEN), 100.0, true},
+            {
+                TableType.Repeat.NON_REPLAYABLE,
+                new Outcome.Lost(Progress.PARTLY_WRITTEN),
+                100.0,
+                true
+            },
             {TableType.Repeat.NON_REPLAYABLE, new Outcome.Lost(Progress.WRITTEN), 100.0, false},
         };
     }
 
-    /** A repeat was ordered inside the time in which repeats are dropped; its connection takes longer. */
+    /**
+     * A repeat was ordered inside the time in which repeats are dropped; its connection takes
+     * longer.
+     */
     @Test(dataProvider = "repeats")
-    public void repeatIsWrittenOnlyWhileItDoesNoHarm(TableType.Repeat kind, Outcome first, double at, boolean goes)
-            throws Exception {
+    public void repeatIsWrittenOnlyWhileItDoesNoHarm(
+            TableType.Repeat kind, Outcome first, double at, boolean goes) throws Exception {
         repeat = kind;
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         Dispatch one = dispatches("s", 1, "text").get(0);
         if (first != null) {
             picker.report(1, List.of(new Report.DispatchEnded(one, first)));
         }
         List<Dispatch> sent = picker.tick(1).send();
-        sendAndComeUpLate(sent, at, () -> { });
+        sendAndComeUpLate(sent, at, () -> {});
         if (goes) {
             assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         } else {
@@ -447,37 +597,40 @@
     }
 
     @Test(dataProvider = "closedStates")
-    public void nothingGoesToAServerThatBeganToDrainWhileTheConnectionCameUp(ServerNews.State state) throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+    public void nothingGoesToAServerThatBeganToDrainWhileTheConnectionCameUp(ServerNews.State state)
+            throws Exception {
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> sent = dispatches("s", 1, "text");
-        loop.act(() -> {
-            shards.send(sent);
-            list(state, server.actualPort());
-        });
+        loop.act(
+                () -> {
+                    shards.send(sent);
+                    list(state, server.actualPort());
+                });
         assertEquals(outcome(sent.get(0)), new Outcome.Lost(Progress.NOT_WRITTEN));
         assertNull(heard.poll());
     }
 
     @Test(dataProvider = "closedStates")
-    public void serverThatIsNotWantedAnyMoreKeepsItsConnectionOnlyWhileSomethingIsOut(ServerNews.State state)
-            throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+    public void serverThatIsNotWantedAnyMoreKeepsItsConnectionOnlyWhileSomethingIsOut(
+            ServerNews.State state) throws Exception {
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         for (int left : new int[] {1, 0}) {
-            loop.act(() -> {
-                list(state, server.actualPort());
-                shards.sweep(300);
-                shards.cancel(left == 1 ? sent : List.of());
-            });
+            loop.act(
+                    () -> {
+                        list(state, server.actualPort());
+                        shards.sweep(300);
+                        shards.cancel(left == 1 ? sent : List.of());
+                    });
             assertEquals(links(), left);
         }
     }
 
     @Test
     public void furtherConnectionIsOpenedOnlyWhenOneIsFull() throws Exception {
-        start(2, 1, (socket, bytes) -> { });
+        start(2, 1, (socket, bytes) -> {});
         send(dispatches("s", 3, "text"));
         send(dispatches("t", 1, "text"));
         for (int i = 0; i < 2; i++) {
@@ -488,20 +641,21 @@
 
     @Test
     public void sameIdGoesOutOnAnotherConnectionWhileItsFirstAnswerMayCome() throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
-        loop.act(() -> {
-            shards.cancel(sent);
-            shards.send(sent);
-        });
+        loop.act(
+                () -> {
+                    shards.cancel(sent);
+                    shards.send(sent);
+                });
         assertEquals(links(), 2);
     }
 
     @Test
     public void partsOfOneScanShareCallsAndOthersNever() throws Exception {
-        start(32, 2, (socket, bytes) -> { });
+        start(32, 2, (socket, bytes) -> {});
         var all = new ArrayList<>(dispatches("s", 3, "one"));
         all.addAll(dispatches("t", 1, "two"));
         send(all);
@@ -514,22 +668,25 @@
     }
 
     @Test
-    public void silentConnectionGetsNoFurtherPartsAndIsClosedOnceNothingIsOutOnIt() throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+    public void silentConnectionGetsNoFurtherPartsAndIsClosedOnceNothingIsOutOnIt()
+            throws Exception {
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> first = dispatches("s", 1, "text");
         send(first);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         now = 301;
-        loop.act(() -> {
-            shards.sweep(300);
-            shards.send(dispatches("t", 1, "text"));
-        });
+        loop.act(
+                () -> {
+                    shards.sweep(300);
+                    shards.send(dispatches("t", 1, "text"));
+                });
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("At.0"));
         assertEquals(links(), 2);
-        loop.act(() -> {
-            shards.cancel(first);
-            shards.sweep(300);
-        });
+        loop.act(
+                () -> {
+                    shards.cancel(first);
+                    shards.sweep(300);
+                });
         assertEquals(links(), 1);
     }
 
@@ -567,16 +724,23 @@
     /** Reads a whole frame and answers the part that it asks for. */
     private static void serveOne(Socket connection, String partId) throws IOException {
         connection.setSoTimeout(10_000);
-        int length = Integer.reverseBytes(new DataInputStream(connection.getInputStream()).readInt());
-        assertTrue(new String(connection.getInputStream().readNBytes(length), StandardCharsets.US_ASCII).startsWith("A" + partId));
+        int length =
+                Integer.reverseBytes(new DataInputStream(connection.getInputStream()).readInt());
+        assertTrue(
+                new String(
+                                connection.getInputStream().readNBytes(length),
+                                StandardCharsets.US_ASCII)
+                        .startsWith("A" + partId));
         String frame = "E" + partId + " hit 5 -\nvalue";
-        connection.getOutputStream().write(Buffer.buffer().appendIntLE(frame.length()).appendString(frame).getBytes());
+        connection
+                .getOutputStream()
+                .write(Buffer.buffer().appendIntLE(frame.length()).appendString(frame).getBytes());
     }
 
     @Test
     public void aConnectionWhoseEndLiesUnreadIsNotWrittenTo() throws Exception {
         repeat = TableType.Repeat.NON_REPLAYABLE;
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             listener.setSoTimeout(10_000);
             list(ServerNews.State.RUNNING, listener.getLocalPort());
@@ -596,11 +760,14 @@
         }
     }
 
-    /** What comes up in the middle of a pass knows nothing of a list that lies unread and tells of a drain. */
+    /**
+     * What comes up in the middle of a pass knows nothing of a list that lies unread and tells of a
+     * drain.
+     */
     @Test
     public void aConnectionThatComesUpIsWrittenToInTheNextTurnOnly() throws Exception {
         holdsTurns = true;
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         List<Dispatch> sent = dispatches("s", 1, "text");
         send(sent);
         loop.until(() -> turnsWanted.get() > 0);
@@ -611,14 +778,20 @@
         assertEquals(begun, List.of());
     }
 
-    /** A server that reads nothing until its connections, which are returned as they come up, are resumed. */
+    /**
+     * A server that reads nothing until its connections, which are returned as they come up, are
+     * resumed.
+     */
     private List<NetSocket> serveUnread() throws Exception {
         var connections = new CopyOnWriteArrayList<NetSocket>();
-        serve(32, 1, socket -> {
-            socket.pause();
-            socket.handler(bytes -> { });
-            connections.add(socket);
-        });
+        serve(
+                32,
+                1,
+                socket -> {
+                    socket.pause();
+                    socket.handler(bytes -> {});
+                    connections.add(socket);
+                });
         return connections;
     }
 
@@ -627,10 +800,11 @@
         List<NetSocket> connections = serveUnread();
         List<Dispatch> big = dispatches("s", 1, "x".repeat(BIG));
         List<Dispatch> small = dispatches("t", 1, "text");
-        loop.act(() -> {
-            shards.send(big);
-            shards.send(small);
-        });
+        loop.act(
+                () -> {
+                    shards.send(big);
+                    shards.send(small);
+                });
         loop.until(() -> !connections.isEmpty() && begun.contains("s.0"));
         assertEquals(begun, List.of("s.0"));
         clientWaits = false;
@@ -642,20 +816,24 @@
     @Test
     public void whatWaitedBehindAnotherFrameIsWrittenOnceThatIsTaken() throws Exception {
         List<NetSocket> connections = serveUnread();
-        loop.act(() -> {
-            shards.send(dispatches("s", 1, "x".repeat(BIG)));
-            shards.send(dispatches("t", 1, "text"));
-        });
+        loop.act(
+                () -> {
+                    shards.send(dispatches("s", 1, "x".repeat(BIG)));
+                    shards.send(dispatches("t", 1, "text"));
+                });
         loop.until(() -> !connections.isEmpty() && begun.contains("s.0"));
         connections.get(0).resume();
         loop.until(() -> begun.equals(List.of("s.0", "t.0")));
         assertEquals(links(), 1);
     }
 
-    /** As after a hold-up: the time is over by which it should have answered, and its answer lies unread. */
+    /**
+     * As after a hold-up: the time is over by which it should have answered, and its answer lies
+     * unread.
+     */
     @Test
     public void aServerWhoseAnswerLiesUnreadIsNotTakenForSilent() throws Exception {
-        start(32, 1, (socket, bytes) -> { });
+        start(32, 1, (socket, bytes) -> {});
         try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             listener.setSoTimeout(10_000);
             list(ServerNews.State.RUNNING, listener.getLocalPort());
@@ -664,11 +842,13 @@
             try (Socket connection = listener.accept()) {
                 loop.until(() -> begun.contains("s.0"));
                 List<Dispatch> second = dispatches("t", 1, "text");
-                Runnable free = loop.hold(() -> {
-                    now = 220;
-                    shards.sweep(200);
-                    shards.send(second);
-                });
+                Runnable free =
+                        loop.hold(
+                                () -> {
+                                    now = 220;
+                                    shards.sweep(200);
+                                    shards.send(second);
+                                });
                 serveOne(connection, "s.0");
                 free.run();
                 assertTrue(outcome(first.get(0)) instanceof Outcome.Completed);
--- a/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
@@ -33,37 +33,56 @@
     private static final int CROWD = 40;
 
     private final AtomicInteger failures = new AtomicInteger();
+
     /** When each accept of this test's listener began. */
     private final BlockingQueue<Long> askedAt = new LinkedBlockingQueue<>();
+
     private BlockingQueue<Accepted> accepted;
     private EventLoopGroup loop;
     private InetSocketAddress address;
 
     /** A connection that was accepted, and the moments by {@link System#nanoTime}. */
-    private record Accepted(long atNanos, long seenEmptyNanos, double seenEmptyMsAgo) {
-    }
+    private record Accepted(long atNanos, long seenEmptyNanos, double seenEmptyMsAgo) {}
 
     @BeforeMethod
     public void listen() {
         failures.set(0);
         accepted = new LinkedBlockingQueue<>();
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        Channel listener = new ServerBootstrap().group(loop).channelFactory(() -> new AcceptingServerChannel() {
-            @Override
-            int accept(List<Object> into) throws Exception {
-                askedAt.add(System.nanoTime());
-                if (failures.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
-                    throw new IOException("Too many open files in system");
-                }
-                return super.accept(into);
-            }
-        }).childHandler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel connection) {
-                accepted.add(new Accepted(System.nanoTime(), AcceptingServerChannel.backlogSeenEmptyAt(connection),
-                        AcceptingTransport.backlogSeenEmptyMsAgo(connection)));
-            }
-        }).bind("127.0.0.1", 0).syncUninterruptibly().channel();
+        Channel listener =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channelFactory(
+                                () ->
+                                        new AcceptingServerChannel() {
+                                            @Override
+                                            int accept(List<Object> into) throws Exception {
+                                                askedAt.add(System.nanoTime());
+                                                if (failures.getAndUpdate(
+                                                                left -> Math.max(0, left - 1))
+                                                        > 0) {
+                                                    throw new IOException(
+                                                            "Too many open files in system");
+                                                }
+                                                return super.accept(into);
+                                            }
+                                        })
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel connection) {
+                                        accepted.add(
+                                                new Accepted(
+                                                        System.nanoTime(),
+                                                        AcceptingServerChannel.backlogSeenEmptyAt(
+                                                                connection),
+                                                        AcceptingTransport.backlogSeenEmptyMsAgo(
+                                                                connection)));
+                                    }
+                                })
+                        .bind("127.0.0.1", 0)
+                        .syncUninterruptibly()
+                        .channel();
         address = (InetSocketAddress) listener.localAddress();
     }
 
@@ -86,7 +105,11 @@
         long failingSince = System.nanoTime();
         Accepted one = connect();
         assertTrue((one.atNanos() - failingSince) / 1e6 < NETTY_PAUSE_MS, "accepted late");
-        assertTrue(one.seenEmptyNanos() <= failingSince, "seen empty " + (one.seenEmptyNanos() - failingSince) + " ns after it began to fail");
+        assertTrue(
+                one.seenEmptyNanos() <= failingSince,
+                "seen empty "
+                        + (one.seenEmptyNanos() - failingSince)
+                        + " ns after it began to fail");
         assertEquals(failures.get(), 0);
     }
 
@@ -95,12 +118,17 @@
         askedAt.clear();
         long first = askedAt.poll(10, TimeUnit.SECONDS);
         long second = askedAt.poll(10, TimeUnit.SECONDS);
-        assertTrue(second - first >= AcceptingServerChannel.LOOK_EACH_MS * 1_000_000L / 2, "looked again after " + (second - first) + " ns");
-        // A look that has begun may itself accept what connects now; once the next one has begun, the second is known to have found nothing.
+        assertTrue(
+                second - first >= AcceptingServerChannel.LOOK_EACH_MS * 1_000_000L / 2,
+                "looked again after " + (second - first) + " ns");
+        // A look that has begun may itself accept what connects now; once the next one has begun,
+        // the second is known to have found nothing.
         assertNotNull(askedAt.poll(10, TimeUnit.SECONDS));
         Accepted one = connect();
         assertTrue(one.seenEmptyNanos() > first, "the second look was forgotten");
-        assertTrue(one.seenEmptyMsAgo() >= (one.atNanos() - one.seenEmptyNanos()) / 1e6, "seen empty " + one.seenEmptyMsAgo() + " ms ago");
+        assertTrue(
+                one.seenEmptyMsAgo() >= (one.atNanos() - one.seenEmptyNanos()) / 1e6,
+                "seen empty " + one.seenEmptyMsAgo() + " ms ago");
     }
 
     /** The loop stands still, as a stopped process does, while more connect than a pass accepts. */
@@ -108,14 +136,15 @@
     public void eachOfACrowdMayHaveWaitedSinceBeforeTheHoldUp() throws Exception {
         var heldUp = new CountDownLatch(1);
         var goOn = new CountDownLatch(1);
-        loop.execute(() -> {
-            heldUp.countDown();
-            try {
-                goOn.await(10, TimeUnit.SECONDS);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        loop.execute(
+                () -> {
+                    heldUp.countDown();
+                    try {
+                        goOn.await(10, TimeUnit.SECONDS);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         assertTrue(heldUp.await(10, TimeUnit.SECONDS));
         long heldUpAt = System.nanoTime();
         var clients = new ArrayList<Socket>();
--- a/gatherer/src/test/java/sprucehold/sockets/RoundedUpWaitsTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/RoundedUpWaitsTest.java
@@ -15,23 +15,29 @@
 public class RoundedUpWaitsTest {
     /** Under half a millisecond, for which Netty's own handler does not wait at all. */
     private static final long DUE_IN_NANOS = 400_000;
+
     private static final int PASSES = 50;
 
     private IoHandler handler;
 
     @BeforeMethod
     public void open() {
-        handler = new AcceptingTransport().implementation().ioHandlerFactory().newHandler(new ThreadAwareExecutor() {
-            @Override
-            public boolean isExecutorThread(Thread thread) {
-                return true;
-            }
+        handler =
+                new AcceptingTransport()
+                        .implementation()
+                        .ioHandlerFactory()
+                        .newHandler(
+                                new ThreadAwareExecutor() {
+                                    @Override
+                                    public boolean isExecutorThread(Thread thread) {
+                                        return true;
+                                    }
 
-            @Override
-            public void execute(Runnable task) {
-                task.run();
-            }
-        });
+                                    @Override
+                                    public void execute(Runnable task) {
+                                        task.run();
+                                    }
+                                });
         handler.initialize();
     }
 
@@ -60,15 +66,28 @@
             long dueAt = System.nanoTime() + DUE_IN_NANOS;
             handler.run(new TimerDue(dueAt));
             long early = dueAt - System.nanoTime();
-            assertTrue(early <= 0, "pass " + i + " ended " + early + " ns before its timer was due, so the loop polls until then");
+            assertTrue(
+                    early <= 0,
+                    "pass "
+                            + i
+                            + " ended "
+                            + early
+                            + " ns before its timer was due, so the loop polls until then");
         }
     }
 
     @DataProvider
     public Object[][] waits() {
         return new Object[][] {
-            {Long.MIN_VALUE, Long.MIN_VALUE}, {-1, -1}, {0, 0}, {1, 1_000_000}, {999_999, 1_000_000}, {1_000_000, 1_000_000},
-            {1_000_001, 2_000_000}, {Long.MAX_VALUE - 999_999, Long.MAX_VALUE - 999_999}, {Long.MAX_VALUE, Long.MAX_VALUE},
+            {Long.MIN_VALUE, Long.MIN_VALUE},
+            {-1, -1},
+            {0, 0},
+            {1, 1_000_000},
+            {999_999, 1_000_000},
+            {1_000_000, 1_000_000},
+            {1_000_001, 2_000_000},
+            {Long.MAX_VALUE - 999_999, Long.MAX_VALUE - 999_999},
+            {Long.MAX_VALUE, Long.MAX_VALUE},
         };
     }
 
--- a/gatherer/src/test/java/sprucehold/sockets/UnreadInputTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/UnreadInputTest.java
@@ -45,22 +45,41 @@
         accepted = new LinkedBlockingQueue<>();
         read = new AtomicLong();
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        address = (InetSocketAddress) new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(READ_BYTES))
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel connection) {
-                        connection.pipeline().addLast(new ChannelInboundHandlerAdapter() {
-                            @Override
-                            public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-                                read.addAndGet(((ByteBuf) bytes).readableBytes());
-                                ((ByteBuf) bytes).release();
-                            }
-                        });
-                        accepted.add(connection);
-                    }
-                }).bind("127.0.0.1", 0).syncUninterruptibly().channel().localAddress();
+        address =
+                (InetSocketAddress)
+                        new ServerBootstrap()
+                                .group(loop)
+                                .channel(NioServerSocketChannel.class)
+                                .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
+                                .childOption(
+                                        ChannelOption.RECVBUF_ALLOCATOR,
+                                        new FixedRecvByteBufAllocator(READ_BYTES))
+                                .childHandler(
+                                        new ChannelInitializer<>() {
+                                            @Override
+                                            protected void initChannel(Channel connection) {
+                                                connection
+                                                        .pipeline()
+                                                        .addLast(
+                                                                new ChannelInboundHandlerAdapter() {
+                                                                    @Override
+                                                                    public void channelRead(
+                                                                            ChannelHandlerContext
+                                                                                    ctx,
+                                                                            Object bytes) {
+                                                                        read.addAndGet(
+                                                                                ((ByteBuf) bytes)
+                                                                                        .readableBytes());
+                                                                        ((ByteBuf) bytes).release();
+                                                                    }
+                                                                });
+                                                accepted.add(connection);
+                                            }
+                                        })
+                                .bind("127.0.0.1", 0)
+                                .syncUninterruptibly()
+                                .channel()
+                                .localAddress();
     }
 
     @AfterMethod
@@ -81,11 +100,13 @@
         try (var client = new Socket(address.getAddress(), address.getPort())) {
             Channel connection = accepted.poll(10, TimeUnit.SECONDS);
             assertNotNull(connection);
-            open = loop.submit(() -> {
-                held.countDown();
-                assertTrue(free.await(10, TimeUnit.SECONDS));
-                return UnreadInput.readAll(connection);
-            });
+            open =
+                    loop.submit(
+                            () -> {
+                                held.countDown();
+                                assertTrue(free.await(10, TimeUnit.SECONDS));
+                                return UnreadInput.readAll(connection);
+                            });
             assertTrue(held.await(10, TimeUnit.SECONDS));
             client.getOutputStream().write(new byte[bytes]);
             // The close returns once the other side's system has all, the end included.
--- a/rig/src/main/java/sprucehold/rig/fault/FaultBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultBoard.java
@@ -10,17 +10,20 @@
 import java.util.Set;
 import sprucehold.rig.plan.Plan;
 
-/** Tells when each fault of a plan begins and ends. Each begins at most once; times are seconds from the first scan. */
+/**
+ * Tells when each fault of a plan begins and ends. Each begins at most once; times are seconds from
+ * the first scan.
+ */
 public final class FaultBoard {
     /**
      * A fault that begins or ends.
      *
      * @param atS when it was due
      */
-    public record Change(double atS, boolean begins, Plan.Befall what) {
-    }
+    public record Change(double atS, boolean begins, Plan.Befall what) {}
 
-    private final PriorityQueue<Change> due = new PriorityQueue<>(Comparator.comparingDouble(Change::atS));
+    private final PriorityQueue<Change> due =
+            new PriorityQueue<>(Comparator.comparingDouble(Change::atS));
     private final Map<String, List<Plan.Befall>> afterFault = new HashMap<>();
     private final List<Plan.Befall> afterDispatches = new ArrayList<>();
     private final Set<Plan.Befall> inForce = new HashSet<>();
@@ -32,7 +35,9 @@
             } else if (fault.fault().when().fault().isEmpty()) {
                 afterDispatches.add(fault);
             } else {
-                afterFault.computeIfAbsent(fault.fault().when().fault(), name -> new ArrayList<>()).add(fault);
+                afterFault
+                        .computeIfAbsent(fault.fault().when().fault(), name -> new ArrayList<>())
+                        .add(fault);
             }
         }
     }
@@ -46,9 +51,14 @@
             if (change.begins()) {
                 inForce.add(change.what());
                 if (change.what().fault().forS() < Double.POSITIVE_INFINITY) {
-                    due.add(new Change(change.atS() + change.what().fault().forS(), false, change.what()));
+                    due.add(
+                            new Change(
+                                    change.atS() + change.what().fault().forS(),
+                                    false,
+                                    change.what()));
                 }
-                for (Plan.Befall next : afterFault.getOrDefault(change.what().fault().name(), List.of())) {
+                for (Plan.Befall next :
+                        afterFault.getOrDefault(change.what().fault().name(), List.of())) {
                     due.add(new Change(change.atS() + next.fault().atS(), true, next));
                 }
             } else {
@@ -60,14 +70,16 @@
 
     /** A gatherer has so many dispatches out now. */
     public void out(double nowS, String gatherer, int dispatches) {
-        afterDispatches.removeIf(fault -> {
-            var when = fault.fault().when();
-            boolean met = when.gatherer().equals(gatherer) && dispatches >= when.dispatchesOut();
-            if (met) {
-                due.add(new Change(nowS + fault.fault().atS(), true, fault));
-            }
-            return met;
-        });
+        afterDispatches.removeIf(
+                fault -> {
+                    var when = fault.fault().when();
+                    boolean met =
+                            when.gatherer().equals(gatherer) && dispatches >= when.dispatchesOut();
+                    if (met) {
+                        due.add(new Change(nowS + fault.fault().atS(), true, fault));
+                    }
+                    return met;
+                });
     }
 
     /** When something is due next, infinite if nothing is. */
--- a/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
@@ -33,7 +33,8 @@
         Treatment sum = Treatment.SOUND;
         for (Plan.Befall fault : inForce) {
             boolean along = fault.of().contains(from) && fault.to().contains(to);
-            boolean against = !fault.fault().oneWay() && fault.of().contains(to) && fault.to().contains(from);
+            boolean against =
+                    !fault.fault().oneWay() && fault.of().contains(to) && fault.to().contains(from);
             if (along || against) {
                 sum = sum.and(fault.fault());
             }
--- a/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import sprucehold.rig.fault.Treatment;
 
-/** Passes datagrams of one directed link on, or loses, doubles, delays and reorders them as its faults say. */
+/**
+ * Passes datagrams of one directed link on, or loses, doubles, delays and reorders them as its
+ * faults say.
+ */
 public final class DatagramRelay {
     private static final int RECENT = 16;
 
@@ -19,13 +22,18 @@
     private final int port;
     private final String host;
     private final DatagramSocket socket;
+
     /** Held back to come after the next one. */
     private Buffer overtaken;
+
     private long read;
+
     /** The last few that it read, as who listens on the way may have kept them. */
     private final ArrayDeque<Buffer> recent = new ArrayDeque<>();
 
-    /** @param host where what passes is sent to */
+    /**
+     * @param host where what passes is sent to
+     */
     public DatagramRelay(Vertx vertx, Wires wires, String from, String to, String host, int port) {
         this.vertx = vertx;
         this.wires = wires;
@@ -38,7 +46,8 @@
 
     /** Returns the port at which it listens. */
     public Future<Integer> listen(String at, int listenPort) {
-        return socket.handler(packet -> take(packet.data())).listen(listenPort, at)
+        return socket.handler(packet -> take(packet.data()))
+                .listen(listenPort, at)
                 .map(listening -> listening.localAddress().port());
     }
 
--- a/rig/src/main/java/sprucehold/rig/link/Flood.java
+++ b/rig/src/main/java/sprucehold/rig/link/Flood.java
@@ -7,7 +7,10 @@
 import java.util.function.Supplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Datagrams that nobody wants, so many a second: noise, noise under a sound head, and letters of before once more or cut short. */
+/**
+ * Datagrams that nobody wants, so many a second: noise, noise under a sound head, and letters of
+ * before once more or cut short.
+ */
 public final class Flood implements AutoCloseable {
     private static final int EVERY_MS = 5;
     private static final int MOST_BYTES = 1200;
@@ -19,17 +22,28 @@
     private final long timer;
     private double due;
 
-    /** @param old letters that passed before */
-    public Flood(Vertx vertx, Wires wires, String host, int port, double perS, Supplier<List<Buffer>> old) {
+    /**
+     * @param old letters that passed before
+     */
+    public Flood(
+            Vertx vertx,
+            Wires wires,
+            String host,
+            int port,
+            double perS,
+            Supplier<List<Buffer>> old) {
         this.vertx = vertx;
         this.socket = vertx.createDatagramSocket();
         this.chance = wires.chance();
         this.old = old;
-        this.timer = vertx.setPeriodic(EVERY_MS, id -> {
-            for (due += perS * EVERY_MS / 1000; due >= 1; due--) {
-                socket.send(datagram(), port, host);
-            }
-        });
+        this.timer =
+                vertx.setPeriodic(
+                        EVERY_MS,
+                        id -> {
+                            for (due += perS * EVERY_MS / 1000; due >= 1; due--) {
+                                socket.send(datagram(), port, host);
+                            }
+                        });
     }
 
     private Buffer datagram() {
--- a/rig/src/main/java/sprucehold/rig/link/Shaper.java
+++ b/rig/src/main/java/sprucehold/rig/link/Shaper.java
@@ -9,12 +9,11 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * One direction of one connection: what is pushed in comes out in the same order, when the link lets it. A cut holds
- * back, as TCP sends again what got lost; who waits too long closes.
+ * One direction of one connection: what is pushed in comes out in the same order, when the link
+ * lets it. A cut holds back, as TCP sends again what got lost; who waits too long closes.
  */
 public final class Shaper<T> {
-    private record Held<T>(double dueMs, long bytes, T what) {
-    }
+    private record Held<T>(double dueMs, long bytes, T what) {}
 
     private final LinkBoard board;
     private final String from;
@@ -27,7 +26,9 @@
     private double lastMs;
     private long passed;
 
-    /** @param chance draws which messages take the long tail of a delay */
+    /**
+     * @param chance draws which messages take the long tail of a delay
+     */
     public Shaper(LinkBoard board, String from, String to, UniformRandomProvider chance) {
         this.board = board;
         this.from = from;
@@ -47,7 +48,10 @@
     /** Takes a message; it comes out of {@link #due} no sooner than the link lets it. */
     public void push(double nowMs, long bytes, T what) {
         Treatment now = treatment();
-        double delay = now.delayMs() <= 0 ? 0 : chance.nextDouble() < 0.05 ? 4 * now.delayMs() : now.delayMs();
+        double delay =
+                now.delayMs() <= 0
+                        ? 0
+                        : chance.nextDouble() < 0.05 ? 4 * now.delayMs() : now.delayMs();
         double sendMs = Math.max(nowMs + delay, lastMs);
         lastMs = sendMs + 1000 * bytes / now.bytesPerS();
         held.add(new Held<>(lastMs, bytes, what));
--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -11,7 +11,10 @@
 import io.vertx.core.net.SocketAddress;
 import sprucehold.rig.script.Fault;
 
-/** Stands between two processes on a connection of theirs: the dialler's end and the far end are held by one link. */
+/**
+ * Stands between two processes on a connection of theirs: the dialler's end and the far end are
+ * held by one link.
+ */
 public final class TcpRelay {
     private final Wires wires;
     private final String from;
@@ -26,7 +29,9 @@
         this.to = to;
         this.target = target;
         this.client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
-        this.server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true)).connectHandler(this::accepted);
+        this.server =
+                vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
+                        .connectHandler(this::accepted);
     }
 
     /** Returns the port at which it listens. */
@@ -44,23 +49,32 @@
             return;
         }
         near.pause();
-        client.connect(target).onComplete(far -> {
-            // Faults work on the near end alone: what is shaped twice would come twice as late.
-            var shaped = wires.shape(near, from, to, new ShapedSocket.Owner() {
-                @Override
-                public void received(Buffer bytes, double readMs) {
-                    far.write(bytes);
-                }
+        client.connect(target)
+                .onComplete(
+                        far -> {
+                            // Faults work on the near end alone: what is shaped twice would come
+                            // twice as late.
+                            var shaped =
+                                    wires.shape(
+                                            near,
+                                            from,
+                                            to,
+                                            new ShapedSocket.Owner() {
+                                                @Override
+                                                public void received(Buffer bytes, double readMs) {
+                                                    far.write(bytes);
+                                                }
 
-                @Override
-                public void closed(boolean byPeer) {
-                    far.close();
-                }
-            });
-            far.handler(shaped::write);
-            far.exceptionHandler(failure -> { });
-            far.closeHandler(none -> shaped.close());
-            near.resume();
-        }, failure -> near.close());
+                                                @Override
+                                                public void closed(boolean byPeer) {
+                                                    far.close();
+                                                }
+                                            });
+                            far.handler(shaped::write);
+                            far.exceptionHandler(failure -> {});
+                            far.closeHandler(none -> shaped.close());
+                            near.resume();
+                        },
+                        failure -> near.close());
     }
 }
--- a/rig/src/main/java/sprucehold/rig/link/Wires.java
+++ b/rig/src/main/java/sprucehold/rig/link/Wires.java
@@ -19,7 +19,9 @@
     private final Set<ShapedSocket> sockets = new LinkedHashSet<>();
     private final UniformRandomProvider chance;
 
-    /** @param clock the run's one clock, in milliseconds */
+    /**
+     * @param clock the run's one clock, in milliseconds
+     */
     public Wires(Vertx vertx, DoubleSupplier clock, long seed) {
         this.vertx = vertx;
         this.clock = clock;
@@ -27,7 +29,8 @@
     }
 
     /** Puts an end of a connection under the faults of its link. */
-    public ShapedSocket shape(NetSocket socket, String peer, String self, ShapedSocket.Owner owner) {
+    public ShapedSocket shape(
+            NetSocket socket, String peer, String self, ShapedSocket.Owner owner) {
         var shaped = new ShapedSocket(this, socket, peer, self, owner);
         sockets.add(shaped);
         return shaped;
--- a/rig/src/main/java/sprucehold/rig/list/Agent.java
+++ b/rig/src/main/java/sprucehold/rig/list/Agent.java
@@ -7,16 +7,19 @@
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 
-/** What one gatherer is told of the list, and when; faults make it late, silent, wrong or go back. */
+/**
+ * What one gatherer is told of the list, and when; faults make it late, silent, wrong or go back.
+ */
 public final class Agent {
     /** An answer: the whole list, or what changed. */
-    public record News(long index, boolean whole, List<ServerList.Entry> entries) {
-    }
+    public record News(long index, boolean whole, List<ServerList.Entry> entries) {}
 
     private final ServerList list;
     private final List<Plan.Befall> faults = new ArrayList<>();
+
     /** Whether the next answer has to be the whole list, as what it may see has changed. */
     private boolean anew;
+
     private long lastIndex = 1;
 
     public Agent(ServerList list) {
@@ -30,7 +33,9 @@
         } else {
             faults.remove(fault);
         }
-        anew |= fault.fault().kind() == Fault.Kind.LIST_HIDES || fault.fault().kind() == Fault.Kind.LIST_BACK;
+        anew |=
+                fault.fault().kind() == Fault.Kind.LIST_HIDES
+                        || fault.fault().kind() == Fault.Kind.LIST_BACK;
     }
 
     private boolean any(Fault.Kind kind) {
@@ -52,18 +57,25 @@
         if (silent()) {
             return null;
         }
-        double late = faults.stream().filter(fault -> fault.fault().kind() == Fault.Kind.LIST_LATE)
-                .mapToDouble(fault -> fault.fault().amount()).sum();
+        double late =
+                faults.stream()
+                        .filter(fault -> fault.fault().kind() == Fault.Kind.LIST_LATE)
+                        .mapToDouble(fault -> fault.fault().amount())
+                        .sum();
         long index = any(Fault.Kind.LIST_BACK) ? 1 : list.indexAt(nowMs - late);
         Set<String> hidden = new HashSet<>();
-        faults.stream().filter(fault -> fault.fault().kind() == Fault.Kind.LIST_HIDES).forEach(fault -> hidden.addAll(fault.to()));
+        faults.stream()
+                .filter(fault -> fault.fault().kind() == Fault.Kind.LIST_HIDES)
+                .forEach(fault -> hidden.addAll(fault.to()));
         if (anew || after < 0 || after > index) {
             anew = false;
             lastIndex = index;
             return whole(index, hidden);
         }
-        List<ServerList.Entry> changed = list.between(after, index).values().stream()
-                .filter(entry -> !hidden.contains(entry.name())).toList();
+        List<ServerList.Entry> changed =
+                list.between(after, index).values().stream()
+                        .filter(entry -> !hidden.contains(entry.name()))
+                        .toList();
         if (changed.isEmpty() && !waited) {
             return null;
         }
@@ -77,7 +89,14 @@
     }
 
     private News whole(long index, Set<String> hidden) {
-        return new News(index, true, list.at(index).values().stream()
-                .filter(entry -> entry.status() != ServerList.Status.LEFT && !hidden.contains(entry.name())).toList());
+        return new News(
+                index,
+                true,
+                list.at(index).values().stream()
+                        .filter(
+                                entry ->
+                                        entry.status() != ServerList.Status.LEFT
+                                                && !hidden.contains(entry.name()))
+                        .toList());
     }
 }
--- a/rig/src/main/java/sprucehold/rig/list/AgentHost.java
+++ b/rig/src/main/java/sprucehold/rig/list/AgentHost.java
@@ -21,11 +21,11 @@
 /** One gatherer's agent of discovery on a socket; what it told is in the ledger. */
 public final class AgentHost {
     private static final ObjectMapper JSON = new ObjectMapper();
+
     /** How often calls that wait are looked at: news is told within so long. */
     private static final long LOOK_MS = 5;
 
-    private record Waiting(HttpServerRequest request, long after, double untilMs) {
-    }
+    private record Waiting(HttpServerRequest request, long after, double untilMs) {}
 
     private final Vertx vertx;
     private final DoubleSupplier clock;
@@ -38,8 +38,15 @@
     private HttpServer server;
     private long timer;
 
-    /** @param address where this gatherer meets a server */
-    public AgentHost(Vertx vertx, DoubleSupplier clock, Ledger ledger, ServerList list, String gatherer,
+    /**
+     * @param address where this gatherer meets a server
+     */
+    public AgentHost(
+            Vertx vertx,
+            DoubleSupplier clock,
+            Ledger ledger,
+            ServerList list,
+            String gatherer,
             Function<ServerList.Entry, String> address) {
         this.vertx = vertx;
         this.clock = clock;
@@ -76,7 +83,11 @@
         }
         String after = request.getParam("after");
         double wait = Double.parseDouble(request.getParam("wait_ms", "0"));
-        var call = new Waiting(request, after == null ? -1 : Long.parseLong(after), clock.getAsDouble() + wait);
+        var call =
+                new Waiting(
+                        request,
+                        after == null ? -1 : Long.parseLong(after),
+                        clock.getAsDouble() + wait);
         request.response().exceptionHandler(failure -> waiting.remove(call));
         request.connection().closeHandler(none -> waiting.remove(call));
         if (!answer(call)) {
@@ -94,7 +105,10 @@
         if (news == null) {
             return false;
         }
-        call.request.response().putHeader("Content-Type", "application/json").end(body(news).toString());
+        call.request
+                .response()
+                .putHeader("Content-Type", "application/json")
+                .end(body(news).toString());
         tell(now, news);
         return true;
     }
@@ -105,23 +119,38 @@
         if (news.whole()) {
             told.keySet().forEach(name -> modes.put(name, Listing.Mode.GONE));
         }
-        news.entries().forEach(entry -> modes.put(entry.name(), entry.status() == ServerList.Status.ACTIVE
-                ? Listing.Mode.RUNNING : entry.status() == ServerList.Status.LEAVING ? Listing.Mode.DRAINING
-                : Listing.Mode.GONE));
-        modes.forEach((name, mode) -> {
-            if (told.put(name, mode) != mode) {
-                ledger.add(new Seen.Told(nowMs, gatherer, name, mode));
-            }
-        });
+        news.entries()
+                .forEach(
+                        entry ->
+                                modes.put(
+                                        entry.name(),
+                                        entry.status() == ServerList.Status.ACTIVE
+                                                ? Listing.Mode.RUNNING
+                                                : entry.status() == ServerList.Status.LEAVING
+                                                        ? Listing.Mode.DRAINING
+                                                        : Listing.Mode.GONE));
+        modes.forEach(
+                (name, mode) -> {
+                    if (told.put(name, mode) != mode) {
+                        ledger.add(new Seen.Told(nowMs, gatherer, name, mode));
+                    }
+                });
     }
 
     private ObjectNode body(Agent.News news) {
-        ObjectNode body = JSON.createObjectNode().put("index", news.index()).put("snapshot", news.whole());
+        ObjectNode body =
+                JSON.createObjectNode().put("index", news.index()).put("snapshot", news.whole());
         var endpoints = body.putArray("endpoints");
         for (ServerList.Entry entry : news.entries()) {
-            endpoints.addObject().put("name", entry.name()).put("address", address.apply(entry)).put("zone", entry.site())
-                    .put("type", "rig").put("group", entry.cell())
-                    .put("status", entry.status().name().toLowerCase(Locale.ROOT)).put("weight", 1.0)
+            endpoints
+                    .addObject()
+                    .put("name", entry.name())
+                    .put("address", address.apply(entry))
+                    .put("zone", entry.site())
+                    .put("type", "rig")
+                    .put("group", entry.cell())
+                    .put("status", entry.status().name().toLowerCase(Locale.ROOT))
+                    .put("weight", 1.0)
                     .put("since_ms", (long) entry.sinceMs());
         }
         return body;
--- a/rig/src/main/java/sprucehold/rig/list/ServerList.java
+++ b/rig/src/main/java/sprucehold/rig/list/ServerList.java
@@ -8,7 +8,11 @@
 /** The list of shard servers, and each change of it with its index, from 1 on. */
 public final class ServerList {
     /** Whether a server may be sent to. */
-    public enum Status { ACTIVE, LEAVING, LEFT }
+    public enum Status {
+        ACTIVE,
+        LEAVING,
+        LEFT
+    }
 
     /**
      * What the list says of one server.
@@ -16,12 +20,11 @@
      * @param sinceMs when it last started, by the run's clock; 0 for long ago
      * @param life how often it came back, each time at another address
      */
-    public record Entry(String name, String site, int cell, Status status, double sinceMs, int life) {
-    }
+    public record Entry(
+            String name, String site, int cell, Status status, double sinceMs, int life) {}
 
     /** An entry that changed. */
-    public record Change(long index, double atMs, Entry entry) {
-    }
+    public record Change(long index, double atMs, Entry entry) {}
 
     private final List<Change> changes = new ArrayList<>();
 
@@ -55,14 +58,17 @@
     /** The whole list as it was at an index. */
     Map<String, Entry> at(long index) {
         var entries = new LinkedHashMap<String, Entry>();
-        changes.stream().filter(change -> change.index <= index).forEach(change -> entries.put(change.entry.name, change.entry));
+        changes.stream()
+                .filter(change -> change.index <= index)
+                .forEach(change -> entries.put(change.entry.name, change.entry));
         return entries;
     }
 
     /** What changed after one index up to another, the last of each server. */
     Map<String, Entry> between(long after, long upTo) {
         var entries = new LinkedHashMap<String, Entry>();
-        changes.stream().filter(change -> change.index > after && change.index <= upTo)
+        changes.stream()
+                .filter(change -> change.index > after && change.index <= upTo)
                 .forEach(change -> entries.put(change.entry.name, change.entry));
         return entries;
     }
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -29,14 +29,23 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * All clients of a run: an open loop, each scan at its planned time on a connection of its own or one that is idle. What
- * they saw goes into the ledger, how it looked to them to a listener.
+ * All clients of a run: an open loop, each scan at its planned time on a connection of its own or
+ * one that is idle. What they saw goes into the ledger, how it looked to them to a listener.
  */
 public final class Clients {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** How a client's scan ended for it. */
-    public enum End { WHOLE, PART, THROTTLED, ABANDONED, CLOSED, NO_ANSWER, LEFT, NOBODY }
+    public enum End {
+        WHOLE,
+        PART,
+        THROTTLED,
+        ABANDONED,
+        CLOSED,
+        NO_ANSWER,
+        LEFT,
+        NOBODY
+    }
 
     /** Hears of the end of each scan that was planned, once, after all its retries. */
     public interface Listener {
@@ -65,8 +74,16 @@
      * @param address where a gatherer listens
      * @param killed whether a gatherer was killed and is not back
      */
-    public Clients(Vertx vertx, Wires wires, DoubleSupplier clock, Ledger ledger, Script script, Front front,
-            Function<String, SocketAddress> address, Predicate<String> killed, Listener listener) {
+    public Clients(
+            Vertx vertx,
+            Wires wires,
+            DoubleSupplier clock,
+            Ledger ledger,
+            Script script,
+            Front front,
+            Function<String, SocketAddress> address,
+            Predicate<String> killed,
+            Listener listener) {
         this.vertx = vertx;
         this.wires = wires;
         this.clock = clock;
@@ -77,7 +94,9 @@
         this.killed = killed;
         this.listener = listener;
         // Longer than any client waits: who waits in vain leaves by itself.
-        this.net = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(60_000));
+        this.net =
+                vertx.createNetClient(
+                        new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(60_000));
     }
 
     /** Asks a planned scan now. */
@@ -93,7 +112,9 @@
 
     /** Gives up connections to a gatherer that nobody uses now. */
     public void forget(String gatherer) {
-        links.stream().filter(link -> link.gatherer.equals(gatherer) && link.asking == null).toList()
+        links.stream()
+                .filter(link -> link.gatherer.equals(gatherer) && link.asking == null)
+                .toList()
                 .forEach(link -> link.socket.close());
     }
 
@@ -114,14 +135,18 @@
         boolean asked;
         boolean sentAgain;
         long patience = -1;
+
         /** When its query timeout is over, from when it first looked for a gatherer. */
         double timeOverAt;
 
         Asking(Plan.Ask ask, double sentLateMs) {
             this.ask = ask;
             this.load = script.load().get(ask.load());
-            this.kind = script.tableTypes().stream().filter(k -> k.type().name().equals(load.tableType())).findFirst()
-                    .orElseThrow();
+            this.kind =
+                    script.tableTypes().stream()
+                            .filter(k -> k.type().name().equals(load.tableType()))
+                            .findFirst()
+                            .orElseThrow();
             this.persistence = new Persistence(load, ask.id().hashCode());
             this.sentLateMs = sentLateMs;
         }
@@ -149,7 +174,8 @@
                 end(End.NOBODY);
                 return;
             }
-            Deque<Link> kept = idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>());
+            Deque<Link> kept =
+                    idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>());
             Link reused = kept.pollLast();
             if (reused != null) {
                 reused.send(this);
@@ -165,35 +191,49 @@
                 failed();
                 return;
             }
-            net.connect(address.apply(gatherer)).onComplete(socket -> {
-                var opened = new Link(site, gatherer);
-                opened.socket = wires.shape(socket, gatherer, site, opened);
-                links.add(opened);
-                if (id != null && id.equals(with) && link == null && timeLeftMs() >= 1) {
-                    opened.send(this);
-                } else {
-                    opened.keep();
-                }
-            }, refused -> {
-                if (id != null && id.equals(with)) {
-                    failed();
-                }
-            });
+            net.connect(address.apply(gatherer))
+                    .onComplete(
+                            socket -> {
+                                var opened = new Link(site, gatherer);
+                                opened.socket = wires.shape(socket, gatherer, site, opened);
+                                links.add(opened);
+                                if (id != null
+                                        && id.equals(with)
+                                        && link == null
+                                        && timeLeftMs() >= 1) {
+                                    opened.send(this);
+                                } else {
+                                    opened.keep();
+                                }
+                            },
+                            refused -> {
+                                if (id != null && id.equals(with)) {
+                                    failed();
+                                }
+                            });
         }
 
-        /** What a gatherer is told: where the way to it took long, the client won't wait the whole time any more. */
+        /**
+         * What a gatherer is told: where the way to it took long, the client won't wait the whole
+         * time any more.
+         */
         long timeLeftMs() {
             return (long) (timeOverAt - clock.getAsDouble());
         }
 
-        /** No connection came up, so nothing was asked: tries the next gatherer after a short wait, as a front does. */
+        /**
+         * No connection came up, so nothing was asked: tries the next gatherer after a short wait,
+         * as a front does.
+         */
         void failed() {
             String with = id;
-            vertx.setTimer(CONNECT_AGAIN_MS, waited -> {
-                if (id != null && id.equals(with) && link == null) {
-                    connect();
-                }
-            });
+            vertx.setTimer(
+                    CONNECT_AGAIN_MS,
+                    waited -> {
+                        if (id != null && id.equals(with) && link == null) {
+                            connect();
+                        }
+                    });
         }
 
         private void gaveUp() {
@@ -213,10 +253,19 @@
 
         void answered(int status, double comeBackMs, JsonNode body, double readMs) {
             var values = new TreeMap<Integer, String>();
-            body.path("found").forEach(found -> values.put(found.path("bucket").intValue(), found.path("item").asText()));
+            body.path("found")
+                    .forEach(
+                            found ->
+                                    values.put(
+                                            found.path("bucket").intValue(),
+                                            found.path("item").asText()));
             boolean whole = body.path("finished").booleanValue();
-            Seen.Answer how = status == 200 ? Seen.Answer.COMPLETED
-                    : status == 503 || status == 429 ? Seen.Answer.THROTTLED : Seen.Answer.ABANDONED;
+            Seen.Answer how =
+                    status == 200
+                            ? Seen.Answer.COMPLETED
+                            : status == 503 || status == 429
+                                    ? Seen.Answer.THROTTLED
+                                    : Seen.Answer.ABANDONED;
             ledger.add(new Seen.Answered(readMs, id, how, whole, values));
             link = null;
             double wait = how == Seen.Answer.THROTTLED ? persistence.throttled(comeBackMs) : -1;
@@ -225,15 +274,17 @@
                 id = null;
                 vertx.setTimer(Math.max(1, (long) wait), again -> go(persistence.id(ask.id())));
             } else {
-                end(how == Seen.Answer.COMPLETED ? whole ? End.WHOLE : End.PART
-                        : how == Seen.Answer.THROTTLED ? End.THROTTLED : End.ABANDONED);
+                end(
+                        how == Seen.Answer.COMPLETED
+                                ? whole ? End.WHOLE : End.PART
+                                : how == Seen.Answer.THROTTLED ? End.THROTTLED : End.ABANDONED);
             }
         }
 
         /**
-         * The connection ended with no answer. A kept one that its gatherer closed unread is no loss, and is asked once
-         * more; where the gatherer was killed nobody knows what ran, and where a fault broke the link it takes the client
-         * to have left.
+         * The connection ended with no answer. A kept one that its gatherer closed unread is no
+         * loss, and is asked once more; where the gatherer was killed nobody knows what ran, and
+         * where a fault broke the link it takes the client to have left.
          */
         void closed(boolean byPeer, boolean reused, String gatherer) {
             link = null;
@@ -244,7 +295,9 @@
                 sentAgain |= asked;
                 failed();
             } else {
-                ledger.add(new Seen.Answered(clock.getAsDouble(), id, Seen.Answer.CLOSED, false, Map.of()));
+                ledger.add(
+                        new Seen.Answered(
+                                clock.getAsDouble(), id, Seen.Answer.CLOSED, false, Map.of()));
                 end(End.CLOSED);
             }
         }
@@ -257,8 +310,12 @@
         }
     }
 
-    /** How long after its time a client still reads an answer: what comes then is late, and what never comes is lost. */
+    /**
+     * How long after its time a client still reads an answer: what comes then is late, and what
+     * never comes is lost.
+     */
     private static final double GIVES_UP_MS = 500;
+
     private static final long CONNECT_AGAIN_MS = 20;
 
     /** One connection of clients of a site to a gatherer. */
@@ -282,23 +339,53 @@
             sent++;
             String type = by.load.tableType();
             var parts = new StringBuilder();
-            by.ask.weights().forEach((segment, weight) -> parts.append(parts.isEmpty() ? "" : ",")
-                    .append("{\"bucket\":").append(segment).append(",\"part\":").append(weight).append('}'));
-            String body = "{\"buckets\":[" + parts + "],\"body\":\"" + type + "." + by.ask.id() + "\"}";
+            by.ask
+                    .weights()
+                    .forEach(
+                            (segment, weight) ->
+                                    parts.append(parts.isEmpty() ? "" : ",")
+                                            .append("{\"bucket\":")
+                                            .append(segment)
+                                            .append(",\"part\":")
+                                            .append(weight)
+                                            .append('}'));
+            String body =
+                    "{\"buckets\":[" + parts + "],\"body\":\"" + type + "." + by.ask.id() + "\"}";
             long timeout = by.timeLeftMs();
-            String head = "POST /" + type + " HTTP/1.1\r\nHost: rig\r\nX-Request-Id: " + by.id + "\r\nX-Class: " + type
-                    + "\r\nX-Tenant: " + by.load.customer() + "\r\nX-Deadline-Ms: " + timeout + "\r\nContent-Length: "
-                    + body.length() + "\r\n\r\n";
+            String head =
+                    "POST /"
+                            + type
+                            + " HTTP/1.1\r\nHost: rig\r\nX-Request-Id: "
+                            + by.id
+                            + "\r\nX-Class: "
+                            + type
+                            + "\r\nX-Tenant: "
+                            + by.load.customer()
+                            + "\r\nX-Deadline-Ms: "
+                            + timeout
+                            + "\r\nContent-Length: "
+                            + body.length()
+                            + "\r\n\r\n";
             String id = by.id;
-            socket.write(Buffer.buffer(head + body), () -> {
-                by.asked = true;
-                ledger.add(new Seen.Asked(clock.getAsDouble(), gatherer, id, type, timeout, by.ask.weights()));
-            });
+            socket.write(
+                    Buffer.buffer(head + body),
+                    () -> {
+                        by.asked = true;
+                        ledger.add(
+                                new Seen.Asked(
+                                        clock.getAsDouble(),
+                                        gatherer,
+                                        id,
+                                        type,
+                                        timeout,
+                                        by.ask.weights()));
+                    });
         }
 
         void keep() {
             if (!over && !front.knowsGone(gatherer)) {
-                idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>()).addLast(this);
+                idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>())
+                        .addLast(this);
             } else if (!over) {
                 socket.close();
             }
@@ -316,7 +403,9 @@
             String[] lines = text.substring(0, headEnd).split("\r\n");
             for (int i = 1; i < lines.length; i++) {
                 int colon = lines[i].indexOf(':');
-                head.put(lines[i].substring(0, colon).strip(), lines[i].substring(colon + 1).strip());
+                head.put(
+                        lines[i].substring(0, colon).strip(),
+                        lines[i].substring(colon + 1).strip());
             }
             int length = Integer.parseInt(head.getOrDefault("Content-Length", "0"));
             if (text.length() < headEnd + 4 + length) {
@@ -332,8 +421,11 @@
                 keep();
             }
             if (by != null) {
-                by.answered(Integer.parseInt(lines[0].split(" ")[1]),
-                        1000 * Double.parseDouble(head.getOrDefault("Retry-After", "0")), body, readMs);
+                by.answered(
+                        Integer.parseInt(lines[0].split(" ")[1]),
+                        1000 * Double.parseDouble(head.getOrDefault("Retry-After", "0")),
+                        body,
+                        readMs);
             }
         }
 
--- a/rig/src/main/java/sprucehold/rig/load/Front.java
+++ b/rig/src/main/java/sprucehold/rig/load/Front.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * Spreads a site's clients over its gatherers in turn. It admits one that says it is ready, and goes on sending clients to
- * one that is gone until it learns of it. A site with none that it knows of asks the other sites'.
+ * Spreads a site's clients over its gatherers in turn. It admits one that says it is ready, and
+ * goes on sending clients to one that is gone until it learns of it. A site with none that it knows
+ * of asks the other sites'.
  */
 public final class Front {
     private final Map<String, List<String>> bySite = new HashMap<>();
@@ -16,9 +17,13 @@
     private final Map<String, Integer> turn = new HashMap<>();
     private final double learnsMs;
 
-    /** @param learnsMs how long after a gatherer is gone it is still sent clients, in milliseconds */
+    /**
+     * @param learnsMs how long after a gatherer is gone it is still sent clients, in milliseconds
+     */
     public Front(Map<String, String> siteOf, double learnsMs) {
-        siteOf.forEach((gatherer, site) -> bySite.computeIfAbsent(site, name -> new ArrayList<>()).add(gatherer));
+        siteOf.forEach(
+                (gatherer, site) ->
+                        bySite.computeIfAbsent(site, name -> new ArrayList<>()).add(gatherer));
         bySite.values().forEach(list -> list.sort(null));
         this.learnsMs = learnsMs;
     }
@@ -35,14 +40,19 @@
 
     /** The gatherer for the next connection from a site; null if none is known to be there. */
     public String next(double nowMs, String site) {
-        goneMs.forEach((gatherer, at) -> {
-            if (nowMs >= at + learnsMs) {
-                admitted.put(gatherer, false);
-            }
-        });
+        goneMs.forEach(
+                (gatherer, at) -> {
+                    if (nowMs >= at + learnsMs) {
+                        admitted.put(gatherer, false);
+                    }
+                });
         List<String> here = open(site);
         if (here.isEmpty()) {
-            here = bySite.keySet().stream().sorted().flatMap(other -> open(other).stream()).toList();
+            here =
+                    bySite.keySet().stream()
+                            .sorted()
+                            .flatMap(other -> open(other).stream())
+                            .toList();
         }
         return here.isEmpty() ? null : here.get(turn.merge(site, 1, Integer::sum) % here.size());
     }
@@ -53,6 +63,8 @@
     }
 
     private List<String> open(String site) {
-        return bySite.getOrDefault(site, List.of()).stream().filter(name -> admitted.getOrDefault(name, false)).toList();
+        return bySite.getOrDefault(site, List.of()).stream()
+                .filter(name -> admitted.getOrDefault(name, false))
+                .toList();
     }
 }
--- a/rig/src/main/java/sprucehold/rig/load/Persistence.java
+++ b/rig/src/main/java/sprucehold/rig/load/Persistence.java
@@ -10,7 +10,9 @@
     private final UniformRandomProvider chance;
     private int tried;
 
-    /** @param seed spreads the waits */
+    /**
+     * @param seed spreads the waits
+     */
     public Persistence(Script.Load load, long seed) {
         this.load = load;
         this.chance = RandomSource.SPLIT_MIX_64.create(seed);
--- a/rig/src/main/java/sprucehold/rig/plan/Plan.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Plan.java
@@ -10,11 +10,15 @@
  * @param asks all scans in the order of their times
  * @param faults in the order of the script, their groups resolved
  */
-public record Plan(long seed, List<Gatherer> gatherers, List<Server> servers, List<Ask> asks, List<Befall> faults) {
+public record Plan(
+        long seed,
+        List<Gatherer> gatherers,
+        List<Server> servers,
+        List<Ask> asks,
+        List<Befall> faults) {
 
     /** A gatherer: its name, site, the seed it is given, and its clocks at its start. */
-    public record Gatherer(String name, String site, long seed, Clocks clocks) {
-    }
+    public record Gatherer(String name, String site, long seed, Clocks clocks) {}
 
     /**
      * How a process's clocks are wrong.
@@ -39,8 +43,7 @@
     }
 
     /** A shard server; {@code seed} draws the lengths of its work. */
-    public record Server(String name, String site, int cell, long seed) {
-    }
+    public record Server(String name, String site, int cell, long seed) {}
 
     /**
      * A scan that a client will ask.
@@ -49,10 +52,8 @@
      * @param weights of its parts, by segment
      * @param load the line of the script's load that it comes from
      */
-    public record Ask(double atMs, String id, int load, Map<Integer, Double> weights) {
-    }
+    public record Ask(double atMs, String id, int load, Map<Integer, Double> weights) {}
 
     /** A fault with those whom it befalls by name. */
-    public record Befall(Fault fault, List<String> of, List<String> to) {
-    }
+    public record Befall(Fault fault, List<String> of, List<String> to) {}
 }
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -37,16 +37,22 @@
     /** The plan as JSON, byte for byte the same for the same script and seed. */
     public static byte[] json(Plan plan) {
         try {
-            return JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT)
-                    .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS).build().writeValueAsBytes(plan);
+            return JsonMapper.builder()
+                    .enable(SerializationFeature.INDENT_OUTPUT)
+                    .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
+                    .build()
+                    .writeValueAsBytes(plan);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a plan has a JSON form", e);
         }
     }
 
-    /** A source of chance of its own for each thing drawn, so that one more scan moves nothing else. */
+    /**
+     * A source of chance of its own for each thing drawn, so that one more scan moves nothing else.
+     */
     private UniformRandomProvider chance(String what, int number) {
-        return RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 0x9E3779B97F4A7C15L + 31L * what.hashCode() + number);
+        return RandomSource.XO_RO_SHI_RO_128_PP.create(
+                seed * 0x9E3779B97F4A7C15L + 31L * what.hashCode() + number);
     }
 
     private Plan plan() {
@@ -56,7 +62,8 @@
             List<String> of = select(fault.of());
             if (fault.some() > 0) {
                 of = new ArrayList<>(of);
-                // By name: a fault draws the same ones whichever others are dropped from the script.
+                // By name: a fault draws the same ones whichever others are dropped from the
+                // script.
                 ListSampler.shuffle(chance("fault " + fault.name(), 0), of);
                 of = of.subList(0, fault.some()).stream().sorted().toList();
             }
@@ -70,31 +77,51 @@
                     clocks = clocks.and(f.fault());
                 }
             }
-            gatherers.add(new Plan.Gatherer(name, cast.siteOf().get(name),
-                    chance("gatherer", gatherers.size()).nextLong(), clocks));
+            gatherers.add(
+                    new Plan.Gatherer(
+                            name,
+                            cast.siteOf().get(name),
+                            chance("gatherer", gatherers.size()).nextLong(),
+                            clocks));
         }
         var servers = new ArrayList<Plan.Server>();
         for (String name : cast.servers()) {
             int cell = Integer.parseInt(name.split("-")[2]);
-            servers.add(new Plan.Server(name, cast.siteOf().get(name), cell, chance("server", servers.size()).nextLong()));
+            servers.add(
+                    new Plan.Server(
+                            name,
+                            cast.siteOf().get(name),
+                            cell,
+                            chance("server", servers.size()).nextLong()));
         }
         var asks = new ArrayList<Plan.Ask>();
         for (int i = 0; i < script.load().size(); i++) {
             asks(i, asks);
         }
         asks.sort(Comparator.comparingDouble(Plan.Ask::atMs).thenComparing(Plan.Ask::id));
-        return new Plan(seed, List.copyOf(gatherers), List.copyOf(servers), List.copyOf(asks), List.copyOf(faults));
+        return new Plan(
+                seed,
+                List.copyOf(gatherers),
+                List.copyOf(servers),
+                List.copyOf(asks),
+                List.copyOf(faults));
     }
 
     private List<String> select(List<String> groups) {
         return groups.stream().flatMap(who -> cast.select(who).stream()).distinct().toList();
     }
 
-    /** Poisson arrivals whose rate changes: drawn at the highest rate and thinned (Lewis and Shedler). */
+    /**
+     * Poisson arrivals whose rate changes: drawn at the highest rate and thinned (Lewis and
+     * Shedler).
+     */
     private void asks(int line, List<Plan.Ask> into) {
         Script.Load load = script.load().get(line);
         UniformRandomProvider chance = chance("load", line);
-        double most = Math.max(load.scansPerS(), load.ramps().stream().mapToDouble(Script.Ramp::scansPerS).max().orElse(0));
+        double most =
+                Math.max(
+                        load.scansPerS(),
+                        load.ramps().stream().mapToDouble(Script.Ramp::scansPerS).max().orElse(0));
         if (most <= 0) {
             return;
         }
@@ -124,10 +151,15 @@
     /** Distinct segments with equal weights; the first ones oftener where some are popular. */
     private Map<Integer, Double> weights(Script.Load load, UniformRandomProvider chance) {
         var weights = new TreeMap<Integer, Double>();
-        var zipf = load.popular() > 0
-                ? RejectionInversionZipfSampler.of(chance, script.segments(), load.popular()) : null;
+        var zipf =
+                load.popular() > 0
+                        ? RejectionInversionZipfSampler.of(
+                                chance, script.segments(), load.popular())
+                        : null;
         while (weights.size() < load.parts()) {
-            weights.put(zipf == null ? chance.nextInt(script.segments()) : zipf.sample() - 1, 1.0 / load.parts());
+            weights.put(
+                    zipf == null ? chance.nextInt(script.segments()) : zipf.sample() - 1,
+                    1.0 / load.parts());
         }
         return weights;
     }
--- a/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
+++ b/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
@@ -12,8 +12,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Takes all that a process writes, so that no pipe fills, and keeps the first part of it; notes what it holds to be severe.
- * Safe for threads.
+ * Takes all that a process writes, so that no pipe fills, and keeps the first part of it; notes
+ * what it holds to be severe. Safe for threads.
  */
 final class BoundedLog {
     /** A gatherer writes some hundred bytes a scan: this is a run of ten minutes. */
@@ -24,11 +24,21 @@
     private volatile long written;
     private volatile boolean flooded;
     private volatile String last = "it wrote nothing";
-    /** What a line may hold, at the most: the rest of a longer one is taken for lines of its own. */
+
+    /**
+     * What a line may hold, at the most: the rest of a longer one is taken for lines of its own.
+     */
     private static final int LONGEST_LINE = 16 * 1024;
+
     private static final int MOST_SEVERE = 5;
-    /** The level stands second, as text and as JSON, the two forms of the log; what follows may be anything. */
-    private static final Pattern SEVERE = Pattern.compile("\\S+ SEVERE |\\{\"time\":\"[^\"]*\",\"level\":\"SEVERE\"");
+
+    /**
+     * The level stands second, as text and as JSON, the two forms of the log; what follows may be
+     * anything.
+     */
+    private static final Pattern SEVERE =
+            Pattern.compile("\\S+ SEVERE |\\{\"time\":\"[^\"]*\",\"level\":\"SEVERE\"");
+
     private final StringBuilder line = new StringBuilder();
     private final List<String> severe = new CopyOnWriteArrayList<>();
 
@@ -50,7 +60,8 @@
 
     private void copy(InputStream in) {
         byte[] bytes = new byte[8192];
-        try (OutputStream out = Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+        try (OutputStream out =
+                Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (int read = in.read(bytes); read >= 0; read = in.read(bytes)) {
                 int keep = (int) Math.max(0, Math.min(read, most - written));
                 out.write(bytes, 0, keep);
--- a/rig/src/main/java/sprucehold/rig/process/ClusterFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/ClusterFile.java
@@ -6,19 +6,29 @@
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Script;
 
-/** What a gatherer is told of the others, by deploy/together.schema.json: each is met behind a relay of its own. */
+/**
+ * What a gatherer is told of the others, by deploy/together.schema.json: each is met behind a relay
+ * of its own.
+ */
 public final class ClusterFile {
-    private ClusterFile() {
-    }
+    private ClusterFile() {}
 
-    /** @param listen the address at which it hears them itself */
-    public static String json(Script script, Plan plan, Addresses addresses, int number, String listen) {
+    /**
+     * @param listen the address at which it hears them itself
+     */
+    public static String json(
+            Script script, Plan plan, Addresses addresses, int number, String listen) {
         ObjectNode root = new ObjectMapper().createObjectNode();
         var members = root.putArray("members");
         for (int i = 0; i < plan.gatherers().size(); i++) {
             Plan.Gatherer other = plan.gatherers().get(i);
-            ObjectNode member = members.addObject().put("name", other.name()).put("site", other.site())
-                    .put("address", addresses.others(number) + ":" + addresses.othersPort(i));
+            ObjectNode member =
+                    members.addObject()
+                            .put("name", other.name())
+                            .put("site", other.site())
+                            .put(
+                                    "address",
+                                    addresses.others(number) + ":" + addresses.othersPort(i));
             if (i == number) {
                 member.put("listen", listen + ":" + addresses.postPort());
             }
@@ -26,7 +36,9 @@
         Script.Together together = script.together();
         ObjectNode bounds = root.putObject("bounds").put("cold", true).put("customers", false);
         if (together.further() > 0) {
-            bounds.putObject("further").put("dispatches", together.further()).put("windowMs", together.furtherWindowMs());
+            bounds.putObject("further")
+                    .put("dispatches", together.further())
+                    .put("windowMs", together.furtherWindowMs());
         }
         root.put("driftPpm", together.driftPpm()).put("clocksOffMs", together.clocksOffMs());
         return root.toPrettyString();
