--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -17,10 +17,17 @@
 import java.util.concurrent.TimeUnit;
 import sprucehold.rig.plan.Plan;
 
-/** One gatherer: the program in a process of its own, which may be started, signalled and ended again and again. */
+/**
+ * One gatherer: the program in a process of its own, which may be started, signalled and ended
+ * again and again.
+ */
 public final class GathererProcess {
-    /** A gatherer under its command is ready in a few seconds; many that start at once share the cores. */
+    /**
+     * A gatherer under its command is ready in a few seconds; many that start at once share the
+     * cores.
+     */
     private static final long START_MS = 60_000;
+
     private static final long LOOK_MS = 25;
 
     private final Vertx vertx;
@@ -43,7 +50,13 @@
      * @param at where it listens
      * @param logFile what it writes, over all its lives
      */
-    public GathererProcess(Vertx vertx, Home home, Guardian guardian, String name, SocketAddress at, Path logFile) {
+    public GathererProcess(
+            Vertx vertx,
+            Home home,
+            Guardian guardian,
+            String name,
+            SocketAddress at,
+            Path logFile) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.home = home;
@@ -58,7 +71,8 @@
      * Starts it.
      *
      * @param together what it is told of others, or null where it doesn't talk
-     * @return succeeds once it says that it is ready; fails in one line if it ends or takes too long
+     * @return succeeds once it says that it is ready; fails in one line if it ends or takes too
+     *     long
      */
     public Future<Void> start(Path config, Path together, Plan.Clocks clocks) {
         return start(home.serve(clocks, config, together));
@@ -68,52 +82,90 @@
         command = with;
         Promise<Integer> over = Promise.promise();
         ended = over.future();
-        return vertx.executeBlocking(() -> {
-            // It begins only when the guardian knows of it, so that no moment is left at which it could be forgotten.
-            var all = new ArrayList<>(List.of("/bin/sh", "-c", "read -r go || exit 1; exec \"$0\" \"$@\" </dev/null"));
-            all.addAll(command);
-            Process started = new ProcessBuilder(all).directory(home.root().toFile()).redirectErrorStream(true).start();
-            guardian.add(started.pid());
-            log.drain(started.getInputStream(), name);
-            started.getOutputStream().write("go\n".getBytes(StandardCharsets.US_ASCII));
-            started.getOutputStream().close();
-            started.onExit().thenAccept(gone -> {
-                guardian.del(gone.pid());
-                context.runOnContext(none -> over.tryComplete(gone.exitValue()));
-            });
-            return started;
-        }).compose(started -> {
-            process = started;
-            return ready(System.nanoTime() + START_MS * 1_000_000);
-        });
+        return vertx.executeBlocking(
+                        () -> {
+                            // It begins only when the guardian knows of it, so that no moment is
+                            // left at which it could be forgotten.
+                            var all =
+                                    new ArrayList<>(
+                                            List.of(
+                                                    "/bin/sh",
+                                                    "-c",
+                                                    "read -r go || exit 1; exec \"$0\" \"$@\" </dev/null"));
+                            all.addAll(command);
+                            Process started =
+                                    new ProcessBuilder(all)
+                                            .directory(home.root().toFile())
+                                            .redirectErrorStream(true)
+                                            .start();
+                            guardian.add(started.pid());
+                            log.drain(started.getInputStream(), name);
+                            started.getOutputStream()
+                                    .write("go\n".getBytes(StandardCharsets.US_ASCII));
+                            started.getOutputStream().close();
+                            started.onExit()
+                                    .thenAccept(
+                                            gone -> {
+                                                guardian.del(gone.pid());
+                                                context.runOnContext(
+                                                        none -> over.tryComplete(gone.exitValue()));
+                                            });
+                            return started;
+                        })
+                .compose(
+                        started -> {
+                            process = started;
+                            return ready(System.nanoTime() + START_MS * 1_000_000);
+                        });
     }
 
     private Future<Void> ready(long until) {
         if (ended.isComplete()) {
-            return Future.failedFuture(new IOException(name + " ended with exit code " + ended.result()
-                    + " before it was ready: " + log.last()));
+            return Future.failedFuture(
+                    new IOException(
+                            name
+                                    + " ended with exit code "
+                                    + ended.result()
+                                    + " before it was ready: "
+                                    + log.last()));
         }
         if (System.nanoTime() > until) {
-            return Future.failedFuture(new IOException(name + " was not ready within " + START_MS / 1000 + " s: "
-                    + log.last()));
+            return Future.failedFuture(
+                    new IOException(
+                            name
+                                    + " was not ready within "
+                                    + START_MS / 1000
+                                    + " s: "
+                                    + log.last()));
         }
         Promise<Boolean> up = Promise.promise();
-        client.connect(at).onComplete(socket -> {
-            socket.handler(bytes -> {
-                up.tryComplete(bytes.toString().startsWith("HTTP/1.1 200"));
-                socket.close();
-            });
-            socket.closeHandler(none -> up.tryComplete(false));
-            socket.exceptionHandler(failure -> { });
-            socket.write("GET /up HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n");
-        }, refused -> up.tryComplete(false));
-        return up.future().onSuccess(is -> {
-            if (is) {
-                readyNanos = System.nanoTime();
-                readyCpuMs = cpuMs();
-            }
-        }).compose(is -> is ? Future.succeededFuture()
-                : vertx.timer(LOOK_MS).compose(waited -> ready(until)));
+        client.connect(at)
+                .onComplete(
+                        socket -> {
+                            socket.handler(
+                                    bytes -> {
+                                        up.tryComplete(bytes.toString().startsWith("HTTP/1.1 200"));
+                                        socket.close();
+                                    });
+                            socket.closeHandler(none -> up.tryComplete(false));
+                            socket.exceptionHandler(failure -> {});
+                            socket.write(
+                                    "GET /up HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n");
+                        },
+                        refused -> up.tryComplete(false));
+        return up.future()
+                .onSuccess(
+                        is -> {
+                            if (is) {
+                                readyNanos = System.nanoTime();
+                                readyCpuMs = cpuMs();
+                            }
+                        })
+                .compose(
+                        is ->
+                                is
+                                        ? Future.succeededFuture()
+                                        : vertx.timer(LOOK_MS).compose(waited -> ready(until)));
     }
 
     public boolean alive() {
@@ -128,11 +180,16 @@
         long pid = process.pid();
         peakKb = Math.max(peakKb, peak(pid));
         cores = (cpuMs() - readyCpuMs) / Math.max(1, (System.nanoTime() - readyNanos) / 1e6);
-        return vertx.executeBlocking(() -> {
-            new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + pid).redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor(5, TimeUnit.SECONDS);
-            return null;
-        }).mapEmpty();
+        return vertx.executeBlocking(
+                        () -> {
+                            new ProcessBuilder("/bin/sh", "-c", "kill -" + signal + " " + pid)
+                                    .redirectErrorStream(true)
+                                    .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                                    .start()
+                                    .waitFor(5, TimeUnit.SECONDS);
+                            return null;
+                        })
+                .mapEmpty();
     }
 
     /** Succeeds with its exit code once it has ended. */
@@ -140,22 +197,30 @@
         return ended;
     }
 
-    /** Asks it to end, and kills it if it has not by then. Succeeds with whether it ended by itself. */
+    /**
+     * Asks it to end, and kills it if it has not by then. Succeeds with whether it ended by itself.
+     */
     public Future<Boolean> end(long withinMs) {
         if (!alive()) {
             return Future.succeededFuture(true);
         }
         Promise<Boolean> gone = Promise.promise();
-        long timer = vertx.setTimer(withinMs, late -> {
-            if (gone.tryComplete(false)) {
-                signal("KILL");
-            }
-        });
-        ended.onComplete(code -> {
-            vertx.cancelTimer(timer);
-            gone.tryComplete(true);
-        });
-        return signal("CONT").compose(awake -> signal("TERM")).compose(asked -> gone.future())
+        long timer =
+                vertx.setTimer(
+                        withinMs,
+                        late -> {
+                            if (gone.tryComplete(false)) {
+                                signal("KILL");
+                            }
+                        });
+        ended.onComplete(
+                code -> {
+                    vertx.cancelTimer(timer);
+                    gone.tryComplete(true);
+                });
+        return signal("CONT")
+                .compose(awake -> signal("TERM"))
+                .compose(asked -> gone.future())
                 .compose(itself -> ended.map(itself));
     }
 
@@ -177,7 +242,9 @@
         try {
             return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                     .filter(line -> line.startsWith("VmHWM:"))
-                    .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", ""))).findFirst().orElse(0);
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException e) {
             return 0;
         }
--- a/rig/src/main/java/sprucehold/rig/process/Guardian.java
+++ b/rig/src/main/java/sprucehold/rig/process/Guardian.java
@@ -6,21 +6,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A shell that knows the rig's processes and kills them as soon as the pipe from the rig closes: nothing is left running
- * however the rig ends, also when it is killed itself, and also processes that are paused.
+ * A shell that knows the rig's processes and kills them as soon as the pipe from the rig closes:
+ * nothing is left running however the rig ends, also when it is killed itself, and also processes
+ * that are paused.
  */
 public final class Guardian implements AutoCloseable {
-    private static final String WATCH = "trap '' INT TERM HUP; pids=; while read -r verb pid; do case $verb in "
-            + "add) pids=\"$pids $pid\";; "
-            + "del) left=; for p in $pids; do [ \"$p\" = \"$pid\" ] || left=\"$left $p\"; done; pids=$left;; "
-            + "esac; done; [ -z \"$pids\" ] || kill -KILL $pids 2>/dev/null";
+    private static final String WATCH =
+            "trap '' INT TERM HUP; pids=; while read -r verb pid; do case $verb in "
+                    + "add) pids=\"$pids $pid\";; "
+                    + "del) left=; for p in $pids; do [ \"$p\" = \"$pid\" ] || left=\"$left $p\"; done; pids=$left;; "
+                    + "esac; done; [ -z \"$pids\" ] || kill -KILL $pids 2>/dev/null";
 
     private final Process shell;
     private final OutputStream pipe;
 
     public Guardian() throws IOException {
-        shell = new ProcessBuilder("/bin/sh", "-c", WATCH).redirectOutput(ProcessBuilder.Redirect.DISCARD)
-                .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        shell =
+                new ProcessBuilder("/bin/sh", "-c", WATCH)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .redirectError(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         pipe = shell.getOutputStream();
     }
 
--- a/rig/src/main/java/sprucehold/rig/process/Home.java
+++ b/rig/src/main/java/sprucehold/rig/process/Home.java
@@ -28,13 +28,15 @@
         for (Path here = at; here != null; here = here.getParent()) {
             if (Files.isRegularFile(here.resolve("deploy/serve.options"))) {
                 if (!Files.isRegularFile(here.resolve("gatherer/target/sprucehold.jar"))) {
-                    throw new IOException(here.resolve("gatherer/target/sprucehold.jar")
-                            + ": nothing is built: run 'mvn -q -DskipTests package'");
+                    throw new IOException(
+                            here.resolve("gatherer/target/sprucehold.jar")
+                                    + ": nothing is built: run 'mvn -q -DskipTests package'");
                 }
                 return new Home(here, shipped(here));
             }
         }
-        throw new IOException(at + ": no checkout with deploy/serve.options was found here or above");
+        throw new IOException(
+                at + ": no checkout with deploy/serve.options was found here or above");
     }
 
     private static List<String> shipped(Path root) {
@@ -44,9 +46,15 @@
         command.add("-XX:ActiveProcessorCount=1");
         Path archive = root.resolve("gatherer/target/sprucehold.jsa");
         if (Files.isRegularFile(archive)) {
-            command.addAll(List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off,cds+dynamic=off"));
+            command.addAll(
+                    List.of("-XX:SharedArchiveFile=" + archive, "-Xlog:cds=off,cds+dynamic=off"));
         }
-        command.addAll(List.of("-jar", root.resolve("gatherer/target/sprucehold.jar").toString(), "serve", "--log-scans"));
+        command.addAll(
+                List.of(
+                        "-jar",
+                        root.resolve("gatherer/target/sprucehold.jar").toString(),
+                        "serve",
+                        "--log-scans"));
         return List.copyOf(command);
     }
 
@@ -64,8 +72,11 @@
             command.add(1, "-Dsprucehold.clockDriftPpm=" + clocks.driftPpm());
         }
         if (clocks.jumpMs() != 0) {
-            command.addAll(1, List.of("-Dsprucehold.clockJumpMs=" + clocks.jumpMs(),
-                    "-Dsprucehold.clockJumpAfterMs=" + JUMPS_AFTER_MS));
+            command.addAll(
+                    1,
+                    List.of(
+                            "-Dsprucehold.clockJumpMs=" + clocks.jumpMs(),
+                            "-Dsprucehold.clockJumpAfterMs=" + JUMPS_AFTER_MS));
         }
         command.addAll(List.of("--config", config.toAbsolutePath().toString()));
         if (together != null) {
--- a/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
@@ -11,54 +11,99 @@
 public final class NodeConfigFile {
     /** As the platform's machines close connections that stand idle. */
     private static final double IDLE_CLOSE_MS = 15_000;
+
     private static final double DIAL_MS = 250;
 
-    private NodeConfigFile() {
-    }
+    private NodeConfigFile() {}
 
     /**
      * @param listen where it listens, HOST:PORT
      * @param known the list of shard servers as it last had it
      */
-    public static String json(Script script, Plan.Gatherer gatherer, String listen, String discovery, ObjectNode known) {
-        ObjectNode root = new ObjectMapper().createObjectNode().put("name", gatherer.name()).put("listen", listen)
-                .put("discovery", discovery).put("seed", String.format(Locale.ROOT, "%016x", gatherer.seed()));
-        root.putObject("limits").put("cores", 1.0).put("memory_mb", 192).put("sockets", script.limits().sockets());
+    public static String json(
+            Script script,
+            Plan.Gatherer gatherer,
+            String listen,
+            String discovery,
+            ObjectNode known) {
+        ObjectNode root =
+                new ObjectMapper()
+                        .createObjectNode()
+                        .put("name", gatherer.name())
+                        .put("listen", listen)
+                        .put("discovery", discovery)
+                        .put("seed", String.format(Locale.ROOT, "%016x", gatherer.seed()));
+        root.putObject("limits")
+                .put("cores", 1.0)
+                .put("memory_mb", 192)
+                .put("sockets", script.limits().sockets());
         root.set("known", known);
         Deployment facts = script.deployment(gatherer.site());
-        ObjectNode settings = root.putObject("settings").put("balancers", facts.gatherers()).put("locality", facts.zone())
-                .put("quantumMs", facts.tickMs()).put("overShareWorth", facts.overShareBenefit())
-                .put("discovery", "automatic");
+        ObjectNode settings =
+                root.putObject("settings")
+                        .put("balancers", facts.gatherers())
+                        .put("locality", facts.zone())
+                        .put("quantumMs", facts.tickMs())
+                        .put("overShareWorth", facts.overShareBenefit())
+                        .put("discovery", "automatic");
         var classes = settings.putArray("classes");
-        ObjectNode family = settings.putObject("familyInfo").put("ranges", script.segments())
-                .put("sets", facts.layout().cells()).put("width", 1).put("bundleMax", 1);
+        ObjectNode family =
+                settings.putObject("familyInfo")
+                        .put("ranges", script.segments())
+                        .put("sets", facts.layout().cells())
+                        .put("width", 1)
+                        .put("bundleMax", 1);
         var completeFrom = family.putArray("completeFrom");
         var leastShare = family.putArray("leastShare");
         var fetch = family.putArray("classFetch");
         for (Script.Kind kind : script.tableTypes()) {
-            classes.addObject().put("name", kind.type().name()).put("semantics", switch (kind.type().repeat()) {
-                case REPLAYABLE -> "retryable";
-                case KEYED -> "dedup";
-                case NON_REPLAYABLE -> "fragile";
-            }).put("aimMs", kind.type().targetMs()).put("giveUpMs", kind.timeoutMs()).put("worth", kind.type().benefit())
-                    .put("lateValue", kind.type().lateShare()).put("windowMs", kind.type().keyedWindowMs());
+            classes.addObject()
+                    .put("name", kind.type().name())
+                    .put(
+                            "semantics",
+                            switch (kind.type().repeat()) {
+                                case REPLAYABLE -> "retryable";
+                                case KEYED -> "dedup";
+                                case NON_REPLAYABLE -> "fragile";
+                            })
+                    .put("aimMs", kind.type().targetMs())
+                    .put("giveUpMs", kind.timeoutMs())
+                    .put("worth", kind.type().benefit())
+                    .put("lateValue", kind.type().lateShare())
+                    .put("windowMs", kind.type().keyedWindowMs());
             completeFrom.add(kind.type().completeFrom());
             leastShare.add(kind.type().leastShare());
             fetch.add(0);
         }
         var tenants = settings.putArray("tenants");
-        script.customers().forEach(customer -> tenants.addObject().put("name", customer.name())
-                .put("allowancePerS", customer.scansPerS()).put("share", 1.0));
+        script.customers()
+                .forEach(
+                        customer ->
+                                tenants.addObject()
+                                        .put("name", customer.name())
+                                        .put("allowancePerS", customer.scansPerS())
+                                        .put("share", 1.0));
         settings.putObject("feedback").put("source", "none").putArray("fields");
-        settings.putObject("limits").put("cancel", true).put("dialTimeoutMs", DIAL_MS).put("idleCloseMs", IDLE_CLOSE_MS)
-                .put("maxOpen", script.limits().maxOpen()).put("maxRetryAfterMs", script.limits().comeBackMs())
-                .put("retryAfter", script.limits().comeBackMs() > 0).put("secondCopies", script.limits().secondCopies())
-                .put("sendCap", script.limits().dispatchesPerPart()).put("streamsPerConn", 32);
-        ObjectNode safety = settings.putObject("safety").put("coldFrom", script.coldRule().startShare())
-                .put("coldMs", script.coldRule().warmAfterMs()).put("fallMultiple", script.coldRule().multiple())
-                .put("overloadForMs", script.coldRule().windowMs()).put("mustAskInMs", facts.listAccess().askWithinMs());
+        settings.putObject("limits")
+                .put("cancel", true)
+                .put("dialTimeoutMs", DIAL_MS)
+                .put("idleCloseMs", IDLE_CLOSE_MS)
+                .put("maxOpen", script.limits().maxOpen())
+                .put("maxRetryAfterMs", script.limits().comeBackMs())
+                .put("retryAfter", script.limits().comeBackMs() > 0)
+                .put("secondCopies", script.limits().secondCopies())
+                .put("sendCap", script.limits().dispatchesPerPart())
+                .put("streamsPerConn", 32);
+        ObjectNode safety =
+                settings.putObject("safety")
+                        .put("coldFrom", script.coldRule().startShare())
+                        .put("coldMs", script.coldRule().warmAfterMs())
+                        .put("fallMultiple", script.coldRule().multiple())
+                        .put("overloadForMs", script.coldRule().windowMs())
+                        .put("mustAskInMs", facts.listAccess().askWithinMs());
         if (!script.budget().equals(Deployment.DispatchBudget.NONE)) {
-            safety.put("budgetFree", script.budget().free()).put("extraRatio", script.budget().perTaken())
+            safety.put("budgetFree", script.budget().free())
+                    .put("extraRatio", script.budget().perTaken())
                     .put("countedOverMs", script.budget().windowMs());
         }
         return root.toPrettyString();
--- a/rig/src/main/java/sprucehold/rig/report/RunPage.java
+++ b/rig/src/main/java/sprucehold/rig/report/RunPage.java
@@ -24,39 +24,76 @@
 import sprucehold.rig.verdict.Outcome;
 import sprucehold.rig.verdict.Verdict;
 
-/** A run as one page that opens with no network: verdict, figures, and service over time with the faults drawn in. */
+/**
+ * A run as one page that opens with no network: verdict, figures, and service over time with the
+ * faults drawn in.
+ */
 public final class RunPage {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 300;
     private static final double BIN_S = 0.5;
 
-    private RunPage() {
-    }
+    private RunPage() {}
 
     public static String html(Script script, RunFolder.Kept kept, Verdict verdict) {
-        var html = new StringBuilder("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
-                .append(escape(script.name())).append("</title>\n<style>body{font-family:sans-serif;max-width:960px;margin:2em "
-                        + "auto}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;text-align:right;"
-                        + "border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}"
-                        + ".PASSED{color:#060}.BROKEN,.OUT_OF_BAND{color:#900}</style></head><body>\n<h1>")
-                .append(escape(script.name())).append("</h1>\n<p class=\"").append(verdict.kind()).append("\"><strong>")
-                .append(verdict.kind().name().replace('_', ' ').toLowerCase(Locale.ROOT)).append("</strong>, seed ")
-                .append(kept.seed()).append("</p>\n");
+        var html =
+                new StringBuilder(
+                                "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
+                        .append(escape(script.name()))
+                        .append(
+                                "</title>\n<style>body{font-family:sans-serif;max-width:960px;margin:2em "
+                                        + "auto}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;text-align:right;"
+                                        + "border-bottom:1px solid #ddd}td:first-child,th:first-child{text-align:left}"
+                                        + ".PASSED{color:#060}.BROKEN,.OUT_OF_BAND{color:#900}</style></head><body>\n<h1>")
+                        .append(escape(script.name()))
+                        .append("</h1>\n<p class=\"")
+                        .append(verdict.kind())
+                        .append("\"><strong>")
+                        .append(verdict.kind().name().replace('_', ' ').toLowerCase(Locale.ROOT))
+                        .append("</strong>, seed ")
+                        .append(kept.seed())
+                        .append("</p>\n");
         if (!verdict.why().isEmpty()) {
             html.append("<ul>");
-            verdict.why().stream().limit(50).forEach(why -> html.append("<li>").append(escape(why)).append("</li>\n"));
-            html.append("</ul>").append(verdict.why().size() > 50 ? "<p>and " + (verdict.why().size() - 50) + " more</p>" : "");
+            verdict.why().stream()
+                    .limit(50)
+                    .forEach(why -> html.append("<li>").append(escape(why)).append("</li>\n"));
+            html.append("</ul>")
+                    .append(
+                            verdict.why().size() > 50
+                                    ? "<p>and " + (verdict.why().size() - 50) + " more</p>"
+                                    : "");
         }
         html.append("<table>");
-        figures(verdict).forEach((name, value) -> html.append("<tr><td>").append(name).append("</td><td>").append(value)
-                .append("</td></tr>\n"));
-        html.append("</table>\n<h2>By site</h2>\n").append(svg(chart(kept, "by site", Outcome::site)))
-                .append("\n<h2>By table type</h2>\n").append(svg(chart(kept, "by table type", Outcome::tableType)));
-        html.append("\n<h2>Faults</h2>\n<table><tr><th>fault</th><th>kind</th><th>of</th><th>from s</th><th>to s</th></tr>\n");
-        kept.faults().forEach(span -> html.append("<tr><td>").append(escape(span.fault())).append("</td><td>")
-                .append(span.kind().name().toLowerCase(Locale.ROOT)).append("</td><td>").append(escape(String.join(" ",
-                        span.of()))).append(String.format(Locale.ROOT, "</td><td>%.2f</td><td>%.2f</td></tr>%n", span.fromS(),
-                        span.toS())));
+        figures(verdict)
+                .forEach(
+                        (name, value) ->
+                                html.append("<tr><td>")
+                                        .append(name)
+                                        .append("</td><td>")
+                                        .append(value)
+                                        .append("</td></tr>\n"));
+        html.append("</table>\n<h2>By site</h2>\n")
+                .append(svg(chart(kept, "by site", Outcome::site)))
+                .append("\n<h2>By table type</h2>\n")
+                .append(svg(chart(kept, "by table type", Outcome::tableType)));
+        html.append(
+                "\n<h2>Faults</h2>\n<table><tr><th>fault</th><th>kind</th><th>of</th><th>from s</th><th>to s</th></tr>\n");
+        kept.faults()
+                .forEach(
+                        span ->
+                                html.append("<tr><td>")
+                                        .append(escape(span.fault()))
+                                        .append("</td><td>")
+                                        .append(span.kind().name().toLowerCase(Locale.ROOT))
+                                        .append("</td><td>")
+                                        .append(escape(String.join(" ", span.of())))
+                                        .append(
+                                                String.format(
+                                                        Locale.ROOT,
+                                                        "</td><td>%.2f</td><td>%.2f</td></tr>%n",
+                                                        span.fromS(),
+                                                        span.toS())));
         return html.append("</table>\n</body></html>\n").toString();
     }
 
@@ -71,32 +108,66 @@
         var rows = new LinkedHashMap<String, String>();
         rows.put("scans", String.valueOf(of.scans()));
         rows.put("completed in target time", String.format(Locale.ROOT, "%.3f", of.service()));
-        of.ends().forEach((end, count) -> rows.put("ended " + end.toLowerCase(Locale.ROOT).replace('_', ' '),
-                String.valueOf(count)));
-        rows.put("time of completed, p50 and p99", String.format(Locale.ROOT, "%.1f and %.1f ms", of.p50Ms(), of.p99Ms()));
-        rows.put("the rig sent late, p99", String.format(Locale.ROOT, "%.1f ms", of.sendLateP99Ms()));
-        rows.put("the rig's timers late, p99 and worst", String.format(Locale.ROOT, "%.1f and %.1f ms", of.loopLateP99Ms(),
-                of.loopLateMostMs()));
+        of.ends()
+                .forEach(
+                        (end, count) ->
+                                rows.put(
+                                        "ended " + end.toLowerCase(Locale.ROOT).replace('_', ' '),
+                                        String.valueOf(count)));
+        rows.put(
+                "time of completed, p50 and p99",
+                String.format(Locale.ROOT, "%.1f and %.1f ms", of.p50Ms(), of.p99Ms()));
+        rows.put(
+                "the rig sent late, p99",
+                String.format(Locale.ROOT, "%.1f ms", of.sendLateP99Ms()));
+        rows.put(
+                "the rig's timers late, p99 and worst",
+                String.format(
+                        Locale.ROOT, "%.1f and %.1f ms", of.loopLateP99Ms(), of.loopLateMostMs()));
         rows.put("cores used by the rig", String.format(Locale.ROOT, "%.2f", of.rigCores()));
         rows.put("most memory of a gatherer", String.format(Locale.ROOT, "%.0f MB", of.memoryMb()));
-        rows.put("cores used by the busiest gatherer", String.format(Locale.ROOT, "%.2f", of.gathererCores()));
-        rows.put("most that a cold server was pushed", String.format(Locale.ROOT, "%.2f of what pushes it over", of.coldMost()));
+        rows.put(
+                "cores used by the busiest gatherer",
+                String.format(Locale.ROOT, "%.2f", of.gathererCores()));
+        rows.put(
+                "most that a cold server was pushed",
+                String.format(Locale.ROOT, "%.2f of what pushes it over", of.coldMost()));
         return rows;
     }
 
-    private static JFreeChart chart(RunFolder.Kept kept, String title, Function<Outcome, String> by) {
+    private static JFreeChart chart(
+            RunFolder.Kept kept, String title, Function<Outcome, String> by) {
         Map<String, Map<Integer, List<Outcome>>> bins = new TreeMap<>();
-        kept.outcomes().forEach(one -> bins.computeIfAbsent(by.apply(one), key -> new TreeMap<>())
-                .computeIfAbsent((int) (one.plannedMs() / 1000 / BIN_S), bin -> new ArrayList<>()).add(one));
+        kept.outcomes()
+                .forEach(
+                        one ->
+                                bins.computeIfAbsent(by.apply(one), key -> new TreeMap<>())
+                                        .computeIfAbsent(
+                                                (int) (one.plannedMs() / 1000 / BIN_S),
+                                                bin -> new ArrayList<>())
+                                        .add(one));
         var data = new XYSeriesCollection();
-        bins.forEach((name, of) -> {
-            var series = new XYSeries(name);
-            of.forEach((bin, ones) -> series.add((bin + 0.5) * BIN_S,
-                    (double) ones.stream().filter(Outcome::inTime).count() / ones.size()));
-            data.addSeries(series);
-        });
-        JFreeChart chart = ChartFactory.createXYLineChart("completed in target time, " + title, "seconds", "share", data,
-                PlotOrientation.VERTICAL, true, false, false);
+        bins.forEach(
+                (name, of) -> {
+                    var series = new XYSeries(name);
+                    of.forEach(
+                            (bin, ones) ->
+                                    series.add(
+                                            (bin + 0.5) * BIN_S,
+                                            (double) ones.stream().filter(Outcome::inTime).count()
+                                                    / ones.size()));
+                    data.addSeries(series);
+                });
+        JFreeChart chart =
+                ChartFactory.createXYLineChart(
+                        "completed in target time, " + title,
+                        "seconds",
+                        "share",
+                        data,
+                        PlotOrientation.VERTICAL,
+                        true,
+                        false,
+                        false);
         XYPlot plot = chart.getXYPlot();
         plot.getRangeAxis().setRange(0, 1.05);
         plot.setBackgroundPaint(Color.WHITE);
@@ -105,7 +176,11 @@
             plot.getRenderer().setSeriesStroke(i, new BasicStroke(2));
         }
         for (RunFolder.Span span : kept.faults()) {
-            var marker = new IntervalMarker(span.fromS(), Math.max(span.toS(), span.fromS() + 0.05), new Color(220, 60, 60, 40));
+            var marker =
+                    new IntervalMarker(
+                            span.fromS(),
+                            Math.max(span.toS(), span.fromS() + 0.05),
+                            new Color(220, 60, 60, 40));
             marker.setLabel(span.fault());
             plot.addDomainMarker(marker, Layer.BACKGROUND);
         }
--- a/rig/src/main/java/sprucehold/rig/report/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/report/package-info.java
@@ -1,2 +1,5 @@
-/** One HTML page of a run, with its charts inside; the entry point is {@link sprucehold.rig.report.RunPage}. */
+/**
+ * One HTML page of a run, with its charts inside; the entry point is {@link
+ * sprucehold.rig.report.RunPage}.
+ */
 package sprucehold.rig.report;
--- a/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
+++ b/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
@@ -22,17 +22,20 @@
 import sprucehold.rig.verdict.Outcome;
 import sprucehold.standin.ledger.Ledger;
 
-/** The clients of a script alone, against gatherers that somebody else has started; its faults are left out. */
+/**
+ * The clients of a script alone, against gatherers that somebody else has started; its faults are
+ * left out.
+ */
 public final class LoadAlone {
-    private LoadAlone() {
-    }
+    private LoadAlone() {}
 
     /**
      * Asks all planned scans and returns the figures.
      *
      * @param to where gatherers listen; clients of all sites ask them in turn
      */
-    public static Figures run(Script script, long seed, List<SocketAddress> to, Consumer<String> progress)
+    public static Figures run(
+            Script script, long seed, List<SocketAddress> to, Consumer<String> progress)
             throws IOException {
         Plan plan = Planner.plan(script, seed);
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
@@ -41,32 +44,56 @@
         DoubleSupplier clock = () -> startMs + (System.nanoTime() - begun) / 1e6;
         var outcomes = new ArrayList<Outcome>();
         var done = new CompletableFuture<Void>();
-        vertx.runOnContext(none -> {
-            Map<String, String> siteOf = new HashMap<>();
-            for (int i = 0; i < to.size(); i++) {
-                // One site for all, so that each client asks each gatherer.
-                siteOf.put("g" + i, "all");
-            }
-            var front = new Front(siteOf, script.frontLearnsMs());
-            siteOf.keySet().forEach(front::ready);
-            double firstMs = clock.getAsDouble() + 50;
-            var clients = new Clients(vertx, new Wires(vertx, clock, seed), clock, new Ledger(), script, front,
-                    name -> to.get(Integer.parseInt(name.substring(1))), name -> false,
-                    (ask, atMs, end, late) -> outcomes.add(Ends.of(script, ask, firstMs, atMs, end, late)));
-            var next = new int[1];
-            vertx.setPeriodic(1000, id -> progress.accept(outcomes.size() + " of " + plan.asks().size() + " ended"));
-            vertx.setPeriodic(1, id -> {
-                while (next[0] < plan.asks().size() && firstMs + plan.asks().get(next[0]).atMs() <= clock.getAsDouble()) {
-                    Plan.Ask ask = plan.asks().get(next[0]++);
-                    clients.ask(ask, firstMs + ask.atMs());
-                }
-                if (next[0] == plan.asks().size() && clients.open() == 0) {
-                    vertx.cancelTimer(id);
-                    clients.close();
-                    done.complete(null);
-                }
-            });
-        });
+        vertx.runOnContext(
+                none -> {
+                    Map<String, String> siteOf = new HashMap<>();
+                    for (int i = 0; i < to.size(); i++) {
+                        // One site for all, so that each client asks each gatherer.
+                        siteOf.put("g" + i, "all");
+                    }
+                    var front = new Front(siteOf, script.frontLearnsMs());
+                    siteOf.keySet().forEach(front::ready);
+                    double firstMs = clock.getAsDouble() + 50;
+                    var clients =
+                            new Clients(
+                                    vertx,
+                                    new Wires(vertx, clock, seed),
+                                    clock,
+                                    new Ledger(),
+                                    script,
+                                    front,
+                                    name -> to.get(Integer.parseInt(name.substring(1))),
+                                    name -> false,
+                                    (ask, atMs, end, late) ->
+                                            outcomes.add(
+                                                    Ends.of(
+                                                            script, ask, firstMs, atMs, end,
+                                                            late)));
+                    var next = new int[1];
+                    vertx.setPeriodic(
+                            1000,
+                            id ->
+                                    progress.accept(
+                                            outcomes.size()
+                                                    + " of "
+                                                    + plan.asks().size()
+                                                    + " ended"));
+                    vertx.setPeriodic(
+                            1,
+                            id -> {
+                                while (next[0] < plan.asks().size()
+                                        && firstMs + plan.asks().get(next[0]).atMs()
+                                                <= clock.getAsDouble()) {
+                                    Plan.Ask ask = plan.asks().get(next[0]++);
+                                    clients.ask(ask, firstMs + ask.atMs());
+                                }
+                                if (next[0] == plan.asks().size() && clients.open() == 0) {
+                                    vertx.cancelTimer(id);
+                                    clients.close();
+                                    done.complete(null);
+                                }
+                            });
+                });
         try {
             done.get();
         } catch (ExecutionException e) {
--- a/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
+++ b/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
@@ -21,11 +21,15 @@
 record MachineNeeds(long descriptors, long memoryMb) {
     /** A gatherer's memory under load as the rig measures it, 89 to 95 MB, and some to spare. */
     private static final long GATHERER_MB = 100;
+
     private static final long RIG_MB = 512;
+
     /** Buffers and objects of a listener or connection in the rig. */
     private static final double SOCKET_KB = 16;
+
     /** Clients' connections, logs, libraries. */
     private static final long OTHER_DESCRIPTORS = 2000;
+
     private static final Pattern AVAILABLE = Pattern.compile("MemAvailable:\\s+(\\d+) kB");
 
     /**
@@ -35,8 +39,11 @@
     record Machine(long descriptors, long memoryMb) {
         /** This machine; what can't be read counts as unlimited. */
         static Machine here() {
-            long descriptors = ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean unix
-                    ? unix.getMaxFileDescriptorCount() : Long.MAX_VALUE;
+            long descriptors =
+                    ManagementFactory.getOperatingSystemMXBean()
+                                    instanceof UnixOperatingSystemMXBean unix
+                            ? unix.getMaxFileDescriptorCount()
+                            : Long.MAX_VALUE;
             return new Machine(descriptors, availableMb());
         }
 
@@ -50,13 +57,20 @@
         }
     }
 
-    /** Each server listens for each gatherer apart, and each gatherer may hold a connection to each server. */
+    /**
+     * Each server listens for each gatherer apart, and each gatherer may hold a connection to each
+     * server.
+     */
     static MachineNeeds of(Script script) {
         long gatherers = script.sites().stream().mapToLong(Script.Site::gatherers).sum();
-        long servers = script.sites().stream().mapToLong(site -> (long) site.holders() * script.cells()).sum();
+        long servers =
+                script.sites().stream()
+                        .mapToLong(site -> (long) site.holders() * script.cells())
+                        .sum();
         long relays = script.together() == null ? 0 : 2 * gatherers * (gatherers - 1);
         long sockets = 2 * gatherers * servers + relays;
-        return new MachineNeeds(sockets + OTHER_DESCRIPTORS,
+        return new MachineNeeds(
+                sockets + OTHER_DESCRIPTORS,
                 gatherers * GATHERER_MB + RIG_MB + (long) (sockets * SOCKET_KB / 1024));
     }
 
@@ -64,12 +78,25 @@
     Optional<String> lackingOn(Machine machine) {
         var lacking = new ArrayList<String>();
         if (descriptors > machine.descriptors) {
-            lacking.add(String.format(Locale.ROOT, "%d open files and sockets (%d are allowed)", descriptors, machine.descriptors));
+            lacking.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%d open files and sockets (%d are allowed)",
+                            descriptors,
+                            machine.descriptors));
         }
         if (memoryMb > machine.memoryMb) {
-            lacking.add(String.format(Locale.ROOT, "%d MiB of memory (%d are available)", memoryMb, machine.memoryMb));
+            lacking.add(
+                    String.format(
+                            Locale.ROOT,
+                            "%d MiB of memory (%d are available)",
+                            memoryMb,
+                            machine.memoryMb));
         }
-        return lacking.isEmpty() ? Optional.empty() : Optional.of("this machine lacks what the script needs: "
-                + String.join(" and ", lacking));
+        return lacking.isEmpty()
+                ? Optional.empty()
+                : Optional.of(
+                        "this machine lacks what the script needs: "
+                                + String.join(" and ", lacking));
     }
 }
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -15,18 +15,25 @@
 import sprucehold.rig.plan.Addresses;
 import sprucehold.rig.plan.Plan;
 
-/** What lies between each two gatherers of a run that talk: a relay for their datagrams, one for their streams, and floods. */
+/**
+ * What lies between each two gatherers of a run that talk: a relay for their datagrams, one for
+ * their streams, and floods.
+ */
 final class PeerRelays {
     private final Vertx vertx;
     private final Wires wires;
     private final Addresses addresses;
     private final List<String> gatherers;
+
     /** By whom they lead to. */
     private final Map<String, List<DatagramRelay>> datagrams = new HashMap<>();
+
     private final List<TcpRelay> streams = new ArrayList<>();
     private final Map<Plan.Befall, List<Flood>> floods = new HashMap<>();
 
-    /** @param gatherers the names of all, by number */
+    /**
+     * @param gatherers the names of all, by number
+     */
     PeerRelays(Vertx vertx, Wires wires, Addresses addresses, List<String> gatherers) {
         this.vertx = vertx;
         this.wires = wires;
@@ -48,14 +55,27 @@
 
     private Future<?> datagrams(int from, int to) {
         String other = gatherers.get(to);
-        var relay = new DatagramRelay(vertx, wires, gatherers.get(from), other, addresses.gatherer(to), addresses.postPort());
+        var relay =
+                new DatagramRelay(
+                        vertx,
+                        wires,
+                        gatherers.get(from),
+                        other,
+                        addresses.gatherer(to),
+                        addresses.postPort());
         datagrams.computeIfAbsent(other, none -> new ArrayList<>()).add(relay);
         return relay.listen(addresses.others(from), addresses.othersPort(to));
     }
 
     private Future<?> streams(int from, int to) {
-        var relay = new TcpRelay(vertx, wires, gatherers.get(from), gatherers.get(to),
-                SocketAddress.inetSocketAddress(addresses.postPort(), addresses.gatherer(to)));
+        var relay =
+                new TcpRelay(
+                        vertx,
+                        wires,
+                        gatherers.get(from),
+                        gatherers.get(to),
+                        SocketAddress.inetSocketAddress(
+                                addresses.postPort(), addresses.gatherer(to)));
         streams.add(relay);
         return relay.listen(addresses.others(from), addresses.othersPort(to));
     }
@@ -65,8 +85,17 @@
         List<Flood> all = floods.computeIfAbsent(change.what(), none -> new ArrayList<>());
         if (change.begins()) {
             List<DatagramRelay> leading = datagrams.get(gatherers.get(gatherer));
-            all.add(new Flood(vertx, wires, addresses.gatherer(gatherer), addresses.postPort(), change.what().fault().amount(),
-                    () -> leading.stream().flatMap(relay -> relay.recent().stream()).toList()));
+            all.add(
+                    new Flood(
+                            vertx,
+                            wires,
+                            addresses.gatherer(gatherer),
+                            addresses.postPort(),
+                            change.what().fault().amount(),
+                            () ->
+                                    leading.stream()
+                                            .flatMap(relay -> relay.recent().stream())
+                                            .toList()));
         } else {
             all.forEach(Flood::close);
             all.clear();
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -51,9 +51,15 @@
 public final class Run implements AutoCloseable {
     /** Clients are done by their longest time to wait, and this. */
     private static final double AFTER_MS = 1500;
+
     private static final long END_WITHIN_MS = 12_000;
-    /** Starting, waiting for the last answers and ending take no longer, or something is wrong with the rig itself. */
+
+    /**
+     * Starting, waiting for the last answers and ending take no longer, or something is wrong with
+     * the rig itself.
+     */
     private static final long MOST_BESIDE_MS = 180_000;
+
     private static final long LOOK_MS = 10;
 
     private final Script script;
@@ -61,8 +67,12 @@
     private final Home home;
     private final RunFolder folder;
     private final Consumer<String> progress;
-    private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(8)
-            .setInternalBlockingPoolSize(2));
+    private final Vertx vertx =
+            Vertx.vertx(
+                    new VertxOptions()
+                            .setEventLoopPoolSize(1)
+                            .setWorkerPoolSize(8)
+                            .setInternalBlockingPoolSize(2));
     private final double startedAtMs = System.currentTimeMillis();
     private final long startedNanos = System.nanoTime();
     private final Ledger ledger = new Ledger();
@@ -73,8 +83,10 @@
     private final ShardServerFleet servers;
     private final Map<String, AgentHost> agents = new LinkedHashMap<>();
     private final Map<String, GathererProcess> gatherers = new LinkedHashMap<>();
+
     /** Other processes of a gatherer's name. */
     private final Map<String, GathererProcess> twins = new LinkedHashMap<>();
+
     private final PeerRelays relays;
     private final Map<String, Integer> out = new HashMap<>();
     private final Front front;
@@ -83,8 +95,10 @@
     private final List<RunFolder.Span> spans = new ArrayList<>();
     private final Map<Plan.Befall, Double> began = new HashMap<>();
     private final Map<String, Double> heldSince = new HashMap<>();
+
     /** Gatherers that were told to end or killed: their end is no crash. */
     private final Map<String, Boolean> sentAway = new HashMap<>();
+
     private final Set<String> killed = new HashSet<>();
     private final List<String> crashed = new ArrayList<>();
     private final List<Outcome> outcomes = new ArrayList<>();
@@ -96,7 +110,8 @@
     private boolean ending;
     private double overMs;
 
-    private Run(Script script, long seed, Home home, RunFolder folder, Consumer<String> progress) throws IOException {
+    private Run(Script script, long seed, Home home, RunFolder folder, Consumer<String> progress)
+            throws IOException {
         this.script = script;
         this.plan = Planner.plan(script, seed);
         this.home = home;
@@ -105,16 +120,47 @@
         this.addresses = Addresses.claim();
         this.guardian = new Guardian();
         this.wires = new Wires(vertx, this::now, seed);
-        this.list = new ServerList(plan.servers().stream().map(server -> new ServerList.Entry(server.name(), server.site(),
-                server.cell(), ServerList.Status.ACTIVE, 0, 0)).toList());
-        this.servers = new ShardServerFleet(vertx, this::now, list, plan.servers().stream().map(Plan.Server::name).toList());
-        this.relays = new PeerRelays(vertx, wires, addresses, plan.gatherers().stream().map(Plan.Gatherer::name).toList());
+        this.list =
+                new ServerList(
+                        plan.servers().stream()
+                                .map(
+                                        server ->
+                                                new ServerList.Entry(
+                                                        server.name(),
+                                                        server.site(),
+                                                        server.cell(),
+                                                        ServerList.Status.ACTIVE,
+                                                        0,
+                                                        0))
+                                .toList());
+        this.servers =
+                new ShardServerFleet(
+                        vertx,
+                        this::now,
+                        list,
+                        plan.servers().stream().map(Plan.Server::name).toList());
+        this.relays =
+                new PeerRelays(
+                        vertx,
+                        wires,
+                        addresses,
+                        plan.gatherers().stream().map(Plan.Gatherer::name).toList());
         var siteOf = new HashMap<String, String>();
         plan.gatherers().forEach(gatherer -> siteOf.put(gatherer.name(), gatherer.site()));
         this.front = new Front(siteOf, script.frontLearnsMs());
-        this.clients = new Clients(vertx, wires, this::now, ledger, script, front,
-                name -> SocketAddress.inetSocketAddress(addresses.gathererPort(), addresses.gatherer(number(name))),
-                killed::contains, this::ended);
+        this.clients =
+                new Clients(
+                        vertx,
+                        wires,
+                        this::now,
+                        ledger,
+                        script,
+                        front,
+                        name ->
+                                SocketAddress.inetSocketAddress(
+                                        addresses.gathererPort(), addresses.gatherer(number(name))),
+                        killed::contains,
+                        this::ended);
         this.board = new FaultBoard(plan.faults());
     }
 
@@ -124,7 +170,8 @@
      * @param progress takes a line from time to time
      * @throws IOException if something could not be started, in one line
      */
-    public static Verdict play(Script script, long seed, Home home, RunFolder folder, Consumer<String> progress)
+    public static Verdict play(
+            Script script, long seed, Home home, RunFolder folder, Consumer<String> progress)
             throws IOException {
         Optional<String> lacking = MachineNeeds.of(script).lackingOn(MachineNeeds.Machine.here());
         if (lacking.isPresent()) {
@@ -138,34 +185,58 @@
 
     private Verdict play() throws IOException {
         var done = new CompletableFuture<Void>();
-        vertx.runOnContext(none -> start().compose(ready -> load()).compose(loaded -> end())
-                .onComplete(all -> done.complete(null), done::completeExceptionally));
+        vertx.runOnContext(
+                none ->
+                        start().compose(ready -> load())
+                                .compose(loaded -> end())
+                                .onComplete(
+                                        all -> done.complete(null), done::completeExceptionally));
         try {
             done.get((long) (1000 * script.lengthS()) + MOST_BESIDE_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            throw new IOException("the run did not end " + MOST_BESIDE_MS / 1000 + " s after its script", e);
+            throw new IOException(
+                    "the run did not end " + MOST_BESIDE_MS / 1000 + " s after its script", e);
         } catch (ExecutionException e) {
-            throw e.getCause() instanceof IOException io ? io : new IOException(String.valueOf(e.getCause()), e.getCause());
+            throw e.getCause() instanceof IOException io
+                    ? io
+                    : new IOException(String.valueOf(e.getCause()), e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
         double cores = (cpuMs() - cpuAtFirst) / Math.max(1, now() - firstMs);
         gatherers.putAll(twins);
-        double memory = gatherers.values().stream().mapToLong(GathererProcess::peakKb).max().orElse(0) / 1024.0;
-        gatherers.forEach((name, process) -> {
-            if (process.flooded()) {
-                crashed.add(name + " flooded its log");
-            }
-            // A panic is never part of a fault: whatever happens between processes, decisions and network code hold.
-            process.severe().forEach(line -> crashed.add(name + " logged: " + line));
-        });
+        double memory =
+                gatherers.values().stream().mapToLong(GathererProcess::peakKb).max().orElse(0)
+                        / 1024.0;
+        gatherers.forEach(
+                (name, process) -> {
+                    if (process.flooded()) {
+                        crashed.add(name + " flooded its log");
+                    }
+                    // A panic is never part of a fault: whatever happens between processes,
+                    // decisions and network code hold.
+                    process.severe().forEach(line -> crashed.add(name + " logged: " + line));
+                });
         outcomes.sort(Comparator.comparingDouble(Outcome::plannedMs));
-        return folder.write(new RunFolder.Kept(plan.seed(), overMs, List.copyOf(spans), List.copyOf(outcomes),
-                new Figures.Self(loopLate.getValueAtPercentile(99) / 1000.0, loopLate.getMaxValue() / 1000.0, cores, memory,
-                        gatherers.values().stream().mapToDouble(GathererProcess::cores).max().orElse(0),
-                        servers.mostPushed()),
-                List.copyOf(crashed)), ledger.inOrder());
+        return folder.write(
+                new RunFolder.Kept(
+                        plan.seed(),
+                        overMs,
+                        List.copyOf(spans),
+                        List.copyOf(outcomes),
+                        new Figures.Self(
+                                loopLate.getValueAtPercentile(99) / 1000.0,
+                                loopLate.getMaxValue() / 1000.0,
+                                cores,
+                                memory,
+                                gatherers.values().stream()
+                                        .mapToDouble(GathererProcess::cores)
+                                        .max()
+                                        .orElse(0),
+                                servers.mostPushed()),
+                        List.copyOf(crashed)),
+                ledger.inOrder());
     }
 
     private static double cpuMs() {
@@ -196,54 +267,106 @@
         var all = new ArrayList<Future<?>>();
         for (int i = 0; i < plan.servers().size(); i++) {
             String name = plan.servers().get(i).name();
-            all.add(servers.listen(new ServerHost(vertx, wires, this::now, ledger, addresses, script, plan, i, this::outs,
-                    () -> servers.fellOver(name))));
+            all.add(
+                    servers.listen(
+                            new ServerHost(
+                                    vertx,
+                                    wires,
+                                    this::now,
+                                    ledger,
+                                    addresses,
+                                    script,
+                                    plan,
+                                    i,
+                                    this::outs,
+                                    () -> servers.fellOver(name))));
         }
         for (int i = 0; i < plan.gatherers().size(); i++) {
             Plan.Gatherer gatherer = plan.gatherers().get(i);
             int number = i;
-            var agent = new AgentHost(vertx, this::now, ledger, list, gatherer.name(), entry -> addresses.server(number)
-                    + ":" + addresses.serverPort(servers.number(entry.name()), entry.life()));
+            var agent =
+                    new AgentHost(
+                            vertx,
+                            this::now,
+                            ledger,
+                            list,
+                            gatherer.name(),
+                            entry ->
+                                    addresses.server(number)
+                                            + ":"
+                                            + addresses.serverPort(
+                                                    servers.number(entry.name()), entry.life()));
             agents.put(gatherer.name(), agent);
             all.add(agent.listen(addresses.discovery(i), addresses.discoveryPort()));
-            gatherers.put(gatherer.name(), new GathererProcess(vertx, home, guardian, gatherer.name(),
-                    SocketAddress.inetSocketAddress(addresses.gathererPort(), addresses.gatherer(i)),
-                    folder.file(gatherer.name() + ".log")));
+            gatherers.put(
+                    gatherer.name(),
+                    new GathererProcess(
+                            vertx,
+                            home,
+                            guardian,
+                            gatherer.name(),
+                            SocketAddress.inetSocketAddress(
+                                    addresses.gathererPort(), addresses.gatherer(i)),
+                            folder.file(gatherer.name() + ".log")));
             if (script.together() != null) {
                 all.add(relays.listen(i));
             }
         }
-        return Future.all(all).compose(listening -> {
-            progress.accept("starting " + gatherers.size() + " gatherers among " + servers.size() + " shard servers");
-            return Future.all(plan.gatherers().stream().map(one -> start(one.name(), one.clocks())).toList()).mapEmpty();
-        });
+        return Future.all(all)
+                .compose(
+                        listening -> {
+                            progress.accept(
+                                    "starting "
+                                            + gatherers.size()
+                                            + " gatherers among "
+                                            + servers.size()
+                                            + " shard servers");
+                            return Future.all(
+                                            plan.gatherers().stream()
+                                                    .map(one -> start(one.name(), one.clocks()))
+                                                    .toList())
+                                    .mapEmpty();
+                        });
     }
 
     private Future<Void> start(String name, Plan.Clocks clocks) {
         int number = number(name);
         sentAway.remove(name);
         GathererProcess process = gatherers.get(name);
-        return start(process, name, addresses.gatherer(number), number, clocks).onSuccess(ready -> {
-            front.ready(name);
-            killed.remove(name);
-            process.ended().onSuccess(code -> gone(name, code));
-        });
+        return start(process, name, addresses.gatherer(number), number, clocks)
+                .onSuccess(
+                        ready -> {
+                            front.ready(name);
+                            killed.remove(name);
+                            process.ended().onSuccess(code -> gone(name, code));
+                        });
     }
 
     /** Starts a process at an address, under the name of a gatherer. */
-    private Future<Void> start(GathererProcess process, String file, String at, int number, Plan.Clocks clocks) {
+    private Future<Void> start(
+            GathererProcess process, String file, String at, int number, Plan.Clocks clocks) {
         Plan.Gatherer gatherer = plan.gatherers().get(number);
         try {
-            Files.writeString(folder.file(file + ".json"), NodeConfigFile.json(script, gatherer, at + ":" + addresses.gathererPort(),
-                    addresses.discovery(number) + ":" + addresses.discoveryPort(), agents.get(gatherer.name()).known()));
+            Files.writeString(
+                    folder.file(file + ".json"),
+                    NodeConfigFile.json(
+                            script,
+                            gatherer,
+                            at + ":" + addresses.gathererPort(),
+                            addresses.discovery(number) + ":" + addresses.discoveryPort(),
+                            agents.get(gatherer.name()).known()));
             if (script.together() != null) {
-                Files.writeString(folder.file(file + ".together.json"), ClusterFile.json(script, plan, addresses, number, at));
+                Files.writeString(
+                        folder.file(file + ".together.json"),
+                        ClusterFile.json(script, plan, addresses, number, at));
             }
         } catch (IOException e) {
             return Future.failedFuture(e);
         }
-        return process.start(folder.file(file + ".json"),
-                script.together() == null ? null : folder.file(file + ".together.json"), clocks);
+        return process.start(
+                folder.file(file + ".json"),
+                script.together() == null ? null : folder.file(file + ".together.json"),
+                clocks);
     }
 
     private void twin(String name, boolean begins) {
@@ -256,21 +379,34 @@
             return;
         }
         int number = number(name);
-        var process = new GathererProcess(vertx, home, guardian, twin,
-                SocketAddress.inetSocketAddress(addresses.gathererPort(), addresses.twin(number)), folder.file(twin + ".log"));
+        var process =
+                new GathererProcess(
+                        vertx,
+                        home,
+                        guardian,
+                        twin,
+                        SocketAddress.inetSocketAddress(
+                                addresses.gathererPort(), addresses.twin(number)),
+                        folder.file(twin + ".log"));
         twins.put(twin, process);
-        start(process, twin, addresses.twin(number), number, Plan.Clocks.RIGHT).onFailure(why -> {
-            if (!ending) {
-                crashed.add(why.getMessage());
-            }
-        });
+        start(process, twin, addresses.twin(number), number, Plan.Clocks.RIGHT)
+                .onFailure(
+                        why -> {
+                            if (!ending) {
+                                crashed.add(why.getMessage());
+                            }
+                        });
     }
 
     private void gone(String name, int code) {
         front.gone(now(), name);
         if (!sentAway.getOrDefault(name, false)) {
-            crashed.add(name + " ended by itself with exit code " + code + " at " + String.format(Locale.ROOT,
-                    "%.1f s", atS()));
+            crashed.add(
+                    name
+                            + " ended by itself with exit code "
+                            + code
+                            + " at "
+                            + String.format(Locale.ROOT, "%.1f s", atS()));
         }
     }
 
@@ -279,27 +415,41 @@
     private Future<Void> load() {
         firstMs = now() + 100;
         cpuAtFirst = cpuMs();
-        progress.accept(plan.asks().size() + " scans in " + script.lengthS() + " s, " + plan.faults().size() + " faults");
+        progress.accept(
+                plan.asks().size()
+                        + " scans in "
+                        + script.lengthS()
+                        + " s, "
+                        + plan.faults().size()
+                        + " faults");
         Promise<Void> over = Promise.promise();
-        double longest = script.tableTypes().stream().mapToDouble(Script.Kind::timeoutMs).max().orElse(0);
+        double longest =
+                script.tableTypes().stream().mapToDouble(Script.Kind::timeoutMs).max().orElse(0);
         long timer = vertx.setPeriodic(LOOK_MS, id -> lateness());
-        vertx.setPeriodic(1000, id -> {
-            if (over.future().isComplete()) {
-                vertx.cancelTimer(id);
-            } else {
-                progress.accept(line());
-            }
-        });
-        vertx.setPeriodic(1, id -> {
-            askDue();
-            carryOutDue();
-            boolean past = atS() * 1000 > script.lengthS() * 1000 + longest + AFTER_MS;
-            if (past || nextAsk == plan.asks().size() && clients.open() == 0 && atS() >= script.lengthS()) {
-                vertx.cancelTimer(id);
-                vertx.cancelTimer(timer);
-                over.tryComplete();
-            }
-        });
+        vertx.setPeriodic(
+                1000,
+                id -> {
+                    if (over.future().isComplete()) {
+                        vertx.cancelTimer(id);
+                    } else {
+                        progress.accept(line());
+                    }
+                });
+        vertx.setPeriodic(
+                1,
+                id -> {
+                    askDue();
+                    carryOutDue();
+                    boolean past = atS() * 1000 > script.lengthS() * 1000 + longest + AFTER_MS;
+                    if (past
+                            || nextAsk == plan.asks().size()
+                                    && clients.open() == 0
+                                    && atS() >= script.lengthS()) {
+                        vertx.cancelTimer(id);
+                        vertx.cancelTimer(timer);
+                        over.tryComplete();
+                    }
+                });
         return over.future();
     }
 
@@ -313,8 +463,14 @@
 
     private String line() {
         long done = outcomes.stream().filter(Outcome::inTime).count();
-        return String.format(Locale.ROOT, "%5.1f s  %d asked, %d ended, %d in time, %d connections", atS(), nextAsk,
-                outcomes.size(), done, wires.count());
+        return String.format(
+                Locale.ROOT,
+                "%5.1f s  %d asked, %d ended, %d in time, %d connections",
+                atS(),
+                nextAsk,
+                outcomes.size(),
+                done,
+                wires.count());
     }
 
     private void askDue() {
@@ -345,8 +501,14 @@
 
     private void carryOut(FaultBoard.Change change) {
         Plan.Befall fault = change.what();
-        progress.accept(String.format(Locale.ROOT, "%5.1f s  %s %s: %s", atS(), fault.fault().name(),
-                change.begins() ? "begins" : "ends", String.join(" ", fault.of())));
+        progress.accept(
+                String.format(
+                        Locale.ROOT,
+                        "%5.1f s  %s %s: %s",
+                        atS(),
+                        fault.fault().name(),
+                        change.begins() ? "begins" : "ends",
+                        String.join(" ", fault.of())));
         if (change.begins()) {
             began.put(fault, atS());
         } else {
@@ -359,7 +521,8 @@
                 servers.linksChanged();
             }
             case SERVER -> fault.of().forEach(name -> servers.change(name, change));
-            case DISCOVERY -> fault.of().forEach(name -> agents.get(name).change(change.begins(), fault));
+            case DISCOVERY ->
+                    fault.of().forEach(name -> agents.get(name).change(change.begins(), fault));
             default -> throw new IllegalStateException("nobody carries out " + fault);
         }
     }
@@ -367,7 +530,9 @@
     private void over(Plan.Befall fault) {
         Double from = began.remove(fault);
         if (from != null) {
-            spans.add(new RunFolder.Span(fault.fault().name(), fault.fault().kind(), fault.of(), from, atS()));
+            spans.add(
+                    new RunFolder.Span(
+                            fault.fault().name(), fault.fault().kind(), fault.of(), from, atS()));
         }
     }
 
@@ -389,8 +554,14 @@
                     front.gone(now(), name);
                     process.signal("TERM");
                     if (again) {
-                        process.ended().onComplete(code -> vertx.setTimer(Math.max(1, (long) (1000 * fault.forS())),
-                                waited -> startAgain(name, Plan.Clocks.RIGHT)));
+                        process.ended()
+                                .onComplete(
+                                        code ->
+                                                vertx.setTimer(
+                                                        Math.max(1, (long) (1000 * fault.forS())),
+                                                        waited ->
+                                                                startAgain(
+                                                                        name, Plan.Clocks.RIGHT)));
                     }
                 }
             }
@@ -421,11 +592,14 @@
         sentAway.put(name, true);
         killed.add(name);
         double since = now();
-        return process.signal("KILL").compose(sent -> process.ended()).onComplete(gone -> {
-            front.gone(now(), name);
-            out.put(name, 0);
-            ledger.add(new Seen.HeldUp(since, now(), name, true));
-        });
+        return process.signal("KILL")
+                .compose(sent -> process.ended())
+                .onComplete(
+                        gone -> {
+                            front.gone(now(), name);
+                            out.put(name, 0);
+                            ledger.add(new Seen.HeldUp(since, now(), name, true));
+                        });
     }
 
     private void goesOn(String name) {
@@ -437,12 +611,15 @@
 
     private void startAgain(String name, Plan.Clocks clocks) {
         if (!ending && !gatherers.get(name).alive()) {
-            start(name, clocks).onFailure(why -> {
-                // One that was told to end or killed while it started has not crashed.
-                if (!sentAway.getOrDefault(name, false)) {
-                    crashed.add(why.getMessage());
-                }
-            });
+            start(name, clocks)
+                    .onFailure(
+                            why -> {
+                                // One that was told to end or killed while it started has not
+                                // crashed.
+                                if (!sentAway.getOrDefault(name, false)) {
+                                    crashed.add(why.getMessage());
+                                }
+                            });
         }
     }
 
@@ -452,22 +629,38 @@
         ending = true;
         overMs = now();
         progress.accept(line());
-        board.inForce().forEach(fault -> {
-            if (fault.fault().kind().whom() == Fault.Whom.LINK) {
-                wires.change(new FaultBoard.Change(atS(), false, fault));
-            }
-            over(fault);
-        });
+        board.inForce()
+                .forEach(
+                        fault -> {
+                            if (fault.fault().kind().whom() == Fault.Whom.LINK) {
+                                wires.change(new FaultBoard.Change(atS(), false, fault));
+                            }
+                            over(fault);
+                        });
         List.copyOf(heldSince.keySet()).forEach(this::goesOn);
         relays.endFloods();
         gatherers.keySet().forEach(name -> sentAway.put(name, true));
         var all = new LinkedHashMap<>(gatherers);
         all.putAll(twins);
-        return Future.all(all.entrySet().stream().map(one -> one.getValue().end(END_WITHIN_MS).onSuccess(itself -> {
-            if (!itself) {
-                crashed.add(one.getKey() + " did not end within " + END_WITHIN_MS / 1000 + " s of SIGTERM and was killed");
-            }
-        })).toList()).mapEmpty();
+        return Future.all(
+                        all.entrySet().stream()
+                                .map(
+                                        one ->
+                                                one.getValue()
+                                                        .end(END_WITHIN_MS)
+                                                        .onSuccess(
+                                                                itself -> {
+                                                                    if (!itself) {
+                                                                        crashed.add(
+                                                                                one.getKey()
+                                                                                        + " did not end within "
+                                                                                        + END_WITHIN_MS
+                                                                                                / 1000
+                                                                                        + " s of SIGTERM and was killed");
+                                                                    }
+                                                                }))
+                                .toList())
+                .mapEmpty();
     }
 
     @Override
@@ -475,19 +668,21 @@
         guardian.close();
         try {
             var closed = new CompletableFuture<Void>();
-            vertx.runOnContext(none -> {
-                try {
-                    clients.close();
-                    var all = new ArrayList<Future<?>>();
-                    all.addAll(servers.close());
-                    agents.values().forEach(agent -> all.add(agent.close()));
-                    all.addAll(relays.close());
-                    Future.join(all).onComplete(done -> closed.complete(null));
-                } catch (RuntimeException e) {
-                    closed.completeExceptionally(e);
-                }
-            });
-            // All that is closed is the rig's own: what isn't by then is a fault of the rig, and no run waits for it.
+            vertx.runOnContext(
+                    none -> {
+                        try {
+                            clients.close();
+                            var all = new ArrayList<Future<?>>();
+                            all.addAll(servers.close());
+                            agents.values().forEach(agent -> all.add(agent.close()));
+                            all.addAll(relays.close());
+                            Future.join(all).onComplete(done -> closed.complete(null));
+                        } catch (RuntimeException e) {
+                            closed.completeExceptionally(e);
+                        }
+                    });
+            // All that is closed is the rig's own: what isn't by then is a fault of the rig, and no
+            // run waits for it.
             closed.get(END_WITHIN_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the rig's own sockets could not be closed: " + e, e);
--- a/rig/src/main/java/sprucehold/rig/run/RunFolder.java
+++ b/rig/src/main/java/sprucehold/rig/run/RunFolder.java
@@ -22,7 +22,8 @@
 
 /** What is kept of a run: script, plan, ledger, outcomes, verdict, and a log of each gatherer. */
 public final class RunFolder {
-    private static final ObjectMapper JSON = JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
+    private static final ObjectMapper JSON =
+            JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
 
     /**
      * What was seen of a run.
@@ -32,12 +33,16 @@
      * @param faults when each really began and ended, in seconds from the first scan
      * @param crashed gatherers that ended by themselves, in words
      */
-    public record Kept(long seed, double overMs, List<Span> faults, List<Outcome> outcomes, Figures.Self self, List<String> crashed) {
-    }
+    public record Kept(
+            long seed,
+            double overMs,
+            List<Span> faults,
+            List<Outcome> outcomes,
+            Figures.Self self,
+            List<String> crashed) {}
 
     /** When a fault was in force, in seconds from the first scan. */
-    public record Span(String fault, Fault.Kind kind, List<String> of, double fromS, double toS) {
-    }
+    public record Span(String fault, Fault.Kind kind, List<String> of, double fromS, double toS) {}
 
     private final Path folder;
 
@@ -70,12 +75,15 @@
     Verdict write(Kept kept, List<Seen> seen) throws IOException {
         LedgerFile.write(file("ledger.jsonl"), seen);
         JSON.writeValue(file("run.json").toFile(), kept);
-        Verdict verdict = Judge.judge(script(), seen, kept.overMs, kept.outcomes, kept.self, kept.crashed);
+        Verdict verdict =
+                Judge.judge(script(), seen, kept.overMs, kept.outcomes, kept.self, kept.crashed);
         JSON.writeValue(file("verdict.json").toFile(), verdict);
         return verdict;
     }
 
-    /** @throws IOException with what is missing or can't be read */
+    /**
+     * @throws IOException with what is missing or can't be read
+     */
     public Kept kept() throws IOException {
         if (!Files.isRegularFile(file("run.json"))) {
             throw new IOException(folder + ": no run is kept here: run.json was expected");
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -9,10 +9,16 @@
 import sprucehold.rig.list.ServerList;
 import sprucehold.rig.server.ServerHost;
 
-/** The shard servers of a run: their faults, and what discovery learns of their drains, deaths and returns. */
+/**
+ * The shard servers of a run: their faults, and what discovery learns of their drains, deaths and
+ * returns.
+ */
 final class ShardServerFleet {
-    /** Discovery learns so late that a server died, as health checks a second apart do on the mean. */
+    /**
+     * Discovery learns so late that a server died, as health checks a second apart do on the mean.
+     */
     private static final long DEATH_KNOWN_MS = 500;
+
     /** A supervisor starts a server again so long after it fell over. */
     private static final long STARTED_AGAIN_MS = 2000;
 
@@ -22,7 +28,9 @@
     private final List<String> names;
     private final List<ServerHost> hosts = new ArrayList<>();
 
-    /** @param names of all servers, in the order of their hosts */
+    /**
+     * @param names of all servers, in the order of their hosts
+     */
     ShardServerFleet(Vertx vertx, DoubleSupplier clock, ServerList list, List<String> names) {
         this.vertx = vertx;
         this.clock = clock;
@@ -67,7 +75,7 @@
                     isBack(name);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -77,21 +85,30 @@
 
     private void drains(String name, boolean begins) {
         ServerList.Entry entry = list.entry(name);
-        list(entry, begins ? ServerList.Status.LEAVING : ServerList.Status.ACTIVE, entry.sinceMs(), entry.life());
+        list(
+                entry,
+                begins ? ServerList.Status.LEAVING : ServerList.Status.ACTIVE,
+                entry.sinceMs(),
+                entry.life());
     }
 
     private void list(ServerList.Entry entry, ServerList.Status status, double sinceMs, int life) {
-        list.change(clock.getAsDouble(), new ServerList.Entry(entry.name(), entry.site(), entry.cell(), status, sinceMs, life));
+        list.change(
+                clock.getAsDouble(),
+                new ServerList.Entry(
+                        entry.name(), entry.site(), entry.cell(), status, sinceMs, life));
     }
 
     private void died(String name) {
         int life = host(name).life();
-        vertx.setTimer(DEATH_KNOWN_MS, known -> {
-            ServerList.Entry entry = list.entry(name);
-            if (entry.life() == life && host(name).life() == life) {
-                list(entry, ServerList.Status.LEFT, entry.sinceMs(), life);
-            }
-        });
+        vertx.setTimer(
+                DEATH_KNOWN_MS,
+                known -> {
+                    ServerList.Entry entry = list.entry(name);
+                    if (entry.life() == life && host(name).life() == life) {
+                        list(entry, ServerList.Status.LEFT, entry.sinceMs(), life);
+                    }
+                });
     }
 
     private void isBack(String name) {
@@ -101,10 +118,12 @@
     /** A server ended by itself; its supervisor starts it again. */
     void fellOver(String name) {
         died(name);
-        vertx.setTimer(STARTED_AGAIN_MS, waited -> {
-            host(name).comeBack();
-            isBack(name);
-        });
+        vertx.setTimer(
+                STARTED_AGAIN_MS,
+                waited -> {
+                    host(name).comeBack();
+                    isBack(name);
+                });
     }
 
     List<Future<?>> close() {
--- a/rig/src/main/java/sprucehold/rig/script/Cast.java
+++ b/rig/src/main/java/sprucehold/rig/script/Cast.java
@@ -7,12 +7,16 @@
 import java.util.stream.Stream;
 
 /**
- * Who takes part in a run, by name: gatherers {@code a-0}, shard servers {@code s-a-0-1} (site, cell, holder), clients
- * {@code clients@a}; discovery is named by the gatherer that it tells.
+ * Who takes part in a run, by name: gatherers {@code a-0}, shard servers {@code s-a-0-1} (site,
+ * cell, holder), clients {@code clients@a}; discovery is named by the gatherer that it tells.
  *
  * @param siteOf the site of each, clients included
  */
-public record Cast(List<String> gatherers, List<String> servers, List<String> clients, Map<String, String> siteOf) {
+public record Cast(
+        List<String> gatherers,
+        List<String> servers,
+        List<String> clients,
+        Map<String, String> siteOf) {
 
     public static Cast of(Script script) {
         var gatherers = new ArrayList<String>();
@@ -33,7 +37,11 @@
             clients.add("clients@" + site.name());
             siteOf.put("clients@" + site.name(), site.name());
         }
-        return new Cast(List.copyOf(gatherers), List.copyOf(servers), List.copyOf(clients), Map.copyOf(siteOf));
+        return new Cast(
+                List.copyOf(gatherers),
+                List.copyOf(servers),
+                List.copyOf(clients),
+                Map.copyOf(siteOf));
     }
 
     /** All that a name or a group means; empty if nobody. */
@@ -43,13 +51,19 @@
         }
         int at = who.indexOf('@');
         String group = at < 0 ? who : who.substring(0, at);
-        List<String> all = switch (group) {
-            case "gatherers", "discovery" -> gatherers;
-            case "servers" -> servers;
-            case "clients" -> clients;
-            case "" -> Stream.of(gatherers, servers, clients).flatMap(List::stream).toList();
-            default -> List.of();
-        };
-        return at < 0 ? all : all.stream().filter(name -> siteOf.get(name).equals(who.substring(at + 1))).toList();
+        List<String> all =
+                switch (group) {
+                    case "gatherers", "discovery" -> gatherers;
+                    case "servers" -> servers;
+                    case "clients" -> clients;
+                    case "" ->
+                            Stream.of(gatherers, servers, clients).flatMap(List::stream).toList();
+                    default -> List.of();
+                };
+        return at < 0
+                ? all
+                : all.stream()
+                        .filter(name -> siteOf.get(name).equals(who.substring(at + 1)))
+                        .toList();
     }
 }
--- a/rig/src/main/java/sprucehold/rig/script/Fault.java
+++ b/rig/src/main/java/sprucehold/rig/script/Fault.java
@@ -5,25 +5,42 @@
 /**
  * One fault of a script.
  *
- * @param of whom it befalls: names, or groups such as {@code gatherers}, {@code servers@b}, {@code clients@a},
- *        {@code discovery}, {@code @b} (all of a site)
- * @param to the other end where it lies on links, whom a server answers no more, or which servers are hidden
+ * @param of whom it befalls: names, or groups such as {@code gatherers}, {@code servers@b}, {@code
+ *     clients@a}, {@code discovery}, {@code @b} (all of a site)
+ * @param to the other end where it lies on links, whom a server answers no more, or which servers
+ *     are hidden
  * @param some how many of {@code of}, drawn by the run's seed; 0 for all
  * @param atS when it begins, in seconds from the first scan; with {@code when}, how long after that
  * @param when what has to have happened before, or null
  * @param forS how long it lasts, in seconds; infinite where it has no end
  * @param amount how much of it, in the unit that its kind says
  */
-public record Fault(String name, Kind kind, List<String> of, List<String> to, int some, double atS, Trigger when,
-        double forS, double amount, Mode mode, boolean oneWay, List<String> tableTypes) {
+public record Fault(
+        String name,
+        Kind kind,
+        List<String> of,
+        List<String> to,
+        int some,
+        double atS,
+        Trigger when,
+        double forS,
+        double amount,
+        Mode mode,
+        boolean oneWay,
+        List<String> tableTypes) {
 
-    /** What a fault waits for: another's begin, or so many dispatches out from a gatherer. Exactly one is given. */
-    public record Trigger(String fault, String gatherer, int dispatchesOut) {
-    }
+    /**
+     * What a fault waits for: another's begin, or so many dispatches out from a gatherer. Exactly
+     * one is given.
+     */
+    public record Trigger(String fault, String gatherer, int dispatchesOut) {}
 
     /** How a link is cut, or how an answer is lost. */
     public enum Mode {
-        /** Nothing passes, and what was sent passes once it is mended, as far as connections last that long. */
+        /**
+         * Nothing passes, and what was sent passes once it is mended, as far as connections last
+         * that long.
+         */
         SILENT,
         /** As silent, but new connections are refused. */
         REFUSED,
@@ -32,7 +49,12 @@
     }
 
     /** Whom a fault may befall. */
-    public enum Whom { GATHERER, LINK, SERVER, DISCOVERY }
+    public enum Whom {
+        GATHERER,
+        LINK,
+        SERVER,
+        DISCOVERY
+    }
 
     /** The kinds of faults. */
     public enum Kind {
@@ -46,11 +68,19 @@
         CLOCK_OFF(Whom.GATHERER, Unit.MS),
         /** The same with a counting clock that runs {@code amount} parts of a million too fast. */
         CLOCK_DRIFT(Whom.GATHERER, Unit.PPM),
-        /** The same with a wall clock that jumps by {@code amount}, six seconds after that start. */
+        /**
+         * The same with a wall clock that jumps by {@code amount}, six seconds after that start.
+         */
         CLOCK_JUMP(Whom.GATHERER, Unit.MS),
-        /** Another process of its name, started beside it at other addresses, and ended after {@code forS}. */
+        /**
+         * Another process of its name, started beside it at other addresses, and ended after {@code
+         * forS}.
+         */
         TWIN(Whom.GATHERER, Unit.NONE),
-        /** So many datagrams a second where it hears other gatherers: noise, and letters of before once more. */
+        /**
+         * So many datagrams a second where it hears other gatherers: noise, and letters of before
+         * once more.
+         */
         FLOOD(Whom.GATHERER, Unit.TIMES),
         /** Each message takes {@code amount} longer, one in twenty four times as much. */
         DELAY(Whom.LINK, Unit.MS),
@@ -69,7 +99,9 @@
         REORDER(Whom.LINK, Unit.SHARE),
         /** Work takes {@code amount} times as long. */
         SLOW(Whom.SERVER, Unit.TIMES),
-        /** It takes parts of some table types, or of the gatherers in {@code to}, and answers none. */
+        /**
+         * It takes parts of some table types, or of the gatherers in {@code to}, and answers none.
+         */
         GREY(Whom.SERVER, Unit.NONE),
         /** Nothing begins and nothing ends. */
         STALL(Whom.SERVER, Unit.NONE),
@@ -107,9 +139,17 @@
         }
     }
 
-    /** What {@code amount} counts: milliseconds, parts of a million, bytes, a share from 0 to 1, or times. */
+    /**
+     * What {@code amount} counts: milliseconds, parts of a million, bytes, a share from 0 to 1, or
+     * times.
+     */
     public enum Unit {
-        NONE(0, 0), MS(-1e9, 1e9), PPM(-1e5, 1e5), BYTES(1, 1e12), SHARE(0, 1), TIMES(1, 1e4);
+        NONE(0, 0),
+        MS(-1e9, 1e9),
+        PPM(-1e5, 1e5),
+        BYTES(1, 1e12),
+        SHARE(0, 1),
+        TIMES(1, 1e4);
 
         private final double least;
         private final double most;
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -24,7 +24,10 @@
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
 
-/** One scripted shard server on sockets: an address for each gatherer, and what it saw in the ledger. */
+/**
+ * One scripted shard server on sockets: an address for each gatherer, and what it saw in the
+ * ledger.
+ */
 public final class ServerHost {
     private final Vertx vertx;
     private final Wires wires;
@@ -52,8 +55,17 @@
      * @param out is told how many dispatches of a gatherer came or ended: 1 or -1
      * @param fellOver is called when it was pushed over
      */
-    public ServerHost(Vertx vertx, Wires wires, DoubleSupplier clock, Ledger ledger, Addresses addresses, Script script,
-            Plan plan, int number, BiConsumer<String, Integer> out, Runnable fellOver) {
+    public ServerHost(
+            Vertx vertx,
+            Wires wires,
+            DoubleSupplier clock,
+            Ledger ledger,
+            Addresses addresses,
+            Script script,
+            Plan plan,
+            int number,
+            BiConsumer<String, Integer> out,
+            Runnable fellOver) {
         this.vertx = vertx;
         this.wires = wires;
         this.clock = clock;
@@ -72,11 +84,14 @@
     public Future<Void> listen() {
         var all = new ArrayList<Future<?>>();
         for (int i = 0; i < gatherers.size(); i++) {
-            if (alive && !listeners.containsKey(i)
-                    && wires.board().of(gatherers.get(i), server.name()).cut() != Fault.Mode.REFUSED) {
+            if (alive
+                    && !listeners.containsKey(i)
+                    && wires.board().of(gatherers.get(i), server.name()).cut()
+                            != Fault.Mode.REFUSED) {
                 String gatherer = gatherers.get(i);
-                NetServer listener = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
-                        .connectHandler(socket -> accepted(socket, gatherer));
+                NetServer listener =
+                        vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
+                                .connectHandler(socket -> accepted(socket, gatherer));
                 listeners.put(i, listener);
                 all.add(listener.listen(addresses.serverPort(number, life), addresses.server(i)));
             }
@@ -87,7 +102,9 @@
     /** The links have changed: where connections are refused it listens no more. */
     public void linksChanged() {
         for (int i = 0; i < gatherers.size(); i++) {
-            if (listeners.containsKey(i) && wires.board().of(gatherers.get(i), server.name()).cut() == Fault.Mode.REFUSED) {
+            if (listeners.containsKey(i)
+                    && wires.board().of(gatherers.get(i), server.name()).cut()
+                            == Fault.Mode.REFUSED) {
                 listeners.remove(i).close();
             }
         }
@@ -131,7 +148,10 @@
         listen();
     }
 
-    /** The most that it was pushed while cold in any of its lives, as a share of what would have pushed it over. */
+    /**
+     * The most that it was pushed while cold in any of its lives, as a share of what would have
+     * pushed it over.
+     */
     public double mostPushed() {
         return Math.max(mostPushed, model.mostPushed());
     }
@@ -218,11 +238,21 @@
                 String scan = line[0].substring(0, line[0].lastIndexOf('.'));
                 int segment = Integer.parseInt(line[1]);
                 double toldMs = Double.parseDouble(line[2].substring(2));
-                ledger.add(new Seen.Arrived(readMs, gatherer, server.name(), scan, segment, toldMs));
+                ledger.add(
+                        new Seen.Arrived(readMs, gatherer, server.name(), scan, segment, toldMs));
                 outs++;
                 out.accept(gatherer, 1);
-                carryOut(model.arrives(clock.getAsDouble(), new ServerModel.Arrival(this, gatherer, line[0], scan, segment,
-                        body.substring(0, Math.max(0, body.lastIndexOf('.'))), toldMs)));
+                carryOut(
+                        model.arrives(
+                                clock.getAsDouble(),
+                                new ServerModel.Arrival(
+                                        this,
+                                        gatherer,
+                                        line[0],
+                                        scan,
+                                        segment,
+                                        body.substring(0, Math.max(0, body.lastIndexOf('.'))),
+                                        toldMs)));
                 at = textEnd;
             }
         }
@@ -236,14 +266,21 @@
 
         void send(String frame) {
             byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-            socket.write(Buffer.buffer(4 + bytes.length).appendIntLE(bytes.length).appendBytes(bytes));
+            socket.write(
+                    Buffer.buffer(4 + bytes.length).appendIntLE(bytes.length).appendBytes(bytes));
         }
     }
 
     private void carryOut(List<ServerModel.Act> acts) {
         for (ServerModel.Act act : acts) {
             if (act instanceof ServerModel.Act.Ran ran) {
-                ledger.add(new Seen.Ran(ran.atMs(), server.name(), ran.part().scan(), ran.part().segment(), ran.value()));
+                ledger.add(
+                        new Seen.Ran(
+                                ran.atMs(),
+                                server.name(),
+                                ran.part().scan(),
+                                ran.part().segment(),
+                                ran.value()));
             } else if (act instanceof ServerModel.Act.Reply reply) {
                 var to = (Connection) reply.to().link();
                 to.ended();
@@ -265,10 +302,13 @@
             vertx.cancelTimer(timer);
             timerAt = at;
             if (at < Double.POSITIVE_INFINITY) {
-                timer = vertx.setTimer(Math.max(1, (long) Math.ceil(at - clock.getAsDouble())), id -> {
-                    timerAt = Double.POSITIVE_INFINITY;
-                    carryOut(model.pass(clock.getAsDouble()));
-                });
+                timer =
+                        vertx.setTimer(
+                                Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
+                                id -> {
+                                    timerAt = Double.POSITIVE_INFINITY;
+                                    carryOut(model.pass(clock.getAsDouble()));
+                                });
             }
         }
     }
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -19,8 +19,8 @@
 import sprucehold.rig.script.Script;
 
 /**
- * One shard server: parts wait in one queue for its cores, a cold one is slower, and one that is pushed while cold falls
- * over. Times are milliseconds of the run's clock.
+ * One shard server: parts wait in one queue for its cores, a cold one is slower, and one that is
+ * pushed while cold falls over. Times are milliseconds of the run's clock.
  */
 public final class ServerModel {
     /**
@@ -29,34 +29,38 @@
      * @param link the connection that it came on, compared by identity
      * @param patienceMs how long its gatherer waits
      */
-    public record Arrival(Object link, String gatherer, String partId, String scan, int segment, String tableType,
-            double patienceMs) {
-    }
+    public record Arrival(
+            Object link,
+            String gatherer,
+            String partId,
+            String scan,
+            int segment,
+            String tableType,
+            double patienceMs) {}
 
     /** What comes of parts. */
     public sealed interface Act {
-        /** @param end as the protocol words it: {@code hit}, {@code fault} or {@code overload} */
-        record Reply(Arrival to, String end, String value) implements Act {
-        }
+        /**
+         * @param end as the protocol words it: {@code hit}, {@code fault} or {@code overload}
+         */
+        record Reply(Arrival to, String end, String value) implements Act {}
 
         /** Its effect has happened. */
-        record Ran(double atMs, Arrival part, String value) implements Act {
-        }
+        record Ran(double atMs, Arrival part, String value) implements Act {}
 
         /** The answer is lost, and its connection with it where {@code reset}. */
-        record Lost(Arrival part, boolean reset) implements Act {
-        }
+        record Lost(Arrival part, boolean reset) implements Act {}
 
-        /** It was pushed over by so much work, in milliseconds on one core, of each gatherer within the rule's window. */
-        record FellOver(double atMs, Map<String, Double> workByGatherer) implements Act {
-        }
+        /**
+         * It was pushed over by so much work, in milliseconds on one core, of each gatherer within
+         * the rule's window.
+         */
+        record FellOver(double atMs, Map<String, Double> workByGatherer) implements Act {}
     }
 
-    private record Running(Arrival part, double endsMs) {
-    }
+    private record Running(Arrival part, double endsMs) {}
 
-    private record Push(double atMs, String gatherer, double workMs) {
-    }
+    private record Push(double atMs, String gatherer, double workMs) {}
 
     private final String name;
     private final Script script;
@@ -64,7 +68,8 @@
     private final long seed;
     private final ArrayDeque<Arrival> queue = new ArrayDeque<>();
     private final Map<Arrival, Double> arrivedMs = new HashMap<>();
-    private final PriorityQueue<Running> running = new PriorityQueue<>(Comparator.comparingDouble(Running::endsMs));
+    private final PriorityQueue<Running> running =
+            new PriorityQueue<>(Comparator.comparingDouble(Running::endsMs));
     private final Set<Arrival> givenUp = new HashSet<>();
     private final ArrayDeque<Push> pushes = new ArrayDeque<>();
     private final List<Plan.Befall> faults = new ArrayList<>();
@@ -73,7 +78,9 @@
     private boolean fallen;
     private double mostPushed;
 
-    /** @param startedMs when it started, 0 for long ago */
+    /**
+     * @param startedMs when it started, 0 for long ago
+     */
     public ServerModel(String name, Script script, long seed, double startedMs) {
         this.name = name;
         this.script = script;
@@ -117,12 +124,20 @@
             return List.of();
         }
         var acts = new ArrayList<Act>(pass(nowMs));
-        if (faults.stream().anyMatch(fault -> fault.fault().kind() == Fault.Kind.GREY
-                && (fault.to().contains(part.gatherer) || fault.fault().tableTypes().contains(part.tableType)))) {
+        if (faults.stream()
+                .anyMatch(
+                        fault ->
+                                fault.fault().kind() == Fault.Kind.GREY
+                                        && (fault.to().contains(part.gatherer)
+                                                || fault.fault()
+                                                        .tableTypes()
+                                                        .contains(part.tableType)))) {
             return acts;
         }
         int waiting = queue.size();
-        if (any(Fault.Kind.FULL) || any(Fault.Kind.DRAIN) || waiting >= script.servers().queueMost()) {
+        if (any(Fault.Kind.FULL)
+                || any(Fault.Kind.DRAIN)
+                || waiting >= script.servers().queueMost()) {
             acts.add(new Act.Reply(part, "overload", ""));
             return acts;
         }
@@ -150,8 +165,14 @@
 
     /** A gatherer waits no more: what has not begun never will, what runs goes on. */
     public void gaveUp(Object link, String partId) {
-        queue.removeIf(part -> part.link == link && part.partId.equals(partId) && arrivedMs.remove(part) != null);
-        running.stream().map(Running::part).filter(part -> part.link == link && part.partId.equals(partId))
+        queue.removeIf(
+                part ->
+                        part.link == link
+                                && part.partId.equals(partId)
+                                && arrivedMs.remove(part) != null);
+        running.stream()
+                .map(Running::part)
+                .filter(part -> part.link == link && part.partId.equals(partId))
                 .forEach(givenUp::add);
     }
 
@@ -196,8 +217,11 @@
             acts.add(new Act.Reply(part, "overload", ""));
             return;
         }
-        double slower = faults.stream().filter(fault -> fault.fault().kind() == Fault.Kind.SLOW)
-                .mapToDouble(fault -> fault.fault().amount()).reduce(1, (a, b) -> a * b);
+        double slower =
+                faults.stream()
+                        .filter(fault -> fault.fault().kind() == Fault.Kind.SLOW)
+                        .mapToDouble(fault -> fault.fault().amount())
+                        .reduce(1, (a, b) -> a * b);
         running.add(new Running(part, nowMs + workMs(part) * slower / warmth(nowMs)));
     }
 
@@ -209,7 +233,8 @@
             return;
         }
         for (Plan.Befall fault : faults) {
-            if (fault.fault().kind() == Fault.Kind.LOSE_ANSWERS && chance(part, 2).nextDouble() < fault.fault().amount()) {
+            if (fault.fault().kind() == Fault.Kind.LOSE_ANSWERS
+                    && chance(part, 2).nextDouble() < fault.fault().amount()) {
                 acts.add(new Act.Lost(part, fault.fault().mode() == Fault.Mode.RESET));
                 return;
             }
@@ -218,14 +243,20 @@
     }
 
     private UniformRandomProvider chance(Arrival part, int what) {
-        return RandomSource.SPLIT_MIX_64.create(seed * 31 + part.partId.hashCode() * 0x9E3779B97F4A7C15L + what);
+        return RandomSource.SPLIT_MIX_64.create(
+                seed * 31 + part.partId.hashCode() * 0x9E3779B97F4A7C15L + what);
     }
 
     /** A part's work on a warm core; the same whenever it comes here. */
     private double workMs(Arrival part) {
         Script.Kind kind = kinds.get(part.tableType);
-        return kind == null ? 1 : kind.workMs()
-                * Math.exp(kind.spread() * ZigguratSampler.NormalizedGaussian.of(chance(part, 1)).sample());
+        return kind == null
+                ? 1
+                : kind.workMs()
+                        * Math.exp(
+                                kind.spread()
+                                        * ZigguratSampler.NormalizedGaussian.of(chance(part, 1))
+                                                .sample());
     }
 
     /** What only this server makes of this part, so that a wrong value is known. */
@@ -235,7 +266,9 @@
 
     /** When something ends next; infinite if nothing is under way. */
     public double nextMs() {
-        return running.isEmpty() || !Double.isNaN(stalledMs) ? Double.POSITIVE_INFINITY : running.peek().endsMs;
+        return running.isEmpty() || !Double.isNaN(stalledMs)
+                ? Double.POSITIVE_INFINITY
+                : running.peek().endsMs;
     }
 
     /** The most that it was pushed while cold, as a share of what pushes it over. */
--- a/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
@@ -12,11 +12,11 @@
         boolean holds(List<Fault> faults) throws IOException;
     }
 
-    private Shrinker() {
-    }
+    private Shrinker() {}
 
     /**
-     * Returns faults of which none can be dropped alone; the longest-lasting are tried first, as they hide most.
+     * Returns faults of which none can be dropped alone; the longest-lasting are tried first, as
+     * they hide most.
      *
      * @param faults with which it holds
      */
@@ -29,8 +29,14 @@
             order.sort((one, other) -> Double.compare(other.forS(), one.forS()));
             for (Fault fault : order) {
                 List<Fault> without = left.stream().filter(other -> other != fault).toList();
-                boolean needed = without.stream().anyMatch(other -> other.when() != null
-                        && other.when().fault().equals(fault.name()));
+                boolean needed =
+                        without.stream()
+                                .anyMatch(
+                                        other ->
+                                                other.when() != null
+                                                        && other.when()
+                                                                .fault()
+                                                                .equals(fault.name()));
                 if (!needed && trial.holds(without)) {
                     left = new ArrayList<>(without);
                     dropped = true;
--- a/rig/src/main/java/sprucehold/rig/verdict/LedgerFile.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/LedgerFile.java
@@ -19,11 +19,9 @@
     private static final ObjectMapper JSON = mapper();
 
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "seen")
-    private interface Named {
-    }
+    private interface Named {}
 
-    private LedgerFile() {
-    }
+    private LedgerFile() {}
 
     private static ObjectMapper mapper() {
         var mapper = JsonMapper.builder().addMixIn(Seen.class, Named.class).build();
@@ -43,7 +41,9 @@
         }
     }
 
-    /** @throws IOException with file and line where a line can't be read */
+    /**
+     * @throws IOException with file and line where a line can't be read
+     */
     public static List<Seen> read(Path file) throws IOException {
         var reader = JSON.readerFor(Seen.class);
         var all = new ArrayList<Seen>();
@@ -52,8 +52,13 @@
                 try {
                     all.add(reader.readValue(line));
                 } catch (JsonProcessingException e) {
-                    throw new IOException(file + ", line " + (all.size() + 1) + ": something seen was expected: "
-                            + e.getOriginalMessage(), e);
+                    throw new IOException(
+                            file
+                                    + ", line "
+                                    + (all.size() + 1)
+                                    + ": something seen was expected: "
+                                    + e.getOriginalMessage(),
+                            e);
                 }
             }
         }
--- a/rig/src/main/java/sprucehold/rig/verdict/Spread.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Spread.java
@@ -32,7 +32,8 @@
     private static Spread of(List<Figures> runs, ToDoubleFunction<Figures> figure) {
         double[] sorted = runs.stream().mapToDouble(figure).sorted().toArray();
         int middle = sorted.length / 2;
-        double median = sorted.length % 2 == 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
+        double median =
+                sorted.length % 2 == 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
         return new Spread(sorted[0], median, Arrays.stream(sorted).max().orElseThrow());
     }
 }
--- a/rig/src/test/java/sprucehold/rig/CrookedGatherer.java
+++ b/rig/src/test/java/sprucehold/rig/CrookedGatherer.java
@@ -23,20 +23,27 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A gatherer of a few lines that breaks one rule on purpose, in a process of its own. Arguments: which rule, {@code
- * --config}, the file.
+ * A gatherer of a few lines that breaks one rule on purpose, in a process of its own. Arguments:
+ * which rule, {@code --config}, the file.
  */
 public final class CrookedGatherer {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /** How it is crooked. */
-    enum Way { SOUND, LEAVES_UNANSWERED, SENDS_AFTER_THE_ANSWER, RUNS_TWICE, IGNORES_DRAINS, LIES, CALLS_A_PART_WHOLE, SPENDS }
-
-    private record Server(String name, int cell, String host, int port) {
+    enum Way {
+        SOUND,
+        LEAVES_UNANSWERED,
+        SENDS_AFTER_THE_ANSWER,
+        RUNS_TWICE,
+        IGNORES_DRAINS,
+        LIES,
+        CALLS_A_PART_WHOLE,
+        SPENDS
     }
 
-    private record Reply(boolean hit, boolean maybeRan, String value) {
-    }
+    private record Server(String name, int cell, String host, int port) {}
+
+    private record Reply(boolean hit, boolean maybeRan, String value) {}
 
     private final Way way;
     private final JsonNode config;
@@ -54,14 +61,18 @@
             System.exit(7);
         }
         if (args[0].equals("WONT_END")) {
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-                while (true) {
-                    Thread.onSpinWait();
-                }
-            }));
+            Runtime.getRuntime()
+                    .addShutdownHook(
+                            new Thread(
+                                    () -> {
+                                        while (true) {
+                                            Thread.onSpinWait();
+                                        }
+                                    }));
         }
         if (args[0].equals("FLOODS_ITS_LOG")) {
-            // Before it says that it is ready, so that all of it but what the pipe holds has been read by then, however slowly.
+            // Before it says that it is ready, so that all of it but what the pipe holds has been
+            // read by then, however slowly.
             var line = "x".repeat(1 << 20);
             for (int i = 0; i < 80; i++) {
                 System.out.println(line);
@@ -72,14 +83,18 @@
             System.err.print("2026-12-01T10:00:00.000 SEV");
             System.err.println("ERE panic: out of luck");
         }
-        Way way = List.of("WONT_END", "FLOODS_ITS_LOG", "PANICS").contains(args[0]) ? Way.SOUND : Way.valueOf(args[0]);
+        Way way =
+                List.of("WONT_END", "FLOODS_ITS_LOG", "PANICS").contains(args[0])
+                        ? Way.SOUND
+                        : Way.valueOf(args[0]);
         new CrookedGatherer(way, JSON.readTree(Path.of(args[2]).toFile())).serve();
     }
 
     private void serve() throws IOException {
         listed(config.get("known"));
         String[] at = config.get("listen").asText().split(":");
-        HttpServer server = HttpServer.create(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 100);
+        HttpServer server =
+                HttpServer.create(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 100);
         server.setExecutor(Executors.newCachedThreadPool());
         server.createContext("/", this::answer);
         server.start();
@@ -96,7 +111,13 @@
             String[] at = entry.get("address").asText().split(":");
             String name = entry.get("name").asText();
             if (entry.get("status").asText().equals("active")) {
-                servers.put(name, new Server(name, entry.get("group").intValue(), at[0], Integer.parseInt(at[1])));
+                servers.put(
+                        name,
+                        new Server(
+                                name,
+                                entry.get("group").intValue(),
+                                at[0],
+                                Integer.parseInt(at[1])));
             } else if (way != Way.IGNORES_DRAINS) {
                 servers.remove(name);
             }
@@ -108,9 +129,17 @@
         long index = config.get("known").get("index").longValue();
         while (true) {
             try {
-                var call = HttpRequest.newBuilder(URI.create("http://" + config.get("discovery").asText()
-                        + "/discovery/hosts?wait_ms=10000&after=" + index)).build();
-                JsonNode news = JSON.readTree(client.send(call, HttpResponse.BodyHandlers.ofString()).body());
+                var call =
+                        HttpRequest.newBuilder(
+                                        URI.create(
+                                                "http://"
+                                                        + config.get("discovery").asText()
+                                                        + "/discovery/hosts?wait_ms=10000&after="
+                                                        + index))
+                                .build();
+                JsonNode news =
+                        JSON.readTree(
+                                client.send(call, HttpResponse.BodyHandlers.ofString()).body());
                 listed(news);
                 index = news.get("index").longValue();
             } catch (IOException | InterruptedException e) {
@@ -136,21 +165,39 @@
         boolean ran = false;
         for (JsonNode bucket : body.get("buckets")) {
             int segment = bucket.get("bucket").intValue();
-            List<Server> holders = servers.values().stream()
-                    .filter(server -> server.cell() == segment % config.at("/settings/familyInfo/sets").intValue())
-                    .sorted((one, other) -> one.name().compareTo(other.name())).toList();
+            List<Server> holders =
+                    servers.values().stream()
+                            .filter(
+                                    server ->
+                                            server.cell()
+                                                    == segment
+                                                            % config.at("/settings/familyInfo/sets")
+                                                                    .intValue())
+                            .sorted((one, other) -> one.name().compareTo(other.name()))
+                            .toList();
             if (holders.isEmpty()) {
                 continue;
             }
             Server first = holders.get(number % holders.size());
             Reply reply = call(first, id, segment, body.get("body").asText());
             ran |= reply.maybeRan();
-            boolean again = way == Way.RUNS_TWICE && type.equals("stamps") || way == Way.SPENDS && type.equals("offers");
+            boolean again =
+                    way == Way.RUNS_TWICE && type.equals("stamps")
+                            || way == Way.SPENDS && type.equals("offers");
             if (again && holders.size() > 1) {
-                call(holders.get((number + 1) % holders.size()), id, segment, body.get("body").asText());
+                call(
+                        holders.get((number + 1) % holders.size()),
+                        id,
+                        segment,
+                        body.get("body").asText());
             }
             if (reply.hit() && !(way == Way.CALLS_A_PART_WHOLE && found.size() == 3)) {
-                found.add(Map.of("bucket", segment, "item", way == Way.LIES ? "made up" : reply.value()));
+                found.add(
+                        Map.of(
+                                "bucket",
+                                segment,
+                                "item",
+                                way == Way.LIES ? "made up" : reply.value()));
             }
         }
         int parts = body.get("buckets").size();
@@ -160,7 +207,10 @@
         } else {
             send(exchange, ran && type.equals("stamps") ? 502 : 503, "no");
         }
-        if (way == Way.SENDS_AFTER_THE_ANSWER && whole && type.equals("offers") && !servers.isEmpty()) {
+        if (way == Way.SENDS_AFTER_THE_ANSWER
+                && whole
+                && type.equals("offers")
+                && !servers.isEmpty()) {
             pause();
             int segment = body.get("buckets").get(0).get("bucket").intValue();
             call(servers.values().iterator().next(), id, segment, body.get("body").asText());
@@ -188,8 +238,18 @@
         boolean written = false;
         try (var socket = new Socket(server.host(), server.port())) {
             socket.setSoTimeout(1000);
-            byte[] frame = ("A" + id + "." + segment + " " + segment + " d=1000 " + text.length() + "\n" + text)
-                    .getBytes(StandardCharsets.UTF_8);
+            byte[] frame =
+                    ("A"
+                                    + id
+                                    + "."
+                                    + segment
+                                    + " "
+                                    + segment
+                                    + " d=1000 "
+                                    + text.length()
+                                    + "\n"
+                                    + text)
+                            .getBytes(StandardCharsets.UTF_8);
             var out = new byte[4 + frame.length];
             for (int i = 0; i < 4; i++) {
                 out[i] = (byte) (frame.length >> 8 * i);
@@ -202,7 +262,10 @@
             in.readFully(answer);
             String line = new String(answer, StandardCharsets.UTF_8);
             String[] head = line.substring(0, line.indexOf('\n')).split(" ");
-            return new Reply(head[1].equals("hit"), !head[1].equals("overload"), line.substring(line.indexOf('\n') + 1));
+            return new Reply(
+                    head[1].equals("hit"),
+                    !head[1].equals("overload"),
+                    line.substring(line.indexOf('\n') + 1));
         } catch (IOException e) {
             return new Reply(false, written, "");
         }
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -24,23 +24,48 @@
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     private static List<String> words(List<FaultBoard.Change> changes) {
-        return changes.stream().map(change -> change.what().fault().name() + (change.begins() ? " begins" : " ends")).toList();
+        return changes.stream()
+                .map(
+                        change ->
+                                change.what().fault().name()
+                                        + (change.begins() ? " begins" : " ends"))
+                .toList();
     }
 
-    private static Plan.Befall when(String name, Fault.Trigger trigger, double after, double lasts) {
-        return new Plan.Befall(new Fault(name, Fault.Kind.PAUSE, List.of("g"), List.of(), 0, after, trigger, lasts, 0,
-                Fault.Mode.SILENT, false, List.of()), List.of("g"), List.of());
+    private static Plan.Befall when(
+            String name, Fault.Trigger trigger, double after, double lasts) {
+        return new Plan.Befall(
+                new Fault(
+                        name,
+                        Fault.Kind.PAUSE,
+                        List.of("g"),
+                        List.of(),
+                        0,
+                        after,
+                        trigger,
+                        lasts,
+                        0,
+                        Fault.Mode.SILENT,
+                        false,
+                        List.of()),
+                List.of("g"),
+                List.of());
     }
 
     @Test
     public void faultsBeginAndEndInTheOrderOfTheirTimesHoweverLateTheyAreLookedAt() {
-        var board = new FaultBoard(List.of(Scripts.befall(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
-                Scripts.befall(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
-                when("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
-                when("d", new Fault.Trigger("", "g", 3), 1, 1)));
+        var board =
+                new FaultBoard(
+                        List.of(
+                                Scripts.befall(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
+                                Scripts.befall(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
+                                when("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
+                                when("d", new Fault.Trigger("", "g", 3), 1, 1)));
         assertEquals(words(board.at(0.9)), List.of());
         assertEquals(board.nextS(), 1.0);
-        assertEquals(words(board.at(10)), List.of("a begins", "b begins", "c begins", "b ends", "a ends"));
+        assertEquals(
+                words(board.at(10)),
+                List.of("a begins", "b begins", "c begins", "b ends", "a ends"));
         assertTrue(board.counts());
         board.out(11, "h", 9);
         board.out(11, "g", 2);
@@ -56,9 +81,24 @@
         return new FaultBoard.Change(0, begins, fault);
     }
 
-    private static Plan.Befall link(Fault.Kind kind, double amount, Fault.Mode mode, boolean oneWay) {
-        return new Plan.Befall(new Fault(kind + " " + amount + mode, kind, List.of(), List.of(), 0, 0, null, 1, amount, mode, oneWay,
-                List.of()), List.of("g"), List.of("s"));
+    private static Plan.Befall link(
+            Fault.Kind kind, double amount, Fault.Mode mode, boolean oneWay) {
+        return new Plan.Befall(
+                new Fault(
+                        kind + " " + amount + mode,
+                        kind,
+                        List.of(),
+                        List.of(),
+                        0,
+                        0,
+                        null,
+                        1,
+                        amount,
+                        mode,
+                        oneWay,
+                        List.of()),
+                List.of("g"),
+                List.of("s"));
     }
 
     @Test
@@ -141,7 +181,10 @@
         assertTrue(shaper.broken());
     }
 
-    /** Against every pair of faults as the cause, in shuffled scripts: what is left is the cause and nothing else. */
+    /**
+     * Against every pair of faults as the cause, in shuffled scripts: what is left is the cause and
+     * nothing else.
+     */
     @Test
     public void shrinkingLeavesTheCauseAlone() throws IOException {
         var chance = new Random(5);
@@ -153,9 +196,16 @@
             Collections.shuffle(faults, chance);
             String one = "f" + chance.nextInt(8);
             String other = "f" + chance.nextInt(8);
-            var left = Shrinker.shrink(faults, with -> with.stream().anyMatch(fault -> fault.name().equals(one))
-                    && with.stream().anyMatch(fault -> fault.name().equals(other)));
-            assertEquals(left.stream().map(Fault::name).sorted().toList(), List.of(one, other).stream().distinct().sorted().toList());
+            var left =
+                    Shrinker.shrink(
+                            faults,
+                            with ->
+                                    with.stream().anyMatch(fault -> fault.name().equals(one))
+                                            && with.stream()
+                                                    .anyMatch(fault -> fault.name().equals(other)));
+            assertEquals(
+                    left.stream().map(Fault::name).sorted().toList(),
+                    List.of(one, other).stream().distinct().sorted().toList());
         }
     }
 
@@ -163,8 +213,10 @@
     public void aFaultThatAnotherWaitsForIsNotDroppedAlone() throws IOException {
         var cause = Scripts.fault("cause", Fault.Kind.FULL, 0, 1, 0);
         var effect = when("effect", new Fault.Trigger("cause", "", 0), 1, 1).fault();
-        var left = Shrinker.shrink(List.of(cause, effect),
-                with -> with.stream().anyMatch(fault -> fault.name().equals("effect")));
+        var left =
+                Shrinker.shrink(
+                        List.of(cause, effect),
+                        with -> with.stream().anyMatch(fault -> fault.name().equals("effect")));
         assertEquals(left, List.of(cause, effect));
     }
 }
--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -22,18 +22,40 @@
 
 /** A rig that is killed in the midst leaves nothing running, and two rigs don't meet. */
 public class GuardianTest {
-    /** A rig of its own: plays a long run in which its gatherer is paused, so that it can't end by itself. */
+    /**
+     * A rig of its own: plays a long run in which its gatherer is paused, so that it can't end by
+     * itself.
+     */
     public static final class Rig {
-        private Rig() {
-        }
+        private Rig() {}
 
         public static void main(String[] args) throws IOException {
-            var pause = new Fault("pause", Fault.Kind.PAUSE, List.of("gatherers"), List.of(), 0, 0.2, null, 100, 0,
-                    Fault.Mode.SILENT, false, List.of());
+            var pause =
+                    new Fault(
+                            "pause",
+                            Fault.Kind.PAUSE,
+                            List.of("gatherers"),
+                            List.of(),
+                            0,
+                            0.2,
+                            null,
+                            100,
+                            0,
+                            Fault.Mode.SILENT,
+                            false,
+                            List.of());
             Script script = Scripts.calm(100, pause);
-            var home = new Home(Path.of("").toAbsolutePath(), List.of(
-                    Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-cp",
-                    System.getProperty("java.class.path"), "sprucehold.rig.CrookedGatherer", "SOUND"));
+            var home =
+                    new Home(
+                            Path.of("").toAbsolutePath(),
+                            List.of(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "sprucehold.rig.CrookedGatherer",
+                                    "SOUND"));
             Run.play(script, 1, home, RunFolder.make(Path.of(args[0])), System.out::println);
         }
     }
@@ -41,9 +63,15 @@
     @Test
     public void nothingIsLeftRunningOfARigThatIsKilled() throws Exception {
         Path folder = Files.createTempDirectory("rig");
-        Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "sprucehold.rig.GuardianTest$Rig", folder.toString())
-                .redirectErrorStream(true).start();
+        Process rig =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "sprucehold.rig.GuardianTest$Rig",
+                                folder.toString())
+                        .redirectErrorStream(true)
+                        .start();
         try (var lines = new BufferedReader(new InputStreamReader(rig.getInputStream()))) {
             String line = lines.readLine();
             while (line != null && !line.contains("pause begins")) {
@@ -65,7 +93,8 @@
 
     @Test
     public void twoRigsHaveAddressesOfTheirOwn() throws IOException {
-        try (var one = Addresses.claim(); var other = Addresses.claim()) {
+        try (var one = Addresses.claim();
+                var other = Addresses.claim()) {
             assertNotEquals(one.gatherer(0), other.gatherer(0));
         }
     }
--- a/rig/src/test/java/sprucehold/rig/ModelsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ModelsTest.java
@@ -25,7 +25,8 @@
     private static final Object LINK = new Object();
 
     private static ServerModel.Arrival part(int number, String gatherer, String type) {
-        return new ServerModel.Arrival(LINK, gatherer, "s" + number + ".1", "s" + number, 1, type, 1000);
+        return new ServerModel.Arrival(
+                LINK, gatherer, "s" + number + ".1", "s" + number, 1, type, 1000);
     }
 
     private static ServerModel model(double startedMs) {
@@ -42,7 +43,9 @@
     }
 
     private static long hits(List<Act> acts) {
-        return acts.stream().filter(act -> act instanceof Act.Reply reply && reply.end().equals("hit")).count();
+        return acts.stream()
+                .filter(act -> act instanceof Act.Reply reply && reply.end().equals("hit"))
+                .count();
     }
 
     @Test
@@ -95,9 +98,24 @@
         assertTrue(warm.held() > 0);
     }
 
-    private static Plan.Befall fault(Fault.Kind kind, double amount, List<String> types, String... to) {
-        return new Plan.Befall(new Fault("f", kind, List.of(), List.of(), 0, 0, null, 1, amount, Fault.Mode.SILENT, false, types),
-                List.of("s-a-0-0"), List.of(to));
+    private static Plan.Befall fault(
+            Fault.Kind kind, double amount, List<String> types, String... to) {
+        return new Plan.Befall(
+                new Fault(
+                        "f",
+                        kind,
+                        List.of(),
+                        List.of(),
+                        0,
+                        0,
+                        null,
+                        1,
+                        amount,
+                        Fault.Mode.SILENT,
+                        false,
+                        types),
+                List.of("s-a-0-0"),
+                List.of(to));
     }
 
     @Test
@@ -117,12 +135,15 @@
         assertEquals(hits(model.change(9000, false, stall)), 0);
         assertEquals(hits(until(model, 1e6)), 1);
         model.change(1e6, true, fault(Fault.Kind.DRAIN, 0, List.of()));
-        assertEquals(((Act.Reply) model.arrives(1e6, part(5, "a-0", "offers")).get(0)).end(), "overload");
+        assertEquals(
+                ((Act.Reply) model.arrives(1e6, part(5, "a-0", "offers")).get(0)).end(),
+                "overload");
         var lost = model(0);
         lost.change(0, true, fault(Fault.Kind.LOSE_ANSWERS, 1, List.of()));
         lost.arrives(0, part(6, "a-0", "offers"));
         var acts = until(lost, 1e6);
-        assertTrue(acts.get(0) instanceof Act.Ran && acts.get(1) instanceof Act.Lost, acts.toString());
+        assertTrue(
+                acts.get(0) instanceof Act.Ran && acts.get(1) instanceof Act.Lost, acts.toString());
     }
 
     private static ServerList.Entry entry(String name, ServerList.Status status, int life) {
@@ -130,13 +151,31 @@
     }
 
     private static Plan.Befall list(Fault.Kind kind, double amount, String... hidden) {
-        return new Plan.Befall(new Fault("f", kind, List.of(), List.of(), 0, 0, null, 1, amount, Fault.Mode.SILENT, false, List.of()),
-                List.of("g"), List.of(hidden));
+        return new Plan.Befall(
+                new Fault(
+                        "f",
+                        kind,
+                        List.of(),
+                        List.of(),
+                        0,
+                        0,
+                        null,
+                        1,
+                        amount,
+                        Fault.Mode.SILENT,
+                        false,
+                        List.of()),
+                List.of("g"),
+                List.of(hidden));
     }
 
     @Test
     public void agentsTellTheListLateWronglyBackwardsOrNotAtAll() {
-        var list = new ServerList(List.of(entry("x", ServerList.Status.ACTIVE, 0), entry("y", ServerList.Status.ACTIVE, 0)));
+        var list =
+                new ServerList(
+                        List.of(
+                                entry("x", ServerList.Status.ACTIVE, 0),
+                                entry("y", ServerList.Status.ACTIVE, 0)));
         var agent = new Agent(list);
         assertEquals(agent.ask(1, -1, false).entries().size(), 2);
         assertNull(agent.ask(1, 1, false));
@@ -145,12 +184,20 @@
         agent.change(true, late);
         list.change(100, entry("x", ServerList.Status.LEAVING, 0));
         assertNull(agent.ask(599, 1, false));
-        assertEquals(agent.ask(600, 1, false), new Agent.News(2, false, List.of(entry("x", ServerList.Status.LEAVING, 0))));
+        assertEquals(
+                agent.ask(600, 1, false),
+                new Agent.News(2, false, List.of(entry("x", ServerList.Status.LEAVING, 0))));
         agent.change(false, late);
         var back = list(Fault.Kind.LIST_BACK, 0);
         agent.change(true, back);
-        assertEquals(agent.ask(700, 2, false), new Agent.News(1, true, List.of(entry("x", ServerList.Status.ACTIVE, 0),
-                entry("y", ServerList.Status.ACTIVE, 0))));
+        assertEquals(
+                agent.ask(700, 2, false),
+                new Agent.News(
+                        1,
+                        true,
+                        List.of(
+                                entry("x", ServerList.Status.ACTIVE, 0),
+                                entry("y", ServerList.Status.ACTIVE, 0))));
         agent.change(false, back);
         assertEquals(agent.ask(800, 1, false).index(), 2);
         var hides = list(Fault.Kind.LIST_HIDES, 0, "y");
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -28,7 +28,10 @@
 import sprucehold.rig.link.Wires;
 import sprucehold.rig.script.Fault;
 
-/** What stands between two gatherers: a connection and datagrams, relayed on real sockets, with the faults of their link. */
+/**
+ * What stands between two gatherers: a connection and datagrams, relayed on real sockets, with the
+ * faults of their link.
+ */
 public class RelayTest {
     private static final String HERE = "127.0.0.1";
     private static final int WITHIN_S = 20;
@@ -49,14 +52,31 @@
     }
 
     /** Runs on the event loop, where all of a rig runs. */
-    private <T> T on(Supplier<Future<T>> what) throws ExecutionException, InterruptedException, TimeoutException {
+    private <T> T on(Supplier<Future<T>> what)
+            throws ExecutionException, InterruptedException, TimeoutException {
         Promise<T> done = Promise.promise();
         vertx.runOnContext(none -> what.get().onComplete(done));
-        return done.future().toCompletionStage().toCompletableFuture().get(WITHIN_S, TimeUnit.SECONDS);
+        return done.future()
+                .toCompletionStage()
+                .toCompletableFuture()
+                .get(WITHIN_S, TimeUnit.SECONDS);
     }
 
     private Future<Void> fault(boolean begins, Fault.Kind kind, double amount, Fault.Mode mode) {
-        var fault = new Fault("fault", kind, List.of("a"), List.of("b"), 0, 0, null, 1, amount, mode, false, List.of());
+        var fault =
+                new Fault(
+                        "fault",
+                        kind,
+                        List.of("a"),
+                        List.of("b"),
+                        0,
+                        0,
+                        null,
+                        1,
+                        amount,
+                        mode,
+                        false,
+                        List.of());
         wires.change(new FaultBoard.Change(0, begins, Scripts.befall(fault, "a", "b")));
         return Future.succeededFuture();
     }
@@ -71,11 +91,12 @@
 
         End(NetSocket socket) {
             this.socket = socket;
-            socket.handler(bytes -> {
-                came.appendBuffer(bytes);
-                look();
-            });
-            socket.exceptionHandler(failure -> { });
+            socket.handler(
+                    bytes -> {
+                        came.appendBuffer(bytes);
+                        look();
+                    });
+            socket.exceptionHandler(failure -> {});
             socket.closeHandler(none -> over.tryComplete());
         }
 
@@ -93,15 +114,15 @@
         }
     }
 
-    private record Pair(End near, End far) {
-    }
+    private record Pair(End near, End far) {}
 
     /** a's connection to b, through a relay. */
     private Pair pair() throws ExecutionException, InterruptedException, TimeoutException {
         return pair("a", "b");
     }
 
-    private Pair pair(String from, String to) throws ExecutionException, InterruptedException, TimeoutException {
+    private Pair pair(String from, String to)
+            throws ExecutionException, InterruptedException, TimeoutException {
         Promise<End> far = Promise.promise();
         End near = on(() -> dial(from, to, socket -> far.complete(new End(socket))).map(End::new));
         return new Pair(near, on(far::future));
@@ -109,9 +130,19 @@
 
     /** Dials a relay from one to another; the far end goes to {@code reached}. */
     private Future<NetSocket> dial(String from, String to, Handler<NetSocket> reached) {
-        return vertx.createNetServer().connectHandler(reached).listen(0, HERE)
-                .compose(server -> new TcpRelay(vertx, wires, from, to,
-                        SocketAddress.inetSocketAddress(server.actualPort(), HERE)).listen(HERE, 0))
+        return vertx.createNetServer()
+                .connectHandler(reached)
+                .listen(0, HERE)
+                .compose(
+                        server ->
+                                new TcpRelay(
+                                                vertx,
+                                                wires,
+                                                from,
+                                                to,
+                                                SocketAddress.inetSocketAddress(
+                                                        server.actualPort(), HERE))
+                                        .listen(HERE, 0))
                 .compose(port -> vertx.createNetClient().connect(port, HERE));
     }
 
@@ -119,14 +150,15 @@
     public void bytesComeInOrderBothWaysAndAnEndComesAfterThem() throws Exception {
         Pair pair = pair();
         var sent = new StringBuilder();
-        on(() -> {
-            for (int i = 0; i < 500; i++) {
-                sent.append(i).append(' ');
-                pair.near.socket.write(i + " ");
-                pair.far.socket.write(i + " ");
-            }
-            return pair.near.bytes(sent.length());
-        });
+        on(
+                () -> {
+                    for (int i = 0; i < 500; i++) {
+                        sent.append(i).append(' ');
+                        pair.near.socket.write(i + " ");
+                        pair.far.socket.write(i + " ");
+                    }
+                    return pair.near.bytes(sent.length());
+                });
         assertEquals(pair.near.came.toString(), sent.toString());
         on(() -> pair.near.socket.end());
         assertEquals(on(() -> pair.far.bytes(sent.length())), sent.toString());
@@ -157,8 +189,9 @@
     }
 
     @Test(dataProvider = "ends")
-    public void aConnectionThatAFaultEndsIsOverAtBothEnds(String what, Fault.Kind kind, double amount, Fault.Mode mode,
-            int passes) throws Exception {
+    public void aConnectionThatAFaultEndsIsOverAtBothEnds(
+            String what, Fault.Kind kind, double amount, Fault.Mode mode, int passes)
+            throws Exception {
         Pair pair = pair();
         on(() -> fault(true, kind, amount, mode));
         on(() -> pair.near.socket.write("0123456789").otherwiseEmpty());
@@ -197,19 +230,23 @@
     }
 
     @Test(dataProvider = "datagrams")
-    public void datagramsMeetTheFaultsOfTheirLink(String what, Fault.Kind kind, double amount, List<String> expected)
-            throws Exception {
+    public void datagramsMeetTheFaultsOfTheirLink(
+            String what, Fault.Kind kind, double amount, List<String> expected) throws Exception {
         var came = new ArrayList<String>();
         Promise<Void> end = Promise.promise();
         DatagramSocket target = vertx.createDatagramSocket();
         DatagramSocket sender = vertx.createDatagramSocket();
-        on(() -> target.handler(packet -> {
-            if (packet.data().toString().equals("end")) {
-                end.tryComplete();
-            } else {
-                came.add(packet.data().toString());
-            }
-        }).listen(0, HERE));
+        on(
+                () ->
+                        target.handler(
+                                        packet -> {
+                                            if (packet.data().toString().equals("end")) {
+                                                end.tryComplete();
+                                            } else {
+                                                came.add(packet.data().toString());
+                                            }
+                                        })
+                                .listen(0, HERE));
         int at = target.localAddress().port();
         var relay = new DatagramRelay(vertx, wires, "a", "b", HERE, at);
         int port = on(() -> relay.listen(HERE, 0));
@@ -228,7 +265,8 @@
     }
 
     private Future<Void> hasRead(DatagramRelay relay, long count) {
-        return relay.read() >= count ? Future.succeededFuture()
+        return relay.read() >= count
+                ? Future.succeededFuture()
                 : vertx.timer(1).compose(waited -> hasRead(relay, count));
     }
 }
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -48,37 +48,97 @@
 
     private Verdict play(Script script, Home home) throws IOException {
         Verdict verdict = null;
-        for (int i = 0; i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED); i++) {
+        for (int i = 0;
+                i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED);
+                i++) {
             last = folder.resolve("run-" + i);
-            verdict = Run.play(script, 3, home, RunFolder.make(last), line -> { });
+            verdict = Run.play(script, 3, home, RunFolder.make(last), line -> {});
         }
         return verdict;
     }
 
     private static Home crooked(String way) {
-        return new Home(Path.of("").toAbsolutePath(), List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "sprucehold.rig.CrookedGatherer", way));
-    }
-
-    /** One site, one gatherer, a server that drains; a budget so small that one more dispatch in ten breaks it. */
+        return new Home(
+                Path.of("").toAbsolutePath(),
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "sprucehold.rig.CrookedGatherer",
+                        way));
+    }
+
+    /**
+     * One site, one gatherer, a server that drains; a budget so small that one more dispatch in ten
+     * breaks it.
+     */
     private static Script small(boolean budget, Fault... faults) {
         Script calm = Scripts.calm(2);
-        return new Script("small", 2, List.of(new Script.Site("a", 1, 2)), 12, 2, calm.tableTypes(), calm.customers(),
-                calm.servers(), calm.limits(), new Deployment.ColdRule(0.2, 5000, 0.02, 1000),
-                budget ? new Deployment.DispatchBudget(1, 0.1, 1000) : Deployment.DispatchBudget.NONE, 500,
-                calm.load().stream().filter(load -> load.site().equals("a")).map(load -> new Script.Load("a",
-                        load.customer(), load.tableType(), 10, load.parts(), 0, List.of(), 0, 100, Double.POSITIVE_INFINITY))
-                        .toList(), List.of(faults), new Script.Bands(0));
+        return new Script(
+                "small",
+                2,
+                List.of(new Script.Site("a", 1, 2)),
+                12,
+                2,
+                calm.tableTypes(),
+                calm.customers(),
+                calm.servers(),
+                calm.limits(),
+                new Deployment.ColdRule(0.2, 5000, 0.02, 1000),
+                budget
+                        ? new Deployment.DispatchBudget(1, 0.1, 1000)
+                        : Deployment.DispatchBudget.NONE,
+                500,
+                calm.load().stream()
+                        .filter(load -> load.site().equals("a"))
+                        .map(
+                                load ->
+                                        new Script.Load(
+                                                "a",
+                                                load.customer(),
+                                                load.tableType(),
+                                                10,
+                                                load.parts(),
+                                                0,
+                                                List.of(),
+                                                0,
+                                                100,
+                                                Double.POSITIVE_INFINITY))
+                        .toList(),
+                List.of(faults),
+                new Script.Bands(0));
     }
 
     private static Fault drain() {
-        return new Fault("drain", Fault.Kind.DRAIN, List.of("s-a-0-0"), List.of(), 0, 0.5, null, Double.POSITIVE_INFINITY, 0,
-                Fault.Mode.SILENT, false, List.of());
+        return new Fault(
+                "drain",
+                Fault.Kind.DRAIN,
+                List.of("s-a-0-0"),
+                List.of(),
+                0,
+                0.5,
+                null,
+                Double.POSITIVE_INFINITY,
+                0,
+                Fault.Mode.SILENT,
+                false,
+                List.of());
     }
 
     private static Fault die() {
-        return new Fault("die", Fault.Kind.DIE, List.of("s-a-0-0"), List.of(), 0, 0.2, null, 0.5, 0, Fault.Mode.SILENT, false,
+        return new Fault(
+                "die",
+                Fault.Kind.DIE,
+                List.of("s-a-0-0"),
+                List.of(),
+                0,
+                0.2,
+                null,
+                0.5,
+                0,
+                Fault.Mode.SILENT,
+                false,
                 List.of());
     }
 
@@ -98,16 +158,25 @@
     }
 
     @Test(dataProvider = "ways")
-    public void aRuleBrokenOnPurposeIsFoundAndNothingElse(String way, Script script, Set<String> rules) throws IOException {
+    public void aRuleBrokenOnPurposeIsFoundAndNothingElse(
+            String way, Script script, Set<String> rules) throws IOException {
         Verdict verdict = play(script, crooked(way));
-        assertEquals(verdict.why().stream().map(why -> why.split(" ")[0]).collect(Collectors.toCollection(TreeSet::new)),
-                new TreeSet<>(rules), verdict.why().toString());
-        assertTrue(verdict.figures().scans() > 30, "too few scans to prove anything: " + verdict.figures());
+        assertEquals(
+                verdict.why().stream()
+                        .map(why -> why.split(" ")[0])
+                        .collect(Collectors.toCollection(TreeSet::new)),
+                new TreeSet<>(rules),
+                verdict.why().toString());
+        assertTrue(
+                verdict.figures().scans() > 30,
+                "too few scans to prove anything: " + verdict.figures());
     }
 
     @DataProvider
     Object[][] scripts() {
-        return new Object[][] {{"calm"}, {"one-killed"}, {"site-cut"}, {"grey"}, {"deaf"}, {"restarts-among-hanging"}};
+        return new Object[][] {
+            {"calm"}, {"one-killed"}, {"site-cut"}, {"grey"}, {"deaf"}, {"restarts-among-hanging"}
+        };
     }
 
     @Test(dataProvider = "scripts")
@@ -118,27 +187,41 @@
         var run = new RunFolder(last);
         assertEquals(run.judge(), verdict, "the kept ledgers are judged as the run was");
         String page = RunPage.html(script, run.kept(), verdict);
-        assertTrue(page.contains("<svg") && script.faults().stream().allMatch(fault -> page.contains(fault.name())), name);
+        assertTrue(
+                page.contains("<svg")
+                        && script.faults().stream().allMatch(fault -> page.contains(fault.name())),
+                name);
     }
 
-    /** Gatherers stand still for 0.15 s and more, again and again, while clients leave after 40 ms: a hold-up excuses nothing. */
+    /**
+     * Gatherers stand still for 0.15 s and more, again and again, while clients leave after 40 ms:
+     * a hold-up excuses nothing.
+     */
     @Test
-    public void theShippedProgramKeepsTheRulesWhereItIsHeldUpAmongClientsThatLeave() throws IOException {
+    public void theShippedProgramKeepsTheRulesWhereItIsHeldUpAmongClientsThatLeave()
+            throws IOException {
         Verdict verdict = play(Scripts.shipped("held-up-among-leaving"), Home.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
     }
 
     @Test
     public void aProgramThatWontStartIsOneErrorWithItsLastWords() {
-        String message = expectThrows(IOException.class, () -> play(small(false), crooked("WONT_START"))).getMessage();
-        assertTrue(message.contains("a-0 ended with exit code 7 before it was ready: out of luck"), message);
+        String message =
+                expectThrows(IOException.class, () -> play(small(false), crooked("WONT_START")))
+                        .getMessage();
+        assertTrue(
+                message.contains("a-0 ended with exit code 7 before it was ready: out of luck"),
+                message);
     }
 
     @Test
     public void aProgramThatWontEndIsKilledAndTold() throws IOException {
         Verdict verdict = play(small(false), crooked("WONT_END"));
         assertEquals(verdict.kind(), Verdict.Kind.BROKEN);
-        assertTrue(verdict.why().get(0).contains("a-0 did not end within 12 s of SIGTERM and was killed"),
+        assertTrue(
+                verdict.why()
+                        .get(0)
+                        .contains("a-0 did not end within 12 s of SIGTERM and was killed"),
                 verdict.why().toString());
         assertTrue(ProcessHandle.current().children().noneMatch(ProcessHandle::isAlive));
     }
@@ -146,13 +229,17 @@
     @Test
     public void aProgramThatFloodsItsLogGoesOnAndIsTold() throws IOException {
         Verdict verdict = play(small(false), crooked("FLOODS_ITS_LOG"));
-        assertTrue(verdict.why().contains("a-0 flooded its log") && verdict.why().size() == 1, verdict.why().toString());
+        assertTrue(
+                verdict.why().contains("a-0 flooded its log") && verdict.why().size() == 1,
+                verdict.why().toString());
     }
 
     @Test
     public void aPanicInAGatherersLogBreaksARunThatKeptAllRules() throws IOException {
         Verdict verdict = play(small(false), crooked("PANICS"));
-        assertEquals(verdict.why(), List.of("a-0 logged: 2026-12-01T10:00:00.000 SEVERE panic: out of luck"));
+        assertEquals(
+                verdict.why(),
+                List.of("a-0 logged: 2026-12-01T10:00:00.000 SEVERE panic: out of luck"));
         assertEquals(verdict.kind(), Verdict.Kind.BROKEN);
     }
 }
--- a/rig/src/test/java/sprucehold/rig/ScriptTest.java
+++ b/rig/src/test/java/sprucehold/rig/ScriptTest.java
@@ -24,7 +24,9 @@
 public class ScriptTest {
     @DataProvider
     Object[][] shipped() {
-        return ScriptReader.SHIPPED.stream().map(name -> new Object[] {name}).toArray(Object[][]::new);
+        return ScriptReader.SHIPPED.stream()
+                .map(name -> new Object[] {name})
+                .toArray(Object[][]::new);
     }
 
     private static Script read(String json) throws IOException {
@@ -53,18 +55,44 @@
     Object[][] wrong() {
         return new Object[][] {
             {"not JSON", "{\n\"name\": }", "line 2: not JSON"},
-            {"a name that stands twice", "{\"name\":\"a\",\"name\":\"b\"}", "Duplicate field 'name'"},
+            {
+                "a name that stands twice",
+                "{\"name\":\"a\",\"name\":\"b\"}",
+                "Duplicate field 'name'"
+            },
             {"an unknown field", with("\"lengthS\"", "\"length\" : 3,\n \"lengthS\""), "'length'"},
             {"an unknown kind", with("\"list-silent\"", "\"deafness\""), "faults[0].kind"},
-            {"a time past the end", with("\"atS\" : 2.0", "\"atS\" : 200.0"), "faults[0].atS: 200.0 s is past the end at 10.0 s"},
+            {
+                "a time past the end",
+                with("\"atS\" : 2.0", "\"atS\" : 200.0"),
+                "faults[0].atS: 200.0 s is past the end at 10.0 s"
+            },
             {"nobody", with("\"a-0\"", "\"a-7\""), "faults[0].of: nobody is meant by a-7"},
-            {"the wrong party", with("\"a-0\"", "\"s-a-0-0\""), "faults[0].of: s-a-0-0, gatherers were expected"},
-            {"an amount without use", with("\"amount\" : 0.0", "\"amount\" : 7.0"),
-                "faults[0].amount: 7.0, for list-silent none was expected"},
-            {"an unknown site", with("\"site\" : \"a\"", "\"site\" : \"q\""), "load[0].site: no site with gatherers is called q"},
-            {"an unknown table type", with("\"tableType\" : \"stamps\"", "\"tableType\" : \"stamp\""),
-                "tableType: none is called stamp"},
-            {"more parts than segments", with("\"parts\" : 6", "\"parts\" : 60"), "parts: 60, at most as many as segments (24)"},
+            {
+                "the wrong party",
+                with("\"a-0\"", "\"s-a-0-0\""),
+                "faults[0].of: s-a-0-0, gatherers were expected"
+            },
+            {
+                "an amount without use",
+                with("\"amount\" : 0.0", "\"amount\" : 7.0"),
+                "faults[0].amount: 7.0, for list-silent none was expected"
+            },
+            {
+                "an unknown site",
+                with("\"site\" : \"a\"", "\"site\" : \"q\""),
+                "load[0].site: no site with gatherers is called q"
+            },
+            {
+                "an unknown table type",
+                with("\"tableType\" : \"stamps\"", "\"tableType\" : \"stamp\""),
+                "tableType: none is called stamp"
+            },
+            {
+                "more parts than segments",
+                with("\"parts\" : 6", "\"parts\" : 60"),
+                "parts: 60, at most as many as segments (24)"
+            },
         };
     }
 
@@ -78,21 +106,36 @@
     @Test
     public void aLoopOfTriggersIsFoundHoweverLong() {
         var faults = List.of(after("a", "c"), after("b", "a"), after("c", "b"));
-        String message = expectThrows(IOException.class,
-                () -> read(ScriptWriter.json(Scripts.calm(5).with(faults)))).getMessage();
+        String message =
+                expectThrows(
+                                IOException.class,
+                                () -> read(ScriptWriter.json(Scripts.calm(5).with(faults))))
+                        .getMessage();
         assertTrue(message.contains("faults[0].when: a loop of triggers"), message);
     }
 
     private static Fault after(String name, String before) {
-        return new Fault(name, Fault.Kind.PAUSE, List.of("a-0"), List.of(), 0, 0.1, new Fault.Trigger(before, "", 0), 0.2, 0,
-                Fault.Mode.SILENT, false, List.of());
+        return new Fault(
+                name,
+                Fault.Kind.PAUSE,
+                List.of("a-0"),
+                List.of(),
+                0,
+                0.1,
+                new Fault.Trigger(before, "", 0),
+                0.2,
+                0,
+                Fault.Mode.SILENT,
+                false,
+                List.of());
     }
 
     @Test(dataProvider = "shipped")
     public void sameSeedSamePlanToTheByte(String name) {
         Script script = Scripts.shipped(name);
         assertEquals(Planner.json(Planner.plan(script, 7)), Planner.json(Planner.plan(script, 7)));
-        assertNotEquals(Planner.json(Planner.plan(script, 7)), Planner.json(Planner.plan(script, 8)));
+        assertNotEquals(
+                Planner.json(Planner.plan(script, 7)), Planner.json(Planner.plan(script, 8)));
     }
 
     @Test
@@ -108,11 +151,35 @@
     public void arrivalsComeAtTheirRatesAndRampsHold() {
         Script calm = Scripts.calm(200);
         var load = calm.load().get(0);
-        var ramped = new Script.Load(load.site(), load.customer(), load.tableType(), 10, load.parts(), load.popular(),
-                List.of(new Script.Ramp(100, 40)), 0, 100, 500);
-        Script script = new Script("ramp", 200, calm.sites(), calm.segments(), calm.cells(), calm.tableTypes(),
-                calm.customers(), calm.servers(), calm.limits(), calm.coldRule(), calm.budget(), 0, List.of(ramped), List.of(),
-                calm.bands());
+        var ramped =
+                new Script.Load(
+                        load.site(),
+                        load.customer(),
+                        load.tableType(),
+                        10,
+                        load.parts(),
+                        load.popular(),
+                        List.of(new Script.Ramp(100, 40)),
+                        0,
+                        100,
+                        500);
+        Script script =
+                new Script(
+                        "ramp",
+                        200,
+                        calm.sites(),
+                        calm.segments(),
+                        calm.cells(),
+                        calm.tableTypes(),
+                        calm.customers(),
+                        calm.servers(),
+                        calm.limits(),
+                        calm.coldRule(),
+                        calm.budget(),
+                        0,
+                        List.of(ramped),
+                        List.of(),
+                        calm.bands());
         var asks = Planner.plan(script, 11).asks();
         long before = asks.stream().filter(ask -> ask.atMs() < 100_000).count();
         // Poisson with means 1,000 and 4,000: five standard deviations.
--- a/rig/src/test/java/sprucehold/rig/Scripts.java
+++ b/rig/src/test/java/sprucehold/rig/Scripts.java
@@ -11,8 +11,7 @@
 
 /** Scripts and faults for tests. */
 final class Scripts {
-    private Scripts() {
-    }
+    private Scripts() {}
 
     static Script shipped(String name) {
         try {
@@ -23,7 +22,19 @@
     }
 
     static Fault fault(String name, Fault.Kind kind, double atS, double forS, double amount) {
-        return new Fault(name, kind, List.of("x"), List.of(), 0, atS, null, forS, amount, Fault.Mode.SILENT, false, List.of());
+        return new Fault(
+                name,
+                kind,
+                List.of("x"),
+                List.of(),
+                0,
+                atS,
+                null,
+                forS,
+                amount,
+                Fault.Mode.SILENT,
+                false,
+                List.of());
     }
 
     static Plan.Befall befall(Fault fault, String of, String... to) {
@@ -33,16 +44,42 @@
     /** The calm script with another length and other faults, so that a test is short. */
     static Script calm(double lengthS, Fault... faults) {
         Script calm = shipped("calm");
-        return new Script(calm.name(), lengthS, calm.sites(), calm.segments(), calm.cells(), calm.tableTypes(),
-                calm.customers(), calm.servers(), calm.limits(), calm.coldRule(), calm.budget(), calm.frontLearnsMs(),
-                calm.load(), List.of(faults), new Script.Bands(0));
+        return new Script(
+                calm.name(),
+                lengthS,
+                calm.sites(),
+                calm.segments(),
+                calm.cells(),
+                calm.tableTypes(),
+                calm.customers(),
+                calm.servers(),
+                calm.limits(),
+                calm.coldRule(),
+                calm.budget(),
+                calm.frontLearnsMs(),
+                calm.load(),
+                List.of(faults),
+                new Script.Bands(0));
     }
 
     /** The calm script with another multiple at which a cold server falls over. */
     static Script cold(double multiple) {
         Script calm = calm(10);
-        return new Script(calm.name(), 10, calm.sites(), calm.segments(), calm.cells(), calm.tableTypes(), calm.customers(),
-                calm.servers(), calm.limits(), new Deployment.ColdRule(0.2, 5000, multiple, 1000), calm.budget(),
-                calm.frontLearnsMs(), calm.load(), List.of(), calm.bands());
+        return new Script(
+                calm.name(),
+                10,
+                calm.sites(),
+                calm.segments(),
+                calm.cells(),
+                calm.tableTypes(),
+                calm.customers(),
+                calm.servers(),
+                calm.limits(),
+                new Deployment.ColdRule(0.2, 5000, multiple, 1000),
+                calm.budget(),
+                calm.frontLearnsMs(),
+                calm.load(),
+                List.of(),
+                calm.bands());
     }
 }
--- a/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
+++ b/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
@@ -22,7 +22,10 @@
 import sprucehold.rig.verdict.Verdict;
 import sprucehold.standin.ledger.Seen;
 
-/** Gatherers that talk, as processes: six of them, answers lost, servers that come back cold, and trouble between them. */
+/**
+ * Gatherers that talk, as processes: six of them, answers lost, servers that come back cold, and
+ * trouble between them.
+ */
 public class TogetherRunTest {
     private static final int TRIES = 3;
 
@@ -46,9 +49,11 @@
     private void play(String name) throws IOException {
         Script script = Scripts.shipped(name);
         Verdict verdict = null;
-        for (int i = 0; i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED); i++) {
+        for (int i = 0;
+                i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED);
+                i++) {
             last = RunFolder.make(folder.resolve("run-" + i));
-            verdict = Run.play(script, 3, Home.find(), last, line -> { });
+            verdict = Run.play(script, 3, Home.find(), last, line -> {});
         }
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, name + ": " + verdict.why());
     }
@@ -60,7 +65,8 @@
         var most = new TreeMap<String, Integer>();
         for (Seen seen : last.seen()) {
             if (seen instanceof Seen.Arrived one && !first.add(one.scan() + " " + one.segment())) {
-                ArrayDeque<Double> at = further.computeIfAbsent(one.gatherer(), none -> new ArrayDeque<>());
+                ArrayDeque<Double> at =
+                        further.computeIfAbsent(one.gatherer(), none -> new ArrayDeque<>());
                 at.add(one.atMs());
                 while (at.peek() <= one.atMs() - 800) {
                     at.poll();
@@ -83,8 +89,14 @@
     public void gatherersFindEachOtherAndTheBusyUseWhatTheOthersLend() throws IOException {
         play("together");
         for (String one : List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1")) {
-            assertEquals(log(one).stream().filter(line -> line.endsWith(" is there")).map(line -> line.split(" ")[3]).distinct().count(),
-                    5L, one);
+            assertEquals(
+                    log(one).stream()
+                            .filter(line -> line.endsWith(" is there"))
+                            .map(line -> line.split(" ")[3])
+                            .distinct()
+                            .count(),
+                    5L,
+                    one);
         }
         // Alone each could make two in a second, for good.
         Map<String, Integer> most = fullest();
@@ -101,7 +113,8 @@
     }
 
     @Test(dataProvider = "troubles")
-    public void boundsHoldInTroubleAndItIsTold(String script, String whose, String words) throws IOException {
+    public void boundsHoldInTroubleAndItIsTold(String script, String whose, String words)
+            throws IOException {
         play(script);
         assertTrue(says(whose, words), String.join("\n", log(whose)));
     }
--- a/rig/src/test/java/sprucehold/rig/VerdictTest.java
+++ b/rig/src/test/java/sprucehold/rig/VerdictTest.java
@@ -24,10 +24,12 @@
 /** Ledgers, kept and judged. */
 public class VerdictTest {
     private static final Figures.Self IN_TIME = new Figures.Self(1, 5, 0.5, 80, 0.1, 0);
-    private static final Seen.Asked ASKED = new Seen.Asked(100, "a-0", "s", "stamps", 1500, Map.of(1, 1.0));
+    private static final Seen.Asked ASKED =
+            new Seen.Asked(100, "a-0", "s", "stamps", 1500, Map.of(1, 1.0));
     private static final Seen.Arrived ARRIVED = new Seen.Arrived(110, "a-0", "x", "s", 1, 500);
     private static final Seen.Ran RAN = new Seen.Ran(120, "x", "s", 1, "v");
-    private static final Seen.Answered ANSWERED = new Seen.Answered(130, "s", Seen.Answer.COMPLETED, true, Map.of(1, "v"));
+    private static final Seen.Answered ANSWERED =
+            new Seen.Answered(130, "s", Seen.Answer.COMPLETED, true, Map.of(1, "v"));
 
     private static Seen.HeldUp held(double from, double to, boolean killed) {
         return new Seen.HeldUp(from, to, "a-0", killed);
@@ -40,24 +42,70 @@
             {"all is well", List.of(ASKED, ARRIVED, RAN, ANSWERED), false},
             {"closed without an answer", List.of(ASKED, closed(200)), true},
             {"closed as it was killed", List.of(ASKED, held(190, 201, true), closed(200)), false},
-            {"closed long before it was killed", List.of(ASKED, closed(200), held(900, 901, true)), true},
+            {
+                "closed long before it was killed",
+                List.of(ASKED, closed(200), held(900, 901, true)),
+                true
+            },
             {"no answer", List.of(ASKED, held(5000, 5001, true)), true},
             {"no answer as it was paused", List.of(ASKED, held(300, 4000, false)), false},
             {"late by its pause", List.of(ASKED, held(300, 4000, false), throttled(4010)), false},
             {"late for nothing", List.of(ASKED, throttled(4010)), true},
-            {"no answer though its pause was over in time", List.of(ASKED, held(300, 1000, false)), true},
+            {
+                "no answer though its pause was over in time",
+                List.of(ASKED, held(300, 1000, false)),
+                true
+            },
             {"closed as it was paused", List.of(ASKED, held(300, 1000, false), closed(1001)), true},
-            {"sent for a client that left in its pause", List.of(ASKED, held(110, 310, false), left(120), late(312)), true},
-            {"sent before its pause for a client that left", List.of(ASKED, left(120), late(260)), false},
+            {
+                "sent for a client that left in its pause",
+                List.of(ASKED, held(110, 310, false), left(120), late(312)),
+                true
+            },
+            {
+                "sent before its pause for a client that left",
+                List.of(ASKED, left(120), late(260)),
+                false
+            },
             {"told more than its client has left", List.of(ASKED, told(110, 1800), ANSWERED), true},
-            {"a pause excuses no effect twice", List.of(ASKED, ARRIVED, RAN, held(300, 900, false),
-                    new Seen.Ran(400, "y", "s", 1, "w"), ANSWERED), true},
-            {"a pause excuses no lie", List.of(ASKED, ARRIVED, RAN, held(300, 900, false),
-                    new Seen.Answered(950, "s", Seen.Answer.COMPLETED, true, Map.of(1, "other"))), true},
+            {
+                "a pause excuses no effect twice",
+                List.of(
+                        ASKED,
+                        ARRIVED,
+                        RAN,
+                        held(300, 900, false),
+                        new Seen.Ran(400, "y", "s", 1, "w"),
+                        ANSWERED),
+                true
+            },
+            {
+                "a pause excuses no lie",
+                List.of(
+                        ASKED,
+                        ARRIVED,
+                        RAN,
+                        held(300, 900, false),
+                        new Seen.Answered(
+                                950, "s", Seen.Answer.COMPLETED, true, Map.of(1, "other"))),
+                true
+            },
             {"sent to a drained server", List.of(ASKED, told(100), late(700)), true},
-            {"told of the drain while it was paused", List.of(ASKED, told(100), held(90, 600, false), late(700)), true},
-            {"paused long after it was told of the drain", List.of(ASKED, told(100), held(600, 690, false), late(700)), true},
-            {"pushed over", List.of(new Seen.FellOver(5, "x", Map.of("a-0", 900.0, "b-0", 800.0))), true},
+            {
+                "told of the drain while it was paused",
+                List.of(ASKED, told(100), held(90, 600, false), late(700)),
+                true
+            },
+            {
+                "paused long after it was told of the drain",
+                List.of(ASKED, told(100), held(600, 690, false), late(700)),
+                true
+            },
+            {
+                "pushed over",
+                List.of(new Seen.FellOver(5, "x", Map.of("a-0", 900.0, "b-0", 800.0))),
+                true
+            },
         };
     }
 
@@ -86,14 +134,25 @@
     }
 
     @Test(dataProvider = "runs")
-    public void onlyWhatTheRigDidItselfIsExcused(String what, List<Seen> seen, boolean broken) throws IOException {
+    public void onlyWhatTheRigDidItselfIsExcused(String what, List<Seen> seen, boolean broken)
+            throws IOException {
         Script script = Scripts.shipped("calm");
         var all = new ArrayList<>(seen);
         if (what.startsWith("sent") || what.contains("drain")) {
             all.add(new Seen.Answered(800, "s", Seen.Answer.ABANDONED, false, Map.of()));
         }
-        Verdict verdict = Judge.judge(script.with(List.of()), all, 9000, List.of(outcome(true)), IN_TIME, List.of());
-        assertEquals(verdict.kind(), broken ? Verdict.Kind.BROKEN : Verdict.Kind.PASSED, verdict.why().toString());
+        Verdict verdict =
+                Judge.judge(
+                        script.with(List.of()),
+                        all,
+                        9000,
+                        List.of(outcome(true)),
+                        IN_TIME,
+                        List.of());
+        assertEquals(
+                verdict.kind(),
+                broken ? Verdict.Kind.BROKEN : Verdict.Kind.PASSED,
+                verdict.why().toString());
         Path file = Files.createTempFile("ledger", ".jsonl");
         LedgerFile.write(file, all);
         assertEquals(LedgerFile.read(file), all);
@@ -108,18 +167,42 @@
     public void aRunOfAStarvedRigDoesNotCountAndABandIsNoRule() {
         Script script = Scripts.shipped("calm");
         var broken = List.<Seen>of(ASKED, closed(200));
-        assertEquals(Judge.judge(script, broken, 9000, List.of(), new Figures.Self(80, 100, 1, 1, 0, 0), List.of()).kind(),
+        assertEquals(
+                Judge.judge(
+                                script,
+                                broken,
+                                9000,
+                                List.of(),
+                                new Figures.Self(80, 100, 1, 1, 0, 0),
+                                List.of())
+                        .kind(),
                 Verdict.Kind.STARVED);
-        assertEquals(Judge.judge(script, List.of(), 9000, List.of(outcome(false)), IN_TIME, List.of()).kind(),
+        assertEquals(
+                Judge.judge(script, List.of(), 9000, List.of(outcome(false)), IN_TIME, List.of())
+                        .kind(),
                 Verdict.Kind.OUT_OF_BAND);
-        assertEquals(Judge.judge(script, List.of(), 9000, List.of(outcome(true)), IN_TIME, List.of("a-0 ended")).kind(),
+        assertEquals(
+                Judge.judge(
+                                script,
+                                List.of(),
+                                9000,
+                                List.of(outcome(true)),
+                                IN_TIME,
+                                List.of("a-0 ended"))
+                        .kind(),
                 Verdict.Kind.BROKEN);
     }
 
     @Test
     public void whoPushedAColdServerOverIsNamedWithItsShare() {
-        var verdict = Judge.judge(Scripts.shipped("calm"), List.of(new Seen.FellOver(5, "x", Map.of("a-0", 900.0))), 9000,
-                List.of(), IN_TIME, List.of());
+        var verdict =
+                Judge.judge(
+                        Scripts.shipped("calm"),
+                        List.of(new Seen.FellOver(5, "x", Map.of("a-0", 900.0))),
+                        9000,
+                        List.of(),
+                        IN_TIME,
+                        List.of());
         assertTrue(verdict.why().get(0).contains("a-0=900.0"), verdict.why().toString());
     }
 
--- a/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
+++ b/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
@@ -33,12 +33,15 @@
     public void eachServerAndEachOfItsLivesInARowHasAPortOfItsOwn() throws IOException {
         try (var addresses = Addresses.claim()) {
             Set<Integer> ports = new HashSet<>();
-            IntStream.range(0, Script.MOST_SERVERS).forEach(server -> {
-                ports.add(addresses.serverPort(server, 7));
-                ports.add(addresses.serverPort(server, 8));
-            });
+            IntStream.range(0, Script.MOST_SERVERS)
+                    .forEach(
+                            server -> {
+                                ports.add(addresses.serverPort(server, 7));
+                                ports.add(addresses.serverPort(server, 8));
+                            });
             assertEquals(ports.size(), 2 * Script.MOST_SERVERS);
-            assertTrue(ports.stream().allMatch(port -> port > addresses.postPort() && port < 65_536));
+            assertTrue(
+                    ports.stream().allMatch(port -> port > addresses.postPort() && port < 65_536));
         }
     }
 }
--- a/rig/src/test/java/sprucehold/rig/run/MachineNeedsTest.java
+++ b/rig/src/test/java/sprucehold/rig/run/MachineNeedsTest.java
@@ -16,8 +16,10 @@
 public class MachineNeedsTest {
     /** The calm script with 120 gatherers and 300 shard servers. */
     private static Script large() throws IOException {
-        String json = ScriptWriter.json(ScriptReader.read("calm")).replace("\"gatherers\" : 2", "\"gatherers\" : 60")
-                .replace("\"holders\" : 2", "\"holders\" : 50");
+        String json =
+                ScriptWriter.json(ScriptReader.read("calm"))
+                        .replace("\"gatherers\" : 2", "\"gatherers\" : 60")
+                        .replace("\"holders\" : 2", "\"holders\" : 50");
         Path file = Files.createTempFile("large", ".json");
         try {
             Files.writeString(file, json);
@@ -28,7 +30,8 @@
     }
 
     @Test
-    public void eachServerListensForEachGathererAndEachGathererHoldsALinkToEachServer() throws IOException {
+    public void eachServerListensForEachGathererAndEachGathererHoldsALinkToEachServer()
+            throws IOException {
         MachineNeeds needs = MachineNeeds.of(large());
         assertTrue(needs.descriptors() >= 2 * 120 * 300, needs.toString());
         assertTrue(needs.memoryMb() >= 120 * 90, needs.toString());
@@ -38,10 +41,14 @@
     public void whatIsLackingIsSaidInOneLine() {
         var needs = new MachineNeeds(5000, 900);
         assertEquals(needs.lackingOn(new MachineNeeds.Machine(5000, 900)), Optional.empty());
-        assertEquals(needs.lackingOn(new MachineNeeds.Machine(4999, 900)), Optional.of(
-                "this machine lacks what the script needs: 5000 open files and sockets (4999 are allowed)"));
-        assertEquals(needs.lackingOn(new MachineNeeds.Machine(100, 899)), Optional.of(
-                "this machine lacks what the script needs: 5000 open files and sockets (100 are allowed) and "
-                        + "900 MiB of memory (899 are available)"));
+        assertEquals(
+                needs.lackingOn(new MachineNeeds.Machine(4999, 900)),
+                Optional.of(
+                        "this machine lacks what the script needs: 5000 open files and sockets (4999 are allowed)"));
+        assertEquals(
+                needs.lackingOn(new MachineNeeds.Machine(100, 899)),
+                Optional.of(
+                        "this machine lacks what the script needs: 5000 open files and sockets (100 are allowed) and "
+                                + "900 MiB of memory (899 are available)"));
     }
 }
--- a/standin/src/main/java/sprucehold/standin/StandInDiscovery.java
+++ b/standin/src/main/java/sprucehold/standin/StandInDiscovery.java
@@ -22,7 +22,8 @@
     }
 
     private static ObjectNode body(List<ObjectNode> endpoints) {
-        ObjectNode body = new ObjectMapper().createObjectNode().put("index", INDEX).put("snapshot", true);
+        ObjectNode body =
+                new ObjectMapper().createObjectNode().put("index", INDEX).put("snapshot", true);
         body.putArray("endpoints").addAll(endpoints);
         return body;
     }
--- a/standin/src/main/java/sprucehold/standin/StandInShardServer.java
+++ b/standin/src/main/java/sprucehold/standin/StandInShardServer.java
@@ -10,7 +10,10 @@
 import io.vertx.core.parsetools.RecordParser;
 import java.nio.charset.StandardCharsets;
 
-/** Stands in for a shard server: every part is a hit at once, and its value names the segment and the text. */
+/**
+ * Stands in for a shard server: every part is a hit at once, and its value names the segment and
+ * the text.
+ */
 final class StandInShardServer {
     private final Vertx vertx;
 
@@ -24,25 +27,26 @@
 
     private void serve(NetSocket socket) {
         RecordParser parser = RecordParser.newFixed(4);
-        parser.handler(new Handler<>() {
-            private boolean inFrame;
+        parser.handler(
+                new Handler<>() {
+                    private boolean inFrame;
 
-            @Override
-            public void handle(Buffer bytes) {
-                if (inFrame) {
-                    answer(socket, bytes);
-                }
-                parser.fixedSizeMode(inFrame ? 4 : bytes.getIntLE(0));
-                inFrame = !inFrame;
-            }
-        });
+                    @Override
+                    public void handle(Buffer bytes) {
+                        if (inFrame) {
+                            answer(socket, bytes);
+                        }
+                        parser.fixedSizeMode(inFrame ? 4 : bytes.getIntLE(0));
+                        inFrame = !inFrame;
+                    }
+                });
         socket.handler(parser);
     }
 
     private static void answer(NetSocket socket, Buffer frame) {
         switch (frame.getByte(0)) {
             case 'A' -> hit(socket, frame);
-            case 'B' -> { }
+            case 'B' -> {}
             case 'C' -> send(socket, "Chit");
             case 'D' -> send(socket, "D-");
             default -> {
@@ -61,7 +65,14 @@
             }
             String[] line = frame.getString(at, lineEnd).split(" ");
             int textEnd = lineEnd + 1 + Integer.parseInt(line[3]);
-            send(socket, "E" + line[0] + " hit 0 -\n" + line[1] + ":" + frame.getString(lineEnd + 1, textEnd));
+            send(
+                    socket,
+                    "E"
+                            + line[0]
+                            + " hit 0 -\n"
+                            + line[1]
+                            + ":"
+                            + frame.getString(lineEnd + 1, textEnd));
             at = textEnd;
         }
     }
--- a/standin/src/main/java/sprucehold/standin/StandIns.java
+++ b/standin/src/main/java/sprucehold/standin/StandIns.java
@@ -9,10 +9,12 @@
 import java.util.List;
 import sprucehold.picker.ServerNews;
 
-/** Discovery and shard servers on this machine, for trying a gatherer out; they know no trouble and no load. */
+/**
+ * Discovery and shard servers on this machine, for trying a gatherer out; they know no trouble and
+ * no load.
+ */
 public final class StandIns {
-    private StandIns() {
-    }
+    private StandIns() {}
 
     /**
      * Starts a shard server for each of the list, and then discovery with that list.
@@ -20,16 +22,27 @@
      * @param moved whether shard servers take any free port instead of the ones listed
      * @return the port of discovery
      */
-    public static Future<Integer> start(Vertx vertx, String host, int port, List<ServerNews> servers, boolean moved) {
+    public static Future<Integer> start(
+            Vertx vertx, String host, int port, List<ServerNews> servers, boolean moved) {
         var endpoints = new ArrayList<ObjectNode>();
         Future<?> started = Future.succeededFuture();
         for (ServerNews server : servers) {
             int colon = server.address().lastIndexOf(':');
             String at = server.address().substring(0, colon);
             int listed = Integer.parseInt(server.address().substring(colon + 1));
-            started = started
-                    .compose(before -> new StandInShardServer(vertx).listen(SocketAddress.inetSocketAddress(moved ? 0 : listed, at)))
-                    .map(listening -> endpoints.add(endpoint(server, at + ":" + listening.actualPort())));
+            started =
+                    started.compose(
+                                    before ->
+                                            new StandInShardServer(vertx)
+                                                    .listen(
+                                                            SocketAddress.inetSocketAddress(
+                                                                    moved ? 0 : listed, at)))
+                            .map(
+                                    listening ->
+                                            endpoints.add(
+                                                    endpoint(
+                                                            server,
+                                                            at + ":" + listening.actualPort())));
         }
         return started.compose(all -> new StandInDiscovery(vertx, endpoints).listen(host, port))
                 .map(discovery -> discovery.actualPort());
@@ -37,7 +50,8 @@
 
     /** Starts a shard server at any free port of a host, and returns the port. */
     public static Future<Integer> shardServerAt(Vertx vertx, String host) {
-        return new StandInShardServer(vertx).listen(SocketAddress.inetSocketAddress(0, host))
+        return new StandInShardServer(vertx)
+                .listen(SocketAddress.inetSocketAddress(0, host))
                 .map(listening -> listening.actualPort());
     }
 
@@ -47,8 +61,13 @@
     }
 
     private static ObjectNode endpoint(ServerNews server, String address) {
-        return new ObjectMapper().createObjectNode().put("name", server.name()).put("address", address)
-                .put("zone", server.zone()).put("group", server.cell()).put("status", "active")
+        return new ObjectMapper()
+                .createObjectNode()
+                .put("name", server.name())
+                .put("address", address)
+                .put("zone", server.zone())
+                .put("group", server.cell())
+                .put("status", "active")
                 .put("since_ms", server.startedAtMs());
     }
 }
--- a/standin/src/main/java/sprucehold/standin/rules/Broken.java
+++ b/standin/src/main/java/sprucehold/standin/rules/Broken.java
@@ -6,5 +6,4 @@
  * @param atMs when, by the clock of the run
  * @param what by whom and how, in words
  */
-public record Broken(Rule rule, double atMs, String what) {
-}
+public record Broken(Rule rule, double atMs, String what) {}
--- a/together/src/main/java/sprucehold/together/count/Count.java
+++ b/together/src/main/java/sprucehold/together/count/Count.java
@@ -8,5 +8,4 @@
  * @param key what is counted, such as a shard server or a customer
  * @param total units since the life began; it only grows
  */
-public record Count(String gatherer, long life, String key, long total) {
-}
+public record Count(String gatherer, long life, String key, long total) {}
--- a/together/src/main/java/sprucehold/together/count/Counts.java
+++ b/together/src/main/java/sprucehold/together/count/Counts.java
@@ -8,13 +8,18 @@
 import java.util.TreeMap;
 
 /**
- * Counts over a fleet as one gatherer knows them. Each gatherer counts up its own alone; of others' the greatest total heard
- * of each life counts, so that what comes twice, late or in another order changes nothing, and all who have heard the same
- * know the same. A restart begins a new life at nought and takes nothing back of what earlier ones counted.
+ * Counts over a fleet as one gatherer knows them. Each gatherer counts up its own alone; of others'
+ * the greatest total heard of each life counts, so that what comes twice, late or in another order
+ * changes nothing, and all who have heard the same know the same. A restart begins a new life at
+ * nought and takes nothing back of what earlier ones counted.
  */
 public final class Counts {
-    /** Lives of one gatherer that are told apart; earlier ones are kept as one sum, to which late news add nothing. */
+    /**
+     * Lives of one gatherer that are told apart; earlier ones are kept as one sum, to which late
+     * news add nothing.
+     */
     private static final int LIVES = 4;
+
     /** Differences between two pieces of news closer than that tell no rate. */
     private static final double LEAST_SPAN_MS = 200;
 
@@ -23,8 +28,10 @@
         final TreeMap<Long, Long> byLife = new TreeMap<>();
         long earlier;
         long earliest = Long.MIN_VALUE;
+
         /** The sum at the two latest moments at which it grew, and when. */
         long before;
+
         double beforeMs = Double.NaN;
         long last;
         double lastMs = Double.NaN;
@@ -40,7 +47,9 @@
     private final Map<String, Map<String, Line>> byKey = new TreeMap<>();
     private final Map<String, Double> changedMs = new HashMap<>();
 
-    /** @param halfMs a rate heard so long ago counts half, twice as long ago a quarter */
+    /**
+     * @param halfMs a rate heard so long ago counts half, twice as long ago a quarter
+     */
     public Counts(String self, long life, double halfMs) {
         this.self = self;
         this.life = life;
@@ -63,12 +72,14 @@
     }
 
     private Line line(String key, String gatherer) {
-        return byKey.computeIfAbsent(key, none -> new TreeMap<>()).computeIfAbsent(gatherer, none -> new Line());
+        return byKey.computeIfAbsent(key, none -> new TreeMap<>())
+                .computeIfAbsent(gatherer, none -> new Line());
     }
 
     private void take(double nowMs, Count count) {
         Line line = line(count.key(), count.gatherer());
-        if (count.life() <= line.earliest || count.total() <= line.byLife.getOrDefault(count.life(), 0L)) {
+        if (count.life() <= line.earliest
+                || count.total() <= line.byLife.getOrDefault(count.life(), 0L)) {
             return;
         }
         line.byLife.put(count.life(), count.total());
@@ -90,25 +101,44 @@
         return byKey.getOrDefault(key, Map.of()).values().stream().mapToLong(Line::sum).sum();
     }
 
-    /** Units a second that others count of a key: of each what it last grew by, fading with the age of that news. */
+    /**
+     * Units a second that others count of a key: of each what it last grew by, fading with the age
+     * of that news.
+     */
     public double othersPerSecond(double nowMs, String key) {
         double sum = 0;
         for (var one : byKey.getOrDefault(key, Map.of()).entrySet()) {
             Line line = one.getValue();
             if (!one.getKey().equals(self) && !Double.isNaN(line.beforeMs)) {
-                double rate = 1000 * (line.last - line.before) / Math.max(LEAST_SPAN_MS, line.lastMs - line.beforeMs);
+                double rate =
+                        1000
+                                * (line.last - line.before)
+                                / Math.max(LEAST_SPAN_MS, line.lastMs - line.beforeMs);
                 sum += rate * Math.pow(0.5, Math.max(0, nowMs - line.lastMs) / halfMs);
             }
         }
         return sum;
     }
 
-    /** This gatherer's own counts, those first that changed last: what fits into a message goes along. */
+    /**
+     * This gatherer's own counts, those first that changed last: what fits into a message goes
+     * along.
+     */
     public List<Count> own(int most) {
         var own = new ArrayList<Count>();
-        changedMs.entrySet().stream().sorted(Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
-                .thenComparing(Map.Entry.comparingByKey())).limit(most)
-                .forEach(one -> own.add(new Count(self, life, one.getKey(), line(one.getKey(), self).byLife.get(life))));
+        changedMs.entrySet().stream()
+                .sorted(
+                        Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
+                                .thenComparing(Map.Entry.comparingByKey()))
+                .limit(most)
+                .forEach(
+                        one ->
+                                own.add(
+                                        new Count(
+                                                self,
+                                                life,
+                                                one.getKey(),
+                                                line(one.getKey(), self).byLife.get(life))));
         return own;
     }
 }
