--- a/together/src/main/java/sprucehold/together/evidence/Evidence.java
+++ b/together/src/main/java/sprucehold/together/evidence/Evidence.java
@@ -10,21 +10,30 @@
 import java.util.TreeMap;
 
 /**
- * Sightings of shard servers, one's own to be told and others' to be weighed. One liar, or one gatherer whose own link is
- * broken, moves nothing: it takes several observers, from more than one site where there is more than one, and who sees
- * most servers of a site failing is held to have trouble on the way there rather than to have found so many failures.
+ * Sightings of shard servers, one's own to be told and others' to be weighed. One liar, or one
+ * gatherer whose own link is broken, moves nothing: it takes several observers, from more than one
+ * site where there is more than one, and who sees most servers of a site failing is held to have
+ * trouble on the way there rather than to have found so many failures.
  */
 public final class Evidence {
     /** Sightings fade by half in so long: about what a queue takes to fill or to drain. */
     static final double HALF_MS = 5000;
+
     /** Below so much seen a sighting tells nothing: two dispatches may be chance. */
     private static final double LEAST_SEEN = 2;
+
     /** Observers that it takes at the least: one may lie or be cut off, two may share a switch. */
     static final int LEAST_OBSERVERS = 3;
-    /** Where an observer sees this share of a site's servers failing, it says nothing of any of them. */
+
+    /**
+     * Where an observer sees this share of a site's servers failing, it says nothing of any of
+     * them.
+     */
     private static final double OWN_FAULT = 0.5;
+
     /** Servers of a site that an observer has to have seen before that can be told. */
     private static final int LEAST_SERVERS = 3;
+
     /** An observer not heard of for so long has nothing to say any more. */
     private static final double FORGET_MS = 8 * HALF_MS;
 
@@ -74,7 +83,8 @@
     }
 
     /** Notes how a dispatch of this gatherer's ended. */
-    public void saw(double nowMs, String server, String serverSite, double startedAtMs, boolean well) {
+    public void saw(
+            double nowMs, String server, String serverSite, double startedAtMs, boolean well) {
         Own seen = own.computeIfAbsent(server, Own::new);
         if (seen.startedAtMs != startedAtMs) {
             seen.good = 0;
@@ -90,25 +100,53 @@
         }
     }
 
-    /** This gatherer's sightings that tell something, the worst first: what fits into a message goes along. */
+    /**
+     * This gatherer's sightings that tell something, the worst first: what fits into a message goes
+     * along.
+     */
     public List<Sighting> tell(double nowMs, int most) {
         own.values().forEach(seen -> seen.fade(nowMs));
         own.values().removeIf(seen -> seen.good + seen.bad < 0.1);
-        return own.values().stream().filter(seen -> seen.good + seen.bad >= LEAST_SEEN)
-                .sorted((one, other) -> Double.compare(other.bad, one.bad)).limit(most)
-                .map(seen -> new Sighting(self, site, seen.server, seen.site, seen.startedAtMs, seen.good, seen.bad, ++number))
+        return own.values().stream()
+                .filter(seen -> seen.good + seen.bad >= LEAST_SEEN)
+                .sorted((one, other) -> Double.compare(other.bad, one.bad))
+                .limit(most)
+                .map(
+                        seen ->
+                                new Sighting(
+                                        self,
+                                        site,
+                                        seen.server,
+                                        seen.site,
+                                        seen.startedAtMs,
+                                        seen.good,
+                                        seen.bad,
+                                        ++number))
                 .toList();
     }
 
-    /** Takes another's sighting; of one observer and server only the latest counts, and nobody tells of this gatherer's own. */
+    /**
+     * Takes another's sighting; of one observer and server only the latest counts, and nobody tells
+     * of this gatherer's own.
+     */
     public void heard(double nowMs, Sighting sighting) {
-        boolean sound = sighting.good() >= 0 && sighting.bad() >= 0 && Double.isFinite(sighting.good() + sighting.bad());
+        boolean sound =
+                sighting.good() >= 0
+                        && sighting.bad() >= 0
+                        && Double.isFinite(sighting.good() + sighting.bad());
         if (sighting.observer().equals(self) || !sound) {
             return;
         }
-        byObserver.computeIfAbsent(sighting.observer(), none -> new TreeMap<>()).merge(sighting.server(),
-                new Heard(sighting, nowMs), (old, latest) -> latest.sighting.number() > old.sighting.number() ? latest : old);
-        byObserver.values().forEach(seen -> seen.values().removeIf(heard -> nowMs - heard.atMs > FORGET_MS));
+        byObserver
+                .computeIfAbsent(sighting.observer(), none -> new TreeMap<>())
+                .merge(
+                        sighting.server(),
+                        new Heard(sighting, nowMs),
+                        (old, latest) ->
+                                latest.sighting.number() > old.sighting.number() ? latest : old);
+        byObserver
+                .values()
+                .forEach(seen -> seen.values().removeIf(heard -> nowMs - heard.atMs > FORGET_MS));
         byObserver.values().removeIf(Map::isEmpty);
     }
 
@@ -118,8 +156,9 @@
     }
 
     /**
-     * What others' sightings of a server come to. The median of what observers saw, so that a minority of liars moves it no
-     * further than the honest ones lie apart; at most 1, and 0 unless enough observers, from enough sites, say so.
+     * What others' sightings of a server come to. The median of what observers saw, so that a
+     * minority of liars moves it no further than the honest ones lie apart; at most 1, and 0 unless
+     * enough observers, from enough sites, say so.
      *
      * @param startedAtMs when this gatherer's list says that the server started
      */
@@ -130,7 +169,9 @@
         for (Map<String, Heard> seen : byObserver.values()) {
             seen.values().forEach(heard -> allSites.add(heard.sighting.observerSite()));
             Heard heard = seen.get(server);
-            if (heard != null && heard.sighting.serverStartedAtMs() == startedAtMs && heard.tells(nowMs)
+            if (heard != null
+                    && heard.sighting.serverStartedAtMs() == startedAtMs
+                    && heard.tells(nowMs)
                     && !ownFault(nowMs, seen, heard.sighting.serverSite())) {
                 shares.add(heard.share());
                 sites.add(heard.sighting.observerSite());
@@ -144,10 +185,17 @@
         return new Opinion(shares.get((shares.size() - 1) / 2), shares.size(), sites.size());
     }
 
-    /** Whether an observer sees so many servers of a site failing that the way there is at fault. */
+    /**
+     * Whether an observer sees so many servers of a site failing that the way there is at fault.
+     */
     private static boolean ownFault(double nowMs, Map<String, Heard> seen, String serverSite) {
-        List<Heard> there = seen.values().stream().filter(heard -> heard.sighting.serverSite().equals(serverSite)
-                && heard.tells(nowMs)).toList();
+        List<Heard> there =
+                seen.values().stream()
+                        .filter(
+                                heard ->
+                                        heard.sighting.serverSite().equals(serverSite)
+                                                && heard.tells(nowMs))
+                        .toList();
         long failing = there.stream().filter(heard -> heard.share() > 0.5).count();
         return there.size() >= LEAST_SERVERS && failing >= OWN_FAULT * there.size();
     }
--- a/together/src/main/java/sprucehold/together/evidence/Opinion.java
+++ b/together/src/main/java/sprucehold/together/evidence/Opinion.java
@@ -3,7 +3,8 @@
 /**
  * What others' sightings of a server come to.
  *
- * @param trouble from 0, nothing is known against it, to 1, all who may be believed saw only failures
+ * @param trouble from 0, nothing is known against it, to 1, all who may be believed saw only
+ *     failures
  * @param observers how many independent ones it rests on
  * @param sites how many sites they stand in
  */
--- a/together/src/main/java/sprucehold/together/evidence/Sighting.java
+++ b/together/src/main/java/sprucehold/together/evidence/Sighting.java
@@ -7,12 +7,18 @@
  * @param observerSite where that one stands
  * @param server of whom
  * @param serverSite where the server stands
- * @param serverStartedAtMs Unix time in milliseconds at which the server started, as the observer's list had it: what was
- *        seen of another life of the server tells nothing of this one
+ * @param serverStartedAtMs Unix time in milliseconds at which the server started, as the observer's
+ *     list had it: what was seen of another life of the server tells nothing of this one
  * @param good dispatches that ended well, fading
  * @param bad dispatches that failed or were late, fading
  * @param number grows with each sighting of one observer: of two the later counts
  */
-public record Sighting(String observer, String observerSite, String server, String serverSite, double serverStartedAtMs,
-        double good, double bad, long number) {
-}
+public record Sighting(
+        String observer,
+        String observerSite,
+        String server,
+        String serverSite,
+        double serverStartedAtMs,
+        double good,
+        double bad,
+        long number) {}
--- a/together/src/main/java/sprucehold/together/member/Detector.java
+++ b/together/src/main/java/sprucehold/together/member/Detector.java
@@ -3,11 +3,13 @@
 import java.util.List;
 import java.util.Set;
 
-/** A way to find out who is there. Time is in milliseconds by the owner's clock, and never goes back. */
+/**
+ * A way to find out who is there. Time is in milliseconds by the owner's clock, and never goes
+ * back.
+ */
 public interface Detector {
     /** A message to another. */
-    record Out(String to, MemberMessage message) {
-    }
+    record Out(String to, MemberMessage message) {}
 
     /** Lets time pass; to be called every {@link #tickMs}. */
     List<Out> tick(double nowMs);
--- a/together/src/main/java/sprucehold/together/member/MemberMessage.java
+++ b/together/src/main/java/sprucehold/together/member/MemberMessage.java
@@ -8,26 +8,21 @@
     List<News> news();
 
     /** Are you there? */
-    record Ping(long number, List<News> news) implements MemberMessage {
-    }
+    record Ping(long number, List<News> news) implements MemberMessage {}
 
     /** Yes. */
-    record Ack(long number, List<News> news) implements MemberMessage {
-    }
+    record Ack(long number, List<News> news) implements MemberMessage {}
 
     /** Ask another for me, whom I can't hear. */
-    record PingFor(long number, String target, List<News> news) implements MemberMessage {
-    }
+    record PingFor(long number, String target, List<News> news) implements MemberMessage {}
 
     /** Do we believe the same? Whoever believes something else answers with all that it knows. */
-    record Compare(long digest, List<News> news) implements MemberMessage {
-    }
+    record Compare(long digest, List<News> news) implements MemberMessage {}
 
     /**
      * All that is known; may be longer than a datagram.
      *
      * @param back whether what the receiver knows beyond it is wanted in return
      */
-    record Table(boolean back, List<News> news) implements MemberMessage {
-    }
+    record Table(boolean back, List<News> news) implements MemberMessage {}
 }
--- a/together/src/main/java/sprucehold/together/member/Membership.java
+++ b/together/src/main/java/sprucehold/together/member/Membership.java
@@ -18,38 +18,70 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Who is there, by SWIM with suspicion (Das, Gupta, Motivala 2002) and what Lifeguard added (Dadgar, Phillips, Currey 2017):
- * each asks one other a period, in a shuffled round; who doesn't answer is asked through three others, then suspected, and
- * held to be dead if it doesn't refute that in time. The time is long while only one suspects and short once others do too.
- * A gatherer that has trouble itself, as its probes fail or its ticks come late, waits longer before it blames others.
- * News go along with probes, so that messages a second don't grow with the fleet.
+ * Who is there, by SWIM with suspicion (Das, Gupta, Motivala 2002) and what Lifeguard added
+ * (Dadgar, Phillips, Currey 2017): each asks one other a period, in a shuffled round; who doesn't
+ * answer is asked through three others, then suspected, and held to be dead if it doesn't refute
+ * that in time. The time is long while only one suspects and short once others do too. A gatherer
+ * that has trouble itself, as its probes fail or its ticks come late, waits longer before it blames
+ * others. News go along with probes, so that messages a second don't grow with the fleet.
  */
 public final class Membership implements Detector {
-    /** One probe in so long; half a second to a second is usual, and a budget's term is several times that. */
+    /**
+     * One probe in so long; half a second to a second is usual, and a budget's term is several
+     * times that.
+     */
     public static final double PERIOD_MS = 1000;
+
     /** Ticks a period: deadlines within it are met this closely. */
     private static final int TICKS = 5;
+
     /** An answer takes less than that within an installation but for trouble. */
     private static final double DIRECT_MS = 300;
+
     private static final int INDIRECT = 3;
-    /** In periods, times the decimal logarithm of the size: Lifeguard's alpha, and beta for one suspecter alone. */
+
+    /**
+     * In periods, times the decimal logarithm of the size: Lifeguard's alpha, and beta for one
+     * suspecter alone.
+     */
     private static final double LEAST_SUSPICION = 4;
+
     private static final double MOST_OVER_LEAST = 6;
+
     /** Other suspecters after whom the shortest time holds. */
     private static final int CONFIRMATIONS = 3;
+
     private static final int WORST_HEALTH = 8;
-    /** So many asked in a row and none answered: the fault is more likely here than at all of them. */
+
+    /**
+     * So many asked in a row and none answered: the fault is more likely here than at all of them.
+     */
     private static final int CUT_OFF = 3;
+
     /** Pieces of news in a message: some 70 bytes each keep it under 1,200. */
     private static final int NEWS = 12;
-    /** How often another is asked whether it believes the same, and sooner while the last one didn't. */
+
+    /**
+     * How often another is asked whether it believes the same, and sooner while the last one
+     * didn't.
+     */
     private static final double COMPARE_MS = 10_000;
+
     private static final double COMPARE_SOON_MS = 2000;
+
     /** Whole tables leave no oftener: of a thousand members one is 70 kB. */
     private static final double TABLE_MS = 500;
-    /** How often one who is held dead is asked all the same, so that a healed cut is found; who was never met each period. */
+
+    /**
+     * How often one who is held dead is asked all the same, so that a healed cut is found; who was
+     * never met each period.
+     */
     private static final double CALL_THE_DEAD_MS = 5000;
-    /** A dead one that nobody heard of for so long is forgotten: an hour outlasts repairs, and bounds what is held. */
+
+    /**
+     * A dead one that nobody heard of for so long is forgotten: an hour outlasts repairs, and
+     * bounds what is held.
+     */
     private static final double FORGET_MS = 3_600_000;
 
     private static final class Suspicion {
@@ -74,8 +106,7 @@
     }
 
     /** A probe made for another. */
-    private record Errand(String of, long number, double atMs) {
-    }
+    private record Errand(String of, long number, double atMs) {}
 
     private final Random chance;
     private final boolean suspects;
@@ -84,12 +115,16 @@
     private final Map<String, Suspicion> suspicions = new TreeMap<>();
     private final Rumours rumours = new Rumours();
     private final Set<String> counting = new TreeSet<>();
+
     /** A copy of these; null when it has to be made anew. */
     private Set<String> there = Set.of();
+
     /** How many of the known have been heard of in any life. */
     private int met;
+
     /** Of all that count, itself included; the same at all who believe the same. */
     private long digest;
+
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
     private final Map<Long, Errand> errands = new LinkedHashMap<>();
     private final Deque<String> round = new ArrayDeque<>();
@@ -102,32 +137,46 @@
     private double tickedAt = Double.NaN;
     private double probedAt = Double.NEGATIVE_INFINITY;
     private double calledAt;
+
     /** Another process of this name and a later life is there: this one claims nothing. */
     private boolean superseded;
+
     private double comparedAt = Double.NEGATIVE_INFINITY;
     private double tableAt = Double.NEGATIVE_INFINITY;
+
     /** Whether the last it heard of another's belief was that it differs. */
     private boolean differed = true;
 
     /**
-     * @param life by the wall clock at the start, so that it is later than any before; if it isn't, that is found and mended
+     * @param life by the wall clock at the start, so that it is later than any before; if it isn't,
+     *     that is found and mended
      * @param seeds names that may be there, and the site of each
      */
-    public Membership(String name, String site, long life, Map<String, String> seeds, Random chance) {
+    public Membership(
+            String name, String site, long life, Map<String, String> seeds, Random chance) {
         this(name, site, life, seeds, chance, true);
     }
 
-    /** @param suspects false to hold dead at once who doesn't answer, to compare with */
-    public Membership(String name, String site, long life, Map<String, String> seeds, Random chance, boolean suspects) {
+    /**
+     * @param suspects false to hold dead at once who doesn't answer, to compare with
+     */
+    public Membership(
+            String name,
+            String site,
+            long life,
+            Map<String, String> seeds,
+            Random chance,
+            boolean suspects) {
         this.chance = chance;
         this.suspects = suspects;
         this.self = new News(name, site, life, 0, News.State.ALIVE);
-        seeds.forEach((seed, at) -> {
-            if (!seed.equals(name)) {
-                known.put(seed, new News(seed, at, 0, 0, News.State.DEAD));
-                changedAt.put(seed, 0.0);
-            }
-        });
+        seeds.forEach(
+                (seed, at) -> {
+                    if (!seed.equals(name)) {
+                        known.put(seed, new News(seed, at, 0, 0, News.State.DEAD));
+                        changedAt.put(seed, 0.0);
+                    }
+                });
         digest = digest(self);
         rumours.add(self);
     }
@@ -148,10 +197,16 @@
         }
     }
 
-    /** Of one piece of news; nought where it says that somebody isn't there, as that is forgotten by each in its own time. */
+    /**
+     * Of one piece of news; nought where it says that somebody isn't there, as that is forgotten by
+     * each in its own time.
+     */
     private static long digest(News news) {
-        return !news.state().counts() ? 0 : MurmurHash3.hash128x64((news.name() + '/' + news.life() + '/' + news.incarnation())
-                .getBytes(StandardCharsets.UTF_8))[0];
+        return !news.state().counts()
+                ? 0
+                : MurmurHash3.hash128x64(
+                        (news.name() + '/' + news.life() + '/' + news.incarnation())
+                                .getBytes(StandardCharsets.UTF_8))[0];
     }
 
     @Override
@@ -182,7 +237,10 @@
         return since;
     }
 
-    /** Whether another process claims this name with a later life. What a share rests on must not be used then. */
+    /**
+     * Whether another process claims this name with a later life. What a share rests on must not be
+     * used then.
+     */
     public boolean superseded() {
         return superseded;
     }
@@ -198,7 +256,10 @@
         var out = new ArrayList<Out>();
         List<String> alive = new ArrayList<>(there());
         Collections.shuffle(alive, chance);
-        alive.stream().limit(INDIRECT).forEach(one -> out.add(new Out(one, new MemberMessage.Ping(numbers++, some(one)))));
+        alive.stream()
+                .limit(INDIRECT)
+                .forEach(
+                        one -> out.add(new Out(one, new MemberMessage.Ping(numbers++, some(one)))));
         return out;
     }
 
@@ -207,7 +268,8 @@
     @Override
     public List<Out> tick(double nowMs) {
         now = nowMs;
-        // Held up for over a period itself: what it had out tells nothing, and it doubts itself first.
+        // Held up for over a period itself: what it had out tells nothing, and it doubts itself
+        // first.
         if (now - tickedAt > PERIOD_MS + tickMs()) {
             probes.clear();
             health = WORST_HEALTH;
@@ -225,7 +287,8 @@
             if (left <= 0) {
                 heard(known.get(name).with(News.State.DEAD), self.name());
             } else if (left <= PERIOD_MS && !suspicion.asked) {
-                // Its refutation may have passed this member by: who is blamed hears of it first, and answers with it.
+                // Its refutation may have passed this member by: who is blamed hears of it first,
+                // and answers with it.
                 suspicion.asked = true;
                 out.add(new Out(name, new MemberMessage.Ping(numbers++, some(name))));
             }
@@ -250,17 +313,18 @@
 
     /** Time in which it could not judge counts against nobody. */
     private void later(double ms) {
-        suspicions.replaceAll((name, suspicion) -> {
-            var later = new Suspicion(suspicion.sinceMs + ms);
-            later.by.addAll(suspicion.by);
-            later.asked = suspicion.asked;
-            return later;
-        });
+        suspicions.replaceAll(
+                (name, suspicion) -> {
+                    var later = new Suspicion(suspicion.sinceMs + ms);
+                    later.by.addAll(suspicion.by);
+                    later.asked = suspicion.asked;
+                    return later;
+                });
     }
 
     /**
-     * Whether it has to hold itself to be cut off. It blames nobody then: one that nobody hears would find all others dead,
-     * and once it is heard again have the whole fleet believe it.
+     * Whether it has to hold itself to be cut off. It blames nobody then: one that nobody hears
+     * would find all others dead, and once it is heard again have the whole fleet believe it.
      */
     public boolean cutOff() {
         return unanswered >= CUT_OFF;
@@ -273,7 +337,8 @@
         double least = LEAST_SUSPICION * Math.max(1, Math.log10(counting.size() + 1)) * PERIOD_MS;
         // One who suspects alone may have the fault on its own side.
         double left = Math.log(suspicion.by.size()) / Math.log(CONFIRMATIONS + 1);
-        return Math.max(least, least * (MOST_OVER_LEAST - (MOST_OVER_LEAST - 1) * Math.min(1, left)));
+        return Math.max(
+                least, least * (MOST_OVER_LEAST - (MOST_OVER_LEAST - 1) * Math.min(1, left)));
     }
 
     private double patient(double ms) {
@@ -288,8 +353,17 @@
                 List<String> helpers = new ArrayList<>(there());
                 helpers.remove(probe.target);
                 Collections.shuffle(helpers, chance);
-                helpers.stream().limit(INDIRECT).forEach(helper -> out.add(new Out(helper,
-                        new MemberMessage.PingFor(one.getKey(), probe.target, some(helper)))));
+                helpers.stream()
+                        .limit(INDIRECT)
+                        .forEach(
+                                helper ->
+                                        out.add(
+                                                new Out(
+                                                        helper,
+                                                        new MemberMessage.PingFor(
+                                                                one.getKey(),
+                                                                probe.target,
+                                                                some(helper)))));
             }
             if (now - probe.atMs >= patient(PERIOD_MS)) {
                 probes.remove(one.getKey());
@@ -328,12 +402,15 @@
     /** Nobody asks the dead, so a cut that is mended would never be found. */
     private void callTheDead(List<Out> out) {
         for (News news : List.copyOf(known.values())) {
-            if (!news.state().counts() && news.life() > 0 && now - changedAt.get(news.name()) > FORGET_MS) {
+            if (!news.state().counts()
+                    && news.life() > 0
+                    && now - changedAt.get(news.name()) > FORGET_MS) {
                 known.remove(news.name());
                 met--;
             }
         }
-        List<News> dead = known.values().stream().filter(news -> news.state() == News.State.DEAD).toList();
+        List<News> dead =
+                known.values().stream().filter(news -> news.state() == News.State.DEAD).toList();
         if (!dead.isEmpty()) {
             String one = dead.get(chance.nextInt(dead.size())).name();
             out.add(new Out(one, new MemberMessage.Ping(numbers++, some(one))));
@@ -349,7 +426,8 @@
         message.news().forEach(news -> heard(news, from));
         var out = new ArrayList<Out>();
         if (message instanceof MemberMessage.Ping ping && self.state() != News.State.LEFT) {
-            // Whoever is superseded goes on asking, to learn when its name is free, but answers for nobody.
+            // Whoever is superseded goes on asking, to learn when its name is free, but answers for
+            // nobody.
             if (!superseded) {
                 out.add(new Out(from, new MemberMessage.Ack(ping.number(), some(from))));
             }
@@ -357,7 +435,10 @@
             answered(ack.number(), out);
         } else if (message instanceof MemberMessage.PingFor please && !superseded) {
             errands.put(numbers, new Errand(from, please.number(), now));
-            out.add(new Out(please.target(), new MemberMessage.Ping(numbers++, some(please.target()))));
+            out.add(
+                    new Out(
+                            please.target(),
+                            new MemberMessage.Ping(numbers++, some(please.target()))));
         } else if (message instanceof MemberMessage.Compare compare && compare.digest() != digest) {
             differed = true;
             table(from, out);
@@ -366,9 +447,11 @@
             beyond(from, table.news(), out);
         }
         News after = known.get(from);
-        if (after != null && after.state().counts()
+        if (after != null
+                && after.state().counts()
                 && (before == null || !before.state().counts() || before.life() != after.life())) {
-            // It is back from the other side of a cut, where much else has happened, or has begun anew and knows nobody.
+            // It is back from the other side of a cut, where much else has happened, or has begun
+            // anew and knows nobody.
             table(from, out);
         }
         return out;
@@ -385,7 +468,10 @@
         }
     }
 
-    /** All that it knows, unless a table has left just now: who believes something else still does when it asks again. */
+    /**
+     * All that it knows, unless a table has left just now: who believes something else still does
+     * when it asks again.
+     */
     private void table(String to, List<Out> out) {
         differed = true;
         if (now - tableAt >= TABLE_MS) {
@@ -395,15 +481,22 @@
     }
 
     private List<News> told() {
-        return view().stream().filter(news -> news.life() > 0 && !(superseded && news == self)).toList();
+        return view().stream()
+                .filter(news -> news.life() > 0 && !(superseded && news == self))
+                .toList();
     }
 
     /** What another's table lacks. */
     private void beyond(String to, List<News> table, List<Out> out) {
         Map<String, News> theirs = new HashMap<>();
         table.forEach(news -> theirs.put(news.name(), news));
-        List<News> beyond = told().stream().filter(news -> !theirs.containsKey(news.name())
-                || news.beats(theirs.get(news.name()))).toList();
+        List<News> beyond =
+                told().stream()
+                        .filter(
+                                news ->
+                                        !theirs.containsKey(news.name())
+                                                || news.beats(theirs.get(news.name())))
+                        .toList();
         if (!beyond.isEmpty()) {
             out.add(new Out(to, new MemberMessage.Table(false, beyond)));
         }
@@ -449,7 +542,9 @@
                 superseded = false;
                 itself(new News(self.name(), self.site(), news.life() + 1, 0, News.State.ALIVE));
             }
-        } else if (news.life() == self.life() && news.state() != News.State.ALIVE && !self.beats(news)) {
+        } else if (news.life() == self.life()
+                && news.state() != News.State.ALIVE
+                && !self.beats(news)) {
             itself(self.refuted(news.incarnation()));
             // Others had reason to doubt it.
             health = Math.min(WORST_HEALTH, health + 1);
@@ -489,8 +584,11 @@
 
     /** Those named by discovery or configuration since the start; known ones stay as they are. */
     public void mayBeThere(Collection<String> names, String site) {
-        names.stream().filter(name -> !name.equals(self.name()) && !known.containsKey(name)).forEach(name -> {
-            put(new News(name, site, 0, 0, News.State.DEAD));
-        });
+        names.stream()
+                .filter(name -> !name.equals(self.name()) && !known.containsKey(name))
+                .forEach(
+                        name -> {
+                            put(new News(name, site, 0, 0, News.State.DEAD));
+                        });
     }
 }
--- a/together/src/main/java/sprucehold/together/member/News.java
+++ b/together/src/main/java/sprucehold/together/member/News.java
@@ -1,9 +1,10 @@
 package sprucehold.together.member;
 
 /**
- * What one gatherer says of another, or of itself. Of two pieces of news of one name the greater counts, whoever brought it
- * and in whatever order: the later life; in one life the higher incarnation; in one incarnation the worse state. So news may
- * be lost, doubled and late, and all who have heard the same pieces believe the same.
+ * What one gatherer says of another, or of itself. Of two pieces of news of one name the greater
+ * counts, whoever brought it and in whatever order: the later life; in one life the higher
+ * incarnation; in one incarnation the worse state. So news may be lost, doubled and late, and all
+ * who have heard the same pieces believe the same.
  *
  * @param name of the gatherer
  * @param site it stands in
@@ -33,7 +34,9 @@
         if (life != other.life) {
             return life > other.life;
         }
-        return incarnation != other.incarnation ? incarnation > other.incarnation : state.compareTo(other.state) > 0;
+        return incarnation != other.incarnation
+                ? incarnation > other.incarnation
+                : state.compareTo(other.state) > 0;
     }
 
     News with(State other) {
--- a/together/src/main/java/sprucehold/together/member/Rumours.java
+++ b/together/src/main/java/sprucehold/together/member/Rumours.java
@@ -8,15 +8,23 @@
 import java.util.TreeMap;
 
 /**
- * News that go along with messages, those least often sent first, each so often that most likely all have heard it. Of trouble
- * before all else: while a whole fleet starts, who has come is told by tables anyway, and a suspicion that waits behind a
- * thousand arrivals is refuted too late.
+ * News that go along with messages, those least often sent first, each so often that most likely
+ * all have heard it. Of trouble before all else: while a whole fleet starts, who has come is told
+ * by tables anyway, and a suspicion that waits behind a thousand arrivals is refuted too late.
  */
 final class Rumours {
-    /** Times the binary logarithm of the size: suspicions and refutations must reach all, over a network that loses some. */
+    /**
+     * Times the binary logarithm of the size: suspicions and refutations must reach all, over a
+     * network that loses some.
+     */
     private static final int URGENT_SENDS = 3;
+
     private static final int USUAL_SENDS = 1;
-    /** Of a message's pieces, so many are left to who has come, so that trouble without end doesn't hide that. */
+
+    /**
+     * Of a message's pieces, so many are left to who has come, so that trouble without end doesn't
+     * hide that.
+     */
     private static final int LEFT_FOR_USUAL = 2;
 
     private static final class Rumour {
@@ -87,7 +95,8 @@
         return next.stream().map(rumour -> rumour.news).toList();
     }
 
-    private static void first(TreeMap<Integer, LinkedHashSet<Rumour>> of, int most, List<Rumour> into) {
+    private static void first(
+            TreeMap<Integer, LinkedHashSet<Rumour>> of, int most, List<Rumour> into) {
         for (LinkedHashSet<Rumour> alike : of.values()) {
             for (Rumour rumour : alike) {
                 if (into.size() >= most) {
--- a/together/src/main/java/sprucehold/together/play/Division.java
+++ b/together/src/main/java/sprucehold/together/play/Division.java
@@ -8,20 +8,38 @@
     EQUAL,
     /** Each has the same home, and lends what it doesn't need. */
     LENT,
-    /** One member has all and lends it to those who ask; a tenth of each equal part stays with its owner. */
+    /**
+     * One member has all and lends it to those who ask; a tenth of each equal part stays with its
+     * owner.
+     */
     COORDINATED,
-    /** Whoever asks first gets it, as if all saw all at once: the ceiling, which no fleet can reach. */
+    /**
+     * Whoever asks first gets it, as if all saw all at once: the ceiling, which no fleet can reach.
+     */
     ALL_KNOWING;
 
-    /** The terms of a member; homes add up to the bound, or a little less where it can't be divided evenly. */
-    ShareTerms terms(int member, int members, int bound, double windowMs, double termMs, double drift) {
+    /**
+     * The terms of a member; homes add up to the bound, or a little less where it can't be divided
+     * evenly.
+     */
+    ShareTerms terms(
+            int member, int members, int bound, double windowMs, double termMs, double drift) {
         int equal = bound / members;
         return switch (this) {
             case EQUAL -> new ShareTerms(equal, equal, windowMs, 20, termMs, drift);
-            case LENT -> new ShareTerms(equal, Math.min(equal, Math.max(1, equal / 4)), windowMs, 20, termMs, drift);
+            case LENT ->
+                    new ShareTerms(
+                            equal,
+                            Math.min(equal, Math.max(1, equal / 4)),
+                            windowMs,
+                            20,
+                            termMs,
+                            drift);
             case COORDINATED -> {
                 int kept = equal / 10;
-                yield member == 0 ? new ShareTerms(bound - (members - 1) * kept, kept, windowMs, 20, termMs, drift)
+                yield member == 0
+                        ? new ShareTerms(
+                                bound - (members - 1) * kept, kept, windowMs, 20, termMs, drift)
                         : new ShareTerms(kept, kept, windowMs, 20, termMs, drift);
             }
             case ALL_KNOWING -> new ShareTerms(0, 0, windowMs, 20, termMs, drift);
--- a/together/src/main/java/sprucehold/together/play/EvidencePlay.java
+++ b/together/src/main/java/sprucehold/together/play/EvidencePlay.java
@@ -14,13 +14,18 @@
 import sprucehold.together.talk.Talk;
 import sprucehold.together.talk.TalkTerms;
 
-/** A fleet one of whose shard servers fails from a moment on: how soon its gatherers know that, each alone and by the others. */
+/**
+ * A fleet one of whose shard servers fails from a moment on: how soon its gatherers know that, each
+ * alone and by the others.
+ */
 public final class EvidencePlay {
     private static final String FAILING = "s-0";
     private static final int SOUND = 5;
     private static final double WALL = 1.7e12;
+
     /** Who has told all of all by then, as after a start long ago. */
     private static final double FAILS_AT_MS = 3000;
+
     /** What the decisions take for trouble. */
     private static final double TROUBLE = 0.5;
 
@@ -30,29 +35,35 @@
      * @param perS dispatches a second of each gatherer to each shard server
      * @param liar whether the first gatherer sees all servers fail, and none does
      */
-    public record Setting(int members, int sites, double perS, double lengthMs, Network network, boolean liar) {
-    }
+    public record Setting(
+            int members, int sites, double perS, double lengthMs, Network network, boolean liar) {}
 
     /**
      * What came of it; NaN where not all ever knew.
      *
-     * @param aloneMedianMs until a gatherer's own second failure there, after the first moment; {@code aloneAllMs} of the last one
-     * @param toldMedianMs until it holds by the others that the server has trouble; {@code toldAllMs} of the last one
+     * @param aloneMedianMs until a gatherer's own second failure there, after the first moment;
+     *     {@code aloneAllMs} of the last one
+     * @param toldMedianMs until it holds by the others that the server has trouble; {@code
+     *     toldAllMs} of the last one
      * @param believedForNothing gatherers that held a sound server to be in trouble at some moment
      * @param lettersPerS a gatherer and second
      */
-    public record Result(double aloneMedianMs, double aloneAllMs, double toldMedianMs, double toldAllMs, int believedForNothing,
-            double lettersPerS) {
-    }
+    public record Result(
+            double aloneMedianMs,
+            double aloneAllMs,
+            double toldMedianMs,
+            double toldAllMs,
+            int believedForNothing,
+            double lettersPerS) {}
 
-    private record Happening(double atMs, long turn, Runnable what) {
-    }
+    private record Happening(double atMs, long turn, Runnable what) {}
 
     private final Setting setting;
     private final Random chance;
     private final List<Talk> talks = new ArrayList<>();
-    private final PriorityQueue<Happening> next = new PriorityQueue<>(Comparator.comparingDouble(Happening::atMs)
-            .thenComparingLong(Happening::turn));
+    private final PriorityQueue<Happening> next =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
     private final int[] failures;
     private final double[] aloneAt;
     private final double[] toldAt;
@@ -97,9 +108,22 @@
             all.add(new News(name(i), "site-" + i % setting.sites, 1, 0, News.State.ALIVE));
         }
         for (int i = 0; i < setting.members; i++) {
-            var talk = new Talk(new TalkTerms(Map.of(), 1000, 5000), name(i), sites.get(name(i)), 1, sites, chance.nextLong(), 0, WALL);
+            var talk =
+                    new Talk(
+                            new TalkTerms(Map.of(), 1000, 5000),
+                            name(i),
+                            sites.get(name(i)),
+                            1,
+                            sites,
+                            chance.nextLong(),
+                            0,
+                            WALL);
             talks.add(talk);
-            talk.received(0, WALL, name((i + 1) % setting.members), new Letter.OfMembers(new MemberMessage.Table(false, all)));
+            talk.received(
+                    0,
+                    WALL,
+                    name((i + 1) % setting.members),
+                    new Letter.OfMembers(new MemberMessage.Table(false, all)));
             int member = i;
             at(chance.nextDouble() * talk.tickMs(), () -> tick(member));
             for (int server = 0; server <= SOUND; server++) {
@@ -115,19 +139,28 @@
         for (boolean one : fooled) {
             believed += one ? 1 : 0;
         }
-        return new Result(median(aloneAt), last(aloneAt), median(toldAt), last(toldAt), believed,
+        return new Result(
+                median(aloneAt),
+                last(aloneAt),
+                median(toldAt),
+                last(toldAt),
+                believed,
                 letters / (double) setting.members / setting.lengthMs * 1000);
     }
 
     private void dispatch(int member, int server) {
-        at(now - Math.log(1 - chance.nextDouble()) * 1000 / setting.perS, () -> {
-            boolean fails = server == 0 && now >= FAILS_AT_MS && !setting.liar || setting.liar && member == 0;
-            talks.get(member).saw(now, WALL + now, "s-" + server, "site-0", 0, !fails);
-            if (fails && server == 0 && ++failures[member] == 2) {
-                aloneAt[member] = now - FAILS_AT_MS;
-            }
-            dispatch(member, server);
-        });
+        at(
+                now - Math.log(1 - chance.nextDouble()) * 1000 / setting.perS,
+                () -> {
+                    boolean fails =
+                            server == 0 && now >= FAILS_AT_MS && !setting.liar
+                                    || setting.liar && member == 0;
+                    talks.get(member).saw(now, WALL + now, "s-" + server, "site-0", 0, !fails);
+                    if (fails && server == 0 && ++failures[member] == 2) {
+                        aloneAt[member] = now - FAILS_AT_MS;
+                    }
+                    dispatch(member, server);
+                });
     }
 
     private void tick(int member) {
@@ -148,17 +181,30 @@
             letters++;
             if (!setting.network.loses(chance)) {
                 int to = Integer.parseInt(one.to().substring(1));
-                at(now + setting.network.way(chance), () -> send(to, talks.get(to).received(now, WALL + now, name(from), one.letter())));
+                at(
+                        now + setting.network.way(chance),
+                        () ->
+                                send(
+                                        to,
+                                        talks.get(to)
+                                                .received(
+                                                        now,
+                                                        WALL + now,
+                                                        name(from),
+                                                        one.letter())));
             }
         }
     }
 
     private static double median(double[] values) {
-        double[] sorted = Arrays.stream(values).filter(value -> !Double.isNaN(value)).sorted().toArray();
+        double[] sorted =
+                Arrays.stream(values).filter(value -> !Double.isNaN(value)).sorted().toArray();
         return sorted.length <= values.length / 2 ? Double.NaN : sorted[values.length / 2];
     }
 
     private static double last(double[] values) {
-        return Arrays.stream(values).anyMatch(Double::isNaN) ? Double.NaN : Arrays.stream(values).max().orElse(Double.NaN);
+        return Arrays.stream(values).anyMatch(Double::isNaN)
+                ? Double.NaN
+                : Arrays.stream(values).max().orElse(Double.NaN);
     }
 }
--- a/together/src/main/java/sprucehold/together/play/HeartbeatsToAll.java
+++ b/together/src/main/java/sprucehold/together/play/HeartbeatsToAll.java
@@ -9,7 +9,10 @@
 import sprucehold.together.member.Detector;
 import sprucehold.together.member.MemberMessage;
 
-/** Each tells all that it is there, every period; who is silent for five is held to be dead. To compare with. */
+/**
+ * Each tells all that it is there, every period; who is silent for five is held to be dead. To
+ * compare with.
+ */
 final class HeartbeatsToAll implements Detector {
     private static final double PERIOD_MS = 1000;
     private static final double SILENT_MS = 5 * PERIOD_MS;
@@ -30,7 +33,8 @@
     public List<Out> tick(double nowMs) {
         now = nowMs;
         var out = new ArrayList<Out>();
-        heardAt.keySet().forEach(one -> out.add(new Out(one, new MemberMessage.Ping(0, List.of()))));
+        heardAt.keySet()
+                .forEach(one -> out.add(new Out(one, new MemberMessage.Ping(0, List.of()))));
         return out;
     }
 
@@ -44,11 +48,12 @@
     @Override
     public Set<String> there() {
         var there = new TreeSet<String>();
-        heardAt.forEach((name, at) -> {
-            if (now - at < SILENT_MS) {
-                there.add(name);
-            }
-        });
+        heardAt.forEach(
+                (name, at) -> {
+                    if (now - at < SILENT_MS) {
+                        there.add(name);
+                    }
+                });
         return there;
     }
 }
--- a/together/src/main/java/sprucehold/together/play/MemberPlay.java
+++ b/together/src/main/java/sprucehold/together/play/MemberPlay.java
@@ -13,45 +13,57 @@
 import sprucehold.together.member.Detector;
 import sprucehold.together.member.Membership;
 
-/** A fleet that watches itself, in simulated time: how soon all know of a death, and who is held dead and isn't. */
+/**
+ * A fleet that watches itself, in simulated time: how soon all know of a death, and who is held
+ * dead and isn't.
+ */
 public final class MemberPlay {
     /** Ways to know who is there. */
-    public enum Way { HEARTBEATS_TO_ALL, SWIM_WITHOUT_SUSPICION, SWIM, PHI_GOSSIP }
+    public enum Way {
+        HEARTBEATS_TO_ALL,
+        SWIM_WITHOUT_SUSPICION,
+        SWIM,
+        PHI_GOSSIP
+    }
 
     /**
      * What is played.
      *
      * @param troubles {@link Trouble.Kind#DEAD} is a death that is to be known, all others are none
      */
-    public record Setting(int members, double lengthMs, Network network, List<Trouble> troubles) {
-    }
+    public record Setting(int members, double lengthMs, Network network, List<Trouble> troubles) {}
 
     /**
      * What came of it.
      *
-     * @param firstMs when the first of those alive knew of each death, after it, at the median; NaN where none did
+     * @param firstMs when the first of those alive knew of each death, after it, at the median; NaN
+     *     where none did
      * @param allMs when the last of those alive knew, likewise; NaN where not all ever did
      * @param falselyDead times that a member held another dead, and nothing had befallen either
      * @param wrongAtEnd pairs of members up, one of which holds the other dead at the end
      * @param messages a member and second
      */
-    public record Result(double firstMs, double allMs, long falselyDead, long wrongAtEnd, double messages) {
-    }
+    public record Result(
+            double firstMs, double allMs, long falselyDead, long wrongAtEnd, double messages) {}
 
-    private record Happening(double atMs, long turn, Runnable what) {
-    }
+    private record Happening(double atMs, long turn, Runnable what) {}
 
     private final Setting setting;
     private final Way way;
     private final Random chance;
-    private final PriorityQueue<Happening> next = new PriorityQueue<>(Comparator.comparingDouble(Happening::atMs)
-            .thenComparingLong(Happening::turn));
+    private final PriorityQueue<Happening> next =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
     private final List<Detector> members = new ArrayList<>();
     private final List<List<Runnable>> later = new ArrayList<>();
     private final List<Set<String>> believed = new ArrayList<>();
     private final Map<Integer, TreeMap<Double, Integer>> knownBy = new HashMap<>();
-    /** How closely times to know are told: looking at a thousand views costs more than making them. */
+
+    /**
+     * How closely times to know are told: looking at a thousand views costs more than making them.
+     */
     private final double lookMs;
+
     private final double[] lookedAt;
     private double now;
     private long turns;
@@ -85,7 +97,8 @@
                 var seeds = new TreeMap<String, String>();
                 all.forEach(one -> seeds.put(one, "a"));
                 // As after a start long ago: all know of all.
-                yield new Membership(name(member), "a", 1 + (long) now, seeds, own, way == Way.SWIM);
+                yield new Membership(
+                        name(member), "a", 1 + (long) now, seeds, own, way == Way.SWIM);
             }
         };
     }
@@ -95,7 +108,8 @@
     }
 
     private boolean is(Trouble.Kind kind, int member) {
-        return setting.troubles.stream().anyMatch(one -> one.kind() == kind && one.of().contains(member) && one.at(now));
+        return setting.troubles.stream()
+                .anyMatch(one -> one.kind() == kind && one.of().contains(member) && one.at(now));
     }
 
     private void act(int member, Runnable what) {
@@ -121,16 +135,20 @@
         for (Trouble trouble : setting.troubles) {
             for (int member : trouble.of()) {
                 if (trouble.kind() == Trouble.Kind.PAUSED) {
-                    at(trouble.toMs(), () -> {
-                        List<Runnable> late = List.copyOf(later.get(member));
-                        later.get(member).clear();
-                        late.forEach(what -> act(member, what));
-                    });
+                    at(
+                            trouble.toMs(),
+                            () -> {
+                                List<Runnable> late = List.copyOf(later.get(member));
+                                later.get(member).clear();
+                                late.forEach(what -> act(member, what));
+                            });
                 } else if (trouble.kind() == Trouble.Kind.DEAD) {
-                    at(trouble.toMs(), () -> {
-                        members.set(member, detector(member));
-                        believed.set(member, Set.of());
-                    });
+                    at(
+                            trouble.toMs(),
+                            () -> {
+                                members.set(member, detector(member));
+                                believed.set(member, Set.of());
+                            });
                 }
             }
         }
@@ -155,11 +173,22 @@
             double left = now;
             double way = setting.network.way(chance);
             if (!lost) {
-                at(now + way, () -> {
-                    if (setting.troubles.stream().noneMatch(one -> one.cuts(from, to, left) || one.cuts(from, to, now))) {
-                        act(to, () -> members.get(to).received(now, name(from), out.message()).forEach(more -> send(to, more)));
-                    }
-                });
+                at(
+                        now + way,
+                        () -> {
+                            if (setting.troubles.stream()
+                                    .noneMatch(
+                                            one ->
+                                                    one.cuts(from, to, left)
+                                                            || one.cuts(from, to, now))) {
+                                act(
+                                        to,
+                                        () ->
+                                                members.get(to)
+                                                        .received(now, name(from), out.message())
+                                                        .forEach(more -> send(to, more)));
+                            }
+                        });
             }
         }
     }
@@ -171,7 +200,8 @@
             if (!there.contains(gone)) {
                 int other = Integer.parseInt(gone.substring(1));
                 if (is(Trouble.Kind.DEAD, other)) {
-                    knownBy.computeIfAbsent(other, none -> new TreeMap<>()).merge(now, 1, Integer::sum);
+                    knownBy.computeIfAbsent(other, none -> new TreeMap<>())
+                            .merge(now, 1, Integer::sum);
                 } else if (!excused(member) && !excused(other)) {
                     falselyDead++;
                 }
@@ -180,10 +210,18 @@
         believed.set(member, there);
     }
 
-    /** Whether something befalls it, or did not long ago: longer than a suspicion takes and the news of it. */
+    /**
+     * Whether something befalls it, or did not long ago: longer than a suspicion takes and the news
+     * of it.
+     */
     private boolean excused(int member) {
-        return setting.troubles.stream().anyMatch(one -> now >= one.fromMs() && now < one.toMs() + 60_000
-                && (one.of().contains(member) || one.kind() == Trouble.Kind.CUT_OFF));
+        return setting.troubles.stream()
+                .anyMatch(
+                        one ->
+                                now >= one.fromMs()
+                                        && now < one.toMs() + 60_000
+                                        && (one.of().contains(member)
+                                                || one.kind() == Trouble.Kind.CUT_OFF));
     }
 
     private Result result() {
@@ -197,19 +235,29 @@
                 TreeMap<Double, Integer> by = knownBy.getOrDefault(dead, new TreeMap<>());
                 first.add(by.isEmpty() ? Double.NaN : by.firstKey() - trouble.fromMs());
                 int up = setting.members - trouble.of().size();
-                all.add(by.values().stream().mapToInt(count -> count).sum() < up ? Double.NaN : by.lastKey() - trouble.fromMs());
+                all.add(
+                        by.values().stream().mapToInt(count -> count).sum() < up
+                                ? Double.NaN
+                                : by.lastKey() - trouble.fromMs());
             }
         }
         long wrong = 0;
         for (int i = 0; i < setting.members; i++) {
             for (int j = 0; j < setting.members; j++) {
-                if (i != j && !is(Trouble.Kind.DEAD, i) && !is(Trouble.Kind.DEAD, j) && !members.get(i).there().contains(name(j))) {
+                if (i != j
+                        && !is(Trouble.Kind.DEAD, i)
+                        && !is(Trouble.Kind.DEAD, j)
+                        && !members.get(i).there().contains(name(j))) {
                     wrong++;
                 }
             }
         }
-        return new Result(median(first), median(all), falselyDead, wrong, messages / (double) setting.members
-                / setting.lengthMs * 1000);
+        return new Result(
+                median(first),
+                median(all),
+                falselyDead,
+                wrong,
+                messages / (double) setting.members / setting.lengthMs * 1000);
     }
 
     private static double median(List<Double> values) {
--- a/together/src/main/java/sprucehold/together/play/PhiGossip.java
+++ b/together/src/main/java/sprucehold/together/play/PhiGossip.java
@@ -12,17 +12,20 @@
 import sprucehold.together.member.News;
 
 /**
- * Each counts up a heartbeat a period and tells the whole table to three others drawn by chance; who hasn't counted up for
- * far longer than it used to is held to be dead: phi accrual (Hayashibara and others 2004) at 8 on a normal distribution of
- * the times between two counts. To compare with.
+ * Each counts up a heartbeat a period and tells the whole table to three others drawn by chance;
+ * who hasn't counted up for far longer than it used to is held to be dead: phi accrual (Hayashibara
+ * and others 2004) at 8 on a normal distribution of the times between two counts. To compare with.
  */
 final class PhiGossip implements Detector {
     private static final double PERIOD_MS = 1000;
     private static final int FANOUT = 3;
+
     /** Pieces of a table in a datagram, as the membership has. */
     private static final int PIECE = 12;
+
     /** Standard deviations beyond the mean at which phi is 8. */
     private static final double DEVIATIONS = 5.6;
+
     /** Guards against times so even that the least delay would kill. */
     private static final double LEAST_DEVIATION_MS = PERIOD_MS / 4;
 
@@ -60,7 +63,8 @@
             var piece = new ArrayList<News>();
             for (var one : all.entrySet()) {
                 if (one.getValue().count > 0) {
-                    piece.add(new News(one.getKey(), "", 1, one.getValue().count, News.State.ALIVE));
+                    piece.add(
+                            new News(one.getKey(), "", 1, one.getValue().count, News.State.ALIVE));
                 }
                 if (piece.size() == PIECE) {
                     out.add(new Out(to, new MemberMessage.Table(false, List.copyOf(piece))));
@@ -83,7 +87,8 @@
                 double took = now - beats.atMs;
                 if (beats.count > 0) {
                     // The last ten or so count.
-                    beats.variance += 0.1 * ((took - beats.mean) * (took - beats.mean) - beats.variance);
+                    beats.variance +=
+                            0.1 * ((took - beats.mean) * (took - beats.mean) - beats.variance);
                     beats.mean += 0.1 * (took - beats.mean);
                 }
                 beats.count = news.incarnation();
@@ -96,12 +101,14 @@
     @Override
     public Set<String> there() {
         var there = new TreeSet<String>();
-        all.forEach((one, beats) -> {
-            double deviation = Math.max(LEAST_DEVIATION_MS, Math.sqrt(beats.variance));
-            if (!one.equals(name) && now - beats.atMs < beats.mean + DEVIATIONS * deviation) {
-                there.add(one);
-            }
-        });
+        all.forEach(
+                (one, beats) -> {
+                    double deviation = Math.max(LEAST_DEVIATION_MS, Math.sqrt(beats.variance));
+                    if (!one.equals(name)
+                            && now - beats.atMs < beats.mean + DEVIATIONS * deviation) {
+                        there.add(one);
+                    }
+                });
         return there;
     }
 }
--- a/together/src/main/java/sprucehold/together/play/SharePlay.java
+++ b/together/src/main/java/sprucehold/together/play/SharePlay.java
@@ -14,7 +14,10 @@
 import sprucehold.together.share.Permit;
 import sprucehold.together.share.UnitLedger;
 
-/** A fleet that shares one bound, in simulated time: who wanted how much, who got it, and what any window saw at the most. */
+/**
+ * A fleet that shares one bound, in simulated time: who wanted how much, who got it, and what any
+ * window saw at the most.
+ */
 public final class SharePlay {
     /**
      * What is played.
@@ -23,9 +26,16 @@
      * @param demand uses wanted a second, by member and time in milliseconds
      * @param drift clocks run fast or slow by up to this share, each by its own
      */
-    public record Setting(int members, int bound, double windowMs, double termMs, double drift, double lengthMs, Network network,
-            List<Trouble> troubles, ToDoubleBiFunction<Integer, Double> demand) {
-    }
+    public record Setting(
+            int members,
+            int bound,
+            double windowMs,
+            double termMs,
+            double drift,
+            double lengthMs,
+            Network network,
+            List<Trouble> troubles,
+            ToDoubleBiFunction<Integer, Double> demand) {}
 
     /**
      * What came of it.
@@ -36,14 +46,19 @@
      * @param dropped uses granted but not sent, as their time was over
      * @param gotBySecond share of uses granted in each second; NaN where none were wanted
      */
-    public record Result(long wanted, long got, int mostInWindow, long messages, long dropped, double[] gotBySecond) {
+    public record Result(
+            long wanted,
+            long got,
+            int mostInWindow,
+            long messages,
+            long dropped,
+            double[] gotBySecond) {
         public double share() {
             return wanted == 0 ? 1 : (double) got / wanted;
         }
     }
 
-    private record Happening(double atMs, long turn, Runnable what) {
-    }
+    private record Happening(double atMs, long turn, Runnable what) {}
 
     private final class Member {
         final int number;
@@ -52,6 +67,7 @@
         OwnClock clock;
         UnitLedger ledger;
         Exchange exchange;
+
         /** What is to be done once it is no longer paused. */
         final List<Runnable> later = new ArrayList<>();
 
@@ -65,12 +81,33 @@
             life++;
             clock = new OwnClock();
             read();
-            var terms = division.terms(number, setting.members, setting.bound, setting.windowMs, setting.termMs, setting.drift);
+            var terms =
+                    division.terms(
+                            number,
+                            setting.members,
+                            setting.bound,
+                            setting.windowMs,
+                            setting.termMs,
+                            setting.drift);
             ledger = new UnitLedger(name(number), life, terms, clock);
-            List<String> others = division == Division.LENT ? IntStream.range(0, setting.members).filter(one -> one != number)
-                    .mapToObj(SharePlay::name).toList() : division == Division.COORDINATED && number != 0 ? List.of(name(0))
-                    : List.of();
-            exchange = new Exchange("played", terms, ledger, clock, life, others, new Random(chance.nextLong()));
+            List<String> others =
+                    division == Division.LENT
+                            ? IntStream.range(0, setting.members)
+                                    .filter(one -> one != number)
+                                    .mapToObj(SharePlay::name)
+                                    .toList()
+                            : division == Division.COORDINATED && number != 0
+                                    ? List.of(name(0))
+                                    : List.of();
+            exchange =
+                    new Exchange(
+                            "played",
+                            terms,
+                            ledger,
+                            clock,
+                            life,
+                            others,
+                            new Random(chance.nextLong()));
         }
 
         void read() {
@@ -78,7 +115,9 @@
         }
 
         boolean is(Trouble.Kind kind) {
-            return setting.troubles.stream().anyMatch(one -> one.kind() == kind && one.of().contains(number) && one.at(now));
+            return setting.troubles.stream()
+                    .anyMatch(
+                            one -> one.kind() == kind && one.of().contains(number) && one.at(now));
         }
 
         /** Does it now, or after a pause; the dead do nothing. */
@@ -95,8 +134,9 @@
     private final Division division;
     private final Random chance;
     private final List<Member> members = new ArrayList<>();
-    private final PriorityQueue<Happening> next = new PriorityQueue<>(Comparator.comparingDouble(Happening::atMs)
-            .thenComparingLong(Happening::turn));
+    private final PriorityQueue<Happening> next =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
     private final ArrayDeque<Double> sent = new ArrayDeque<>();
     private double now;
     private long turns;
@@ -140,11 +180,17 @@
         }
         for (Trouble trouble : setting.troubles) {
             if (trouble.kind() == Trouble.Kind.PAUSED) {
-                at(trouble.toMs(), () -> trouble.of().forEach(one -> {
-                    List<Runnable> late = List.copyOf(members.get(one).later);
-                    members.get(one).later.clear();
-                    late.forEach(members.get(one)::act);
-                }));
+                at(
+                        trouble.toMs(),
+                        () ->
+                                trouble.of()
+                                        .forEach(
+                                                one -> {
+                                                    List<Runnable> late =
+                                                            List.copyOf(members.get(one).later);
+                                                    members.get(one).later.clear();
+                                                    late.forEach(members.get(one)::act);
+                                                }));
             } else if (trouble.kind() == Trouble.Kind.DEAD) {
                 at(trouble.toMs(), () -> trouble.of().forEach(one -> members.get(one).begin()));
             }
@@ -154,16 +200,24 @@
             now = one.atMs;
             one.what.run();
         }
-        double[] shares = IntStream.range(0, wantedBySecond.length).mapToDouble(second -> wantedBySecond[second] == 0 ? Double.NaN
-                : (double) gotBySecond[second] / wantedBySecond[second]).toArray();
+        double[] shares =
+                IntStream.range(0, wantedBySecond.length)
+                        .mapToDouble(
+                                second ->
+                                        wantedBySecond[second] == 0
+                                                ? Double.NaN
+                                                : (double) gotBySecond[second]
+                                                        / wantedBySecond[second])
+                        .toArray();
         return new Result(wanted, got, mostInWindow, messages, dropped, shares);
     }
 
     private void tick(Member member) {
-        member.act(() -> {
-            member.read();
-            member.exchange.tick().forEach(out -> send(member, out));
-        });
+        member.act(
+                () -> {
+                    member.read();
+                    member.exchange.tick().forEach(out -> send(member, out));
+                });
         at(now + Exchange.TICK_MS, () -> tick(member));
     }
 
@@ -176,17 +230,27 @@
             double way = setting.network.way(chance);
             double left = now;
             if (!lost) {
-                at(now + way, () -> {
-                    boolean cut = setting.troubles.stream().anyMatch(one -> one.cuts(from.number, to, left)
-                            || one.cuts(from.number, to, now));
-                    Member target = members.get(to);
-                    if (!cut) {
-                        target.act(() -> {
-                            target.read();
-                            target.exchange.received(name(from.number), out.message()).forEach(more -> send(target, more));
+                at(
+                        now + way,
+                        () -> {
+                            boolean cut =
+                                    setting.troubles.stream()
+                                            .anyMatch(
+                                                    one ->
+                                                            one.cuts(from.number, to, left)
+                                                                    || one.cuts(
+                                                                            from.number, to, now));
+                            Member target = members.get(to);
+                            if (!cut) {
+                                target.act(
+                                        () -> {
+                                            target.read();
+                                            target.exchange
+                                                    .received(name(from.number), out.message())
+                                                    .forEach(more -> send(target, more));
+                                        });
+                            }
                         });
-                    }
-                });
             }
         }
     }
@@ -200,12 +264,14 @@
             at(now + 100, () -> want(member));
             return;
         }
-        at(now + wait, () -> {
-            if (!member.is(Trouble.Kind.DEAD) && !member.is(Trouble.Kind.PAUSED)) {
-                use(member);
-            }
-            want(member);
-        });
+        at(
+                now + wait,
+                () -> {
+                    if (!member.is(Trouble.Kind.DEAD) && !member.is(Trouble.Kind.PAUSED)) {
+                        use(member);
+                    }
+                    want(member);
+                });
     }
 
     private void use(Member member) {
@@ -221,14 +287,18 @@
         Permit permit = member.exchange.use(1);
         if (permit != null) {
             // Written a little later, or long after where the process is stopped in between.
-            at(now + chance.nextDouble(), () -> member.act(() -> {
-                member.read();
-                if (permit.holds(member.clock)) {
-                    used();
-                } else {
-                    dropped++;
-                }
-            }));
+            at(
+                    now + chance.nextDouble(),
+                    () ->
+                            member.act(
+                                    () -> {
+                                        member.read();
+                                        if (permit.holds(member.clock)) {
+                                            used();
+                                        } else {
+                                            dropped++;
+                                        }
+                                    }));
         }
     }
 
@@ -253,13 +323,26 @@
         }
     }
 
-    /** Demand that a few members have and the others don't; whose it is changes every {@code everyMs}. */
-    public static ToDoubleBiFunction<Integer, Double> busyFew(int members, int busy, double busyPerS, double idlePerS, double everyMs) {
-        return (member, now) -> Math.floorMod(member - (int) (now / everyMs) * busy, members) < busy ? busyPerS : idlePerS;
+    /**
+     * Demand that a few members have and the others don't; whose it is changes every {@code
+     * everyMs}.
+     */
+    public static ToDoubleBiFunction<Integer, Double> busyFew(
+            int members, int busy, double busyPerS, double idlePerS, double everyMs) {
+        return (member, now) ->
+                Math.floorMod(member - (int) (now / everyMs) * busy, members) < busy
+                        ? busyPerS
+                        : idlePerS;
     }
 
-    /** The mean over seconds from {@code from} to before {@code to}, of those in which anything was wanted. */
+    /**
+     * The mean over seconds from {@code from} to before {@code to}, of those in which anything was
+     * wanted.
+     */
     public static double mean(double[] bySecond, int from, int to) {
-        return Arrays.stream(bySecond, from, Math.min(to, bySecond.length)).filter(share -> !Double.isNaN(share)).average().orElse(1);
+        return Arrays.stream(bySecond, from, Math.min(to, bySecond.length))
+                .filter(share -> !Double.isNaN(share))
+                .average()
+                .orElse(1);
     }
 }
--- a/together/src/main/java/sprucehold/together/play/Trouble.java
+++ b/together/src/main/java/sprucehold/together/play/Trouble.java
@@ -32,12 +32,13 @@
 
     /** Whether it keeps a message from getting through. */
     boolean cuts(int from, int to, double nowMs) {
-        return at(nowMs) && switch (kind) {
-            case CUT_OFF -> of.contains(from) != of.contains(to);
-            case DEAF -> of.contains(to);
-            case MUTE -> of.contains(from);
-            case ALONE -> of.contains(from) || of.contains(to);
-            case PAUSED, DEAD -> false;
-        };
+        return at(nowMs)
+                && switch (kind) {
+                    case CUT_OFF -> of.contains(from) != of.contains(to);
+                    case DEAF -> of.contains(to);
+                    case MUTE -> of.contains(from);
+                    case ALONE -> of.contains(from) || of.contains(to);
+                    case PAUSED, DEAD -> false;
+                };
     }
 }
--- a/together/src/main/java/sprucehold/together/room/Growth.java
+++ b/together/src/main/java/sprucehold/together/room/Growth.java
@@ -3,17 +3,19 @@
 import java.util.ArrayDeque;
 
 /**
- * What a bound grows by as a server warms up, this gatherer's equal part of it: its own for good, and never lent. A use counts
- * as long as one of a ledger does, so that any window holds no more uses than there are units at its end.
+ * What a bound grows by as a server warms up, this gatherer's equal part of it: its own for good,
+ * and never lent. A use counts as long as one of a ledger does, so that any window holds no more
+ * uses than there are units at its end.
  */
 final class Growth {
-    private record Used(double countsUntil, int units) {
-    }
+    private record Used(double countsUntil, int units) {}
 
     private final double countedMs;
     private final ArrayDeque<Used> used = new ArrayDeque<>();
 
-    /** @param countedMs how long a use counts, by the slow clock */
+    /**
+     * @param countedMs how long a use counts, by the slow clock
+     */
     Growth(double countedMs) {
         this.countedMs = countedMs;
     }
--- a/together/src/main/java/sprucehold/together/room/RoomTerms.java
+++ b/together/src/main/java/sprucehold/together/room/RoomTerms.java
@@ -8,22 +8,36 @@
  * What an installation states of the bounds that its gatherers share.
  *
  * @param self this gatherer's name
- * @param fleet all names, this one's included: the same at every gatherer, since from it each has its home
+ * @param fleet all names, this one's included: the same at every gatherer, since from it each has
+ *     its home
  * @param shared the kinds that are shared
- * @param further dispatches beyond each part's first that the whole fleet may make in a window, where these are shared
+ * @param further dispatches beyond each part's first that the whole fleet may make in a window,
+ *     where these are shared
  * @param furtherWindowMs that window, in milliseconds
- * @param patienceMs how long after it was decided a dispatch may still be written: a dial, and a little
+ * @param patienceMs how long after it was decided a dispatch may still be written: a dial, and a
+ *     little
  * @param drift how far any clock's rate may be off, as a share of it
  * @param clocksOffMs how far any two wall clocks may be apart, in milliseconds
  */
-public record RoomTerms(String self, List<String> fleet, Set<Bound.Kind> shared, int further, double furtherWindowMs,
-        double patienceMs, double drift, double clocksOffMs) {
-    /** @throws IllegalArgumentException if this gatherer isn't one of the fleet, or a name stands twice */
+public record RoomTerms(
+        String self,
+        List<String> fleet,
+        Set<Bound.Kind> shared,
+        int further,
+        double furtherWindowMs,
+        double patienceMs,
+        double drift,
+        double clocksOffMs) {
+    /**
+     * @throws IllegalArgumentException if this gatherer isn't one of the fleet, or a name stands
+     *     twice
+     */
     public RoomTerms {
         fleet = fleet.stream().sorted().toList();
         shared = Set.copyOf(shared);
         if (!fleet.contains(self)) {
-            throw new IllegalArgumentException("fleet: " + self + " was expected among " + fleet.size() + " names");
+            throw new IllegalArgumentException(
+                    "fleet: " + self + " was expected among " + fleet.size() + " names");
         }
         if (fleet.stream().distinct().count() < fleet.size()) {
             throw new IllegalArgumentException("fleet: each name once was expected");
@@ -31,8 +45,8 @@
     }
 
     /**
-     * This gatherer's part of so many units. The parts of all add up to just so many, and what can't be divided evenly goes to
-     * other gatherers for each bound, so that none is always short.
+     * This gatherer's part of so many units. The parts of all add up to just so many, and what
+     * can't be divided evenly goes to other gatherers for each bound, so that none is always short.
      *
      * @param bound its name, the same at every gatherer
      */
--- a/together/src/main/java/sprucehold/together/room/Rooms.java
+++ b/together/src/main/java/sprucehold/together/room/Rooms.java
@@ -16,16 +16,26 @@
 import sprucehold.together.talk.Talk;
 
 /**
- * The shared bounds of one gatherer as its decisions see them. A cold server's bound comes up with the news of its start and
- * goes once it is surely warm. All times are a reading of the clock that counts and one of the wall's, in milliseconds.
+ * The shared bounds of one gatherer as its decisions see them. A cold server's bound comes up with
+ * the news of its start and goes once it is surely warm. All times are a reading of the clock that
+ * counts and one of the wall's, in milliseconds.
  */
 public final class Rooms {
-    /** How long a loan lasts: eight looks, so that asking again costs little, and what a dead one held is back in four seconds. */
+    /**
+     * How long a loan lasts: eight looks, so that asking again costs little, and what a dead one
+     * held is back in four seconds.
+     */
     static final double TERM_MS = 2000;
+
     /** A customer's share is stated by the second. */
     private static final double CUSTOMER_WINDOW_MS = 1000;
-    /** Rates of what comes in count half after so long: the demand of the last second or two is what is to be met. */
+
+    /**
+     * Rates of what comes in count half after so long: the demand of the last second or two is what
+     * is to be met.
+     */
     private static final double RATE_HALF_MS = 1000;
+
     /** Below so much others' evidence is no reason for a new word. */
     private static final double LEAST_TROUBLE = 0.25;
 
@@ -40,14 +50,20 @@
         }
 
         double perS(double nowMs) {
-            return sum * Math.pow(0.5, (nowMs - atMs) / RATE_HALF_MS) * Math.log(2) * 1000 / RATE_HALF_MS;
+            return sum
+                    * Math.pow(0.5, (nowMs - atMs) / RATE_HALF_MS)
+                    * Math.log(2)
+                    * 1000
+                    / RATE_HALF_MS;
         }
     }
 
     private static final class Server {
         Listing listing;
+
         /** When this life first heard of this start, by the counting clock. */
         double heardAt;
+
         /** Null while it isn't cold, or that isn't shared. */
         Growth growth;
 
@@ -62,8 +78,10 @@
     private final Map<String, Server> servers = new TreeMap<>();
     private final Map<String, Rate> byCustomer = new TreeMap<>();
     private final Rate[] byCell;
+
     /** The work of a part, in milliseconds, as the decisions take it. */
     private double pieceMs;
+
     private Map<String, Double> trouble = Map.of();
 
     public Rooms(Deployment facts, RoomTerms terms, Talk talk, double countedMs, double wallMs) {
@@ -73,13 +91,31 @@
         this.byCell = new Rate[facts.layout().cells()];
         Arrays.setAll(byCell, cell -> new Rate());
         // As the decisions do, before they have seen any part's time.
-        this.pieceMs = facts.tableTypes().stream().mapToDouble(type -> type.targetMs() / 4).min().orElse(1);
+        this.pieceMs =
+                facts.tableTypes().stream()
+                        .mapToDouble(type -> type.targetMs() / 4)
+                        .min()
+                        .orElse(1);
         if (terms.shared().contains(Bound.Kind.FURTHER)) {
-            begin(countedMs, wallMs, name(Bound.FURTHER), terms.further(), terms.furtherWindowMs(), true);
+            begin(
+                    countedMs,
+                    wallMs,
+                    name(Bound.FURTHER),
+                    terms.further(),
+                    terms.furtherWindowMs(),
+                    true);
         }
         if (terms.shared().contains(Bound.Kind.CUSTOMER)) {
-            facts.customers().forEach(customer -> begin(countedMs, wallMs, name(Bound.customer(customer.name())),
-                    (int) customer.scansPerSecond(), CUSTOMER_WINDOW_MS, true));
+            facts.customers()
+                    .forEach(
+                            customer ->
+                                    begin(
+                                            countedMs,
+                                            wallMs,
+                                            name(Bound.customer(customer.name())),
+                                            (int) customer.scansPerSecond(),
+                                            CUSTOMER_WINDOW_MS,
+                                            true));
         }
     }
 
@@ -87,11 +123,29 @@
         return bound.of().isEmpty() ? bound.kind().name() : bound.kind() + " " + bound.of();
     }
 
-    /** @param keeps whether a part of the home is never lent, for who comes back or hears nothing to go on with at once */
-    private void begin(double countedMs, double wallMs, String bound, int units, double windowMs, boolean keeps) {
+    /**
+     * @param keeps whether a part of the home is never lent, for who comes back or hears nothing to
+     *     go on with at once
+     */
+    private void begin(
+            double countedMs,
+            double wallMs,
+            String bound,
+            int units,
+            double windowMs,
+            boolean keeps) {
         int home = terms.home(bound, units);
-        talk.begin(countedMs, wallMs, bound, new ShareTerms(home, keeps ? home / 4 : 0, windowMs, terms.patienceMs(),
-                TERM_MS, terms.drift()));
+        talk.begin(
+                countedMs,
+                wallMs,
+                bound,
+                new ShareTerms(
+                        home,
+                        keeps ? home / 4 : 0,
+                        windowMs,
+                        terms.patienceMs(),
+                        TERM_MS,
+                        terms.drift()));
     }
 
     // ---- Cold servers ----
@@ -100,7 +154,9 @@
     public void listed(double countedMs, double wallMs, boolean complete, List<Listing> news) {
         if (complete) {
             var named = news.stream().map(Listing::server).toList();
-            List.copyOf(servers.values()).stream().filter(server -> !named.contains(server.listing.server())).forEach(this::gone);
+            List.copyOf(servers.values()).stream()
+                    .filter(server -> !named.contains(server.listing.server()))
+                    .forEach(this::gone);
         }
         for (Listing listing : news) {
             Server server = servers.get(listing.server());
@@ -119,10 +175,19 @@
                 servers.put(listing.server(), server);
             }
             server.listing = listing;
-            if (server.growth == null && terms.shared().contains(Bound.Kind.COLD) && share(countedMs, wallMs, server) < 1) {
+            if (server.growth == null
+                    && terms.shared().contains(Bound.Kind.COLD)
+                    && share(countedMs, wallMs, server) < 1) {
                 var rule = facts.coldRule();
-                server.growth = new Growth((rule.windowMs() + terms.patienceMs()) * (1 + terms.drift()));
-                begin(countedMs, wallMs, server.bound(), units(rule.startShare()), rule.windowMs(), false);
+                server.growth =
+                        new Growth((rule.windowMs() + terms.patienceMs()) * (1 + terms.drift()));
+                begin(
+                        countedMs,
+                        wallMs,
+                        server.bound(),
+                        units(rule.startShare()),
+                        rule.windowMs(),
+                        false);
             }
         }
     }
@@ -139,19 +204,24 @@
         }
     }
 
-    /** Milliseconds of work that a cold server may be sent in a window: one core is the least that a server has. */
+    /**
+     * Milliseconds of work that a cold server may be sent in a window: one core is the least that a
+     * server has.
+     */
     private int units(double share) {
         var rule = facts.coldRule();
         return (int) (rule.multiple() * share * rule.windowMs());
     }
 
     /**
-     * The share of its work that a server can surely do by now. It started before its start was heard of; what wall clocks say
-     * beyond that counts less by what they may be apart.
+     * The share of its work that a server can surely do by now. It started before its start was
+     * heard of; what wall clocks say beyond that counts less by what they may be apart.
      */
     private double share(double countedMs, double wallMs, Server server) {
         double startedAt = server.listing.startedAtMs();
-        double age = Math.max(countedMs - server.heardAt, wallMs - startedAt - terms.clocksOffMs()) * (1 - terms.drift());
+        double age =
+                Math.max(countedMs - server.heardAt, wallMs - startedAt - terms.clocksOffMs())
+                        * (1 - terms.drift());
         var rule = facts.coldRule();
         double warmth = Math.min(1, Math.max(0, age) / rule.warmAfterMs());
         return startedAt <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmth;
@@ -186,14 +256,21 @@
     public void ended(double countedMs, double wallMs, String server, boolean well) {
         Server known = servers.get(server);
         if (known != null) {
-            talk.saw(countedMs, wallMs, server, known.listing.zone(), known.listing.startedAtMs(), well);
+            talk.saw(
+                    countedMs,
+                    wallMs,
+                    server,
+                    known.listing.zone(),
+                    known.listing.startedAtMs(),
+                    well);
         }
     }
 
     /**
      * Takes units of a bound.
      *
-     * @return null, with nothing sent to be, if they aren't free; an empty leave where the bound isn't shared
+     * @return null, with nothing sent to be, if they aren't free; an empty leave where the bound
+     *     isn't shared
      */
     public Leave use(double countedMs, double wallMs, Bound bound, int units) {
         var permits = new ArrayList<Permit>();
@@ -206,17 +283,20 @@
             }
             pieceMs += 0.1 * (units - pieceMs);
             name = server.bound();
-            int own = Math.min(left, server.growth.free(countedMs, grown(countedMs, wallMs, server)));
+            int own =
+                    Math.min(left, server.growth.free(countedMs, grown(countedMs, wallMs, server)));
             if (left - own > talk.free(countedMs, wallMs, name)) {
                 return null;
             }
             if (own > 0) {
                 server.growth.use(countedMs, own);
-                permits.add(talk.permit(countedMs, wallMs, terms.patienceMs() * (1 - terms.drift())));
+                permits.add(
+                        talk.permit(countedMs, wallMs, terms.patienceMs() * (1 - terms.drift())));
                 left -= own;
             }
         } else if (!terms.shared().contains(bound.kind())
-                || bound.kind() == Bound.Kind.CUSTOMER && facts.customers().stream().noneMatch(c -> c.name().equals(bound.of()))) {
+                || bound.kind() == Bound.Kind.CUSTOMER
+                        && facts.customers().stream().noneMatch(c -> c.name().equals(bound.of()))) {
             return new Leave(List.of());
         }
         if (left > 0) {
@@ -244,27 +324,63 @@
                 warm(server);
             }
             if (server.growth != null) {
-                int holders = (int) servers.values().stream().filter(other -> other.listing.cell() == server.listing.cell()
-                        && other.listing.mode() == Listing.Mode.RUNNING).count();
+                int holders =
+                        (int)
+                                servers.values().stream()
+                                        .filter(
+                                                other ->
+                                                        other.listing.cell()
+                                                                        == server.listing.cell()
+                                                                && other.listing.mode()
+                                                                        == Listing.Mode.RUNNING)
+                                        .count();
                 double partsPerS = byCell[server.listing.cell()].perS(countedMs);
-                // One part at the least where any comes in: a segment's last holders are never all left aside.
-                double parts = partsPerS < 0.1 || server.listing.mode() != Listing.Mode.RUNNING ? 0
-                        : Math.max(1, partsPerS * facts.coldRule().windowMs() / 1000 / Math.max(1, holders));
-                talk.want(server.bound(), (int) Math.ceil(parts * pieceMs), (int) Math.ceil(pieceMs));
+                // One part at the least where any comes in: a segment's last holders are never all
+                // left aside.
+                double parts =
+                        partsPerS < 0.1 || server.listing.mode() != Listing.Mode.RUNNING
+                                ? 0
+                                : Math.max(
+                                        1,
+                                        partsPerS
+                                                * facts.coldRule().windowMs()
+                                                / 1000
+                                                / Math.max(1, holders));
+                talk.want(
+                        server.bound(), (int) Math.ceil(parts * pieceMs), (int) Math.ceil(pieceMs));
             }
-            double seen = talk.opinion(countedMs, wallMs, server.listing.server(), server.listing.startedAtMs()).trouble();
+            double seen =
+                    talk.opinion(
+                                    countedMs,
+                                    wallMs,
+                                    server.listing.server(),
+                                    server.listing.startedAtMs())
+                            .trouble();
             if (seen >= LEAST_TROUBLE) {
                 // In tenths: a new word for each thousandth would tell nobody anything.
                 found.put(server.listing.server(), Math.round(10 * seen) / 10.0);
             }
         }
         trouble = Map.copyOf(found);
-        byCustomer.forEach((customer, rate) -> talk.want(name(Bound.customer(customer)),
-                (int) Math.ceil(1.25 * rate.perS(countedMs) * CUSTOMER_WINDOW_MS / 1000), 1));
+        byCustomer.forEach(
+                (customer, rate) ->
+                        talk.want(
+                                name(Bound.customer(customer)),
+                                (int)
+                                        Math.ceil(
+                                                1.25
+                                                        * rate.perS(countedMs)
+                                                        * CUSTOMER_WINDOW_MS
+                                                        / 1000),
+                                1));
         if (terms.shared().contains(Bound.Kind.FURTHER)) {
             Talk.Held held = talk.held(countedMs, wallMs, name(Bound.FURTHER));
-            // Refusals aren't seen here: who has used up all that it holds is taken to want as much again.
-            talk.want(name(Bound.FURTHER), held.free() == 0 ? 2 * held.used() + 1 : (int) Math.ceil(1.25 * held.used()), 1);
+            // Refusals aren't seen here: who has used up all that it holds is taken to want as much
+            // again.
+            talk.want(
+                    name(Bound.FURTHER),
+                    held.free() == 0 ? 2 * held.used() + 1 : (int) Math.ceil(1.25 * held.used()),
+                    1);
         }
     }
 
@@ -273,8 +389,10 @@
         var room = new HashMap<Bound, Integer>();
         for (Server server : servers.values()) {
             if (server.growth != null) {
-                room.put(Bound.cold(server.listing.server()), talk.free(countedMs, wallMs, server.bound())
-                        + server.growth.free(countedMs, grown(countedMs, wallMs, server)));
+                room.put(
+                        Bound.cold(server.listing.server()),
+                        talk.free(countedMs, wallMs, server.bound())
+                                + server.growth.free(countedMs, grown(countedMs, wallMs, server)));
             }
         }
         if (terms.shared().contains(Bound.Kind.CUSTOMER)) {
--- a/together/src/main/java/sprucehold/together/share/Exchange.java
+++ b/together/src/main/java/sprucehold/together/share/Exchange.java
@@ -16,26 +16,35 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Moves units of one bound to where they are wanted: who runs short asks a few others, who has some to spare lends them, who
- * needs a loan no more gives it back. It decides only who holds what for how long; that no unit is used twice is
- * {@link UnitLedger}'s matter and doesn't rest on anything here. Pure: time, messages and chance are handed in.
+ * Moves units of one bound to where they are wanted: who runs short asks a few others, who has some
+ * to spare lends them, who needs a loan no more gives it back. It decides only who holds what for
+ * how long; that no unit is used twice is {@link UnitLedger}'s matter and doesn't rest on anything
+ * here. Pure: time, messages and chance are handed in.
  */
 public final class Exchange {
     /** A message to a gatherer. */
-    public record Out(String to, ShareMessage message) {
-    }
+    public record Out(String to, ShareMessage message) {}
 
-    /** @param renews the loan that is to last longer; null where a new one was asked for */
-    private record Asked(String of, double atFast, double atSlow, Loan renews) {
-    }
+    /**
+     * @param renews the loan that is to last longer; null where a new one was asked for
+     */
+    private record Asked(String of, double atFast, double atSlow, Loan renews) {}
 
     /** How often it looks; a gatherer that runs short is helped within a few of these. */
     public static final double TICK_MS = 250;
-    /** Asks in a tick: a hundred gatherers are gone round in three seconds, at 32 short messages a second. */
+
+    /**
+     * Asks in a tick: a hundred gatherers are gone round in three seconds, at 32 short messages a
+     * second.
+     */
     public static final int ASKS = 8;
+
     /** Of what it used in the last window, so much is kept or asked for: use comes unevenly. */
     private static final double SPARE = 1.25;
-    /** An ask unanswered after four ticks is lost: ways within an installation take milliseconds. */
+
+    /**
+     * An ask unanswered after four ticks is lost: ways within an installation take milliseconds.
+     */
     private static final double ASK_MS = 4 * TICK_MS;
 
     private final String bound;
@@ -45,24 +54,38 @@
     private final long epoch;
     private final Random chance;
     private final Map<Long, Asked> asked = new LinkedHashMap<>();
-    /** The last request answered, of each asker's last life known: a doubled ask gets no second loan. */
+
+    /**
+     * The last request answered, of each asker's last life known: a doubled ask gets no second
+     * loan.
+     */
     private final Map<String, ShareMessage.Ask> answered = new HashMap<>();
+
     /** Who lent last time it was asked, asked first again. */
     private final Set<String> lenders = new LinkedHashSet<>();
+
     private final List<String> others = new ArrayList<>();
     private long requests;
     private int refused;
     private int demand;
     private int piece;
+
     /** Who asked last and got nothing, and when. */
     private String unmet = "";
+
     private double unmetAt = Double.NEGATIVE_INFINITY;
 
     /**
      * @param bound its name, the same at all
      * @param others who may be asked, in any order
      */
-    public Exchange(String bound, ShareTerms terms, UnitLedger ledger, OwnClock clock, long epoch, Collection<String> others,
+    public Exchange(
+            String bound,
+            ShareTerms terms,
+            UnitLedger ledger,
+            OwnClock clock,
+            long epoch,
+            Collection<String> others,
             Random chance) {
         this.bound = bound;
         this.terms = terms;
@@ -88,7 +111,8 @@
     }
 
     /**
-     * States how many units a window are wanted here, where that is known better than by what was used and refused.
+     * States how many units a window are wanted here, where that is known better than by what was
+     * used and refused.
      *
      * @param atOnce the fewest that are of any use, as a part takes so many at once
      */
@@ -97,7 +121,10 @@
         piece = atOnce;
     }
 
-    /** Units that should be here: what the last window used, what was refused since the last tick, and some to spare. */
+    /**
+     * Units that should be here: what the last window used, what was refused since the last tick,
+     * and some to spare.
+     */
     private int wanted() {
         return Math.max(demand, (int) Math.ceil(SPARE * (ledger.used() + refused)));
     }
@@ -107,7 +134,10 @@
         return tick(this::candidates);
     }
 
-    /** The same, with those whom to ask chosen by the caller: who shares many bounds asks the same few for all. */
+    /**
+     * The same, with those whom to ask chosen by the caller: who shares many bounds asks the same
+     * few for all.
+     */
     public List<Out> tick(Collection<String> whom) {
         return tick(() -> new LinkedHashSet<>(whom));
     }
@@ -121,11 +151,14 @@
         if (missing > 0 && !others.isEmpty()) {
             ask(missing, whom.get(), out);
         } else if (missing < 0) {
-            ledger.giveBack(-missing).forEach(loan -> out.add(new Out(loan.lender(), new ShareMessage.Return(loan))));
+            ledger.giveBack(-missing)
+                    .forEach(
+                            loan -> out.add(new Out(loan.lender(), new ShareMessage.Return(loan))));
         }
         // Halfway: one that is lost on the way leaves time for another before the loan is over.
         for (Loan loan : missing < 0 ? List.<Loan>of() : ledger.endingWithin(terms.termMs() / 2)) {
-            if (others.contains(loan.lender()) && asked.values().stream().noneMatch(ask -> loan.equals(ask.renews))) {
+            if (others.contains(loan.lender())
+                    && asked.values().stream().noneMatch(ask -> loan.equals(ask.renews))) {
                 asked.put(requests, new Asked(loan.lender(), clock.fastMs(), slow, loan));
                 out.add(new Out(loan.lender(), new ShareMessage.Renew(epoch, requests++, loan)));
             }
@@ -137,10 +170,13 @@
     /** Those who lent last time, and others by chance. */
     private Set<String> candidates() {
         Set<String> whom = new LinkedHashSet<>();
-        for (Iterator<String> known = lenders.iterator(); known.hasNext() && whom.size() < ASKS / 2;) {
+        for (Iterator<String> known = lenders.iterator();
+                known.hasNext() && whom.size() < ASKS / 2; ) {
             whom.add(known.next());
         }
-        for (int tries = 0; whom.size() < Math.min(ASKS, others.size()) && tries < 4 * ASKS; tries++) {
+        for (int tries = 0;
+                whom.size() < Math.min(ASKS, others.size()) && tries < 4 * ASKS;
+                tries++) {
             whom.add(others.get(chance.nextInt(others.size())));
         }
         return whom;
@@ -152,11 +188,18 @@
     }
 
     private void ask(int missing, Set<String> whom, List<Out> out) {
-        whom.removeIf(one -> asked.values().stream().anyMatch(ask -> ask.renews == null && ask.of.equals(one)));
+        whom.removeIf(
+                one ->
+                        asked.values().stream()
+                                .anyMatch(ask -> ask.renews == null && ask.of.equals(one)));
         for (String one : whom) {
             long request = requests++;
             asked.put(request, new Asked(one, clock.fastMs(), clock.slowMs(), null));
-            out.add(new Out(one, new ShareMessage.Ask(epoch, request, (missing + whom.size() - 1) / whom.size())));
+            out.add(
+                    new Out(
+                            one,
+                            new ShareMessage.Ask(
+                                    epoch, request, (missing + whom.size() - 1) / whom.size())));
         }
     }
 
@@ -166,7 +209,10 @@
             return asked(from, ask);
         } else if (message instanceof ShareMessage.Grant grant && grant.askerEpoch() == epoch) {
             Asked ask = asked.get(grant.request());
-            if (ask != null && ask.renews == null && ask.of.equals(from) && grant.loan().lender().equals(from)) {
+            if (ask != null
+                    && ask.renews == null
+                    && ask.of.equals(from)
+                    && grant.loan().lender().equals(from)) {
                 asked.remove(grant.request());
                 lenders.add(from);
                 if (!ledger.take(grant.loan(), ask.atFast)) {
@@ -174,20 +220,34 @@
                     return List.of(new Out(from, new ShareMessage.Return(grant.loan())));
                 }
             }
-        } else if (message instanceof ShareMessage.Nothing nothing && nothing.askerEpoch() == epoch) {
+        } else if (message instanceof ShareMessage.Nothing nothing
+                && nothing.askerEpoch() == epoch) {
             Asked ask = asked.get(nothing.request());
             if (ask != null && ask.of.equals(from)) {
                 asked.remove(nothing.request());
                 lenders.remove(from);
             }
         } else if (message instanceof ShareMessage.Renew renew) {
-            // Not where it is wanted here by now; and every other time not where another was sent away of late, so that who has
+            // Not where it is wanted here by now; and every other time not where another was sent
+            // away of late, so that who has
             // become busy later isn't left with nothing by those who were there first.
-            boolean passedOn = !from.equals(unmet) && clock.slowMs() - unmetAt < ASK_MS && chance.nextBoolean();
-            boolean renewed = !passedOn && ledger.free() + ledger.used() >= wanted() && ledger.renew(from, renew.loan());
-            return List.of(new Out(from, renewed ? new ShareMessage.Renewed(renew.epoch(), renew.request(), renew.loan())
-                    : new ShareMessage.Nothing(renew.epoch(), renew.request())));
-        } else if (message instanceof ShareMessage.Renewed renewed && renewed.askerEpoch() == epoch) {
+            boolean passedOn =
+                    !from.equals(unmet)
+                            && clock.slowMs() - unmetAt < ASK_MS
+                            && chance.nextBoolean();
+            boolean renewed =
+                    !passedOn
+                            && ledger.free() + ledger.used() >= wanted()
+                            && ledger.renew(from, renew.loan());
+            return List.of(
+                    new Out(
+                            from,
+                            renewed
+                                    ? new ShareMessage.Renewed(
+                                            renew.epoch(), renew.request(), renew.loan())
+                                    : new ShareMessage.Nothing(renew.epoch(), renew.request())));
+        } else if (message instanceof ShareMessage.Renewed renewed
+                && renewed.askerEpoch() == epoch) {
             Asked ask = asked.get(renewed.request());
             if (ask != null && ask.of.equals(from) && renewed.loan().equals(ask.renews)) {
                 asked.remove(renewed.request());
@@ -210,17 +270,29 @@
             return List.of();
         }
         answered.put(from, ask);
-        // Where all hold less than is of use, all would ask and nobody lend: of two, one yields whatever it has.
-        boolean yields = terms.home() - ledger.lent() + ledger.borrowed() < piece && rank(from) < rank(ledger.name());
+        // Where all hold less than is of use, all would ask and nobody lend: of two, one yields
+        // whatever it has.
+        boolean yields =
+                terms.home() - ledger.lent() + ledger.borrowed() < piece
+                        && rank(from) < rank(ledger.name());
         // Else half of what can be spared: the next who asks finds some as well.
         int spare = yields ? ledger.free() : (ledger.free() - wanted() + ledger.used()) / 2;
-        Loan loan = ask.units() <= 0 ? null : ledger.lend(from, Math.min(ask.units(), Math.max(spare, 0)),
-                yields ? 0 : Math.max(0, wanted() - ledger.used()));
+        Loan loan =
+                ask.units() <= 0
+                        ? null
+                        : ledger.lend(
+                                from,
+                                Math.min(ask.units(), Math.max(spare, 0)),
+                                yields ? 0 : Math.max(0, wanted() - ledger.used()));
         if (loan == null) {
             unmet = from;
             unmetAt = clock.slowMs();
         }
-        return List.of(new Out(from, loan == null ? new ShareMessage.Nothing(ask.epoch(), ask.request())
-                : new ShareMessage.Grant(ask.epoch(), ask.request(), loan)));
+        return List.of(
+                new Out(
+                        from,
+                        loan == null
+                                ? new ShareMessage.Nothing(ask.epoch(), ask.request())
+                                : new ShareMessage.Grant(ask.epoch(), ask.request(), loan)));
     }
 }
--- a/together/src/main/java/sprucehold/together/share/OwnClock.java
+++ b/together/src/main/java/sprucehold/together/share/OwnClock.java
@@ -1,13 +1,17 @@
 package sprucehold.together.share;
 
 /**
- * A gatherer's own time as loans see it, from two clocks of its machine: one that only counts up, and the wall's. The first
- * decides; the second shows when the first stood still, as some do while their machine sleeps, by running ahead of it. What
- * must not end too soon goes by {@link #slowMs}, what must not last too long by {@link #fastMs}. A wall clock that jumps
- * ahead only ends loans early, one that jumps back does nothing.
+ * A gatherer's own time as loans see it, from two clocks of its machine: one that only counts up,
+ * and the wall's. The first decides; the second shows when the first stood still, as some do while
+ * their machine sleeps, by running ahead of it. What must not end too soon goes by {@link #slowMs},
+ * what must not last too long by {@link #fastMs}. A wall clock that jumps ahead only ends loans
+ * early, one that jumps back does nothing.
  */
 public class OwnClock {
-    /** The wall may be ahead by so much unseen: it is read in whole milliseconds, and drawn slowly to the right time. */
+    /**
+     * The wall may be ahead by so much unseen: it is read in whole milliseconds, and drawn slowly
+     * to the right time.
+     */
     static final double UNSEEN_MS = 100;
 
     private double first = Double.NaN;
@@ -41,7 +45,10 @@
         return counted;
     }
 
-    /** Milliseconds that may have passed since the first reading, but for {@link #UNSEEN_MS}: by it a borrower stops. */
+    /**
+     * Milliseconds that may have passed since the first reading, but for {@link #UNSEEN_MS}: by it
+     * a borrower stops.
+     */
     public double fastMs() {
         return counted + slept;
     }
--- a/together/src/main/java/sprucehold/together/share/ShareMessage.java
+++ b/together/src/main/java/sprucehold/together/share/ShareMessage.java
@@ -8,26 +8,20 @@
      * @param request grows with each ask of one life of the asker
      * @param epoch the asker's life
      */
-    record Ask(long epoch, long request, int units) implements ShareMessage {
-    }
+    record Ask(long epoch, long request, int units) implements ShareMessage {}
 
     /** Answers an ask with a loan. */
-    record Grant(long askerEpoch, long request, Loan loan) implements ShareMessage {
-    }
+    record Grant(long askerEpoch, long request, Loan loan) implements ShareMessage {}
 
     /** Answers an ask: nothing can be lent now. */
-    record Nothing(long askerEpoch, long request) implements ShareMessage {
-    }
+    record Nothing(long askerEpoch, long request) implements ShareMessage {}
 
     /** Asks for a loan that is held to last longer. */
-    record Renew(long epoch, long request, Loan loan) implements ShareMessage {
-    }
+    record Renew(long epoch, long request, Loan loan) implements ShareMessage {}
 
     /** Answers that: it lasts a term from when that was asked. */
-    record Renewed(long askerEpoch, long request, Loan loan) implements ShareMessage {
-    }
+    record Renewed(long askerEpoch, long request, Loan loan) implements ShareMessage {}
 
     /** Gives a loan back before its time. */
-    record Return(Loan loan) implements ShareMessage {
-    }
+    record Return(Loan loan) implements ShareMessage {}
 }
--- a/together/src/main/java/sprucehold/together/share/UnitLedger.java
+++ b/together/src/main/java/sprucehold/together/share/UnitLedger.java
@@ -10,24 +10,26 @@
 import java.util.Map;
 
 /**
- * One gatherer's units of one bound of the fleet: its home, what of it is lent, what it has borrowed, and what was used of
- * either. Each unit is at any moment usable by one gatherer at the most, and by nobody until the window of its last use is
- * over; so whatever messages are lost, doubled or late, and whoever dies, pauses or comes back, no span of a window sees
- * more uses than the sum of all homes. The proof stands in docs/together.md.
+ * One gatherer's units of one bound of the fleet: its home, what of it is lent, what it has
+ * borrowed, and what was used of either. Each unit is at any moment usable by one gatherer at the
+ * most, and by nobody until the window of its last use is over; so whatever messages are lost,
+ * doubled or late, and whoever dies, pauses or comes back, no span of a window sees more uses than
+ * the sum of all homes. The proof stands in docs/together.md.
  *
- * <p>A life begins as if all had been used and lent the moment before: what an earlier one did is not known. A ledger that a
- * life opens later, for a bound that has come up since, is free of that as far as what an earlier life can have done has lapsed.
+ * <p>A life begins as if all had been used and lent the moment before: what an earlier one did is
+ * not known. A ledger that a life opens later, for a bound that has come up since, is free of that
+ * as far as what an earlier life can have done has lapsed.
  */
 public final class UnitLedger {
     /** Units used at one moment. */
-    private record Used(double countsUntil, int units) {
-    }
+    private record Used(double countsUntil, int units) {}
 
     /** A loan out: until when by the slow clock its units can't be used here. */
-    private record Lent(String to, int units, double outUntil) {
-    }
+    private record Lent(String to, int units, double outUntil) {}
 
-    /** A loan held: until when by the fast clock its units may be used, and what was used of them. */
+    /**
+     * A loan held: until when by the fast clock its units may be used, and what was used of them.
+     */
     private static final class Borrowed {
         final Loan loan;
         double usableUntil;
@@ -56,7 +58,10 @@
         this(name, epoch, terms, clock, 0);
     }
 
-    /** @param lifeMs for how long this life has lasted by its slow clock, with no ledger of this bound before */
+    /**
+     * @param lifeMs for how long this life has lasted by its slow clock, with no ledger of this
+     *     bound before
+     */
     public UnitLedger(String name, long epoch, ShareTerms terms, OwnClock clock, double lifeMs) {
         this.name = name;
         this.epoch = epoch;
@@ -67,7 +72,12 @@
             used.add(new Used(began + terms.countedMs(), terms.kept()));
         }
         if (terms.home() > terms.kept()) {
-            lent.put(loans++, new Lent("", terms.home() - terms.kept(), began + terms.lentMs() + terms.countedMs()));
+            lent.put(
+                    loans++,
+                    new Lent(
+                            "",
+                            terms.home() - terms.kept(),
+                            began + terms.lentMs() + terms.countedMs()));
         }
     }
 
@@ -131,7 +141,8 @@
     }
 
     /**
-     * Uses so many units at once, borrowed ones first, which end by themselves, and of these those that end soonest.
+     * Uses so many units at once, borrowed ones first, which end by themselves, and of these those
+     * that end soonest.
      *
      * @return null, with nothing used, if fewer are free
      */
@@ -171,14 +182,22 @@
             return null;
         }
         var loan = new Loan(name, epoch, loans++, units);
-        lent.put(loan.number(), new Lent(to, units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
+        lent.put(
+                loan.number(),
+                new Lent(to, units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
         return loan;
     }
 
-    /** A borrower has given a loan back, of which no use counts any more; doubled, unknown or another's news changes nothing. */
+    /**
+     * A borrower has given a loan back, of which no use counts any more; doubled, unknown or
+     * another's news changes nothing.
+     */
     public void returned(String from, Loan loan) {
         Lent out = lent.get(loan.number());
-        if (out != null && out.to.equals(from) && loan.lender().equals(name) && loan.epoch() == epoch) {
+        if (out != null
+                && out.to.equals(from)
+                && loan.lender().equals(name)
+                && loan.epoch() == epoch) {
             lent.remove(loan.number());
         }
     }
@@ -191,24 +210,41 @@
     public boolean renew(String to, Loan loan) {
         forgetThePast();
         Lent out = lent.get(loan.number());
-        if (out == null || !out.to.equals(to) || !loan.lender().equals(name) || loan.epoch() != epoch) {
+        if (out == null
+                || !out.to.equals(to)
+                || !loan.lender().equals(name)
+                || loan.epoch() != epoch) {
             return false;
         }
-        lent.put(loan.number(), new Lent(to, out.units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
+        lent.put(
+                loan.number(),
+                new Lent(to, out.units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
         return true;
     }
 
-    /** A loan that is held lasts longer, from when that was asked; one that is held no more is not taken up again. */
+    /**
+     * A loan that is held lasts longer, from when that was asked; one that is held no more is not
+     * taken up again.
+     */
     public void renewed(Loan loan, double askedAtFast) {
         forgetThePast();
-        borrowed.stream().filter(held -> held.loan.equals(loan))
-                .forEach(held -> held.usableUntil = Math.max(held.usableUntil, askedAtFast + terms.borrowedMs()));
+        borrowed.stream()
+                .filter(held -> held.loan.equals(loan))
+                .forEach(
+                        held ->
+                                held.usableUntil =
+                                        Math.max(
+                                                held.usableUntil,
+                                                askedAtFast + terms.borrowedMs()));
     }
 
     /** Loans held that are over in less than so many milliseconds. */
     public List<Loan> endingWithin(double ms) {
         forgetThePast();
-        return borrowed.stream().filter(held -> held.usableUntil - clock.fastMs() < ms).map(held -> held.loan).toList();
+        return borrowed.stream()
+                .filter(held -> held.usableUntil - clock.fastMs() < ms)
+                .map(held -> held.loan)
+                .toList();
     }
 
     /**
@@ -227,14 +263,14 @@
     }
 
     /**
-     * Gives up loans of which no use counts any more, up to so many units; they can be told to their lenders, who may use
-     * the units at once.
+     * Gives up loans of which no use counts any more, up to so many units; they can be told to
+     * their lenders, who may use the units at once.
      */
     public List<Loan> giveBack(int most) {
         forgetThePast();
         var back = new ArrayList<Loan>();
         int left = most;
-        for (Iterator<Borrowed> all = borrowed.iterator(); all.hasNext();) {
+        for (Iterator<Borrowed> all = borrowed.iterator(); all.hasNext(); ) {
             Borrowed held = all.next();
             if (held.used.isEmpty() && held.loan.units() <= left) {
                 left -= held.loan.units();
@@ -250,15 +286,34 @@
     public String toString() {
         forgetThePast();
         var text = new StringBuilder(name).append(" uses");
-        used.forEach(one -> text.append(' ').append(one.units).append('<').append(left(one.countsUntil - clock.slowMs())));
+        used.forEach(
+                one ->
+                        text.append(' ')
+                                .append(one.units)
+                                .append('<')
+                                .append(left(one.countsUntil - clock.slowMs())));
         text.append(" lends");
-        lent.values().forEach(one -> text.append(' ').append(one.units).append('<').append(left(one.outUntil - clock.slowMs())));
+        lent.values()
+                .forEach(
+                        one ->
+                                text.append(' ')
+                                        .append(one.units)
+                                        .append('<')
+                                        .append(left(one.outUntil - clock.slowMs())));
         text.append(" holds");
-        borrowed.forEach(held -> {
-            text.append(' ').append(held.loan.units()).append('<').append(left(held.usableUntil - clock.fastMs()));
-            held.used.forEach(one -> text.append(" used ").append(one.units).append('<')
-                    .append(left(one.countsUntil - clock.slowMs())));
-        });
+        borrowed.forEach(
+                held -> {
+                    text.append(' ')
+                            .append(held.loan.units())
+                            .append('<')
+                            .append(left(held.usableUntil - clock.fastMs()));
+                    held.used.forEach(
+                            one ->
+                                    text.append(" used ")
+                                            .append(one.units)
+                                            .append('<')
+                                            .append(left(one.countsUntil - clock.slowMs())));
+                });
         return text.toString();
     }
 
--- a/together/src/main/java/sprucehold/together/talk/Letter.java
+++ b/together/src/main/java/sprucehold/together/talk/Letter.java
@@ -9,18 +9,14 @@
 /** What one gatherer says to another at once; each fits into a datagram. */
 public sealed interface Letter {
     /** Of who is there. */
-    record OfMembers(MemberMessage message) implements Letter {
-    }
+    record OfMembers(MemberMessage message) implements Letter {}
 
     /** Of the shares of bounds, each by its name. */
-    record OfShares(List<OfShare> shares) implements Letter {
-    }
+    record OfShares(List<OfShare> shares) implements Letter {}
 
     /** Of the shares of one bound. */
-    record OfShare(String bound, ShareMessage message) {
-    }
+    record OfShare(String bound, ShareMessage message) {}
 
     /** Of what the sender itself has counted and seen. */
-    record OfNews(List<Count> counts, List<Sighting> sightings) implements Letter {
-    }
+    record OfNews(List<Count> counts, List<Sighting> sightings) implements Letter {}
 }
--- a/together/src/main/java/sprucehold/together/talk/Talk.java
+++ b/together/src/main/java/sprucehold/together/talk/Talk.java
@@ -19,15 +19,14 @@
 import sprucehold.together.share.Exchange;
 import sprucehold.together.share.OwnClock;
 import sprucehold.together.share.Permit;
-import sprucehold.together.share.UnitLedger;
 import sprucehold.together.share.ShareMessage;
 import sprucehold.together.share.ShareTerms;
+import sprucehold.together.share.UnitLedger;
 
 /** One gatherer among others: who is there, what is shared, what was counted and seen. */
 public final class Talk {
     /** A letter to another. */
-    public record Out(String to, Letter letter) {
-    }
+    public record Out(String to, Letter letter) {}
 
     /**
      * What stands with one bound.
@@ -35,22 +34,37 @@
      * @param home units that are this gatherer's own
      * @param free units that may be used now
      */
-    public record Held(int home, int lent, int borrowed, int used, int free) {
-    }
+    public record Held(int home, int lent, int borrowed, int used, int free) {}
 
     /** What one gatherer knows, for operators. */
-    public record Status(List<News> members, Map<String, Held> bounds, boolean superseded, boolean cutOff, int health,
-            long dropped) {
-    }
+    public record Status(
+            List<News> members,
+            Map<String, Held> bounds,
+            boolean superseded,
+            boolean cutOff,
+            int health,
+            long dropped) {}
 
-    /** Its own counts and sightings go to so many others a second, in turn, each round in another order. */
+    /**
+     * Its own counts and sightings go to so many others a second, in turn, each round in another
+     * order.
+     */
     private static final int NEWS_TO = 8;
-    /** And to so many while it has seen a server fail: a hundred others hear of that in four seconds, before it has faded. */
+
+    /**
+     * And to so many while it has seen a server fail: a hundred others hear of that in four
+     * seconds, before it has faded.
+     */
     private static final int TROUBLE_TO = 25;
+
     private static final double NEWS_MS = 1000;
     private static final int COUNTS = 6;
     private static final int SIGHTINGS = 4;
-    /** Messages on shares in a letter: some 100 bytes each with the name of their bound keep it within a datagram. */
+
+    /**
+     * Messages on shares in a letter: some 100 bytes each with the name of their bound keep it
+     * within a datagram.
+     */
     private static final int SHARES = 10;
 
     /** One bound, as this gatherer holds its part of it. */
@@ -58,6 +72,7 @@
         final ShareTerms terms;
         final UnitLedger ledger;
         final Exchange exchange;
+
         /** Nobody uses or lends it any more; kept until what is out of it has lapsed. */
         boolean ending;
 
@@ -82,8 +97,10 @@
     private double room;
     private double roomAt;
     private double sharesAt = Double.NEGATIVE_INFINITY;
+
     /** Which life shares are held in, and since when by the slow clock. */
     private long life;
+
     private double lifeAt;
     private double newsAt;
     private long dropped;
@@ -92,7 +109,14 @@
      * @param life by the wall clock at the start, in milliseconds
      * @param others names that may be there, and the site of each
      */
-    public Talk(TalkTerms terms, String name, String site, long life, Map<String, String> others, long seed, double countedMs,
+    public Talk(
+            TalkTerms terms,
+            String name,
+            String site,
+            long life,
+            Map<String, String> others,
+            long seed,
+            double countedMs,
             double wallMs) {
         this.chance = new Random(seed);
         this.lettersPerS = terms.lettersPerS();
@@ -109,8 +133,19 @@
 
     private void hold(String bound, ShareTerms terms) {
         var ledger = new UnitLedger(name, life, terms, clock, clock.slowMs() - lifeAt);
-        holdings.put(bound, new Holding(terms, ledger, new Exchange(bound, terms, ledger, clock, life, there,
-                new Random(chance.nextLong()))));
+        holdings.put(
+                bound,
+                new Holding(
+                        terms,
+                        ledger,
+                        new Exchange(
+                                bound,
+                                terms,
+                                ledger,
+                                clock,
+                                life,
+                                there,
+                                new Random(chance.nextLong()))));
     }
 
     /** Shares as of a new life: as if all had been used and lent the moment before. */
@@ -121,7 +156,9 @@
         new TreeMap<>(holdings).forEach((bound, holding) -> hold(bound, holding.terms));
     }
 
-    /** A bound has come up. One that ended a moment ago goes on as it was, with what is out of it. */
+    /**
+     * A bound has come up. One that ended a moment ago goes on as it was, with what is out of it.
+     */
     public void begin(double countedMs, double wallMs, String bound, ShareTerms terms) {
         read(countedMs, wallMs);
         Holding before = holdings.get(bound);
@@ -140,7 +177,10 @@
         }
     }
 
-    /** States how many units of a bound are wanted in a window; see {@link Exchange#want}. Nothing where it isn't held. */
+    /**
+     * States how many units of a bound are wanted in a window; see {@link Exchange#want}. Nothing
+     * where it isn't held.
+     */
     public void want(String bound, int units, int atOnce) {
         Holding holding = held(bound);
         if (holding != null) {
@@ -189,33 +229,65 @@
         return within(out);
     }
 
-    /** All bounds ask the same few, those who lent before first, so that what is asked of one goes in one letter. */
+    /**
+     * All bounds ask the same few, those who lent before first, so that what is asked of one goes
+     * in one letter.
+     */
     private void shares(List<Out> out) {
-        holdings.values().removeIf(holding -> holding.ending && holding.ledger.lent() == 0 && holding.ledger.used() == 0);
+        holdings.values()
+                .removeIf(
+                        holding ->
+                                holding.ending
+                                        && holding.ledger.lent() == 0
+                                        && holding.ledger.used() == 0);
         var whom = new LinkedHashSet<String>();
-        holdings.values().forEach(holding -> holding.exchange.lenders().stream()
-                .limit(Math.max(0, Exchange.ASKS / 2 - whom.size())).forEach(whom::add));
+        holdings.values()
+                .forEach(
+                        holding ->
+                                holding.exchange.lenders().stream()
+                                        .limit(Math.max(0, Exchange.ASKS / 2 - whom.size()))
+                                        .forEach(whom::add));
         List<String> all = List.copyOf(there);
-        for (int tries = 0; whom.size() < Math.min(Exchange.ASKS, all.size()) && tries < 4 * Exchange.ASKS; tries++) {
+        for (int tries = 0;
+                whom.size() < Math.min(Exchange.ASKS, all.size()) && tries < 4 * Exchange.ASKS;
+                tries++) {
             whom.add(all.get(chance.nextInt(all.size())));
         }
         var to = new TreeMap<String, List<Letter.OfShare>>();
-        holdings.forEach((bound, holding) -> {
-            if (!holding.ending) {
-                holding.exchange.tick(whom).forEach(one -> to.computeIfAbsent(one.to(), none -> new ArrayList<>())
-                        .add(new Letter.OfShare(bound, one.message())));
-            }
-        });
+        holdings.forEach(
+                (bound, holding) -> {
+                    if (!holding.ending) {
+                        holding.exchange
+                                .tick(whom)
+                                .forEach(
+                                        one ->
+                                                to.computeIfAbsent(
+                                                                one.to(), none -> new ArrayList<>())
+                                                        .add(
+                                                                new Letter.OfShare(
+                                                                        bound, one.message())));
+                    }
+                });
         to.forEach((one, shares) -> ofShares(one, shares, out));
     }
 
     private static void ofShares(String to, List<Letter.OfShare> shares, List<Out> out) {
         for (int from = 0; from < shares.size(); from += SHARES) {
-            out.add(new Out(to, new Letter.OfShares(List.copyOf(shares.subList(from, Math.min(shares.size(), from + SHARES))))));
+            out.add(
+                    new Out(
+                            to,
+                            new Letter.OfShares(
+                                    List.copyOf(
+                                            shares.subList(
+                                                    from,
+                                                    Math.min(shares.size(), from + SHARES))))));
         }
     }
 
-    /** Each tells the others itself. To pass on what a third has seen would be quicker, and one liar could speak for many. */
+    /**
+     * Each tells the others itself. To pass on what a third has seen would be quicker, and one liar
+     * could speak for many.
+     */
     private void news(double now, List<Out> out) {
         var letter = new Letter.OfNews(counts.own(COUNTS), evidence.tell(now, SIGHTINGS));
         if (letter.counts().isEmpty() && letter.sightings().isEmpty()) {
@@ -244,13 +316,17 @@
             evidence.there(now);
         }
         if (wasSuperseded && !membership.superseded()) {
-            // The other of this name had the same home, and what it used and lent until just now isn't known here.
+            // The other of this name had the same home, and what it used and lent until just now
+            // isn't known here.
             beginShares(membership.view().get(0).life());
         }
         wasSuperseded = membership.superseded();
     }
 
-    /** What of it may leave now: probes and their answers first, as all else rests on them; then what frees units. */
+    /**
+     * What of it may leave now: probes and their answers first, as all else rests on them; then
+     * what frees units.
+     */
     private List<Out> within(List<Out> out) {
         out.sort((one, other) -> Integer.compare(rank(one.letter), rank(other.letter)));
         int most = (int) Math.min(out.size(), Math.floor(room));
@@ -264,7 +340,10 @@
             return 0;
         }
         return letter instanceof Letter.OfShares shares
-                && shares.shares().stream().anyMatch(one -> !(one.message() instanceof ShareMessage.Ask)) ? 1 : 2;
+                        && shares.shares().stream()
+                                .anyMatch(one -> !(one.message() instanceof ShareMessage.Ask))
+                ? 1
+                : 2;
     }
 
     /** Takes a letter from another. */
@@ -277,17 +356,29 @@
             var answers = new ArrayList<Letter.OfShare>();
             for (Letter.OfShare one : shares.shares()) {
                 // What is ending lends nothing, but what comes back to it frees it sooner.
-                Holding holding = one.message() instanceof ShareMessage.Ask ? held(one.bound()) : holdings.get(one.bound());
+                Holding holding =
+                        one.message() instanceof ShareMessage.Ask
+                                ? held(one.bound())
+                                : holdings.get(one.bound());
                 if (holding != null && !membership.superseded()) {
-                    holding.exchange.received(from, one.message())
-                            .forEach(answer -> answers.add(new Letter.OfShare(one.bound(), answer.message())));
+                    holding.exchange
+                            .received(from, one.message())
+                            .forEach(
+                                    answer ->
+                                            answers.add(
+                                                    new Letter.OfShare(
+                                                            one.bound(), answer.message())));
                 }
             }
             ofShares(from, answers, out);
         } else if (letter instanceof Letter.OfNews news) {
             // Each speaks for itself alone.
-            news.counts().stream().filter(count -> count.gatherer().equals(from)).forEach(count -> counts.heard(now, count));
-            news.sightings().stream().filter(one -> one.observer().equals(from)).forEach(one -> evidence.heard(now, one));
+            news.counts().stream()
+                    .filter(count -> count.gatherer().equals(from))
+                    .forEach(count -> counts.heard(now, count));
+            news.sightings().stream()
+                    .filter(one -> one.observer().equals(from))
+                    .forEach(one -> evidence.heard(now, one));
         }
         return within(out);
     }
@@ -301,7 +392,8 @@
     }
 
     /**
-     * Uses units of a bound, if they are free and this process is the only one of its name as far as it has heard.
+     * Uses units of a bound, if they are free and this process is the only one of its name as far
+     * as it has heard.
      *
      * @return null if they may not be used
      * @throws IllegalArgumentException if no bound has that name
@@ -310,7 +402,12 @@
         read(countedMs, wallMs);
         Holding holding = held(bound);
         if (holding == null) {
-            throw new IllegalArgumentException("no bound is called " + bound + "; one of " + holdings.keySet() + " was expected");
+            throw new IllegalArgumentException(
+                    "no bound is called "
+                            + bound
+                            + "; one of "
+                            + holdings.keySet()
+                            + " was expected");
         }
         return membership.superseded() ? null : holding.exchange.use(units);
     }
@@ -358,7 +455,13 @@
     }
 
     /** Notes how a dispatch of this gatherer's ended. */
-    public void saw(double countedMs, double wallMs, String server, String serverSite, double startedAtMs, boolean well) {
+    public void saw(
+            double countedMs,
+            double wallMs,
+            String server,
+            String serverSite,
+            double startedAtMs,
+            boolean well) {
         evidence.saw(read(countedMs, wallMs), server, serverSite, startedAtMs, well);
     }
 
@@ -375,7 +478,11 @@
     }
 
     private static Held held(Holding holding) {
-        return new Held(holding.terms.home(), holding.ledger.lent(), holding.ledger.borrowed(), holding.ledger.used(),
+        return new Held(
+                holding.terms.home(),
+                holding.ledger.lent(),
+                holding.ledger.borrowed(),
+                holding.ledger.used(),
                 holding.ledger.free());
     }
 
@@ -383,6 +490,12 @@
         read(countedMs, wallMs);
         var held = new TreeMap<String, Held>();
         holdings.forEach((bound, holding) -> held.put(bound, held(holding)));
-        return new Status(membership.view(), held, membership.superseded(), membership.cutOff(), membership.health(), dropped);
+        return new Status(
+                membership.view(),
+                held,
+                membership.superseded(),
+                membership.cutOff(),
+                membership.health(),
+                dropped);
     }
 }
--- a/together/src/main/java/sprucehold/together/wire/Codec.java
+++ b/together/src/main/java/sprucehold/together/wire/Codec.java
@@ -33,20 +33,27 @@
 public final class Codec {
     /** A datagram that passes any usual way whole. */
     public static final int MOST_BYTES = 1200;
+
     /** A letter that passes on a stream: the table of ten thousand members. */
     public static final int MOST_LONG_BYTES = 1 << 20;
+
     /** Of such a frame, which says why the letters of another can't be read. */
     static final int REFUSAL = 0;
+
     private static final int HEAD = 7;
+
     /** Longest array that a letter may hold; more is no letter of ours. */
     private static final int MOST_ITEMS = 10_000;
+
     private static final int MOST_WORDS = 200;
 
     static {
-        // Avro makes room for what a length says before it looks whether so much is there: a few bytes would take all memory.
+        // Avro makes room for what a length says before it looks whether so much is there: a few
+        // bytes would take all memory.
         System.setProperty("org.apache.avro.limits.string.maxLength", String.valueOf(MOST_BYTES));
         System.setProperty("org.apache.avro.limits.bytes.maxLength", String.valueOf(MOST_BYTES));
-        System.setProperty("org.apache.avro.limits.collectionItems.maxLength", String.valueOf(MOST_ITEMS));
+        System.setProperty(
+                "org.apache.avro.limits.collectionItems.maxLength", String.valueOf(MOST_ITEMS));
     }
 
     private final String self;
@@ -57,7 +64,9 @@
         this(self, shipped());
     }
 
-    /** @param versions schemas by version; the highest is what letters are read into */
+    /**
+     * @param versions schemas by version; the highest is what letters are read into
+     */
     Codec(String self, NavigableMap<Integer, Schema> versions) {
         this.self = self;
         this.versions = versions;
@@ -90,7 +99,8 @@
     /**
      * Writes a letter.
      *
-     * @return more than {@link #MOST_BYTES} if it is to go on a stream; null if it is longer than {@link #MOST_LONG_BYTES}
+     * @return more than {@link #MOST_BYTES} if it is to go on a stream; null if it is longer than
+     *     {@link #MOST_LONG_BYTES}
      */
     public byte[] write(String to, Letter letter, int version) {
         Schema schema = versions.get(version);
@@ -118,10 +128,19 @@
         return whole.length > MOST_LONG_BYTES ? null : whole;
     }
 
-    /** What to say to one whose letters can't be read, and from whom nothing but a version is known. */
+    /**
+     * What to say to one whose letters can't be read, and from whom nothing but a version is known.
+     */
     public byte[] refusal(int version) {
-        byte[] words = ("version " + version + " can't be read here, " + lowest() + " to " + highest() + " can")
-                .getBytes(StandardCharsets.UTF_8);
+        byte[] words =
+                ("version "
+                                + version
+                                + " can't be read here, "
+                                + lowest()
+                                + " to "
+                                + highest()
+                                + " can")
+                        .getBytes(StandardCharsets.UTF_8);
         byte[] whole = new byte[HEAD + words.length];
         whole[0] = 'S';
         whole[1] = 'G';
@@ -147,7 +166,10 @@
 
     /** Reads whatever came. */
     public Received read(byte[] bytes) {
-        if (bytes.length <= HEAD || bytes.length > MOST_LONG_BYTES || bytes[0] != 'S' || bytes[1] != 'G') {
+        if (bytes.length <= HEAD
+                || bytes.length > MOST_LONG_BYTES
+                || bytes[0] != 'S'
+                || bytes[1] != 'G') {
             return new Received.Foreign("not a letter");
         }
         long told = 0;
@@ -160,17 +182,24 @@
         int version = bytes[2] & 0xff;
         if (version == REFUSAL) {
             // Words for a log: never longer than a line, and no letters that would make it two.
-            return new Received.Refused(new String(bytes, HEAD, Math.min(MOST_WORDS, bytes.length - HEAD), StandardCharsets.UTF_8)
-                    .replaceAll("\\p{C}", "?"));
+            return new Received.Refused(
+                    new String(
+                                    bytes,
+                                    HEAD,
+                                    Math.min(MOST_WORDS, bytes.length - HEAD),
+                                    StandardCharsets.UTF_8)
+                            .replaceAll("\\p{C}", "?"));
         }
         Schema written = versions.get(version);
         if (written == null) {
             return new Received.Unknown(version);
         }
         try {
-            BinaryDecoder decoder = DecoderFactory.get().binaryDecoder(bytes, HEAD, bytes.length - HEAD, null);
-            GenericRecord record = new GenericDatumReader<GenericRecord>(written, versions.lastEntry().getValue())
-                    .read(null, decoder);
+            BinaryDecoder decoder =
+                    DecoderFactory.get().binaryDecoder(bytes, HEAD, bytes.length - HEAD, null);
+            GenericRecord record =
+                    new GenericDatumReader<GenericRecord>(written, versions.lastEntry().getValue())
+                            .read(null, decoder);
             if (!decoder.isEnd()) {
                 return new Received.Foreign("more than a letter");
             }
@@ -178,9 +207,17 @@
             if (!text(record, "to").equals(self)) {
                 return new Received.Foreign("a letter to " + text(record, "to"));
             }
-            return new Received.Read(from, (int) record.get("reads"), letter(from, (GenericRecord) record.get("body")));
-        } catch (IOException | AvroRuntimeException | IllegalArgumentException | ClassCastException | IndexOutOfBoundsException
-                | NegativeArraySizeException | UnsupportedOperationException e) {
+            return new Received.Read(
+                    from,
+                    (int) record.get("reads"),
+                    letter(from, (GenericRecord) record.get("body")));
+        } catch (IOException
+                | AvroRuntimeException
+                | IllegalArgumentException
+                | ClassCastException
+                | IndexOutOfBoundsException
+                | NegativeArraySizeException
+                | UnsupportedOperationException e) {
             return new Received.Foreign("malformed: " + e.getMessage());
         }
     }
@@ -188,7 +225,10 @@
     // ---- Letters to records ----
 
     private static Schema kind(Schema union, String name) {
-        return union.getTypes().stream().filter(type -> type.getName().equals(name)).findFirst().orElseThrow();
+        return union.getTypes().stream()
+                .filter(type -> type.getName().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     private static GenericRecord record(Schema schema, Object... fields) {
@@ -199,20 +239,44 @@
         return record;
     }
 
-    private static <T> List<GenericRecord> records(Schema of, String field, List<T> values, Function<T, Object[]> fields) {
+    private static <T> List<GenericRecord> records(
+            Schema of, String field, List<T> values, Function<T, Object[]> fields) {
         Schema item = of.getField(field).schema().getElementType();
         return values.stream().map(value -> record(item, fields.apply(value))).toList();
     }
 
     private static List<GenericRecord> news(Schema of, List<News> news) {
         Schema state = of.getField("news").schema().getElementType().getField("state").schema();
-        return records(of, "news", news, one -> new Object[] {"name", one.name(), "site", one.site(), "life", one.life(),
-            "incarnation", one.incarnation(), "state", new GenericData.EnumSymbol(state, one.state().name())});
+        return records(
+                of,
+                "news",
+                news,
+                one ->
+                        new Object[] {
+                            "name",
+                            one.name(),
+                            "site",
+                            one.site(),
+                            "life",
+                            one.life(),
+                            "incarnation",
+                            one.incarnation(),
+                            "state",
+                            new GenericData.EnumSymbol(state, one.state().name())
+                        });
     }
 
     private static GenericRecord loan(Schema of, Loan loan) {
-        return record(of.getField("loan").schema(), "lender", loan.lender(), "epoch", loan.epoch(), "number", loan.number(),
-                "units", loan.units());
+        return record(
+                of.getField("loan").schema(),
+                "lender",
+                loan.lender(),
+                "epoch",
+                loan.epoch(),
+                "number",
+                loan.number(),
+                "units",
+                loan.units());
     }
 
     private static GenericRecord body(Schema union, Letter letter) {
@@ -220,16 +284,58 @@
             return body(union, members.message());
         } else if (letter instanceof Letter.OfShares shares) {
             Schema of = kind(union, "Shares");
-            Schema messages = of.getField("shares").schema().getElementType().getField("message").schema();
-            return record(of, "shares", records(of, "shares", shares.shares(), one -> new Object[] {"bound", one.bound(),
-                "message", message(messages, one.message())}));
+            Schema messages =
+                    of.getField("shares").schema().getElementType().getField("message").schema();
+            return record(
+                    of,
+                    "shares",
+                    records(
+                            of,
+                            "shares",
+                            shares.shares(),
+                            one ->
+                                    new Object[] {
+                                        "bound",
+                                        one.bound(),
+                                        "message",
+                                        message(messages, one.message())
+                                    }));
         }
         var told = (Letter.OfNews) letter;
         Schema of = kind(union, "Told");
-        return record(of, "counts", records(of, "counts", told.counts(), one -> new Object[] {"life", one.life(), "key", one.key(),
-            "total", one.total()}), "sightings", records(of, "sightings", told.sightings(), one -> new Object[] {"site",
-                one.observerSite(), "server", one.server(), "serverSite", one.serverSite(), "startedAtMs",
-                one.serverStartedAtMs(), "good", (float) one.good(), "bad", (float) one.bad(), "number", one.number()}));
+        return record(
+                of,
+                "counts",
+                records(
+                        of,
+                        "counts",
+                        told.counts(),
+                        one ->
+                                new Object[] {
+                                    "life", one.life(), "key", one.key(), "total", one.total()
+                                }),
+                "sightings",
+                records(
+                        of,
+                        "sightings",
+                        told.sightings(),
+                        one ->
+                                new Object[] {
+                                    "site",
+                                    one.observerSite(),
+                                    "server",
+                                    one.server(),
+                                    "serverSite",
+                                    one.serverSite(),
+                                    "startedAtMs",
+                                    one.serverStartedAtMs(),
+                                    "good",
+                                    (float) one.good(),
+                                    "bad",
+                                    (float) one.bad(),
+                                    "number",
+                                    one.number()
+                                }));
     }
 
     private static GenericRecord body(Schema union, MemberMessage message) {
@@ -252,14 +358,35 @@
         if (message instanceof ShareMessage.Ask ask) {
             return record(of, "epoch", ask.epoch(), "request", ask.request(), "units", ask.units());
         } else if (message instanceof ShareMessage.Grant grant) {
-            return record(of, "epoch", grant.askerEpoch(), "request", grant.request(), "loan", loan(of, grant.loan()));
+            return record(
+                    of,
+                    "epoch",
+                    grant.askerEpoch(),
+                    "request",
+                    grant.request(),
+                    "loan",
+                    loan(of, grant.loan()));
         } else if (message instanceof ShareMessage.Nothing nothing) {
             return record(of, "epoch", nothing.askerEpoch(), "request", nothing.request());
         }
         if (message instanceof ShareMessage.Renew renew) {
-            return record(of, "epoch", renew.epoch(), "request", renew.request(), "loan", loan(of, renew.loan()));
+            return record(
+                    of,
+                    "epoch",
+                    renew.epoch(),
+                    "request",
+                    renew.request(),
+                    "loan",
+                    loan(of, renew.loan()));
         } else if (message instanceof ShareMessage.Renewed renewed) {
-            return record(of, "epoch", renewed.askerEpoch(), "request", renewed.request(), "loan", loan(of, renewed.loan()));
+            return record(
+                    of,
+                    "epoch",
+                    renewed.askerEpoch(),
+                    "request",
+                    renewed.request(),
+                    "loan",
+                    loan(of, renewed.loan()));
         }
         return record(of, "loan", loan(of, ((ShareMessage.Return) message).loan()));
     }
@@ -282,31 +409,81 @@
     }
 
     private static List<News> news(GenericRecord record) {
-        return items(record, "news").stream().map(one -> new News(text(one, "name"), text(one, "site"), (long) one.get("life"),
-                (int) one.get("incarnation"), News.State.valueOf(text(one, "state")))).toList();
+        return items(record, "news").stream()
+                .map(
+                        one ->
+                                new News(
+                                        text(one, "name"),
+                                        text(one, "site"),
+                                        (long) one.get("life"),
+                                        (int) one.get("incarnation"),
+                                        News.State.valueOf(text(one, "state"))))
+                .toList();
     }
 
     private static Loan loan(GenericRecord record) {
         var loan = (GenericRecord) record.get("loan");
-        return new Loan(text(loan, "lender"), (long) loan.get("epoch"), (long) loan.get("number"), (int) loan.get("units"));
+        return new Loan(
+                text(loan, "lender"),
+                (long) loan.get("epoch"),
+                (long) loan.get("number"),
+                (int) loan.get("units"));
     }
 
     private static Letter letter(String from, GenericRecord body) {
         String kind = body.getSchema().getName();
         return switch (kind) {
-            case "Ping" -> new Letter.OfMembers(new MemberMessage.Ping((long) body.get("number"), news(body)));
-            case "Ack" -> new Letter.OfMembers(new MemberMessage.Ack((long) body.get("number"), news(body)));
-            case "PingFor" -> new Letter.OfMembers(new MemberMessage.PingFor((long) body.get("number"), text(body, "target"),
-                    news(body)));
-            case "Compare" -> new Letter.OfMembers(new MemberMessage.Compare((long) body.get("digest"), news(body)));
-            case "Table" -> new Letter.OfMembers(new MemberMessage.Table((boolean) body.get("back"), news(body)));
-            case "Shares" -> new Letter.OfShares(items(body, "shares").stream().map(one ->
-                    new Letter.OfShare(text(one, "bound"), message((GenericRecord) one.get("message")))).toList());
-            case "Told" -> new Letter.OfNews(items(body, "counts").stream().map(one -> new Count(from, (long) one.get("life"),
-                    text(one, "key"), (long) one.get("total"))).toList(), items(body, "sightings").stream().map(one ->
-                    new Sighting(from, text(one, "site"), text(one, "server"), text(one, "serverSite"),
-                            (double) one.get("startedAtMs"), (float) one.get("good"), (float) one.get("bad"),
-                            (long) one.get("number"))).toList());
+            case "Ping" ->
+                    new Letter.OfMembers(
+                            new MemberMessage.Ping((long) body.get("number"), news(body)));
+            case "Ack" ->
+                    new Letter.OfMembers(
+                            new MemberMessage.Ack((long) body.get("number"), news(body)));
+            case "PingFor" ->
+                    new Letter.OfMembers(
+                            new MemberMessage.PingFor(
+                                    (long) body.get("number"), text(body, "target"), news(body)));
+            case "Compare" ->
+                    new Letter.OfMembers(
+                            new MemberMessage.Compare((long) body.get("digest"), news(body)));
+            case "Table" ->
+                    new Letter.OfMembers(
+                            new MemberMessage.Table((boolean) body.get("back"), news(body)));
+            case "Shares" ->
+                    new Letter.OfShares(
+                            items(body, "shares").stream()
+                                    .map(
+                                            one ->
+                                                    new Letter.OfShare(
+                                                            text(one, "bound"),
+                                                            message(
+                                                                    (GenericRecord)
+                                                                            one.get("message"))))
+                                    .toList());
+            case "Told" ->
+                    new Letter.OfNews(
+                            items(body, "counts").stream()
+                                    .map(
+                                            one ->
+                                                    new Count(
+                                                            from,
+                                                            (long) one.get("life"),
+                                                            text(one, "key"),
+                                                            (long) one.get("total")))
+                                    .toList(),
+                            items(body, "sightings").stream()
+                                    .map(
+                                            one ->
+                                                    new Sighting(
+                                                            from,
+                                                            text(one, "site"),
+                                                            text(one, "server"),
+                                                            text(one, "serverSite"),
+                                                            (double) one.get("startedAtMs"),
+                                                            (float) one.get("good"),
+                                                            (float) one.get("bad"),
+                                                            (long) one.get("number")))
+                                    .toList());
             default -> throw new IllegalArgumentException("a body called " + kind);
         };
     }
@@ -314,12 +491,23 @@
     private static ShareMessage message(GenericRecord record) {
         String kind = record.getSchema().getName();
         return switch (kind) {
-            case "Ask" -> new ShareMessage.Ask((long) record.get("epoch"), (long) record.get("request"),
-                    (int) record.get("units"));
-            case "Grant" -> new ShareMessage.Grant((long) record.get("epoch"), (long) record.get("request"), loan(record));
-            case "Nothing" -> new ShareMessage.Nothing((long) record.get("epoch"), (long) record.get("request"));
-            case "Renew" -> new ShareMessage.Renew((long) record.get("epoch"), (long) record.get("request"), loan(record));
-            case "Renewed" -> new ShareMessage.Renewed((long) record.get("epoch"), (long) record.get("request"), loan(record));
+            case "Ask" ->
+                    new ShareMessage.Ask(
+                            (long) record.get("epoch"),
+                            (long) record.get("request"),
+                            (int) record.get("units"));
+            case "Grant" ->
+                    new ShareMessage.Grant(
+                            (long) record.get("epoch"), (long) record.get("request"), loan(record));
+            case "Nothing" ->
+                    new ShareMessage.Nothing(
+                            (long) record.get("epoch"), (long) record.get("request"));
+            case "Renew" ->
+                    new ShareMessage.Renew(
+                            (long) record.get("epoch"), (long) record.get("request"), loan(record));
+            case "Renewed" ->
+                    new ShareMessage.Renewed(
+                            (long) record.get("epoch"), (long) record.get("request"), loan(record));
             case "Return" -> new ShareMessage.Return(loan(record));
             default -> throw new IllegalArgumentException("a message called " + kind);
         };
--- a/together/src/main/java/sprucehold/together/wire/Received.java
+++ b/together/src/main/java/sprucehold/together/wire/Received.java
@@ -9,18 +9,14 @@
      *
      * @param reads the highest version that the sender can read
      */
-    record Read(String from, int reads, Letter letter) implements Received {
-    }
+    record Read(String from, int reads, Letter letter) implements Received {}
 
     /** Of a version that can't be read here: its sender should be told, once. */
-    record Unknown(int version) implements Received {
-    }
+    record Unknown(int version) implements Received {}
 
     /** This gatherer's own letters can't be read by whoever sent it. @param why for a log */
-    record Refused(String why) implements Received {
-    }
+    record Refused(String why) implements Received {}
 
     /** Not a whole letter to this gatherer; nothing is to be done. @param why for a log */
-    record Foreign(String why) implements Received {
-    }
+    record Foreign(String why) implements Received {}
 }
--- a/together/src/main/java/sprucehold/together/wire/package-info.java
+++ b/together/src/main/java/sprucehold/together/wire/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Letters as bytes: Avro by the schema {@code letter-1.avsc}, in a frame with a version and a checksum. The entry point is
- * {@link sprucehold.together.wire.Codec}. It must never hand on what doesn't pass every check, nor fail on any bytes.
+ * Letters as bytes: Avro by the schema {@code letter-1.avsc}, in a frame with a version and a
+ * checksum. The entry point is {@link sprucehold.together.wire.Codec}. It must never hand on what
+ * doesn't pass every check, nor fail on any bytes.
  *
  * <pre>
  * datagram := 'S' 'G' version:u8 crc32c:u32 body      crc32c of version and body, most significant byte first
--- a/together/src/test/java/sprucehold/together/CountsAndEvidenceTest.java
+++ b/together/src/test/java/sprucehold/together/CountsAndEvidenceTest.java
@@ -16,12 +16,20 @@
 import sprucehold.together.evidence.Opinion;
 import sprucehold.together.evidence.Sighting;
 
-/** Counts that any order, repeat or restart leaves right, and evidence that no single voice moves. */
+/**
+ * Counts that any order, repeat or restart leaves right, and evidence that no single voice moves.
+ */
 public class CountsAndEvidenceTest {
     @Test
     public void countsHeardInAnyOrderAndTwiceAreTheSame() {
-        List<Count> news = List.of(new Count("b", 1, "s", 5), new Count("b", 1, "s", 9), new Count("b", 2, "s", 3),
-                new Count("c", 1, "s", 4), new Count("c", 1, "t", 2), new Count("b", 2, "s", 1));
+        List<Count> news =
+                List.of(
+                        new Count("b", 1, "s", 5),
+                        new Count("b", 1, "s", 9),
+                        new Count("b", 2, "s", 3),
+                        new Count("c", 1, "s", 4),
+                        new Count("c", 1, "t", 2),
+                        new Count("b", 2, "s", 1));
         for (long seed = 0; seed < 100; seed++) {
             var order = new ArrayList<>(news);
             order.addAll(news.subList(0, 3));
@@ -40,7 +48,8 @@
         counts.add(0, "s", 10);
         counts.heard(1, new Count("a", 7, "s", 1000));
         counts.heard(1, new Count("a", 6, "s", 4));
-        assertEquals(counts.total("s"), 14, "its own is its own, and an earlier life's is remembered");
+        assertEquals(
+                counts.total("s"), 14, "its own is its own, and an earlier life's is remembered");
         for (int life = 1; life <= 20; life++) {
             counts.heard(life, new Count("b", life, "s", 1));
         }
@@ -62,20 +71,25 @@
         assertEquals(counts.othersPerSecond(2000, "s"), 50, 1e-9, "its own isn't others'");
     }
 
-    private static Sighting sighting(String observer, String observerSite, String server, double good, double bad) {
+    private static Sighting sighting(
+            String observer, String observerSite, String server, double good, double bad) {
         return new Sighting(observer, observerSite, server, "x", 50, good, bad, 1);
     }
 
     @DataProvider
     Object[][] opinions() {
         return new Object[][] {
-            {"nobody says anything", (Consumer<Evidence>) evidence -> { }, 0.0},
+            {"nobody says anything", (Consumer<Evidence>) evidence -> {}, 0.0},
             {"one liar", of("b:y:0:99"), 0.0},
             {"two of one mind are too few", of("b:y:0:9", "c:z:0:9"), 0.0},
             {"three from two sites", of("b:y:0:9", "c:z:0:9", "d:z:0:9"), 1.0},
             {"three from one of two sites", of("b:y:0:9", "c:y:0:9", "d:y:0:9", "e:z:1:0"), 0.0},
             {"one liar among sound ones", of("b:y:0:99", "c:z:9:0", "d:z:9:0", "e:y:9:0"), 0.0},
-            {"half of them, in doubt for the server", of("b:y:0:9", "c:z:0:9", "d:z:9:0", "e:y:9:0"), 0.0},
+            {
+                "half of them, in doubt for the server",
+                of("b:y:0:9", "c:z:0:9", "d:z:9:0", "e:y:9:0"),
+                0.0
+            },
             {"too little seen to tell", of("b:y:0:1", "c:z:0:1", "d:z:0:1"), 0.0},
             {"numbers that are none", of("b:y:0:NaN", "c:z:-5:9", "d:z:0:Infinity"), 0.0},
         };
@@ -86,13 +100,21 @@
         return evidence -> {
             for (String one : sightings) {
                 String[] words = one.split(":");
-                evidence.heard(0, sighting(words[0], words[1], "s", Double.parseDouble(words[2]), Double.parseDouble(words[3])));
+                evidence.heard(
+                        0,
+                        sighting(
+                                words[0],
+                                words[1],
+                                "s",
+                                Double.parseDouble(words[2]),
+                                Double.parseDouble(words[3])));
             }
         };
     }
 
     @Test(dataProvider = "opinions")
-    public void anOpinionTakesSeveralWhoCanBeBelieved(String what, Consumer<Evidence> told, double trouble) {
+    public void anOpinionTakesSeveralWhoCanBeBelieved(
+            String what, Consumer<Evidence> told, double trouble) {
         var evidence = new Evidence("a", "y");
         told.accept(evidence);
         assertEquals(evidence.of(0, "s", 50).trouble(), trouble, what);
@@ -103,10 +125,14 @@
         var evidence = new Evidence("a", "y");
         for (String observer : List.of("b", "c", "d")) {
             for (String server : List.of("s", "t", "u")) {
-                evidence.heard(0, sighting(observer, observer.equals("b") ? "y" : "z", server, 0, 9));
+                evidence.heard(
+                        0, sighting(observer, observer.equals("b") ? "y" : "z", server, 0, 9));
             }
         }
-        assertEquals(evidence.of(0, "s", 50), Opinion.NONE, "three who are all cut off from x prove nothing of its servers");
+        assertEquals(
+                evidence.of(0, "s", 50),
+                Opinion.NONE,
+                "three who are all cut off from x prove nothing of its servers");
     }
 
     @Test
@@ -115,7 +141,10 @@
         of("b:y:0:9", "c:z:0:9", "d:z:0:9").accept(evidence);
         assertEquals(evidence.of(0, "s", 50).trouble(), 1.0);
         assertEquals(evidence.of(0, "s", 51).trouble(), 0.0, "the server has started since");
-        assertEquals(evidence.of(12_000, "s", 50).trouble(), 0.0, "nine seen fade under two in eleven seconds");
+        assertEquals(
+                evidence.of(12_000, "s", 50).trouble(),
+                0.0,
+                "nine seen fade under two in eleven seconds");
         evidence.there(List.of("b", "c"));
         assertEquals(evidence.of(0, "s", 50).trouble(), 0.0, "one of three is gone");
     }
@@ -129,7 +158,10 @@
         }
         evidence.saw(4, "u", "x", 50, false);
         List<Sighting> told = evidence.tell(4, 5);
-        assertEquals(told.stream().map(Sighting::server).toList(), List.of("t", "s"), "one dispatch tells nothing");
+        assertEquals(
+                told.stream().map(Sighting::server).toList(),
+                List.of("t", "s"),
+                "one dispatch tells nothing");
         assertTrue(told.get(0).bad() > 3.9 && told.get(0).good() == 0, told.toString());
         evidence.saw(5, "t", "x", 99, true);
         assertEquals(evidence.tell(5, 5).stream().map(Sighting::server).toList(), List.of("s"));
--- a/together/src/test/java/sprucehold/together/MembershipTest.java
+++ b/together/src/test/java/sprucehold/together/MembershipTest.java
@@ -33,7 +33,10 @@
     }
 
     private static News of(Membership member, String name) {
-        return member.view().stream().filter(one -> one.name().equals(name)).findFirst().orElseThrow();
+        return member.view().stream()
+                .filter(one -> one.name().equals(name))
+                .findFirst()
+                .orElseThrow();
     }
 
     private static void tell(Membership member, News... news) {
@@ -42,9 +45,15 @@
 
     @Test
     public void allWhoHeardTheSameNewsInWhateverOrderBelieveTheSame() {
-        List<News> all = List.of(news("b", 5, 0, News.State.ALIVE), news("b", 5, 0, News.State.SUSPECT),
-                news("b", 5, 1, News.State.ALIVE), news("b", 5, 1, News.State.DEAD), news("b", 6, 0, News.State.ALIVE),
-                news("b", 6, 0, News.State.SUSPECT), news("b", 4, 9, News.State.LEFT));
+        List<News> all =
+                List.of(
+                        news("b", 5, 0, News.State.ALIVE),
+                        news("b", 5, 0, News.State.SUSPECT),
+                        news("b", 5, 1, News.State.ALIVE),
+                        news("b", 5, 1, News.State.DEAD),
+                        news("b", 6, 0, News.State.ALIVE),
+                        news("b", 6, 0, News.State.SUSPECT),
+                        news("b", 4, 9, News.State.LEFT));
         for (long seed = 0; seed < 200; seed++) {
             var order = new ArrayList<>(all);
             order.addAll(all.subList(0, (int) (seed % all.size())));
@@ -58,18 +67,54 @@
     @DataProvider
     Object[][] ofItself() {
         return new Object[][] {
-            {"suspected", news("a", 7, 0, News.State.SUSPECT), news("a", 7, 1, News.State.ALIVE), false},
-            {"held dead at a higher incarnation", news("a", 7, 4, News.State.DEAD), news("a", 7, 5, News.State.ALIVE), false},
-            {"an earlier life is dead", news("a", 3, 9, News.State.DEAD), news("a", 7, 0, News.State.ALIVE), false},
-            {"a later life is dead: the clock went back", news("a", 9, 2, News.State.DEAD), news("a", 10, 0, News.State.ALIVE), false},
-            {"a later life left", news("a", 9, 2, News.State.LEFT), news("a", 10, 0, News.State.ALIVE), false},
-            {"a later life is there: two of one name", news("a", 9, 0, News.State.ALIVE), news("a", 7, 0, News.State.ALIVE), true},
-            {"its own news come back", news("a", 7, 0, News.State.ALIVE), news("a", 7, 0, News.State.ALIVE), false},
+            {
+                "suspected",
+                news("a", 7, 0, News.State.SUSPECT),
+                news("a", 7, 1, News.State.ALIVE),
+                false
+            },
+            {
+                "held dead at a higher incarnation",
+                news("a", 7, 4, News.State.DEAD),
+                news("a", 7, 5, News.State.ALIVE),
+                false
+            },
+            {
+                "an earlier life is dead",
+                news("a", 3, 9, News.State.DEAD),
+                news("a", 7, 0, News.State.ALIVE),
+                false
+            },
+            {
+                "a later life is dead: the clock went back",
+                news("a", 9, 2, News.State.DEAD),
+                news("a", 10, 0, News.State.ALIVE),
+                false
+            },
+            {
+                "a later life left",
+                news("a", 9, 2, News.State.LEFT),
+                news("a", 10, 0, News.State.ALIVE),
+                false
+            },
+            {
+                "a later life is there: two of one name",
+                news("a", 9, 0, News.State.ALIVE),
+                news("a", 7, 0, News.State.ALIVE),
+                true
+            },
+            {
+                "its own news come back",
+                news("a", 7, 0, News.State.ALIVE),
+                news("a", 7, 0, News.State.ALIVE),
+                false
+            },
         };
     }
 
     @Test(dataProvider = "ofItself")
-    public void whatOthersSayOfItIsRefutedOrYieldedTo(String what, News heard, News then, boolean superseded) {
+    public void whatOthersSayOfItIsRefutedOrYieldedTo(
+            String what, News heard, News then, boolean superseded) {
         var member = member("a", 7);
         tell(member, heard);
         assertEquals(member.view().get(0), then, what);
@@ -81,11 +126,15 @@
         var member = member("a", 7);
         tell(member, news("a", 9, 0, News.State.ALIVE));
         List<Detector.Out> out = member.received(10, "b", new MemberMessage.Ping(1, List.of()));
-        assertTrue(out.stream().noneMatch(one -> one.message() instanceof MemberMessage.Ack), out.toString());
+        assertTrue(
+                out.stream().noneMatch(one -> one.message() instanceof MemberMessage.Ack),
+                out.toString());
         tell(member, news("a", 9, 0, News.State.DEAD));
         assertFalse(member.superseded());
         out = member.received(10, "b", new MemberMessage.Ping(2, List.of()));
-        assertTrue(out.stream().anyMatch(one -> one.message() instanceof MemberMessage.Ack), out.toString());
+        assertTrue(
+                out.stream().anyMatch(one -> one.message() instanceof MemberMessage.Ack),
+                out.toString());
     }
 
     @Test
@@ -99,7 +148,9 @@
         member.tick(11_000);
         assertEquals(member.health(), 8);
         assertEquals(member.there(), Set.of("b", "c"));
-        assertTrue(member.view().stream().allMatch(one -> one.state() == News.State.ALIVE), member.view().toString());
+        assertTrue(
+                member.view().stream().allMatch(one -> one.state() == News.State.ALIVE),
+                member.view().toString());
     }
 
     @Test
@@ -114,7 +165,9 @@
         assertTrue(member.cutOff());
         long blamed = member.view().stream().filter(one -> one.state() != News.State.ALIVE).count();
         assertTrue(blamed <= 2, member.view().toString());
-        assertTrue(member.view().stream().noneMatch(one -> one.state() == News.State.DEAD), member.view().toString());
+        assertTrue(
+                member.view().stream().noneMatch(one -> one.state() == News.State.DEAD),
+                member.view().toString());
     }
 
     @Test
@@ -134,7 +187,8 @@
         return new Trouble(kind, Set.of(of), fromMs, toMs);
     }
 
-    private static MemberPlay.Setting setting(int members, double lengthMs, Network network, Trouble... troubles) {
+    private static MemberPlay.Setting setting(
+            int members, double lengthMs, Network network, Trouble... troubles) {
         return new MemberPlay.Setting(members, lengthMs, network, List.of(troubles));
     }
 
@@ -146,17 +200,50 @@
             {"sound, three of them", setting(3, 90_000, Network.SOUND), 0},
             {"a bad network", setting(30, 90_000, BAD), 0},
             {"a death", setting(30, 120_000, BAD, trouble(Trouble.Kind.DEAD, 60_000, never, 4)), 0},
-            {"a restart under the same name", setting(30, 180_000, BAD, trouble(Trouble.Kind.DEAD, 60_000, 62_000, 4)), 0},
-            {"a pause of ten seconds", setting(30, 180_000, BAD, trouble(Trouble.Kind.PAUSED, 60_000, 70_000, 4, 5)), 0},
-            {"deaf for a while", setting(30, 240_000, BAD, trouble(Trouble.Kind.DEAF, 60_000, 100_000, 4)), 0},
-            {"mute for a while", setting(30, 240_000, BAD, trouble(Trouble.Kind.MUTE, 60_000, 100_000, 4)), 0},
-            {"cut in two and healed", setting(20, 300_000, BAD, trouble(Trouble.Kind.CUT_OFF, 60_000, 120_000, 0, 1, 2, 3, 4, 5, 6)), 0},
-            {"all alone and healed", setting(6, 300_000, BAD, trouble(Trouble.Kind.ALONE, 60_000, 120_000, 0, 1, 2, 3, 4, 5)), 0},
+            {
+                "a restart under the same name",
+                setting(30, 180_000, BAD, trouble(Trouble.Kind.DEAD, 60_000, 62_000, 4)),
+                0
+            },
+            {
+                "a pause of ten seconds",
+                setting(30, 180_000, BAD, trouble(Trouble.Kind.PAUSED, 60_000, 70_000, 4, 5)),
+                0
+            },
+            {
+                "deaf for a while",
+                setting(30, 240_000, BAD, trouble(Trouble.Kind.DEAF, 60_000, 100_000, 4)),
+                0
+            },
+            {
+                "mute for a while",
+                setting(30, 240_000, BAD, trouble(Trouble.Kind.MUTE, 60_000, 100_000, 4)),
+                0
+            },
+            {
+                "cut in two and healed",
+                setting(
+                        20,
+                        300_000,
+                        BAD,
+                        trouble(Trouble.Kind.CUT_OFF, 60_000, 120_000, 0, 1, 2, 3, 4, 5, 6)),
+                0
+            },
+            {
+                "all alone and healed",
+                setting(
+                        6,
+                        300_000,
+                        BAD,
+                        trouble(Trouble.Kind.ALONE, 60_000, 120_000, 0, 1, 2, 3, 4, 5)),
+                0
+            },
         };
     }
 
     @Test(dataProvider = "fleets")
-    public void allAreRightInTheEndAndNobodyIsHeldDeadForNothing(String what, MemberPlay.Setting setting, int falsely) {
+    public void allAreRightInTheEndAndNobodyIsHeldDeadForNothing(
+            String what, MemberPlay.Setting setting, int falsely) {
         for (long seed = 1; seed <= 3; seed++) {
             var result = MemberPlay.play(setting, MemberPlay.Way.SWIM, seed);
             assertEquals(result.wrongAtEnd(), 0, what + ", seed " + seed + ": " + result);
@@ -167,15 +254,26 @@
 
     @Test
     public void allKnowOfADeathWithinHalfAMinute() {
-        var result = MemberPlay.play(setting(30, 150_000, Network.SOUND, trouble(Trouble.Kind.DEAD, 60_000, 1e9, 4)),
-                MemberPlay.Way.SWIM, 1);
+        var result =
+                MemberPlay.play(
+                        setting(
+                                30,
+                                150_000,
+                                Network.SOUND,
+                                trouble(Trouble.Kind.DEAD, 60_000, 1e9, 4)),
+                        MemberPlay.Way.SWIM,
+                        1);
         assertTrue(result.allMs() < 30_000, result.toString());
     }
 
     @Test
     public void withoutSuspicionALossyNetworkKills() {
         // What the suspicion is for; the same fleet with it is in the table above.
-        var result = MemberPlay.play(setting(30, 90_000, new Network(5, 0.2, 0)), MemberPlay.Way.SWIM_WITHOUT_SUSPICION, 1);
+        var result =
+                MemberPlay.play(
+                        setting(30, 90_000, new Network(5, 0.2, 0)),
+                        MemberPlay.Way.SWIM_WITHOUT_SUSPICION,
+                        1);
         assertTrue(result.falselyDead() > 0, result.toString());
     }
 }
--- a/together/src/test/java/sprucehold/together/SharePlayTest.java
+++ b/together/src/test/java/sprucehold/together/SharePlayTest.java
@@ -14,12 +14,23 @@
 import sprucehold.together.play.SharePlay;
 import sprucehold.together.play.Trouble;
 
-/** Fleets that share one bound: never beyond it in whatever trouble, and with something gained where nothing is wrong. */
+/**
+ * Fleets that share one bound: never beyond it in whatever trouble, and with something gained where
+ * nothing is wrong.
+ */
 public class SharePlayTest {
     private static final Network BAD = new Network(5, 0.1, 0.1);
 
     private static SharePlay.Setting setting(int members, Network network, Trouble... troubles) {
-        return new SharePlay.Setting(members, 10 * members, 1000, 4000, 0.002, 20_000, network, List.of(troubles),
+        return new SharePlay.Setting(
+                members,
+                10 * members,
+                1000,
+                4000,
+                0.002,
+                20_000,
+                network,
+                List.of(troubles),
                 SharePlay.busyFew(members, Math.max(1, members / 10), 60, 1, 5000));
     }
 
@@ -32,12 +43,30 @@
         return new Object[][] {
             {"none", setting(20, Network.SOUND)},
             {"a network that loses, doubles and delays", setting(20, BAD)},
-            {"a few deaf for a term", setting(20, BAD, trouble(Trouble.Kind.DEAF, 6000, 10_000, 0, 1, 2, 3))},
-            {"a few mute for a term", setting(20, BAD, trouble(Trouble.Kind.MUTE, 6000, 10_000, 0, 1, 2, 3))},
-            {"cut in two", setting(20, BAD, trouble(Trouble.Kind.CUT_OFF, 6000, 14_000, 0, 1, 2, 3, 4, 5, 6, 7))},
+            {
+                "a few deaf for a term",
+                setting(20, BAD, trouble(Trouble.Kind.DEAF, 6000, 10_000, 0, 1, 2, 3))
+            },
+            {
+                "a few mute for a term",
+                setting(20, BAD, trouble(Trouble.Kind.MUTE, 6000, 10_000, 0, 1, 2, 3))
+            },
+            {
+                "cut in two",
+                setting(
+                        20,
+                        BAD,
+                        trouble(Trouble.Kind.CUT_OFF, 6000, 14_000, 0, 1, 2, 3, 4, 5, 6, 7))
+            },
             {"all alone", setting(4, BAD, trouble(Trouble.Kind.ALONE, 6000, 14_000, 0, 1, 2, 3))},
-            {"paused over the end of a loan", setting(20, BAD, trouble(Trouble.Kind.PAUSED, 6000, 12_000, 0, 1, 2, 3, 4, 5))},
-            {"half killed", setting(10, BAD, trouble(Trouble.Kind.DEAD, 6000, 7000, 0, 1, 2, 3, 4))},
+            {
+                "paused over the end of a loan",
+                setting(20, BAD, trouble(Trouble.Kind.PAUSED, 6000, 12_000, 0, 1, 2, 3, 4, 5))
+            },
+            {
+                "half killed",
+                setting(10, BAD, trouble(Trouble.Kind.DEAD, 6000, 7000, 0, 1, 2, 3, 4))
+            },
             {"all killed", setting(4, BAD, trouble(Trouble.Kind.DEAD, 6000, 6500, 0, 1, 2, 3))},
         };
     }
@@ -47,9 +76,20 @@
         for (long seed = 1; seed <= 5; seed++) {
             for (Division division : List.of(Division.EQUAL, Division.LENT, Division.COORDINATED)) {
                 var result = SharePlay.play(setting, division, seed);
-                assertTrue(result.mostInWindow() <= setting.bound(), what + ", " + division + ", seed " + seed + ": "
-                        + result.mostInWindow() + " of " + setting.bound());
-                assertTrue(result.got() > 100, what + ", " + division + ": too little was used to prove anything");
+                assertTrue(
+                        result.mostInWindow() <= setting.bound(),
+                        what
+                                + ", "
+                                + division
+                                + ", seed "
+                                + seed
+                                + ": "
+                                + result.mostInWindow()
+                                + " of "
+                                + setting.bound());
+                assertTrue(
+                        result.got() > 100,
+                        what + ", " + division + ": too little was used to prove anything");
             }
         }
     }
@@ -65,13 +105,25 @@
                     of.add(chance.nextInt(10));
                 }
                 double from = 1000 + chance.nextDouble() * 14_000;
-                troubles[i] = new Trouble(Trouble.Kind.values()[chance.nextInt(Trouble.Kind.values().length)], of, from,
-                        from + chance.nextDouble() * 6000);
+                troubles[i] =
+                        new Trouble(
+                                Trouble.Kind.values()[chance.nextInt(Trouble.Kind.values().length)],
+                                of,
+                                from,
+                                from + chance.nextDouble() * 6000);
             }
             SharePlay.Setting setting = setting(10, BAD, troubles);
             var result = SharePlay.play(setting, Division.LENT, seed);
-            assertTrue(result.mostInWindow() <= setting.bound(), "seed " + seed + ": " + result.mostInWindow() + " of "
-                    + setting.bound() + " in " + List.of(troubles));
+            assertTrue(
+                    result.mostInWindow() <= setting.bound(),
+                    "seed "
+                            + seed
+                            + ": "
+                            + result.mostInWindow()
+                            + " of "
+                            + setting.bound()
+                            + " in "
+                            + List.of(troubles));
         }
     }
 
@@ -92,17 +144,23 @@
 
     @Test
     public void whoHearsNothingHasItsHomeAndTheOthersGoOn() {
-        SharePlay.Setting setting = setting(4, Network.SOUND, trouble(Trouble.Kind.ALONE, 6000, 20_000, 0, 1, 2, 3));
+        SharePlay.Setting setting =
+                setting(4, Network.SOUND, trouble(Trouble.Kind.ALONE, 6000, 20_000, 0, 1, 2, 3));
         var lent = SharePlay.play(setting, Division.LENT, 1);
         var equal = SharePlay.play(setting, Division.EQUAL, 1);
         // From a term after the cut on each has what it would have without any talk.
-        assertEquals(SharePlay.mean(lent.gotBySecond(), 13, 20), SharePlay.mean(equal.gotBySecond(), 13, 20), 0.03);
+        assertEquals(
+                SharePlay.mean(lent.gotBySecond(), 13, 20),
+                SharePlay.mean(equal.gotBySecond(), 13, 20),
+                0.03);
     }
 
     @Test
     public void theSameSeedGivesTheSameFleet() {
-        SharePlay.Setting setting = setting(10, BAD, trouble(Trouble.Kind.PAUSED, 6000, 9000, 0, 3));
-        assertEquals(SharePlay.play(setting, Division.LENT, 9).toString().replaceAll("\\[D@.*", ""),
+        SharePlay.Setting setting =
+                setting(10, BAD, trouble(Trouble.Kind.PAUSED, 6000, 9000, 0, 3));
+        assertEquals(
+                SharePlay.play(setting, Division.LENT, 9).toString().replaceAll("\\[D@.*", ""),
                 SharePlay.play(setting, Division.LENT, 9).toString().replaceAll("\\[D@.*", ""));
     }
 
@@ -110,7 +168,8 @@
     public void messagesStayFewWhateverTheSize() {
         for (int members : List.of(10, 100)) {
             SharePlay.Setting setting = setting(members, Network.SOUND);
-            double perMemberAndSecond = SharePlay.play(setting, Division.LENT, 1).messages() / (double) members / 20;
+            double perMemberAndSecond =
+                    SharePlay.play(setting, Division.LENT, 1).messages() / (double) members / 20;
             assertTrue(perMemberAndSecond < 20, members + " members: " + perMemberAndSecond);
         }
     }
--- a/together/src/test/java/sprucehold/together/TalkTest.java
+++ b/together/src/test/java/sprucehold/together/TalkTest.java
@@ -30,7 +30,8 @@
     private static final double WALL = 1.7e12;
 
     private static TalkTerms terms() {
-        return new TalkTerms(Map.of("further", new ShareTerms(10, 2, 1000, 20, 2000, 0.002)), 60, 5000);
+        return new TalkTerms(
+                Map.of("further", new ShareTerms(10, 2, 1000, 20, 2000, 0.002)), 60, 5000);
     }
 
     private static Talk talk(String name, long life) {
@@ -45,10 +46,12 @@
         double now;
 
         Room() {
-            SITES.keySet().forEach(name -> {
-                talks.put(name, talk(name, 1));
-                codecs.put(name, new Codec(name));
-            });
+            SITES.keySet()
+                    .forEach(
+                            name -> {
+                                talks.put(name, talk(name, 1));
+                                codecs.put(name, new Codec(name));
+                            });
         }
 
         void passes(double ms) {
@@ -62,8 +65,12 @@
         private void deliver(String from, List<Talk.Out> out) {
             for (Talk.Out one : out) {
                 byte[] bytes = codecs.get(from).write(one.to(), one.letter(), 1);
-                if (!deaf.contains(one.to()) && codecs.get(one.to()).read(bytes) instanceof Received.Read read) {
-                    deliver(one.to(), talks.get(one.to()).received(now, WALL + now, read.from(), read.letter()));
+                if (!deaf.contains(one.to())
+                        && codecs.get(one.to()).read(bytes) instanceof Received.Read read) {
+                    deliver(
+                            one.to(),
+                            talks.get(one.to())
+                                    .received(now, WALL + now, read.from(), read.letter()));
                 }
             }
         }
@@ -82,20 +89,34 @@
         var room = new Room();
         room.passes(10_000);
         Talk a = room.talks.get("a");
-        assertEquals(a.status(room.now, WALL + room.now).members().stream().map(News::state).distinct().toList(),
+        assertEquals(
+                a.status(room.now, WALL + room.now).members().stream()
+                        .map(News::state)
+                        .distinct()
+                        .toList(),
                 List.of(News.State.ALIVE));
         int most = 0;
         for (int second = 0; second < 5; second++) {
             most = Math.max(most, room.uses("a", 30));
             room.passes(1050);
         }
-        assertTrue(most > 15, "a got " + most + " in a window; its home is 10, and the others lend up to 8 each");
+        assertTrue(
+                most > 15,
+                "a got " + most + " in a window; its home is 10, and the others lend up to 8 each");
         for (int i = 0; i < 5; i++) {
-            List.of("a", "b", "c").forEach(name -> room.talks.get(name).saw(room.now, WALL + room.now, "s", "z", 5, false));
+            List.of("a", "b", "c")
+                    .forEach(
+                            name ->
+                                    room.talks
+                                            .get(name)
+                                            .saw(room.now, WALL + room.now, "s", "z", 5, false));
             room.talks.get("b").counted(room.now, WALL + room.now, "s", 10);
             room.passes(1000);
         }
-        assertEquals(a.opinion(room.now, WALL + room.now, "s", 5).observers(), 2, "the other two have told what they saw");
+        assertEquals(
+                a.opinion(room.now, WALL + room.now, "s", 5).observers(),
+                2,
+                "the other two have told what they saw");
         assertTrue(a.othersPerSecond(room.now, WALL + room.now, "s") > 5);
     }
 
@@ -141,13 +162,27 @@
         talk.tick(10_000, WALL + 10_000);
         Permit permit = talk.use(10_000, WALL + 10_000, "further", 1);
         assertNotNull(permit);
-        talk.received(10_001, WALL + 10_001, "b", new Letter.OfMembers(new MemberMessage.Table(false, List.of(
-                new News("a", "x", 9, 0, News.State.ALIVE)))));
+        talk.received(
+                10_001,
+                WALL + 10_001,
+                "b",
+                new Letter.OfMembers(
+                        new MemberMessage.Table(
+                                false, List.of(new News("a", "x", 9, 0, News.State.ALIVE)))));
         assertNull(talk.use(10_002, WALL + 10_002, "further", 1));
-        assertFalse(talk.holds(10_002, WALL + 10_002, permit), "what it had counted is not sent either");
-        talk.received(10_003, WALL + 10_003, "b", new Letter.OfMembers(new MemberMessage.Table(false, List.of(
-                new News("a", "x", 9, 0, News.State.DEAD)))));
-        assertNull(talk.use(10_004, WALL + 10_004, "further", 1), "the other may have used and lent all until just now");
+        assertFalse(
+                talk.holds(10_002, WALL + 10_002, permit),
+                "what it had counted is not sent either");
+        talk.received(
+                10_003,
+                WALL + 10_003,
+                "b",
+                new Letter.OfMembers(
+                        new MemberMessage.Table(
+                                false, List.of(new News("a", "x", 9, 0, News.State.DEAD)))));
+        assertNull(
+                talk.use(10_004, WALL + 10_004, "further", 1),
+                "the other may have used and lent all until just now");
         assertNotNull(talk.use(14_000, WALL + 14_000, "further", 10));
     }
 
@@ -156,7 +191,13 @@
         Talk talk = talk("a", 7);
         int answers = 0;
         for (int i = 0; i < 10_000; i++) {
-            answers += talk.received(i / 10.0, WALL + i / 10.0, "b", new Letter.OfMembers(new MemberMessage.Ping(i, List.of()))).size();
+            answers +=
+                    talk.received(
+                                    i / 10.0,
+                                    WALL + i / 10.0,
+                                    "b",
+                                    new Letter.OfMembers(new MemberMessage.Ping(i, List.of())))
+                            .size();
         }
         assertTrue(answers <= 60 + 60 + 1, "one second's, and one saved up: " + answers);
         assertTrue(talk.status(1000, WALL + 1000).dropped() > 9000);
@@ -168,7 +209,13 @@
         var counts = List.of(new Count("c", 1, "s", 1_000_000));
         for (String liar : List.of("b")) {
             for (String observer : List.of("c", "d", "e")) {
-                talk.received(10, WALL, liar, new Letter.OfNews(counts, List.of(new Sighting(observer, "y", "s", "z", 5, 0, 99, 1))));
+                talk.received(
+                        10,
+                        WALL,
+                        liar,
+                        new Letter.OfNews(
+                                counts,
+                                List.of(new Sighting(observer, "y", "s", "z", 5, 0, 99, 1))));
             }
         }
         assertEquals(talk.opinion(10, WALL, "s", 5).observers(), 0);
@@ -182,8 +229,23 @@
             sites.put("g" + i, "x");
         }
         var talk = new Talk(terms(), "g0", "x", 1, sites, 1, 0, WALL);
-        sites.keySet().forEach(name -> talk.received(0, WALL, "g1", new Letter.OfMembers(new MemberMessage.Table(false, List.of(
-                new News(name, "x", 1, 0, News.State.ALIVE))))));
+        sites.keySet()
+                .forEach(
+                        name ->
+                                talk.received(
+                                        0,
+                                        WALL,
+                                        "g1",
+                                        new Letter.OfMembers(
+                                                new MemberMessage.Table(
+                                                        false,
+                                                        List.of(
+                                                                new News(
+                                                                        name,
+                                                                        "x",
+                                                                        1,
+                                                                        0,
+                                                                        News.State.ALIVE))))));
         var heard = new TreeMap<String, Integer>();
         for (double now = 0; now <= 3000; now += 200) {
             talk.saw(now, WALL + now, "s", "z", 5, false);
@@ -198,7 +260,11 @@
 
     @Test
     public void aBoundThatIsNotThereIsOneClearError() {
-        String message = expectThrows(IllegalArgumentException.class, () -> talk("a", 7).use(0, WALL, "probes", 1)).getMessage();
+        String message =
+                expectThrows(
+                                IllegalArgumentException.class,
+                                () -> talk("a", 7).use(0, WALL, "probes", 1))
+                        .getMessage();
         assertEquals(message, "no bound is called probes; one of [further] was expected");
     }
 }
