--- a/together/src/test/java/sprucehold/together/UnitLedgerExplorerTest.java
+++ b/together/src/test/java/sprucehold/together/UnitLedgerExplorerTest.java
@@ -15,14 +15,15 @@
 import sprucehold.together.share.Loan;
 import sprucehold.together.share.OwnClock;
 import sprucehold.together.share.Permit;
-import sprucehold.together.share.UnitLedger;
 import sprucehold.together.share.ShareTerms;
+import sprucehold.together.share.UnitLedger;
 
 /**
- * Visits every state of a bounded world: three gatherers, two units that are the homes of two of them, asks, loans and
- * returns as messages that are lost, doubled and late, uses that are sent at once or after a pause, a crash, clocks that
- * drift apart and a wall clock that jumps. In no window may more than two uses be sent. A state is rebuilt by playing its
- * steps again, as the pure part is deterministic.
+ * Visits every state of a bounded world: three gatherers, two units that are the homes of two of
+ * them, asks, loans and returns as messages that are lost, doubled and late, uses that are sent at
+ * once or after a pause, a crash, clocks that drift apart and a wall clock that jumps. In no window
+ * may more than two uses be sent. A state is rebuilt by playing its steps again, as the pure part
+ * is deterministic.
  */
 public class UnitLedgerExplorerTest {
     private static final double TICK_MS = 500;
@@ -30,36 +31,62 @@
 
     /** What is put wrong on purpose. */
     private enum Mutation {
-        NONE, CLOCKS_EXCHANGED, DRIFT_IGNORED, TERM_FROM_RECEIPT, EPOCH_IGNORED, NEW_LIFE_BEGINS_FREE,
-        DOUBLED_GRANT_TAKEN_TWICE, USED_AFTER_RETURN, PERMIT_IGNORED, USES_FORGOTTEN_EARLY, LOAN_WITHOUT_END,
-        RENEWED_FROM_RECEIPT, RENEWED_BY_ITSELF, RENEWED_AFTER_RETURN
+        NONE,
+        CLOCKS_EXCHANGED,
+        DRIFT_IGNORED,
+        TERM_FROM_RECEIPT,
+        EPOCH_IGNORED,
+        NEW_LIFE_BEGINS_FREE,
+        DOUBLED_GRANT_TAKEN_TWICE,
+        USED_AFTER_RETURN,
+        PERMIT_IGNORED,
+        USES_FORGOTTEN_EARLY,
+        LOAN_WITHOUT_END,
+        RENEWED_FROM_RECEIPT,
+        RENEWED_BY_ITSELF,
+        RENEWED_AFTER_RETURN
     }
 
     /** How fast the clocks of the three run, and how far the wall clock of one jumps. */
-    private record Clocks(double a, double b, double c, double jumpMs) {
-    }
+    private record Clocks(double a, double b, double c, double jumpMs) {}
 
     /** How often what may happen; {@code all} gatherers or only the first and the last. */
-    private record Most(boolean all, int ticks, int asks, int uses, int crashes, int doubled, int lost, int returns, int renews) {
+    private record Most(
+            boolean all,
+            int ticks,
+            int asks,
+            int uses,
+            int crashes,
+            int doubled,
+            int lost,
+            int returns,
+            int renews) {
         int bound() {
             return all ? 2 : 1;
         }
     }
 
     private static final Clocks EVEN = new Clocks(1, 1, 1, 0);
-    /** All three, and a little of everything: some seconds as it stands, and over a minute with -Dsprucehold.explore=all. */
-    private static final Most ALL = "all".equals(System.getProperty("sprucehold.explore")) ? new Most(true, 5, 2, 3, 1, 1, 1, 1, 1)
-            : new Most(true, 4, 1, 3, 1, 1, 0, 1, 0);
+
+    /**
+     * All three, and a little of everything: some seconds as it stands, and over a minute with
+     * -Dsprucehold.explore=all.
+     */
+    private static final Most ALL =
+            "all".equals(System.getProperty("sprucehold.explore"))
+                    ? new Most(true, 5, 2, 3, 1, 1, 1, 1, 1)
+                    : new Most(true, 4, 1, 3, 1, 1, 0, 1, 0);
+
     /** A lender and a borrower, for as long as a loan lasts. */
     private static final Most LOAN = new Most(false, 11, 1, 3, 0, 0, 1, 0, 0);
+
     private static final Most DOUBLED = new Most(false, 11, 1, 3, 0, 1, 0, 0, 0);
     private static final Most RETURNED = new Most(false, 7, 2, 3, 0, 0, 0, 1, 0);
     private static final Most CRASHED = new Most(false, 11, 2, 3, 1, 0, 0, 1, 0);
     private static final Most RENEWED = new Most(false, 14, 1, 3, 0, 0, 0, 0, 1);
     private static final Most RENEWED_AND_MORE = new Most(false, 9, 1, 3, 0, 1, 0, 1, 1);
 
-    private record Message(int from, int to, String what, int request, Loan loan) {
-    }
+    private record Message(int from, int to, String what, int request, Loan loan) {}
 
     private static final class ExchangedClock extends OwnClock {
         @Override
@@ -81,8 +108,10 @@
         double countedMs;
         double wallMs;
         Permit pending;
+
         /** The request that is open, and the fast clock when it was made. */
         int request = -1;
+
         double askedAt;
         Loan renewing;
         double renewAskedAt;
@@ -120,7 +149,14 @@
             double drift = mutation == Mutation.DRIFT_IGNORED ? 0 : 0.25;
             double window = mutation == Mutation.USES_FORGOTTEN_EARLY ? 1 : WINDOW_MS;
             lender = new ShareTerms(1, 0, window, 300, 2000, drift);
-            borrower = new ShareTerms(0, 0, window, 300, mutation == Mutation.LOAN_WITHOUT_END ? 1e6 : 2000, drift);
+            borrower =
+                    new ShareTerms(
+                            0,
+                            0,
+                            window,
+                            300,
+                            mutation == Mutation.LOAN_WITHOUT_END ? 1e6 : 2000,
+                            drift);
             for (int i = 0; i < 3; i++) {
                 var member = new Member(i);
                 members.add(member);
@@ -133,11 +169,16 @@
         }
 
         private void begin(Member member) {
-            member.clock = mutation == Mutation.CLOCKS_EXCHANGED ? new ExchangedClock() : new OwnClock();
+            member.clock =
+                    mutation == Mutation.CLOCKS_EXCHANGED ? new ExchangedClock() : new OwnClock();
             read(member);
             member.epoch++;
-            member.ledger = new UnitLedger("abc".substring(member.number, member.number + 1), member.epoch,
-                    member.number < 2 ? lender : borrower, member.clock);
+            member.ledger =
+                    new UnitLedger(
+                            "abc".substring(member.number, member.number + 1),
+                            member.epoch,
+                            member.number < 2 ? lender : borrower,
+                            member.clock);
             member.pending = null;
             member.request = -1;
             if (mutation == Mutation.NEW_LIFE_BEGINS_FREE) {
@@ -261,7 +302,8 @@
         }
 
         private void send(Member member) {
-            boolean holds = member.pending.holds(member.clock) || mutation == Mutation.PERMIT_IGNORED;
+            boolean holds =
+                    member.pending.holds(member.clock) || mutation == Mutation.PERMIT_IGNORED;
             member.pending = null;
             if (holds) {
                 sent.add(now);
@@ -278,22 +320,33 @@
                 case "ask" -> {
                     Loan loan = to.ledger.lend("" + message.from, 1, 0);
                     if (loan != null) {
-                        under.add(new Message(message.to, message.from, "grant", message.request, loan));
+                        under.add(
+                                new Message(
+                                        message.to, message.from, "grant", message.request, loan));
                     }
                 }
                 case "grant" -> {
-                    if (to.request == message.request || mutation == Mutation.DOUBLED_GRANT_TAKEN_TWICE) {
-                        to.ledger.take(message.loan, mutation == Mutation.TERM_FROM_RECEIPT ? to.clock.fastMs() : to.askedAt);
+                    if (to.request == message.request
+                            || mutation == Mutation.DOUBLED_GRANT_TAKEN_TWICE) {
+                        to.ledger.take(
+                                message.loan,
+                                mutation == Mutation.TERM_FROM_RECEIPT
+                                        ? to.clock.fastMs()
+                                        : to.askedAt);
                         to.request = -1;
                     }
                 }
                 case "renew" -> {
                     if (to.ledger.renew("" + message.from, message.loan)) {
-                        under.add(new Message(message.to, message.from, "renewed", 0, message.loan));
+                        under.add(
+                                new Message(message.to, message.from, "renewed", 0, message.loan));
                     }
                 }
                 case "renewed" -> {
-                    double from = mutation == Mutation.RENEWED_FROM_RECEIPT ? to.clock.fastMs() : to.renewAskedAt;
+                    double from =
+                            mutation == Mutation.RENEWED_FROM_RECEIPT
+                                    ? to.clock.fastMs()
+                                    : to.renewAskedAt;
                     to.ledger.renewed(message.loan, from);
                     if (mutation == Mutation.RENEWED_AFTER_RETURN && to.ledger.borrowed() == 0) {
                         to.ledger.take(message.loan, from);
@@ -314,21 +367,53 @@
         String key() {
             var key = new StringBuilder();
             for (Member member : members) {
-                key.append(member.ledger).append(member.pending == null ? "" : String.format(Locale.ROOT, " sends<%.0f",
-                        member.pending.notAfterMs() - member.clock.fastMs())).append(member.request < 0 ? ""
-                        : String.format(Locale.ROOT, " asked %d %.0f", member.request, member.clock.fastMs() - member.askedAt))
-                        .append(" e").append(member.epoch).append(member.renewing == null ? "" : String.format(Locale.ROOT,
-                        " renews %.0f", member.clock.fastMs() - member.renewAskedAt)).append(';');
+                key.append(member.ledger)
+                        .append(
+                                member.pending == null
+                                        ? ""
+                                        : String.format(
+                                                Locale.ROOT,
+                                                " sends<%.0f",
+                                                member.pending.notAfterMs()
+                                                        - member.clock.fastMs()))
+                        .append(
+                                member.request < 0
+                                        ? ""
+                                        : String.format(
+                                                Locale.ROOT,
+                                                " asked %d %.0f",
+                                                member.request,
+                                                member.clock.fastMs() - member.askedAt))
+                        .append(" e")
+                        .append(member.epoch)
+                        .append(
+                                member.renewing == null
+                                        ? ""
+                                        : String.format(
+                                                Locale.ROOT,
+                                                " renews %.0f",
+                                                member.clock.fastMs() - member.renewAskedAt))
+                        .append(';');
             }
             under.stream().map(Message::toString).sorted().forEach(key::append);
-            sent.stream().filter(at -> at > now - WINDOW_MS).forEach(at -> key.append(' ').append(now - at));
-            return key.append(' ').append(ticks).append(asks).append(uses).append(crashes).append(jumps).append(doubled)
-                    .append(returns).append(lost).append(renews).toString();
+            sent.stream()
+                    .filter(at -> at > now - WINDOW_MS)
+                    .forEach(at -> key.append(' ').append(now - at));
+            return key.append(' ')
+                    .append(ticks)
+                    .append(asks)
+                    .append(uses)
+                    .append(crashes)
+                    .append(jumps)
+                    .append(doubled)
+                    .append(returns)
+                    .append(lost)
+                    .append(renews)
+                    .toString();
         }
     }
 
-    private record Found(int states, List<String> broken) {
-    }
+    private record Found(int states, List<String> broken) {}
 
     private static World play(Mutation mutation, Clocks clocks, Most most, List<String> steps) {
         var world = new World(mutation, clocks, most);
@@ -364,21 +449,34 @@
         return new Object[][] {
             {"all three", EVEN, ALL},
             {"a loan", EVEN, LOAN},
-            {"a loan, the lender's clock fast and the borrower's slow", new Clocks(1.25, 1, 0.75, 0), LOAN},
-            {"a loan, the lender's clock slow and the borrower's fast", new Clocks(0.75, 1, 1.25, 0), LOAN},
+            {
+                "a loan, the lender's clock fast and the borrower's slow",
+                new Clocks(1.25, 1, 0.75, 0),
+                LOAN
+            },
+            {
+                "a loan, the lender's clock slow and the borrower's fast",
+                new Clocks(0.75, 1, 1.25, 0),
+                LOAN
+            },
             {"a loan, a wall clock jumps ahead", new Clocks(1.25, 1, 0.75, 3000), LOAN},
             {"a loan, a wall clock jumps back", new Clocks(1.25, 1, 0.75, -3000), LOAN},
             {"doubled messages", EVEN, DOUBLED},
             {"returns", EVEN, RETURNED},
             {"a crash", EVEN, CRASHED},
             {"a renewal", EVEN, RENEWED},
-            {"a renewal, the lender's clock fast and the borrower's slow", new Clocks(1.25, 1, 0.75, 0), RENEWED},
+            {
+                "a renewal, the lender's clock fast and the borrower's slow",
+                new Clocks(1.25, 1, 0.75, 0),
+                RENEWED
+            },
             {"a renewal, doubled messages and a return", EVEN, RENEWED_AND_MORE},
         };
     }
 
     @Test(dataProvider = "worlds")
-    public void noWindowSeesMoreUsesThanTheBoundWhateverHappens(String what, Clocks clocks, Most most) {
+    public void noWindowSeesMoreUsesThanTheBoundWhateverHappens(
+            String what, Clocks clocks, Most most) {
         Found found = explore(Mutation.NONE, clocks, most);
         assertEquals(found.broken, null, what);
         assertTrue(found.states >= 500, "too few states to prove anything: " + found.states);
@@ -408,7 +506,12 @@
     public void whatIsPutWrongIsFound(Mutation mutation, Clocks clocks, Most most) {
         Found found = explore(mutation, clocks, most);
         assertNotNull(found.broken, mutation + " was not found in " + found.states + " states");
-        System.out.println(mutation + " found after " + found.states + " states: " + String.join(", ", found.broken));
+        System.out.println(
+                mutation
+                        + " found after "
+                        + found.states
+                        + " states: "
+                        + String.join(", ", found.broken));
     }
 
     @Test
--- a/together/src/test/java/sprucehold/together/room/RoomsTest.java
+++ b/together/src/test/java/sprucehold/together/room/RoomsTest.java
@@ -26,7 +26,10 @@
 import sprucehold.together.talk.Talk;
 import sprucehold.together.talk.TalkTerms;
 
-/** Shared bounds as decisions see them: one gatherer by hand, and whole fleets whose every send is counted in true time. */
+/**
+ * Shared bounds as decisions see them: one gatherer by hand, and whole fleets whose every send is
+ * counted in true time.
+ */
 public class RoomsTest {
     private static final double WALL = 1.7e12;
     private static final double WINDOW_MS = 1000;
@@ -35,13 +38,23 @@
     private static final Set<Bound.Kind> ALL = EnumSet.allOf(Bound.Kind.class);
 
     private static Deployment facts() {
-        return new Deployment(6, "a", 5, 0.2, List.of(new TableType("q", TableType.Repeat.REPLAYABLE, 80, 1, 0.3, 0, 1, 1, 0)),
-                List.of(new Customer("acme", 12)), new Deployment.Layout(2, 1, 1), new Deployment.Limits(3, 100, true, true, 500),
-                new Deployment.ColdRule(0.2, WARM_MS, MULTIPLE, WINDOW_MS), Deployment.DispatchBudget.NONE,
+        return new Deployment(
+                6,
+                "a",
+                5,
+                0.2,
+                List.of(new TableType("q", TableType.Repeat.REPLAYABLE, 80, 1, 0.3, 0, 1, 1, 0)),
+                List.of(new Customer("acme", 12)),
+                new Deployment.Layout(2, 1, 1),
+                new Deployment.Limits(3, 100, true, true, 500),
+                new Deployment.ColdRule(0.2, WARM_MS, MULTIPLE, WINDOW_MS),
+                Deployment.DispatchBudget.NONE,
                 new Deployment.ListAccess(false, 10_000));
     }
 
-    /** What a server that started so long ago may be sent in a window, by all gatherers together. */
+    /**
+     * What a server that started so long ago may be sent in a window, by all gatherers together.
+     */
     private static double allowed(double ageMs) {
         return MULTIPLE * (0.2 + 0.8 * Math.min(1, ageMs / WARM_MS)) * WINDOW_MS;
     }
@@ -75,8 +88,23 @@
             bornAt = now;
             var sites = new TreeMap<String, String>();
             fleet.forEach(one -> sites.put(one, one.substring(0, 1)));
-            talk = new Talk(new TalkTerms(Map.of(), 500, 5000), name, sites.get(name), (long) wall(now), sites, seed, 0, wall(now));
-            rooms = new Rooms(facts(), new RoomTerms(name, fleet, ALL, 12, WINDOW_MS, 300, 0.002, 10_000), talk, 0, wall(now));
+            talk =
+                    new Talk(
+                            new TalkTerms(Map.of(), 500, 5000),
+                            name,
+                            sites.get(name),
+                            (long) wall(now),
+                            sites,
+                            seed,
+                            0,
+                            wall(now));
+            rooms =
+                    new Rooms(
+                            facts(),
+                            new RoomTerms(name, fleet, ALL, 12, WINDOW_MS, 300, 0.002, 10_000),
+                            talk,
+                            0,
+                            wall(now));
         }
 
         int room(double now, Bound bound) {
@@ -95,7 +123,13 @@
         List<String> fleet = List.of("x", "y", "z", "v", "w");
         for (int units : new int[] {0, 1, 4, 5, 7, 800, 1_000_003}) {
             for (String bound : List.of("FURTHER", "COLD s-1@17", "CUSTOMER acme")) {
-                int sum = fleet.stream().mapToInt(self -> new RoomTerms(self, fleet, ALL, 1, 1, 1, 0, 0).home(bound, units)).sum();
+                int sum =
+                        fleet.stream()
+                                .mapToInt(
+                                        self ->
+                                                new RoomTerms(self, fleet, ALL, 1, 1, 1, 0, 0)
+                                                        .home(bound, units))
+                                .sum();
                 assertEquals(sum, units, bound);
             }
         }
@@ -103,16 +137,24 @@
 
     @Test
     public void whoIsNotOfTheFleetIsOneClearError() {
-        assertEquals(expectThrows(IllegalArgumentException.class, () -> new RoomTerms("x", List.of("y"), ALL, 1, 1, 1, 0, 0))
-                .getMessage(), "fleet: x was expected among 1 names");
+        assertEquals(
+                expectThrows(
+                                IllegalArgumentException.class,
+                                () -> new RoomTerms("x", List.of("y"), ALL, 1, 1, 1, 0, 0))
+                        .getMessage(),
+                "fleet: x was expected among 1 names");
     }
 
     @DataProvider
     Object[][] starts() {
         return new Object[][] {
-            // how long ago its wall clock says that the server started, 0 for long ago; what a gatherer alone may send at once
-            {"just now", 10.0, 33}, {"three seconds ago, but clocks may be ten apart", 3000.0, 33},
-            {"long ago", 60_000.0, -1}, {"ahead of this clock", -5000.0, 33}, {"not told", WALL + 50_000, -1},
+            // how long ago its wall clock says that the server started, 0 for long ago; what a
+            // gatherer alone may send at once
+            {"just now", 10.0, 33},
+            {"three seconds ago, but clocks may be ten apart", 3000.0, 33},
+            {"long ago", 60_000.0, -1},
+            {"ahead of this clock", -5000.0, 33},
+            {"not told", WALL + 50_000, -1},
         };
     }
 
@@ -120,8 +162,13 @@
     public void aColdServerIsSharedFromTheNewsOfItsStart(String what, double agoMs, int room) {
         One one = alone(0);
         double now = 50_000;
-        one.rooms.listed(one.counted(now), one.wall(now), true, List.of(listing("s", WALL + now - agoMs, Listing.Mode.RUNNING)));
-        // After so long in one life nothing of an earlier one can be out: the whole home is free at once.
+        one.rooms.listed(
+                one.counted(now),
+                one.wall(now),
+                true,
+                List.of(listing("s", WALL + now - agoMs, Listing.Mode.RUNNING)));
+        // After so long in one life nothing of an earlier one can be out: the whole home is free at
+        // once.
         int found = one.room(now, Bound.cold("s"));
         assertTrue(room < 0 ? found < 0 : found >= room && found <= room + 1, what + ": " + found);
     }
@@ -131,25 +178,40 @@
         One one = alone(0);
         one.rooms.listed(0, one.wall(0), true, List.of(listing("s", WALL, Listing.Mode.RUNNING)));
         assertEquals(one.room(0, Bound.cold("s")), 0);
-        assertEquals(one.room(3000, Bound.cold("s")), (int) (allowed(3000 * 0.998) - allowed(0)) / 6, "what it has grown by alone");
-        assertTrue(one.room(3400, Bound.cold("s")) > 33 + 80, "a term, a window, the patience and their drift later");
+        assertEquals(
+                one.room(3000, Bound.cold("s")),
+                (int) (allowed(3000 * 0.998) - allowed(0)) / 6,
+                "what it has grown by alone");
+        assertTrue(
+                one.room(3400, Bound.cold("s")) > 33 + 80,
+                "a term, a window, the patience and their drift later");
     }
 
     @Test
     public void roomGrowsWithWarmthAndIsTakenFromWhatNobodyElseCanUseFirst() {
         One one = alone(0);
         double now = 50_000;
-        one.rooms.listed(one.counted(now), one.wall(now), true, List.of(listing("s", WALL + now, Listing.Mode.RUNNING)));
+        one.rooms.listed(
+                one.counted(now),
+                one.wall(now),
+                true,
+                List.of(listing("s", WALL + now, Listing.Mode.RUNNING)));
         now += 2500;
         int room = one.room(now, Bound.cold("s"));
         assertTrue(room >= 33 + 65 && room <= 34 + 67, "half warm: " + room);
         Leave leave = one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), room);
         assertNotNull(leave);
         assertEquals(one.room(now, Bound.cold("s")), 0);
-        assertNull(one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), 1), "nothing more than there is");
+        assertNull(
+                one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), 1),
+                "nothing more than there is");
         assertTrue(one.rooms.holds(one.counted(now + 290), one.wall(now + 290), leave));
-        assertFalse(one.rooms.holds(one.counted(now + 310), one.wall(now + 310), leave), "beyond the patience");
-        assertTrue(one.room(now + 1200, Bound.cold("s")) < room, "it counts for a window and the patience");
+        assertFalse(
+                one.rooms.holds(one.counted(now + 310), one.wall(now + 310), leave),
+                "beyond the patience");
+        assertTrue(
+                one.room(now + 1200, Bound.cold("s")) < room,
+                "it counts for a window and the patience");
         assertTrue(one.room(now + 1400, Bound.cold("s")) >= room);
         one.rooms.tick(one.counted(now + 2600), one.wall(now + 2600));
         assertEquals(one.room(now + 2600, Bound.cold("s")), -1, "warm, and no longer a bound");
@@ -164,25 +226,40 @@
     }
 
     @Test(dataProvider = "gone")
-    public void aServerThatLeavesAndComesBackUnderTheSameStartHasNoNewBound(String what, Listing.Mode mode, boolean stays) {
+    public void aServerThatLeavesAndComesBackUnderTheSameStartHasNoNewBound(
+            String what, Listing.Mode mode, boolean stays) {
         One one = alone(0);
         double now = 50_000;
         var running = List.of(listing("s", WALL + now, Listing.Mode.RUNNING));
         one.rooms.listed(one.counted(now), one.wall(now), true, running);
         assertNotNull(one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), 33));
-        one.rooms.listed(one.counted(now), one.wall(now), false, List.of(listing("s", WALL + now, mode)));
+        one.rooms.listed(
+                one.counted(now), one.wall(now), false, List.of(listing("s", WALL + now, mode)));
         assertEquals(one.room(now, Bound.cold("s")) >= 0, stays, what);
         one.rooms.listed(one.counted(now), one.wall(now), false, running);
-        assertTrue(one.room(now, Bound.cold("s")) <= 1, "used just now, whatever the list says in between");
+        assertTrue(
+                one.room(now, Bound.cold("s")) <= 1,
+                "used just now, whatever the list says in between");
     }
 
     @Test
     public void whatIsNotSharedIsNeverRefused() {
         var one = new One("a-0");
         one.begin(0, List.of("a-0", "b-0"), 1);
-        one.rooms = new Rooms(facts(), new RoomTerms("a-0", List.of("a-0", "b-0"), Set.of(), 0, 1000, 300, 0, 0), one.talk, 0, WALL);
+        one.rooms =
+                new Rooms(
+                        facts(),
+                        new RoomTerms("a-0", List.of("a-0", "b-0"), Set.of(), 0, 1000, 300, 0, 0),
+                        one.talk,
+                        0,
+                        WALL);
         one.rooms.listed(0, WALL, true, List.of(listing("s", WALL, Listing.Mode.RUNNING)));
-        for (Bound bound : List.of(Bound.FURTHER, Bound.cold("s"), Bound.customer("acme"), Bound.customer("nobody"))) {
+        for (Bound bound :
+                List.of(
+                        Bound.FURTHER,
+                        Bound.cold("s"),
+                        Bound.customer("acme"),
+                        Bound.customer("nobody"))) {
             Leave leave = one.rooms.use(0, WALL, bound, 1_000_000);
             assertTrue(leave != null && one.rooms.holds(0, WALL, leave), bound.toString());
         }
@@ -190,7 +267,17 @@
     }
 
     /** What befalls a fleet of six between 6 and 12 s of 20. */
-    enum Day { CALM, A_BAD_NETWORK, CUT, ALL_ALONE, DEAF, KILLED, PAUSED, CLOCKS, TOLD_LATE }
+    enum Day {
+        CALM,
+        A_BAD_NETWORK,
+        CUT,
+        ALL_ALONE,
+        DEAF,
+        KILLED,
+        PAUSED,
+        CLOCKS,
+        TOLD_LATE
+    }
 
     @DataProvider
     Object[][] days() {
@@ -208,8 +295,9 @@
         var fleet = new Fleet(day, seed);
         fleet.play();
         assertEquals(fleet.broken, List.of());
-        assertTrue(fleet.coldSent > 50 && fleet.furtherSent > 50, "too little to prove anything: " + fleet.coldSent + " "
-                + fleet.furtherSent);
+        assertTrue(
+                fleet.coldSent > 50 && fleet.furtherSent > 50,
+                "too little to prove anything: " + fleet.coldSent + " " + fleet.furtherSent);
     }
 
     @Test
@@ -217,7 +305,9 @@
         var fleet = new Fleet(Day.CALM, 1);
         fleet.play();
         // Alone a busy one of six may make two further dispatches a second of the twelve.
-        assertTrue(fleet.furtherByBusy > 1.5 * 2 * 14, "further dispatches of the busy one in 14 s: " + fleet.furtherByBusy);
+        assertTrue(
+                fleet.furtherByBusy > 1.5 * 2 * 14,
+                "further dispatches of the busy one in 14 s: " + fleet.furtherByBusy);
     }
 
     /** Six gatherers, two of them busy, four servers that come back cold again and again. */
@@ -226,11 +316,9 @@
         private static final double FROM = 6000;
         private static final double TO = 12_000;
 
-        private record Sent(double atMs, double units) {
-        }
+        private record Sent(double atMs, double units) {}
 
-        private record Mail(double atMs, long turn, String from, Talk.Out out) {
-        }
+        private record Mail(double atMs, long turn, String from, Talk.Out out) {}
 
         final Day day;
         final Random chance;
@@ -291,11 +379,13 @@
                     String server = "s" + (int) (now / 4000) % 4;
                     startedAt.put(server, now);
                     cold.remove(server);
-                    all.values().forEach(one -> {
-                        if (day != Day.TOLD_LATE || chance.nextBoolean()) {
-                            tell(one);
-                        }
-                    });
+                    all.values()
+                            .forEach(
+                                    one -> {
+                                        if (day != Day.TOLD_LATE || chance.nextBoolean()) {
+                                            tell(one);
+                                        }
+                                    });
                 }
                 if (day == Day.TOLD_LATE && now % 4000 == 0) {
                     all.values().forEach(this::tell);
@@ -313,7 +403,8 @@
 
         void tell(One one) {
             var list = new ArrayList<Listing>();
-            startedAt.forEach((server, at) -> list.add(listing(server, WALL + at, Listing.Mode.RUNNING)));
+            startedAt.forEach(
+                    (server, at) -> list.add(listing(server, WALL + at, Listing.Mode.RUNNING)));
             Runnable told = () -> one.rooms.listed(one.counted(now), one.wall(now), true, list);
             if (paused(one)) {
                 woken.add(told);
@@ -324,9 +415,20 @@
 
         void send(String from, List<Talk.Out> letters) {
             for (Talk.Out out : letters) {
-                int copies = lost(from, out.to()) ? 0 : day == Day.A_BAD_NETWORK && chance.nextDouble() < 0.1 ? 2 : 1;
+                int copies =
+                        lost(from, out.to())
+                                ? 0
+                                : day == Day.A_BAD_NETWORK && chance.nextDouble() < 0.1 ? 2 : 1;
                 for (int i = 0; i < copies; i++) {
-                    mail.add(new Mail(now + (day == Day.A_BAD_NETWORK ? 200 * chance.nextDouble() : 1), turns++, from, out));
+                    mail.add(
+                            new Mail(
+                                    now
+                                            + (day == Day.A_BAD_NETWORK
+                                                    ? 200 * chance.nextDouble()
+                                                    : 1),
+                                    turns++,
+                                    from,
+                                    out));
                 }
             }
         }
@@ -350,7 +452,9 @@
         }
 
         void received(One to, Mail one) {
-            send(to.name, to.talk.received(to.counted(now), to.wall(now), one.from, one.out.letter()));
+            send(
+                    to.name,
+                    to.talk.received(to.counted(now), to.wall(now), one.from, one.out.letter()));
         }
 
         void act(One one) {
@@ -367,24 +471,37 @@
             if (chance.nextDouble() < (busy ? 0.4 : 0.05)) {
                 one.rooms.taken(counted, "acme", List.of(0));
             }
-            Bound bound = chance.nextDouble() < 0.3 ? Bound.FURTHER : Bound.cold("s" + chance.nextInt(4));
+            Bound bound =
+                    chance.nextDouble() < 0.3 ? Bound.FURTHER : Bound.cold("s" + chance.nextInt(4));
             int wanted = bound == Bound.FURTHER ? 1 : 20;
-            boolean wants = bound == Bound.FURTHER ? chance.nextDouble() < (busy ? 0.5 : 0.01) : chance.nextDouble() < (busy ? 0.9 : 0.2);
+            boolean wants =
+                    bound == Bound.FURTHER
+                            ? chance.nextDouble() < (busy ? 0.5 : 0.01)
+                            : chance.nextDouble() < (busy ? 0.9 : 0.2);
             int room = one.rooms.others(counted, wall).room().getOrDefault(bound, -1);
             if (!wants || room < wanted) {
                 return;
             }
             Leave leave = one.rooms.use(counted, wall, bound, wanted);
             if (leave == null) {
-                broken.add(now + ": " + one.name + " was told of " + room + " of " + bound + " and got nothing");
+                broken.add(
+                        now
+                                + ": "
+                                + one.name
+                                + " was told of "
+                                + room
+                                + " of "
+                                + bound
+                                + " and got nothing");
                 return;
             }
             double writtenAt = now + 250 * chance.nextDouble();
-            Runnable write = () -> {
-                if (one.rooms.holds(one.counted(now), one.wall(now), leave)) {
-                    written(one, bound, wanted);
-                }
-            };
+            Runnable write =
+                    () -> {
+                        if (one.rooms.holds(one.counted(now), one.wall(now), leave)) {
+                            written(one, bound, wanted);
+                        }
+                    };
             // A stop between decision and write is the case to meet.
             if (day == Day.PAUSED && one.name.equals("a-0") && writtenAt >= FROM && now < FROM) {
                 woken.add(write);
@@ -405,20 +522,40 @@
                 coldSent++;
                 units = wanted;
                 double started = startedAt.get(bound.of());
-                count(cold.computeIfAbsent(bound.of(), none -> new ArrayDeque<>()), at -> allowed(at - started), bound.of());
+                count(
+                        cold.computeIfAbsent(bound.of(), none -> new ArrayDeque<>()),
+                        at -> allowed(at - started),
+                        bound.of());
             }
         }
 
-        /** Writes are noted in the order of decisions, a little out of the order of time: each window that holds this one counts. */
+        /**
+         * Writes are noted in the order of decisions, a little out of the order of time: each
+         * window that holds this one counts.
+         */
         void count(ArrayDeque<Sent> sent, DoubleUnaryOperator allowed, String what) {
             sent.add(new Sent(now, what.equals("further") ? 1 : units));
             sent.removeIf(one -> one.atMs <= now - 3 * WINDOW_MS);
             for (Sent end : sent) {
                 double most = allowed.applyAsDouble(end.atMs);
-                double sum = sent.stream().filter(one -> one.atMs > end.atMs - WINDOW_MS && one.atMs <= end.atMs)
-                        .mapToDouble(Sent::units).sum();
+                double sum =
+                        sent.stream()
+                                .filter(
+                                        one ->
+                                                one.atMs > end.atMs - WINDOW_MS
+                                                        && one.atMs <= end.atMs)
+                                .mapToDouble(Sent::units)
+                                .sum();
                 if (end.atMs >= now && end.atMs < now + WINDOW_MS && sum > most + 1e-9) {
-                    broken.add(end.atMs + ": " + what + ": " + sum + " in a window, " + most + " are allowed");
+                    broken.add(
+                            end.atMs
+                                    + ": "
+                                    + what
+                                    + ": "
+                                    + sum
+                                    + " in a window, "
+                                    + most
+                                    + " are allowed");
                 }
             }
         }
--- a/together/src/test/java/sprucehold/together/wire/CodecTest.java
+++ b/together/src/test/java/sprucehold/together/wire/CodecTest.java
@@ -39,18 +39,32 @@
     Object[][] letters() {
         return new Object[][] {
             {new Letter.OfMembers(new MemberMessage.Ping(1, List.of()))},
-            {new Letter.OfMembers(new MemberMessage.Ping(1, List.of(NEWS, new News("c", "z", 0, 0, News.State.LEFT))))},
+            {
+                new Letter.OfMembers(
+                        new MemberMessage.Ping(
+                                1, List.of(NEWS, new News("c", "z", 0, 0, News.State.LEFT))))
+            },
             {new Letter.OfMembers(new MemberMessage.Ack(Long.MAX_VALUE, List.of(NEWS)))},
             {new Letter.OfMembers(new MemberMessage.PingFor(2, "c", List.of(NEWS)))},
             {new Letter.OfMembers(new MemberMessage.Table(false, List.of(NEWS)))},
             {new Letter.OfMembers(new MemberMessage.Table(true, List.of()))},
             {new Letter.OfMembers(new MemberMessage.Compare(Long.MIN_VALUE, List.of(NEWS)))},
             {shares("further dispatches", new ShareMessage.Ask(5, 6, 7))},
-            {shares("x", new ShareMessage.Grant(5, 6, LOAN))}, {shares("x", new ShareMessage.Nothing(5, 6))},
-            {shares("x", new ShareMessage.Renew(5, 6, LOAN))}, {shares("x", new ShareMessage.Renewed(5, 6, LOAN))},
-            {new Letter.OfShares(List.of(new Letter.OfShare("x", new ShareMessage.Return(LOAN)),
-                    new Letter.OfShare("y", new ShareMessage.Ask(1, 2, 3))))},
-            {new Letter.OfNews(List.of(new Count("a", 4, "s-1", 99)), List.of(new Sighting("a", "x", "s-1", "y", 1.7e12, 1.5, 2.25, 8)))},
+            {shares("x", new ShareMessage.Grant(5, 6, LOAN))},
+            {shares("x", new ShareMessage.Nothing(5, 6))},
+            {shares("x", new ShareMessage.Renew(5, 6, LOAN))},
+            {shares("x", new ShareMessage.Renewed(5, 6, LOAN))},
+            {
+                new Letter.OfShares(
+                        List.of(
+                                new Letter.OfShare("x", new ShareMessage.Return(LOAN)),
+                                new Letter.OfShare("y", new ShareMessage.Ask(1, 2, 3))))
+            },
+            {
+                new Letter.OfNews(
+                        List.of(new Count("a", 4, "s-1", 99)),
+                        List.of(new Sighting("a", "x", "s-1", "y", 1.7e12, 1.5, 2.25, 8)))
+            },
             {new Letter.OfNews(List.of(), List.of())},
         };
     }
@@ -69,7 +83,9 @@
             assertTrue(b.read(flipped) instanceof Received.Foreign, "bit " + bit);
         }
         for (int length = 0; length < whole.length; length++) {
-            assertTrue(b.read(Arrays.copyOf(whole, length)) instanceof Received.Foreign, "length " + length);
+            assertTrue(
+                    b.read(Arrays.copyOf(whole, length)) instanceof Received.Foreign,
+                    "length " + length);
         }
         assertTrue(b.read(Arrays.copyOf(whole, whole.length + 1)) instanceof Received.Foreign);
     }
@@ -77,7 +93,8 @@
     @Test
     public void noBytesMakeItFail() {
         var chance = new Random(4);
-        byte[] sound = a.write("b", new Letter.OfMembers(new MemberMessage.Ping(1, List.of(NEWS))), 1);
+        byte[] sound =
+                a.write("b", new Letter.OfMembers(new MemberMessage.Ping(1, List.of(NEWS))), 1);
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = new byte[chance.nextInt(200)];
             chance.nextBytes(bytes);
@@ -109,13 +126,16 @@
         bytes[11] = 7;
         seal(bytes);
         Received received = b.read(bytes);
-        assertTrue(received instanceof Received.Foreign foreign && foreign.why().contains("exceeds maximum allowed"),
+        assertTrue(
+                received instanceof Received.Foreign foreign
+                        && foreign.why().contains("exceeds maximum allowed"),
                 received.toString());
     }
 
     @Test
     public void aLetterToAnotherIsForeign() {
-        assertEquals(b.read(a.write("c", shares("x", new ShareMessage.Ask(5, 6, 7)), 1)),
+        assertEquals(
+                b.read(a.write("c", shares("x", new ShareMessage.Ask(5, 6, 7)), 1)),
                 new Received.Foreign("a letter to c"));
     }
 
@@ -123,17 +143,35 @@
     public void lettersButTablesFitIntoADatagramAndTablesOntoAStream() {
         var news = new News("n".repeat(32), "s".repeat(24), 1L << 41, 100, News.State.ALIVE);
         var twelve = Collections.nCopies(12, news);
-        var asks = Collections.nCopies(10, new Letter.OfShare("COLD " + "s".repeat(32) + "@1700000000000",
-                new ShareMessage.Grant(1L << 41, 1L << 20, new Loan("n".repeat(32), 1L << 41, 1L << 20, 1000))));
-        for (Letter letter : List.of(new Letter.OfMembers(new MemberMessage.Ping(1L << 40, twelve)), new Letter.OfShares(asks))) {
+        var asks =
+                Collections.nCopies(
+                        10,
+                        new Letter.OfShare(
+                                "COLD " + "s".repeat(32) + "@1700000000000",
+                                new ShareMessage.Grant(
+                                        1L << 41,
+                                        1L << 20,
+                                        new Loan("n".repeat(32), 1L << 41, 1L << 20, 1000))));
+        for (Letter letter :
+                List.of(
+                        new Letter.OfMembers(new MemberMessage.Ping(1L << 40, twelve)),
+                        new Letter.OfShares(asks))) {
             byte[] bytes = a.write("b".repeat(32), letter, 1);
             assertTrue(bytes.length <= Codec.MOST_BYTES, "length " + bytes.length);
         }
-        var table = new Letter.OfMembers(new MemberMessage.Table(true, Collections.nCopies(1000, news)));
+        var table =
+                new Letter.OfMembers(
+                        new MemberMessage.Table(true, Collections.nCopies(1000, news)));
         byte[] bytes = a.write("b", table, 1);
-        assertTrue(bytes.length > Codec.MOST_BYTES && bytes.length < 90_000, "length " + bytes.length);
+        assertTrue(
+                bytes.length > Codec.MOST_BYTES && bytes.length < 90_000, "length " + bytes.length);
         assertEquals(b.read(bytes), new Received.Read("a", 1, table));
-        assertNull(a.write("b", new Letter.OfMembers(new MemberMessage.Table(true, Collections.nCopies(20_000, news))), 1));
+        assertNull(
+                a.write(
+                        "b",
+                        new Letter.OfMembers(
+                                new MemberMessage.Table(true, Collections.nCopies(20_000, news))),
+                        1));
     }
 
     @Test
@@ -141,14 +179,21 @@
         var later = new Codec("c", next());
         byte[] letter = later.write("a", shares("x", new ShareMessage.Ask(5, 6, 7)), 2);
         int version = ((Received.Unknown) a.read(letter)).version();
-        assertEquals(later.read(a.refusal(version)), new Received.Refused("version 2 can't be read here, 1 to 1 can"));
+        assertEquals(
+                later.read(a.refusal(version)),
+                new Received.Refused("version 2 can't be read here, 1 to 1 can"));
     }
 
     /** A program of the next version: letters have one more field. */
     private static NavigableMap<Integer, Schema> next() {
         var versions = new TreeMap<>(Codec.shipped());
-        String text = versions.get(1).toString().replace("{\"name\":\"reads\"", "{\"name\":\"mood\",\"type\":\"string\",\"default\":"
-                + "\"even\"},{\"name\":\"reads\"");
+        String text =
+                versions.get(1)
+                        .toString()
+                        .replace(
+                                "{\"name\":\"reads\"",
+                                "{\"name\":\"mood\",\"type\":\"string\",\"default\":"
+                                        + "\"even\"},{\"name\":\"reads\"");
         versions.put(2, new Schema.Parser().parse(text));
         return versions;
     }
@@ -158,9 +203,18 @@
         var letter = shares("x", new ShareMessage.Ask(5, 6, 7));
         var later = new Codec("c", next());
         assertEquals(later.read(a.write("c", letter, 1)), new Received.Read("a", 1, letter));
-        assertEquals(a.read(later.write("a", letter, later.common(1))), new Received.Read("c", 2, letter));
+        assertEquals(
+                a.read(later.write("a", letter, later.common(1))),
+                new Received.Read("c", 2, letter));
         assertEquals(a.read(later.write("a", letter, 2)), new Received.Unknown(2));
-        assertEquals(Map.of("lowest", later.lowest(), "common with 7", later.common(7), "common with 0", later.common(0)),
+        assertEquals(
+                Map.of(
+                        "lowest",
+                        later.lowest(),
+                        "common with 7",
+                        later.common(7),
+                        "common with 0",
+                        later.common(0)),
                 Map.of("lowest", 1, "common with 7", 2, "common with 0", 1));
     }
 }
--- a/trace/src/main/java/sprucehold/trace/book/BookedScan.java
+++ b/trace/src/main/java/sprucehold/trace/book/BookedScan.java
@@ -6,7 +6,9 @@
 import java.util.Map;
 import sprucehold.port.Event;
 
-/** A scan as it is met in a trace. There is one object a scan, so it can be compared by identity. */
+/**
+ * A scan as it is met in a trace. There is one object a scan, so it can be compared by identity.
+ */
 public final class BookedScan {
     private final int source;
     private final Event.ScanTaken taken;
--- a/trace/src/main/java/sprucehold/trace/book/ScanBook.java
+++ b/trace/src/main/java/sprucehold/trace/book/ScanBook.java
@@ -12,8 +12,8 @@
 /** Tells, item by item in the order of a source, which scan each belongs to. */
 public final class ScanBook {
     /**
-     * Scans held at most for each source. Guards against traces with gaps, whose scans never end; a gatherer that holds
-     * 1,024 descriptors has far fewer open.
+     * Scans held at most for each source. Guards against traces with gaps, whose scans never end; a
+     * gatherer that holds 1,024 descriptors has far fewer open.
      */
     private static final int MOST = 100_000;
 
@@ -23,6 +23,7 @@
     private static final class Shelf {
         /** In the order in which they were taken. */
         final Map<Long, BookedScan> byNumber = new LinkedHashMap<>();
+
         final Map<String, BookedScan> byId = new HashMap<>();
         final Map<String, BookedScan.BookedPart> parts = new HashMap<>();
     }
@@ -34,7 +35,9 @@
         }
         server = null;
         Shelf shelf = shelves.get(source);
-        return item.event() != null ? add(shelf, source, nowMs, item.event()) : add(shelf, item.action());
+        return item.event() != null
+                ? add(shelf, source, nowMs, item.event())
+                : add(shelf, item.action());
     }
 
     /** The shard server that the item last added was about, or null. */
@@ -95,11 +98,17 @@
             if (part == null) {
                 return null;
             }
-            server = cancel.number() < part.servers.size() ? part.servers.get(cancel.number()) : null;
+            server =
+                    cancel.number() < part.servers.size()
+                            ? part.servers.get(cancel.number())
+                            : null;
             return part.scan;
         } else if (action instanceof Action.Answer answer) {
             BookedScan scan = shelf.byId.get(answer.scanId());
-            if (scan != null && answer.whole() && !scan.secondStep && scan.taken().type().secondStepParts() > 0) {
+            if (scan != null
+                    && answer.whole()
+                    && !scan.secondStep
+                    && scan.taken().type().secondStepParts() > 0) {
                 scan.secondStep = true;
                 return scan;
             }
--- a/trace/src/main/java/sprucehold/trace/event/ClockFit.java
+++ b/trace/src/main/java/sprucehold/trace/event/ClockFit.java
@@ -11,6 +11,7 @@
 public record ClockFit(double atMs, double offsetMs, double driftPpm, double errorMs) {
     /** The clock that the others are judged by. */
     public static final ClockFit REFERENCE = new ClockFit(0, 0, 0, 0);
+
     /** A clock of which nothing is known. */
     public static final ClockFit UNKNOWN = new ClockFit(0, 0, 0, Double.POSITIVE_INFINITY);
 
--- a/trace/src/main/java/sprucehold/trace/event/Head.java
+++ b/trace/src/main/java/sprucehold/trace/event/Head.java
@@ -10,8 +10,11 @@
  * @param window the window it was cut to, or null
  * @param lost what can't be told from it any more, a sentence each
  */
-public record Head(List<Source> sources, int oneIn, boolean anonymised, Window window, List<String> lost) {
-    /** Scans taken from {@code fromMs} until before {@code toMs}, by the clock of the file's order. */
+public record Head(
+        List<Source> sources, int oneIn, boolean anonymised, Window window, List<String> lost) {
+    /**
+     * Scans taken from {@code fromMs} until before {@code toMs}, by the clock of the file's order.
+     */
     public record Window(double fromMs, double toMs) {
         public boolean holds(double ms) {
             return ms >= fromMs && ms < toMs;
--- a/trace/src/main/java/sprucehold/trace/event/Moment.java
+++ b/trace/src/main/java/sprucehold/trace/event/Moment.java
@@ -9,17 +9,24 @@
  * One call of the module: what went in and what came out.
  *
  * @param failed the module ended by an exception, so nothing came out
- * @param total how many events and actions the call had; more than {@code items} where some were left out
+ * @param total how many events and actions the call had; more than {@code items} where some were
+ *     left out
  * @param items those kept, by rising index
  */
-public record Moment(int source, long seq, double nowMs, boolean failed, int total, List<Item> items)
+public record Moment(
+        int source, long seq, double nowMs, boolean failed, int total, List<Item> items)
         implements Entry {
     public Moment {
         items = List.copyOf(items);
     }
 
     /** A whole moment. */
-    public static Moment of(int source, long seq, double nowMs, List<Event> events, List<Action> actions,
+    public static Moment of(
+            int source,
+            long seq,
+            double nowMs,
+            List<Event> events,
+            List<Action> actions,
             boolean failed) {
         var items = new ArrayList<Item>(events.size() + actions.size());
         events.forEach(event -> items.add(new Item(items.size(), event, null)));
--- a/trace/src/main/java/sprucehold/trace/event/Source.java
+++ b/trace/src/main/java/sprucehold/trace/event/Source.java
@@ -11,10 +11,20 @@
  * @param startedMs its own clock when recording began, Unix milliseconds
  * @param facts what the module was told of the deployment
  */
-public record Source(String gatherer, String build, long seed, double startedMs, Deployment facts, ClockFit clock) {
+public record Source(
+        String gatherer,
+        String build,
+        long seed,
+        double startedMs,
+        Deployment facts,
+        ClockFit clock) {
     /** Tells sources apart: equal for all files of one gatherer's one start. */
     public String id() {
-        return gatherer + "@" + Long.toHexString(seed) + "@" + Long.toHexString(Double.doubleToLongBits(startedMs));
+        return gatherer
+                + "@"
+                + Long.toHexString(seed)
+                + "@"
+                + Long.toHexString(Double.doubleToLongBits(startedMs));
     }
 
     public Source withClock(ClockFit fit) {
--- a/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
@@ -38,8 +38,10 @@
     private long timeBefore;
     private long letters;
     private int things;
+
     /** The moment whose items are being read, without them; null before the first. */
     private Moment open;
+
     private boolean leftOut;
     private List<Item> items = new ArrayList<>();
 
@@ -48,7 +50,9 @@
         this.in = CodedInputStream.newInstance(raw);
     }
 
-    /** @throws IOException where the bytes are no entries; its message says what was expected */
+    /**
+     * @throws IOException where the bytes are no entries; its message says what was expected
+     */
     static List<Entry> decode(List<Source> sources, byte[] raw) throws IOException {
         try {
             var decoder = new BlockDecoder(sources, raw);
@@ -97,10 +101,18 @@
             }
             int flags = in.readUInt32();
             leftOut = (flags & RecordKind.LEFT_OUT) != 0;
-            open = new Moment(source, seqBefore, now, (flags & RecordKind.FAILED) != 0, in.readUInt32(), List.of());
+            open =
+                    new Moment(
+                            source,
+                            seqBefore,
+                            now,
+                            (flags & RecordKind.FAILED) != 0,
+                            in.readUInt32(),
+                            List.of());
             return;
         }
-        if (kind < RecordKind.SCAN_TAKEN || kind > RecordKind.USE
+        if (kind < RecordKind.SCAN_TAKEN
+                || kind > RecordKind.USE
                 || kind > RecordKind.OTHERS_TOLD && kind < RecordKind.DISPATCH) {
             return;
         }
@@ -108,8 +120,10 @@
             throw new IOException("an item of kind " + kind + " before any moment");
         }
         int index = leftOut ? in.readUInt32() : items.size();
-        Item item = kind < RecordKind.DISPATCH ? new Item(index, event(kind), null)
-                : new Item(index, null, action(kind));
+        Item item =
+                kind < RecordKind.DISPATCH
+                        ? new Item(index, event(kind), null)
+                        : new Item(index, null, action(kind));
         items.add(item);
     }
 
@@ -122,16 +136,23 @@
                 int type = in.readUInt32();
                 int customer = in.readUInt32();
                 double left = number();
-                TableType of = type == facts.tableTypes().size()
-                        ? HeadJson.read(in.readStringRequireUtf8(), TableType.class) : facts.tableTypes().get(type);
-                Customer by = customer == 0 ? null : customer == facts.customers().size() + 1
-                        ? HeadJson.read(in.readStringRequireUtf8(), Customer.class)
-                        : facts.customers().get(customer - 1);
+                TableType of =
+                        type == facts.tableTypes().size()
+                                ? HeadJson.read(in.readStringRequireUtf8(), TableType.class)
+                                : facts.tableTypes().get(type);
+                Customer by =
+                        customer == 0
+                                ? null
+                                : customer == facts.customers().size() + 1
+                                        ? HeadJson.read(in.readStringRequireUtf8(), Customer.class)
+                                        : facts.customers().get(customer - 1);
                 yield new Event.ScanTaken(id, number, of, by, left);
             }
-            case RecordKind.PART_TAKEN -> new Event.PartTaken(name(), in.readUInt64(), in.readSInt32(), number());
-            case RecordKind.DISPATCH_ENDED -> new Event.DispatchEnded(name(), in.readUInt32(),
-                    ENDINGS[in.readUInt32()], number(), load());
+            case RecordKind.PART_TAKEN ->
+                    new Event.PartTaken(name(), in.readUInt64(), in.readSInt32(), number());
+            case RecordKind.DISPATCH_ENDED ->
+                    new Event.DispatchEnded(
+                            name(), in.readUInt32(), ENDINGS[in.readUInt32()], number(), load());
             case RecordKind.CLIENT_LEFT -> new Event.ClientLeft(name());
             case RecordKind.LIST_RECEIVED -> {
                 boolean complete = in.readBool();
@@ -139,14 +160,21 @@
                 count(count);
                 var servers = new ArrayList<Listing>();
                 for (int i = 0; i < count; i++) {
-                    servers.add(new Listing(name(), in.readSInt32(), name(), number(), MODES[in.readUInt32()]));
+                    servers.add(
+                            new Listing(
+                                    name(),
+                                    in.readSInt32(),
+                                    name(),
+                                    number(),
+                                    MODES[in.readUInt32()]));
                 }
                 yield new Event.ListReceived(complete, List.copyOf(servers));
             }
             case RecordKind.LIST_UNAVAILABLE -> new Event.ListUnavailable();
             case RecordKind.PROBE_ENDED ->
                     new Event.ProbeEnded(name(), ENDINGS[in.readUInt32()], number(), load());
-            case RecordKind.FACTS_CHANGED -> new Event.FactsChanged(HeadJson.facts(in.readStringRequireUtf8()));
+            case RecordKind.FACTS_CHANGED ->
+                    new Event.FactsChanged(HeadJson.facts(in.readStringRequireUtf8()));
             case RecordKind.OTHERS_TOLD -> new Event.OthersTold(others());
             default -> new Event.Woken();
         };
@@ -170,7 +198,8 @@
                         passed.add(new PassedOver(over, CAUSES[cause]));
                     }
                 }
-                yield new Action.Dispatch(part, server, timeout, reason, position, List.copyOf(passed));
+                yield new Action.Dispatch(
+                        part, server, timeout, reason, position, List.copyOf(passed));
             }
             case RecordKind.CANCEL -> new Action.Cancel(name(), in.readUInt32(), reason());
             case RecordKind.ANSWER -> new Action.Answer(name(), in.readBool(), reason());
@@ -182,7 +211,8 @@
             case RecordKind.USE -> {
                 Bound bound = bound();
                 int units = in.readUInt32();
-                yield bound == null ? new Action.Note(units + " units of a bound that this build can't name")
+                yield bound == null
+                        ? new Action.Note(units + " units of a bound that this build can't name")
                         : new Action.Use(bound, units);
             }
             default -> new Action.Note(in.readStringRequireUtf8());
@@ -236,10 +266,13 @@
         if (how > 1) {
             return names.get(how - 2);
         }
-        String name = how == 0 ? in.readStringRequireUtf8()
-                : names.get(in.readUInt32()) + in.readStringRequireUtf8();
+        String name =
+                how == 0
+                        ? in.readStringRequireUtf8()
+                        : names.get(in.readUInt32()) + in.readStringRequireUtf8();
         names.add(name);
-        // A name may begin with one that began with another: few bytes could else stand for any number of letters.
+        // A name may begin with one that began with another: few bytes could else stand for any
+        // number of letters.
         letters += name.length();
         if (letters > Layout.MOST_RAW_BYTES) {
             throw new IOException("names of over " + Layout.MOST_RAW_BYTES + " letters");
--- a/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
@@ -36,16 +36,31 @@
 
     BlockEncoder(List<Source> sources) {
         this.sources = sources;
-        types = sources.stream().map(source -> {
-            var index = new HashMap<String, Integer>();
-            source.facts().tableTypes().forEach(type -> index.put(type.name(), index.size()));
-            return (Map<String, Integer>) index;
-        }).toList();
-        customers = sources.stream().map(source -> {
-            var index = new HashMap<String, Integer>();
-            source.facts().customers().forEach(customer -> index.put(customer.name(), index.size()));
-            return (Map<String, Integer>) index;
-        }).toList();
+        types =
+                sources.stream()
+                        .map(
+                                source -> {
+                                    var index = new HashMap<String, Integer>();
+                                    source.facts()
+                                            .tableTypes()
+                                            .forEach(type -> index.put(type.name(), index.size()));
+                                    return (Map<String, Integer>) index;
+                                })
+                        .toList();
+        customers =
+                sources.stream()
+                        .map(
+                                source -> {
+                                    var index = new HashMap<String, Integer>();
+                                    source.facts()
+                                            .customers()
+                                            .forEach(
+                                                    customer ->
+                                                            index.put(
+                                                                    customer.name(), index.size()));
+                                    return (Map<String, Integer>) index;
+                                })
+                        .toList();
     }
 
     /** Bytes in the block so far. */
@@ -80,14 +95,19 @@
             return;
         }
         Moment moment = (Moment) entry;
-        to.writeUInt32NoTag((moment.failed() ? RecordKind.FAILED : 0) | (moment.whole() ? 0 : RecordKind.LEFT_OUT));
+        to.writeUInt32NoTag(
+                (moment.failed() ? RecordKind.FAILED : 0)
+                        | (moment.whole() ? 0 : RecordKind.LEFT_OUT));
         to.writeUInt32NoTag(moment.total());
         end(RecordKind.MOMENT);
         for (Item item : moment.items()) {
             if (!moment.whole()) {
                 to.writeUInt32NoTag(item.index());
             }
-            end(item.event() != null ? event(moment.source(), item.event()) : action(item.action()));
+            end(
+                    item.event() != null
+                            ? event(moment.source(), item.event())
+                            : action(item.action()));
         }
     }
 
@@ -104,9 +124,16 @@
             name(taken.id());
             to.writeUInt64NoTag(taken.number());
             Deployment facts = sources.get(source).facts();
-            int type = index(types.get(source), facts.tableTypes(), taken.type(), taken.type().name());
-            int customer = taken.customer() == null ? -1
-                    : index(customers.get(source), facts.customers(), taken.customer(), taken.customer().name());
+            int type =
+                    index(types.get(source), facts.tableTypes(), taken.type(), taken.type().name());
+            int customer =
+                    taken.customer() == null
+                            ? -1
+                            : index(
+                                    customers.get(source),
+                                    facts.customers(),
+                                    taken.customer(),
+                                    taken.customer().name());
             to.writeUInt32NoTag(type);
             to.writeUInt32NoTag(customer + 1);
             number(taken.timeLeftMs());
@@ -218,8 +245,10 @@
     private void others(Others others) throws IOException {
         to.writeUInt32NoTag(others.gatherers());
         to.writeUInt32NoTag(others.room().size());
-        for (Bound bound : others.room().keySet().stream()
-                .sorted(Comparator.comparing(Bound::kind).thenComparing(Bound::of)).toList()) {
+        for (Bound bound :
+                others.room().keySet().stream()
+                        .sorted(Comparator.comparing(Bound::kind).thenComparing(Bound::of))
+                        .toList()) {
             bound(bound);
             to.writeUInt32NoTag(others.room().get(bound));
         }
@@ -254,7 +283,10 @@
         to.writeUInt64NoTag(Long.reverseBytes(Double.doubleToRawLongBits(value)));
     }
 
-    /** Ids of parts begin with their scan's, so a new name may be one that is known and a few letters more. */
+    /**
+     * Ids of parts begin with their scan's, so a new name may be one that is known and a few
+     * letters more.
+     */
     private void name(String name) throws IOException {
         Integer known = names.get(name);
         if (known != null) {
--- a/trace/src/main/java/sprucehold/trace/format/Frame.java
+++ b/trace/src/main/java/sprucehold/trace/format/Frame.java
@@ -9,11 +9,25 @@
 import java.util.zip.Inflater;
 
 /** The frame around a block, a run or the directory: lengths, times and a checksum. */
-record Frame(int kind, int method, int rawLength, int storedLength, int entries, int records, double earliest,
-        double latest, int crc) {
+record Frame(
+        int kind,
+        int method,
+        int rawLength,
+        int storedLength,
+        int entries,
+        int records,
+        double earliest,
+        double latest,
+        int crc) {
 
     /** A frame's bytes, header and stored bytes. */
-    static byte[] write(int kind, byte[] raw, int entries, int records, double earliest, double latest,
+    static byte[] write(
+            int kind,
+            byte[] raw,
+            int entries,
+            int records,
+            double earliest,
+            double latest,
             Deflater deflater) {
         byte[] stored = raw;
         int method = Layout.STORED;
@@ -29,9 +43,19 @@
                 method = Layout.DEFLATED;
             }
         }
-        ByteBuffer frame = ByteBuffer.allocate(Layout.FRAME_BYTES + stored.length).order(ByteOrder.LITTLE_ENDIAN);
-        frame.put(Layout.FRAME_MARKER).put((byte) kind).put((byte) method).putShort((short) 0).putInt(raw.length)
-                .putInt(stored.length).putInt(entries).putInt(records).putDouble(earliest).putDouble(latest);
+        ByteBuffer frame =
+                ByteBuffer.allocate(Layout.FRAME_BYTES + stored.length)
+                        .order(ByteOrder.LITTLE_ENDIAN);
+        frame.put(Layout.FRAME_MARKER)
+                .put((byte) kind)
+                .put((byte) method)
+                .putShort((short) 0)
+                .putInt(raw.length)
+                .putInt(stored.length)
+                .putInt(entries)
+                .putInt(records)
+                .putDouble(earliest)
+                .putDouble(latest);
         // Of 48 bytes, 4 are the checksum and 4 more are kept free, as zero, for a longer one.
         int at = frame.position();
         frame.putInt(0).putInt(0).put(stored);
@@ -54,12 +78,27 @@
         int kind = header.get() & 0xff;
         int method = header.get() & 0xff;
         int zero = header.getShort();
-        var frame = new Frame(kind, method, header.getInt(), header.getInt(), header.getInt(), header.getInt(),
-                header.getDouble(), header.getDouble(), header.getInt());
-        boolean good = Arrays.equals(marker, Layout.FRAME_MARKER) && zero == 0 && frame.rawLength >= 0
-                && frame.rawLength <= Layout.MOST_RAW_BYTES && frame.storedLength >= 0
-                && frame.storedLength <= Layout.MOST_STORED_BYTES && frame.entries >= 0 && frame.records >= 0
-                && frame.records <= Layout.MOST_RECORDS;
+        var frame =
+                new Frame(
+                        kind,
+                        method,
+                        header.getInt(),
+                        header.getInt(),
+                        header.getInt(),
+                        header.getInt(),
+                        header.getDouble(),
+                        header.getDouble(),
+                        header.getInt());
+        boolean good =
+                Arrays.equals(marker, Layout.FRAME_MARKER)
+                        && zero == 0
+                        && frame.rawLength >= 0
+                        && frame.rawLength <= Layout.MOST_RAW_BYTES
+                        && frame.storedLength >= 0
+                        && frame.storedLength <= Layout.MOST_STORED_BYTES
+                        && frame.entries >= 0
+                        && frame.records >= 0
+                        && frame.records <= Layout.MOST_RECORDS;
         return good ? frame : null;
     }
 
@@ -76,7 +115,9 @@
     /** The raw bytes; null where the stored ones don't inflate to just so many. */
     byte[] raw(byte[] all) {
         if (method == Layout.STORED) {
-            return rawLength == storedLength ? Arrays.copyOfRange(all, Layout.FRAME_BYTES, all.length) : null;
+            return rawLength == storedLength
+                    ? Arrays.copyOfRange(all, Layout.FRAME_BYTES, all.length)
+                    : null;
         }
         if (method != Layout.DEFLATED) {
             return null;
@@ -84,7 +125,8 @@
         var inflater = new Inflater(true);
         try {
             inflater.setInput(all, Layout.FRAME_BYTES, storedLength);
-            // Deflate shortens to a thousandth at best, so a claim beyond that needs no memory to be refused.
+            // Deflate shortens to a thousandth at best, so a claim beyond that needs no memory to
+            // be refused.
             if (rawLength > 1100L * storedLength + 1024) {
                 return null;
             }
@@ -97,8 +139,10 @@
                 }
                 length += more;
             }
-            boolean whole = length == rawLength
-                    && (inflater.finished() || inflater.inflate(new byte[1]) == 0 && inflater.finished());
+            boolean whole =
+                    length == rawLength
+                            && (inflater.finished()
+                                    || inflater.inflate(new byte[1]) == 0 && inflater.finished());
             return whole && inflater.getRemaining() == 0 ? raw : null;
         } catch (DataFormatException e) {
             return null;
--- a/trace/src/main/java/sprucehold/trace/format/HeadJson.java
+++ b/trace/src/main/java/sprucehold/trace/format/HeadJson.java
@@ -9,12 +9,13 @@
 
 /** The head as JSON: fields are the records' own; unknown ones are skipped. */
 final class HeadJson {
-    private static final ObjectMapper MAPPER = JsonMapper.builder()
-            .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES).build();
+    private static final ObjectMapper MAPPER =
+            JsonMapper.builder()
+                    .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
+                    .build();
 
-    private HeadJson() {
-    }
+    private HeadJson() {}
 
     static byte[] write(Head head) throws IOException {
         return MAPPER.writeValueAsBytes(head);
@@ -23,7 +24,10 @@
     static Head read(byte[] json) throws IOException {
         Head head = MAPPER.readValue(json, Head.class);
         for (var source : head.sources()) {
-            if (source == null || source.gatherer() == null || source.clock() == null || !whole(source.facts())) {
+            if (source == null
+                    || source.gatherer() == null
+                    || source.clock() == null
+                    || !whole(source.facts())) {
                 throw new IOException("a source without its facts");
             }
         }
@@ -31,8 +35,13 @@
     }
 
     private static boolean whole(Deployment facts) {
-        return facts != null && facts.tableTypes() != null && facts.customers() != null && facts.layout() != null
-                && facts.limits() != null && facts.coldRule() != null && facts.dispatchBudget() != null
+        return facts != null
+                && facts.tableTypes() != null
+                && facts.customers() != null
+                && facts.layout() != null
+                && facts.limits() != null
+                && facts.coldRule() != null
+                && facts.dispatchBudget() != null
                 && facts.listAccess() != null;
     }
 
--- a/trace/src/main/java/sprucehold/trace/format/RecordKind.java
+++ b/trace/src/main/java/sprucehold/trace/format/RecordKind.java
@@ -27,8 +27,8 @@
 
     /** Of a moment's flags. */
     static final int FAILED = 1;
+
     static final int LEFT_OUT = 2;
 
-    private RecordKind() {
-    }
+    private RecordKind() {}
 }
--- a/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
@@ -32,8 +32,15 @@
         var servers = new TreeSet<String>();
         for (Entry entry : entries) {
             if (entry.seq() <= seqBefore[entry.source()]) {
-                throw new IOException("byte " + at + ": moment " + entry.seq() + " of source " + entry.source()
-                        + " stands after moment " + seqBefore[entry.source()]);
+                throw new IOException(
+                        "byte "
+                                + at
+                                + ": moment "
+                                + entry.seq()
+                                + " of source "
+                                + entry.source()
+                                + " stands after moment "
+                                + seqBefore[entry.source()]);
             }
             seqBefore[entry.source()] = entry.seq();
             earliest = earliest <= entry.nowMs() ? earliest : entry.nowMs();
@@ -53,11 +60,15 @@
                 records++;
             }
         }
-        if (Double.compare(earliest, frame.earliest()) != 0 || Double.compare(latest, frame.latest()) != 0) {
+        if (Double.compare(earliest, frame.earliest()) != 0
+                || Double.compare(latest, frame.latest()) != 0) {
             throw new IOException("byte " + at + ": the block's times aren't those of its entries");
         }
-        run.block(new RunBuilder.Block(at, frame.length(), frame.entries(), frame.records(), earliest, latest),
-                scans.values().stream().mapToLong(hash -> hash).toArray(), servers);
+        run.block(
+                new RunBuilder.Block(
+                        at, frame.length(), frame.entries(), frame.records(), earliest, latest),
+                scans.values().stream().mapToLong(hash -> hash).toArray(),
+                servers);
         return records;
     }
 
--- a/trace/src/main/java/sprucehold/trace/format/Run.java
+++ b/trace/src/main/java/sprucehold/trace/format/Run.java
@@ -15,10 +15,11 @@
     private int[] blockOf;
     private final Map<String, int[]> servers = new HashMap<>();
 
-    private Run() {
-    }
+    private Run() {}
 
-    /** @param before no block may end beyond it: an index only speaks of what stands before it */
+    /**
+     * @param before no block may end beyond it: an index only speaks of what stands before it
+     */
     static Run read(byte[] raw, long before) throws IOException {
         var run = new Run();
         var in = CodedInputStream.newInstance(raw);
@@ -30,8 +31,14 @@
             if (gap < 0 || length < Layout.FRAME_BYTES || gap > before - end - length) {
                 throw new IOException("block " + i + " of the run isn't before it");
             }
-            run.blocks.add(new RunBuilder.Block(end + gap, length, in.readUInt32(), in.readUInt32(), in.readDouble(),
-                    in.readDouble()));
+            run.blocks.add(
+                    new RunBuilder.Block(
+                            end + gap,
+                            length,
+                            in.readUInt32(),
+                            in.readUInt32(),
+                            in.readDouble(),
+                            in.readDouble()));
             end += gap + length;
         }
         int scans = in.readUInt32();
--- a/trace/src/main/java/sprucehold/trace/format/RunBuilder.java
+++ b/trace/src/main/java/sprucehold/trace/format/RunBuilder.java
@@ -3,17 +3,24 @@
 import com.google.protobuf.CodedOutputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.util.Arrays;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Collects the index of some blocks; a file's index is a row of such runs, so that a writer never holds all of it. */
+/**
+ * Collects the index of some blocks; a file's index is a row of such runs, so that a writer never
+ * holds all of it.
+ */
 final class RunBuilder {
-    /** Scans of some ten thousand records: half a megabyte to build, and few enough runs for a lookup. */
+    /**
+     * Scans of some ten thousand records: half a megabyte to build, and few enough runs for a
+     * lookup.
+     */
     static final int MOST_SCANS = 32_768;
+
     /** Block numbers fit into two bytes. */
     static final int MOST_BLOCKS = 32_000;
 
@@ -24,8 +31,7 @@
     private final Map<String, TreeSet<Integer>> servers = new TreeMap<>();
 
     /** One block as the run lists it. */
-    record Block(long at, int length, int entries, int records, double earliest, double latest) {
-    }
+    record Block(long at, int length, int entries, int records, double earliest, double latest) {}
 
     void block(Block block, long[] scans, Iterable<String> serversOfIt) {
         int number = blocks.size();
@@ -38,7 +44,8 @@
             hashes[count] = hash;
             blockOf[count++] = number;
         }
-        serversOfIt.forEach(server -> servers.computeIfAbsent(server, name -> new TreeSet<>()).add(number));
+        serversOfIt.forEach(
+                server -> servers.computeIfAbsent(server, name -> new TreeSet<>()).add(number));
     }
 
     boolean isEmpty() {
@@ -69,10 +76,12 @@
         }
         Integer[] order = new Integer[count];
         Arrays.setAll(order, i -> i);
-        Arrays.sort(order, (a, b) -> {
-            int byHash = Long.compareUnsigned(hashes[a], hashes[b]);
-            return byHash != 0 ? byHash : Integer.compare(blockOf[a], blockOf[b]);
-        });
+        Arrays.sort(
+                order,
+                (a, b) -> {
+                    int byHash = Long.compareUnsigned(hashes[a], hashes[b]);
+                    return byHash != 0 ? byHash : Integer.compare(blockOf[a], blockOf[b]);
+                });
         out.writeUInt32NoTag(count);
         for (int i : order) {
             out.writeFixed64NoTag(hashes[i]);
--- a/trace/src/main/java/sprucehold/trace/format/TraceReader.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceReader.java
@@ -19,8 +19,8 @@
 import sprucehold.trace.event.Head;
 
 /**
- * Reads one trace file, in memory for two blocks. A file that was cut off is read up to its last whole block; what is
- * wrong with it is in {@link #damage()}.
+ * Reads one trace file, in memory for two blocks. A file that was cut off is read up to its last
+ * whole block; what is wrong with it is in {@link #damage()}.
  */
 public final class TraceReader implements Closeable {
     private final String name;
@@ -28,22 +28,30 @@
     private final long length;
     private final Head head;
     private final long firstFrame;
+
     /** The runs' places; null where the file has no sound end. */
     private List<Long> runs;
+
     private String damage;
     private long records;
     private long gaps;
 
     /** Which blocks of a file to read. */
-    public enum Only { ALL, SCAN, SERVER, TIME }
+    public enum Only {
+        ALL,
+        SCAN,
+        SERVER,
+        TIME
+    }
 
     private TraceReader(Path file) throws IOException {
         name = file.getFileName().toString();
         channel = FileChannel.open(file, StandardOpenOption.READ);
         try {
             length = channel.size();
-            ByteBuffer start = ByteBuffer.wrap(read(0, Layout.PREAMBLE_BYTES, "a trace file's first bytes"))
-                    .order(ByteOrder.LITTLE_ENDIAN);
+            ByteBuffer start =
+                    ByteBuffer.wrap(read(0, Layout.PREAMBLE_BYTES, "a trace file's first bytes"))
+                            .order(ByteOrder.LITTLE_ENDIAN);
             byte[] magic = new byte[Layout.MAGIC.length];
             start.get(magic);
             if (!Arrays.equals(magic, Layout.MAGIC)) {
@@ -51,12 +59,24 @@
             }
             int major = start.getShort();
             if (major != Layout.MAJOR) {
-                throw malformed(8, "version " + major + " of the format; this build reads version " + Layout.MAJOR);
+                throw malformed(
+                        8,
+                        "version "
+                                + major
+                                + " of the format; this build reads version "
+                                + Layout.MAJOR);
             }
             start.getShort();
             int json = start.getInt();
-            if (json < 0 || json > Layout.MOST_HEAD_BYTES || json + 4L > length - Layout.PREAMBLE_BYTES) {
-                throw malformed(12, "a head of " + Integer.toUnsignedString(json) + " bytes in a file of " + length);
+            if (json < 0
+                    || json > Layout.MOST_HEAD_BYTES
+                    || json + 4L > length - Layout.PREAMBLE_BYTES) {
+                throw malformed(
+                        12,
+                        "a head of "
+                                + Integer.toUnsignedString(json)
+                                + " bytes in a file of "
+                                + length);
             }
             byte[] all = read(0, Layout.PREAMBLE_BYTES + json + 4, "the head");
             int crc = ByteBuffer.wrap(all).order(ByteOrder.LITTLE_ENDIAN).getInt(all.length - 4);
@@ -64,7 +84,9 @@
                 throw malformed(all.length - 4, "the head's checksum doesn't match");
             }
             try {
-                head = HeadJson.read(Arrays.copyOfRange(all, Layout.PREAMBLE_BYTES, all.length - 4));
+                head =
+                        HeadJson.read(
+                                Arrays.copyOfRange(all, Layout.PREAMBLE_BYTES, all.length - 4));
             } catch (IOException | RuntimeException e) {
                 throw malformed(Layout.PREAMBLE_BYTES, "the head isn't one: " + firstLine(e));
             }
@@ -76,7 +98,9 @@
         }
     }
 
-    /** @throws MalformedTraceException where not even a head can be read */
+    /**
+     * @throws MalformedTraceException where not even a head can be read
+     */
     public static TraceReader open(Path file) throws IOException {
         return new TraceReader(file);
     }
@@ -122,7 +146,8 @@
             long directory = footer.getLong();
             long stated = footer.getLong();
             records = footer.getLong();
-            if (!Arrays.equals(marker, Layout.FOOTER_MARKER) || footer.getInt() != TraceWriter.crc(bytes, 28)
+            if (!Arrays.equals(marker, Layout.FOOTER_MARKER)
+                    || footer.getInt() != TraceWriter.crc(bytes, 28)
                     || !Arrays.equals(Arrays.copyOfRange(bytes, 32, 40), Layout.MAGIC)) {
                 throw malformed(at, "there is no footer");
             }
@@ -137,13 +162,16 @@
                 long step = in.readUInt64();
                 // Strictly onwards: an index can't lead back to where it was.
                 if (step <= 0 || step > directory - run || run + step < firstFrame) {
-                    throw malformed(directory, "run " + i + " isn't between the one before and the directory");
+                    throw malformed(
+                            directory,
+                            "run " + i + " isn't between the one before and the directory");
                 }
                 run += step;
                 places.add(run);
             }
             if (in.readUInt64() != records) {
-                throw malformed(directory, "directory and footer disagree on the number of records");
+                throw malformed(
+                        directory, "directory and footer disagree on the number of records");
             }
             in.readUInt64();
             in.readUInt64();
@@ -157,7 +185,8 @@
 
     private byte[] read(long at, int count, String what) throws IOException {
         if (count > length() - at) {
-            throw malformed(length(), what + " would take " + count + " bytes from byte " + at + " on");
+            throw malformed(
+                    length(), what + " would take " + count + " bytes from byte " + at + " on");
         }
         ByteBuffer bytes = ByteBuffer.allocate(count);
         while (bytes.hasRemaining()) {
@@ -177,7 +206,9 @@
             throw malformed(at, "a frame was expected");
         }
         if (at + frame.length() > before) {
-            throw malformed(at, "a frame of " + frame.length() + " bytes doesn't end before byte " + before);
+            throw malformed(
+                    at,
+                    "a frame of " + frame.length() + " bytes doesn't end before byte " + before);
         }
         return frame;
     }
@@ -189,7 +220,9 @@
         }
         byte[] raw = frame.raw(all);
         if (raw == null) {
-            throw malformed(at, "the frame doesn't inflate to the " + frame.rawLength() + " bytes it tells of");
+            throw malformed(
+                    at,
+                    "the frame doesn't inflate to the " + frame.rawLength() + " bytes it tells of");
         }
         return raw;
     }
@@ -197,7 +230,8 @@
     private byte[] raw(long at, int kind, long before) throws IOException {
         Frame frame = frame(at, before);
         if (frame.kind() != kind) {
-            throw malformed(at, "a frame of kind " + kind + " was expected, not of kind " + frame.kind());
+            throw malformed(
+                    at, "a frame of kind " + kind + " was expected, not of kind " + frame.kind());
         }
         return raw(frame, at);
     }
@@ -212,7 +246,9 @@
             throw malformed(at, "the block can't be read: " + firstLine(e));
         }
         if (entries.size() != frame.entries()) {
-            throw malformed(at, "a block of " + entries.size() + " entries that tells of " + frame.entries());
+            throw malformed(
+                    at,
+                    "a block of " + entries.size() + " entries that tells of " + frame.entries());
         }
         return entries;
     }
@@ -253,7 +289,10 @@
         return runs == null ? all() : new Cursor(new Blocks(Only.SERVER, server, 0, 0));
     }
 
-    /** The entries of all blocks that hold a time from {@code fromMs} until before {@code toMs}, and others. */
+    /**
+     * The entries of all blocks that hold a time from {@code fromMs} until before {@code toMs}, and
+     * others.
+     */
     public Cursor between(double fromMs, double toMs) {
         return runs == null ? all() : new Cursor(new Blocks(Only.TIME, null, fromMs, toMs));
     }
@@ -308,6 +347,7 @@
     public final class Cursor {
         /** Null where the file is read frame by frame for want of an index. */
         private final Blocks blocks;
+
         private final Queue<Entry> ready = new ArrayDeque<>();
         private long at = firstFrame;
         private String endedBy;
@@ -321,8 +361,8 @@
         /**
          * The next entry, or null at the end.
          *
-         * @throws MalformedTraceException where an indexed block is damaged; without an index, the first damaged
-         *     block is the end, and {@link #endedBy()} says so
+         * @throws MalformedTraceException where an indexed block is damaged; without an index, the
+         *     first damaged block is the end, and {@link #endedBy()} says so
          */
         public Entry next() throws IOException {
             while (ready.isEmpty()) {
@@ -376,7 +416,10 @@
             }
         }
 
-        /** Where a sound frame begins right behind a damaged one whose length can be believed; -1 if none does. */
+        /**
+         * Where a sound frame begins right behind a damaged one whose length can be believed; -1 if
+         * none does.
+         */
         private long nextSound() {
             try {
                 long next = at + frame(at, length).length();
@@ -404,10 +447,12 @@
     }
 
     /** What {@link #verify} found. */
-    public record Verdict(boolean sound, String what, long blocks, long entries, long records) {
-    }
+    public record Verdict(boolean sound, String what, long blocks, long entries, long records) {}
 
-    /** Reads every byte: frames, checksums, order within sources, and whether the index tells just what is there. */
+    /**
+     * Reads every byte: frames, checksums, order within sources, and whether the index tells just
+     * what is there.
+     */
     public Verdict verify() {
         long blocks = 0;
         long entries = 0;
@@ -431,7 +476,12 @@
                     List<Entry> of = entries(frame, at);
                     long recordsOf = expected.block(at, frame, of);
                     if (recordsOf != frame.records()) {
-                        throw malformed(at, "a block of " + recordsOf + " records that tells of " + frame.records());
+                        throw malformed(
+                                at,
+                                "a block of "
+                                        + recordsOf
+                                        + " records that tells of "
+                                        + frame.records());
                     }
                     blocks++;
                     entries += of.size();
@@ -439,7 +489,8 @@
                 } else if (frame.kind() == Layout.RUN) {
                     runsMet.add(at);
                     if (!Arrays.equals(raw, expected.run())) {
-                        throw malformed(at, "the index doesn't tell what the blocks before it hold");
+                        throw malformed(
+                                at, "the index doesn't tell what the blocks before it hold");
                     }
                 } else if (frame.kind() == Layout.DIRECTORY) {
                     directory = true;
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -15,8 +15,7 @@
 
 /** Gives a file that was cut off its index back. */
 public final class TraceRepair {
-    private TraceRepair() {
-    }
+    private TraceRepair() {}
 
     /**
      * @param needed false where the file was sound and nothing was written
@@ -24,12 +23,11 @@
      * @param lostBytes bytes after the last whole block
      * @param why what was wrong
      */
-    public record Repaired(boolean needed, long entries, long lostBytes, String why) {
-    }
+    public record Repaired(boolean needed, long entries, long lostBytes, String why) {}
 
     /**
-     * Writes all whole blocks and their index beside the file, and puts that in its place at once. What the file loses
-     * is what nobody could read.
+     * Writes all whole blocks and their index beside the file, and puts that in its place at once.
+     * What the file loses is what nobody could read.
      *
      * @throws MalformedTraceException where not even the head can be read
      */
@@ -46,12 +44,19 @@
             }
             var lost = new ArrayList<>(reader.head().lost());
             look.skipped().forEach(what -> lost.add("a damaged block was left out: " + what));
-            Head head = new Head(reader.head().sources(), reader.head().oneIn(), reader.head().anonymised(),
-                    reader.head().window(), lost);
+            Head head =
+                    new Head(
+                            reader.head().sources(),
+                            reader.head().oneIn(),
+                            reader.head().anonymised(),
+                            reader.head().window(),
+                            lost);
             TraceReader.Cursor cursor = reader.withoutIndex();
             long entries = 0;
             try {
-                var writer = new TraceWriter(new BufferedOutputStream(Files.newOutputStream(beside)), head);
+                var writer =
+                        new TraceWriter(
+                                new BufferedOutputStream(Files.newOutputStream(beside)), head);
                 try (writer) {
                     for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                         writer.add(entry);
@@ -65,8 +70,12 @@
             } finally {
                 Files.deleteIfExists(beside);
             }
-            String why = reader.damage() != null ? reader.damage() : look.skipped().isEmpty() ? reader.verify().what()
-                    : look.skipped().get(0);
+            String why =
+                    reader.damage() != null
+                            ? reader.damage()
+                            : look.skipped().isEmpty()
+                                    ? reader.verify().what()
+                                    : look.skipped().get(0);
             return new Repaired(true, entries, reader.length() - cursor.readTo(), why);
         }
     }
--- a/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
@@ -23,8 +23,8 @@
 import sprucehold.trace.event.Moment;
 
 /**
- * Writes one trace file from its first byte to its last, in memory that doesn't grow with it. Entries of each source
- * come by rising {@link Entry#seq}. Not safe for threads.
+ * Writes one trace file from its first byte to its last, in memory that doesn't grow with it.
+ * Entries of each source come by rising {@link Entry#seq}. Not safe for threads.
  */
 public final class TraceWriter implements Closeable {
     /** Small enough that a lookup inflates little, large enough that deflate finds what repeats. */
@@ -49,23 +49,34 @@
     private long gaps;
     private boolean closed;
 
-    /** Writes the head at once; deflates blocks at the JDK's fastest level, as a recorder shares its gatherer's core. */
+    /**
+     * Writes the head at once; deflates blocks at the JDK's fastest level, as a recorder shares its
+     * gatherer's core.
+     */
     public TraceWriter(OutputStream out, Head head) throws IOException {
         this(out, head, true);
     }
 
-    /** @param deflate whether blocks are deflated; otherwise the same entries bring the same bytes on every JDK */
+    /**
+     * @param deflate whether blocks are deflated; otherwise the same entries bring the same bytes
+     *     on every JDK
+     */
     public TraceWriter(OutputStream out, Head head, boolean deflate) throws IOException {
         this.out = out;
         this.deflater = deflate ? new Deflater(Deflater.BEST_SPEED, true) : null;
         this.encoder = new BlockEncoder(head.sources());
         byte[] json = HeadJson.write(head);
         if (json.length > Layout.MOST_HEAD_BYTES) {
-            throw new IOException("a head of " + json.length + " bytes, at most " + Layout.MOST_HEAD_BYTES);
+            throw new IOException(
+                    "a head of " + json.length + " bytes, at most " + Layout.MOST_HEAD_BYTES);
         }
-        ByteBuffer bytes = ByteBuffer.allocate(Layout.PREAMBLE_BYTES + json.length + 4)
-                .order(ByteOrder.LITTLE_ENDIAN);
-        bytes.put(Layout.MAGIC).putShort((short) Layout.MAJOR).putShort((short) Layout.MINOR).putInt(json.length)
+        ByteBuffer bytes =
+                ByteBuffer.allocate(Layout.PREAMBLE_BYTES + json.length + 4)
+                        .order(ByteOrder.LITTLE_ENDIAN);
+        bytes.put(Layout.MAGIC)
+                .putShort((short) Layout.MAJOR)
+                .putShort((short) Layout.MINOR)
+                .putInt(json.length)
                 .put(json);
         bytes.putInt(crc(bytes.array(), bytes.position()));
         write(bytes.array());
@@ -120,11 +131,14 @@
         }
         byte[] raw = encoder.take();
         if (raw.length > Layout.MOST_RAW_BYTES || records > Layout.MOST_RECORDS) {
-            throw new IOException("one entry of " + raw.length + " bytes and " + records + " records");
+            throw new IOException(
+                    "one entry of " + raw.length + " bytes and " + records + " records");
         }
         byte[] frame = Frame.write(Layout.BLOCK, raw, entries, records, earliest, latest, deflater);
-        run.block(new RunBuilder.Block(position, frame.length, entries, records, earliest, latest),
-                scans.values().stream().mapToLong(hash -> hash).toArray(), servers);
+        run.block(
+                new RunBuilder.Block(position, frame.length, entries, records, earliest, latest),
+                scans.values().stream().mapToLong(hash -> hash).toArray(),
+                servers);
         write(frame);
         allEntries += entries;
         allRecords += records;
@@ -174,9 +188,20 @@
             raw.writeUInt64NoTag(allScans);
             raw.writeUInt64NoTag(gaps);
             raw.flush();
-            write(Frame.write(Layout.DIRECTORY, bytes.toByteArray(), 0, 0, Double.NaN, Double.NaN, deflater));
-            ByteBuffer footer = ByteBuffer.allocate(Layout.FOOTER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-            footer.put(Layout.FOOTER_MARKER).putLong(directory).putLong(position + Layout.FOOTER_BYTES)
+            write(
+                    Frame.write(
+                            Layout.DIRECTORY,
+                            bytes.toByteArray(),
+                            0,
+                            0,
+                            Double.NaN,
+                            Double.NaN,
+                            deflater));
+            ByteBuffer footer =
+                    ByteBuffer.allocate(Layout.FOOTER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+            footer.put(Layout.FOOTER_MARKER)
+                    .putLong(directory)
+                    .putLong(position + Layout.FOOTER_BYTES)
                     .putLong(allRecords);
             footer.putInt(crc(footer.array(), footer.position())).put(Layout.MAGIC);
             write(footer.array());
@@ -185,7 +210,10 @@
         }
     }
 
-    /** Lets go of what is held outside the heap, without another byte written; the stream stays open. */
+    /**
+     * Lets go of what is held outside the heap, without another byte written; the stream stays
+     * open.
+     */
     public void abandon() {
         closed = true;
         if (deflater != null) {
--- a/trace/src/main/java/sprucehold/trace/format/package-info.java
+++ b/trace/src/main/java/sprucehold/trace/format/package-info.java
@@ -1,13 +1,15 @@
 /**
- * The trace file, byte by byte. {@link sprucehold.trace.format.TraceWriter} and
- * {@link sprucehold.trace.format.TraceReader} are the entry points. The package must never trust a length, an offset
- * or a number that it has read: each is held against its bound before anything is allocated or followed.
+ * The trace file, byte by byte. {@link sprucehold.trace.format.TraceWriter} and {@link
+ * sprucehold.trace.format.TraceReader} are the entry points. The package must never trust a length,
+ * an offset or a number that it has read: each is held against its bound before anything is
+ * allocated or followed.
  *
  * <h2>Grammar, version 1.1</h2>
  *
- * <p>Fixed numbers are little-endian: {@code u16}, {@code u32}, {@code u64}, {@code f64} (IEEE 754). {@code v} is an
- * unsigned and {@code z} a zigzag base-128 varint as protobuf writes them, {@code str} a {@code v} length and so many
- * bytes of UTF-8. Checksums are CRC-32C.
+ * <p>Fixed numbers are little-endian: {@code u16}, {@code u32}, {@code u64}, {@code f64} (IEEE
+ * 754). {@code v} is an unsigned and {@code z} a zigzag base-128 varint as protobuf writes them,
+ * {@code str} a {@code v} length and so many bytes of UTF-8. Checksums are CRC-32C.
+ *
  * <pre>
  * file      = header *( block / run ) directory footer
  * header    = magic major minor length json crc
--- a/trace/src/main/java/sprucehold/trace/record/FileDuty.java
+++ b/trace/src/main/java/sprucehold/trace/record/FileDuty.java
@@ -4,13 +4,13 @@
 import sprucehold.trace.event.Gap;
 
 /**
- * What the writer has to do next: which file to write to, when to begin another, what to do about a disk that fails.
- * Pure: it is told what happened and says what to do.
+ * What the writer has to do next: which file to write to, when to begin another, what to do about a
+ * disk that fails. Pure: it is told what happened and says what to do.
  */
 public final class FileDuty {
     /**
-     * How long a disk that failed is left alone: one that is full is cleared by hand at best, and each try costs the
-     * gatherer's core.
+     * How long a disk that failed is left alone: one that is full is cleared by hand at best, and
+     * each try costs the gatherer's core.
      */
     private static final double RETRY_MS = 30_000;
 
@@ -60,7 +60,9 @@
         return again;
     }
 
-    /** Writing or beginning failed. Returns whether it is a new failure, which is to be told once. */
+    /**
+     * Writing or beginning failed. Returns whether it is a new failure, which is to be told once.
+     */
     public boolean failed(double nowMs) {
         boolean first = !failing;
         failing = true;
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -26,15 +26,22 @@
 import sprucehold.trace.format.TraceWriter;
 
 /**
- * Takes what one gatherer's module is told and does, and writes it on a thread of its own. {@link #took} belongs to
- * the event loop: it neither waits nor fails, and where the writer has fallen behind it counts what is lost.
+ * Takes what one gatherer's module is told and does, and writes it on a thread of its own. {@link
+ * #took} belongs to the event loop: it neither waits nor fails, and where the writer has fallen
+ * behind it counts what is lost.
  */
 public final class Recorder implements Closeable {
     private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
+
     /** Files end in this; the newest of a gatherer has the greatest name. */
     public static final String SUFFIX = ".trace";
-    /** Written to the disk so often at least, so that a killed gatherer leaves all but its last second. */
+
+    /**
+     * Written to the disk so often at least, so that a killed gatherer leaves all but its last
+     * second.
+     */
     private static final long FLUSH_MS = 1000;
+
     /** The end of a process waits so long for the disk, and no longer. */
     private static final long END_MS = 2000;
 
@@ -45,8 +52,10 @@
     private final AtomicInteger waiting = new AtomicInteger();
     private final Thread thread;
     private volatile boolean closing;
+
     /** Entries handed to the writer, and those that it is done with. */
     private final AtomicLong handedOver = new AtomicLong();
+
     private final AtomicLong done = new AtomicLong();
 
     // Of the event loop alone.
@@ -63,8 +72,10 @@
     private final Thinning thinning;
     private TraceWriter writer;
     private OutputStream stream;
+
     /** Entries of the open block: should it not reach the disk, they are lost. */
     private final List<Entry> inBlock = new ArrayList<>();
+
     private double latestMs;
     private long headBytes;
 
@@ -73,10 +84,16 @@
         OutputStream open(Path file) throws IOException;
     }
 
-    /** @param source whose moments these are; its start is the time of the first of them */
+    /**
+     * @param source whose moments these are; its start is the time of the first of them
+     */
     public Recorder(RecordingPlan plan, Source source) {
-        this(plan, source, file -> Files.newOutputStream(file, StandardOpenOption.CREATE_NEW,
-                StandardOpenOption.WRITE));
+        this(
+                plan,
+                source,
+                file ->
+                        Files.newOutputStream(
+                                file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
     Recorder(RecordingPlan plan, Source source, OpenFile openFile) {
@@ -90,8 +107,12 @@
         thread.setDaemon(true);
         thread.setPriority(Thread.MIN_PRIORITY);
         thread.start();
-        LOG.info("recording to " + plan.folder() + (plan.oneIn() > 1 ? ", one in " + plan.oneIn()
-                + " of the scans that end well" : ""));
+        LOG.info(
+                "recording to "
+                        + plan.folder()
+                        + (plan.oneIn() > 1
+                                ? ", one in " + plan.oneIn() + " of the scans that end well"
+                                : ""));
     }
 
     /** Takes one call of the module. */
@@ -102,7 +123,8 @@
         }
         long number = seq++;
         int records = events.size() + actions.size();
-        // Two places: for the gap before it, and for itself. Nobody else adds, so there can only be more by then.
+        // Two places: for the gap before it, and for itself. Nobody else adds, so there can only be
+        // more by then.
         if (waiting.get() + records > plan.waitingRecords() || queue.remainingCapacity() < 2) {
             if (lost++ == 0) {
                 lostFrom = number;
@@ -159,7 +181,8 @@
 
     private void write(Entry entry) {
         latestMs = entry.nowMs();
-        FileDuty.Step step = duty.next(entry.nowMs(), writer == null ? 0 : writer.position() - headBytes);
+        FileDuty.Step step =
+                duty.next(entry.nowMs(), writer == null ? 0 : writer.position() - headBytes);
         if (step == FileDuty.Step.DROP) {
             drop(entry);
             return;
@@ -200,8 +223,14 @@
             inBlock.clear();
             writer = null;
         }
-        var source = new Source(unbegun.gatherer(), unbegun.build(), unbegun.seed(), startedMs, unbegun.facts(),
-                unbegun.clock());
+        var source =
+                new Source(
+                        unbegun.gatherer(),
+                        unbegun.build(),
+                        unbegun.seed(),
+                        startedMs,
+                        unbegun.facts(),
+                        unbegun.clock());
         String name = "%s-%013.0f-%012d%s".formatted(prefix(), startedMs, first.seq(), SUFFIX);
         Path file = plan.folder().resolve(name);
         OutputStream out = new BufferedOutputStream(openFile.open(file), 1 << 14);
@@ -212,7 +241,8 @@
             throw e;
         }
         stream = out;
-        // The head of a large deployment may be larger than a file is to be: only what comes after it counts.
+        // The head of a large deployment may be larger than a file is to be: only what comes after
+        // it counts.
         headBytes = writer.position();
         if (duty.begun(first.nowMs())) {
             LOG.info("recording again, to " + file);
@@ -226,7 +256,8 @@
 
     private void removeSurplus() throws IOException {
         var names = new ArrayList<String>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(plan.folder(), prefix() + "-*" + SUFFIX)) {
+        try (DirectoryStream<Path> files =
+                Files.newDirectoryStream(plan.folder(), prefix() + "-*" + SUFFIX)) {
             files.forEach(path -> names.add(path.getFileName().toString()));
         }
         for (String surplus : FileDuty.surplus(names, plan.keepFiles())) {
@@ -285,7 +316,8 @@
         try {
             thread.join(END_MS);
             if (thread.isAlive()) {
-                LOG.warning("recording has not ended in " + END_MS + " ms; its last file has no index");
+                LOG.warning(
+                        "recording has not ended in " + END_MS + " ms; its last file has no index");
                 thread.interrupt();
             }
         } catch (InterruptedException e) {
--- a/trace/src/main/java/sprucehold/trace/record/RecordingPlan.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingPlan.java
@@ -17,7 +17,8 @@
 import java.util.stream.Collectors;
 
 /**
- * What an operator says of recording, from a JSON file of the form {@code deploy/recording.schema.json}.
+ * What an operator says of recording, from a JSON file of the form {@code
+ * deploy/recording.schema.json}.
  *
  * @param folder where files go; it must exist
  * @param fileBytes a file is ended beyond so many bytes
@@ -26,27 +27,46 @@
  * @param waitingRecords events and actions that may wait for the writer
  * @param oneIn of the scans that ended well and in time, one in so many is kept; 1 keeps everything
  */
-public record RecordingPlan(Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
+public record RecordingPlan(
+        Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
 
-    /** @throws MalformedPlanException with all that is wrong with the file, in one line */
+    /**
+     * @throws MalformedPlanException with all that is wrong with the file, in one line
+     */
     public static RecordingPlan read(Path file) throws IOException {
         JsonNode node;
         try {
-            node = JsonMapper.builder().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build().readTree(Files.readAllBytes(file));
+            node =
+                    JsonMapper.builder()
+                            .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
+                            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                            .build()
+                            .readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw new MalformedPlanException(file + ", line " + (e.getLocation() == null ? 1
-                    : e.getLocation().getLineNr()) + ": not JSON: " + e.getOriginalMessage());
+            throw new MalformedPlanException(
+                    file
+                            + ", line "
+                            + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
+                            + ": not JSON: "
+                            + e.getOriginalMessage());
         }
         Set<ValidationMessage> faults = schema().validate(node);
         if (!faults.isEmpty()) {
-            throw new MalformedPlanException(file + ": " + faults.stream().map(ValidationMessage::getMessage).sorted()
-                    .collect(Collectors.joining("; ")));
+            throw new MalformedPlanException(
+                    file
+                            + ": "
+                            + faults.stream()
+                                    .map(ValidationMessage::getMessage)
+                                    .sorted()
+                                    .collect(Collectors.joining("; ")));
         }
         Path folder = Path.of(node.get("folder").asText());
-        return new RecordingPlan(folder.isAbsolute() ? folder : file.toAbsolutePath().resolveSibling(folder),
-                node.path("fileMb").asLong(64) << 20, node.path("fileMinutes").asDouble(60) * 60_000,
-                node.path("keepFiles").asInt(24), node.path("waitingRecords").asInt(20_000),
+        return new RecordingPlan(
+                folder.isAbsolute() ? folder : file.toAbsolutePath().resolveSibling(folder),
+                node.path("fileMb").asLong(64) << 20,
+                node.path("fileMinutes").asDouble(60) * 60_000,
+                node.path("keepFiles").asInt(24),
+                node.path("waitingRecords").asInt(20_000),
                 node.path("oneIn").asInt(1));
     }
 
--- a/trace/src/main/java/sprucehold/trace/record/Thinning.java
+++ b/trace/src/main/java/sprucehold/trace/record/Thinning.java
@@ -15,13 +15,14 @@
 import sprucehold.trace.event.Moment;
 
 /**
- * Keeps every scan that ended badly or late whole, and one in n of the others. Entries go in and come out in the same
- * order; an entry waits until all its scans have ended. Pure: no files, clocks or threads.
+ * Keeps every scan that ended badly or late whole, and one in n of the others. Entries go in and
+ * come out in the same order; an entry waits until all its scans have ended. Pure: no files, clocks
+ * or threads.
  */
 public final class Thinning {
     /**
-     * Entries that may wait. Guards against scans that never end, as after a gap; at a thousand calls a second it is
-     * longer than any query timeout. What is pushed out undecided is kept.
+     * Entries that may wait. Guards against scans that never end, as after a gap; at a thousand
+     * calls a second it is longer than any query timeout. What is pushed out undecided is kept.
      */
     private static final int MOST_WAITING = 20_000;
 
@@ -36,10 +37,11 @@
         int mentions;
     }
 
-    private record Held(Entry entry, List<BookedScan> scans) {
-    }
+    private record Held(Entry entry, List<BookedScan> scans) {}
 
-    /** @param oneIn 1 or more; of the scans that ended well and in time, one in so many is kept */
+    /**
+     * @param oneIn 1 or more; of the scans that ended well and in time, one in so many is kept
+     */
     public Thinning(int oneIn) {
         this.oneIn = oneIn;
     }
@@ -74,8 +76,10 @@
             return;
         }
         fate.known = true;
-        boolean well = item.action() instanceof Action.Answer answer && answer.whole()
-                && nowMs <= scan.takenMs() + scan.taken().type().targetMs();
+        boolean well =
+                item.action() instanceof Action.Answer answer
+                        && answer.whole()
+                        && nowMs <= scan.takenMs() + scan.taken().type().targetMs();
         fate.kept = !well || Math.floorMod(scan.taken().id().hashCode(), oneIn) == 0;
     }
 
@@ -112,8 +116,10 @@
             Item item = moment.items().get(i);
             BookedScan scan = one.scans.get(i);
             Fate fate = scan == null ? null : fates.get(scan);
-            // What merely passes the time is most of a quiet file, and tells nothing without the rest.
-            boolean time = item.event() instanceof Event.Woken || item.action() instanceof Action.Wake;
+            // What merely passes the time is most of a quiet file, and tells nothing without the
+            // rest.
+            boolean time =
+                    item.event() instanceof Event.Woken || item.action() instanceof Action.Wake;
             if (!time && (fate == null || !fate.known || fate.kept)) {
                 items.add(item);
             }
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -29,7 +29,8 @@
     }
 
     @Test(dataProvider = "forms")
-    public void fileCutOffAtAnyByteIsReadToItsLastWholeBlockAndRepaired(boolean deflate) throws IOException {
+    public void fileCutOffAtAnyByteIsReadToItsLastWholeBlockAndRepaired(boolean deflate)
+            throws IOException {
         List<Entry> entries = Samples.entries(2, deflate ? 8 : 4);
         byte[] whole = Samples.bytes(HEAD, entries, deflate);
         int headEnds = headEnds(whole);
@@ -58,11 +59,14 @@
     }
 
     private static int headEnds(byte[] file) {
-        return Layout.PREAMBLE_BYTES + 4 + ByteBuffer.wrap(file).order(ByteOrder.LITTLE_ENDIAN).getInt(12);
+        return Layout.PREAMBLE_BYTES
+                + 4
+                + ByteBuffer.wrap(file).order(ByteOrder.LITTLE_ENDIAN).getInt(12);
     }
 
     @Test(dataProvider = "forms")
-    public void everyFlippedBitIsFoundByVerifyOrChangesNothingRead(boolean deflate) throws IOException {
+    public void everyFlippedBitIsFoundByVerifyOrChangesNothingRead(boolean deflate)
+            throws IOException {
         List<Entry> entries = Samples.entries(4, 3);
         byte[] whole = Samples.bytes(HEAD, entries, deflate);
         Path file = Files.createTempFile("flip", ".trace");
@@ -87,8 +91,10 @@
         List<Entry> entries = Samples.entries(6, 60);
         byte[] whole = Samples.bytes(HEAD, entries, true);
         int first = headEnds(whole);
-        int second = first + Layout.FRAME_BYTES + ByteBuffer.wrap(whole).order(ByteOrder.LITTLE_ENDIAN)
-                .getInt(first + 12);
+        int second =
+                first
+                        + Layout.FRAME_BYTES
+                        + ByteBuffer.wrap(whole).order(ByteOrder.LITTLE_ENDIAN).getInt(first + 12);
         whole[second + Layout.FRAME_BYTES + 3] ^= 0x10;
         Path file = Samples.file(whole);
         try (TraceReader reader = TraceReader.open(file)) {
@@ -99,13 +105,18 @@
         try (TraceReader reader = TraceReader.open(file)) {
             assertTrue(reader.verify().sound());
             List<Entry> kept = Samples.all(reader.all());
-            assertTrue(kept.size() == entries.size() - 7 && entries.containsAll(kept), kept.size() + " kept");
-            assertTrue(reader.head().lost().get(0).contains("damaged block"), reader.head().lost().toString());
+            assertTrue(
+                    kept.size() == entries.size() - 7 && entries.containsAll(kept),
+                    kept.size() + " kept");
+            assertTrue(
+                    reader.head().lost().get(0).contains("damaged block"),
+                    reader.head().lost().toString());
         }
     }
 
     /** A file whose one block and index are given as raw bytes, all checksums right. */
-    private static Path forged(byte[] blockRaw, int records, byte[] runRaw, byte[] directoryRaw) throws IOException {
+    private static Path forged(byte[] blockRaw, int records, byte[] runRaw, byte[] directoryRaw)
+            throws IOException {
         byte[] plain = Samples.bytes(HEAD, List.of(), false);
         var out = new ByteArrayOutputStream();
         out.write(plain, 0, headEnds(plain));
@@ -113,9 +124,14 @@
         out.write(Frame.write(Layout.BLOCK, blockRaw, 1, records, 0, 0, deflater));
         out.write(Frame.write(Layout.RUN, runRaw, 0, 0, Double.NaN, Double.NaN, deflater));
         long directory = out.size();
-        out.write(Frame.write(Layout.DIRECTORY, directoryRaw, 0, 0, Double.NaN, Double.NaN, deflater));
+        out.write(
+                Frame.write(
+                        Layout.DIRECTORY, directoryRaw, 0, 0, Double.NaN, Double.NaN, deflater));
         ByteBuffer footer = ByteBuffer.allocate(Layout.FOOTER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
-        footer.put(Layout.FOOTER_MARKER).putLong(directory).putLong(out.size() + Layout.FOOTER_BYTES).putLong(1);
+        footer.put(Layout.FOOTER_MARKER)
+                .putLong(directory)
+                .putLong(out.size() + Layout.FOOTER_BYTES)
+                .putLong(1);
         footer.putInt(TraceWriter.crc(footer.array(), 28)).put(Layout.MAGIC);
         out.write(footer.array());
         return Samples.file(out.toByteArray());
@@ -164,7 +180,12 @@
         byte[] goodRun = varints(0, 0, 0);
         return new Object[][] {
             {"a record of two gigabytes", varints(1, Integer.MAX_VALUE, 0), goodRun, null},
-            {"a list of a billion servers", varints(1, 5, 0, 0, 0, 0, 1, 14, 7, 1, 1_000_000_000), goodRun, null},
+            {
+                "a list of a billion servers",
+                varints(1, 5, 0, 0, 0, 0, 1, 14, 7, 1, 1_000_000_000),
+                goodRun,
+                null
+            },
             {"names that grow out of each other", growingNames(), goodRun, null},
             {"four million records from nearly nothing", bomb(), goodRun, null},
             {"an item before any moment", varints(17, 0), goodRun, null},
@@ -174,18 +195,30 @@
             {"a run with a billion scans", moment, varints(0, 1_000_000_000L), null},
             {"a run that leads beyond itself", moment, varints(1, 1L << 40, 100, 0, 0), null},
             {"a directory whose runs stand still", moment, goodRun, varints(2, 1, 0, 1, 1, 0, 0)},
-            {"a directory whose runs lead beyond it", moment, goodRun, varints(1, 1L << 40, 1, 1, 0, 0)},
+            {
+                "a directory whose runs lead beyond it",
+                moment,
+                goodRun,
+                varints(1, 1L << 40, 1, 1, 0, 0)
+            },
             {"a directory of a billion runs", moment, goodRun, varints(1_000_000_000L)},
         };
     }
 
     @Test(dataProvider = "hostile")
-    public void hostileFileCostsOneErrorAndNoMemory(String what, byte[] block, byte[] run, byte[] directory)
-            throws IOException {
+    public void hostileFileCostsOneErrorAndNoMemory(
+            String what, byte[] block, byte[] run, byte[] directory) throws IOException {
         byte[] plain = Samples.bytes(HEAD, List.of(), false);
-        int blockLength = Frame.write(Layout.BLOCK, block, 1, 1, 0, 0, new Deflater(9, true)).length;
-        Path file = forged(block, 1, run, directory != null ? directory
-                : varints(1, headEnds(plain) + blockLength, 1, 1, 0, 0));
+        int blockLength =
+                Frame.write(Layout.BLOCK, block, 1, 1, 0, 0, new Deflater(9, true)).length;
+        Path file =
+                forged(
+                        block,
+                        1,
+                        run,
+                        directory != null
+                                ? directory
+                                : varints(1, headEnds(plain) + blockLength, 1, 1, 0, 0));
         long before = allocated();
         String said;
         try (TraceReader reader = TraceReader.open(file)) {
@@ -202,11 +235,15 @@
         }
         assertEquals(said.lines().count(), 1, said);
         // Several times a block's bound, whatever the file claims.
-        assertTrue(allocated() - before < 220L << 20, what + " took " + (allocated() - before >> 20) + " MiB: " + said);
+        assertTrue(
+                allocated() - before < 220L << 20,
+                what + " took " + (allocated() - before >> 20) + " MiB: " + said);
     }
 
     private static long allocated() {
-        var threads = (com.sun.management.ThreadMXBean) java.lang.management.ManagementFactory.getThreadMXBean();
+        var threads =
+                (com.sun.management.ThreadMXBean)
+                        java.lang.management.ManagementFactory.getThreadMXBean();
         return threads.getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
@@ -214,20 +251,25 @@
     Object[][] beginnings() {
         return new Object[][] {
             // place, value of the byte there, what is said
-            {0, 'X', "no trace file"}, {8, 2, "version 2 of the format"}, {15, 0x7f, "a head of "},
+            {0, 'X', "no trace file"},
+            {8, 2, "version 2 of the format"},
+            {15, 0x7f, "a head of "},
             {20, 'x', "checksum"},
         };
     }
 
     @Test(dataProvider = "beginnings")
-    public void fileThatIsNoneOrOfANewerVersionIsRefusedInOneLine(int at, int value, String said) throws IOException {
+    public void fileThatIsNoneOrOfANewerVersionIsRefusedInOneLine(int at, int value, String said)
+            throws IOException {
         byte[] whole = Samples.bytes(HEAD, Samples.entries(1, 2), true);
         whole[at] = (byte) value;
         Path file = Samples.file(whole);
         try (TraceReader reader = TraceReader.open(file)) {
             throw new AssertionError("read " + reader.head());
         } catch (MalformedTraceException e) {
-            assertTrue(e.getMessage().contains(said) && e.getMessage().lines().count() == 1, e.getMessage());
+            assertTrue(
+                    e.getMessage().contains(said) && e.getMessage().lines().count() == 1,
+                    e.getMessage());
         }
     }
 }
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -30,7 +30,9 @@
 
     @DataProvider
     Object[][] sizes() {
-        return new Object[][] {{0, true}, {1, true}, {1, false}, {40, true}, {40, false}, {3000, true}};
+        return new Object[][] {
+            {0, true}, {1, true}, {1, false}, {40, true}, {40, false}, {3000, true}
+        };
     }
 
     @Test(dataProvider = "sizes")
@@ -58,36 +60,49 @@
                         || !(moment.items().get(0).event() instanceof Event.ScanTaken taken)) {
                     continue;
                 }
-                assertEquals(of(Samples.all(reader.ofScan(taken.id())), taken.id()), of(entries, taken.id()));
+                assertEquals(
+                        of(Samples.all(reader.ofScan(taken.id())), taken.id()),
+                        of(entries, taken.id()));
             }
             // Called off by number alone, so the index has to know where the dispatch went.
             assertTrue(Samples.all(reader.ofServer("s-3")).size() >= of(entries, "s-3").size());
             double from = Samples.BEGIN + 50_000;
-            List<Entry> wanted = entries.stream().filter(e -> e.nowMs() >= from && e.nowMs() < from + 5000).toList();
-            assertTrue(!wanted.isEmpty() && Samples.all(reader.between(from, from + 5000)).containsAll(wanted));
+            List<Entry> wanted =
+                    entries.stream()
+                            .filter(e -> e.nowMs() >= from && e.nowMs() < from + 5000)
+                            .toList();
+            assertTrue(
+                    !wanted.isEmpty()
+                            && Samples.all(reader.between(from, from + 5000)).containsAll(wanted));
             assertTrue(Samples.all(reader.between(from, from + 5000)).size() < entries.size() / 2);
             assertTrue(Samples.all(reader.ofScan("no such")).isEmpty());
         }
     }
 
     private static List<Entry> of(List<Entry> entries, String id) {
-        return entries.stream().filter(e -> e instanceof Moment moment && Samples.mentions(moment, id)).toList();
+        return entries.stream()
+                .filter(e -> e instanceof Moment moment && Samples.mentions(moment, id))
+                .toList();
     }
 
     @Test
     public void idsThatComeAgainAreAllFound() throws IOException {
         var again = new java.util.ArrayList<Entry>();
         for (int i = 0; i < 60; i++) {
-            Event taken = new Event.ScanTaken(i % 20 == 0 ? "again" : "other-" + i, i + 1, Samples.TYPE, null, 100);
+            Event taken =
+                    new Event.ScanTaken(
+                            i % 20 == 0 ? "again" : "other-" + i, i + 1, Samples.TYPE, null, 100);
             again.add(Moment.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
         }
-        try (TraceReader reader = TraceReader.open(Samples.file(Samples.bytes(HEAD, again, true)))) {
+        try (TraceReader reader =
+                TraceReader.open(Samples.file(Samples.bytes(HEAD, again, true)))) {
             assertEquals(of(Samples.all(reader.ofScan("again")), "again").size(), 3);
         }
     }
 
     private static byte[] golden(String version) throws IOException {
-        try (InputStream in = TraceFileTest.class.getResourceAsStream("/golden-" + version + ".trace")) {
+        try (InputStream in =
+                TraceFileTest.class.getResourceAsStream("/golden-" + version + ".trace")) {
             return in.readAllBytes();
         }
     }
@@ -112,10 +127,15 @@
         record(out, RecordKind.WOKEN);
         out.flush();
         List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
-        assertEquals(((Moment) read.get(0)).items(), List.of(
-                new Item(0, new Event.OthersTold(new Others(5, Map.of(), Map.of())), null),
-                new Item(1, null, new Action.Note("4 units of a bound that this build can't name")),
-                new Item(2, new Event.Woken(), null)));
+        assertEquals(
+                ((Moment) read.get(0)).items(),
+                List.of(
+                        new Item(0, new Event.OthersTold(new Others(5, Map.of(), Map.of())), null),
+                        new Item(
+                                1,
+                                null,
+                                new Action.Note("4 units of a bound that this build can't name")),
+                        new Item(2, new Event.Woken(), null)));
     }
 
     @Test
@@ -129,8 +149,18 @@
         record(out, RecordKind.WOKEN);
         out.flush();
         List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
-        assertEquals(read, List.of(new Moment(0, 0, 0, false, 2, List.of(new Item(0, new Event.Woken(), null),
-                new Item(1, new Event.Woken(), null)))));
+        assertEquals(
+                read,
+                List.of(
+                        new Moment(
+                                0,
+                                0,
+                                0,
+                                false,
+                                2,
+                                List.of(
+                                        new Item(0, new Event.Woken(), null),
+                                        new Item(1, new Event.Woken(), null)))));
     }
 
     private static void record(CodedOutputStream out, int kind, int... body) throws IOException {
@@ -154,7 +184,9 @@
         }
         try (TraceReader reader = TraceReader.open(Samples.file(bytes.toByteArray()))) {
             for (int i : new int[] {0, RunBuilder.MOST_SCANS + 3, scans - 1}) {
-                assertEquals(of(Samples.all(reader.ofScan("scan-" + i)), "id=scan-" + i + ",").size(), 1);
+                assertEquals(
+                        of(Samples.all(reader.ofScan("scan-" + i)), "id=scan-" + i + ",").size(),
+                        1);
             }
             assertTrue(reader.verify().sound());
         }
@@ -173,13 +205,34 @@
         var type = new TableType("offers", TableType.Repeat.KEYED, 600, 2, 0.3, 900, 0.75, 0.75, 0);
         var customer = new Customer("late comer", 3);
         Deployment f = Samples.FACTS;
-        var facts = new Deployment(f.gatherers(), f.zone(), f.tickMs(), f.overShareBenefit(), List.of(type),
-                List.of(customer), f.layout(), f.limits(), f.coldRule(), f.dispatchBudget(), f.listAccess());
-        List<Entry> entries = List.of(
-                Moment.of(0, 0, 5, List.of(new Event.FactsChanged(facts)), List.of(), false),
-                Moment.of(0, 1, 6, List.of(new Event.ScanTaken("a", 1, type, customer, 9),
-                        new Event.ScanTaken("b", 2, Samples.TYPE, Samples.CUSTOMER, 9),
-                        new Event.ScanTaken("c", 3, type, null, 9)), List.of(), false));
+        var facts =
+                new Deployment(
+                        f.gatherers(),
+                        f.zone(),
+                        f.tickMs(),
+                        f.overShareBenefit(),
+                        List.of(type),
+                        List.of(customer),
+                        f.layout(),
+                        f.limits(),
+                        f.coldRule(),
+                        f.dispatchBudget(),
+                        f.listAccess());
+        List<Entry> entries =
+                List.of(
+                        Moment.of(
+                                0, 0, 5, List.of(new Event.FactsChanged(facts)), List.of(), false),
+                        Moment.of(
+                                0,
+                                1,
+                                6,
+                                List.of(
+                                        new Event.ScanTaken("a", 1, type, customer, 9),
+                                        new Event.ScanTaken(
+                                                "b", 2, Samples.TYPE, Samples.CUSTOMER, 9),
+                                        new Event.ScanTaken("c", 3, type, null, 9)),
+                                List.of(),
+                                false));
         Path file = Samples.file(Samples.bytes(HEAD, entries, true));
         assertEquals(Samples.read(file), entries);
         try (TraceReader reader = TraceReader.open(file)) {
--- a/trace/src/test/java/sprucehold/trace/record/FileDutyTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/FileDutyTest.java
@@ -15,13 +15,17 @@
     Object[][] steps() {
         return new Object[][] {
             // time since the file was begun, bytes in it, step
-            {0.0, 99L, FileDuty.Step.WRITE}, {0.0, 100L, FileDuty.Step.BEGIN}, {999.0, 0L, FileDuty.Step.WRITE},
-            {1000.0, 0L, FileDuty.Step.BEGIN}, {-5000.0, 0L, FileDuty.Step.WRITE},
+            {0.0, 99L, FileDuty.Step.WRITE},
+            {0.0, 100L, FileDuty.Step.BEGIN},
+            {999.0, 0L, FileDuty.Step.WRITE},
+            {1000.0, 0L, FileDuty.Step.BEGIN},
+            {-5000.0, 0L, FileDuty.Step.WRITE},
         };
     }
 
     @Test(dataProvider = "steps")
-    public void fileIsEndedBySizeAndAgeAndNotByAClockThatStepsBack(double after, long written, FileDuty.Step step) {
+    public void fileIsEndedBySizeAndAgeAndNotByAClockThatStepsBack(
+            double after, long written, FileDuty.Step step) {
         var duty = new FileDuty(100, 1000);
         assertEquals(duty.next(5, 0), FileDuty.Step.BEGIN);
         duty.begun(10_000);
--- a/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
@@ -36,22 +36,21 @@
     private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
     private Path folder;
     private final List<LogRecord> logged = new ArrayList<>();
-    private final Handler handler = new Handler() {
-        @Override
-        public void publish(LogRecord line) {
-            synchronized (logged) {
-                logged.add(line);
-            }
-        }
+    private final Handler handler =
+            new Handler() {
+                @Override
+                public void publish(LogRecord line) {
+                    synchronized (logged) {
+                        logged.add(line);
+                    }
+                }
 
-        @Override
-        public void flush() {
-        }
+                @Override
+                public void flush() {}
 
-        @Override
-        public void close() {
-        }
-    };
+                @Override
+                public void close() {}
+            };
 
     @BeforeMethod
     public void prepare() throws IOException {
@@ -79,8 +78,11 @@
 
     private static void scan(Recorder recorder, int number, double now) {
         String id = "scan-" + number;
-        recorder.took(now, List.of(new Event.ScanTaken(id, number, Samples.TYPE, null, 400)),
-                List.of(new Action.Answer(id, true, Reason.WHOLE)), false);
+        recorder.took(
+                now,
+                List.of(new Event.ScanTaken(id, number, Samples.TYPE, null, 400)),
+                List.of(new Action.Answer(id, true, Reason.WHOLE)),
+                false);
     }
 
     private List<Path> files() throws IOException {
@@ -152,14 +154,18 @@
     @Test
     public void writerThatFallsBehindLeavesACountedGapAndHoldsNobodyUp() throws IOException {
         var letGo = new CountDownLatch(1);
-        var recorder = new Recorder(plan(1 << 20, 100, 1000, 1), Samples.source("g0"), file -> {
-            try {
-                letGo.await();
-            } catch (InterruptedException e) {
-                throw new IOException(e);
-            }
-            return Files.newOutputStream(file);
-        });
+        var recorder =
+                new Recorder(
+                        plan(1 << 20, 100, 1000, 1),
+                        Samples.source("g0"),
+                        file -> {
+                            try {
+                                letGo.await();
+                            } catch (InterruptedException e) {
+                                throw new IOException(e);
+                            }
+                            return Files.newOutputStream(file);
+                        });
         for (int i = 0; i < 5000; i++) {
             // Would never return if the event loop waited for the disk.
             scan(recorder, i + 1, Samples.BEGIN + i);
@@ -172,39 +178,49 @@
         recorder.close();
         List<Entry> entries = all();
         assertEquals(accounted(entries), 5001);
-        // The writer may have freed a place or two before it stood still, so there may be several gaps.
-        long lost = entries.stream().filter(Gap.class::isInstance).mapToLong(gap -> ((Gap) gap).moments()).sum();
+        // The writer may have freed a place or two before it stood still, so there may be several
+        // gaps.
+        long lost =
+                entries.stream()
+                        .filter(Gap.class::isInstance)
+                        .mapToLong(gap -> ((Gap) gap).moments())
+                        .sum();
         assertTrue(lost >= 4000, lost + " lost");
     }
 
     @Test
     public void fullDiskIsOneWarningAndAGapAndIsTriedAgain() throws IOException {
         var full = new AtomicBoolean(true);
-        var recorder = new Recorder(plan(1 << 20, 100, 1_000_000, 1), Samples.source("g0"), file -> {
-            OutputStream to = Files.newOutputStream(file);
-            return new OutputStream() {
-                private int written;
+        var recorder =
+                new Recorder(
+                        plan(1 << 20, 100, 1_000_000, 1),
+                        Samples.source("g0"),
+                        file -> {
+                            OutputStream to = Files.newOutputStream(file);
+                            return new OutputStream() {
+                                private int written;
 
-                @Override
-                public void write(int b) throws IOException {
-                    write(new byte[] {(byte) b}, 0, 1);
-                }
+                                @Override
+                                public void write(int b) throws IOException {
+                                    write(new byte[] {(byte) b}, 0, 1);
+                                }
 
-                @Override
-                public void write(byte[] bytes, int from, int count) throws IOException {
-                    written += count;
-                    if (full.get() && written > 30_000) {
-                        throw new IOException("No space left on device");
-                    }
-                    to.write(bytes, from, count);
-                }
+                                @Override
+                                public void write(byte[] bytes, int from, int count)
+                                        throws IOException {
+                                    written += count;
+                                    if (full.get() && written > 30_000) {
+                                        throw new IOException("No space left on device");
+                                    }
+                                    to.write(bytes, from, count);
+                                }
 
-                @Override
-                public void close() throws IOException {
-                    to.close();
-                }
-            };
-        });
+                                @Override
+                                public void close() throws IOException {
+                                    to.close();
+                                }
+                            };
+                        });
         int calls = 0;
         for (; calls < 30_000; calls++) {
             scan(recorder, calls + 1, Samples.BEGIN + calls * 0.5);
@@ -238,7 +254,9 @@
         try (var recorder = new Recorder(gone, Samples.source("g0"))) {
             var recording = new RecordingGatherer(module, recorder);
             for (int i = 0; i < 100; i++) {
-                assertEquals(recording.decide(Samples.BEGIN + i, List.of()), List.of(new Action.Wake(1)));
+                assertEquals(
+                        recording.decide(Samples.BEGIN + i, List.of()),
+                        List.of(new Action.Wake(1)));
             }
         }
         assertEquals(warnings(), 1);
@@ -246,12 +264,16 @@
 
     @Test
     public void moduleThatFailsIsRecordedSoAndFailsOn() throws IOException {
-        Gatherer module = (now, events) -> {
-            throw new IllegalStateException("lost");
-        };
+        Gatherer module =
+                (now, events) -> {
+                    throw new IllegalStateException("lost");
+                };
         try (var recorder = new Recorder(plan(1 << 20, 5, 10_000, 1), Samples.source("g0"))) {
-            assertThrows(IllegalStateException.class, () -> new RecordingGatherer(module, recorder)
-                    .decide(Samples.BEGIN, List.of(new Event.Woken())));
+            assertThrows(
+                    IllegalStateException.class,
+                    () ->
+                            new RecordingGatherer(module, recorder)
+                                    .decide(Samples.BEGIN, List.of(new Event.Woken())));
         }
         Moment only = (Moment) all().get(0);
         assertTrue(only.failed() && only.events().size() == 1 && only.actions().isEmpty());
@@ -259,12 +281,14 @@
 
     /** Records without end, to be killed; the first argument is the folder. */
     public static final class Endless {
-        private Endless() {
-        }
+        private Endless() {}
 
         public static void main(String[] args) {
-            var recorder = new Recorder(new RecordingPlan(Path.of(args[0]), 1 << 24, 3_600_000, 1000, 100_000, 1),
-                    Samples.source("g0"));
+            var recorder =
+                    new Recorder(
+                            new RecordingPlan(
+                                    Path.of(args[0]), 1 << 24, 3_600_000, 1000, 100_000, 1),
+                            Samples.source("g0"));
             for (int i = 0; true; i++) {
                 scan(recorder, i + 1, Samples.BEGIN + i);
                 while (i % 50 == 0 && !recorder.idle()) {
@@ -278,9 +302,18 @@
     public void killedAtRandomMomentsItLeavesFilesReadToTheirLastWholeBlock() throws Exception {
         var random = new java.util.Random(9);
         for (int kill = 0; kill < 4; kill++) {
-            Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-Xmx64m", "-cp", System.getProperty("java.class.path"), Endless.class.getName(),
-                    folder.toString()).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+            Process process =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-Xmx64m",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    Endless.class.getName(),
+                                    folder.toString())
+                            .redirectErrorStream(true)
+                            .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             // Killed by how much it has written, at a byte that is anywhere within a block.
             long until = 3L * (1 << 16) + random.nextInt(1 << 17);
             while (written() < until) {
@@ -316,8 +349,11 @@
     public void planThatCantBeUsedSaysAllThatIsWrongInOneLine() throws IOException {
         Path file = folder.resolve("plan.json");
         String[][] plans = {
-            {"{\"folder\": 3, \"oneIn\": 0}", "folder", "oneIn"}, {"{}", "folder"}, {"{\"folder\":", "line 1"},
-            {"{\"folder\":\"x\",\"folders\":1}", "folders"}, {"{\"folder\":\"x\",\"folder\":\"y\"}", "uplicate"},
+            {"{\"folder\": 3, \"oneIn\": 0}", "folder", "oneIn"},
+            {"{}", "folder"},
+            {"{\"folder\":", "line 1"},
+            {"{\"folder\":\"x\",\"folders\":1}", "folders"},
+            {"{\"folder\":\"x\",\"folder\":\"y\"}", "uplicate"},
         };
         for (String[] plan : plans) {
             Files.writeString(file, plan[0]);
--- a/trace/src/test/java/sprucehold/trace/record/ThinningTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/ThinningTest.java
@@ -27,14 +27,21 @@
     }
 
     private Moment taken(String id, long number, double now) {
-        return moment(now, List.of(new Event.ScanTaken(id, number, Samples.TYPE, null, 4000),
-                new Event.PartTaken(id + ".0", number, 0, 1)), List.of(new Action.Dispatch(id + ".0", "s", 3000),
-                new Action.Wake(3)));
+        return moment(
+                now,
+                List.of(
+                        new Event.ScanTaken(id, number, Samples.TYPE, null, 4000),
+                        new Event.PartTaken(id + ".0", number, 0, 1)),
+                List.of(new Action.Dispatch(id + ".0", "s", 3000), new Action.Wake(3)));
     }
 
     private Moment ended(String id, double now, Action end) {
-        return moment(now, List.of(new Event.DispatchEnded(id + ".0", 0, Ending.COMPLETED, 10, null),
-                new Event.Woken()), List.of(end));
+        return moment(
+                now,
+                List.of(
+                        new Event.DispatchEnded(id + ".0", 0, Ending.COMPLETED, 10, null),
+                        new Event.Woken()),
+                List.of(end));
     }
 
     @DataProvider
@@ -58,7 +65,8 @@
         assertTrue(out.isEmpty());
         out.addAll(thinning.add(ended("s", after, end)));
         out.addAll(thinning.end());
-        List<Item> items = out.stream().flatMap(entry -> ((Moment) entry).items().stream()).toList();
+        List<Item> items =
+                out.stream().flatMap(entry -> ((Moment) entry).items().stream()).toList();
         assertEquals(items.size(), kept ? 5 : 0, items.toString());
         assertEquals(thinning.waiting(), 0);
     }
@@ -71,7 +79,9 @@
             out.addAll(thinning.add(taken("scan-" + i, i + 1, i)));
             if (i >= 3) {
                 String before = "scan-" + (i - 3);
-                out.addAll(thinning.add(ended(before, i, new Action.Answer(before, true, Reason.WHOLE))));
+                out.addAll(
+                        thinning.add(
+                                ended(before, i, new Action.Answer(before, true, Reason.WHOLE))));
             }
         }
         out.addAll(thinning.end());
@@ -99,8 +109,11 @@
         var thinning = new Thinning(3);
         thinning.add(taken("s", 1, 0));
         thinning.add(new Gap(0, seq++, 1, 1, 1));
-        List<Entry> out = thinning.add(ended("s", 5000, new Action.Answer("s", true, Reason.WHOLE)));
-        assertEquals(out.stream().map(Entry::getClass).toList(), List.of(Moment.class, Gap.class, Moment.class));
+        List<Entry> out =
+                thinning.add(ended("s", 5000, new Action.Answer("s", true, Reason.WHOLE)));
+        assertEquals(
+                out.stream().map(Entry::getClass).toList(),
+                List.of(Moment.class, Gap.class, Moment.class));
     }
 
     @Test
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -28,31 +28,44 @@
 import sprucehold.trace.format.TraceWriter;
 
 /**
- * Writes a file anew so that it names and gives away nobody. Twice through the input: once to count, once to write; it
- * holds the scans of one stretch of time.
+ * Writes a file anew so that it names and gives away nobody. Twice through the input: once to
+ * count, once to write; it holds the scans of one stretch of time.
  */
 public final class Anonymiser {
     /** An hour: rhythms of shops lie in hours, so nothing finer may show. */
     public static final double STRETCH_MS = 3_600_000;
+
     /** With fewer pseudonyms a guess would be right too often. */
     private static final int LEAST_NAMED = 5;
-    /** Counts of scans of a cell are cut down to whole tens: a single shop's comings and goings don't show. */
+
+    /**
+     * Counts of scans of a cell are cut down to whole tens: a single shop's comings and goings
+     * don't show.
+     */
     private static final int GRAIN = 10;
+
     /** Durations within a scan are told to so many milliseconds. */
     private static final double STEP_MS = 5;
+
     /** Longer than any client waits; a scan that takes longer is left out. */
     private static final double LONGEST_SCAN_MS = 900_000;
+
     private static final String POOL = "others";
 
     /** What can't be told from an anonymised file; it stands in the file's head. */
-    static final List<String> LOST = List.of(
-            "customers: all but some large ones are pooled as '" + POOL + "', and a pseudonym shows no true volume, rhythm or"
-                    + " mix of table types",
-            "when a scan was taken: only in which hour; within it scans stand in an order of chance, evenly spread",
-            "how many scans there were: tens of an hour and table type are whole, what is over is left out",
-            "segments: the parts of a scan are numbered from 0",
-            "ids, load reports, the operators' notes, probes, and news of the list",
-            "durations are rounded to " + (int) STEP_MS + " ms, clients' patience to 100 ms, weights to equal ones");
+    static final List<String> LOST =
+            List.of(
+                    "customers: all but some large ones are pooled as '"
+                            + POOL
+                            + "', and a pseudonym shows no true volume, rhythm or"
+                            + " mix of table types",
+                    "when a scan was taken: only in which hour; within it scans stand in an order of chance, evenly spread",
+                    "how many scans there were: tens of an hour and table type are whole, what is over is left out",
+                    "segments: the parts of a scan are numbered from 0",
+                    "ids, load reports, the operators' notes, probes, and news of the list",
+                    "durations are rounded to "
+                            + (int) STEP_MS
+                            + " ms, clients' patience to 100 ms, weights to equal ones");
 
     private final Pseudonyms pseudonyms;
     private final EvenShares shares = new EvenShares();
@@ -74,15 +87,12 @@
      * @param named customers with a pseudonym of their own
      * @param pooled scans that show the pool
      */
-    public record Written(long scans, long leftOut, int named, long pooled) {
-    }
+    public record Written(long scans, long leftOut, int named, long pooled) {}
 
     /** One scan with all that befell it, times since it was taken. */
-    private record Whole(BookedScan scan, List<Line> lines, String origin) {
-    }
+    private record Whole(BookedScan scan, List<Line> lines, String origin) {}
 
-    private record Line(double afterMs, Item item) {
-    }
+    private record Line(double afterMs, Item item) {}
 
     /**
      * @param key whoever has it can make the pseudonyms again
@@ -109,7 +119,8 @@
                 for (Item item : moment.items()) {
                     BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
                     if (item.event() instanceof Event.ScanTaken taken) {
-                        EvenShares.Cell cell = cell(reader.head().sources().get(moment.source()), scan);
+                        EvenShares.Cell cell =
+                                cell(reader.head().sources().get(moment.source()), scan);
                         scansOf.merge(cell, 1, Integer::sum);
                         if (taken.customer() != null) {
                             shares.count(taken.customer().name(), cell);
@@ -134,11 +145,26 @@
         pool = new Customer(POOL, 1);
         var customers = new ArrayList<>(named.values());
         customers.add(pool);
-        facts = new Deployment(before.gatherers(), pseudonyms.name("zone", before.zone()), before.tickMs(),
-                before.overShareBenefit(), before.tableTypes(), List.copyOf(customers), before.layout(),
-                before.limits(), before.coldRule(), before.dispatchBudget(), before.listAccess());
-        double began = scansOf.keySet().stream().mapToDouble(cell -> cell.stretch() * STRETCH_MS).min().orElse(0);
-        // Gatherers are told apart by nothing: together they are one source, ordered by the fitted clocks.
+        facts =
+                new Deployment(
+                        before.gatherers(),
+                        pseudonyms.name("zone", before.zone()),
+                        before.tickMs(),
+                        before.overShareBenefit(),
+                        before.tableTypes(),
+                        List.copyOf(customers),
+                        before.layout(),
+                        before.limits(),
+                        before.coldRule(),
+                        before.dispatchBudget(),
+                        before.listAccess());
+        double began =
+                scansOf.keySet().stream()
+                        .mapToDouble(cell -> cell.stretch() * STRETCH_MS)
+                        .min()
+                        .orElse(0);
+        // Gatherers are told apart by nothing: together they are one source, ordered by the fitted
+        // clocks.
         source = new Source("anonymised", first.build(), 0, began, facts, ClockFit.REFERENCE);
         var lost = new ArrayList<>(LOST);
         var head = new Head(List.of(source), reader.head().oneIn(), true, null, lost);
@@ -161,13 +187,18 @@
                         if (scan == null) {
                             continue;
                         }
-                        Whole whole = open.computeIfAbsent(scan, none -> new Whole(scan, new ArrayList<>(), of.id()));
-                        whole.lines.add(new Line(Math.max(0, moment.nowMs() - scan.takenMs()), item));
+                        Whole whole =
+                                open.computeIfAbsent(
+                                        scan, none -> new Whole(scan, new ArrayList<>(), of.id()));
+                        whole.lines.add(
+                                new Line(Math.max(0, moment.nowMs() - scan.takenMs()), item));
                         if (scan.ended() && scan.out() <= 0) {
                             open.remove(scan);
                             long stretch = cell(of, scan).stretch();
                             if (stretch > writtenTo) {
-                                stretches.computeIfAbsent(stretch, at -> new ArrayList<>()).add(whole);
+                                stretches
+                                        .computeIfAbsent(stretch, at -> new ArrayList<>())
+                                        .add(whole);
                             } else {
                                 leftOut++;
                             }
@@ -175,8 +206,14 @@
                     }
                 }
                 // A stretch is written once nobody can still be waiting for a scan of it.
-                double at = reader.head().sources().get(entry.source()).clock().corrected(entry.nowMs());
-                while (!stretches.isEmpty() && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_SCAN_MS) {
+                double at =
+                        reader.head()
+                                .sources()
+                                .get(entry.source())
+                                .clock()
+                                .corrected(entry.nowMs());
+                while (!stretches.isEmpty()
+                        && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_SCAN_MS) {
                     writtenTo = stretches.firstKey();
                     long[] counts = write(writer, writtenTo, stretches.remove(writtenTo), reader);
                     written += counts[0];
@@ -200,19 +237,26 @@
     }
 
     /** Writes one stretch's scans; returns how many were written, left out, and pooled. */
-    private long[] write(TraceWriter writer, long stretch, List<Whole> scans, TraceReader reader) throws IOException {
+    private long[] write(TraceWriter writer, long stretch, List<Whole> scans, TraceReader reader)
+            throws IOException {
         // An order that says nothing of who came when, and the same for the same key.
-        record Ranked(long rank, Whole whole) {
-        }
+        record Ranked(long rank, Whole whole) {}
         var ranked = new ArrayList<Ranked>();
         for (Whole whole : scans) {
-            ranked.add(new Ranked(pseudonyms.number("rank", whole.origin + "|" + whole.scan.taken().number()), whole));
+            ranked.add(
+                    new Ranked(
+                            pseudonyms.number(
+                                    "rank", whole.origin + "|" + whole.scan.taken().number()),
+                            whole));
         }
         ranked.sort(Comparator.comparingLong(Ranked::rank));
         Map<EvenShares.Cell, Integer> left = new HashMap<>();
         Map<EvenShares.Cell, Integer> all = new HashMap<>();
         for (Ranked one : ranked) {
-            all.merge(cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan), 1, Integer::sum);
+            all.merge(
+                    cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan),
+                    1,
+                    Integer::sum);
         }
         all.forEach((cell, count) -> left.put(cell, count / GRAIN * GRAIN));
         // Shown pseudonyms first, so that the grain never takes one of theirs and not another's.
@@ -220,28 +264,45 @@
         var chosen = new ArrayList<Map.Entry<Whole, Customer>>();
         var rest = new ArrayList<Whole>();
         for (Ranked one : ranked) {
-            EvenShares.Cell cell = cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan);
+            EvenShares.Cell cell =
+                    cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan);
             var customer = one.whole.scan.taken().customer();
             boolean fits = left.get(cell) >= shares.shown(cell) * named.size();
-            if (customer != null && named.containsKey(customer.name()) && fits
-                    && shown.merge(customer.name() + "|" + cell, 1, Integer::sum) <= shares.shown(cell)) {
+            if (customer != null
+                    && named.containsKey(customer.name())
+                    && fits
+                    && shown.merge(customer.name() + "|" + cell, 1, Integer::sum)
+                            <= shares.shown(cell)) {
                 chosen.add(Map.entry(one.whole, named.get(customer.name())));
             } else {
                 rest.add(one.whole);
             }
         }
-        chosen.forEach(one -> left.merge(cell(reader.head().sources().get(one.getKey().scan.source()),
-                one.getKey().scan), -1, Integer::sum));
+        chosen.forEach(
+                one ->
+                        left.merge(
+                                cell(
+                                        reader.head().sources().get(one.getKey().scan.source()),
+                                        one.getKey().scan),
+                                -1,
+                                Integer::sum));
         long pooled = 0;
         for (Whole whole : rest) {
-            EvenShares.Cell cell = cell(reader.head().sources().get(whole.scan.source()), whole.scan);
+            EvenShares.Cell cell =
+                    cell(reader.head().sources().get(whole.scan.source()), whole.scan);
             if (left.merge(cell, -1, Integer::sum) >= 0) {
                 chosen.add(Map.entry(whole, pool));
                 pooled++;
             }
         }
-        chosen.sort(Comparator.comparingLong(one -> pseudonyms.number("place",
-                one.getKey().origin + "|" + one.getKey().scan.taken().number())));
+        chosen.sort(
+                Comparator.comparingLong(
+                        one ->
+                                pseudonyms.number(
+                                        "place",
+                                        one.getKey().origin
+                                                + "|"
+                                                + one.getKey().scan.taken().number())));
         var moments = new ArrayList<Moment>();
         for (int i = 0; i < chosen.size(); i++) {
             double at = (stretch + (double) i / chosen.size()) * STRETCH_MS;
@@ -255,15 +316,25 @@
     }
 
     private List<Moment> moments(Whole whole, Customer customer, double at) {
-        String id = pseudonyms.name("scan", whole.origin + "|" + whole.scan.taken().number() + "|"
-                + whole.scan.taken().id());
+        String id =
+                pseudonyms.name(
+                        "scan",
+                        whole.origin
+                                + "|"
+                                + whole.scan.taken().number()
+                                + "|"
+                                + whole.scan.taken().id());
         long own = ++number;
         Map<String, String> parts = new HashMap<>();
         var moments = new ArrayList<Moment>();
         var items = new ArrayList<Item>();
         double before = 0;
         long order = own << 20;
-        int partCount = (int) whole.lines.stream().filter(line -> line.item.event() instanceof Event.PartTaken).count();
+        int partCount =
+                (int)
+                        whole.lines.stream()
+                                .filter(line -> line.item.event() instanceof Event.PartTaken)
+                                .count();
         for (Line line : whole.lines) {
             double after = Math.rint(line.afterMs / STEP_MS) * STEP_MS;
             if (after != before && !items.isEmpty()) {
@@ -286,20 +357,44 @@
         return new Moment(0, order, at, false, items.size(), items);
     }
 
-    private Item item(Item item, String id, long own, Customer customer, Map<String, String> parts, int partCount,
+    private Item item(
+            Item item,
+            String id,
+            long own,
+            Customer customer,
+            Map<String, String> parts,
+            int partCount,
             int index) {
         Event event = item.event();
         if (event instanceof Event.ScanTaken taken) {
-            return new Item(index, new Event.ScanTaken(id, own, taken.type(), customer,
-                    Math.rint(taken.timeLeftMs() / 100) * 100), null);
+            return new Item(
+                    index,
+                    new Event.ScanTaken(
+                            id,
+                            own,
+                            taken.type(),
+                            customer,
+                            Math.rint(taken.timeLeftMs() / 100) * 100),
+                    null);
         } else if (event instanceof Event.PartTaken taken) {
             int number = parts.size();
             parts.put(taken.id(), id + "." + number);
-            return new Item(index, new Event.PartTaken(id + "." + number, own, number, 1.0 / partCount), null);
+            return new Item(
+                    index,
+                    new Event.PartTaken(id + "." + number, own, number, 1.0 / partCount),
+                    null);
         } else if (event instanceof Event.DispatchEnded ended) {
-            return parts.containsKey(ended.partId()) ? new Item(index, new Event.DispatchEnded(
-                    parts.get(ended.partId()), ended.number(), ended.ending(),
-                    Math.rint(ended.tookMs() / STEP_MS) * STEP_MS, null), null) : null;
+            return parts.containsKey(ended.partId())
+                    ? new Item(
+                            index,
+                            new Event.DispatchEnded(
+                                    parts.get(ended.partId()),
+                                    ended.number(),
+                                    ended.ending(),
+                                    Math.rint(ended.tookMs() / STEP_MS) * STEP_MS,
+                                    null),
+                            null)
+                    : null;
         } else if (event instanceof Event.ClientLeft) {
             return new Item(index, new Event.ClientLeft(id), null);
         } else if (event != null) {
@@ -307,19 +402,35 @@
         }
         Action action = item.action();
         if (action instanceof Action.Dispatch dispatch) {
-            var passed = dispatch.passedOver().stream()
-                    .map(over -> new PassedOver(server(over.server()), over.cause())).toList();
-            return parts.containsKey(dispatch.partId()) ? new Item(index, null, new Action.Dispatch(
-                    parts.get(dispatch.partId()), server(dispatch.server()),
-                    Math.rint(dispatch.timeoutMs() / 100) * 100, dispatch.reason(), dispatch.position(), passed))
+            var passed =
+                    dispatch.passedOver().stream()
+                            .map(over -> new PassedOver(server(over.server()), over.cause()))
+                            .toList();
+            return parts.containsKey(dispatch.partId())
+                    ? new Item(
+                            index,
+                            null,
+                            new Action.Dispatch(
+                                    parts.get(dispatch.partId()),
+                                    server(dispatch.server()),
+                                    Math.rint(dispatch.timeoutMs() / 100) * 100,
+                                    dispatch.reason(),
+                                    dispatch.position(),
+                                    passed))
                     : null;
         } else if (action instanceof Action.Cancel cancel) {
-            return parts.containsKey(cancel.partId()) ? new Item(index, null,
-                    new Action.Cancel(parts.get(cancel.partId()), cancel.number(), cancel.reason())) : null;
+            return parts.containsKey(cancel.partId())
+                    ? new Item(
+                            index,
+                            null,
+                            new Action.Cancel(
+                                    parts.get(cancel.partId()), cancel.number(), cancel.reason()))
+                    : null;
         } else if (action instanceof Action.Answer answer) {
             return new Item(index, null, new Action.Answer(id, answer.whole(), answer.reason()));
         } else if (action instanceof Action.Throttle throttle) {
-            return new Item(index, null, new Action.Throttle(id, throttle.comeBackMs(), throttle.reason()));
+            return new Item(
+                    index, null, new Action.Throttle(id, throttle.comeBackMs(), throttle.reason()));
         } else if (action instanceof Action.Abandon abandon) {
             return new Item(index, null, new Action.Abandon(id, abandon.reason()));
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/EvenShares.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/EvenShares.java
@@ -9,14 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * Decides which customers get a pseudonym of their own, and how many of their scans show it: in each cell - a stretch of
- * time and a table type - as many as of every other pseudonym. So neither counts nor rhythms nor the mix of table types
- * tells one pseudonym from another. Customers too rare for that are pooled, and so are the scans over the count. Pure.
+ * Decides which customers get a pseudonym of their own, and how many of their scans show it: in
+ * each cell - a stretch of time and a table type - as many as of every other pseudonym. So neither
+ * counts nor rhythms nor the mix of table types tells one pseudonym from another. Customers too
+ * rare for that are pooled, and so are the scans over the count. Pure.
  */
 final class EvenShares {
     /** A stretch of time and a table type. */
-    record Cell(long stretch, String tableType) {
-    }
+    record Cell(long stretch, String tableType) {}
 
     private final Map<String, Map<Cell, Integer>> counts = new TreeMap<>();
     private final Map<Cell, Integer> shown = new HashMap<>();
@@ -28,15 +28,18 @@
     }
 
     /**
-     * Chooses the customers so that most scans keep a pseudonym: with the customers by size, the k largest keep in each
-     * cell the least count of any of them; the k that keeps most in all is taken.
+     * Chooses the customers so that most scans keep a pseudonym: with the customers by size, the k
+     * largest keep in each cell the least count of any of them; the k that keeps most in all is
+     * taken.
      *
-     * @param least pseudonyms at least, so that guessing one is no better than one in so many; fewer customers than
-     *     that get none
+     * @param least pseudonyms at least, so that guessing one is no better than one in so many;
+     *     fewer customers than that get none
      */
     void settle(int least) {
         List<String> bySize = new ArrayList<>(counts.keySet());
-        bySize.sort(Comparator.comparingInt((String name) -> -sum(counts.get(name))).thenComparing(name -> name));
+        bySize.sort(
+                Comparator.comparingInt((String name) -> -sum(counts.get(name)))
+                        .thenComparing(name -> name));
         Map<Cell, Integer> floor = new HashMap<>();
         Map<Cell, Integer> best = Map.of();
         int bestNamed = 0;
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Pseudonyms.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Pseudonyms.java
@@ -11,12 +11,17 @@
 final class Pseudonyms {
     /** Shorter ones could be tried out. */
     static final int LEAST_KEY_LETTERS = 16;
+
     private final Mac mac;
 
     Pseudonyms(String key) {
         if (key.length() < LEAST_KEY_LETTERS) {
-            throw new IllegalArgumentException("a key of " + key.length() + " letters; at least "
-                    + LEAST_KEY_LETTERS + " were expected, or it could be guessed");
+            throw new IllegalArgumentException(
+                    "a key of "
+                            + key.length()
+                            + " letters; at least "
+                            + LEAST_KEY_LETTERS
+                            + " were expected, or it could be guessed");
         }
         try {
             mac = Mac.getInstance("HmacSHA256");
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/Sightings.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/Sightings.java
@@ -10,8 +10,9 @@
 import sprucehold.trace.event.Moment;
 
 /**
- * When one source first heard of each change of the list, by its own clock. A change is a server's name, its start and
- * its mode; one that comes up again, as a server that drains and returns, is told apart by its turn.
+ * When one source first heard of each change of the list, by its own clock. A change is a server's
+ * name, its start and its mode; one that comes up again, as a server that drains and returns, is
+ * told apart by its turn.
  */
 public final class Sightings {
     /** Changes kept at most: a line through ten thousand points is as good as through more. */
@@ -37,7 +38,8 @@
     private void see(Listing server, boolean complete, double nowMs) {
         String what = server.startedAtMs() + " " + server.mode();
         String before = lastOf.put(server.server(), what);
-        // A whole list repeats what was known, and a first one tells of nothing that happened just then.
+        // A whole list repeats what was known, and a first one tells of nothing that happened just
+        // then.
         if (what.equals(before) || complete && before == null || seen.size() >= MOST) {
             return;
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
@@ -13,19 +13,24 @@
 
 /** Writes the part of a file that belongs to a window. */
 public final class TraceCut {
-    private TraceCut() {
-    }
+    private TraceCut() {}
 
     /**
      * @param window by the clock of the file's order
      * @return how many entries, whole or in part, were written
      */
-    public static long cut(TraceReader reader, Head.Window window, Path to, LongConsumer progress) throws IOException {
+    public static long cut(TraceReader reader, Head.Window window, Path to, LongConsumer progress)
+            throws IOException {
         Head.Window before = reader.head().window();
-        Head.Window both = before == null ? window : new Head.Window(Math.max(before.fromMs(), window.fromMs()),
-                Math.min(before.toMs(), window.toMs()));
+        Head.Window both =
+                before == null
+                        ? window
+                        : new Head.Window(
+                                Math.max(before.fromMs(), window.fromMs()),
+                                Math.min(before.toMs(), window.toMs()));
         var whole = new WholeScans(reader.head().sources(), both);
-        // Scans of the window begin in blocks that reach into it, by whichever clock is furthest off.
+        // Scans of the window begin in blocks that reach into it, by whichever clock is furthest
+        // off.
         double off = 0;
         for (Source source : reader.head().sources()) {
             ClockFit clock = source.clock();
@@ -33,7 +38,8 @@
         }
         long read = 0;
         try (var writer = new TraceWriter(TraceRepair.create(to), reader.head().withWindow(both))) {
-            TraceReader.Cursor cursor = reader.between(window.fromMs() - 2 * off - 1, Double.POSITIVE_INFINITY);
+            TraceReader.Cursor cursor =
+                    reader.between(window.fromMs() - 2 * off - 1, Double.POSITIVE_INFINITY);
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                 Entry kept = whole.of(entry);
                 if (kept != null) {
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/WholeScans.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/WholeScans.java
@@ -37,7 +37,8 @@
         var kept = new ArrayList<Item>(moment.items().size());
         for (Item item : moment.items()) {
             BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-            // What belongs to no scan, or to one taken before the file began, belongs where it happened.
+            // What belongs to no scan, or to one taken before the file began, belongs where it
+            // happened.
             if (scan == null ? here : window.holds(corrected(moment, scan.takenMs()))) {
                 kept.add(item);
             }
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -21,12 +21,15 @@
 
 /** Writes a trace as text: every record as a JSON line, or every scan as a row. */
 public final class TraceExport {
-    private static final ObjectMapper MAPPER = JsonMapper.builder().disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET)
-            .defaultPropertyInclusion(JsonInclude.Value.construct(JsonInclude.Include.NON_NULL,
-                    JsonInclude.Include.NON_NULL)).build();
+    private static final ObjectMapper MAPPER =
+            JsonMapper.builder()
+                    .disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET)
+                    .defaultPropertyInclusion(
+                            JsonInclude.Value.construct(
+                                    JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL))
+                    .build();
 
-    private TraceExport() {
-    }
+    private TraceExport() {}
 
     /** Every event, action and gap, a JSON line each; returns how many. */
     public static long jsonLines(TraceReader reader, Writer to) throws IOException {
@@ -35,8 +38,14 @@
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             Source source = reader.head().sources().get(entry.source());
             if (entry instanceof Gap gap) {
-                line(to, source, entry, "Gap", MAPPER.createObjectNode().put("moments", gap.moments())
-                        .put("toMs", gap.toMs()));
+                line(
+                        to,
+                        source,
+                        entry,
+                        "Gap",
+                        MAPPER.createObjectNode()
+                                .put("moments", gap.moments())
+                                .put("toMs", gap.toMs()));
                 lines++;
                 continue;
             }
@@ -45,7 +54,8 @@
                 ObjectNode fields = MAPPER.valueToTree(what);
                 if (what instanceof Event.ScanTaken taken) {
                     fields.put("type", taken.type().name());
-                    fields.put("customer", taken.customer() == null ? null : taken.customer().name());
+                    fields.put(
+                            "customer", taken.customer() == null ? null : taken.customer().name());
                 }
                 line(to, source, entry, what.getClass().getSimpleName(), fields);
                 lines++;
@@ -56,8 +66,12 @@
 
     private static void line(Writer to, Source source, Entry entry, String kind, ObjectNode fields)
             throws IOException {
-        ObjectNode line = MAPPER.createObjectNode().put("gatherer", source.gatherer()).put("call", entry.seq())
-                .put("ms", entry.nowMs()).put("kind", kind);
+        ObjectNode line =
+                MAPPER.createObjectNode()
+                        .put("gatherer", source.gatherer())
+                        .put("call", entry.seq())
+                        .put("ms", entry.nowMs())
+                        .put("kind", kind);
         line.setAll(fields);
         MAPPER.writeValue(to, line);
         to.write('\n');
@@ -65,22 +79,42 @@
 
     /** Every scan, a row each; returns how many. */
     public static long csv(TraceReader reader, Writer to) throws IOException {
-        CSVFormat format = CSVFormat.RFC4180.builder().setHeader("gatherer", "scan", "table_type", "customer",
-                "taken_ms", "outcome", "reason", "took_ms", "in_target_time", "parts", "dispatches",
-                "further_tries", "second_copies", "servers").get();
+        CSVFormat format =
+                CSVFormat.RFC4180
+                        .builder()
+                        .setHeader(
+                                "gatherer",
+                                "scan",
+                                "table_type",
+                                "customer",
+                                "taken_ms",
+                                "outcome",
+                                "reason",
+                                "took_ms",
+                                "in_target_time",
+                                "parts",
+                                "dispatches",
+                                "further_tries",
+                                "second_copies",
+                                "servers")
+                        .get();
         var printer = new CSVPrinter(to, format);
         long[] rows = {0};
         var failed = new IOException[1];
-        var tallies = new ScanTallies(tally -> {
-            try {
-                row(printer, reader, tally);
-                rows[0]++;
-            } catch (IOException e) {
-                failed[0] = e;
-            }
-        });
+        var tallies =
+                new ScanTallies(
+                        tally -> {
+                            try {
+                                row(printer, reader, tally);
+                                rows[0]++;
+                            } catch (IOException e) {
+                                failed[0] = e;
+                            }
+                        });
         TraceReader.Cursor cursor = reader.all();
-        for (Entry entry = cursor.next(); entry != null && failed[0] == null; entry = cursor.next()) {
+        for (Entry entry = cursor.next();
+                entry != null && failed[0] == null;
+                entry = cursor.next()) {
             tallies.add(entry);
         }
         tallies.end();
@@ -91,11 +125,23 @@
         return rows[0];
     }
 
-    private static void row(CSVPrinter printer, TraceReader reader, ScanTally tally) throws IOException {
+    private static void row(CSVPrinter printer, TraceReader reader, ScanTally tally)
+            throws IOException {
         var taken = tally.scan().taken();
-        printer.printRecord(reader.head().sources().get(tally.scan().source()).gatherer(), taken.id(),
-                taken.type().name(), tally.customer(), tally.scan().takenMs(), tally.outcome(), tally.reason(),
-                Double.isNaN(tally.tookMs()) ? "" : tally.tookMs(), tally.inTargetTime(), tally.parts(),
-                tally.dispatches(), tally.furtherTries(), tally.copies(), String.join(" ", tally.servers()));
+        printer.printRecord(
+                reader.head().sources().get(tally.scan().source()).gatherer(),
+                taken.id(),
+                taken.type().name(),
+                tally.customer(),
+                tally.scan().takenMs(),
+                tally.outcome(),
+                tally.reason(),
+                Double.isNaN(tally.tookMs()) ? "" : tally.tookMs(),
+                tally.inTargetTime(),
+                tally.parts(),
+                tally.dispatches(),
+                tally.furtherTries(),
+                tally.copies(),
+                String.join(" ", tally.servers()));
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/export/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/package-info.java
@@ -1,2 +1,4 @@
-/** Traces for other tools, as CSV or JSON lines: {@link sprucehold.tracetools.export.TraceExport}. */
+/**
+ * Traces for other tools, as CSV or JSON lines: {@link sprucehold.tracetools.export.TraceExport}.
+ */
 package sprucehold.tracetools.export;
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
@@ -28,7 +28,9 @@
         }
     }
 
-    /** @param source the index that its entries get */
+    /**
+     * @param source the index that its entries get
+     */
     SourceStream(int source) {
         this.source = source;
     }
@@ -39,8 +41,11 @@
 
     /** The next entry, or null at the end. */
     Entry next() throws IOException {
-        Input first = inputs.stream().filter(input -> input.head != null)
-                .min(Comparator.comparingLong(input -> input.head.seq())).orElse(null);
+        Input first =
+                inputs.stream()
+                        .filter(input -> input.head != null)
+                        .min(Comparator.comparingLong(input -> input.head.seq()))
+                        .orElse(null);
         if (first == null) {
             return null;
         }
@@ -61,10 +66,18 @@
         if (one instanceof Gap && other instanceof Gap) {
             return one;
         }
-        if (!(one instanceof Moment a) || !(other instanceof Moment b) || a.total() != b.total()
-                || Double.compare(a.nowMs(), b.nowMs()) != 0 || a.failed() != b.failed()) {
-            throw new IOException(of + " and " + name + " hold different moments " + one.seq()
-                    + " of the same source");
+        if (!(one instanceof Moment a)
+                || !(other instanceof Moment b)
+                || a.total() != b.total()
+                || Double.compare(a.nowMs(), b.nowMs()) != 0
+                || a.failed() != b.failed()) {
+            throw new IOException(
+                    of
+                            + " and "
+                            + name
+                            + " hold different moments "
+                            + one.seq()
+                            + " of the same source");
         }
         if (a.whole()) {
             return a;
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
@@ -21,31 +21,33 @@
 
 /** Merges files: twice through the inputs, once for the clocks and once for the entries. */
 public final class TraceMerge {
-    private TraceMerge() {
-    }
+    private TraceMerge() {}
 
     /**
      * @param sources all sources with the fits found for their clocks
      * @param entries how many were written
      */
-    public record Merged(List<Source> sources, long entries) {
-    }
+    public record Merged(List<Source> sources, long entries) {}
 
     /**
-     * Writes all entries of the inputs, each once, ordered by the fitted clocks and within a source by number. The
-     * order of the inputs doesn't matter, and an input that holds nothing new changes nothing.
+     * Writes all entries of the inputs, each once, ordered by the fitted clocks and within a source
+     * by number. The order of the inputs doesn't matter, and an input that holds nothing new
+     * changes nothing.
      *
      * @param progress is told how many entries were read, now and then
-     * @throws IOException where an input is damaged, or two inputs tell different things of the same moment
+     * @throws IOException where an input is damaged, or two inputs tell different things of the
+     *     same moment
      */
-    public static Merged merge(List<Path> files, Path to, LongConsumer progress) throws IOException {
+    public static Merged merge(List<Path> files, Path to, LongConsumer progress)
+            throws IOException {
         var readers = new ArrayList<TraceReader>();
         try {
             for (Path file : files) {
                 TraceReader reader = TraceReader.open(file);
                 readers.add(reader);
                 if (reader.damage() != null) {
-                    throw new IOException(reader.damage() + "; 'trace repair' gives it its index back");
+                    throw new IOException(
+                            reader.damage() + "; 'trace repair' gives it its index back");
                 }
             }
             return mergeOpen(readers, to, progress);
@@ -56,7 +58,8 @@
         }
     }
 
-    private static Merged mergeOpen(List<TraceReader> readers, Path to, LongConsumer progress) throws IOException {
+    private static Merged mergeOpen(List<TraceReader> readers, Path to, LongConsumer progress)
+            throws IOException {
         var sources = new TreeMap<String, Source>();
         boolean anonymised = readers.get(0).head().anonymised();
         int oneIn = 1;
@@ -75,9 +78,10 @@
         List<Source> fitted = fit(readers, ids, List.copyOf(sources.values()), progress);
         var head = new Head(fitted, oneIn, anonymised, hull(readers), List.copyOf(lost));
 
-        record Next(double key, int source, Entry entry) {
-        }
-        var next = new PriorityQueue<Next>(Comparator.comparingDouble(Next::key).thenComparingInt(Next::source));
+        record Next(double key, int source, Entry entry) {}
+        var next =
+                new PriorityQueue<Next>(
+                        Comparator.comparingDouble(Next::key).thenComparingInt(Next::source));
         List<SourceStream> streams = streams(readers, ids);
         double[] keys = new double[ids.size()];
         for (int i = 0; i < keys.length; i++) {
@@ -95,7 +99,8 @@
                 writer.add(least.entry);
                 Entry following = streams.get(least.source).next();
                 if (following != null) {
-                    // A clock that went back holds its own entries where they are, behind those before them.
+                    // A clock that went back holds its own entries where they are, behind those
+                    // before them.
                     double time = fitted.get(least.source).clock().corrected(following.nowMs());
                     keys[least.source] = Math.max(keys[least.source], time);
                     next.add(new Next(keys[least.source], least.source, following));
@@ -112,7 +117,8 @@
         return a.clock().errorMs() <= b.clock().errorMs() ? a : b;
     }
 
-    private static List<SourceStream> streams(List<TraceReader> readers, List<String> ids) throws IOException {
+    private static List<SourceStream> streams(List<TraceReader> readers, List<String> ids)
+            throws IOException {
         var streams = new ArrayList<SourceStream>();
         for (int i = 0; i < ids.size(); i++) {
             var stream = new SourceStream(i);
@@ -129,8 +135,12 @@
         return streams;
     }
 
-    private static List<Source> fit(List<TraceReader> readers, List<String> ids, List<Source> sources,
-            LongConsumer progress) throws IOException {
+    private static List<Source> fit(
+            List<TraceReader> readers,
+            List<String> ids,
+            List<Source> sources,
+            LongConsumer progress)
+            throws IOException {
         if (ids.size() == 1) {
             return List.of(sources.get(0).withClock(ClockFit.REFERENCE));
         }
@@ -151,13 +161,21 @@
         for (int i = 0; i < ids.size(); i++) {
             // What an earlier merge knew, where these pieces tell nothing.
             boolean unknown = Double.isInfinite(fits.get(i).errorMs());
-            fitted.add(unknown ? sources.get(i).withClock(sources.get(i).clock().equals(ClockFit.REFERENCE)
-                    ? ClockFit.UNKNOWN : sources.get(i).clock()) : sources.get(i).withClock(fits.get(i)));
+            fitted.add(
+                    unknown
+                            ? sources.get(i)
+                                    .withClock(
+                                            sources.get(i).clock().equals(ClockFit.REFERENCE)
+                                                    ? ClockFit.UNKNOWN
+                                                    : sources.get(i).clock())
+                            : sources.get(i).withClock(fits.get(i)));
         }
         return fitted;
     }
 
-    /** The window that cut pieces make up together, or null where one wasn't cut or there is a hole. */
+    /**
+     * The window that cut pieces make up together, or null where one wasn't cut or there is a hole.
+     */
     private static Head.Window hull(List<TraceReader> readers) {
         List<Head.Window> windows = new ArrayList<>();
         for (TraceReader reader : readers) {
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -14,8 +14,7 @@
 
 /** Where two traces of the same day part. */
 public final class TraceDiff {
-    private TraceDiff() {
-    }
+    private TraceDiff() {}
 
     /**
      * @param gatherer whose entries part
@@ -25,12 +24,20 @@
     public record Parting(String gatherer, long seq, double nowMs, String what) {
         @Override
         public String toString() {
-            return "gatherer " + gatherer + ", call " + seq + " at " + Times.iso(nowMs) + ": " + what;
+            return "gatherer "
+                    + gatherer
+                    + ", call "
+                    + seq
+                    + " at "
+                    + Times.iso(nowMs)
+                    + ": "
+                    + what;
         }
     }
 
     /**
-     * The first parting of each gatherer that both files know, the earliest first; gatherers are matched by name.
+     * The first parting of each gatherer that both files know, the earliest first; gatherers are
+     * matched by name.
      *
      * @return empty where all that both hold is the same
      */
@@ -43,7 +50,12 @@
                 other = b.head().sources().get(j).gatherer().equals(source.gatherer()) ? j : other;
             }
             if (other < 0) {
-                partings.add(new Parting(source.gatherer(), 0, source.startedMs(), "only the first file holds it"));
+                partings.add(
+                        new Parting(
+                                source.gatherer(),
+                                0,
+                                source.startedMs(),
+                                "only the first file holds it"));
                 continue;
             }
             Parting parting = diff(source, a.allOf(i), b.allOf(other));
@@ -52,15 +64,22 @@
             }
         }
         for (Source source : b.head().sources()) {
-            if (a.head().sources().stream().noneMatch(of -> of.gatherer().equals(source.gatherer()))) {
-                partings.add(new Parting(source.gatherer(), 0, source.startedMs(), "only the second file holds it"));
+            if (a.head().sources().stream()
+                    .noneMatch(of -> of.gatherer().equals(source.gatherer()))) {
+                partings.add(
+                        new Parting(
+                                source.gatherer(),
+                                0,
+                                source.startedMs(),
+                                "only the second file holds it"));
             }
         }
         partings.sort(Comparator.comparingDouble(Parting::nowMs));
         return partings;
     }
 
-    private static Parting diff(Source source, TraceReader.Cursor a, TraceReader.Cursor b) throws IOException {
+    private static Parting diff(Source source, TraceReader.Cursor a, TraceReader.Cursor b)
+            throws IOException {
         while (true) {
             Entry one = a.next();
             Entry other = b.next();
@@ -69,8 +88,11 @@
             }
             if (one == null || other == null) {
                 Entry left = one == null ? other : one;
-                return new Parting(source.gatherer(), left.seq(), left.nowMs(), "the "
-                        + (one == null ? "first" : "second") + " file ends before it");
+                return new Parting(
+                        source.gatherer(),
+                        left.seq(),
+                        left.nowMs(),
+                        "the " + (one == null ? "first" : "second") + " file ends before it");
             }
             String what = what(one, other);
             if (what != null) {
@@ -94,12 +116,20 @@
                 return words(was) + " in the first, " + words(is) + " in the second";
             }
         }
-        return "call " + a.seq() + " at " + Times.iso(a.nowMs()) + " in the first, call " + b.seq() + " at "
-                + Times.iso(b.nowMs()) + " in the second";
+        return "call "
+                + a.seq()
+                + " at "
+                + Times.iso(a.nowMs())
+                + " in the first, call "
+                + b.seq()
+                + " at "
+                + Times.iso(b.nowMs())
+                + " in the second";
     }
 
     private static String words(Item item) {
-        return item == null ? "nothing more" : item.event() != null ? "event " + item.event()
-                : "action " + item.action();
+        return item == null
+                ? "nothing more"
+                : item.event() != null ? "event " + item.event() : "action " + item.action();
     }
 }
