--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -18,15 +18,13 @@
 
 /** Runs a module on the events of a trace, and compares what it does. */
 public final class TraceReplay {
-    private TraceReplay() {
-    }
+    private TraceReplay() {}
 
     /**
      * @param agreed actions that were the same, up to the call with the first that differs
      * @param difference the first action that differs, in words; null where all agree
      */
-    public record Verdict(long moments, long agreed, String difference) {
-    }
+    public record Verdict(long moments, long agreed, String difference) {}
 
     /** The trace can't be decided again; the message says why in one line. */
     public static final class CannotReplayException extends IOException {
@@ -41,20 +39,25 @@
      * Replays each source of the files from its start.
      *
      * @param readers a source's files in any order; each source's first must be among them
-     * @throws CannotReplayException where files were thinned, cut or anonymised, lack a beginning, or have a gap
+     * @throws CannotReplayException where files were thinned, cut or anonymised, lack a beginning,
+     *     or have a gap
      */
-    public static Verdict replay(List<TraceReader> readers, Gatherer.Factory factory, LongConsumer progress)
+    public static Verdict replay(
+            List<TraceReader> readers, Gatherer.Factory factory, LongConsumer progress)
             throws IOException {
-        record Piece(TraceReader reader, int source, Source of, long firstSeq) {
-        }
+        record Piece(TraceReader reader, int source, Source of, long firstSeq) {}
         var pieces = new ArrayList<Piece>();
         for (TraceReader reader : readers) {
             Head head = reader.head();
             if (head.oneIn() > 1) {
-                throw new CannotReplayException(reader.name() + " keeps one in " + head.oneIn()
-                        + " scans that ended well, and what was left out can't be decided again");
+                throw new CannotReplayException(
+                        reader.name()
+                                + " keeps one in "
+                                + head.oneIn()
+                                + " scans that ended well, and what was left out can't be decided again");
             } else if (head.anonymised()) {
-                throw new CannotReplayException(reader.name() + " is anonymised, and holds no events as they were");
+                throw new CannotReplayException(
+                        reader.name() + " is anonymised, and holds no events as they were");
             }
             for (int i = 0; i < head.sources().size(); i++) {
                 Entry first = reader.allOf(i).next();
@@ -63,7 +66,9 @@
                 }
             }
         }
-        pieces.sort(Comparator.comparing((Piece piece) -> piece.of.id()).thenComparingLong(Piece::firstSeq));
+        pieces.sort(
+                Comparator.comparing((Piece piece) -> piece.of.id())
+                        .thenComparingLong(Piece::firstSeq));
         long moments = 0;
         long agreed = 0;
         String current = null;
@@ -97,18 +102,40 @@
     private static void check(TraceReader reader, Source source, Entry entry, long expected)
             throws CannotReplayException {
         if (entry instanceof Gap gap) {
-            throw new CannotReplayException(reader.name() + ": " + gap.moments() + " calls of gatherer "
-                    + source.gatherer() + " from call " + gap.seq() + " on were not recorded");
+            throw new CannotReplayException(
+                    reader.name()
+                            + ": "
+                            + gap.moments()
+                            + " calls of gatherer "
+                            + source.gatherer()
+                            + " from call "
+                            + gap.seq()
+                            + " on were not recorded");
         }
         if (entry.seq() != expected) {
-            throw new CannotReplayException(reader.name() + " goes on with call " + entry.seq() + " of gatherer "
-                    + source.gatherer() + " where call " + expected + " was expected"
-                    + (expected == 0 ? ": give the files before it as well" : ""));
+            throw new CannotReplayException(
+                    reader.name()
+                            + " goes on with call "
+                            + entry.seq()
+                            + " of gatherer "
+                            + source.gatherer()
+                            + " where call "
+                            + expected
+                            + " was expected"
+                            + (expected == 0 ? ": give the files before it as well" : ""));
         }
         if (!((Moment) entry).whole()) {
-            throw new CannotReplayException(reader.name() + ": of call " + entry.seq() + " of gatherer "
-                    + source.gatherer() + " only " + ((Moment) entry).items().size() + " of "
-                    + ((Moment) entry).total() + " events and actions are there: it was cut");
+            throw new CannotReplayException(
+                    reader.name()
+                            + ": of call "
+                            + entry.seq()
+                            + " of gatherer "
+                            + source.gatherer()
+                            + " only "
+                            + ((Moment) entry).items().size()
+                            + " of "
+                            + ((Moment) entry).total()
+                            + " events and actions are there: it was cut");
         }
     }
 
@@ -129,7 +156,12 @@
             Action was = i < recorded.size() ? recorded.get(i) : null;
             Action is = i < now.size() ? now.get(i) : null;
             if (!Objects.equals(was, is)) {
-                return where + ", action " + i + ": recorded " + (was == null ? "nothing" : was) + ", this build "
+                return where
+                        + ", action "
+                        + i
+                        + ": recorded "
+                        + (was == null ? "nothing" : was)
+                        + ", this build "
                         + (is == null ? "nothing" : is);
             }
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/story/ScanTally.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/story/ScanTally.java
@@ -29,8 +29,12 @@
 
     /** How a scan ended. */
     public enum Outcome {
-        WHOLE("completed whole"), PART("completed in part"), THROTTLED("throttled"), ABANDONED("abandoned"),
-        CLIENT_LEFT("client left"), OPEN("without an end in this file");
+        WHOLE("completed whole"),
+        PART("completed in part"),
+        THROTTLED("throttled"),
+        ABANDONED("abandoned"),
+        CLIENT_LEFT("client left"),
+        OPEN("without an end in this file");
 
         private final String words;
 
@@ -60,8 +64,12 @@
             dispatches++;
             servers.add(dispatch.server());
             copies += dispatch.reason() == Reason.SECOND_COPY ? 1 : 0;
-            furtherTries += dispatch.reason() == Reason.FURTHER_TRY || dispatch.reason() == Reason.NEVER_RAN ? 1 : 0;
-            dispatch.passedOver().forEach(passed -> passedOver.merge(passed.cause(), 1, Integer::sum));
+            furtherTries +=
+                    dispatch.reason() == Reason.FURTHER_TRY || dispatch.reason() == Reason.NEVER_RAN
+                            ? 1
+                            : 0;
+            dispatch.passedOver()
+                    .forEach(passed -> passedOver.merge(passed.cause(), 1, Integer::sum));
         } else if (action instanceof Action.Answer answer && scan.ended()) {
             end(answer.whole() ? Outcome.WHOLE : Outcome.PART, answer.reason(), nowMs);
         } else if (action instanceof Action.Throttle throttle) {
@@ -105,7 +113,8 @@
 
     /** Whether it was completed within its target time. */
     public boolean inTargetTime() {
-        return (outcome == Outcome.WHOLE || outcome == Outcome.PART) && tookMs() <= scan.taken().type().targetMs();
+        return (outcome == Outcome.WHOLE || outcome == Outcome.PART)
+                && tookMs() <= scan.taken().type().targetMs();
     }
 
     public int parts() {
--- a/tracetools/src/main/java/sprucehold/tracetools/story/Story.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/story/Story.java
@@ -19,8 +19,7 @@
  */
 public record Story(ScanTally tally, List<Line> lines, List<Gap> gaps) {
     /** One event or action, and when, by the gatherer's clock. */
-    public record Line(long seq, double nowMs, Item item) {
-    }
+    public record Line(long seq, double nowMs, Item item) {}
 
     /** Collects the stories of all scans of one id: an id may come again. */
     public static final class Collector {
@@ -34,14 +33,24 @@
 
         public void add(Entry entry) {
             if (entry instanceof Gap gap) {
-                stories.values().stream().filter(story -> story.tally.scan().source() == gap.source()
-                        && !story.tally.scan().ended()).forEach(story -> story.gaps.add(gap));
+                stories.values().stream()
+                        .filter(
+                                story ->
+                                        story.tally.scan().source() == gap.source()
+                                                && !story.tally.scan().ended())
+                        .forEach(story -> story.gaps.add(gap));
             } else if (entry instanceof Moment moment) {
                 for (Item item : moment.items()) {
                     BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
                     if (scan != null && scan.taken().id().equals(id)) {
-                        Story story = stories.computeIfAbsent(scan,
-                                none -> new Story(new ScanTally(scan), new ArrayList<>(), new ArrayList<>()));
+                        Story story =
+                                stories.computeIfAbsent(
+                                        scan,
+                                        none ->
+                                                new Story(
+                                                        new ScanTally(scan),
+                                                        new ArrayList<>(),
+                                                        new ArrayList<>()));
                         story.tally.add(moment.nowMs(), item);
                         story.lines.add(new Line(moment.seq(), moment.nowMs(), item));
                     }
--- a/tracetools/src/main/java/sprucehold/tracetools/story/Storyteller.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/story/Storyteller.java
@@ -19,8 +19,7 @@
 public final class Storyteller {
     private static final int LINE_WIDTH = 60;
 
-    private Storyteller() {
-    }
+    private Storyteller() {}
 
     /** The story, a line each. */
     public static List<String> tell(Story story, Source source) {
@@ -28,24 +27,53 @@
         ScanTally tally = story.tally();
         Event.ScanTaken taken = tally.scan().taken();
         TableType type = taken.type();
-        lines.add("scan " + taken.id() + " of " + type.name() + " for "
-                + (taken.customer() == null ? "no known customer" : "customer " + taken.customer().name())
-                + ", taken by gatherer " + source.gatherer() + " at " + Times.iso(tally.scan().takenMs()));
-        lines.add("  " + tally.parts() + " parts; " + repeat(type) + "; target time " + ms(type.targetMs())
-                + ", its client would wait " + ms(taken.timeLeftMs()) + "; whole from "
-                + percent(type.completeFrom()) + ", answered at all from " + percent(type.leastShare()));
+        lines.add(
+                "scan "
+                        + taken.id()
+                        + " of "
+                        + type.name()
+                        + " for "
+                        + (taken.customer() == null
+                                ? "no known customer"
+                                : "customer " + taken.customer().name())
+                        + ", taken by gatherer "
+                        + source.gatherer()
+                        + " at "
+                        + Times.iso(tally.scan().takenMs()));
+        lines.add(
+                "  "
+                        + tally.parts()
+                        + " parts; "
+                        + repeat(type)
+                        + "; target time "
+                        + ms(type.targetMs())
+                        + ", its client would wait "
+                        + ms(taken.timeLeftMs())
+                        + "; whole from "
+                        + percent(type.completeFrom())
+                        + ", answered at all from "
+                        + percent(type.leastShare()));
         lines.add("  " + verdict(tally));
         lines.add("");
         for (Story.Line line : story.lines()) {
             String words = words(line);
             if (words != null) {
-                lines.add(String.format(Locale.ROOT, "  %+10.1f ms  %s", line.nowMs() - tally.scan().takenMs(),
-                        words));
+                lines.add(
+                        String.format(
+                                Locale.ROOT,
+                                "  %+10.1f ms  %s",
+                                line.nowMs() - tally.scan().takenMs(),
+                                words));
             }
         }
         for (Gap gap : story.gaps()) {
-            lines.add("  here " + gap.moments() + " calls of the module were not recorded, from "
-                    + Times.iso(gap.nowMs()) + " to " + Times.iso(gap.toMs()));
+            lines.add(
+                    "  here "
+                            + gap.moments()
+                            + " calls of the module were not recorded, from "
+                            + Times.iso(gap.nowMs())
+                            + " to "
+                            + Times.iso(gap.toMs()));
         }
         lines.add("");
         lines.addAll(timeLine(story));
@@ -56,11 +84,24 @@
         if (tally.outcome() == ScanTally.Outcome.OPEN) {
             return "it has no end in this file";
         }
-        return tally.outcome().words() + " after " + ms(tally.tookMs())
-                + (tally.inTargetTime() ? ", in its target time" : tally.outcome() == ScanTally.Outcome.WHOLE
-                || tally.outcome() == ScanTally.Outcome.PART ? ", past its target time" : "")
-                + ", because " + tally.reason().words() + "; " + tally.dispatches() + " dispatches, "
-                + tally.furtherTries() + " further tries, " + tally.copies() + " second copies";
+        return tally.outcome().words()
+                + " after "
+                + ms(tally.tookMs())
+                + (tally.inTargetTime()
+                        ? ", in its target time"
+                        : tally.outcome() == ScanTally.Outcome.WHOLE
+                                        || tally.outcome() == ScanTally.Outcome.PART
+                                ? ", past its target time"
+                                : "")
+                + ", because "
+                + tally.reason().words()
+                + "; "
+                + tally.dispatches()
+                + " dispatches, "
+                + tally.furtherTries()
+                + " further tries, "
+                + tally.copies()
+                + " second copies";
     }
 
     private static String repeat(TableType type) {
@@ -77,27 +118,58 @@
         if (event instanceof Event.ScanTaken) {
             return "taken";
         } else if (event instanceof Event.PartTaken part) {
-            return "part " + part.id() + " for segment " + part.segment() + ", " + percent(part.weight())
+            return "part "
+                    + part.id()
+                    + " for segment "
+                    + part.segment()
+                    + ", "
+                    + percent(part.weight())
                     + " of the answer";
         } else if (event instanceof Event.DispatchEnded ended) {
-            return "part " + ended.partId() + ", dispatch " + ended.number() + ": " + words(ended.ending())
-                    + " after " + ms(ended.tookMs());
+            return "part "
+                    + ended.partId()
+                    + ", dispatch "
+                    + ended.number()
+                    + ": "
+                    + words(ended.ending())
+                    + " after "
+                    + ms(ended.tookMs());
         } else if (event instanceof Event.ClientLeft) {
             return "its client left";
         } else if (action instanceof Action.Dispatch dispatch) {
-            String passed = dispatch.passedOver().stream().map(Storyteller::words)
-                    .collect(Collectors.joining("; "));
-            return "part " + dispatch.partId() + " goes to " + dispatch.server() + ", waited for "
-                    + ms(dispatch.timeoutMs()) + ", because of: " + dispatch.reason().words() + "; position "
-                    + dispatch.position() + (passed.isEmpty() ? "" : "; passed over " + passed);
+            String passed =
+                    dispatch.passedOver().stream()
+                            .map(Storyteller::words)
+                            .collect(Collectors.joining("; "));
+            return "part "
+                    + dispatch.partId()
+                    + " goes to "
+                    + dispatch.server()
+                    + ", waited for "
+                    + ms(dispatch.timeoutMs())
+                    + ", because of: "
+                    + dispatch.reason().words()
+                    + "; position "
+                    + dispatch.position()
+                    + (passed.isEmpty() ? "" : "; passed over " + passed);
         } else if (action instanceof Action.Cancel cancel) {
-            return "part " + cancel.partId() + ", dispatch " + cancel.number() + " is called off, because "
+            return "part "
+                    + cancel.partId()
+                    + ", dispatch "
+                    + cancel.number()
+                    + " is called off, because "
                     + cancel.reason().words();
         } else if (action instanceof Action.Answer answer) {
-            return "answered " + (answer.whole() ? "whole" : "in part") + ", because " + answer.reason().words();
+            return "answered "
+                    + (answer.whole() ? "whole" : "in part")
+                    + ", because "
+                    + answer.reason().words();
         } else if (action instanceof Action.Throttle throttle) {
-            return "throttled, because " + throttle.reason().words() + (throttle.comeBackMs() > 0
-                    ? "; come back in " + ms(throttle.comeBackMs()) : "");
+            return "throttled, because "
+                    + throttle.reason().words()
+                    + (throttle.comeBackMs() > 0
+                            ? "; come back in " + ms(throttle.comeBackMs())
+                            : "");
         } else if (action instanceof Action.Abandon abandon) {
             return "abandoned, because " + abandon.reason().words();
         }
@@ -161,11 +233,21 @@
             }
             int width = label.values().stream().mapToInt(String::length).max().orElse(0);
             var lines = new ArrayList<String>();
-            bars.forEach((key, bar) -> lines.add("  " + String.format("%-" + (width + 1) + "s", label.get(key)) + bar));
+            bars.forEach(
+                    (key, bar) ->
+                            lines.add(
+                                    "  "
+                                            + String.format(
+                                                    "%-" + (width + 1) + "s", label.get(key))
+                                            + bar));
             if (!lines.isEmpty()) {
-                lines.add("  " + " ".repeat(width + 1) + "0 ms" + " ".repeat(LINE_WIDTH - 12)
-                        + String.format(Locale.ROOT, "%8.0f ms", span)
-                        + "   + completed, x failed, o never ran, c called off, t timed out, > out");
+                lines.add(
+                        "  "
+                                + " ".repeat(width + 1)
+                                + "0 ms"
+                                + " ".repeat(LINE_WIDTH - 12)
+                                + String.format(Locale.ROOT, "%8.0f ms", span)
+                                + "   + completed, x failed, o never ran, c called off, t timed out, > out");
             }
             return lines;
         }
@@ -196,5 +278,4 @@
     private static String percent(double share) {
         return String.format(Locale.ROOT, "%.0f%%", 100 * share);
     }
-
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/story/Times.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/story/Times.java
@@ -6,10 +6,12 @@
 
 /** Times as people write them. */
 public final class Times {
-    private Times() {
-    }
+    private Times() {}
 
-    /** Unix milliseconds as ISO 8601 in UTC; a number that is no time of the last or next 9,999 years as itself. */
+    /**
+     * Unix milliseconds as ISO 8601 in UTC; a number that is no time of the last or next 9,999
+     * years as itself.
+     */
     public static String iso(double unixMs) {
         if (Double.isNaN(unixMs) || Math.abs(unixMs) > 2e14) {
             return Double.toString(unixMs);
@@ -23,11 +25,17 @@
             if (text.matches("-?[0-9]+(\\.[0-9]+)?")) {
                 return Double.parseDouble(text);
             }
-            return Instant.parse(text.endsWith("Z") || text.matches(".*[+-][0-9]{2}:[0-9]{2}$") ? text : text + "Z")
+            return Instant.parse(
+                            text.endsWith("Z") || text.matches(".*[+-][0-9]{2}:[0-9]{2}$")
+                                    ? text
+                                    : text + "Z")
                     .toEpochMilli();
         } catch (DateTimeException e) {
-            throw new IllegalArgumentException("'" + text
-                    + "' is no time: 2026-01-31T09:30:00Z or Unix milliseconds was expected", e);
+            throw new IllegalArgumentException(
+                    "'"
+                            + text
+                            + "' is no time: 2026-01-31T09:30:00Z or Unix milliseconds was expected",
+                    e);
         }
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ScanGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ScanGroup.java
@@ -9,6 +9,7 @@
 public final class ScanGroup {
     /** Two digits: a time is told to within a hundredth. */
     private final Histogram took = new Histogram(2);
+
     private final Map<ScanTally.Outcome, Long> outcomes = new EnumMap<>(ScanTally.Outcome.class);
     private long scans;
     private long inTargetTime;
@@ -26,7 +27,9 @@
         furtherTries += tally.furtherTries();
         copies += tally.copies();
         var type = tally.scan().taken().type();
-        boolean completed = tally.outcome() == ScanTally.Outcome.WHOLE || tally.outcome() == ScanTally.Outcome.PART;
+        boolean completed =
+                tally.outcome() == ScanTally.Outcome.WHOLE
+                        || tally.outcome() == ScanTally.Outcome.PART;
         benefitAsked += type.benefit();
         benefit += !completed ? 0 : type.benefit() * (tally.inTargetTime() ? 1 : type.lateShare());
         if (completed) {
@@ -58,13 +61,21 @@
         return copies;
     }
 
-    /** The benefit earned over the benefit asked for, from 0 to 1; answers in part count as whole ones. */
+    /**
+     * The benefit earned over the benefit asked for, from 0 to 1; answers in part count as whole
+     * ones.
+     */
     public double service() {
         return benefitAsked == 0 ? 1 : benefit / benefitAsked;
     }
 
-    /** A percentile, from 0 to 100, of the times of completed scans, in milliseconds; NaN where there are none. */
+    /**
+     * A percentile, from 0 to 100, of the times of completed scans, in milliseconds; NaN where
+     * there are none.
+     */
     public double percentileMs(double percentile) {
-        return took.getTotalCount() == 0 ? Double.NaN : took.getValueAtPercentile(percentile) / 1000.0;
+        return took.getTotalCount() == 0
+                ? Double.NaN
+                : took.getValueAtPercentile(percentile) / 1000.0;
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
@@ -43,6 +43,8 @@
 
     /** A percentile of the times of completed parts, in milliseconds; NaN where there are none. */
     public double percentileMs(double percentile) {
-        return took.getTotalCount() == 0 ? Double.NaN : took.getValueAtPercentile(percentile) / 1000.0;
+        return took.getTotalCount() == 0
+                ? Double.NaN
+                : took.getValueAtPercentile(percentile) / 1000.0;
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
@@ -35,7 +35,9 @@
         this.summary = summary;
     }
 
-    /** @param title what it is a summary of */
+    /**
+     * @param title what it is a summary of
+     */
     public static String html(TraceSummary summary, String title) {
         var page = new SummaryPage(summary);
         page.write(title);
@@ -43,14 +45,28 @@
     }
 
     private void write(String title) {
-        html.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>").append(escape(title))
-                .append("</title>\n<style>body{font-family:sans-serif;max-width:960px;margin:2em auto}table{border-coll"
-                        + "apse:collapse;margin:1em 0}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid "
-                        + "#ddd}td:first-child,th:first-child{text-align:left}</style></head><body>\n<h1>")
-                .append(escape(title)).append("</h1>\n");
-        html.append("<p>").append(summary.all().scans()).append(" scans, ").append(summary.records())
-                .append(" events and actions").append(summary.gaps() == 0 ? "" : "; " + summary.notRecorded()
-                + " calls not recorded in " + summary.gaps() + " gaps").append(".</p>\n");
+        html.append("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
+                .append(escape(title))
+                .append(
+                        "</title>\n<style>body{font-family:sans-serif;max-width:960px;margin:2em auto}table{border-coll"
+                                + "apse:collapse;margin:1em 0}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid "
+                                + "#ddd}td:first-child,th:first-child{text-align:left}</style></head><body>\n<h1>")
+                .append(escape(title))
+                .append("</h1>\n");
+        html.append("<p>")
+                .append(summary.all().scans())
+                .append(" scans, ")
+                .append(summary.records())
+                .append(" events and actions")
+                .append(
+                        summary.gaps() == 0
+                                ? ""
+                                : "; "
+                                        + summary.notRecorded()
+                                        + " calls not recorded in "
+                                        + summary.gaps()
+                                        + " gaps")
+                .append(".</p>\n");
         chart(overTime());
         chart(percentiles());
         html.append("<h2>Table types</h2>\n");
@@ -59,38 +75,70 @@
         scans(summary.byCustomer());
         html.append("<h2>Gatherers</h2>\n");
         scans(summary.byGatherer());
-        html.append("<h2>How scans ended, and why</h2>\n<table><tr><th>outcome</th><th>reason</th><th>scans</th></tr>\n");
-        summary.outcomes().forEach((how, why) -> why.forEach((reason, count) ->
-                row(how.words(), reason.words(), count)));
+        html.append(
+                "<h2>How scans ended, and why</h2>\n<table><tr><th>outcome</th><th>reason</th><th>scans</th></tr>\n");
+        summary.outcomes()
+                .forEach(
+                        (how, why) ->
+                                why.forEach(
+                                        (reason, count) ->
+                                                row(how.words(), reason.words(), count)));
         html.append("</table>\n");
         chart(reasons());
         html.append("<h2>Shard servers</h2>\n<table><tr><th>server</th><th>dispatches</th>");
         for (Ending ending : Ending.values()) {
-            html.append("<th>").append(ending.name().toLowerCase(Locale.ROOT).replace('_', ' ')).append("</th>");
+            html.append("<th>")
+                    .append(ending.name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .append("</th>");
         }
         html.append("<th>p50 ms</th><th>p99 ms</th><th>passed over</th></tr>\n");
-        summary.byServer().forEach((name, group) -> {
-            html.append("<tr><td>").append(escape(name)).append("</td><td>").append(group.dispatches())
-                    .append("</td>");
-            for (Ending ending : Ending.values()) {
-                html.append("<td>").append(group.of(ending)).append("</td>");
-            }
-            long passed = group.passedOver().values().stream().mapToLong(count -> count).sum();
-            html.append("<td>").append(number(group.percentileMs(50))).append("</td><td>")
-                    .append(number(group.percentileMs(99))).append("</td><td>").append(passed).append("</td></tr>\n");
-        });
+        summary.byServer()
+                .forEach(
+                        (name, group) -> {
+                            html.append("<tr><td>")
+                                    .append(escape(name))
+                                    .append("</td><td>")
+                                    .append(group.dispatches())
+                                    .append("</td>");
+                            for (Ending ending : Ending.values()) {
+                                html.append("<td>").append(group.of(ending)).append("</td>");
+                            }
+                            long passed =
+                                    group.passedOver().values().stream()
+                                            .mapToLong(count -> count)
+                                            .sum();
+                            html.append("<td>")
+                                    .append(number(group.percentileMs(50)))
+                                    .append("</td><td>")
+                                    .append(number(group.percentileMs(99)))
+                                    .append("</td><td>")
+                                    .append(passed)
+                                    .append("</td></tr>\n");
+                        });
         html.append("</table>\n</body></html>\n");
     }
 
     private void scans(Map<String, ScanGroup> groups) {
-        html.append("<table><tr><th></th><th>scans</th><th>whole</th><th>in part</th><th>throttled</th><th>abandoned"
-                + "</th><th>client left</th><th>in target time</th><th>service</th><th>dispatches</th><th>copies</th>"
-                + "<th>p50 ms</th><th>p99 ms</th></tr>\n");
-        groups.forEach((name, group) -> row(name, group.scans(), group.of(ScanTally.Outcome.WHOLE),
-                group.of(ScanTally.Outcome.PART), group.of(ScanTally.Outcome.THROTTLED),
-                group.of(ScanTally.Outcome.ABANDONED), group.of(ScanTally.Outcome.CLIENT_LEFT),
-                group.inTargetTime(), String.format(Locale.ROOT, "%.3f", group.service()), group.dispatches(),
-                group.copies(), number(group.percentileMs(50)), number(group.percentileMs(99))));
+        html.append(
+                "<table><tr><th></th><th>scans</th><th>whole</th><th>in part</th><th>throttled</th><th>abandoned"
+                        + "</th><th>client left</th><th>in target time</th><th>service</th><th>dispatches</th><th>copies</th>"
+                        + "<th>p50 ms</th><th>p99 ms</th></tr>\n");
+        groups.forEach(
+                (name, group) ->
+                        row(
+                                name,
+                                group.scans(),
+                                group.of(ScanTally.Outcome.WHOLE),
+                                group.of(ScanTally.Outcome.PART),
+                                group.of(ScanTally.Outcome.THROTTLED),
+                                group.of(ScanTally.Outcome.ABANDONED),
+                                group.of(ScanTally.Outcome.CLIENT_LEFT),
+                                group.inTargetTime(),
+                                String.format(Locale.ROOT, "%.3f", group.service()),
+                                group.dispatches(),
+                                group.copies(),
+                                number(group.percentileMs(50)),
+                                number(group.percentileMs(99))));
         html.append("</table>\n");
     }
 
@@ -108,13 +156,17 @@
         var throttled = new TimeSeries("throttled");
         var abandoned = new TimeSeries("abandoned");
         double perSecond = 1000 / summary.stretchMs();
-        summary.stretches().forEach((at, counts) -> {
-            var moment = new FixedMillisecond(new Date((long) (at * summary.stretchMs())));
-            asked.add(moment, counts[0] * perSecond);
-            inTime.add(moment, counts[1] * perSecond);
-            throttled.add(moment, counts[2] * perSecond);
-            abandoned.add(moment, counts[3] * perSecond);
-        });
+        summary.stretches()
+                .forEach(
+                        (at, counts) -> {
+                            var moment =
+                                    new FixedMillisecond(
+                                            new Date((long) (at * summary.stretchMs())));
+                            asked.add(moment, counts[0] * perSecond);
+                            inTime.add(moment, counts[1] * perSecond);
+                            throttled.add(moment, counts[2] * perSecond);
+                            abandoned.add(moment, counts[3] * perSecond);
+                        });
         var data = new TimeSeriesCollection();
         data.addSeries(asked);
         data.addSeries(inTime);
@@ -125,28 +177,50 @@
 
     private JFreeChart percentiles() {
         var data = new XYSeriesCollection();
-        summary.byType().forEach((name, group) -> {
-            var series = new XYSeries(name);
-            for (double percentile : PERCENTILES) {
-                if (!Double.isNaN(group.percentileMs(percentile))) {
-                    // One more nine, one step further.
-                    series.add(-Math.log10(1 - percentile / 100), group.percentileMs(percentile));
-                }
-            }
-            data.addSeries(series);
-        });
-        return ChartFactory.createXYLineChart("Times of completed scans", "nines: 1 is 90%, 2 is 99%", "ms", data);
+        summary.byType()
+                .forEach(
+                        (name, group) -> {
+                            var series = new XYSeries(name);
+                            for (double percentile : PERCENTILES) {
+                                if (!Double.isNaN(group.percentileMs(percentile))) {
+                                    // One more nine, one step further.
+                                    series.add(
+                                            -Math.log10(1 - percentile / 100),
+                                            group.percentileMs(percentile));
+                                }
+                            }
+                            data.addSeries(series);
+                        });
+        return ChartFactory.createXYLineChart(
+                "Times of completed scans", "nines: 1 is 90%, 2 is 99%", "ms", data);
     }
 
     private JFreeChart reasons() {
         var data = new DefaultCategoryDataset();
-        for (Reason reason : new Reason[] {Reason.FIRST_ROUND, Reason.LATER_ROUND, Reason.EMPTY_ROUND, Reason.WAITED,
-            Reason.FURTHER_TRY, Reason.NEVER_RAN, Reason.SECOND_COPY}) {
-            data.addValue(summary.reasons().getOrDefault(reason, 0L), "dispatches",
+        for (Reason reason :
+                new Reason[] {
+                    Reason.FIRST_ROUND,
+                    Reason.LATER_ROUND,
+                    Reason.EMPTY_ROUND,
+                    Reason.WAITED,
+                    Reason.FURTHER_TRY,
+                    Reason.NEVER_RAN,
+                    Reason.SECOND_COPY
+                }) {
+            data.addValue(
+                    summary.reasons().getOrDefault(reason, 0L),
+                    "dispatches",
                     reason.name().toLowerCase(Locale.ROOT).replace('_', ' '));
         }
-        return ChartFactory.createBarChart("Why parts went out", null, "dispatches", data,
-                PlotOrientation.HORIZONTAL, false, false, false);
+        return ChartFactory.createBarChart(
+                "Why parts went out",
+                null,
+                "dispatches",
+                data,
+                PlotOrientation.HORIZONTAL,
+                false,
+                false,
+                false);
     }
 
     private void chart(JFreeChart chart) {
@@ -169,7 +243,10 @@
 
     /** Names come from clients: they must not become markup. */
     static String escape(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;")
+        return text.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;")
                 .replace("'", "&#39;");
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -20,9 +20,14 @@
 
 /** Figures of one or several traces, by table type, customer, shard server, reason and time. */
 public final class TraceSummary {
-    /** Beyond so many customers or servers, new ones are counted together: a histogram takes some kilobytes. */
+    /**
+     * Beyond so many customers or servers, new ones are counted together: a histogram takes some
+     * kilobytes.
+     */
     private static final int MOST_NAMES = 500;
+
     private static final String OTHERS = "(others)";
+
     /** Stretches of time on a chart; when there are more, two become one. */
     private static final int MOST_STRETCHES = 240;
 
@@ -32,7 +37,8 @@
     private final Map<String, ScanGroup> byGatherer = new TreeMap<>();
     private final Map<String, ServerGroup> byServer = new TreeMap<>();
     private final Map<Reason, Long> reasons = new EnumMap<>(Reason.class);
-    private final Map<ScanTally.Outcome, Map<Reason, Long>> outcomes = new EnumMap<>(ScanTally.Outcome.class);
+    private final Map<ScanTally.Outcome, Map<Reason, Long>> outcomes =
+            new EnumMap<>(ScanTally.Outcome.class);
     private TreeMap<Long, long[]> stretches = new TreeMap<>();
     private double stretchMs = 1000;
     private long gaps;
@@ -70,8 +76,11 @@
         }
         if (item.action() instanceof Action.Dispatch dispatch) {
             of(byServer, dispatch.server(), ServerGroup::new).dispatched();
-            dispatch.passedOver().forEach(passed ->
-                    of(byServer, passed.server(), ServerGroup::new).passedOver(passed.cause()));
+            dispatch.passedOver()
+                    .forEach(
+                            passed ->
+                                    of(byServer, passed.server(), ServerGroup::new)
+                                            .passedOver(passed.cause()));
         } else if (item.event() instanceof Event.DispatchEnded ended && server != null) {
             of(byServer, server, ServerGroup::new).ended(ended.ending(), ended.tookMs());
         }
@@ -80,13 +89,19 @@
     private void add(ScanTally tally, TraceReader reader) {
         var source = reader.head().sources().get(tally.scan().source());
         all.add(tally);
-        byType.computeIfAbsent(tally.scan().taken().type().name(), name -> new ScanGroup()).add(tally);
+        byType.computeIfAbsent(tally.scan().taken().type().name(), name -> new ScanGroup())
+                .add(tally);
         of(byCustomer, tally.customer(), ScanGroup::new).add(tally);
         of(byGatherer, source.gatherer(), ScanGroup::new).add(tally);
         outcomes.computeIfAbsent(tally.outcome(), how -> new EnumMap<>(Reason.class))
                 .merge(tally.reason(), 1L, Long::sum);
-        long[] counts = stretches.computeIfAbsent(
-                (long) Math.floor(source.clock().corrected(tally.scan().takenMs()) / stretchMs), at -> new long[4]);
+        long[] counts =
+                stretches.computeIfAbsent(
+                        (long)
+                                Math.floor(
+                                        source.clock().corrected(tally.scan().takenMs())
+                                                / stretchMs),
+                        at -> new long[4]);
         counts[0]++;
         counts[1] += tally.inTargetTime() ? 1 : 0;
         counts[2] += tally.outcome() == ScanTally.Outcome.THROTTLED ? 1 : 0;
@@ -94,12 +109,14 @@
         while (stretches.size() > MOST_STRETCHES) {
             stretchMs *= 2;
             var wider = new TreeMap<Long, long[]>();
-            stretches.forEach((at, of) -> {
-                long[] sum = wider.computeIfAbsent(Math.floorDiv(at, 2L), none -> new long[4]);
-                for (int i = 0; i < sum.length; i++) {
-                    sum[i] += of[i];
-                }
-            });
+            stretches.forEach(
+                    (at, of) -> {
+                        long[] sum =
+                                wider.computeIfAbsent(Math.floorDiv(at, 2L), none -> new long[4]);
+                        for (int i = 0; i < sum.length; i++) {
+                            sum[i] += of[i];
+                        }
+                    });
             stretches = wider;
         }
     }
@@ -109,7 +126,8 @@
         if (known != null) {
             return known;
         }
-        return groups.computeIfAbsent(groups.size() >= MOST_NAMES ? OTHERS : name, none -> fresh.get());
+        return groups.computeIfAbsent(
+                groups.size() >= MOST_NAMES ? OTHERS : name, none -> fresh.get());
     }
 
     public ScanGroup all() {
@@ -142,7 +160,10 @@
         return outcomes;
     }
 
-    /** By stretch of {@link #stretchMs}, numbered from 1970: scans, in target time, throttled, abandoned. */
+    /**
+     * By stretch of {@link #stretchMs}, numbered from 1970: scans, in target time, throttled,
+     * abandoned.
+     */
     public TreeMap<Long, long[]> stretches() {
         return stretches;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/DayPlan.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synth/DayPlan.java
@@ -9,16 +9,30 @@
  * @param skewS gatherers' clocks differ by up to so many seconds
  * @param driftPpm and run faster or slower by up to so many millionths
  * @param hours how long the day is
- * @param customers how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its own
+ * @param customers how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
+ *     own
  * @param troubles how many troubles befall shard servers
  */
-public record DayPlan(int scans, long seed, int gatherers, double skewS, double driftPpm, double hours,
-        int customers, int troubles) {
+public record DayPlan(
+        int scans,
+        long seed,
+        int gatherers,
+        double skewS,
+        double driftPpm,
+        double hours,
+        int customers,
+        int troubles) {
     public DayPlan {
-        if (scans < 0 || gatherers < 1 || !(hours > 0) || customers < 1 || troubles < 0 || !(skewS >= 0)
+        if (scans < 0
+                || gatherers < 1
+                || !(hours > 0)
+                || customers < 1
+                || troubles < 0
+                || !(skewS >= 0)
                 || !(driftPpm >= 0)) {
-            throw new IllegalArgumentException("a day needs scans from 0, gatherers and customers from 1, hours "
-                    + "above 0, and no skew, drift or troubles below 0");
+            throw new IllegalArgumentException(
+                    "a day needs scans from 0, gatherers and customers from 1, hours "
+                            + "above 0, and no skew, drift or troubles below 0");
         }
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
@@ -45,22 +45,32 @@
 public final class SyntheticDay {
     /** Midnight of 2026-01-01 UTC: a day of no particular meaning. */
     public static final double BEGIN_MS = 1_767_225_600_000.0;
+
     private static final int CELLS = 6;
     private static final int HOLDERS = 3;
     private static final int SEGMENTS = 48;
     private static final int CORES = 4;
+
     /** Of one part at a server of usual speed: its median, and the spread of its logarithm. */
     private static final double WORK_MS = 40;
+
     private static final double WORK_SPREAD = 0.7;
+
     /** A server turns away what would wait longer. */
     private static final double MOST_WAIT_MS = 1500;
+
     /** The busiest hour has four times the scans of the quietest. */
     private static final double WAVE = 0.6;
-    private static final List<TableType> TYPES = List.of(
-            new TableType("offers", TableType.Repeat.REPLAYABLE, 1200, 2, 0.3, 0, 0.75, 0.75, 0),
-            new TableType("receipts", TableType.Repeat.REPLAYABLE, 800, 1, 0.1, 0, 1, 0.5, 0),
-            new TableType("orders", TableType.Repeat.KEYED, 800, 1, 0.3, 3000, 1, 1, 0),
-            new TableType("stamps", TableType.Repeat.NON_REPLAYABLE, 800, 1, 0.3, 0, 1, 1, 0));
+
+    private static final List<TableType> TYPES =
+            List.of(
+                    new TableType(
+                            "offers", TableType.Repeat.REPLAYABLE, 1200, 2, 0.3, 0, 0.75, 0.75, 0),
+                    new TableType(
+                            "receipts", TableType.Repeat.REPLAYABLE, 800, 1, 0.1, 0, 1, 0.5, 0),
+                    new TableType("orders", TableType.Repeat.KEYED, 800, 1, 0.3, 3000, 1, 1, 0),
+                    new TableType(
+                            "stamps", TableType.Repeat.NON_REPLAYABLE, 800, 1, 0.3, 0, 1, 1, 0));
     private static final double[] TYPE_SHARES = {0.4, 0.35, 0.15, 0.1};
 
     private final DayPlan plan;
@@ -81,8 +91,7 @@
     private int begun;
     private IOException failed;
 
-    private record Due(double at, long turn, Runnable task) {
-    }
+    private record Due(double at, long turn, Runnable task) {}
 
     /** Takes the entries of one gatherer, in order. */
     public interface Sink {
@@ -108,7 +117,14 @@
             skew = number == 0 ? 0 : 1000 * plan.skewS() * (2 * chance.nextDouble() - 1);
             drift = number == 0 ? 0 : 1e-6 * plan.driftPpm() * (2 * chance.nextDouble() - 1);
             long seed = chance.nextLong();
-            source = new Source("g" + number, "synthetic", seed, own(BEGIN_MS), facts, ClockFit.REFERENCE);
+            source =
+                    new Source(
+                            "g" + number,
+                            "synthetic",
+                            seed,
+                            own(BEGIN_MS),
+                            facts,
+                            ClockFit.REFERENCE);
             module = factory.start(seed, facts);
             picker = new Picker(this, facts);
         }
@@ -133,8 +149,7 @@
         }
     }
 
-    private record Client(TableType type, int customer, double patience, int tries) {
-    }
+    private record Client(TableType type, int customer, double patience, int tries) {}
 
     private static final class Server {
         final String name;
@@ -174,24 +189,38 @@
         }
 
         void end(double afterMs, Supplier<Outcome> outcome) {
-            at(now + afterMs, () -> {
-                if (!over) {
-                    over = true;
-                    server.out.remove(this);
-                    seat.out.remove(dispatch);
-                    call(seat, () -> seat.picker.report(seat.own(now),
-                            List.of(new Report.DispatchEnded(dispatch, outcome.get()))));
-                }
-            });
+            at(
+                    now + afterMs,
+                    () -> {
+                        if (!over) {
+                            over = true;
+                            server.out.remove(this);
+                            seat.out.remove(dispatch);
+                            call(
+                                    seat,
+                                    () ->
+                                            seat.picker.report(
+                                                    seat.own(now),
+                                                    List.of(
+                                                            new Report.DispatchEnded(
+                                                                    dispatch, outcome.get()))));
+                        }
+                    });
         }
     }
 
-    /** @param factory starts the module that decides */
+    /**
+     * @param factory starts the module that decides
+     */
     public SyntheticDay(DayPlan plan, Gatherer.Factory factory) {
         this.plan = plan;
         this.length = plan.hours() * 3_600_000;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
-        this.work = LogNormalSampler.of(ZigguratSampler.NormalizedGaussian.of(chance), Math.log(WORK_MS), WORK_SPREAD);
+        this.work =
+                LogNormalSampler.of(
+                        ZigguratSampler.NormalizedGaussian.of(chance),
+                        Math.log(WORK_MS),
+                        WORK_SPREAD);
         this.exponential = ZigguratSampler.Exponential.of(chance);
         this.whichCustomer = RejectionInversionZipfSampler.of(chance, plan.customers(), 0.8);
         this.phases = new double[plan.customers()];
@@ -199,15 +228,28 @@
         double perSecond = plan.scans() / (length / 1000);
         for (int i = 0; i < phases.length; i++) {
             phases[i] = chance.nextDouble();
-            customers.add(new Customer(String.format(Locale.ROOT, "customer-%03d", i), 2 * perSecond / (i + 1)));
+            customers.add(
+                    new Customer(
+                            String.format(Locale.ROOT, "customer-%03d", i),
+                            2 * perSecond / (i + 1)));
         }
-        facts = new Deployment(plan.gatherers(), "a", 5, 0.2, TYPES, customers,
-                new Deployment.Layout(CELLS, 1, 1), new Deployment.Limits(4, 2000, true, true, 1000),
-                new Deployment.ColdRule(0.2, 15_000, 4, 1000), Deployment.DispatchBudget.NONE,
-                new Deployment.ListAccess(false, 10_000));
+        facts =
+                new Deployment(
+                        plan.gatherers(),
+                        "a",
+                        5,
+                        0.2,
+                        TYPES,
+                        customers,
+                        new Deployment.Layout(CELLS, 1, 1),
+                        new Deployment.Limits(4, 2000, true, true, 1000),
+                        new Deployment.ColdRule(0.2, 15_000, 4, 1000),
+                        Deployment.DispatchBudget.NONE,
+                        new Deployment.ListAccess(false, 10_000));
         for (int cell = 0; cell < CELLS; cell++) {
             for (int i = 0; i < HOLDERS; i++) {
-                var server = new Server("s-" + cell + "-" + i, cell, "ab".substring(i % 2, i % 2 + 1));
+                var server =
+                        new Server("s-" + cell + "-" + i, cell, "ab".substring(i % 2, i % 2 + 1));
                 servers.add(server);
                 serversByName.put(server.name, server);
             }
@@ -237,7 +279,11 @@
         for (Seat seat : seats) {
             seat.sink = sinks.get(seat.number);
             List<ServerNews> all = servers.stream().map(Server::news).toList();
-            call(seat, () -> seat.picker.report(seat.own(now), List.of(new Report.ListCame(true, all))));
+            call(
+                    seat,
+                    () ->
+                            seat.picker.report(
+                                    seat.own(now), List.of(new Report.ListCame(true, all))));
         }
         for (int i = 0; i < plan.troubles(); i++) {
             at(BEGIN_MS + length * (i + chance.nextDouble()) / plan.troubles(), this::trouble);
@@ -268,21 +314,25 @@
         }
         // Thinned from the rate of the busiest hour, which is the mean's 1 + WAVE times.
         double gap = exponential.sample() * length / Math.max(1, plan.scans()) / (1 + WAVE);
-        at(now + gap, () -> {
-            double hour = (now - BEGIN_MS) / length;
-            double wave = 1 + WAVE * Math.sin(2 * Math.PI * (hour - 0.25));
-            if (chance.nextDouble() * (1 + WAVE) < wave) {
-                begun++;
-                ask(client(hour), seats.get(chance.nextInt(seats.size())));
-            }
-            arrival();
-        });
+        at(
+                now + gap,
+                () -> {
+                    double hour = (now - BEGIN_MS) / length;
+                    double wave = 1 + WAVE * Math.sin(2 * Math.PI * (hour - 0.25));
+                    if (chance.nextDouble() * (1 + WAVE) < wave) {
+                        begun++;
+                        ask(client(hour), seats.get(chance.nextInt(seats.size())));
+                    }
+                    arrival();
+                });
     }
 
     private Client client(double hour) {
         int customer = whichCustomer.sample() - 1;
-        // Each customer has hours of its own: outside of them another of the same share asks as a rule.
-        if (Math.abs(Math.IEEEremainder(hour - phases[customer], 1)) > 0.3 && chance.nextDouble() < 0.8) {
+        // Each customer has hours of its own: outside of them another of the same share asks as a
+        // rule.
+        if (Math.abs(Math.IEEEremainder(hour - phases[customer], 1)) > 0.3
+                && chance.nextDouble() < 0.8) {
             customer = whichCustomer.sample() - 1;
         }
         double which = chance.nextDouble();
@@ -290,8 +340,10 @@
         while (type < TYPES.size() - 1 && which >= TYPE_SHARES[type]) {
             which -= TYPE_SHARES[type++];
         }
-        double patience = chance.nextInt(12) == 0 ? 150 + 400 * chance.nextDouble()
-                : 2000 + 2000 * chance.nextDouble();
+        double patience =
+                chance.nextInt(12) == 0
+                        ? 150 + 400 * chance.nextDouble()
+                        : 2000 + 2000 * chance.nextDouble();
         return new Client(TYPES.get(type), customer, Math.rint(patience), 0);
     }
 
@@ -302,15 +354,28 @@
         for (int i = 0; i < count; i++) {
             parts.add(new Scan.Part((first + i) % SEGMENTS, 1.0 / count));
         }
-        var scan = new Scan(String.format(Locale.ROOT, "%016x", chance.nextLong()), client.type.name(),
-                facts.customers().get(client.customer).name(), client.patience, parts, new byte[0]);
+        var scan =
+                new Scan(
+                        String.format(Locale.ROOT, "%016x", chance.nextLong()),
+                        client.type.name(),
+                        facts.customers().get(client.customer).name(),
+                        client.patience,
+                        parts,
+                        new byte[0]);
         seat.clients.put(scan, client);
         if (chance.nextInt(50) == 0) {
-            at(now + client.patience * chance.nextDouble(), () -> {
-                if (seat.clients.remove(scan) != null) {
-                    call(seat, () -> seat.picker.report(seat.own(now), List.of(new Report.ClientLeft(scan))));
-                }
-            });
+            at(
+                    now + client.patience * chance.nextDouble(),
+                    () -> {
+                        if (seat.clients.remove(scan) != null) {
+                            call(
+                                    seat,
+                                    () ->
+                                            seat.picker.report(
+                                                    seat.own(now),
+                                                    List.of(new Report.ClientLeft(scan))));
+                        }
+                    });
         }
         call(seat, () -> seat.picker.pick(seat.own(now), scan));
     }
@@ -320,12 +385,19 @@
         if (client == null || reply.answer() instanceof Answer.Completed || client.tries >= 2) {
             return;
         }
-        boolean harmless = reply.answer() instanceof Answer.Throttled
-                || client.type.repeat() == TableType.Repeat.REPLAYABLE;
+        boolean harmless =
+                reply.answer() instanceof Answer.Throttled
+                        || client.type.repeat() == TableType.Repeat.REPLAYABLE;
         if (harmless) {
-            double wait = reply.answer() instanceof Answer.Throttled throttled ? throttled.comeBackMs() : 200;
-            Client again = new Client(client.type, client.customer, client.patience, client.tries + 1);
-            at(now + wait * (1 + chance.nextDouble()), () -> ask(again, seats.get(chance.nextInt(seats.size()))));
+            double wait =
+                    reply.answer() instanceof Answer.Throttled throttled
+                            ? throttled.comeBackMs()
+                            : 200;
+            Client again =
+                    new Client(client.type, client.customer, client.patience, client.tries + 1);
+            at(
+                    now + wait * (1 + chance.nextDouble()),
+                    () -> ask(again, seats.get(chance.nextInt(seats.size()))));
         }
     }
 
@@ -345,12 +417,14 @@
         if (next < Double.POSITIVE_INFINITY && next != seat.tickAt) {
             seat.tickAt = next;
             // A timer wakes late by up to a tick, never early.
-            at(Math.max(now, seat.toTrue(next)) + 0.01 + chance.nextDouble(), () -> {
-                if (seat.tickAt == next) {
-                    seat.tickAt = Double.POSITIVE_INFINITY;
-                    call(seat, () -> seat.picker.tick(Math.max(next, seat.own(now))));
-                }
-            });
+            at(
+                    Math.max(now, seat.toTrue(next)) + 0.01 + chance.nextDouble(),
+                    () -> {
+                        if (seat.tickAt == next) {
+                            seat.tickAt = Double.POSITIVE_INFINITY;
+                            call(seat, () -> seat.picker.tick(Math.max(next, seat.own(now))));
+                        }
+                    });
         } else if (next == Double.POSITIVE_INFINITY) {
             seat.tickAt = next;
         }
@@ -381,12 +455,15 @@
             return;
         }
         // Cold caches make a server that has just started take up to three times as long.
-        double cold = server.startedAt == 0 ? 1 : 1 + 2 * Math.exp(-(now - server.startedAt) / 5000);
+        double cold =
+                server.startedAt == 0 ? 1 : 1 + 2 * Math.exp(-(now - server.startedAt) / 5000);
         double takes = work.sample() * server.slowness * cold;
         server.freeAt[core] = starts + takes;
         boolean fails = chance.nextDouble() < server.faulty;
         double ends = starts + (fails ? Math.min(2, takes) : takes) + way;
-        out.end(ends - now, () -> fails ? new Outcome.Faulty(null) : new Outcome.Completed(new byte[0], null));
+        out.end(
+                ends - now,
+                () -> fails ? new Outcome.Faulty(null) : new Outcome.Completed(new byte[0], null));
     }
 
     private void trouble() {
@@ -398,7 +475,9 @@
         switch (chance.nextInt(5)) {
             case 0 -> {
                 die(server);
-                at(now + 2000 + 3000 * chance.nextDouble(), () -> tell(server, ServerNews.State.GONE));
+                at(
+                        now + 2000 + 3000 * chance.nextDouble(),
+                        () -> tell(server, ServerNews.State.GONE));
                 at(now + 5000 + lasts, () -> comeBack(server));
             }
             case 1 -> {
@@ -424,7 +503,8 @@
 
     private void die(Server server) {
         server.up = false;
-        List.copyOf(server.out).forEach(out -> out.end(0.5, () -> new Outcome.Lost(Progress.WRITTEN)));
+        List.copyOf(server.out)
+                .forEach(out -> out.end(0.5, () -> new Outcome.Lost(Progress.WRITTEN)));
     }
 
     private void comeBack(Server server) {
@@ -440,8 +520,17 @@
         server.state = state;
         ServerNews news = server.news();
         for (Seat seat : seats) {
-            at(now + 20 + 30 * exponential.sample(), () -> call(seat, () -> seat.picker.report(seat.own(now),
-                    List.of(new Report.ListCame(false, List.of(news))))));
+            at(
+                    now + 20 + 30 * exponential.sample(),
+                    () ->
+                            call(
+                                    seat,
+                                    () ->
+                                            seat.picker.report(
+                                                    seat.own(now),
+                                                    List.of(
+                                                            new Report.ListCame(
+                                                                    false, List.of(news))))));
         }
     }
 }
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -43,7 +43,8 @@
     public void playADay() throws IOException {
         folder = Days.folder();
         file = folder.resolve("day.trace");
-        TraceMerge.merge(Days.play(folder, new DayPlan(3000, 21, 2, 1, 10, 4, 12, 12)), file, count -> { });
+        TraceMerge.merge(
+                Days.play(folder, new DayPlan(3000, 21, 2, 1, 10, 4, 12, 12)), file, count -> {});
         try (TraceReader reader = TraceReader.open(file)) {
             head = reader.head();
             entries = Days.all(reader.all());
@@ -53,19 +54,24 @@
     private Path anonymise(String key, String name) throws IOException {
         Path to = folder.resolve(name + ".trace");
         try (TraceReader reader = TraceReader.open(file)) {
-            Anonymiser.anonymise(reader, key, to, count -> { });
+            Anonymiser.anonymise(reader, key, to, count -> {});
         }
         return to;
     }
 
-    /** What an onlooker sees of each name: scans by hour, by table type, and when it first and last asked. */
+    /**
+     * What an onlooker sees of each name: scans by hour, by table type, and when it first and last
+     * asked.
+     */
     private static Map<String, double[]> profiles(List<Entry> of) {
         Map<String, double[]> profiles = new TreeMap<>();
         double begin = of.stream().mapToDouble(Entry::nowMs).min().orElse(0);
         for (Entry entry : of) {
             for (Item item : entry instanceof Moment moment ? moment.items() : List.<Item>of()) {
                 if (item.event() instanceof Event.ScanTaken taken && taken.customer() != null) {
-                    double[] profile = profiles.computeIfAbsent(taken.customer().name(), name -> new double[28]);
+                    double[] profile =
+                            profiles.computeIfAbsent(
+                                    taken.customer().name(), name -> new double[28]);
                     profile[Math.min(23, (int) ((entry.nowMs() - begin) / 600_000))]++;
                     profile[24 + Math.abs(taken.type().name().hashCode()) % 4] += 1;
                 }
@@ -76,23 +82,29 @@
     }
 
     /**
-     * The attacker knows every customer's true counts and rhythm. It links each pseudonym to the customer whose
-     * profile lies nearest, best matches first, no customer twice; ties are broken by chance.
+     * The attacker knows every customer's true counts and rhythm. It links each pseudonym to the
+     * customer whose profile lies nearest, best matches first, no customer twice; ties are broken
+     * by chance.
      *
      * @return the share of pseudonyms linked rightly
      */
-    private static double attack(Map<String, double[]> known, Map<String, double[]> seen, Map<String, String> truth,
+    private static double attack(
+            Map<String, double[]> known,
+            Map<String, double[]> seen,
+            Map<String, String> truth,
             Random chance) {
-        record Pair(String pseudonym, String customer, double distance) {
-        }
+        record Pair(String pseudonym, String customer, double distance) {}
         var pairs = new ArrayList<Pair>();
-        seen.forEach((pseudonym, profile) -> known.forEach((customer, true_) -> {
-            double distance = 0;
-            for (int i = 0; i < profile.length; i++) {
-                distance += Math.pow(profile[i] - true_[i], 2);
-            }
-            pairs.add(new Pair(pseudonym, customer, distance));
-        }));
+        seen.forEach(
+                (pseudonym, profile) ->
+                        known.forEach(
+                                (customer, true_) -> {
+                                    double distance = 0;
+                                    for (int i = 0; i < profile.length; i++) {
+                                        distance += Math.pow(profile[i] - true_[i], 2);
+                                    }
+                                    pairs.add(new Pair(pseudonym, customer, distance));
+                                }));
         Collections.shuffle(pairs, chance);
         pairs.sort(java.util.Comparator.comparingDouble(Pair::distance));
         Map<String, String> linked = new HashMap<>();
@@ -102,7 +114,10 @@
                 linked.put(pair.pseudonym, pair.customer);
             }
         }
-        long right = linked.entrySet().stream().filter(link -> truth.get(link.getKey()).equals(link.getValue())).count();
+        long right =
+                linked.entrySet().stream()
+                        .filter(link -> truth.get(link.getKey()).equals(link.getValue()))
+                        .count();
         return (double) right / seen.size();
     }
 
@@ -112,10 +127,11 @@
         Map<String, double[]> known = profiles(entries);
         Map<String, double[]> renamed = new TreeMap<>();
         Map<String, String> truth = new HashMap<>();
-        known.forEach((customer, profile) -> {
-            renamed.put("p" + customer.hashCode(), profile);
-            truth.put("p" + customer.hashCode(), customer);
-        });
+        known.forEach(
+                (customer, profile) -> {
+                    renamed.put("p" + customer.hashCode(), profile);
+                    truth.put("p" + customer.hashCode(), customer);
+                });
         assertTrue(attack(known, renamed, truth, new Random(1)) >= 0.9);
     }
 
@@ -133,7 +149,8 @@
             Map<String, String> truth = truth(KEY + i, known.keySet());
             // The attacker even knows which customers are large enough to have a pseudonym.
             var large = new TreeMap<>(known);
-            large.keySet().retainAll(new HashSet<>(seen.keySet().stream().map(truth::get).toList()));
+            large.keySet()
+                    .retainAll(new HashSet<>(seen.keySet().stream().map(truth::get).toList()));
             sum += attack(large, seen, truth, new Random(i));
             chance += 1.0 / seen.size();
         }
@@ -148,7 +165,9 @@
         try {
             for (String customer : customers) {
                 var mac = javax.crypto.Mac.getInstance("HmacSHA256");
-                mac.init(new javax.crypto.spec.SecretKeySpec(key.getBytes(StandardCharsets.UTF_8), "HmacSHA256"));
+                mac.init(
+                        new javax.crypto.spec.SecretKeySpec(
+                                key.getBytes(StandardCharsets.UTF_8), "HmacSHA256"));
                 mac.update("customer\0".getBytes(StandardCharsets.UTF_8));
                 byte[] name = mac.doFinal(customer.getBytes(StandardCharsets.UTF_8));
                 truth.put("c-" + java.util.HexFormat.of().formatHex(name, 0, 8), customer);
@@ -164,16 +183,17 @@
         Map<String, double[]> seen = profiles(Days.read(anonymise(KEY, "alike")));
         double[] first = seen.values().iterator().next();
         Map<String, double[]> byHour = new TreeMap<>();
-        seen.forEach((name, profile) -> {
-            double[] hours = new double[4];
-            for (int i = 0; i < 24; i++) {
-                hours[Math.min(3, i / 6)] += profile[i];
-            }
-            byHour.put(name, hours);
-            for (int i = 24; i < 28; i++) {
-                assertEquals(profile[i], first[i], name);
-            }
-        });
+        seen.forEach(
+                (name, profile) -> {
+                    double[] hours = new double[4];
+                    for (int i = 0; i < 24; i++) {
+                        hours[Math.min(3, i / 6)] += profile[i];
+                    }
+                    byHour.put(name, hours);
+                    for (int i = 24; i < 28; i++) {
+                        assertEquals(profile[i], first[i], name);
+                    }
+                });
         double[] hours = byHour.values().iterator().next();
         byHour.forEach((name, of) -> assertEquals(of, hours, name));
     }
@@ -182,11 +202,15 @@
     public void nothingOfWhatNamesSomebodyIsLeft() throws IOException {
         Path to = anonymise(KEY, "clean");
         Set<String> names = new HashSet<>();
-        head.sources().forEach(source -> {
-            names.add(source.gatherer() + "\"");
-            names.add(Long.toString(source.seed()));
-            source.facts().customers().stream().map(Customer::name).forEach(names::add);
-        });
+        head.sources()
+                .forEach(
+                        source -> {
+                            names.add(source.gatherer() + "\"");
+                            names.add(Long.toString(source.seed()));
+                            source.facts().customers().stream()
+                                    .map(Customer::name)
+                                    .forEach(names::add);
+                        });
         for (Entry entry : entries) {
             for (Item item : ((Moment) entry).items()) {
                 if (item.event() instanceof Event.ScanTaken taken) {
@@ -196,7 +220,8 @@
                 }
             }
         }
-        var text = new StringBuilder(new String(Files.readAllBytes(to), StandardCharsets.ISO_8859_1));
+        var text =
+                new StringBuilder(new String(Files.readAllBytes(to), StandardCharsets.ISO_8859_1));
         Days.read(to).forEach(entry -> text.append(entry));
         String all = text.toString();
         for (String name : names) {
@@ -207,17 +232,19 @@
     @Test
     public void anonymisedFileVerifiesFindsAndSummarises() throws IOException {
         Path to = anonymise(KEY, "useful");
-        try (TraceReader reader = TraceReader.open(to); TraceReader original = TraceReader.open(file)) {
+        try (TraceReader reader = TraceReader.open(to);
+                TraceReader original = TraceReader.open(file)) {
             assertTrue(reader.verify().sound(), reader.verify().what());
             assertTrue(reader.head().anonymised() && !reader.head().lost().isEmpty());
             var after = new TraceSummary();
-            after.add(reader, count -> { });
+            after.add(reader, count -> {});
             var before = new TraceSummary();
-            before.add(original, count -> { });
+            before.add(original, count -> {});
             assertTrue(after.all().scans() > 0.9 * before.all().scans());
             assertEquals(after.all().service(), before.all().service(), 0.01);
             assertEquals(after.all().percentileMs(50), before.all().percentileMs(50), 6);
-            Event.ScanTaken first = (Event.ScanTaken) ((Moment) Days.read(to).get(0)).items().get(0).event();
+            Event.ScanTaken first =
+                    (Event.ScanTaken) ((Moment) Days.read(to).get(0)).items().get(0).event();
             assertFalse(Days.all(reader.ofScan(first.id())).isEmpty());
         }
     }
@@ -227,7 +254,8 @@
         byte[] once = Files.readAllBytes(anonymise(KEY, "once"));
         assertEquals(Files.readAllBytes(anonymise(KEY, "twice")), once);
         Set<String> one = profiles(Days.read(folder.resolve("once.trace"))).keySet();
-        Set<String> other = new HashSet<>(profiles(Days.read(anonymise(KEY + "!", "other"))).keySet());
+        Set<String> other =
+                new HashSet<>(profiles(Days.read(anonymise(KEY + "!", "other"))).keySet());
         other.retainAll(one);
         assertTrue(other.isEmpty(), other.toString());
         assertThrows(IllegalArgumentException.class, () -> anonymise("short", "none"));
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/Days.java
@@ -17,8 +17,7 @@
 
 /** Synthetic days in files of their own. */
 final class Days {
-    private Days() {
-    }
+    private Days() {}
 
     static Path folder() throws IOException {
         return Files.createTempDirectory("day");
@@ -38,7 +37,9 @@
             files.add(file);
             writers.add(new TraceWriter(TraceRepair.create(file), Head.of(source)));
         }
-        day.play(writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(), count -> { });
+        day.play(
+                writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
+                count -> {});
         for (TraceWriter writer : writers) {
             writer.close();
         }
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -48,7 +48,7 @@
 
     private Path merge(String name, List<Path> inputs) throws IOException {
         Path to = folder.resolve(name + ".trace");
-        TraceMerge.merge(inputs, to, count -> { });
+        TraceMerge.merge(inputs, to, count -> {});
         return to;
     }
 
@@ -57,8 +57,13 @@
         try (TraceReader reader = TraceReader.open(file)) {
             for (int i = 0; i < pieces; i++) {
                 Path piece = folder.resolve("piece-" + i + ".trace");
-                TraceCut.cut(reader, new Head.Window(from + (to - from) * i / pieces,
-                        from + (to - from) * (i + 1) / pieces), piece, count -> { });
+                TraceCut.cut(
+                        reader,
+                        new Head.Window(
+                                from + (to - from) * i / pieces,
+                                from + (to - from) * (i + 1) / pieces),
+                        piece,
+                        count -> {});
                 cut.add(piece);
             }
         }
@@ -78,16 +83,21 @@
         var turned = new ArrayList<>(files);
         Collections.reverse(turned);
         assertEquals(Files.readAllBytes(merge("turned", turned)), Files.readAllBytes(merged));
-        assertEquals(Files.readAllBytes(merge("twice", List.of(merged))), Files.readAllBytes(merged));
-        assertEquals(Files.readAllBytes(merge("again", List.of(files.get(1), merged, files.get(0)))),
+        assertEquals(
+                Files.readAllBytes(merge("twice", List.of(merged))), Files.readAllBytes(merged));
+        assertEquals(
+                Files.readAllBytes(merge("again", List.of(files.get(1), merged, files.get(0)))),
                 Files.readAllBytes(merged));
     }
 
     @Test
     public void eachSourcesOwnOrderIsKept() throws IOException {
         Map<Integer, List<Entry>> bySource = new HashMap<>();
-        Days.read(merged).forEach(entry -> bySource.computeIfAbsent(entry.source(), s -> new ArrayList<>())
-                .add(entry.withSource(0)));
+        Days.read(merged)
+                .forEach(
+                        entry ->
+                                bySource.computeIfAbsent(entry.source(), s -> new ArrayList<>())
+                                        .add(entry.withSource(0)));
         try (TraceReader reader = TraceReader.open(merged)) {
             for (int i = 0; i < 3; i++) {
                 String gatherer = reader.head().sources().get(i).gatherer();
@@ -113,8 +123,18 @@
                 }
             }
             try (TraceReader reader = TraceReader.open(pieces.get(0))) {
-                spanning += Days.all(reader.all()).stream().anyMatch(entry -> reader.head().sources()
-                        .get(entry.source()).clock().corrected(entry.nowMs()) > edge) ? 1 : 0;
+                spanning +=
+                        Days.all(reader.all()).stream()
+                                        .anyMatch(
+                                                entry ->
+                                                        reader.head()
+                                                                        .sources()
+                                                                        .get(entry.source())
+                                                                        .clock()
+                                                                        .corrected(entry.nowMs())
+                                                                > edge)
+                                ? 1
+                                : 0;
             }
         }
         assertEquals(spanning, 12);
@@ -125,10 +145,16 @@
         var edges = new ArrayList<Double>();
         try (TraceReader reader = TraceReader.open(merged)) {
             for (Entry entry : Days.all(reader.all())) {
-                boolean taken = entry instanceof Moment moment && moment.items().stream()
-                        .anyMatch(item -> item.event() instanceof Event.ScanTaken);
-                double at = reader.head().sources().get(entry.source()).clock().corrected(entry.nowMs()) + 2;
-                if (taken && edges.size() < 12 && (edges.isEmpty() || at > edges.get(edges.size() - 1) + 100_000)) {
+                boolean taken =
+                        entry instanceof Moment moment
+                                && moment.items().stream()
+                                        .anyMatch(item -> item.event() instanceof Event.ScanTaken);
+                double at =
+                        reader.head().sources().get(entry.source()).clock().corrected(entry.nowMs())
+                                + 2;
+                if (taken
+                        && edges.size() < 12
+                        && (edges.isEmpty() || at > edges.get(edges.size() - 1) + 100_000)) {
                     edges.add(at);
                 }
             }
@@ -144,7 +170,13 @@
                 for (Item item : moment.items()) {
                     BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
                     if (scan != null) {
-                        items.merge(scan.taken().id() + "#" + scan.taken().number() + "@" + scan.source(), 1,
+                        items.merge(
+                                scan.taken().id()
+                                        + "#"
+                                        + scan.taken().number()
+                                        + "@"
+                                        + scan.source(),
+                                1,
                                 Integer::sum);
                     }
                 }
@@ -158,16 +190,28 @@
         for (long seed = 1; seed <= 6; seed++) {
             var day = new SyntheticDay(Days.usual(50, seed), Brain::new);
             Path of = Days.folder();
-            List<Source> fitted = TraceMerge.merge(Days.play(of, Days.usual(50, seed)), of.resolve("m.trace"),
-                    count -> { }).sources();
+            List<Source> fitted =
+                    TraceMerge.merge(
+                                    Days.play(of, Days.usual(50, seed)),
+                                    of.resolve("m.trace"),
+                                    count -> {})
+                            .sources();
             double middle = SyntheticDay.BEGIN_MS + 3_600_000;
             int reference = reference(fitted);
             for (int i = 0; i < 3; i++) {
                 double ahead = day.aheadMs(i, middle) - day.aheadMs(reference, middle);
                 double own = middle + day.aheadMs(i, middle);
                 double off = Math.abs(fitted.get(i).clock().corrected(own) - (own - ahead));
-                assertTrue(off <= Math.max(1e-3, fitted.get(i).clock().errorMs()), "seed " + seed + ", g" + i + ": off by " + off
-                        + " of " + fitted.get(i).clock());
+                assertTrue(
+                        off <= Math.max(1e-3, fitted.get(i).clock().errorMs()),
+                        "seed "
+                                + seed
+                                + ", g"
+                                + i
+                                + ": off by "
+                                + off
+                                + " of "
+                                + fitted.get(i).clock());
                 assertTrue(fitted.get(i).clock().errorMs() < 300, fitted.get(i).clock().toString());
             }
         }
@@ -191,23 +235,51 @@
         var at1 = new ArrayList<Entry>();
         double t = SyntheticDay.BEGIN_MS;
         for (int i = 0; i < 12; i++) {
-            Event list = new Event.ListReceived(false, List.of(new Listing("s-" + i, 0, "a", 0,
-                    Listing.Mode.DRAINING)));
-            at0.add(Moment.of(0, at0.size(), t + 100_000 * i + 30, List.of(list), List.of(), false));
-            at1.add(Moment.of(0, at1.size(), t + 100_000 * i + 50 - 4000, List.of(list), List.of(), false));
+            Event list =
+                    new Event.ListReceived(
+                            false,
+                            List.of(new Listing("s-" + i, 0, "a", 0, Listing.Mode.DRAINING)));
+            at0.add(
+                    Moment.of(
+                            0, at0.size(), t + 100_000 * i + 30, List.of(list), List.of(), false));
+            at1.add(
+                    Moment.of(
+                            0,
+                            at1.size(),
+                            t + 100_000 * i + 50 - 4000,
+                            List.of(list),
+                            List.of(),
+                            false));
         }
         double asked = t + 1_200_000;
-        at0.add(scan(at0.size(), "first", asked, new Action.Throttle("first", 1000, Reason.NO_ROOM)));
-        at1.add(scan(at1.size(), "again", asked + 1100 - 4000, new Action.Answer("again", true, Reason.WHOLE)));
-        Path to = merge("asked-again", List.of(Days.write(folder.resolve("a1.trace"), Head.of(g1), at1),
-                Days.write(folder.resolve("a0.trace"), Head.of(g0), at0)));
+        at0.add(
+                scan(
+                        at0.size(),
+                        "first",
+                        asked,
+                        new Action.Throttle("first", 1000, Reason.NO_ROOM)));
+        at1.add(
+                scan(
+                        at1.size(),
+                        "again",
+                        asked + 1100 - 4000,
+                        new Action.Answer("again", true, Reason.WHOLE)));
+        Path to =
+                merge(
+                        "asked-again",
+                        List.of(
+                                Days.write(folder.resolve("a1.trace"), Head.of(g1), at1),
+                                Days.write(folder.resolve("a0.trace"), Head.of(g0), at0)));
         List<String> order = new ArrayList<>();
         for (Entry entry : Days.read(to)) {
-            ((Moment) entry).items().forEach(item -> {
-                if (item.event() instanceof Event.ScanTaken taken) {
-                    order.add(taken.id());
-                }
-            });
+            ((Moment) entry)
+                    .items()
+                    .forEach(
+                            item -> {
+                                if (item.event() instanceof Event.ScanTaken taken) {
+                                    order.add(taken.id());
+                                }
+                            });
         }
         assertEquals(order, List.of("first", "again"));
     }
@@ -215,13 +287,26 @@
     private Source source(String name, double started) throws IOException {
         try (TraceReader reader = TraceReader.open(files.get(0))) {
             Source of = reader.head().sources().get(0);
-            return new Source(name, "test", 1, SyntheticDay.BEGIN_MS + started, of.facts(), ClockFit.REFERENCE);
+            return new Source(
+                    name,
+                    "test",
+                    1,
+                    SyntheticDay.BEGIN_MS + started,
+                    of.facts(),
+                    ClockFit.REFERENCE);
         }
     }
 
     private Moment scan(long seq, String id, double now, Action end) throws IOException {
-        return Moment.of(0, seq, now, List.of(new Event.ScanTaken(id, seq, source("x", 0).facts().tableTypes().get(0),
-                null, 3000)), List.of(end), false);
+        return Moment.of(
+                0,
+                seq,
+                now,
+                List.of(
+                        new Event.ScanTaken(
+                                id, seq, source("x", 0).facts().tableTypes().get(0), null, 3000)),
+                List.of(end),
+                false);
     }
 
     @Test
@@ -237,9 +322,15 @@
         try (TraceReader reader = TraceReader.open(folder.resolve("stepped.trace"))) {
             assertTrue(reader.verify().sound());
             // They share no news, so nothing is known of how the clocks stand, and that is said.
-            assertTrue(reader.head().sources().stream().anyMatch(of -> of.clock().equals(ClockFit.UNKNOWN)));
+            assertTrue(
+                    reader.head().sources().stream()
+                            .anyMatch(of -> of.clock().equals(ClockFit.UNKNOWN)));
             int of = reader.head().sources().get(0).gatherer().equals("g9") ? 0 : 1;
-            assertEquals(out.stream().filter(entry -> entry.source() == of).map(entry -> entry.withSource(0)).toList(),
+            assertEquals(
+                    out.stream()
+                            .filter(entry -> entry.source() == of)
+                            .map(entry -> entry.withSource(0))
+                            .toList(),
                     back);
         }
     }
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -38,12 +38,13 @@
         }
     }
 
-    private static TraceReplay.Verdict replay(Gatherer.Factory factory, Path... of) throws IOException {
+    private static TraceReplay.Verdict replay(Gatherer.Factory factory, Path... of)
+            throws IOException {
         var readers = new ArrayList<TraceReader>();
         for (Path file : of) {
             readers.add(TraceReader.open(file));
         }
-        return TraceReplay.replay(readers, factory, count -> { });
+        return TraceReplay.replay(readers, factory, count -> {});
     }
 
     @Test
@@ -55,7 +56,8 @@
 
     @Test
     public void filesOfOneSourceInAnyOrderAreOneReplay() throws IOException {
-        Path second = Days.write(folder.resolve("2.trace"), head, entries.subList(300, entries.size()));
+        Path second =
+                Days.write(folder.resolve("2.trace"), head, entries.subList(300, entries.size()));
         Path first = Days.write(folder.resolve("1.trace"), head, entries.subList(0, 300));
         TraceReplay.Verdict verdict = replay(Brain::new, second, first);
         assertNull(verdict.difference());
@@ -67,20 +69,32 @@
         return (seed, facts) -> {
             var module = new Brain(seed, facts);
             int[] dispatches = {0};
-            return (now, events) -> module.decide(now, events).stream().map(action -> {
-                if (action instanceof Action.Dispatch d && ++dispatches[0] == 100) {
-                    return new Action.Dispatch(d.partId(), "elsewhere", d.timeoutMs(), d.reason(), d.position(),
-                            d.passedOver());
-                }
-                return action;
-            }).toList();
+            return (now, events) ->
+                    module.decide(now, events).stream()
+                            .map(
+                                    action -> {
+                                        if (action instanceof Action.Dispatch d
+                                                && ++dispatches[0] == 100) {
+                                            return new Action.Dispatch(
+                                                    d.partId(),
+                                                    "elsewhere",
+                                                    d.timeoutMs(),
+                                                    d.reason(),
+                                                    d.position(),
+                                                    d.passedOver());
+                                        }
+                                        return action;
+                                    })
+                            .toList();
         };
     }
 
     @Test
     public void firstActionThatDiffersIsNamed() throws IOException {
         TraceReplay.Verdict verdict = replay(changed(), files.get(0));
-        assertTrue(verdict.difference().contains("gatherer g0") && verdict.difference().contains("elsewhere"),
+        assertTrue(
+                verdict.difference().contains("gatherer g0")
+                        && verdict.difference().contains("elsewhere"),
                 verdict.difference());
     }
 
@@ -89,25 +103,38 @@
         var gap = new ArrayList<>(entries);
         gap.set(50, new Gap(0, 50, 1, 1, 1));
         var cut = new ArrayList<>(entries);
-        Moment moment = (Moment) cut.stream().filter(e -> ((Moment) e).items().size() > 3).findFirst().orElseThrow();
+        Moment moment =
+                (Moment)
+                        cut.stream()
+                                .filter(e -> ((Moment) e).items().size() > 3)
+                                .findFirst()
+                                .orElseThrow();
         cut.set(cut.indexOf(moment), moment.withItems(moment.items().subList(0, 2)));
         return new Object[][] {
             {"thinned", head.withOneIn(5), entries, "keeps one in 5"},
-            {"gap", head, gap, "were not recorded"}, {"cut", head, cut, "was cut"},
+            {"gap", head, gap, "were not recorded"},
+            {"cut", head, cut, "was cut"},
             {"late", head, entries.subList(10, entries.size()), "files before it"},
-            {"anonymised", new Head(head.sources(), 1, true, null, List.of()), entries, "anonymised"},
+            {
+                "anonymised",
+                new Head(head.sources(), 1, true, null, List.of()),
+                entries,
+                "anonymised"
+            },
         };
     }
 
     @Test(dataProvider = "unplayable")
-    public void whatCantBeDecidedAgainIsRefusedInOneLine(String name, Head of, List<Entry> what, String said)
-            throws IOException {
+    public void whatCantBeDecidedAgainIsRefusedInOneLine(
+            String name, Head of, List<Entry> what, String said) throws IOException {
         Path file = Days.write(folder.resolve(name + ".trace"), of, what);
         try {
             replay(Brain::new, file);
             throw new AssertionError(name + " was replayed");
         } catch (TraceReplay.CannotReplayException e) {
-            assertTrue(e.getMessage().contains(said) && e.getMessage().lines().count() == 1, e.getMessage());
+            assertTrue(
+                    e.getMessage().contains(said) && e.getMessage().lines().count() == 1,
+                    e.getMessage());
         }
     }
 
@@ -115,12 +142,15 @@
     public void diffNamesTheFirstDecisionThatParts() throws IOException {
         Path other = Days.folder();
         List<Path> changed = Days.play(other, Days.usual(800, 5), changed());
-        try (TraceReader a = TraceReader.open(files.get(0)); TraceReader b = TraceReader.open(changed.get(0));
+        try (TraceReader a = TraceReader.open(files.get(0));
+                TraceReader b = TraceReader.open(changed.get(0));
                 TraceReader again = TraceReader.open(files.get(0))) {
             List<TraceDiff.Parting> partings = TraceDiff.diff(a, b);
             assertEquals(partings.size(), 1);
-            assertTrue(partings.get(0).what().startsWith("action Dispatch")
-                    && partings.get(0).what().contains("elsewhere"), partings.toString());
+            assertTrue(
+                    partings.get(0).what().startsWith("action Dispatch")
+                            && partings.get(0).what().contains("elsewhere"),
+                    partings.toString());
             assertTrue(TraceDiff.diff(a, again).isEmpty());
         }
     }
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -41,7 +41,7 @@
         file = Days.play(Days.folder(), Days.usual(1200, 8)).get(1);
         summary = new TraceSummary();
         try (TraceReader reader = TraceReader.open(file)) {
-            summary.add(reader, count -> { });
+            summary.add(reader, count -> {});
         }
     }
 
@@ -57,19 +57,31 @@
         Map<String, Integer> outcomes = new HashMap<>();
         int dispatches = 0;
         int inTime = 0;
-        for (CSVRecord row : CSVFormat.RFC4180.builder().setHeader().setSkipHeaderRecord(true).get()
-                .parse(new StringReader(csv.toString()))) {
+        for (CSVRecord row :
+                CSVFormat.RFC4180
+                        .builder()
+                        .setHeader()
+                        .setSkipHeaderRecord(true)
+                        .get()
+                        .parse(new StringReader(csv.toString()))) {
             outcomes.merge(row.get("outcome"), 1, Integer::sum);
             dispatches += Integer.parseInt(row.get("dispatches"));
             inTime += Boolean.parseBoolean(row.get("in_target_time")) ? 1 : 0;
         }
         for (ScanTally.Outcome outcome : ScanTally.Outcome.values()) {
-            assertEquals((long) outcomes.getOrDefault(outcome.name(), 0), summary.all().of(outcome), outcome.name());
+            assertEquals(
+                    (long) outcomes.getOrDefault(outcome.name(), 0),
+                    summary.all().of(outcome),
+                    outcome.name());
         }
         assertEquals(dispatches, summary.all().dispatches());
         assertEquals(inTime, summary.all().inTargetTime());
-        assertEquals(summary.byServer().values().stream().mapToLong(of -> of.dispatches()).sum(), dispatches);
-        assertEquals(summary.stretches().values().stream().mapToLong(of -> of[0]).sum(), summary.all().scans());
+        assertEquals(
+                summary.byServer().values().stream().mapToLong(of -> of.dispatches()).sum(),
+                dispatches);
+        assertEquals(
+                summary.stretches().values().stream().mapToLong(of -> of[0]).sum(),
+                summary.all().scans());
     }
 
     @Test
@@ -88,15 +100,38 @@
         }
         Deployment f = source.facts();
         var evil = new Customer("<script>alert(1)</script>", 1);
-        var facts = new Deployment(f.gatherers(), f.zone(), f.tickMs(), f.overShareBenefit(), f.tableTypes(),
-                List.of(evil), f.layout(), f.limits(), f.coldRule(), f.dispatchBudget(), f.listAccess());
-        List<Entry> entries = List.of(Moment.of(0, 0, 1, List.of(new Event.ScanTaken("s", 1, f.tableTypes().get(0),
-                evil, 1)), List.of(new Action.Throttle("s", 0, Reason.PRESSURE)), false));
-        Path path = Days.write(Days.folder().resolve("evil.trace"), Head.of(new Source("g", "b", 1, 1, facts,
-                source.clock())), entries);
+        var facts =
+                new Deployment(
+                        f.gatherers(),
+                        f.zone(),
+                        f.tickMs(),
+                        f.overShareBenefit(),
+                        f.tableTypes(),
+                        List.of(evil),
+                        f.layout(),
+                        f.limits(),
+                        f.coldRule(),
+                        f.dispatchBudget(),
+                        f.listAccess());
+        List<Entry> entries =
+                List.of(
+                        Moment.of(
+                                0,
+                                0,
+                                1,
+                                List.of(
+                                        new Event.ScanTaken(
+                                                "s", 1, f.tableTypes().get(0), evil, 1)),
+                                List.of(new Action.Throttle("s", 0, Reason.PRESSURE)),
+                                false));
+        Path path =
+                Days.write(
+                        Days.folder().resolve("evil.trace"),
+                        Head.of(new Source("g", "b", 1, 1, facts, source.clock())),
+                        entries);
         var of = new TraceSummary();
         try (TraceReader reader = TraceReader.open(path)) {
-            of.add(reader, count -> { });
+            of.add(reader, count -> {});
         }
         assertFalse(SummaryPage.html(of, "<b>").contains("<script>"));
     }
@@ -107,7 +142,8 @@
             String id = null;
             for (Entry entry : Days.all(reader.all())) {
                 for (Action action : ((Moment) entry).actions()) {
-                    if (action instanceof Action.Dispatch dispatch && dispatch.reason() == Reason.SECOND_COPY) {
+                    if (action instanceof Action.Dispatch dispatch
+                            && dispatch.reason() == Reason.SECOND_COPY) {
                         id = dispatch.partId().substring(0, 16);
                     }
                 }
@@ -117,10 +153,17 @@
                 collector.add(entry);
             }
             assertEquals(collector.stories().size(), 1);
-            String told = String.join("\n", Storyteller.tell(collector.stories().get(0),
-                    reader.head().sources().get(0)));
-            assertTrue(told.contains(Reason.SECOND_COPY.words()) && told.contains(Reason.FIRST_ROUND.words())
-                    && told.contains("passed over") && told.contains(" is called off"), told);
+            String told =
+                    String.join(
+                            "\n",
+                            Storyteller.tell(
+                                    collector.stories().get(0), reader.head().sources().get(0)));
+            assertTrue(
+                    told.contains(Reason.SECOND_COPY.words())
+                            && told.contains(Reason.FIRST_ROUND.words())
+                            && told.contains("passed over")
+                            && told.contains(" is called off"),
+                    told);
         }
     }
 }
