--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -7,6 +7,7 @@
 import static org.testng.Assert.assertTrue;
 
 import java.io.IOException;
+import java.io.InputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -91,6 +92,22 @@
         }
     }
 
+    /** Written by an earlier build: {@link #ENTRIES}. */
+    private static byte[] golden() throws IOException {
+        try (InputStream in =
+                JournalFileTest.class.getResourceAsStream("/golden-versions.journal")) {
+            return in.readAllBytes();
+        }
+    }
+
+    @Test
+    public void aJournalOfAnEarlierBuildIsReadAndWrittenByteForByte() throws IOException {
+        Path file = Files.createTempFile("journal", ".log");
+        Files.write(file, golden());
+        assertEquals(read(file), ENTRIES);
+        assertEquals(Files.readString(written()), Files.readString(file));
+    }
+
     @Test
     public void oneOwnerAtATime() throws IOException {
         Path file = written();
--- a/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
+++ b/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -40,6 +41,33 @@
         assertEquals(plan.shared(), Set.of(Bound.Kind.COLD));
     }
 
+    @Test
+    public void everyKeyOfAFileOfAnEarlierBuildKeepsItsMeaning() throws IOException {
+        ClusterConfig config =
+                read(
+                        "{\"members\":[{\"name\":\"a\",\"site\":\"x\",\"address\":\"10.0.0.1:8700\","
+                                + "\"listen\":\"0.0.0.0:9\"}],"
+                                + "\"bounds\":{\"cold\":false,\"customers\":true,"
+                                + "\"further\":{\"dispatches\":7,\"windowMs\":1500}},"
+                                + "\"driftPpm\":40,\"clocksOffMs\":60,\"lettersPerS\":80,\"bytesPerS\":90000}");
+        assertEquals(
+                config,
+                new ClusterConfig(
+                        Map.of(
+                                "a",
+                                new ClusterConfig.Member(
+                                        "x",
+                                        new PeerMessagingSettings.Address("10.0.0.1", 8700),
+                                        new PeerMessagingSettings.Address("0.0.0.0", 9))),
+                        Set.of(Bound.Kind.CUSTOMER, Bound.Kind.FURTHER),
+                        7,
+                        1500,
+                        40,
+                        60,
+                        80,
+                        90_000));
+    }
+
     @Test
     public void theFileThatShipsIsSound() throws IOException {
         ClusterConfig plan = ClusterConfig.read(Path.of("../deploy/together.json"));
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -5,10 +5,21 @@
 import static org.testng.Assert.assertTrue;
 
 import io.vertx.core.buffer.Buffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.picker.Load;
+import sprucehold.picker.Picker;
+import sprucehold.picker.Report;
+import sprucehold.picker.Scan;
+import sprucehold.picker.ServerNews;
+import sprucehold.port.Action;
+import sprucehold.port.Deployment;
+import sprucehold.port.Event;
+import sprucehold.port.TableType;
 
 public class FrameTest {
     private static Buffer frame(String text) {
@@ -86,6 +97,72 @@
         }
     }
 
+    @Test
+    public void framesToShardServersAreThoseOfEarlierBuilds() {
+        assertEquals(GathererFrame.giveUp("q.3"), Buffer.buffer("\4\0\0\0Bq.3"));
+        assertEquals(GathererFrame.probe(), Buffer.buffer("\1\0\0\0C"));
+        assertEquals(GathererFrame.loadProbe(), Buffer.buffer("\1\0\0\0D"));
+    }
+
+    @Test
+    public void callsToShardServersAreThoseOfEarlierBuilds() {
+        var type = new TableType("t", TableType.Repeat.KEYED, 100, 1, 0, 1000, 1, 1, 0);
+        var deployment =
+                new Deployment(
+                        1,
+                        "z",
+                        5,
+                        1,
+                        List.of(type),
+                        List.of(),
+                        new Deployment.Layout(2, 1, 1),
+                        new Deployment.Limits(4, 200, true, true, 1000),
+                        new Deployment.ColdRule(0.2, 15_000, 4, 1000),
+                        Deployment.DispatchBudget.NONE,
+                        new Deployment.ListAccess(false, 10_000));
+        var picker =
+                new Picker(
+                        (now, events) ->
+                                events.stream()
+                                        .filter(Event.PartTaken.class::isInstance)
+                                        .map(
+                                                event ->
+                                                        (Action)
+                                                                new Action.Dispatch(
+                                                                        ((Event.PartTaken) event)
+                                                                                .id(),
+                                                                        "s",
+                                                                        250))
+                                        .toList(),
+                        deployment);
+        picker.report(
+                0,
+                List.of(
+                        new Report.ListCame(
+                                true,
+                                List.of(
+                                        new ServerNews(
+                                                "s",
+                                                "h:1",
+                                                0,
+                                                "z",
+                                                0,
+                                                ServerNews.State.RUNNING)))));
+        var scan =
+                new Scan(
+                        "q",
+                        "t",
+                        null,
+                        400,
+                        Optional.of("key"),
+                        List.of(new Scan.Part(3, 0.5), new Scan.Part(9, 0.5)),
+                        "body".getBytes(StandardCharsets.UTF_8));
+        var orders = picker.pick(10, scan);
+        assertEquals(
+                GathererFrame.call(orders.send(), 20),
+                Buffer.buffer("\61\0\0\0Aq.3 3 d=240,k=key 4\nbodyq.9 9 d=240,k=key 4\nbody"));
+    }
+
     @DataProvider
     Object[][] lengths() {
         return new Object[][] {{0}, {-1}, {Integer.MAX_VALUE}, {128 * 1024 + 1}};
--- a/together/src/test/java/sprucehold/together/wire/CodecTest.java
+++ b/together/src/test/java/sprucehold/together/wire/CodecTest.java
@@ -5,8 +5,12 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Collections;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
@@ -69,6 +73,20 @@
         };
     }
 
+    /** The bytes that an earlier build wrote for each of {@link #letters}, a line of hex each. */
+    @Test
+    public void bytesOnTheWireAreThoseOfEarlierBuilds() throws IOException {
+        var written = new StringBuilder();
+        for (Object[] letter : letters()) {
+            written.append(HexFormat.of().formatHex(a.write("b", (Letter) letter[0], 1)))
+                    .append('\n');
+        }
+        try (InputStream in = CodecTest.class.getResourceAsStream("/golden-messages.hex")) {
+            assertEquals(
+                    written.toString(), new String(in.readAllBytes(), StandardCharsets.US_ASCII));
+        }
+    }
+
     @Test(dataProvider = "letters")
     public void eachKindIsReadAsItWasWritten(Letter letter) {
         assertEquals(b.read(a.write("b", letter, 1)), new Received.Read("a", 1, letter));
