--- a/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
@@ -14,14 +14,14 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 import org.apache.commons.math3.stat.regression.SimpleRegression;
-import sprucehold.brain.Brain;
-import sprucehold.port.Action;
-import sprucehold.port.Deployment;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Listing;
-import sprucehold.port.TableType;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.policy.Brain;
 
 /**
  * What decisions cost: processor time and allocation a query, by its parts, by listed shard
@@ -45,12 +45,13 @@
     /** Time between queries, so that timers of past ones run out as in service. */
     private static final double GAP_MS = 20;
 
-    private static final TableType ASKED =
-            new TableType("asked", TableType.Repeat.REPLAYABLE, TARGET_MS, 1, 0.1, 0, 1, 1, 0);
+    private static final QueryClass ASKED =
+            new QueryClass(
+                    "asked", QueryClass.Idempotence.IDEMPOTENT, TARGET_MS, 1, 0.1, 0, 1, 1, 0);
 
     /** Of queries that stay open: their timers never run out. */
-    private static final TableType OPEN =
-            new TableType("open", TableType.Repeat.REPLAYABLE, 1e12, 1, 0.1, 0, 1, 1, 0);
+    private static final QueryClass OPEN =
+            new QueryClass("open", QueryClass.Idempotence.IDEMPOTENT, 1e12, 1, 0.1, 0, 1, 1, 0);
 
     private static final int PARTS_OF_AN_OPEN_QUERY = 4;
 
@@ -60,7 +61,7 @@
     /** What a query of a size costs. */
     private record Cost(Size size, int queries, double cpuUs, double takeUs, double allocatedKb) {}
 
-    private final Gatherer decisions;
+    private final DecisionPolicy decisions;
     private double now = 1_000_000;
     private long queries;
 
@@ -68,7 +69,7 @@
         // Two servers hold each segment; there are at least as many cells as parts, so that each
         // part has servers of its own.
         int cells = size.servers / 2;
-        var facts =
+        var deployment =
                 new Deployment(
                         1,
                         "z",
@@ -76,23 +77,23 @@
                         0.2,
                         List.of(ASKED, OPEN),
                         List.of(),
-                        new Deployment.Layout(cells, 1, 1),
+                        new Deployment.ShardLayout(cells, 1, 1),
                         new Deployment.Limits(3, Integer.MAX_VALUE, true, true, 500),
-                        new Deployment.ColdRule(0.2, 10_000, 2, 1000),
-                        Deployment.DispatchBudget.NONE,
-                        new Deployment.ListAccess(false, 10_000));
-        decisions = new Brain(1, facts);
-        var listed = new ArrayList<Listing>();
+                        new Deployment.SlowStartRule(0.2, 10_000, 2, 1000),
+                        Deployment.RetryBudget.NONE,
+                        new Deployment.EndpointSubscription(false, 10_000));
+        decisions = new Brain(1, deployment);
+        var listed = new ArrayList<Endpoint>();
         for (int server = 0; server < size.servers; server++) {
             listed.add(
-                    new Listing(
+                    new Endpoint(
                             String.format(Locale.ROOT, "s-%05d", server),
                             server % cells,
                             "z",
                             0,
-                            Listing.Mode.RUNNING));
+                            Endpoint.State.RUNNING));
         }
-        decisions.decide(now, List.of(new Event.ListReceived(true, listed)));
+        decisions.decide(now, List.of(new Event.EndpointsUpdated(true, listed)));
         for (int i = 0; i < size.open; i++) {
             int first = i * PARTS_OF_AN_OPEN_QUERY;
             decisions.decide(
@@ -101,13 +102,13 @@
     }
 
     private List<Event> taken(
-            TableType type, int parts, IntFunction<Integer> segment, double timeLeftMs) {
+            QueryClass type, int parts, IntFunction<Integer> segment, double timeLeftMs) {
         long number = ++queries;
         var events = new ArrayList<Event>(parts + 1);
-        events.add(new Event.ScanTaken("q" + number, number, type, null, timeLeftMs));
+        events.add(new Event.QueryReceived("q" + number, number, type, null, timeLeftMs));
         for (int part = 0; part < parts; part++) {
             events.add(
-                    new Event.PartTaken(
+                    new Event.PartReceived(
                             "q" + number + "." + part, number, segment.apply(part), 1.0 / parts));
         }
         return events;
@@ -116,14 +117,16 @@
     /** Runs one query to its end and returns the processor time of taking it in, in nanoseconds. */
     private long query(int parts) {
         now += GAP_MS;
-        decisions.decide(now, List.of(new Event.Woken()));
+        decisions.decide(now, List.of(new Event.WakeUp()));
         List<Event> taken = taken(ASKED, parts, part -> part, 2 * TARGET_MS);
         long before = THREADS.getCurrentThreadCpuTime();
-        Queue<Action.Dispatch> out = new ArrayDeque<>();
+        Queue<Command.SendAttempt> out = new ArrayDeque<>();
         boolean answered = collect(decisions.decide(now, taken), out);
         long took = THREADS.getCurrentThreadCpuTime() - before;
         while (!out.isEmpty()) {
-            var ended = new Event.DispatchEnded(out.poll().partId(), 0, Ending.COMPLETED, 5, null);
+            var ended =
+                    new Event.AttemptEnded(
+                            out.poll().partId(), 0, AttemptOutcome.COMPLETED, 5, null);
             answered |= collect(decisions.decide(now, List.of(ended)), out);
         }
         if (!answered) {
@@ -135,13 +138,13 @@
         return took;
     }
 
-    private static boolean collect(List<Action> actions, Queue<Action.Dispatch> out) {
+    private static boolean collect(List<Command> actions, Queue<Command.SendAttempt> out) {
         boolean answered = false;
-        for (Action action : actions) {
-            if (action instanceof Action.Dispatch dispatch) {
-                out.add(dispatch);
-            } else if (action instanceof Action.Answer answer) {
-                answered |= answer.whole();
+        for (Command command : actions) {
+            if (command instanceof Command.SendAttempt sendAttempt) {
+                out.add(sendAttempt);
+            } else if (command instanceof Command.AnswerQuery answer) {
+                answered |= answer.complete();
             }
         }
         return answered;
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -20,7 +20,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import sprucehold.brain.Brain;
+import sprucehold.policy.Brain;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Moment;
--- a/change/src/main/java/sprucehold/change/document/Difference.java
+++ b/change/src/main/java/sprucehold/change/document/Difference.java
@@ -6,9 +6,9 @@
 import java.util.Objects;
 import java.util.SortedSet;
 import java.util.TreeSet;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 /**
  * What a change means, a sentence each, and how much it risks.
@@ -91,10 +91,10 @@
                 words.add(new Meaning(at, "scans of '" + type.name() + "' are served", Risk.LOW));
                 continue;
             }
-            TableType a = was.facts();
-            TableType b = type.facts();
-            if (a.repeat() != b.repeat()) {
-                boolean looser = b.repeat().ordinal() < a.repeat().ordinal();
+            QueryClass a = was.facts();
+            QueryClass b = type.facts();
+            if (a.idempotence() != b.idempotence()) {
+                boolean looser = a.idempotence().isStricterThan(b.idempotence());
                 words.add(
                         new Meaning(
                                 at + "/repeat",
@@ -112,8 +112,8 @@
             number(
                     at + "/targetMs",
                     "the target time of '" + type.name() + "'",
-                    a.targetMs(),
-                    b.targetMs(),
+                    a.latencyObjectiveMs(),
+                    b.latencyObjectiveMs(),
                     " ms",
                     true,
                     words);
@@ -128,40 +128,40 @@
             number(
                     at + "/benefit",
                     "the benefit of '" + type.name() + "'",
-                    a.benefit(),
-                    b.benefit(),
+                    a.priorityWeight(),
+                    b.priorityWeight(),
                     "",
                     true,
                     words);
             number(
                     at + "/lateShare",
                     "what a late answer of '" + type.name() + "' is worth",
-                    a.lateShare(),
-                    b.lateShare(),
+                    a.lateWeight(),
+                    b.lateWeight(),
                     "",
                     true,
                     words);
             number(
                     at + "/wholeFrom",
                     "the share from which '" + type.name() + "' is whole",
-                    a.completeFrom(),
-                    b.completeFrom(),
+                    a.completeCoverage(),
+                    b.completeCoverage(),
                     "",
                     false,
                     words);
             number(
                     at + "/leastShare",
                     "the least share of '" + type.name() + "'",
-                    a.leastShare(),
-                    b.leastShare(),
+                    a.minimumCoverage(),
+                    b.minimumCoverage(),
                     "",
                     false,
                     words);
             number(
                     at + "/keyedWindowMs",
                     "the keyed window of '" + type.name() + "'",
-                    a.keyedWindowMs(),
-                    b.keyedWindowMs(),
+                    a.deduplicationWindowMs(),
+                    b.deduplicationWindowMs(),
                     " ms",
                     true,
                     words);
@@ -177,41 +177,41 @@
         }
     }
 
-    private static String repeat(TableType type) {
-        return type.repeat().name().toLowerCase(Locale.ROOT).replace('_', '-');
+    private static String repeat(QueryClass type) {
+        return type.idempotence().storedName().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     private static void customers(Document before, Document after, List<Meaning> words) {
-        for (Customer customer : after.customers()) {
-            Customer was = before.customer(customer.name()).orElse(null);
+        for (Tenant tenant : after.customers()) {
+            Tenant was = before.customer(tenant.name()).orElse(null);
             if (was == null) {
                 words.add(
                         new Meaning(
-                                "/customers/" + customer.name(),
+                                "/customers/" + tenant.name(),
                                 "customer '"
-                                        + customer.name()
+                                        + tenant.name()
                                         + "' has a share of "
-                                        + number(customer.scansPerSecond())
+                                        + number(tenant.queriesPerSecond())
                                         + " scans/s",
                                 Risk.LOW));
             } else {
                 number(
-                        "/customers/" + customer.name(),
-                        "the share of customer '" + customer.name() + "'",
-                        was.scansPerSecond(),
-                        customer.scansPerSecond(),
+                        "/customers/" + tenant.name(),
+                        "the share of customer '" + tenant.name() + "'",
+                        was.queriesPerSecond(),
+                        tenant.queriesPerSecond(),
                         " scans/s",
                         true,
                         words);
             }
         }
-        for (Customer customer : before.customers()) {
-            if (after.customer(customer.name()).isEmpty()) {
+        for (Tenant tenant : before.customers()) {
+            if (after.customer(tenant.name()).isEmpty()) {
                 words.add(
                         new Meaning(
-                                "/customers/" + customer.name(),
+                                "/customers/" + tenant.name(),
                                 "customer '"
-                                        + customer.name()
+                                        + tenant.name()
                                         + "' has no share any more; its scans count as nobody's",
                                 Risk.HIGH));
             }
@@ -230,41 +230,41 @@
         number(
                 "/limits/dispatchesPerPart",
                 "dispatches of a part",
-                a.dispatchesPerPart(),
-                b.dispatchesPerPart(),
+                a.attemptsPerPart(),
+                b.attemptsPerPart(),
                 "",
                 true,
                 words);
         number(
                 "/limits/maxComeBackMs",
                 "the longest time after which clients are asked back",
-                a.maxComeBackMs(),
-                b.maxComeBackMs(),
+                a.maxRetryAfterMs(),
+                b.maxRetryAfterMs(),
                 " ms",
                 true,
                 words);
-        flag("/limits/secondCopies", "second copies", a.secondCopies(), b.secondCopies(), words);
-        flag("/limits/cancel", "calling dispatches off", a.cancel(), b.cancel(), words);
+        flag("/limits/secondCopies", "second copies", a.hedging(), b.hedging(), words);
+        flag("/limits/cancel", "calling dispatches off", a.cancellation(), b.cancellation(), words);
     }
 
     private static void budget(
-            Deployment.DispatchBudget a, Deployment.DispatchBudget b, List<Meaning> words) {
+            Deployment.RetryBudget a, Deployment.RetryBudget b, List<Meaning> words) {
         if (!Objects.equals(a, b)) {
-            boolean none = b.equals(Deployment.DispatchBudget.NONE);
+            boolean none = b.equals(Deployment.RetryBudget.NONE);
             boolean less =
                     !none
-                            && (a.equals(Deployment.DispatchBudget.NONE)
-                                    || b.free() < a.free()
-                                    || b.perTaken() < a.perTaken());
+                            && (a.equals(Deployment.RetryBudget.NONE)
+                                    || b.fixed() < a.fixed()
+                                    || b.perRequest() < a.perRequest());
             words.add(
                     new Meaning(
                             "/dispatchBudget",
                             none
                                     ? "further dispatches have no budget any more"
                                     : "further dispatches may be "
-                                            + number(b.free())
+                                            + number(b.fixed())
                                             + " and "
-                                            + number(b.perTaken())
+                                            + number(b.perRequest())
                                             + " for each scan taken, in any "
                                             + number(b.windowMs())
                                             + " ms",
@@ -272,12 +272,13 @@
         }
     }
 
-    private static void cold(Deployment.ColdRule a, Deployment.ColdRule b, List<Meaning> words) {
+    private static void cold(
+            Deployment.SlowStartRule a, Deployment.SlowStartRule b, List<Meaning> words) {
         if (!a.equals(b)) {
             boolean looser =
                     b.startShare() > a.startShare()
                             || b.warmAfterMs() < a.warmAfterMs()
-                            || b.multiple() > a.multiple();
+                            || b.overloadFactor() > a.overloadFactor();
             words.add(
                     new Meaning(
                             "/coldRule",
@@ -286,7 +287,7 @@
                                     + "% and to be warm after "
                                     + number(b.warmAfterMs())
                                     + " ms; it falls over at "
-                                    + number(b.multiple())
+                                    + number(b.overloadFactor())
                                     + " times that for "
                                     + number(b.windowMs())
                                     + " ms"
--- a/change/src/main/java/sprucehold/change/document/Document.java
+++ b/change/src/main/java/sprucehold/change/document/Document.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.SortedSet;
 import java.util.TreeSet;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 /**
  * All that may be changed of a gatherer while it serves. What a deployment is built on - its
@@ -16,7 +16,7 @@
  * @param types the table types
  * @param customers the customers and what lies within their shares
  * @param limits what a gatherer may do
- * @param budget further dispatches, {@link Deployment.DispatchBudget#NONE} where none is stated
+ * @param budget further dispatches, {@link Deployment.RetryBudget#NONE} where none is stated
  * @param coldRule how cold servers fall over
  * @param serversOut shard servers that the operator has taken out
  * @param discovery where the list is asked for, HOST:PORT; empty for where the start said
@@ -25,10 +25,10 @@
  */
 public record Document(
         List<Type> types,
-        List<Customer> customers,
+        List<Tenant> customers,
         Deployment.Limits limits,
-        Deployment.DispatchBudget budget,
-        Deployment.ColdRule coldRule,
+        Deployment.RetryBudget budget,
+        Deployment.SlowStartRule coldRule,
         SortedSet<String> serversOut,
         String discovery,
         String recording,
@@ -39,7 +39,7 @@
      *
      * @param queryTimeoutMs in milliseconds; above the target time
      */
-    public record Type(TableType facts, double queryTimeoutMs) {
+    public record Type(QueryClass facts, double queryTimeoutMs) {
         public String name() {
             return facts.name();
         }
@@ -55,8 +55,8 @@
         return types.stream().filter(type -> type.name().equals(name)).findFirst();
     }
 
-    public Optional<Customer> customer(String name) {
-        return customers.stream().filter(customer -> customer.name().equals(name)).findFirst();
+    public Optional<Tenant> customer(String name) {
+        return customers.stream().filter(tenant -> tenant.name().equals(name)).findFirst();
     }
 
     /**
@@ -67,13 +67,13 @@
                 before.gatherers(),
                 before.zone(),
                 before.tickMs(),
-                before.overShareBenefit(),
+                before.overQuotaPriority(),
                 types.stream().map(Type::facts).toList(),
                 customers,
                 before.layout(),
                 limits,
                 coldRule,
                 budget,
-                before.listAccess());
+                before.endpointSubscription());
     }
 }
--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -21,9 +21,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.TreeSet;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.StoredEnum;
+import sprucehold.decision.Tenant;
 
 /** Reads and writes documents as JSON of the form {@code deploy/change.schema.json}. */
 public final class DocumentReader {
@@ -114,12 +115,17 @@
     private static Document document(JsonNode node) {
         var types = new ArrayList<Document.Type>();
         for (JsonNode type : node.get("tableTypes")) {
-            TableType.Repeat repeat =
-                    TableType.Repeat.valueOf(
-                            type.get("repeat").asText().toUpperCase(Locale.ROOT).replace('-', '_'));
+            QueryClass.Idempotence repeat =
+                    StoredEnum.ofName(
+                                    QueryClass.Idempotence.class,
+                                    type.get("repeat")
+                                            .asText()
+                                            .toUpperCase(Locale.ROOT)
+                                            .replace('-', '_'))
+                            .orElseThrow();
             types.add(
                     new Document.Type(
-                            new TableType(
+                            new QueryClass(
                                     type.get("name").asText(),
                                     repeat,
                                     type.get("targetMs").doubleValue(),
@@ -131,10 +137,10 @@
                                     type.path("secondStepParts").asInt(0)),
                             type.get("queryTimeoutMs").doubleValue()));
         }
-        var customers = new ArrayList<Customer>();
+        var customers = new ArrayList<Tenant>();
         for (JsonNode customer : node.path("customers")) {
             customers.add(
-                    new Customer(
+                    new Tenant(
                             customer.get("name").asText(),
                             customer.get("scansPerSecond").doubleValue()));
         }
@@ -153,12 +159,12 @@
                         limits.path("cancel").booleanValue(),
                         limits.path("maxComeBackMs").doubleValue()),
                 budget.isObject()
-                        ? new Deployment.DispatchBudget(
+                        ? new Deployment.RetryBudget(
                                 budget.get("free").doubleValue(),
                                 budget.get("perTaken").doubleValue(),
                                 budget.get("windowMs").doubleValue())
-                        : Deployment.DispatchBudget.NONE,
-                new Deployment.ColdRule(
+                        : Deployment.RetryBudget.NONE,
+                new Deployment.SlowStartRule(
                         cold.get("startShare").doubleValue(),
                         cold.get("warmAfterMs").doubleValue(),
                         cold.get("multiple").doubleValue(),
@@ -174,45 +180,50 @@
         ObjectNode node = MAPPER.createObjectNode();
         ArrayNode types = node.putArray("tableTypes");
         for (Document.Type type : document.types()) {
-            TableType facts = type.facts();
+            QueryClass facts = type.facts();
             types.addObject()
                     .put("name", facts.name())
-                    .put("repeat", facts.repeat().name().toLowerCase(Locale.ROOT).replace('_', '-'))
-                    .put("targetMs", facts.targetMs())
+                    .put(
+                            "repeat",
+                            facts.idempotence()
+                                    .storedName()
+                                    .toLowerCase(Locale.ROOT)
+                                    .replace('_', '-'))
+                    .put("targetMs", facts.latencyObjectiveMs())
                     .put("queryTimeoutMs", type.queryTimeoutMs())
-                    .put("benefit", facts.benefit())
-                    .put("lateShare", facts.lateShare())
-                    .put("keyedWindowMs", facts.keyedWindowMs())
-                    .put("wholeFrom", facts.completeFrom())
-                    .put("leastShare", facts.leastShare())
+                    .put("benefit", facts.priorityWeight())
+                    .put("lateShare", facts.lateWeight())
+                    .put("keyedWindowMs", facts.deduplicationWindowMs())
+                    .put("wholeFrom", facts.completeCoverage())
+                    .put("leastShare", facts.minimumCoverage())
                     .put("secondStepParts", facts.secondStepParts());
         }
         ArrayNode customers = node.putArray("customers");
         document.customers()
                 .forEach(
-                        customer ->
+                        tenant ->
                                 customers
                                         .addObject()
-                                        .put("name", customer.name())
-                                        .put("scansPerSecond", customer.scansPerSecond()));
+                                        .put("name", tenant.name())
+                                        .put("scansPerSecond", tenant.queriesPerSecond()));
         Deployment.Limits limits = document.limits();
         node.putObject("limits")
-                .put("dispatchesPerPart", limits.dispatchesPerPart())
+                .put("dispatchesPerPart", limits.attemptsPerPart())
                 .put("maxOpen", limits.maxOpen())
-                .put("secondCopies", limits.secondCopies())
-                .put("cancel", limits.cancel())
-                .put("maxComeBackMs", limits.maxComeBackMs());
-        if (!document.budget().equals(Deployment.DispatchBudget.NONE)) {
+                .put("secondCopies", limits.hedging())
+                .put("cancel", limits.cancellation())
+                .put("maxComeBackMs", limits.maxRetryAfterMs());
+        if (!document.budget().equals(Deployment.RetryBudget.NONE)) {
             node.putObject("dispatchBudget")
-                    .put("free", document.budget().free())
-                    .put("perTaken", document.budget().perTaken())
+                    .put("free", document.budget().fixed())
+                    .put("perTaken", document.budget().perRequest())
                     .put("windowMs", document.budget().windowMs());
         }
-        Deployment.ColdRule cold = document.coldRule();
+        Deployment.SlowStartRule cold = document.coldRule();
         node.putObject("coldRule")
                 .put("startShare", cold.startShare())
                 .put("warmAfterMs", cold.warmAfterMs())
-                .put("multiple", cold.multiple())
+                .put("multiple", cold.overloadFactor())
                 .put("windowMs", cold.windowMs());
         ArrayNode out = node.putArray("serversOut");
         document.serversOut().forEach(out::add);
--- a/change/src/main/java/sprucehold/change/document/MeaningCheck.java
+++ b/change/src/main/java/sprucehold/change/document/MeaningCheck.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 /**
  * Whether a document of sound form means something that can be served. Every fault is told, not the
@@ -73,38 +73,38 @@
         names("/tableTypes", document.types().stream().map(Document.Type::name).toList());
         for (int i = 0; i < document.types().size(); i++) {
             String at = "/tableTypes/" + i;
-            TableType type = document.types().get(i).facts();
+            QueryClass type = document.types().get(i).facts();
             double timeout = document.types().get(i).queryTimeoutMs();
-            if (type.targetMs() >= timeout) {
+            if (type.latencyObjectiveMs() >= timeout) {
                 fault(
                         at + "/targetMs",
                         "the target time of "
-                                + type.targetMs()
+                                + type.latencyObjectiveMs()
                                 + " ms isn't under the query timeout of "
                                 + timeout
                                 + " ms",
                         "lower the one or raise the other");
             }
-            if (type.leastShare() > type.completeFrom()) {
+            if (type.minimumCoverage() > type.completeCoverage()) {
                 fault(
                         at + "/leastShare",
                         "the least share "
-                                + type.leastShare()
+                                + type.minimumCoverage()
                                 + " lies above "
-                                + type.completeFrom()
+                                + type.completeCoverage()
                                 + ", from which an answer is whole",
                         "no answer would ever be given in part: lower it");
             }
-            if (type.completeFrom() <= 0) {
+            if (type.completeCoverage() <= 0) {
                 fault(at + "/wholeFrom", "an answer of nothing would be whole", "set it above 0");
             }
-            boolean keyed = type.repeat() == TableType.Repeat.KEYED;
-            if (keyed && type.keyedWindowMs() <= 0) {
+            boolean keyed = type.idempotence() == QueryClass.Idempotence.DEDUPLICATED;
+            if (keyed && type.deduplicationWindowMs() <= 0) {
                 fault(
                         at + "/keyedWindowMs",
                         "a keyed type without a window could never be sent again",
                         "state its window, or call it non-replayable");
-            } else if (!keyed && type.keyedWindowMs() > 0) {
+            } else if (!keyed && type.deduplicationWindowMs() > 0) {
                 fault(
                         at + "/keyedWindowMs",
                         "a window of a type that isn't keyed means nothing",
@@ -114,36 +114,36 @@
     }
 
     private void customers() {
-        names("/customers", document.customers().stream().map(Customer::name).toList());
+        names("/customers", document.customers().stream().map(Tenant::name).toList());
     }
 
     private void limits() {
         Deployment.Limits limits = document.limits();
-        if (limits.secondCopies() && limits.dispatchesPerPart() < 2) {
+        if (limits.hedging() && limits.attemptsPerPart() < 2) {
             fault(
                     "/limits/secondCopies",
                     "copies are allowed, but a part may be sent once only",
                     "allow two dispatches, or no copies");
         }
-        Deployment.DispatchBudget budget = document.budget();
-        if (budget.perTaken() > MOST_PER_TAKEN) {
+        Deployment.RetryBudget budget = document.budget();
+        if (budget.perRequest() > MOST_PER_TAKEN) {
             fault(
                     "/dispatchBudget/perTaken",
-                    budget.perTaken() + " further dispatches for each scan are no limit",
+                    budget.perRequest() + " further dispatches for each scan are no limit",
                     "at most " + MOST_PER_TAKEN + ", or leave the budget out");
         }
-        if (!budget.equals(Deployment.DispatchBudget.NONE)
-                && budget.free() == 0
-                && budget.perTaken() == 0
-                && limits.dispatchesPerPart() > 1) {
+        if (!budget.equals(Deployment.RetryBudget.NONE)
+                && budget.fixed() == 0
+                && budget.perRequest() == 0
+                && limits.attemptsPerPart() > 1) {
             fault(
                     "/dispatchBudget",
                     "nothing may ever be sent again, though limits allow "
-                            + limits.dispatchesPerPart()
+                            + limits.attemptsPerPart()
                             + " dispatches",
                     "allow one of the two");
         }
-        Deployment.ColdRule cold = document.coldRule();
+        Deployment.SlowStartRule cold = document.coldRule();
         if (cold.startShare() < 1 && cold.warmAfterMs() == 0) {
             fault(
                     "/coldRule/warmAfterMs",
--- a/change/src/main/java/sprucehold/change/server/ServerWords.java
+++ b/change/src/main/java/sprucehold/change/server/ServerWords.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.SortedSet;
 import java.util.TreeSet;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
 
 /**
  * Stands between the list and the module. News of discovery pass through it, and come out with the
@@ -19,22 +19,22 @@
  * it.
  */
 public final class ServerWords {
-    private final Map<String, Listing> told = new HashMap<>();
+    private final Map<String, Endpoint> told = new HashMap<>();
     private final Map<String, Double> givenBackAt = new HashMap<>();
     private Set<String> out = Set.of();
 
     /** News from discovery, as the module is to have them. */
-    public Event.ListReceived told(Event.ListReceived news) {
+    public Event.EndpointsUpdated told(Event.EndpointsUpdated news) {
         if (news.complete()) {
             var named = new HashSet<String>();
-            news.servers().forEach(server -> named.add(server.server()));
+            news.endpoints().forEach(server -> named.add(server.server()));
             told.keySet().retainAll(named);
             // Who left the list for good is known as fresh by its own start when it comes back.
             givenBackAt.keySet().retainAll(named);
         }
-        var joined = new ArrayList<Listing>(news.servers().size());
-        for (Listing server : news.servers()) {
-            if (server.mode() == Listing.Mode.GONE) {
+        var joined = new ArrayList<Endpoint>(news.endpoints().size());
+        for (Endpoint server : news.endpoints()) {
+            if (server.state() == Endpoint.State.GONE) {
                 told.remove(server.server());
                 givenBackAt.remove(server.server());
             } else {
@@ -42,7 +42,7 @@
             }
             joined.add(joined(server));
         }
-        return new Event.ListReceived(news.complete(), List.copyOf(joined));
+        return new Event.EndpointsUpdated(news.complete(), List.copyOf(joined));
     }
 
     /**
@@ -53,7 +53,7 @@
      * @return news for the module: of each listed server whose joined word changed; empty where
      *     none did
      */
-    public List<Listing> takenOut(SortedSet<String> servers, double nowMs) {
+    public List<Endpoint> takenOut(SortedSet<String> servers, double nowMs) {
         var changed = new TreeSet<String>(servers);
         changed.addAll(out);
         changed.removeIf(server -> servers.contains(server) == out.contains(server));
@@ -69,24 +69,25 @@
                 .toList();
     }
 
-    private Listing joined(Listing server) {
-        Listing.Mode mode =
-                server.mode() == Listing.Mode.RUNNING && out.contains(server.server())
-                        ? Listing.Mode.DRAINING
-                        : server.mode();
+    private Endpoint joined(Endpoint server) {
+        Endpoint.State mode =
+                server.state() == Endpoint.State.RUNNING && out.contains(server.server())
+                        ? Endpoint.State.DRAINING
+                        : server.state();
         double started =
                 Math.max(server.startedAtMs(), givenBackAt.getOrDefault(server.server(), 0.0));
-        return new Listing(server.server(), server.cell(), server.zone(), started, mode);
+        return new Endpoint(server.server(), server.replicaGroup(), server.zone(), started, mode);
     }
 
     /** Servers that discovery calls running, by cell, whatever the operator says. */
     public Map<Integer, Set<String>> byCell() {
         Map<Integer, Set<String>> byCell = new HashMap<>();
         told.values().stream()
-                .filter(server -> server.mode() == Listing.Mode.RUNNING)
+                .filter(server -> server.state() == Endpoint.State.RUNNING)
                 .forEach(
                         server ->
-                                byCell.computeIfAbsent(server.cell(), none -> new HashSet<>())
+                                byCell.computeIfAbsent(
+                                                server.replicaGroup(), none -> new HashSet<>())
                                         .add(server.server()));
         return byCell;
     }
@@ -95,7 +96,7 @@
     public SortedSet<String> running() {
         var running = new TreeSet<String>();
         told.values().stream()
-                .filter(server -> joined(server).mode() == Listing.Mode.RUNNING)
+                .filter(server -> joined(server).state() == Endpoint.State.RUNNING)
                 .forEach(server -> running.add(server.server()));
         return running;
     }
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -15,8 +15,8 @@
 import sprucehold.change.document.Fault;
 import sprucehold.change.document.MeaningCheck;
 import sprucehold.change.document.Running;
-import sprucehold.port.Customer;
-import sprucehold.port.TableType;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 public class DocumentTest {
     private static DocumentReader.Read read(String json) {
@@ -77,13 +77,22 @@
 
     @DataProvider
     Object[][] meaningless() {
-        TableType.Repeat replayable = TableType.Repeat.REPLAYABLE;
+        QueryClass.Idempotence replayable = QueryClass.Idempotence.IDEMPOTENT;
         var least =
                 new Document.Type(
-                        new TableType("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
+                        new QueryClass("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
         var keyed =
                 new Document.Type(
-                        new TableType("offers", TableType.Repeat.KEYED, 800, 1, 0, 0, 1, 1, 0),
+                        new QueryClass(
+                                "offers",
+                                QueryClass.Idempotence.DEDUPLICATED,
+                                800,
+                                1,
+                                0,
+                                0,
+                                1,
+                                1,
+                                0),
                         2000);
         return new Object[][] {
             {
@@ -102,7 +111,7 @@
             },
             {
                 List.of(Documents.type("a", replayable, 1, 2)),
-                List.of(new Customer("c", 1), new Customer("c", 2)),
+                List.of(new Tenant("c", 1), new Tenant("c", 2)),
                 "/customers/1/name"
             },
         };
@@ -110,7 +119,7 @@
 
     @Test(dataProvider = "meaningless")
     public void whatContradictsItselfIsToldByItsPath(
-            List<Document.Type> types, List<Customer> customers, String path) {
+            List<Document.Type> types, List<Tenant> customers, String path) {
         List<Fault> faults = MeaningCheck.alone(Documents.with(types, customers, 10));
         assertEquals(faults.stream().map(Fault::path).toList(), List.of(path));
     }
@@ -167,10 +176,10 @@
         var freed =
                 List.of(
                         types.get(0),
-                        Documents.type("stamps", TableType.Repeat.REPLAYABLE, 800, 2000));
+                        Documents.type("stamps", QueryClass.Idempotence.IDEMPOTENT, 800, 2000));
         var halved =
                 List.of(
-                        Documents.type("offers", TableType.Repeat.REPLAYABLE, 400, 2000),
+                        Documents.type("offers", QueryClass.Idempotence.IDEMPOTENT, 400, 2000),
                         types.get(1));
         return new Object[][] {
             {Documents.usual(), Difference.Risk.NONE, ""},
@@ -194,7 +203,7 @@
                 "'bolt' has no share"
             },
             {
-                Documents.with(types, List.of(new Customer("acme", 2), customers.get(1)), 200),
+                Documents.with(types, List.of(new Tenant("acme", 2), customers.get(1)), 200),
                 Difference.Risk.HIGH,
                 "falls from 20 to 2 scans/s"
             },
--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -3,23 +3,24 @@
 import java.util.List;
 import java.util.TreeSet;
 import sprucehold.change.document.Document;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 /** Documents to vary. */
 final class Documents {
     private Documents() {}
 
-    static Document.Type type(String name, TableType.Repeat repeat, double target, double timeout) {
+    static Document.Type type(
+            String name, QueryClass.Idempotence repeat, double target, double timeout) {
         return new Document.Type(
-                new TableType(
+                new QueryClass(
                         name,
                         repeat,
                         target,
                         1,
                         0.1,
-                        repeat == TableType.Repeat.KEYED ? 3000 : 0,
+                        repeat == QueryClass.Idempotence.DEDUPLICATED ? 3000 : 0,
                         1,
                         0.5,
                         0),
@@ -29,20 +30,20 @@
     static Document usual() {
         return with(
                 List.of(
-                        type("offers", TableType.Repeat.REPLAYABLE, 800, 2000),
-                        type("stamps", TableType.Repeat.NON_REPLAYABLE, 800, 2000)),
-                List.of(new Customer("acme", 20), new Customer("bolt", 5)),
+                        type("offers", QueryClass.Idempotence.IDEMPOTENT, 800, 2000),
+                        type("stamps", QueryClass.Idempotence.NON_IDEMPOTENT, 800, 2000)),
+                List.of(new Tenant("acme", 20), new Tenant("bolt", 5)),
                 200);
     }
 
     static Document with(
-            List<Document.Type> types, List<Customer> customers, int maxOpen, String... out) {
+            List<Document.Type> types, List<Tenant> customers, int maxOpen, String... out) {
         return new Document(
                 types,
                 customers,
                 new Deployment.Limits(4, maxOpen, true, true, 1000),
-                new Deployment.DispatchBudget(10, 0.2, 10_000),
-                new Deployment.ColdRule(0.2, 15_000, 4, 1000),
+                new Deployment.RetryBudget(10, 0.2, 10_000),
+                new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
                 new TreeSet<>(List.of(out)),
                 "",
                 "",
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -18,9 +18,9 @@
 import sprucehold.change.line.LineEvent;
 import sprucehold.change.line.VersionLine;
 import sprucehold.change.server.ServerWords;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.TableType;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
 
 /**
  * Visits every state of a bounded world: three changes, two servers, a drain, a return, crashes
@@ -41,14 +41,14 @@
         GIVEN_BACK_AS_WARM
     }
 
-    private static final TableType ONCE = Documents.usual().types().get(1).facts();
+    private static final QueryClass ONCE = Documents.usual().types().get(1).facts();
     private static final Document FIRST = Documents.usual();
     private static final Document SERVER_OUT = Documents.number(1, "s1");
     private static final Document FREED =
             Documents.with(
                     List.of(
                             FIRST.types().get(0),
-                            Documents.type("stamps", TableType.Repeat.REPLAYABLE, 800, 2000)),
+                            Documents.type("stamps", QueryClass.Idempotence.IDEMPOTENT, 800, 2000)),
                     FIRST.customers(),
                     200);
     private static final Document SMALLER = Documents.number(-1);
@@ -62,11 +62,11 @@
         final List<JournalEntry> journal = new ArrayList<>();
         int writtenBefore;
         Document inForce = FIRST;
-        final TreeMap<String, Listing.Mode> told = new TreeMap<>();
-        final TreeMap<String, Listing> heard = new TreeMap<>();
+        final TreeMap<String, Endpoint.State> told = new TreeMap<>();
+        final TreeMap<String, Endpoint> heard = new TreeMap<>();
         final TreeSet<String> out = new TreeSet<>();
         final TreeMap<String, Double> givenBack = new TreeMap<>();
-        TableType slow;
+        QueryClass slow;
         int proposed;
         int toldCount;
         int crashes;
@@ -83,16 +83,16 @@
         }
 
         private void list() {
-            var servers = new ArrayList<Listing>();
+            var servers = new ArrayList<Endpoint>();
             for (String server : List.of("s1", "s2")) {
-                Listing.Mode mode = told.getOrDefault(server, Listing.Mode.RUNNING);
-                if (mode != Listing.Mode.GONE) {
-                    servers.add(new Listing(server, 0, "z", 0, mode));
+                Endpoint.State mode = told.getOrDefault(server, Endpoint.State.RUNNING);
+                if (mode != Endpoint.State.GONE) {
+                    servers.add(new Endpoint(server, 0, "z", 0, mode));
                 }
             }
             heard.clear();
-            words.told(new Event.ListReceived(true, servers))
-                    .servers()
+            words.told(new Event.EndpointsUpdated(true, servers))
+                    .endpoints()
                     .forEach(of -> heard.put(of.server(), of));
         }
 
@@ -113,8 +113,8 @@
             }
             if (toldCount < 3) {
                 for (String server : List.of("s1", "s2")) {
-                    Listing.Mode mode = told.getOrDefault(server, Listing.Mode.RUNNING);
-                    if (mode == Listing.Mode.RUNNING) {
+                    Endpoint.State mode = told.getOrDefault(server, Endpoint.State.RUNNING);
+                    if (mode == Endpoint.State.RUNNING) {
                         steps.add("drain " + server);
                     } else {
                         steps.add("return " + server);
@@ -172,29 +172,31 @@
                 }
                 default -> {
                     String server = step.substring(step.length() - 2);
-                    Listing.Mode mode =
-                            step.startsWith("drain") ? Listing.Mode.DRAINING : Listing.Mode.RUNNING;
+                    Endpoint.State mode =
+                            step.startsWith("drain")
+                                    ? Endpoint.State.DRAINING
+                                    : Endpoint.State.RUNNING;
                     toldCount++;
                     told.put(server, mode);
                     hear(
                             words.told(
-                                            new Event.ListReceived(
+                                            new Event.EndpointsUpdated(
                                                     false,
-                                                    List.of(new Listing(server, 0, "z", 0, mode))))
-                                    .servers());
+                                                    List.of(new Endpoint(server, 0, "z", 0, mode))))
+                                    .endpoints());
                 }
             }
             check(step);
         }
 
-        private void hear(List<Listing> news) {
-            for (Listing of : news) {
-                Listing.Mode mode =
+        private void hear(List<Endpoint> news) {
+            for (Endpoint of : news) {
+                Endpoint.State mode =
                         mutation == Mutation.OPERATORS_WORD_ALONE && !out.contains(of.server())
-                                ? Listing.Mode.RUNNING
-                                : of.mode();
+                                ? Endpoint.State.RUNNING
+                                : of.state();
                 double started = mutation == Mutation.GIVEN_BACK_AS_WARM ? 0 : of.startedAtMs();
-                heard.put(of.server(), new Listing(of.server(), 0, "z", started, mode));
+                heard.put(of.server(), new Endpoint(of.server(), 0, "z", started, mode));
             }
         }
 
@@ -213,7 +215,7 @@
                         slow =
                                 mutation == Mutation.SCAN_TAKES_NEW_TYPE
                                         ? inForce.type("stamps").orElseThrow().facts()
-                                        : slow.boundBy(
+                                        : slow.restrictedBy(
                                                 inForce.types().stream()
                                                         .map(Document.Type::facts)
                                                         .toList());
@@ -227,11 +229,11 @@
                     out.addAll(inForce.serversOut());
                     if (mutation == Mutation.DRAIN_FORGOTTEN_ON_UNDO && back) {
                         words.told(
-                                new Event.ListReceived(
+                                new Event.EndpointsUpdated(
                                         false,
                                         List.of(
-                                                new Listing(
-                                                        "s1", 0, "z", 0, Listing.Mode.RUNNING))));
+                                                new Endpoint(
+                                                        "s1", 0, "z", 0, Endpoint.State.RUNNING))));
                     }
                     hear(words.takenOut(inForce.serversOut(), now));
                     if (apply.version().number() < greatest) {
@@ -330,29 +332,29 @@
                 broken = "a mixture is in force";
             }
             for (String server : List.of("s1", "s2")) {
-                Listing of = heard.get(server);
-                Listing.Mode mode = told.getOrDefault(server, Listing.Mode.RUNNING);
+                Endpoint of = heard.get(server);
+                Endpoint.State mode = told.getOrDefault(server, Endpoint.State.RUNNING);
                 if (of != null
-                        && of.mode() == Listing.Mode.RUNNING
-                        && (mode != Listing.Mode.RUNNING
+                        && of.state() == Endpoint.State.RUNNING
+                        && (mode != Endpoint.State.RUNNING
                                 || inForce.serversOut().contains(server))) {
                     broken = server + " may be sent to against a drain";
                 }
                 if (of != null
-                        && of.mode() == Listing.Mode.DRAINING
-                        && mode == Listing.Mode.RUNNING
+                        && of.state() == Endpoint.State.DRAINING
+                        && mode == Endpoint.State.RUNNING
                         && !inForce.serversOut().contains(server)) {
                     broken = server + " is held out though nobody wants it";
                 }
                 if (of != null
-                        && of.mode() == Listing.Mode.RUNNING
+                        && of.state() == Endpoint.State.RUNNING
                         && givenBack.containsKey(server)
                         && of.startedAtMs() < givenBack.get(server)) {
                     broken = server + " was given back as if warm";
                 }
             }
             if (slow != null
-                    && slow.repeat() != TableType.Repeat.NON_REPLAYABLE
+                    && slow.idempotence() != QueryClass.Idempotence.NON_IDEMPOTENT
                     && slowTakenUnderOnce) {
                 broken = "a part in flight was freed";
             }
@@ -385,7 +387,7 @@
                     + "|"
                     + inForce.serversOut()
                     + "|"
-                    + inForce.types().get(1).facts().repeat()
+                    + inForce.types().get(1).facts().idempotence()
                     + "|"
                     + line.watched()
                     + "|"
@@ -403,10 +405,10 @@
                     + told
                     + "|"
                     + heard.values().stream()
-                            .map(of -> of.mode() + "" + (of.startedAtMs() > 0))
+                            .map(of -> of.state() + "" + (of.startedAtMs() > 0))
                             .toList()
                     + "|"
-                    + (slow == null ? "" : slow.repeat())
+                    + (slow == null ? "" : slow.idempotence())
                     + proposed
                     + toldCount
                     + crashes
--- a/change/src/test/java/sprucehold/change/ServerWordsTest.java
+++ b/change/src/test/java/sprucehold/change/ServerWordsTest.java
@@ -10,66 +10,67 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.change.server.ServerWords;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
 
 public class ServerWordsTest {
-    private static Listing listing(String server, Listing.Mode mode, double started) {
-        return new Listing(server, 0, "z", started, mode);
+    private static Endpoint listing(String server, Endpoint.State mode, double started) {
+        return new Endpoint(server, 0, "z", started, mode);
     }
 
-    private static Event.ListReceived news(boolean complete, Listing... servers) {
-        return new Event.ListReceived(complete, List.of(servers));
+    private static Event.EndpointsUpdated news(boolean complete, Endpoint... servers) {
+        return new Event.EndpointsUpdated(complete, List.of(servers));
     }
 
     @DataProvider
     Object[][] words() {
         return new Object[][] {
             // discovery's word, whether the operator has it out, what the module hears
-            {Listing.Mode.RUNNING, false, Listing.Mode.RUNNING},
-            {Listing.Mode.RUNNING, true, Listing.Mode.DRAINING},
-            {Listing.Mode.DRAINING, false, Listing.Mode.DRAINING},
-            {Listing.Mode.DRAINING, true, Listing.Mode.DRAINING},
-            {Listing.Mode.GONE, true, Listing.Mode.GONE},
-            {Listing.Mode.GONE, false, Listing.Mode.GONE},
+            {Endpoint.State.RUNNING, false, Endpoint.State.RUNNING},
+            {Endpoint.State.RUNNING, true, Endpoint.State.DRAINING},
+            {Endpoint.State.DRAINING, false, Endpoint.State.DRAINING},
+            {Endpoint.State.DRAINING, true, Endpoint.State.DRAINING},
+            {Endpoint.State.GONE, true, Endpoint.State.GONE},
+            {Endpoint.State.GONE, false, Endpoint.State.GONE},
         };
     }
 
     @Test(dataProvider = "words")
-    public void stricterWordWins(Listing.Mode told, boolean out, Listing.Mode heard) {
+    public void stricterWordWins(Endpoint.State told, boolean out, Endpoint.State heard) {
         var words = new ServerWords();
         words.takenOut(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
-        assertEquals(words.told(news(true, listing("s", told, 0))).servers().get(0).mode(), heard);
+        assertEquals(
+                words.told(news(true, listing("s", told, 0))).endpoints().get(0).state(), heard);
     }
 
     @Test
     public void serverTakenOutWhileDrainingDrainsOnWhenTheChangeIsUndone() {
         var words = new ServerWords();
-        words.told(news(true, listing("s", Listing.Mode.RUNNING, 0)));
-        words.told(news(false, listing("s", Listing.Mode.DRAINING, 0)));
+        words.told(news(true, listing("s", Endpoint.State.RUNNING, 0)));
+        words.told(news(false, listing("s", Endpoint.State.DRAINING, 0)));
         words.takenOut(new TreeSet<>(List.of("s")), 10);
-        List<Listing> undone = words.takenOut(new TreeSet<>(), 20);
-        assertEquals(undone.get(0).mode(), Listing.Mode.DRAINING);
+        List<Endpoint> undone = words.takenOut(new TreeSet<>(), 20);
+        assertEquals(undone.get(0).state(), Endpoint.State.DRAINING);
         assertTrue(words.running().isEmpty());
     }
 
     @Test
     public void serverGivenBackCountsAsFreshlyStarted() {
         var words = new ServerWords();
-        words.told(news(true, listing("s", Listing.Mode.RUNNING, 5)));
+        words.told(news(true, listing("s", Endpoint.State.RUNNING, 5)));
         words.takenOut(new TreeSet<>(List.of("s")), 1000);
-        List<Listing> back = words.takenOut(new TreeSet<>(), 2000);
-        assertEquals(back, List.of(listing("s", Listing.Mode.RUNNING, 2000)));
+        List<Endpoint> back = words.takenOut(new TreeSet<>(), 2000);
+        assertEquals(back, List.of(listing("s", Endpoint.State.RUNNING, 2000)));
         // Discovery repeats what it knows, and must not make the server look warm again.
         assertEquals(
-                words.told(news(false, listing("s", Listing.Mode.RUNNING, 5)))
-                        .servers()
+                words.told(news(false, listing("s", Endpoint.State.RUNNING, 5)))
+                        .endpoints()
                         .get(0)
                         .startedAtMs(),
                 2000.0);
         assertEquals(
-                words.told(news(false, listing("s", Listing.Mode.RUNNING, 3000)))
-                        .servers()
+                words.told(news(false, listing("s", Endpoint.State.RUNNING, 3000)))
+                        .endpoints()
                         .get(0)
                         .startedAtMs(),
                 3000.0);
@@ -80,17 +81,17 @@
         var random = new Random(4);
         for (int play = 0; play < 2000; play++) {
             var words = new ServerWords();
-            Listing.Mode[] modes = {Listing.Mode.RUNNING, Listing.Mode.RUNNING};
-            var heard = new ArrayList<>(List.of(Listing.Mode.GONE, Listing.Mode.GONE));
+            Endpoint.State[] modes = {Endpoint.State.RUNNING, Endpoint.State.RUNNING};
+            var heard = new ArrayList<>(List.of(Endpoint.State.GONE, Endpoint.State.GONE));
             boolean[] out = new boolean[2];
             for (int step = 0; step < 20; step++) {
                 int server = random.nextInt(2);
-                List<Listing> said;
+                List<Endpoint> said;
                 if (random.nextBoolean()) {
-                    modes[server] = Listing.Mode.values()[random.nextInt(3)];
+                    modes[server] = Endpoint.State.values()[random.nextInt(3)];
                     said =
                             words.told(news(false, listing("s" + server, modes[server], 0)))
-                                    .servers();
+                                    .endpoints();
                 } else {
                     out[server] = random.nextBoolean();
                     var set = new TreeSet<String>();
@@ -101,11 +102,11 @@
                     }
                     said = words.takenOut(set, step);
                 }
-                said.forEach(of -> heard.set(of.server().charAt(1) - '0', of.mode()));
+                said.forEach(of -> heard.set(of.server().charAt(1) - '0', of.state()));
                 for (int i = 0; i < 2; i++) {
-                    if (heard.get(i) == Listing.Mode.RUNNING) {
+                    if (heard.get(i) == Endpoint.State.RUNNING) {
                         assertTrue(
-                                modes[i] == Listing.Mode.RUNNING && !out[i],
+                                modes[i] == Endpoint.State.RUNNING && !out[i],
                                 "play " + play + ", step " + step);
                     }
                 }
--- a/cli/src/main/java/sprucehold/cli/Printed.java
+++ b/cli/src/main/java/sprucehold/cli/Printed.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import sprucehold.storage.StoredJson;
 
 /** What a command prints: a table for people, or JSON for machines. */
 final class Printed {
-    private static final ObjectMapper MAPPER = JsonMapper.builder().build();
+    private static final ObjectMapper MAPPER = StoredJson.mapperBuilder().build();
 
     private Printed() {}
 
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucehold.cluster.ClusterConfig;
-import sprucehold.port.Bound;
+import sprucehold.decision.SharedLimit;
 
 /** What gatherers know together. */
 @Command(
@@ -156,13 +156,15 @@
                             .count());
             what.put(
                     "cold_servers",
-                    plan.shared().contains(Bound.Kind.COLD) ? "shared" : "each alone");
+                    plan.shared().contains(SharedLimit.Kind.SLOW_START) ? "shared" : "each alone");
             what.put(
                     "customers_shares",
-                    plan.shared().contains(Bound.Kind.CUSTOMER) ? "shared" : "each alone");
+                    plan.shared().contains(SharedLimit.Kind.TENANT_QUOTA)
+                            ? "shared"
+                            : "each alone");
             what.put(
                     "further_dispatches",
-                    plan.shared().contains(Bound.Kind.FURTHER)
+                    plan.shared().contains(SharedLimit.Kind.RETRIES)
                             ? plan.further() + " by all in " + plan.furtherWindowMs() + " ms"
                             : "each by its own budget");
             what.put(
--- a/cli/src/main/java/sprucehold/cli/TraceJudge.java
+++ b/cli/src/main/java/sprucehold/cli/TraceJudge.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.brain.Brain;
-import sprucehold.port.Ending;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.policy.Brain;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
@@ -118,7 +118,7 @@
                                                     why.add(
                                                             List.of(
                                                                     how.words(),
-                                                                    reason.words(),
+                                                                    reason.description(),
                                                                     count))));
             Printed.table(List.of("outcome", "because", "scans"), why);
             System.out.println();
@@ -126,7 +126,11 @@
             summary.reasons()
                     .forEach(
                             (reason, count) ->
-                                    actions.add(List.of(reason.name(), reason.words(), count)));
+                                    actions.add(
+                                            List.of(
+                                                    reason.storedName(),
+                                                    reason.description(),
+                                                    count)));
             Printed.table(List.of("reason", "in words", "actions"), actions);
             System.out.println();
             var rows = new ArrayList<List<Object>>();
@@ -137,12 +141,13 @@
                                             List.of(
                                                     name,
                                                     group.dispatches(),
-                                                    group.of(Ending.COMPLETED),
-                                                    group.of(Ending.ERROR) + group.of(Ending.RESET),
-                                                    group.of(Ending.FULL)
-                                                            + group.of(Ending.UNCONNECTED),
-                                                    group.of(Ending.TIMED_OUT),
-                                                    group.of(Ending.CANCELLED),
+                                                    group.of(AttemptOutcome.COMPLETED),
+                                                    group.of(AttemptOutcome.ERROR)
+                                                            + group.of(AttemptOutcome.RESET),
+                                                    group.of(AttemptOutcome.OVERLOADED)
+                                                            + group.of(AttemptOutcome.UNREACHABLE),
+                                                    group.of(AttemptOutcome.TIMED_OUT),
+                                                    group.of(AttemptOutcome.CANCELLED),
                                                     group.percentileMs(50),
                                                     group.percentileMs(99),
                                                     group.passedOver().values().stream()
@@ -241,8 +246,8 @@
                     .forEach(
                             (name, group) -> {
                                 var endings = TraceLook.map();
-                                for (Ending ending : Ending.values()) {
-                                    endings.put(ending.name(), group.of(ending));
+                                for (AttemptOutcome outcome : AttemptOutcome.values()) {
+                                    endings.put(outcome.storedName(), group.of(outcome));
                                 }
                                 map.put(
                                         name,
--- a/cli/src/main/java/sprucehold/cli/TraceLook.java
+++ b/cli/src/main/java/sprucehold/cli/TraceLook.java
@@ -321,7 +321,7 @@
                                             && (type == null
                                                     || tally.scan()
                                                             .taken()
-                                                            .type()
+                                                            .queryClass()
                                                             .name()
                                                             .equals(type))
                                             && (customer == null
@@ -368,7 +368,7 @@
                                     "gatherer",
                                     gatherer,
                                     "type",
-                                    taken.type().name(),
+                                    taken.queryClass().name(),
                                     "customer",
                                     tally.customer(),
                                     "taken",
@@ -392,11 +392,11 @@
                             List.of(
                                     taken.id(),
                                     gatherer,
-                                    taken.type().name(),
+                                    taken.queryClass().name(),
                                     tally.customer(),
                                     Times.iso(tally.scan().takenMs()),
                                     tally.outcome().words(),
-                                    tally.reason().words(),
+                                    tally.reason().description(),
                                     tally.tookMs(),
                                     tally.parts(),
                                     tally.dispatches()));
--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -18,7 +18,10 @@
                     .importPackages("sprucehold");
 
     private static final String[] CORE = {
-        "sprucehold.port..", "sprucehold.facts..", "sprucehold.picker..", "sprucehold.brain.."
+        "sprucehold.decision..",
+        "sprucehold.deployment..",
+        "sprucehold.coordinator..",
+        "sprucehold.policy.."
     };
     private static final String[] TRACE = {"sprucehold.trace.."};
     private static final String[] TOOLS = {"sprucehold.tracetools.."};
@@ -231,10 +234,10 @@
                 noClasses()
                         .that()
                         .resideOutsideOfPackages(
-                                "sprucehold.brain..", "sprucehold.command..", "sprucehold.cli..")
+                                "sprucehold.policy..", "sprucehold.command..", "sprucehold.cli..")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAPackage("sprucehold.brain..")
+                        .resideInAPackage("sprucehold.policy..")
             },
             {
                 "core has no sockets, files or threads",
@@ -323,6 +326,6 @@
     @Test
     public void theRulesLookAtSomething() {
         Assert.assertTrue(
-                ALL.contain("sprucehold.brain.Brain") && ALL.contain("sprucehold.cli.Sprucehold"));
+                ALL.contain("sprucehold.policy.Brain") && ALL.contain("sprucehold.cli.Sprucehold"));
     }
 }
--- a/core/src/main/java/sprucehold/picker/Dispatch.java
+++ b/core/src/main/java/sprucehold/coordinator/Attempt.java
@@ -1,62 +1,62 @@
-package sprucehold.picker;
+package sprucehold.coordinator;
 
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
-import sprucehold.port.Action;
-import sprucehold.port.Reason;
+import sprucehold.decision.Command;
+import sprucehold.decision.Reason;
 
 /** One sending of a part to a shard server. */
-public final class Dispatch {
+public final class Attempt {
     final OpenPart part;
     final int number;
     final double sentAt;
-    final double patienceEndsAt;
-    boolean out = true;
-    boolean patienceOver;
+    final double timesOutAt;
+    boolean pending = true;
+    boolean timedOut;
 
     /** It is over and surely never ran. */
     boolean neverRan;
 
     private final ShardServer server;
-    private final List<Action.Use> uses;
+    private final List<Command.ConsumeAllowance> consumed;
     private final Reason reason;
-    private BooleanSupplier leave = () -> true;
+    private BooleanSupplier permission = () -> true;
 
     /**
      * @param uses what it takes of shared bounds
      * @param reason why the decisions want it
      */
-    Dispatch(
+    Attempt(
             OpenPart part,
             ShardServer server,
             double sentAt,
             double patienceMs,
-            List<Action.Use> uses,
+            List<Command.ConsumeAllowance> uses,
             Reason reason) {
-        this.uses = uses;
+        this.consumed = uses;
         this.reason = reason;
         this.part = part;
-        this.number = part.dispatches.size();
+        this.number = part.attempts.size();
         this.server = server;
         this.sentAt = sentAt;
-        this.patienceEndsAt = sentAt + patienceMs;
+        this.timesOutAt = sentAt + patienceMs;
     }
 
     public String partId() {
         return part.id;
     }
 
-    public int segment() {
-        return part.segment;
+    public int shard() {
+        return part.shard;
     }
 
     public ShardServer server() {
         return server;
     }
 
-    public Scan scan() {
-        return part.scan.scan;
+    public Query query() {
+        return part.query.query;
     }
 
     /** Its place among the attempts of its part, from 0. */
@@ -70,18 +70,18 @@
     }
 
     /** How long it has been out at a moment, in milliseconds. */
-    public double outMs(double nowMs) {
+    public double ageMs(double nowMs) {
         return nowMs - sentAt;
     }
 
     /** What it takes of bounds that gatherers share. */
-    public List<Action.Use> uses() {
-        return uses;
+    public List<Command.ConsumeAllowance> consumed() {
+        return consumed;
     }
 
     /** Makes its writing depend on something that is asked right before it. */
-    public void onlyIf(BooleanSupplier mayBeWritten) {
-        leave = mayBeWritten;
+    public void requirePermission(BooleanSupplier mayBeWritten) {
+        permission = mayBeWritten;
     }
 
     /**
@@ -91,11 +91,11 @@
      * own time up, the time within which repeats are dropped past, or its leave withdrawn.
      */
     public boolean mayBeWritten(double nowMs) {
-        return out
-                && !part.scan.over
-                && nowMs < patienceEndsAt
+        return pending
+                && !part.query.over
+                && nowMs < timesOutAt
                 && mayRunBeside(nowMs)
-                && leave.getAsBoolean();
+                && permission.getAsBoolean();
     }
 
     /**
@@ -103,30 +103,33 @@
      * have, or may yet.
      */
     private boolean mayRunBeside(double nowMs) {
-        return switch (part.scan.type.repeat()) {
-            case REPLAYABLE -> true;
-            case KEYED ->
+        return switch (part.query.type.idempotence()) {
+            case IDEMPOTENT -> true;
+            case DEDUPLICATED ->
                     others().allMatch(
                                     other ->
-                                            nowMs <= other.sentAt + part.scan.type.keyedWindowMs());
-            case NON_REPLAYABLE -> others().findAny().isEmpty();
+                                            nowMs
+                                                    <= other.sentAt
+                                                            + part.query.type
+                                                                    .deduplicationWindowMs());
+            case NON_IDEMPOTENT -> others().findAny().isEmpty();
         };
     }
 
-    private Stream<Dispatch> others() {
-        return part.dispatches.stream().filter(other -> other != this && !other.neverRan);
+    private Stream<Attempt> others() {
+        return part.attempts.stream().filter(other -> other != this && !other.neverRan);
     }
 
     /**
      * How much of the time that its answer is waited for is left, in milliseconds; 0 or less once
      * it is over.
      */
-    public double patienceLeftMs(double nowMs) {
-        return patienceEndsAt - nowMs;
+    public double timeLeftMs(double nowMs) {
+        return timesOutAt - nowMs;
     }
 
     /** How long its answer is waited for. */
-    public double patienceMs() {
-        return patienceEndsAt - sentAt;
+    public double timeoutMs() {
+        return timesOutAt - sentAt;
     }
 }
--- a/core/src/main/java/sprucehold/picker/ServerNews.java
+++ b/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
@@ -1,4 +1,4 @@
-package sprucehold.picker;
+package sprucehold.coordinator;
 
 /**
  * What the list tells of one shard server.
@@ -6,8 +6,13 @@
  * @param address host and port as seen from here
  * @param startedAtMs Unix time at which it last started, 0 if long ago
  */
-public record ServerNews(
-        String name, String address, int cell, String zone, double startedAtMs, State state) {
+public record EndpointUpdate(
+        String name,
+        String address,
+        int replicaGroup,
+        String zone,
+        double startedAtMs,
+        State state) {
 
     /** Whether it may be sent to. */
     public enum State {
--- a/core/src/main/java/sprucehold/picker/Scan.java
+++ b/core/src/main/java/sprucehold/coordinator/Query.java
@@ -1,4 +1,4 @@
-package sprucehold.picker;
+package sprucehold.coordinator;
 
 import java.util.List;
 import java.util.Optional;
@@ -6,23 +6,23 @@
 /**
  * A client's scan as it came.
  *
- * @param customer the name; one that isn't known counts as none
+ * @param tenant the name; one that isn't known counts as none
  * @param timeLeftMs how long the client will wait from now on, in milliseconds
  * @param idempotencyKey by which shard servers know repeats of the same effect, if the client sent
  *     one
- * @param text what each part carries
+ * @param body what each part carries
  */
-public record Scan(
+public record Query(
         String id,
-        String tableType,
-        String customer,
+        String queryClass,
+        String tenant,
         double timeLeftMs,
         Optional<String> idempotencyKey,
         List<Part> parts,
-        byte[] text) {
+        byte[] body) {
 
     /** A scan without an idempotency key. */
-    public Scan(
+    public Query(
             String id,
             String tableType,
             String customer,
@@ -33,5 +33,5 @@
     }
 
     /** A part: its segment and its share of the whole answer. */
-    public record Part(int segment, double weight) {}
+    public record Part(int shard, double weight) {}
 }
--- a/core/src/main/java/sprucehold/picker/ShardServer.java
+++ b/core/src/main/java/sprucehold/coordinator/ShardServer.java
@@ -1,4 +1,4 @@
-package sprucehold.picker;
+package sprucehold.coordinator;
 
 /**
  * A shard server as last told of. There is one object a name, so it can be compared by identity.
--- a/core/src/main/java/sprucehold/picker/Progress.java
+++ b/core/src/main/java/sprucehold/coordinator/WriteProgress.java
@@ -1,7 +1,7 @@
-package sprucehold.picker;
+package sprucehold.coordinator;
 
 /** How far a dispatch had come when it ended without an answer. */
-public enum Progress {
+public enum WriteProgress {
     /** Nothing of it was written: there was no connection, or no need any more. */
     NOT_WRITTEN,
     /** The connection broke before the last byte of its frame was written. */
--- a/core/src/main/java/sprucehold/facts/Facts.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettings.java
@@ -1,47 +1,47 @@
-package sprucehold.facts;
+package sprucehold.deployment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 /**
  * All that is read of a deployment's settings. Unknown fields are skipped, absent ones are zero or
  * empty.
  *
  * @param deployment what bears on decisions
- * @param segments how many segments there are
- * @param longestTimeoutMs the longest query timeout of any table type
- * @param timeoutsMs the query timeout of each table type, in their order
+ * @param shards how many segments there are
+ * @param longestDeadlineMs the longest query timeout of any table type
+ * @param deadlinesMs the query timeout of each table type, in their order
  * @param loadFields the values of a load report, in the order of the bench's wire; empty where
  *     there are none
- * @param loadByProbe whether load reports come with probes
+ * @param loadByHealthCheck whether load reports come with probes
  */
-public record Facts(
+public record DeploymentSettings(
         Deployment deployment,
-        Connections connections,
-        int segments,
-        double longestTimeoutMs,
-        List<Double> timeoutsMs,
+        ConnectionSettings connections,
+        int shards,
+        double longestDeadlineMs,
+        List<Double> deadlinesMs,
         List<String> loadFields,
-        boolean loadByProbe) {
+        boolean loadByHealthCheck) {
 
     /**
      * The settings that a gatherer is to serve by; what they lack or contradict is one error that
      * names the field.
      */
-    public static Facts checked(JsonNode settings) throws MalformedFactsException {
-        FactsCheck.check(settings);
+    public static DeploymentSettings checked(JsonNode settings) throws InvalidSettingsException {
+        DeploymentSettingsValidator.check(settings);
         return read(settings);
     }
 
-    public static Facts read(JsonNode settings) throws MalformedFactsException {
+    public static DeploymentSettings read(JsonNode settings) throws InvalidSettingsException {
         JsonNode family = settings.path("familyInfo");
         JsonNode limits = settings.path("limits");
         JsonNode feedback = settings.path("feedback");
-        var types = new ArrayList<TableType>();
+        var types = new ArrayList<QueryClass>();
         var timeouts = new ArrayList<Double>();
         double longestTimeout = 0;
         for (JsonNode node : settings.path("classes")) {
@@ -49,19 +49,19 @@
             timeouts.add(node.path("giveUpMs").doubleValue());
             longestTimeout = Math.max(longestTimeout, node.path("giveUpMs").doubleValue());
         }
-        var customers = new ArrayList<Customer>();
+        var customers = new ArrayList<Tenant>();
         for (JsonNode node : settings.path("tenants")) {
             customers.add(
-                    new Customer(
+                    new Tenant(
                             node.path("name").asText(), node.path("allowancePerS").doubleValue()));
         }
         var loadFields = new ArrayList<String>();
         if (!feedback.path("source").asText().equals("none")) {
             feedback.path("fields").forEach(field -> loadFields.add(field.asText()));
         }
-        return new Facts(
+        return new DeploymentSettings(
                 deployment(settings, List.copyOf(types), List.copyOf(customers)),
-                new Connections(
+                new ConnectionSettings(
                         limits.path("dialTimeoutMs").doubleValue(),
                         limits.path("idleCloseMs").doubleValue(),
                         Math.max(1, limits.path("streamsPerConn").asInt(1))),
@@ -73,7 +73,7 @@
     }
 
     private static Deployment deployment(
-            JsonNode settings, List<TableType> types, List<Customer> customers) {
+            JsonNode settings, List<QueryClass> types, List<Tenant> customers) {
         JsonNode family = settings.path("familyInfo");
         JsonNode limits = settings.path("limits");
         JsonNode rules = settings.path("safety");
@@ -84,7 +84,7 @@
                 settings.path("overShareWorth").asDouble(1),
                 types,
                 customers,
-                new Deployment.Layout(
+                new Deployment.ShardLayout(
                         Math.max(1, family.path("sets").asInt(1)),
                         Math.max(1, family.path("width").asInt(1)),
                         Math.max(1, family.path("bundleMax").asInt(1))),
@@ -96,34 +96,34 @@
                         limits.path("retryAfter").booleanValue()
                                 ? limits.path("maxRetryAfterMs").doubleValue()
                                 : 0),
-                new Deployment.ColdRule(
+                new Deployment.SlowStartRule(
                         rules.path("coldFrom").asDouble(1),
                         rules.path("coldMs").doubleValue(),
                         rules.path("fallMultiple").asDouble(1),
                         rules.path("overloadForMs").doubleValue()),
                 rules.has("countedOverMs")
-                        ? new Deployment.DispatchBudget(
+                        ? new Deployment.RetryBudget(
                                 rules.path("budgetFree").doubleValue(),
                                 rules.path("extraRatio").doubleValue(),
                                 rules.path("countedOverMs").doubleValue())
-                        : Deployment.DispatchBudget.NONE,
-                new Deployment.ListAccess(
+                        : Deployment.RetryBudget.NONE,
+                new Deployment.EndpointSubscription(
                         settings.path("discovery").asText().equals("subscribe"),
                         rules.path("mustAskInMs").doubleValue()));
     }
 
-    private static TableType tableType(JsonNode node, JsonNode family, int index)
-            throws MalformedFactsException {
-        TableType.Repeat repeat =
+    private static QueryClass tableType(JsonNode node, JsonNode family, int index)
+            throws InvalidSettingsException {
+        QueryClass.Idempotence repeat =
                 switch (node.path("semantics").asText()) {
-                    case "retryable" -> TableType.Repeat.REPLAYABLE;
-                    case "dedup" -> TableType.Repeat.KEYED;
-                    case "fragile" -> TableType.Repeat.NON_REPLAYABLE;
+                    case "retryable" -> QueryClass.Idempotence.IDEMPOTENT;
+                    case "dedup" -> QueryClass.Idempotence.DEDUPLICATED;
+                    case "fragile" -> QueryClass.Idempotence.NON_IDEMPOTENT;
                     default ->
-                            throw new MalformedFactsException(
+                            throw new InvalidSettingsException(
                                     "unknown semantics " + node.path("semantics"));
                 };
-        return new TableType(
+        return new QueryClass(
                 node.path("name").asText(),
                 repeat,
                 node.path("aimMs").doubleValue(),
--- a/core/src/main/java/sprucehold/facts/FactsCheck.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
@@ -1,4 +1,4 @@
-package sprucehold.facts;
+package sprucehold.deployment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
@@ -9,11 +9,11 @@
  * Only what nobody can serve without is asked for: fields that have a sound default may be absent,
  * but not be of another kind.
  */
-final class FactsCheck {
-    private FactsCheck() {}
+final class DeploymentSettingsValidator {
+    private DeploymentSettingsValidator() {}
 
     /** Throws at the first field that can't be used, naming it and what was expected. */
-    static void check(JsonNode settings) throws MalformedFactsException {
+    static void check(JsonNode settings) throws InvalidSettingsException {
         JsonNode types = settings.path("classes");
         if (!types.isArray() || types.isEmpty()) {
             throw expected("classes", types, "a list with at least one table type");
@@ -63,7 +63,7 @@
     }
 
     private static void tableType(JsonNode type, String at, Set<String> names)
-            throws MalformedFactsException {
+            throws InvalidSettingsException {
         name(type, at, names);
         String semantics = type.path("semantics").asText();
         if (!Set.of("retryable", "dedup", "fragile").contains(semantics)) {
@@ -77,7 +77,7 @@
     }
 
     private static void name(JsonNode node, String at, Set<String> names)
-            throws MalformedFactsException {
+            throws InvalidSettingsException {
         JsonNode name = node.path("name");
         if (!name.isTextual() || name.asText().isEmpty()) {
             throw expected(at + "name", name, "a name");
@@ -88,7 +88,7 @@
 
     private static void number(
             JsonNode node, String at, String field, double least, boolean above, boolean needed)
-            throws MalformedFactsException {
+            throws InvalidSettingsException {
         JsonNode value = node.path(field);
         if (value.isMissingNode() && !needed) {
             return;
@@ -103,7 +103,7 @@
     }
 
     private static void whole(JsonNode node, String at, String field, boolean needed)
-            throws MalformedFactsException {
+            throws InvalidSettingsException {
         JsonNode value = node.path(field);
         if (value.isMissingNode() && !needed) {
             return;
@@ -114,7 +114,7 @@
     }
 
     private static void shares(JsonNode family, String field, int types)
-            throws MalformedFactsException {
+            throws InvalidSettingsException {
         JsonNode shares = family.path(field);
         if (shares.isMissingNode()) {
             return;
@@ -134,9 +134,9 @@
         }
     }
 
-    private static MalformedFactsException expected(String place, JsonNode value, String what) {
+    private static InvalidSettingsException expected(String place, JsonNode value, String what) {
         String is = value.isMissingNode() ? "is missing" : "is " + value;
-        return new MalformedFactsException(
+        return new InvalidSettingsException(
                 "settings."
                         + place
                         + " "
--- a/core/src/main/java/sprucehold/facts/MalformedFactsException.java
+++ b/core/src/main/java/sprucehold/deployment/InvalidSettingsException.java
@@ -1,12 +1,12 @@
-package sprucehold.facts;
+package sprucehold.deployment;
 
 import java.io.IOException;
 
 /** The settings don't tell what has to be known. */
-public final class MalformedFactsException extends IOException {
+public final class InvalidSettingsException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public MalformedFactsException(String message) {
+    public InvalidSettingsException(String message) {
         super(message);
     }
 }
--- a/core/src/main/java/sprucehold/picker/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * The decisions in blocking style, and the books between ids and objects; the entry point is {@link
- * sprucehold.picker.Picker}. It must never decide which server, what to repeat or what to turn
- * away.
- */
-package sprucehold.picker;
--- a/core/src/main/java/sprucehold/brain/Brain.java
+++ b/core/src/main/java/sprucehold/policy/Brain.java
@@ -1,4 +1,4 @@
-package sprucehold.brain;
+package sprucehold.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,23 +11,23 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Listing;
-import sprucehold.port.Others;
-import sprucehold.port.PassedOver;
-import sprucehold.port.Reason;
-import sprucehold.port.TableType;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Reason;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.SkippedReplica;
+import sprucehold.decision.Tenant;
 
 /**
  * All decisions of one gatherer. It is called through {@link #decide}, the one entry point: what
  * happened goes in, what is to be done comes out. The interface is the package {@link
- * sprucehold.port}.
+ * sprucehold.decision}.
  *
  * <p>The design (docs/design.md) decides the ordinary path: rounds, their width, the position rule.
  * Beside it, six mechanisms:
@@ -45,8 +45,8 @@
  *   <li>endings: when a scan is answered, and when it is given up.
  * </ol>
  */
-public final class Brain implements Gatherer {
-    private Deployment facts;
+public final class Brain implements DecisionPolicy {
+    private Deployment deployment;
     private final Random chance;
 
     /**
@@ -55,13 +55,13 @@
      */
     private boolean crowded;
 
-    private Others others = Others.NONE;
+    private ClusterView clusterView = ClusterView.NONE;
 
     /** What is left of what others told, by shared bound. */
-    private Map<Bound, Integer> room = new HashMap<>();
+    private Map<SharedLimit, Integer> room = new HashMap<>();
 
     private double now, lookAgainAt, lookedAt;
-    private List<Action> todo = new ArrayList<>();
+    private List<Command> todo = new ArrayList<>();
 
     private final Map<String, Scan> scansById = new HashMap<>();
     private final Map<Long, Scan> scansByNumber = new LinkedHashMap<>();
@@ -77,8 +77,8 @@
     private final List<List<Srv>> cells = new ArrayList<>();
 
     private final Map<String, Times> timesByType = new HashMap<>();
-    private final Map<Customer, Double> allowances = new HashMap<>();
-    private final Map<Customer, Double> brokenUntil = new HashMap<>();
+    private final Map<Tenant, Double> allowances = new HashMap<>();
+    private final Map<Tenant, Double> brokenUntil = new HashMap<>();
 
     private final PriorityQueue<Alarm> alarms =
             new PriorityQueue<>(
@@ -95,35 +95,37 @@
     private record Alarm(double at, long turn, Runnable task) {}
 
     private static final class Scan {
-        final Event.ScanTaken taken;
-        TableType type;
+        final Event.QueryReceived taken;
+        QueryClass type;
         final double takenAt, endsAt;
         List<Part> parts = new ArrayList<>();
         List<Round> rounds = new ArrayList<>();
         int position;
         boolean overShare, counted, admitted, secondStep, over;
 
-        Scan(Event.ScanTaken taken, double now, double endsAt) {
+        Scan(Event.QueryReceived taken, double now, double endsAt) {
             this.taken = taken;
-            this.type = taken.type();
+            this.type = taken.queryClass();
             this.takenAt = now;
             this.endsAt = endsAt;
         }
 
         double targetAt() {
-            return takenAt + type.targetMs();
+            return takenAt + type.latencyObjectiveMs();
         }
 
         /** Parts that make the answer whole; widths go by count, wholeness by weight. */
         int needed() {
             return secondStep
                     ? parts.size()
-                    : (int) Math.ceil(type.completeFrom() * parts.size() - 1e-6);
+                    : (int) Math.ceil(type.completeCoverage() * parts.size() - 1e-6);
         }
 
         /** The share of the weight below which no answer may be given. */
         double least() {
-            return secondStep && type.leastShare() >= type.completeFrom() ? 1 : type.leastShare();
+            return secondStep && type.minimumCoverage() >= type.completeCoverage()
+                    ? 1
+                    : type.minimumCoverage();
         }
 
         int completed() {
@@ -148,10 +150,10 @@
         Round round;
         boolean completed, mayHaveRun, broken, past;
 
-        Part(Event.PartTaken taken, Scan scan) {
+        Part(Event.PartReceived taken, Scan scan) {
             this.id = taken.id();
             this.scan = scan;
-            this.segment = taken.segment();
+            this.segment = taken.shard();
             this.weight = taken.weight();
         }
 
@@ -262,13 +264,13 @@
         }
     }
 
-    public Brain(long seed, Deployment facts) {
+    public Brain(long seed, Deployment deployment) {
         this.chance = new Random(seed);
-        this.crowded = facts.gatherers() > Srv.USUAL_ROOM;
-        for (int i = 0; i < facts.layout().cells(); i++) {
+        this.crowded = deployment.gatherers() > Srv.USUAL_ROOM;
+        for (int i = 0; i < deployment.layout().replicaGroups(); i++) {
             cells.add(new ArrayList<>());
         }
-        change(facts);
+        change(deployment);
     }
 
     /**
@@ -276,44 +278,50 @@
      * less.
      */
     private void change(Deployment next) {
-        facts = next;
+        deployment = next;
         // 200: some ten seconds of a quiet gatherer's parts.
-        facts.tableTypes().forEach(type -> timesByType.putIfAbsent(type.name(), new Times(200)));
-        allowances.keySet().retainAll(facts.customers());
-        facts.customers().forEach(customer -> allowances.putIfAbsent(customer, 4.0));
-        scansByNumber.values().forEach(scan -> scan.type = scan.type.boundBy(facts.tableTypes()));
+        deployment
+                .queryClasses()
+                .forEach(type -> timesByType.putIfAbsent(type.name(), new Times(200)));
+        allowances.keySet().retainAll(deployment.tenants());
+        deployment.tenants().forEach(tenant -> allowances.putIfAbsent(tenant, 4.0));
+        scansByNumber
+                .values()
+                .forEach(scan -> scan.type = scan.type.restrictedBy(deployment.queryClasses()));
     }
 
     @Override
-    public List<Action> decide(double nowMs, List<Event> events) {
+    public List<Command> decide(double nowMs, List<Event> events) {
         now = nowMs;
         todo = new ArrayList<>();
         for (Event event : events) {
-            if (event instanceof Event.ScanTaken taken) {
+            if (event instanceof Event.QueryReceived taken) {
                 take(taken);
                 takenAt.add(now);
-            } else if (event instanceof Event.PartTaken taken) {
+            } else if (event instanceof Event.PartReceived taken) {
                 take(taken);
-            } else if (event instanceof Event.DispatchEnded ended) {
+            } else if (event instanceof Event.AttemptEnded ended) {
                 dispatchEnded(ended);
-            } else if (event instanceof Event.ClientLeft left
-                    && scansById.containsKey(left.scanId())) {
-                close(scansById.get(left.scanId()), Reason.CLIENT_LEFT);
-            } else if (event instanceof Event.ListReceived list) {
+            } else if (event instanceof Event.ClientDisconnected left
+                    && scansById.containsKey(left.queryId())) {
+                close(scansById.get(left.queryId()), Reason.CLIENT_DISCONNECTED);
+            } else if (event instanceof Event.EndpointsUpdated list) {
                 listReceived(list);
-            } else if (event instanceof Event.ListUnavailable) {
+            } else if (event instanceof Event.EndpointsUnavailable) {
                 listUnavailable();
-            } else if (event instanceof Event.OthersTold told) {
-                others = told.others();
+            } else if (event instanceof Event.ClusterViewChanged told) {
+                clusterView = told.view();
                 crowded =
-                        (others.gatherers() > 0 ? others.gatherers() : facts.gatherers())
+                        (clusterView.gatherers() > 0
+                                        ? clusterView.gatherers()
+                                        : deployment.gatherers())
                                 > Srv.USUAL_ROOM;
-                room = new HashMap<>(others.room());
-            } else if (event instanceof Event.FactsChanged changed) {
-                change(changed.facts());
+                room = new HashMap<>(clusterView.allowances());
+            } else if (event instanceof Event.DeploymentChanged changed) {
+                change(changed.deployment());
             }
         }
-        while (!takenAt.isEmpty() && takenAt.peek() <= now - facts.dispatchBudget().windowMs()) {
+        while (!takenAt.isEmpty() && takenAt.peek() <= now - deployment.retryBudget().windowMs()) {
             takenAt.poll();
         }
         wakeAt = wakeAt <= now ? Double.POSITIVE_INFINITY : wakeAt;
@@ -328,7 +336,7 @@
         startWaiting();
         if (!alarms.isEmpty() && alarms.peek().at < wakeAt) {
             wakeAt = alarms.peek().at;
-            todo.add(new Action.Wake(Math.max(wakeAt - now, 0)));
+            todo.add(new Command.ScheduleWakeUp(Math.max(wakeAt - now, 0)));
         }
         return todo;
     }
@@ -339,27 +347,27 @@
 
     // ---- The design: rounds, width, position ----
 
-    private void take(Event.ScanTaken taken) {
+    private void take(Event.QueryReceived taken) {
         // Three ticks ahead of the client's own end: one to be woken late, one for the way, one to
         // spare.
-        double endsAt = now + Math.max(0, taken.timeLeftMs() - 3 * facts.tickMs());
+        double endsAt = now + Math.max(0, taken.timeLeftMs() - 3 * deployment.tickMs());
         var scan = new Scan(taken, now, endsAt);
         scansById.put(taken.id(), scan);
         scansByNumber.put(taken.number(), scan);
-        at(endsAt, () -> end(scan, Reason.TIME_OVER));
+        at(endsAt, () -> end(scan, Reason.DEADLINE));
         // An answer in part earns more in time than a whole one late.
         at(
-                Math.min(endsAt, scan.targetAt() - 3 * facts.tickMs()),
+                Math.min(endsAt, scan.targetAt() - 3 * deployment.tickMs()),
                 () -> {
                     if (mayAnswer(scan)) {
-                        end(scan, Reason.TARGET_TIME);
+                        end(scan, Reason.LATENCY_OBJECTIVE);
                     }
                 });
     }
 
-    private void take(Event.PartTaken taken) {
+    private void take(Event.PartReceived taken) {
         takenAt.add(now);
-        Scan scan = scansByNumber.get(taken.scanNumber());
+        Scan scan = scansByNumber.get(taken.queryNumber());
         if (scan == null) {
             // Its scan has ended, as when a second step's parts come after the client's time is
             // over.
@@ -375,20 +383,21 @@
 
     private void startWaiting() {
         int inVain = 0;
-        boolean all = now >= lookedAt + facts.tickMs();
+        boolean all = now >= lookedAt + deployment.tickMs();
         lookedAt = all ? now : lookedAt;
         for (var scans = waiting.iterator(); scans.hasNext(); ) {
             Scan scan = scans.next();
             // A quarter of the target time leaves half for a round and some to spare for a further
             // dispatch.
-            double patience = Math.min(scan.type.targetMs(), scan.endsAt - scan.takenAt) / 4;
+            double patience =
+                    Math.min(scan.type.latencyObjectiveMs(), scan.endsAt - scan.takenAt) / 4;
             boolean patient = scan.secondStep || now < scan.takenAt + patience;
             // Once a tick, and after two in vain no more: waiting mustn't cost more than serving.
             boolean look = all || !scan.counted || scan.secondStep;
             if (!scan.over && patient && inVain < 2 && look && !start(scan)) {
                 inVain++;
             } else if (!scan.over && !patient) {
-                throttle(scan, scan.overShare ? Reason.OVER_SHARE : Reason.NO_ROOM);
+                throttle(scan, scan.overShare ? Reason.OVER_QUOTA : Reason.NO_CAPACITY);
             }
             if (scan.over || scan.admitted || scan.secondStep) {
                 scans.remove();
@@ -397,10 +406,10 @@
         // At the most a gatherer may hold, the next scan is lost unseen: rather the one that brings
         // least.
         int open = waiting.isEmpty() ? 0 : scansByNumber.size() + partsById.size();
-        while (!waiting.isEmpty() && open > 0.9 * facts.limits().maxOpen()) {
+        while (!waiting.isEmpty() && open > 0.9 * deployment.limits().maxOpen()) {
             Scan least = waiting.remove(waiting.size() - 1);
             open -= 1 + least.parts.size();
-            throttle(least, Reason.LEAST_BENEFIT);
+            throttle(least, Reason.LOWEST_PRIORITY);
         }
     }
 
@@ -423,7 +432,7 @@
         // One part, as for an estimate of zero, where a scan of this customer lately broke all its
         // connections: guards servers against scans that bring them down, at the price of a part's
         // time.
-        if (now < brokenUntil.getOrDefault(scan.taken.customer(), 0.0) && !scan.secondStep) {
+        if (now < brokenUntil.getOrDefault(scan.taken.tenant(), 0.0) && !scan.secondStep) {
             width = 1;
         }
         sendRound(scan, Math.max(1, Math.min(k, width)), Reason.FIRST_ROUND);
@@ -462,7 +471,7 @@
      * idle.
      */
     private double load(Srv srv) {
-        boolean shared = facts.layout().callParts() > 1 && srv.out.size() > 1;
+        boolean shared = deployment.layout().partsPerCall() > 1 && srv.out.size() > 1;
         double out =
                 shared
                         ? srv.out.stream().mapToDouble(s -> s.at).distinct().count()
@@ -499,7 +508,7 @@
             send(part, srv, reason);
             underWay++;
         }
-        at(now + scan.type.targetMs() / 2, () -> roundTimer(scan, round));
+        at(now + scan.type.latencyObjectiveMs() / 2, () -> roundTimer(scan, round));
     }
 
     private void roundTimer(Scan scan, Round round) {
@@ -531,18 +540,18 @@
                                             width,
                                             Math.round((scan.needed() - completed) / share)));
         }
-        sendRound(scan, width, empty ? Reason.EMPTY_ROUND : Reason.LATER_ROUND);
+        sendRound(scan, width, empty ? Reason.ROUND_AFTER_EMPTY : Reason.LATER_ROUND);
     }
 
     // ---- Which holder ----
 
     /** A segment's listed holders in a fixed order; a position is an index into it. */
     private List<Srv> holders(int segment) {
-        if (facts.layout().reach() == 1) {
+        if (deployment.layout().groupsPerShard() == 1) {
             return cells.get(Math.floorMod(segment, cells.size()));
         }
         var all = new ArrayList<Srv>();
-        for (int j = 0; j < facts.layout().reach(); j++) {
+        for (int j = 0; j < deployment.layout().groupsPerShard(); j++) {
             all.addAll(cells.get(Math.floorMod(segment + j, cells.size())));
         }
         return all;
@@ -609,29 +618,30 @@
      * Whom a part was kept from, and why. Decides nothing: lots that it asks for were drawn this
      * moment.
      */
-    private List<PassedOver> passedOver(Part part, Srv chosen) {
+    private List<SkippedReplica> passedOver(Part part, Srv chosen) {
         List<Srv> holders = holders(part.segment);
         if (part.sent.isEmpty() && holders.get(part.scan.position % holders.size()) == chosen) {
             return List.of();
         }
-        var passed = new ArrayList<PassedOver>(holders.size());
+        var passed = new ArrayList<SkippedReplica>(holders.size());
         for (Srv srv : holders) {
-            PassedOver.Cause cause =
+            SkippedReplica.Cause cause =
                     !srv.running
-                            ? PassedOver.Cause.DRAINING
+                            ? SkippedReplica.Cause.DRAINING
                             : part.sent.stream().anyMatch(s -> s.srv == srv)
-                                    ? PassedOver.Cause.TRIED
+                                    ? SkippedReplica.Cause.ALREADY_TRIED
                                     : now < srv.asideUntil
-                                            ? PassedOver.Cause.SET_ASIDE
+                                            ? SkippedReplica.Cause.EJECTED
                                             : !hasRoom(srv, part.scan)
-                                                    ? PassedOver.Cause.NO_ROOM
+                                                    ? SkippedReplica.Cause.AT_CONCURRENCY_LIMIT
                                                     : !coldRoom(srv, part)
-                                                            ? PassedOver.Cause.COLD_BUDGET
+                                                            ? SkippedReplica.Cause
+                                                                    .AT_SLOW_START_BUDGET
                                                             : suspect(srv)
-                                                                    ? PassedOver.Cause.SUSPECT
+                                                                    ? SkippedReplica.Cause.SUSPECT
                                                                     : null;
             if (srv != chosen && cause != null) {
-                passed.add(new PassedOver(srv.id, cause));
+                passed.add(new SkippedReplica(srv.id, cause));
             }
         }
         return passed;
@@ -649,7 +659,7 @@
 
     /** Most parts of its zone are late, or others say that it is in trouble. */
     private boolean inTrouble(Srv srv) {
-        double told = others.trouble().getOrDefault(srv.id, 0.0);
+        double told = clusterView.failureScores().getOrDefault(srv.id, 0.0);
         return Math.max(lateByZone.getOrDefault(srv.zone, 0.0), told) > 0.5;
     }
 
@@ -698,37 +708,38 @@
     }
 
     /** How long a part may be out before its server is held to be late with it. */
-    private double lateAfter(TableType type) {
-        double half = type.targetMs() / 2;
+    private double lateAfter(QueryClass type) {
+        double half = type.latencyObjectiveMs() / 2;
         return Math.min(half, 1.5 * timesByType.get(type.name()).quantile(0.9, half));
     }
 
     // ---- Cold budget ----
 
     private double coldShare(Srv srv) {
-        var rule = facts.coldRule();
+        var rule = deployment.slowStart();
         double warmth = Math.min(1, Math.max(0, now - srv.startedAt) / rule.warmAfterMs());
         return srv.startedAt <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmth;
     }
 
-    private double workOf(TableType type) {
+    private double workOf(QueryClass type) {
         // The shortest tenth of the times has next to no waiting in it; at first, a quarter target.
-        return timesByType.get(type.name()).quantile(0.1, type.targetMs() / 4);
+        return timesByType.get(type.name()).quantile(0.1, type.latencyObjectiveMs() / 4);
     }
 
     private boolean coldRoom(Srv srv, Part part) {
         double share = coldShare(srv);
-        Integer shared = room.isEmpty() ? null : room.get(Bound.cold(srv.id));
+        Integer shared = room.isEmpty() ? null : room.get(SharedLimit.slowStart(srv.id));
         if (shared != null || share >= 1) {
             return shared == null || workOf(part.scan.type) <= shared;
         }
-        var rule = facts.coldRule();
+        var rule = deployment.slowStart();
         srv.coldSends.removeIf(s -> s[0] < now - 1.2 * rule.windowMs());
         double sent = srv.coldSends.stream().mapToDouble(s -> s[1]).sum();
         double work = workOf(part.scan.type);
         // One core is the least a server has; the others are taken to send as much as this
         // gatherer.
-        if (sent + work <= rule.multiple() * share * rule.windowMs() / facts.gatherers()) {
+        if (sent + work
+                <= rule.overloadFactor() * share * rule.windowMs() / deployment.gatherers()) {
             return true;
         }
         // Where a gatherer's part of the budget is under one part's work nobody would ever send:
@@ -738,7 +749,7 @@
             srv.lotUntil = now + rule.windowMs();
             srv.lotWon =
                     chance.nextDouble()
-                            < lotChance(rule.multiple() * share * rule.windowMs() / work);
+                            < lotChance(rule.overloadFactor() * share * rule.windowMs() / work);
         }
         return srv.lotWon && sent == 0;
     }
@@ -753,8 +764,8 @@
     private double lotChance(double parts) {
         double aimed = Math.min(parts, parts + 2 - 1.5 * Math.sqrt(parts));
         double running = Math.max(1, srvsById.values().stream().filter(srv -> srv.running).count());
-        double wanted = sendsPerMs() * facts.coldRule().windowMs() / running;
-        return aimed / facts.gatherers() / (1 - Math.exp(-Math.max(0.3, 1.5 * wanted)));
+        double wanted = sendsPerMs() * deployment.slowStart().windowMs() / running;
+        return aimed / deployment.gatherers() / (1 - Math.exp(-Math.max(0.3, 1.5 * wanted)));
     }
 
     /**
@@ -775,18 +786,18 @@
 
     private int listFailures;
 
-    private void listReceived(Event.ListReceived list) {
+    private void listReceived(Event.EndpointsUpdated list) {
         boolean first = srvsById.isEmpty();
         if (list.complete()) {
             srvsById.values().forEach(srv -> srv.running = false);
             cells.forEach(List::clear);
         }
-        for (Listing entry : list.servers()) {
+        for (Endpoint entry : list.endpoints()) {
             Srv srv = srvsById.computeIfAbsent(entry.server(), Srv::new);
             cells.get(srv.cell).remove(srv);
-            srv.cell = entry.cell();
+            srv.cell = entry.replicaGroup();
             srv.zone = entry.zone();
-            srv.running = entry.mode() == Listing.Mode.RUNNING;
+            srv.running = entry.state() == Endpoint.State.RUNNING;
             if (entry.startedAtMs() != srv.startedAt) {
                 srv.startedAt = entry.startedAtMs();
                 srv.failuresInRow = 0;
@@ -794,7 +805,7 @@
                 srv.asideUntil = 0;
                 srv.asideMs = 0;
             }
-            if (entry.mode() != Listing.Mode.GONE) {
+            if (entry.state() != Endpoint.State.GONE) {
                 cells.get(srv.cell).add(srv);
                 cells.get(srv.cell).sort(Comparator.comparing(s -> s.id));
             }
@@ -807,8 +818,8 @@
                                 srv.out.isEmpty()
                                         && !cells.get(srv.cell).contains(srv)
                                         && Math.max(srv.answeredAt, srv.failedAt) < now - 30_000);
-        if (first && facts.listAccess().mustAsk()) {
-            todo.add(new Action.FollowList(Reason.FIRST_LIST));
+        if (first && deployment.endpointSubscription().mustSubscribe()) {
+            todo.add(new Command.SubscribeToEndpoints(Reason.FIRST_ENDPOINTS));
         } else {
             listFailures = 0;
         }
@@ -819,10 +830,10 @@
         // and two for
         // a call without an answer, stay under the six after which what the list has to tell counts
         // as told.
-        double most = Math.min(2000, facts.listAccess().askWithinMs() / 2);
+        double most = Math.min(2000, deployment.endpointSubscription().maxPollIntervalMs() / 2);
         double wait = Math.min(most, 250 * Math.pow(2, Math.min(listFailures++, 6)));
         double askAt = now + wait * (0.5 + chance.nextDouble());
-        at(askAt, () -> todo.add(new Action.FollowList(Reason.LIST_FAILED)));
+        at(askAt, () -> todo.add(new Command.SubscribeToEndpoints(Reason.ENDPOINTS_UNAVAILABLE)));
     }
 
     // ---- Dispatches ----
@@ -842,13 +853,13 @@
             return;
         }
         var sent = new Sent(part, srv, now);
-        List<PassedOver> passedOver = passedOver(part, srv);
+        List<SkippedReplica> passedOver = passedOver(part, srv);
         // A fifth: enough for the shares of a fleet that fail at once, too little to double a full
         // load.
         // At most ten, or half the parts of a large scan, many of which may be late together.
         if (sent.number > 0) {
             furtherAt.add(now);
-            take(Bound.FURTHER, 1);
+            take(SharedLimit.RETRIES, 1);
         } else if (copyRoom < Math.max(10, part.scan.parts.size() / 2)) {
             copyRoom += 0.2;
         }
@@ -858,18 +869,18 @@
         if (coldShare(srv) < 1) {
             srv.coldSends.add(new double[] {now, workOf(part.scan.type)});
         }
-        take(Bound.cold(srv.id), (int) Math.ceil(workOf(part.scan.type)));
+        take(SharedLimit.slowStart(srv.id), (int) Math.ceil(workOf(part.scan.type)));
         double timeout = part.scan.endsAt - now;
         todo.add(
-                new Action.Dispatch(
+                new Command.SendAttempt(
                         part.id, srv.id, timeout, reason, part.scan.position, passedOver));
         overdueAt(now + lateAfter(part.scan.type), sent);
     }
 
     /** Takes so much of a bound that is shared, whether or not so much is left. */
-    private void take(Bound bound, int units) {
+    private void take(SharedLimit bound, int units) {
         if (units > 0 && room.computeIfPresent(bound, (of, left) -> left - units) != null) {
-            todo.add(new Action.Use(bound, units));
+            todo.add(new Command.ConsumeAllowance(bound, units));
         }
     }
 
@@ -895,13 +906,13 @@
 
     private static Reason again(Part part) {
         return part.sent.isEmpty()
-                ? Reason.WAITED
-                : part.mayHaveRun ? Reason.FURTHER_TRY : Reason.NEVER_RAN;
+                ? Reason.REPLICA_AVAILABLE
+                : part.mayHaveRun ? Reason.RETRY : Reason.RETRY_NOT_RUN;
     }
 
     private boolean mayDispatch(Part part) {
         Scan scan = part.scan;
-        boolean tries = part.sent.size() < facts.limits().dispatchesPerPart();
+        boolean tries = part.sent.size() < deployment.limits().attemptsPerPart();
         if (scan.over || part.past || part.completed || !tries) {
             return false;
         }
@@ -909,24 +920,28 @@
             return true;
         }
         boolean mayRun = part.mayHaveRun || part.isOut();
-        if (part.isOut() && !facts.limits().secondCopies()
+        if (part.isOut() && !deployment.limits().hedging()
                 || held(part)
                 || mayRun && !mayRunAgain(part)) {
             return false;
         }
-        var budget = facts.dispatchBudget();
-        furtherAt.removeIf(time -> time < now - budget.windowMs() - facts.tickMs());
-        return furtherAt.size() + 1 <= budget.free() + budget.perTaken() * takenAt.size()
-                && room.getOrDefault(Bound.FURTHER, 1) > 0;
+        var budget = deployment.retryBudget();
+        furtherAt.removeIf(time -> time < now - budget.windowMs() - deployment.tickMs());
+        return furtherAt.size() + 1 <= budget.fixed() + budget.perRequest() * takenAt.size()
+                && room.getOrDefault(SharedLimit.RETRIES, 1) > 0;
     }
 
     /** Whether its table type lets a part run again that may have run. */
     private boolean mayRunAgain(Part part) {
-        TableType type = part.scan.type;
-        return switch (type.repeat()) {
-            case REPLAYABLE -> true;
-            case NON_REPLAYABLE -> false;
-            case KEYED -> now <= part.sent.get(0).at + type.keyedWindowMs() - 2 * facts.tickMs();
+        QueryClass type = part.scan.type;
+        return switch (type.idempotence()) {
+            case IDEMPOTENT -> true;
+            case NON_IDEMPOTENT -> false;
+            case DEDUPLICATED ->
+                    now
+                            <= part.sent.get(0).at
+                                    + type.deduplicationWindowMs()
+                                    - 2 * deployment.tickMs();
         };
     }
 
@@ -947,7 +962,7 @@
         at(
                 due,
                 () -> {
-                    if (sent.out && now - due > 2 * facts.tickMs()) {
+                    if (sent.out && now - due > 2 * deployment.tickMs()) {
                         overdueAt(2 * now - due, sent);
                     } else if (sent.out) {
                         overdue(sent);
@@ -958,7 +973,8 @@
     private void overdue(Sent sent) {
         sent.overdue = true;
         // It will take longer still, but by then it is too late to know.
-        slowness.add(1000 * Math.max(0.5, (now - sent.at) / sent.part.scan.type.targetMs()));
+        slowness.add(
+                1000 * Math.max(0.5, (now - sent.at) / sent.part.scan.type.latencyObjectiveMs()));
         lateByZone.merge(sent.srv.zone, 0.1, (late, one) -> 0.9 * late + one);
         late(sent.srv);
         // One that still answers is slow; while the whole fleet is, setting it aside only loads the
@@ -988,30 +1004,30 @@
                         return false;
                     }
                     copyRoom--;
-                    send(part, other, Reason.SECOND_COPY);
+                    send(part, other, Reason.HEDGE);
                     return true;
                 });
     }
 
-    private void dispatchEnded(Event.DispatchEnded ended) {
+    private void dispatchEnded(Event.AttemptEnded ended) {
         Part part = partsById.get(ended.partId());
         if (part == null) {
             return;
         }
-        Sent sent = part.sent.get(ended.number());
+        Sent sent = part.sent.get(ended.attemptNumber());
         Scan scan = part.scan;
         boolean wanted = !scan.over && !part.past && !part.completed;
         sent.out = false;
         sent.srv.out.remove(sent);
-        part.mayHaveRun |= !ended.ending().provesNeverRan;
-        if (ended.ending() == Ending.COMPLETED) {
-            timesByType.get(scan.type.name()).add(ended.tookMs());
+        part.mayHaveRun |= !ended.outcome().provesNeverRan();
+        if (ended.outcome() == AttemptOutcome.COMPLETED) {
+            timesByType.get(scan.type.name()).add(ended.durationMs());
             sent.srv.answeredAt = now;
             sent.srv.answeredOfAt = Math.max(sent.srv.answeredOfAt, sent.at);
             if (!sent.overdue) {
-                slowness.add(1000 * ended.tookMs() / scan.type.targetMs());
+                slowness.add(1000 * ended.durationMs() / scan.type.latencyObjectiveMs());
                 lateByZone.merge(sent.srv.zone, 0.0, (late, none) -> 0.9 * late);
-                completedInTime(sent.srv, ended.tookMs() < scan.type.targetMs() / 4);
+                completedInTime(sent.srv, ended.durationMs() < scan.type.latencyObjectiveMs() / 4);
             }
             if (!part.round.timerOver && !part.completed) {
                 part.round.inTime++;
@@ -1022,20 +1038,21 @@
                 settle(scan);
             }
         } else {
-            if (ended.ending() == Ending.CANCELLED || ended.ending() == Ending.NEVER_SENT) {
+            if (ended.outcome() == AttemptOutcome.CANCELLED
+                    || ended.outcome() == AttemptOutcome.NEVER_SENT) {
                 if (!part.round.timerOver && !part.completed && sent.calledOff) {
                     part.round.calledOff++;
                 }
             } else if (!sent.overdue
-                    && ended.ending() != Ending.TIMED_OUT
-                    && (sent.srv.failedAt < now || ended.ending() == Ending.UNCONNECTED)) {
+                    && ended.outcome() != AttemptOutcome.TIMED_OUT
+                    && (sent.srv.failedAt < now || ended.outcome() == AttemptOutcome.UNREACHABLE)) {
                 // A time-out before the part was late tells of the client's haste, not of the
                 // server.
                 // All that ends together is one failure: a link that breaks mustn't set a server
                 // aside.
-                failed(sent.srv, ended.ending() == Ending.UNCONNECTED);
+                failed(sent.srv, ended.outcome() == AttemptOutcome.UNREACHABLE);
             }
-            part.broken |= ended.ending() == Ending.RESET;
+            part.broken |= ended.outcome() == AttemptOutcome.RESET;
             if (wanted && !part.isOut()) {
                 if (held(part)) {
                     waitingParts.add(part);
@@ -1056,9 +1073,9 @@
 
     private void callOff(Part part, Reason reason) {
         for (Sent sent : part.sent) {
-            if (sent.out && !sent.calledOff && facts.limits().cancel()) {
+            if (sent.out && !sent.calledOff && deployment.limits().cancellation()) {
                 sent.calledOff = true;
-                todo.add(new Action.Cancel(part.id, sent.number, reason));
+                todo.add(new Command.CancelAttempt(part.id, sent.number, reason));
             }
         }
     }
@@ -1075,12 +1092,12 @@
      * A scan begins when enough of its parts have a server with room; its parts wait at no cost.
      */
     private Admission admit(Scan scan) {
-        Customer customer = scan.taken.customer();
+        Tenant tenant = scan.taken.tenant();
         if (!scan.counted) {
             scan.counted = true;
-            scan.overShare = customer != null && !spend(customer);
+            scan.overShare = tenant != null && !spend(tenant);
             if (crowded && tooMuch(scan)) {
-                throttle(scan, Reason.PRESSURE);
+                throttle(scan, Reason.OVERLOAD);
                 return Admission.NEVER;
             }
         }
@@ -1089,7 +1106,7 @@
         double usual =
                 timesByType.get(scan.type.name()).quantile(Math.pow(0.5, 1.0 / scan.needed()), 0);
         if (scan.endsAt < scan.targetAt() && scan.endsAt - now < usual) {
-            throttle(scan, Reason.CLIENT_TOO_SHORT);
+            throttle(scan, Reason.DEADLINE_TOO_SHORT);
             return Admission.NEVER;
         }
         scan.position = choosePosition(scan);
@@ -1097,7 +1114,7 @@
         int placeable = 0;
         for (Part part : scan.parts) {
             Srv srv = choose(part, scan.position);
-            double lately = now - scan.type.targetMs();
+            double lately = now - scan.type.latencyObjectiveMs();
             if (crowded && srv != null && srv.failuresInRow > 1 && srv.failedAt > lately) {
                 // Every holder failed more than once and within a target time: the scan would come
                 // late.
@@ -1146,7 +1163,7 @@
     }
 
     private double benefit(Scan scan) {
-        return scan.type.benefit() * (scan.overShare ? facts.overShareBenefit() : 1);
+        return scan.type.priorityWeight() * (scan.overShare ? deployment.overQuotaPriority() : 1);
     }
 
     /**
@@ -1154,16 +1171,16 @@
      * all that is isn't known. Half as much again is granted for uneven hours, and four scans may
      * be saved up for bursts.
      */
-    private boolean spend(Customer customer) {
-        Integer left = room.get(Bound.customer(customer.name()));
+    private boolean spend(Tenant tenant) {
+        Integer left = room.get(SharedLimit.tenantQuota(tenant.name()));
         if (left != null) {
-            take(Bound.customer(customer.name()), Math.min(1, left));
+            take(SharedLimit.tenantQuota(tenant.name()), Math.min(1, left));
             return left > 0;
         }
-        double all = facts.customers().stream().mapToDouble(Customer::scansPerSecond).sum();
-        allowances.replaceAll((c, saved) -> Math.min(4, saved + 1.5 * c.scansPerSecond() / all));
-        double saved = allowances.get(customer);
-        allowances.put(customer, saved < 1 ? saved : saved - 1);
+        double all = deployment.tenants().stream().mapToDouble(Tenant::queriesPerSecond).sum();
+        allowances.replaceAll((c, saved) -> Math.min(4, saved + 1.5 * c.queriesPerSecond() / all));
+        double saved = allowances.get(tenant);
+        allowances.put(tenant, saved < 1 ? saved : saved - 1);
         return saved >= 1;
     }
 
@@ -1171,7 +1188,7 @@
 
     private void settle(Scan scan) {
         double weight = scan.completedWeight();
-        if (weight >= (scan.secondStep ? 1 : scan.type.completeFrom()) - 1e-6) {
+        if (weight >= (scan.secondStep ? 1 : scan.type.completeCoverage()) - 1e-6) {
             answer(scan);
             return;
         }
@@ -1180,9 +1197,9 @@
         if (weight == 0 && !anyOut && scan.parts.stream().anyMatch(p -> p.broken)) {
             if (scan.parts.size() > 1) {
                 // Twenty seconds: a gatherer meets few such scans.
-                brokenUntil.put(scan.taken.customer(), now + 20_000);
+                brokenUntil.put(scan.taken.tenant(), now + 20_000);
             }
-            end(scan, Reason.ALL_BROKEN);
+            end(scan, Reason.ALL_CONNECTIONS_RESET);
             return;
         }
         double possible =
@@ -1197,7 +1214,11 @@
                         .sum();
         // Nothing more can come, or not enough.
         if (possible < scan.least() - 1e-6 || possible <= weight) {
-            end(scan, possible < scan.least() - 1e-6 ? Reason.UNDER_LEAST : Reason.NOTHING_MORE);
+            end(
+                    scan,
+                    possible < scan.least() - 1e-6
+                            ? Reason.BELOW_MINIMUM_COVERAGE
+                            : Reason.NOTHING_PENDING);
             return;
         }
         Round round = scan.rounds.get(scan.rounds.size() - 1);
@@ -1207,7 +1228,7 @@
     }
 
     private void answer(Scan scan) {
-        todo.add(new Action.Answer(scan.taken.id(), true, Reason.WHOLE));
+        todo.add(new Command.AnswerQuery(scan.taken.id(), true, Reason.COMPLETE));
         if (!scan.secondStep && scan.type.secondStepParts() > 0) {
             scan.secondStep = true;
             scan.parts.forEach(part -> callOff(part, Reason.NEXT_STEP));
@@ -1216,7 +1237,7 @@
             scan.parts = new ArrayList<>();
             scan.rounds = new ArrayList<>();
         } else {
-            close(scan, Reason.SCAN_OVER);
+            close(scan, Reason.QUERY_OVER);
         }
     }
 
@@ -1226,15 +1247,17 @@
             return;
         }
         if (mayAnswer(scan)) {
-            todo.add(new Action.Answer(scan.taken.id(), false, reason));
-        } else if (scan.type.repeat() != TableType.Repeat.NON_REPLAYABLE
+            todo.add(new Command.AnswerQuery(scan.taken.id(), false, reason));
+        } else if (scan.type.idempotence() != QueryClass.Idempotence.NON_IDEMPOTENT
                 || !scan.secondStep
                         && scan.parts.stream().noneMatch(p -> p.mayHaveRun || p.isOut())) {
-            todo.add(new Action.Throttle(scan.taken.id(), facts.limits().maxComeBackMs(), reason));
+            todo.add(
+                    new Command.RejectQuery(
+                            scan.taken.id(), deployment.limits().maxRetryAfterMs(), reason));
         } else {
-            todo.add(new Action.Abandon(scan.taken.id(), reason));
+            todo.add(new Command.FailQuery(scan.taken.id(), reason));
         }
-        close(scan, Reason.SCAN_OVER);
+        close(scan, Reason.QUERY_OVER);
     }
 
     /**
@@ -1248,8 +1271,10 @@
     }
 
     private void throttle(Scan scan, Reason reason) {
-        todo.add(new Action.Throttle(scan.taken.id(), facts.limits().maxComeBackMs(), reason));
-        close(scan, Reason.SCAN_OVER);
+        todo.add(
+                new Command.RejectQuery(
+                        scan.taken.id(), deployment.limits().maxRetryAfterMs(), reason));
+        close(scan, Reason.QUERY_OVER);
     }
 
     private void close(Scan scan, Reason reason) {
--- /dev/null
+++ b/core/src/test/java/sprucehold/coordinator/PickerTest.java
@@ -0,0 +1,363 @@
+package sprucehold.coordinator;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Queue;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
+
+/** The picker against decisions that are scripted: one list of actions for each call. */
+public class PickerTest {
+    private static final AttemptResult HIT = new AttemptResult.Completed(bytes("v"), null);
+    private final Queue<List<Command>> script = new ArrayDeque<>();
+    private final List<List<Event>> seen = new ArrayList<>();
+    private QueryCoordinator coordinator;
+
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static Query scan(String id, String customer, int parts) {
+        var list = new ArrayList<Query.Part>();
+        for (int segment = 0; segment < parts; segment++) {
+            list.add(new Query.Part(segment, 1.0 / parts));
+        }
+        return new Query(id, "q", customer, 500, list, bytes("text"));
+    }
+
+    @BeforeMethod
+    public void start() {
+        script.clear();
+        seen.clear();
+        var type = new QueryClass("q", QueryClass.Idempotence.IDEMPOTENT, 100, 1, 0, 0, 1, 1, 0);
+        coordinator =
+                new QueryCoordinator(
+                        (now, events) -> {
+                            seen.add(events);
+                            List<Command> actions = script.isEmpty() ? List.of() : script.remove();
+                            if (actions == null || actions.contains(PANIC)) {
+                                throw new IllegalStateException("scripted");
+                            }
+                            return actions;
+                        },
+                        new Deployment(
+                                1,
+                                "z",
+                                5,
+                                1,
+                                List.of(type),
+                                List.of(new Tenant("acme", 9)),
+                                new Deployment.ShardLayout(1, 1, 1),
+                                new Deployment.Limits(4, 5, true, true, 0),
+                                new Deployment.SlowStartRule(1, 0, 1, 0),
+                                Deployment.RetryBudget.NONE,
+                                new Deployment.EndpointSubscription(false, 0)));
+        coordinator.observe(
+                0,
+                List.of(
+                        new Observation.EndpointsUpdated(
+                                true,
+                                List.of(
+                                        new EndpointUpdate(
+                                                "a",
+                                                "127.0.0.1:1",
+                                                0,
+                                                "z",
+                                                0,
+                                                EndpointUpdate.State.RUNNING)))));
+        seen.clear();
+    }
+
+    private static final Command PANIC = new Command.LogMessage("panic");
+
+    private static Command send(String part) {
+        return new Command.SendAttempt(part, "a", 400);
+    }
+
+    private Attempt sent(String id) {
+        script.add(List.of(send(id + ".0")));
+        return coordinator.submit(1, scan(id, null, 1)).send().get(0);
+    }
+
+    private Commands ended(double now, Attempt attempt, AttemptResult result) {
+        return coordinator.observe(now, List.of(new Observation.AttemptEnded(attempt, result)));
+    }
+
+    @DataProvider
+    Object[][] endings() {
+        return new Object[][] {
+            {HIT, false, AttemptOutcome.COMPLETED},
+            {HIT, true, AttemptOutcome.COMPLETED},
+            {new AttemptResult.Failed(null), false, AttemptOutcome.ERROR},
+            {new AttemptResult.Rejected(null), false, AttemptOutcome.OVERLOADED},
+            {
+                new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN),
+                false,
+                AttemptOutcome.UNREACHABLE
+            },
+            {
+                new AttemptResult.ConnectionLost(WriteProgress.PARTLY_WRITTEN),
+                false,
+                AttemptOutcome.UNREACHABLE
+            },
+            {new AttemptResult.ConnectionLost(WriteProgress.WRITTEN), false, AttemptOutcome.RESET},
+            {
+                new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN),
+                false,
+                AttemptOutcome.NEVER_SENT
+            },
+            {
+                new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN),
+                true,
+                AttemptOutcome.NEVER_SENT
+            },
+            {new AttemptResult.Cancelled(WriteProgress.WRITTEN), false, AttemptOutcome.CANCELLED},
+            {new AttemptResult.Cancelled(WriteProgress.WRITTEN), true, AttemptOutcome.TIMED_OUT},
+        };
+    }
+
+    @Test(dataProvider = "endings")
+    public void endingSaysWhetherThePartMayHaveRun(
+            AttemptResult result, boolean patienceOver, AttemptOutcome outcome) {
+        assertEquals(QueryCoordinator.ending(result, patienceOver), outcome);
+    }
+
+    @Test
+    public void scanAndPartsComeInOneCallAndUnknownCustomersAsNone() {
+        coordinator.submit(1, scan("s", "acme", 2));
+        coordinator.submit(1, scan("t", "nobody", 1));
+        assertEquals(seen.get(0).size(), 3);
+        assertEquals(((Event.QueryReceived) seen.get(0).get(0)).tenant().name(), "acme");
+        assertEquals(((Event.PartReceived) seen.get(0).get(2)).id(), "s.1");
+        assertEquals(((Event.QueryReceived) seen.get(1).get(0)).tenant(), null);
+    }
+
+    @Test
+    public void answerHoldsTheValuesThatCame() {
+        script.add(List.of(send("s.0"), send("s.1")));
+        Commands commands = coordinator.submit(1, scan("s", null, 2));
+        ended(2, commands.send().get(1), HIT);
+        script.add(
+                List.of(new Command.AnswerQuery("s", false), new Command.CancelAttempt("s.0", 0)));
+        commands = ended(3, commands.send().get(0), new AttemptResult.Failed(null));
+        var answer = (Answer.Completed) commands.replies().get(0).answer();
+        assertFalse(answer.complete());
+        assertEquals(answer.values().size(), 1);
+        assertEquals(answer.values().get(0).shard(), 1);
+        assertFalse(coordinator.isOpen(scan("s", null, 2)));
+    }
+
+    @Test
+    public void scansAreThrottledAtTheDoorOnceAllThatMayBeOpenIs() {
+        coordinator.submit(1, scan("s", null, 4));
+        Commands commands = coordinator.submit(1, scan("t", null, 1));
+        assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(0));
+        assertEquals(seen.size(), 1);
+    }
+
+    @Test
+    public void nothingIsSentForAScanAnsweredAtTheSameMoment() {
+        script.add(
+                List.of(
+                        send("s.0"),
+                        new Command.RejectQuery("s", 250),
+                        new Command.CancelAttempt("s.0", 0)));
+        Commands commands = coordinator.submit(1, scan("s", null, 1));
+        assertTrue(commands.send().isEmpty());
+        assertTrue(commands.cancel().isEmpty());
+        assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(250));
+        assertEquals(
+                ((Event.AttemptEnded) seen.get(1).get(0)).outcome(), AttemptOutcome.NEVER_SENT);
+    }
+
+    @Test
+    public void callingOffIsToldOnceItIsKnownHowFarTheDispatchHadCome() {
+        Attempt attempt = sent("s");
+        script.add(List.of(new Command.FailQuery("s"), new Command.CancelAttempt("s.0", 0)));
+        assertEquals(coordinator.tick(9).cancel(), List.of(attempt));
+        ended(9, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        assertEquals(((Event.AttemptEnded) seen.get(2).get(0)).outcome(), AttemptOutcome.CANCELLED);
+        // The books are closed: what comes later is dropped.
+        assertTrue(ended(10, attempt, HIT).replies().isEmpty());
+        assertFalse(coordinator.isOpen(scan("s", null, 1)));
+    }
+
+    @Test
+    public void idIsOpenWhileADispatchOfItIsOut() {
+        Attempt attempt = sent("s");
+        script.add(List.of(new Command.RejectQuery("s", 0)));
+        coordinator.tick(2);
+        assertTrue(coordinator.isOpen(scan("s", null, 1)));
+        ended(3, attempt, HIT);
+        assertFalse(coordinator.isOpen(scan("s", null, 1)));
+    }
+
+    @Test
+    public void patienceThatIsOverCallsOffAndCountsAsTimeOut() {
+        Attempt attempt = sent("s");
+        assertEquals(coordinator.tick(400.5).cancel(), List.of());
+        assertEquals(coordinator.tick(401).cancel(), List.of(attempt));
+        ended(401, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        assertEquals(
+                ((Event.AttemptEnded) seen.get(seen.size() - 1).get(0)).outcome(),
+                AttemptOutcome.TIMED_OUT);
+    }
+
+    @Test
+    public void clientThatLeftEndsItsOwnScanOnly() {
+        sent("s");
+        coordinator.observe(2, List.of(new Observation.ClientDisconnected(scan("s", null, 1))));
+        assertEquals(coordinator.openQueries(), 1);
+    }
+
+    @Test
+    public void panicAbandonsTheScansConcernedAndGoesOn() {
+        Attempt other = sent("s");
+        script.add(List.of(PANIC));
+        Commands commands = coordinator.submit(2, scan("t", null, 1));
+        assertEquals(commands.replies().get(0).query().id(), "t");
+        assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
+        assertEquals(((Event.ClientDisconnected) seen.get(2).get(0)).queryId(), "t");
+        assertTrue(commands.nextTickAtMs() <= 7);
+        script.add(List.of(new Command.AnswerQuery("s", true)));
+        assertEquals(ended(3, other, HIT).replies().size(), 1);
+    }
+
+    @Test
+    public void panicOfEveryCallStillEnds() {
+        Attempt attempt = sent("s");
+        for (int i = 0; i < 10; i++) {
+            script.add(List.of(PANIC));
+        }
+        Commands commands = ended(2, attempt, HIT);
+        assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
+    }
+
+    @Test
+    public void scanThatTheDecisionsForgotIsAbandonedWhenItsTimeIsUp() {
+        Attempt attempt = sent("s");
+        assertTrue(coordinator.tick(500.5).replies().isEmpty());
+        Commands commands = coordinator.tick(501);
+        assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
+        assertEquals(coordinator.tick(502).replies().size(), 0);
+        assertTrue(attempt.timedOut);
+    }
+
+    @Test
+    public void booksAreEmptyOnceAllHasEnded() {
+        for (int i = 0; i < 100; i++) {
+            script.add(List.of(send("s.0"), send("s.1"), send("s.0")));
+            List<Attempt> out = coordinator.submit(i, scan("s", null, 2)).send();
+            ended(i, out.get(0), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
+            script.add(
+                    List.of(
+                            new Command.AnswerQuery("s", true),
+                            new Command.CancelAttempt("s.0", 1)));
+            ended(i, out.get(1), HIT);
+            ended(i, out.get(2), new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        }
+        coordinator.tick(1000);
+        assertEquals(coordinator.trackedItems(), 0);
+    }
+
+    @Test
+    public void serversThatWereReplacedLeaveNothingBehindAndPartsOutAtThemEndAsUsual() {
+        Attempt attempt = sent("s");
+        for (int i = 0; i < 100; i++) {
+            EndpointUpdate old =
+                    new EndpointUpdate(
+                            "n" + i, "127.0.0.1:2", 0, "z", 0, EndpointUpdate.State.GONE);
+            coordinator.observe(
+                    2,
+                    List.of(
+                            new Observation.EndpointsUpdated(
+                                    i % 2 == 0,
+                                    List.of(
+                                            old,
+                                            new EndpointUpdate(
+                                                    "n" + (i + 1),
+                                                    "127.0.0.1:2",
+                                                    0,
+                                                    "z",
+                                                    0,
+                                                    EndpointUpdate.State.RUNNING)))));
+        }
+        assertEquals(coordinator.knownServers(), 1);
+        script.add(List.of(new Command.AnswerQuery("s", true)));
+        assertEquals(ended(3, attempt, HIT).replies().size(), 1);
+        // Where the decisions still name one of them, nothing goes out.
+        script.add(List.of(send("t.0")));
+        assertTrue(coordinator.submit(4, scan("t", null, 1)).send().isEmpty());
+    }
+
+    @Test
+    public void nextTickIsTheEarliestOfWakingPatienceAndTheScansEnd() {
+        script.add(
+                List.of(
+                        send("s.0"),
+                        new Command.ScheduleWakeUp(50),
+                        new Command.ScheduleWakeUp(90)));
+        assertEquals(coordinator.submit(1, scan("s", null, 1)).nextTickAtMs(), 51.0);
+        assertEquals(coordinator.tick(51).nextTickAtMs(), 401.0);
+        assertEquals(coordinator.tick(401).nextTickAtMs(), 501.0);
+    }
+
+    @Test
+    public void serverIsClosedToNewPartsOnceTheListSaysSo() {
+        ShardServer server = sent("s").server();
+        assertTrue(server.running());
+        for (EndpointUpdate.State state : EndpointUpdate.State.values()) {
+            coordinator.observe(
+                    2,
+                    List.of(
+                            new Observation.EndpointsUpdated(
+                                    false,
+                                    List.of(
+                                            new EndpointUpdate(
+                                                    "a", "127.0.0.1:2", 0, "z", 0, state)))));
+            assertEquals(server.running(), state == EndpointUpdate.State.RUNNING);
+            assertEquals(server.address(), "127.0.0.1:2");
+        }
+        coordinator.observe(
+                3,
+                List.of(
+                        new Observation.EndpointsUpdated(
+                                false,
+                                List.of(
+                                        new EndpointUpdate(
+                                                "a",
+                                                "127.0.0.1:2",
+                                                0,
+                                                "z",
+                                                0,
+                                                EndpointUpdate.State.RUNNING)))));
+        coordinator.observe(4, List.of(new Observation.EndpointsUpdated(true, List.of())));
+        assertFalse(server.running());
+    }
+
+    /** Else it is lost where something else is reported right when the time has come. */
+    @Test
+    public void whoeverAsksToBeWokenIsToldByAnyCallThatComesThen() {
+        script.add(List.of(new Command.ScheduleWakeUp(50)));
+        assertEquals(coordinator.submit(1, scan("s", null, 1)).nextTickAtMs(), 51.0);
+        seen.clear();
+        coordinator.observe(50, List.of());
+        assertFalse(seen.get(0).contains(new Event.WakeUp()));
+        coordinator.observe(51, List.of());
+        assertEquals(seen.get(1), List.of(new Event.WakeUp()));
+        assertTrue(coordinator.observe(52, List.of()).nextTickAtMs() > 51);
+    }
+}
--- a/core/src/test/java/sprucehold/facts/FactsCheckTest.java
+++ b/core/src/test/java/sprucehold/deployment/FactsCheckTest.java
@@ -1,4 +1,4 @@
-package sprucehold.facts;
+package sprucehold.deployment;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.expectThrows;
@@ -102,7 +102,9 @@
             String from, String to, String place, String expected) throws Exception {
         JsonNode settings = settings(from, to);
         String message =
-                expectThrows(MalformedFactsException.class, () -> Facts.checked(settings))
+                expectThrows(
+                                InvalidSettingsException.class,
+                                () -> DeploymentSettings.checked(settings))
                         .getMessage();
         assertEquals(message, "settings." + place + ", expected " + expected);
     }
@@ -121,6 +123,8 @@
 
     @Test(dataProvider = "usable")
     public void whatHasASoundDefaultMayBeAbsent(String from, String to) throws Exception {
-        assertEquals(Facts.checked(settings(from, to)).deployment().tableTypes().size(), 2);
+        assertEquals(
+                DeploymentSettings.checked(settings(from, to)).deployment().queryClasses().size(),
+                2);
     }
 }
--- a/core/src/test/java/sprucehold/brain/BrainTest.java
+++ b/core/src/test/java/sprucehold/policy/BrainTest.java
@@ -1,4 +1,4 @@
-package sprucehold.brain;
+package sprucehold.policy;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -10,17 +10,17 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.Others;
-import sprucehold.port.PassedOver;
-import sprucehold.port.Reason;
-import sprucehold.port.TableType;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Reason;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.SkippedReplica;
+import sprucehold.decision.Tenant;
 
 public class BrainTest {
     private Play fresh() {
@@ -40,10 +40,10 @@
     }
 
     @Test(dataProvider = "firstWidths")
-    public void firstRoundHasTheDesignsWidth(TableType type, int parts, int expected) {
+    public void firstRoundHasTheDesignsWidth(QueryClass type, int parts, int expected) {
         Play play = fresh().start();
         play.scan("s", type, parts, 4000);
-        assertEquals(play.all(Action.Dispatch.class).size(), expected);
+        assertEquals(play.all(Command.SendAttempt.class).size(), expected);
     }
 
     @DataProvider
@@ -61,7 +61,7 @@
         play.limits = new Deployment.Limits(1, 1000, false, true, 500);
         play.start().scan("s", Play.ANY, 9, 4000);
         List<String> sent = List.copyOf(play.dispatches().keySet());
-        sent.subList(0, completed).forEach(part -> play.end(part, 0, Ending.COMPLETED));
+        sent.subList(0, completed).forEach(part -> play.end(part, 0, AttemptOutcome.COMPLETED));
         play.waitFor(505);
         assertEquals(play.dispatches().size(), asked ? 9 : 8);
         assertEquals(play.endings(), completed >= 7 ? List.of("answer whole") : List.of());
@@ -71,23 +71,28 @@
     Object[][] furtherDispatches() {
         return new Object[][] {
             // type, how the first dispatch ended, when, whether the part goes out again
-            {Play.ALL, Ending.ERROR, 50, true}, {Play.ALL, Ending.UNCONNECTED, 50, true},
-            {Play.ONCE, Ending.ERROR, 50, false}, {Play.ONCE, Ending.RESET, 50, false},
-            {Play.ONCE, Ending.TIMED_OUT, 50, false}, {Play.ONCE, Ending.CANCELLED, 50, false},
-            {Play.ONCE, Ending.UNCONNECTED, 50, true}, {Play.ONCE, Ending.FULL, 50, true},
-            {Play.KEYED, Ending.ERROR, 50, true}, {Play.KEYED, Ending.ERROR, 1600, false},
-            {Play.KEYED, Ending.FULL, 1600, true},
+            {Play.ALL, AttemptOutcome.ERROR, 50, true},
+            {Play.ALL, AttemptOutcome.UNREACHABLE, 50, true},
+            {Play.ONCE, AttemptOutcome.ERROR, 50, false},
+            {Play.ONCE, AttemptOutcome.RESET, 50, false},
+            {Play.ONCE, AttemptOutcome.TIMED_OUT, 50, false},
+            {Play.ONCE, AttemptOutcome.CANCELLED, 50, false},
+            {Play.ONCE, AttemptOutcome.UNREACHABLE, 50, true},
+            {Play.ONCE, AttemptOutcome.OVERLOADED, 50, true},
+            {Play.KEYED, AttemptOutcome.ERROR, 50, true},
+            {Play.KEYED, AttemptOutcome.ERROR, 1600, false},
+            {Play.KEYED, AttemptOutcome.OVERLOADED, 1600, true},
         };
     }
 
     @Test(dataProvider = "furtherDispatches")
     public void partGoesAgainOnlyWhereItsTableTypeAllows(
-            TableType type, Ending ending, double after, boolean again) {
+            QueryClass type, AttemptOutcome outcome, double after, boolean again) {
         Play play = fresh();
         play.limits = new Deployment.Limits(3, 1000, false, true, 500);
         play.start().scan("s", type, 1, 4000);
         play.waitFor(after);
-        play.end("s/0", 0, ending);
+        play.end("s/0", 0, outcome);
         assertEquals(play.dispatches().get("s/0").size(), again ? 2 : 1);
     }
 
@@ -104,72 +109,76 @@
             {Play.PARTIAL, 4, 1, null, "throttle"},
             {Play.ONCE, 2, 1, null, "abandon"},
             {Play.ONCE, 2, 0, null, "abandon"},
-            {Play.ONCE, 1, 0, Ending.UNCONNECTED, "throttle"},
-            {Play.ONCE, 2, 1, Ending.FULL, "abandon"},
-            {Play.ONCE, 2, 0, Ending.RESET, "abandon"},
+            {Play.ONCE, 1, 0, AttemptOutcome.UNREACHABLE, "throttle"},
+            {Play.ONCE, 2, 1, AttemptOutcome.OVERLOADED, "abandon"},
+            {Play.ONCE, 2, 0, AttemptOutcome.RESET, "abandon"},
         };
     }
 
     @Test(dataProvider = "endings")
     public void scanGetsOneHonestAnswerInTime(
-            TableType type, int parts, int completed, Ending rest, String expected) {
+            QueryClass type, int parts, int completed, AttemptOutcome rest, String expected) {
         Play play = fresh();
         play.limits = new Deployment.Limits(1, 1000, false, true, 500);
         play.start().scan("s", type, parts, 3000);
         for (int i = 0; i < parts; i++) {
             if (i < completed || rest != null) {
-                play.end("s/" + i, 0, i < completed ? Ending.COMPLETED : rest);
+                play.end("s/" + i, 0, i < completed ? AttemptOutcome.COMPLETED : rest);
             }
         }
         play.waitFor(3000);
         assertEquals(play.endings(), List.of(expected));
-        int sent = play.all(Action.Dispatch.class).size();
+        int sent = play.all(Command.SendAttempt.class).size();
         play.waitFor(5000);
         assertEquals(
-                play.all(Action.Dispatch.class).size(), sent, "nothing goes out for an ended scan");
+                play.all(Command.SendAttempt.class).size(),
+                sent,
+                "nothing goes out for an ended scan");
     }
 
     @Test
     public void secondStepNeedsAnAnswerOfItsOwn() {
         Play play = fresh().start();
         play.scan("s", Play.STEPS, 2, 4000);
-        play.end("s/0", 0, Ending.COMPLETED);
-        play.end("s/1", 0, Ending.COMPLETED);
+        play.end("s/0", 0, AttemptOutcome.COMPLETED);
+        play.end("s/1", 0, AttemptOutcome.COMPLETED);
         assertEquals(play.endings(), List.of("answer whole"));
         List<Event> more = play.parts("s+", 2);
         play.tell(more.toArray(new Event[0]));
-        play.end("s+/0", 0, Ending.COMPLETED);
+        play.end("s+/0", 0, AttemptOutcome.COMPLETED);
         assertEquals(play.endings(), List.of("answer whole"));
-        play.end("s+/1", 0, Ending.COMPLETED);
+        play.end("s+/1", 0, AttemptOutcome.COMPLETED);
         assertEquals(play.endings(), List.of("answer whole", "answer whole"));
     }
 
     @DataProvider
     Object[][] departures() {
         return new Object[][] {
-            {Listing.Mode.DRAINING, true},
-            {Listing.Mode.GONE, true},
-            {Listing.Mode.DRAINING, false},
+            {Endpoint.State.DRAINING, true},
+            {Endpoint.State.GONE, true},
+            {Endpoint.State.DRAINING, false},
         };
     }
 
     @Test(dataProvider = "departures")
-    public void nothingGoesToAServerReportedAway(Listing.Mode mode, boolean comesBack) {
+    public void nothingGoesToAServerReportedAway(Endpoint.State mode, boolean comesBack) {
         Play play = fresh().start();
-        play.tell(new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, mode))));
+        play.tell(new Event.EndpointsUpdated(false, List.of(Play.listing("a", 0, 0, mode))));
         for (int i = 0; i < 20; i++) {
             play.scan("s" + i, Play.ALL, 4, 4000);
         }
-        assertTrue(play.all(Action.Dispatch.class).stream().noneMatch(d -> d.server().equals("a")));
+        assertTrue(
+                play.all(Command.SendAttempt.class).stream()
+                        .noneMatch(d -> d.server().equals("a")));
         if (comesBack) {
             play.tell(
-                    new Event.ListReceived(
-                            false, List.of(Play.listing("a", 0, 0, Listing.Mode.RUNNING))));
+                    new Event.EndpointsUpdated(
+                            false, List.of(Play.listing("a", 0, 0, Endpoint.State.RUNNING))));
             for (int i = 0; i < 20; i++) {
                 play.scan("t" + i, Play.ALL, 4, 4000);
             }
             assertFalse(
-                    play.all(Action.Dispatch.class).stream()
+                    play.all(Command.SendAttempt.class).stream()
                             .noneMatch(d -> d.server().equals("a")));
         }
     }
@@ -187,7 +196,7 @@
 
     /** Copies to busy servers tipped full fleets over (i0d47a2). */
     @Test(dataProvider = "copies")
-    public void latePartGetsACopyOnAnIdleServerOnly(TableType type, boolean busy, int expected) {
+    public void latePartGetsACopyOnAnIdleServerOnly(QueryClass type, boolean busy, int expected) {
         Play play = fresh().start();
         play.scan("s", type, 1, 4000);
         if (busy) {
@@ -211,9 +220,9 @@
         play.scan("busier", Play.ONCE, 2, 4000);
         play.waitFor(600);
         assertEquals(play.dispatches().get("s/0"), List.of(first));
-        for (Action.Dispatch dispatch : play.all(Action.Dispatch.class)) {
-            if (dispatch.server().equals(other)) {
-                play.end(dispatch.partId(), 0, Ending.COMPLETED);
+        for (Command.SendAttempt sendAttempt : play.all(Command.SendAttempt.class)) {
+            if (sendAttempt.server().equals(other)) {
+                play.end(sendAttempt.partId(), 0, AttemptOutcome.COMPLETED);
             }
         }
         assertEquals(play.dispatches().get("s/0"), List.of(first, other));
@@ -223,19 +232,19 @@
     Object[][] failing() {
         return new Object[][] {
             // failures of server a in a row, how, whether calm scans leave it, whether busy ones do
-            {1, Ending.RESET, true, false},
-            {2, Ending.RESET, true, true},
-            {3, Ending.RESET, true, true},
-            {1, Ending.UNCONNECTED, true, true},
-            {3, Ending.FULL, true, true},
-            {3, Ending.CANCELLED, false, false},
+            {1, AttemptOutcome.RESET, true, false},
+            {2, AttemptOutcome.RESET, true, true},
+            {3, AttemptOutcome.RESET, true, true},
+            {1, AttemptOutcome.UNREACHABLE, true, true},
+            {3, AttemptOutcome.OVERLOADED, true, true},
+            {3, AttemptOutcome.CANCELLED, false, false},
         };
     }
 
     /** Among many gatherers each meets a server too seldom for three failures to come in time. */
     @Test(dataProvider = "failing")
     public void failingServerIsLeftThenSetAsideThenTriedAgain(
-            int failures, Ending how, boolean left, boolean aside) {
+            int failures, AttemptOutcome how, boolean left, boolean aside) {
         Play calm = failed(failures, how);
         assertEquals(askedAfter(calm, "calm", true), !left);
         calm.waitFor(21_000);
@@ -243,7 +252,7 @@
         assertEquals(askedAfter(failed(failures, how), "busy", false), !aside);
     }
 
-    private Play failed(int failures, Ending how) {
+    private Play failed(int failures, AttemptOutcome how) {
         Play play = fresh().start();
         int failed = 0;
         for (int i = 0; failed < failures && i < 40; i++) {
@@ -253,9 +262,9 @@
             for (var sent : List.copyOf(play.dispatches().entrySet())) {
                 boolean fails = sent.getValue().get(0).equals("a") && failed < failures;
                 failed += fails ? 1 : 0;
-                play.end(sent.getKey(), 0, fails ? how : Ending.COMPLETED);
+                play.end(sent.getKey(), 0, fails ? how : AttemptOutcome.COMPLETED);
                 if (play.dispatches().get(sent.getKey()).size() > 1) {
-                    play.end(sent.getKey(), 1, Ending.COMPLETED);
+                    play.end(sent.getKey(), 1, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -272,13 +281,13 @@
                 play.scan(id + i, Play.ALL, 4, 4000);
             }
         }
-        return play.all(Action.Dispatch.class).stream().anyMatch(d -> d.server().equals("a"));
+        return play.all(Command.SendAttempt.class).stream().anyMatch(d -> d.server().equals("a"));
     }
 
     private static void completeAll(Play play, String id) {
         play.scan(id, Play.ALL, 4, 4000);
         for (int i = 0; i < 4; i++) {
-            play.end(id + "/" + i, 0, Ending.COMPLETED);
+            play.end(id + "/" + i, 0, AttemptOutcome.COMPLETED);
         }
     }
 
@@ -300,15 +309,15 @@
         play.now = 100_000;
         play.start();
         play.tell(
-                new Event.ListReceived(
+                new Event.EndpointsUpdated(
                         false,
-                        List.of(Play.listing("a", 0, play.now - age, Listing.Mode.RUNNING))));
+                        List.of(Play.listing("a", 0, play.now - age, Endpoint.State.RUNNING))));
         for (int i = 0; i < 40; i++) {
             play.scan("s" + i, Play.ALL, 4, 4000);
             play.waitFor(5);
         }
         long toCold =
-                play.all(Action.Dispatch.class).stream()
+                play.all(Command.SendAttempt.class).stream()
                         .filter(d -> d.server().equals("a"))
                         .count();
         assertTrue(250 * toCold <= most, toCold + " parts");
@@ -374,14 +383,14 @@
             if (!listed && play.now > startedAt) {
                 listed = true;
                 play.tell(
-                        new Event.ListReceived(
+                        new Event.EndpointsUpdated(
                                 false,
-                                List.of(Play.listing("a", 0, startedAt, Listing.Mode.RUNNING))));
+                                List.of(Play.listing("a", 0, startedAt, Endpoint.State.RUNNING))));
             }
             play.done.clear();
             play.scan("s" + i, Play.ALL, 4, 4000);
             for (String part : List.copyOf(play.dispatches().keySet())) {
-                play.end(part, 0, Ending.COMPLETED);
+                play.end(part, 0, AttemptOutcome.COMPLETED);
             }
             if (listed) {
                 play.dispatches().values().stream()
@@ -392,13 +401,13 @@
         return sentAt;
     }
 
-    private static Event.OthersTold told(
-            int gatherers, Map<Bound, Integer> room, Map<String, Double> trouble) {
-        return new Event.OthersTold(new Others(gatherers, room, trouble));
+    private static Event.ClusterViewChanged told(
+            int gatherers, Map<SharedLimit, Integer> room, Map<String, Double> trouble) {
+        return new Event.ClusterViewChanged(new ClusterView(gatherers, room, trouble));
     }
 
     private static long sentTo(Play play, String server) {
-        return play.all(Action.Dispatch.class).stream()
+        return play.all(Command.SendAttempt.class).stream()
                 .filter(d -> d.server().equals(server))
                 .count();
     }
@@ -418,55 +427,58 @@
         play.now = 100_000;
         play.start();
         play.tell(
-                told(0, Map.of(Bound.cold("a"), room), Map.of()),
-                new Event.ListReceived(
-                        false, List.of(Play.listing("a", 0, play.now - 10, Listing.Mode.RUNNING))));
+                told(0, Map.of(SharedLimit.slowStart("a"), room), Map.of()),
+                new Event.EndpointsUpdated(
+                        false,
+                        List.of(Play.listing("a", 0, play.now - 10, Endpoint.State.RUNNING))));
         // Three, since with twelve parts' times known a part is no longer held to take a quarter of
         // its target time.
         for (int i = 0; i < 3; i++) {
             play.scan("s" + i, Play.ALL, 4, 4000);
             for (int part = 0; part < 4; part++) {
                 if (play.dispatches().containsKey("s" + i + "/" + part)) {
-                    play.end("s" + i + "/" + part, 0, Ending.COMPLETED);
+                    play.end("s" + i + "/" + part, 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
         assertEquals(sentTo(play, "a"), parts);
         assertEquals(
-                play.all(Action.Use.class),
-                Collections.nCopies(parts, new Action.Use(Bound.cold("a"), 250)));
+                play.all(Command.ConsumeAllowance.class),
+                Collections.nCopies(
+                        parts, new Command.ConsumeAllowance(SharedLimit.slowStart("a"), 250)));
     }
 
     @Test
     public void furtherDispatchesStopWhereNoneIsLeftOfWhatIsShared() {
         Play play = fresh().start();
-        play.tell(told(0, Map.of(Bound.FURTHER, 2), Map.of()));
+        play.tell(told(0, Map.of(SharedLimit.RETRIES, 2), Map.of()));
         for (int i = 0; i < 10; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
             if (play.dispatches().containsKey("s" + i + "/0")) {
-                play.end("s" + i + "/0", 0, Ending.ERROR);
+                play.end("s" + i + "/0", 0, AttemptOutcome.ERROR);
             }
         }
         assertEquals(
                 play.dispatches().values().stream().mapToInt(sent -> sent.size() - 1).sum(), 2);
         assertEquals(
-                play.all(Action.Use.class),
-                Collections.nCopies(2, new Action.Use(Bound.FURTHER, 1)));
+                play.all(Command.ConsumeAllowance.class),
+                Collections.nCopies(2, new Command.ConsumeAllowance(SharedLimit.RETRIES, 1)));
     }
 
     @Test
     public void scansWithinACustomersShareAreCountedAgainstWhatIsShared() {
         Play play = fresh();
-        play.customers = List.of(new Customer("acme", 10), new Customer("bolt", 1000));
+        play.customers = List.of(new Tenant("acme", 10), new Tenant("bolt", 1000));
         play.start();
-        play.tell(told(0, Map.of(Bound.customer("acme"), 3), Map.of()));
+        play.tell(told(0, Map.of(SharedLimit.tenantQuota("acme"), 3), Map.of()));
         for (int i = 0; i < 8; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
-            play.end("s" + i + "/0", 0, Ending.COMPLETED);
+            play.end("s" + i + "/0", 0, AttemptOutcome.COMPLETED);
         }
         assertEquals(
-                play.all(Action.Use.class),
-                Collections.nCopies(3, new Action.Use(Bound.customer("acme"), 1)));
+                play.all(Command.ConsumeAllowance.class),
+                Collections.nCopies(
+                        3, new Command.ConsumeAllowance(SharedLimit.tenantQuota("acme"), 1)));
     }
 
     @DataProvider
@@ -491,7 +503,7 @@
             play.start().tell(told(0, Map.of(), trouble));
             play.scan("s", Play.ALL, 1, 4000);
             assertEquals(
-                    play.all(Action.Dispatch.class).size(),
+                    play.all(Command.SendAttempt.class).size(),
                     1,
                     "a segment's last holders are never all left aside");
             went |= sentTo(play, "a") > 0;
@@ -502,23 +514,23 @@
     @Test
     public void whatOthersToldIsForgottenWithTheNextWord() {
         Play play = fresh().start();
-        play.tell(told(9, Map.of(Bound.FURTHER, 0), Map.of("a", 1.0)));
-        play.tell(new Event.OthersTold(Others.NONE));
+        play.tell(told(9, Map.of(SharedLimit.RETRIES, 0), Map.of("a", 1.0)));
+        play.tell(new Event.ClusterViewChanged(ClusterView.NONE));
         play.scan("s", Play.ALL, 1, 4000);
-        play.end("s/0", 0, Ending.ERROR);
+        play.end("s/0", 0, AttemptOutcome.ERROR);
         assertEquals(play.dispatches().get("s/0").size(), 2);
-        assertEquals(play.all(Action.Use.class), List.of());
+        assertEquals(play.all(Command.ConsumeAllowance.class), List.of());
     }
 
     @Test
     public void furtherDispatchesStayWithinTheirBudget() {
         Play play = fresh();
-        play.budget = new Deployment.DispatchBudget(2, 0.1, 10_000);
+        play.budget = new Deployment.RetryBudget(2, 0.1, 10_000);
         play.start();
         for (int i = 0; i < 10; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
             if (play.dispatches().containsKey("s" + i + "/0")) {
-                play.end("s" + i + "/0", 0, Ending.ERROR);
+                play.end("s" + i + "/0", 0, AttemptOutcome.ERROR);
             }
         }
         long further = play.dispatches().values().stream().mapToInt(sent -> sent.size() - 1).sum();
@@ -555,32 +567,32 @@
     public void segmentWithNoHolderWaitsForOne() {
         Play play = fresh().start();
         play.tell(
-                new Event.ListReceived(
+                new Event.EndpointsUpdated(
                         false,
                         List.of(
-                                Play.listing("a", 0, 0, Listing.Mode.GONE),
-                                Play.listing("b", 1, 0, Listing.Mode.GONE))));
+                                Play.listing("a", 0, 0, Endpoint.State.GONE),
+                                Play.listing("b", 1, 0, Endpoint.State.GONE))));
         play.scan("s", Play.ALL, 1, 4000);
         assertEquals(play.endings(), List.of());
         play.waitFor(1000);
         play.tell(
-                new Event.ListReceived(
-                        false, List.of(Play.listing("b", 1, 0, Listing.Mode.RUNNING))));
+                new Event.EndpointsUpdated(
+                        false, List.of(Play.listing("b", 1, 0, Endpoint.State.RUNNING))));
         assertEquals(play.dispatches().get("s/0"), List.of("b"));
     }
 
     @Test
     public void listIsAskedForWithGrowingWaitsWithinItsTime() {
         Play play = fresh();
-        play.listAccess = new Deployment.ListAccess(true, 10_000);
+        play.listAccess = new Deployment.EndpointSubscription(true, 10_000);
         play.start();
-        assertEquals(play.all(Action.FollowList.class).size(), 1);
+        assertEquals(play.all(Command.SubscribeToEndpoints.class).size(), 1);
         double last = play.now;
         double longest = 0;
         int asked = 1;
         for (int i = 0; i < 12; i++) {
-            play.tell(new Event.ListUnavailable());
-            while (play.all(Action.FollowList.class).size() == asked) {
+            play.tell(new Event.EndpointsUnavailable());
+            while (play.all(Command.SubscribeToEndpoints.class).size() == asked) {
                 play.waitFor(50);
             }
             asked++;
@@ -619,15 +631,15 @@
         for (int i = 0; i < 12; i++) {
             play.scan("s" + i, Play.ONCE, 1, 200);
             play.waitFor(185);
-            play.end("s" + i + "/0", 0, Ending.TIMED_OUT);
+            play.end("s" + i + "/0", 0, AttemptOutcome.TIMED_OUT);
         }
         play.done.clear();
         for (int i = 0; i < 20; i++) {
             completeAll(play, "t" + i);
         }
         assertEquals(
-                play.all(Action.Dispatch.class).stream()
-                        .map(Action.Dispatch::server)
+                play.all(Command.SendAttempt.class).stream()
+                        .map(Command.SendAttempt::server)
                         .distinct()
                         .count(),
                 4);
@@ -639,8 +651,8 @@
             Play play = fresh().start();
             play.scan("f", Play.ALL, 1, 4000);
             String failed = play.dispatches().get("f/0").get(0);
-            play.end("f/0", 0, Ending.RESET);
-            play.end("f/0", 1, Ending.COMPLETED);
+            play.end("f/0", 0, AttemptOutcome.RESET);
+            play.end("f/0", 1, AttemptOutcome.COMPLETED);
             play.scan("s", Play.ONCE, 1, 4000);
             assertFalse(play.dispatches().get("s/0").contains(failed));
         }
@@ -650,8 +662,8 @@
     public void answerInPartGoesOutAtTheTargetTime() {
         Play play = fresh().start();
         play.scan("s", Play.PARTIAL, 4, 4000);
-        play.end("s/0", 0, Ending.COMPLETED);
-        play.end("s/1", 0, Ending.COMPLETED);
+        play.end("s/0", 0, AttemptOutcome.COMPLETED);
+        play.end("s/1", 0, AttemptOutcome.COMPLETED);
         play.waitFor(950);
         assertEquals(play.endings(), List.of());
         play.waitFor(50);
@@ -682,11 +694,11 @@
         String first = play.dispatches().get("s/0").get(0);
         play.waitFor(5);
         play.scan("busy", Play.ONCE, 4, 4000);
-        for (Action.Dispatch dispatch : play.all(Action.Dispatch.class)) {
+        for (Command.SendAttempt sendAttempt : play.all(Command.SendAttempt.class)) {
             if (overtaken
-                    && dispatch.server().equals(first)
-                    && dispatch.partId().startsWith("busy")) {
-                play.end(dispatch.partId(), 0, Ending.COMPLETED);
+                    && sendAttempt.server().equals(first)
+                    && sendAttempt.partId().startsWith("busy")) {
+                play.end(sendAttempt.partId(), 0, AttemptOutcome.COMPLETED);
             }
         }
         play.waitFor(600);
@@ -702,10 +714,10 @@
     Object[][] brokenParts() {
         return new Object[][] {
             // how each of two parts ends (null: stays out), dispatches of the first, final answer
-            {Ending.RESET, Ending.COMPLETED, 2, List.of()},
-            {Ending.RESET, null, 1, List.of()},
-            {Ending.RESET, Ending.RESET, 1, List.of("throttle")},
-            {Ending.ERROR, null, 2, List.of()},
+            {AttemptOutcome.RESET, AttemptOutcome.COMPLETED, 2, List.of()},
+            {AttemptOutcome.RESET, null, 1, List.of()},
+            {AttemptOutcome.RESET, AttemptOutcome.RESET, 1, List.of("throttle")},
+            {AttemptOutcome.ERROR, null, 2, List.of()},
         };
     }
 
@@ -715,7 +727,7 @@
      */
     @Test(dataProvider = "brokenParts")
     public void brokenPartGoesAgainOnlyOnceAnotherIsCompleted(
-            Ending one, Ending other, int sent, List<String> ends) {
+            AttemptOutcome one, AttemptOutcome other, int sent, List<String> ends) {
         Play play = fresh().start();
         play.scan("s", Play.ALL, 2, 4000);
         play.end("s/0", 0, one);
@@ -737,15 +749,15 @@
         Play play = fresh().start();
         play.scan("s", Play.ALL, 4, 4000);
         for (int i = 0; i < 4; i++) {
-            play.end("s/" + i, 0, Ending.RESET);
+            play.end("s/" + i, 0, AttemptOutcome.RESET);
         }
         play.waitFor(10);
         play.scan("t", Play.ALL, 4, 4000);
         assertEquals(
                 play.dispatches().keySet().stream().filter(part -> part.startsWith("t")).count(),
                 1);
-        String canary = play.all(Action.Dispatch.class).get(4).partId();
-        play.end(canary, 0, Ending.COMPLETED);
+        String canary = play.all(Command.SendAttempt.class).get(4).partId();
+        play.end(canary, 0, AttemptOutcome.COMPLETED);
         assertEquals(
                 play.dispatches().keySet().stream().filter(part -> part.startsWith("t")).count(),
                 4);
@@ -768,7 +780,7 @@
     public void floodingCustomerWaitsBehindOthers(int gatherers, int flood, boolean behind) {
         Play play = fresh();
         play.gatherers = gatherers;
-        play.customers = List.of(new Customer("x", 10), new Customer("y", 10));
+        play.customers = List.of(new Tenant("x", 10), new Tenant("y", 10));
         play.start();
         for (int i = 0; i < 10; i++) {
             for (int j = 0; j < flood; j++) {
@@ -793,7 +805,7 @@
         Play play = fresh();
         play.now = 100_000;
         play.start();
-        play.tell(new Event.ListReceived(false, List.of(far("a", 0, 0), far("c", 2, 0))));
+        play.tell(new Event.EndpointsUpdated(false, List.of(far("a", 0, 0), far("c", 2, 0))));
         for (int i = 0; i < 30; i++) {
             play.done.clear();
             play.scan("s" + i, Play.ONCE, 4, 4000);
@@ -801,19 +813,19 @@
             sent.forEach(
                     (part, servers) -> {
                         if (!late || !"ac".contains(servers.get(0))) {
-                            play.end(part, 0, Ending.COMPLETED);
+                            play.end(part, 0, AttemptOutcome.COMPLETED);
                         }
                     });
             play.waitFor(6000);
-            sent.forEach((part, servers) -> play.end(part, 0, Ending.COMPLETED));
+            sent.forEach((part, servers) -> play.end(part, 0, AttemptOutcome.COMPLETED));
         }
         // Started again, a has no failures of its own any more.
-        play.tell(new Event.ListReceived(false, List.of(far("a", 0, 1))));
+        play.tell(new Event.EndpointsUpdated(false, List.of(far("a", 0, 1))));
         assertEquals(askedAfter(play, "t", true), !late);
     }
 
-    private static Listing far(String server, int cell, double startedAt) {
-        return new Listing(server, cell, "far", startedAt, Listing.Mode.RUNNING);
+    private static Endpoint far(String server, int cell, double startedAt) {
+        return new Endpoint(server, cell, "far", startedAt, Endpoint.State.RUNNING);
     }
 
     @DataProvider
@@ -835,11 +847,11 @@
         for (int i = 0; i < 40; i++) {
             play.done.clear();
             for (int j = 0; j < 4; j++) {
-                List<Action> actions = play.scan("s" + i + "-" + j, Play.ALL, 4, 4000);
-                any |= actions.stream().anyMatch(Action.Throttle.class::isInstance);
+                List<Command> actions = play.scan("s" + i + "-" + j, Play.ALL, 4, 4000);
+                any |= actions.stream().anyMatch(Command.RejectQuery.class::isInstance);
             }
             play.waitFor(took);
-            play.dispatches().forEach((part, sent) -> play.end(part, 0, Ending.COMPLETED));
+            play.dispatches().forEach((part, sent) -> play.end(part, 0, AttemptOutcome.COMPLETED));
         }
         assertEquals(any, turnedAway);
     }
@@ -851,22 +863,23 @@
     @Test
     public void largeScanSavesUpCopiesForHalfItsParts() {
         Play play = fresh();
-        play.layout = new Deployment.Layout(64, 2, 1);
+        play.layout = new Deployment.ShardLayout(64, 2, 1);
         play.start();
-        var entries = new ArrayList<Listing>();
+        var entries = new ArrayList<Endpoint>();
         for (int cell = 0; cell < 64; cell++) {
-            entries.add(Play.listing(String.format("s%02d", cell), cell, 0, Listing.Mode.RUNNING));
+            entries.add(
+                    Play.listing(String.format("s%02d", cell), cell, 0, Endpoint.State.RUNNING));
         }
-        play.tell(new Event.ListReceived(true, entries));
+        play.tell(new Event.EndpointsUpdated(true, entries));
         for (int i = 0; i < 4; i++) {
             play.scan("warm" + i, Play.ALL, 64, 4000);
-            play.dispatches().forEach((part, sent) -> play.end(part, 0, Ending.COMPLETED));
+            play.dispatches().forEach((part, sent) -> play.end(part, 0, AttemptOutcome.COMPLETED));
             play.done.clear();
         }
         play.scan("s", Play.ALL, 64, 4000);
         for (int i = 0; i < 64; i++) {
             if (i % 3 != 0) {
-                play.end("s/" + i, 0, Ending.COMPLETED);
+                play.end("s/" + i, 0, AttemptOutcome.COMPLETED);
             }
         }
         play.waitFor(600);
@@ -885,8 +898,8 @@
         play.start();
         for (int i = 0; i < 2; i++) {
             play.scan("f" + i, Play.ALL, 1, 4000);
-            play.end("f" + i + "/0", 0, Ending.ERROR);
-            play.end("f" + i + "/0", 1, Ending.ERROR);
+            play.end("f" + i + "/0", 0, AttemptOutcome.ERROR);
+            play.end("f" + i + "/0", 1, AttemptOutcome.ERROR);
             play.now++;
         }
         play.scan("s", Play.ALL, 1, 4000);
@@ -907,10 +920,10 @@
         Play play = fresh().start();
         play.scan("s", Play.ALL, 1, 4000);
         play.now += wokenAfter;
-        play.tell(new Event.Woken());
+        play.tell(new Event.WakeUp());
         assertEquals(play.dispatches().get("s/0").size(), copied ? 2 : 1);
         play.now += 65;
-        play.tell(new Event.Woken());
+        play.tell(new Event.WakeUp());
         assertEquals(play.dispatches().get("s/0").size(), 2);
     }
 
@@ -923,25 +936,25 @@
         Play play = fresh().start();
         for (int cell = 0; cell < 4; cell++) {
             play.tell(
-                    new Event.ListReceived(
+                    new Event.EndpointsUpdated(
                             false,
                             List.of(
                                     Play.listing(
                                             "abcd".substring(cell, cell + 1),
                                             cell,
                                             0,
-                                            Listing.Mode.DRAINING))));
+                                            Endpoint.State.DRAINING))));
         }
         play.scan("s", Play.ALL, 1, 4000);
         for (int i = 0; i < 100; i++) {
             play.now++;
-            play.tell(new Event.ClientLeft("nobody"));
+            play.tell(new Event.ClientDisconnected("nobody"));
         }
         play.done.clear();
         play.waitFor(100);
         assertTrue(
-                play.all(Action.Wake.class).size() <= 5,
-                play.all(Action.Wake.class).size() + " wakes in 100 ms");
+                play.all(Command.ScheduleWakeUp.class).size() <= 5,
+                play.all(Command.ScheduleWakeUp.class).size() + " wakes in 100 ms");
     }
 
     /** A flood of scans without room cost more to look through, at each call, than to serve. */
@@ -952,21 +965,21 @@
             play.scan("s" + i, Play.ALL, 4, 4000);
         }
         play.now += 6;
-        play.tell(new Event.ClientLeft("nobody"));
+        play.tell(new Event.ClientDisconnected("nobody"));
         play.done.clear();
         play.now += 2;
         // Room comes, and is seen with the next tick.
         for (int i = 0; i < 4; i++) {
-            play.end("s0/" + i, 0, Ending.COMPLETED);
-            play.end("s1/" + i, 0, Ending.COMPLETED);
+            play.end("s0/" + i, 0, AttemptOutcome.COMPLETED);
+            play.end("s1/" + i, 0, AttemptOutcome.COMPLETED);
         }
         assertEquals(play.dispatches().size(), 0);
         play.now += 4;
-        play.tell(new Event.ClientLeft("nobody"));
+        play.tell(new Event.ClientDisconnected("nobody"));
         assertTrue(play.dispatches().size() > 0);
     }
 
-    private Play threeOutAtOneServer(Ending ending, double apart) {
+    private Play threeOutAtOneServer(AttemptOutcome outcome, double apart) {
         Play play = fresh().start();
         var out = new ArrayList<Event>();
         for (int i = 0; out.size() < 3; i++) {
@@ -974,9 +987,9 @@
             play.scan("f" + i, Play.ALL, 4, 4000);
             for (var sent : List.copyOf(play.dispatches().entrySet())) {
                 if (sent.getValue().get(0).equals("a") && out.size() < 3) {
-                    out.add(new Event.DispatchEnded(sent.getKey(), 0, ending, 50, null));
+                    out.add(new Event.AttemptEnded(sent.getKey(), 0, outcome, 50, null));
                 } else {
-                    play.end(sent.getKey(), 0, Ending.COMPLETED);
+                    play.end(sent.getKey(), 0, AttemptOutcome.COMPLETED);
                 }
             }
         }
@@ -988,26 +1001,26 @@
                 });
         // What went out again is completed elsewhere.
         List.copyOf(play.dispatches().keySet())
-                .forEach(part -> play.end(part, 1, Ending.COMPLETED));
+                .forEach(part -> play.end(part, 1, AttemptOutcome.COMPLETED));
         return play;
     }
 
     @DataProvider
     Object[][] together() {
         return new Object[][] {
-            {Ending.RESET, 0, false},
-            {Ending.ERROR, 0, false},
-            {Ending.RESET, 1, true},
-            {Ending.ERROR, 1, true},
-            {Ending.UNCONNECTED, 0, true}
+            {AttemptOutcome.RESET, 0, false},
+            {AttemptOutcome.ERROR, 0, false},
+            {AttemptOutcome.RESET, 1, true},
+            {AttemptOutcome.ERROR, 1, true},
+            {AttemptOutcome.UNREACHABLE, 0, true}
         };
     }
 
     /** One answer that can't be read ends all that is out on its connection. */
     @Test(dataProvider = "together")
     public void partsThatEndTogetherAreOneFailureOfTheirServer(
-            Ending ending, double apart, boolean aside) {
-        assertEquals(askedAfter(threeOutAtOneServer(ending, apart), "busy", false), !aside);
+            AttemptOutcome outcome, double apart, boolean aside) {
+        assertEquals(askedAfter(threeOutAtOneServer(outcome, apart), "busy", false), !aside);
     }
 
     @DataProvider
@@ -1021,23 +1034,24 @@
      */
     @Test(dataProvider = "returns")
     public void serverGoneForLongIsForgotten(double goneFor, boolean forgotten) {
-        Play play = threeOutAtOneServer(Ending.ERROR, 1);
+        Play play = threeOutAtOneServer(AttemptOutcome.ERROR, 1);
         play.tell(
-                new Event.ListReceived(false, List.of(Play.listing("a", 0, 0, Listing.Mode.GONE))));
+                new Event.EndpointsUpdated(
+                        false, List.of(Play.listing("a", 0, 0, Endpoint.State.GONE))));
         play.waitFor(goneFor);
         play.tell(
-                new Event.ListReceived(
-                        false, List.of(Play.listing("b", 1, 0, Listing.Mode.RUNNING))));
+                new Event.EndpointsUpdated(
+                        false, List.of(Play.listing("b", 1, 0, Endpoint.State.RUNNING))));
         play.tell(
-                new Event.ListReceived(
-                        false, List.of(Play.listing("a", 0, 0, Listing.Mode.RUNNING))));
+                new Event.EndpointsUpdated(
+                        false, List.of(Play.listing("a", 0, 0, Endpoint.State.RUNNING))));
         // Three failures in its books count as three parts out.
         play.done.clear();
         for (int i = 0; i < 3; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
         }
         assertEquals(
-                play.all(Action.Dispatch.class).stream().anyMatch(d -> d.server().equals("a")),
+                play.all(Command.SendAttempt.class).stream().anyMatch(d -> d.server().equals("a")),
                 forgotten);
     }
 
@@ -1046,21 +1060,23 @@
         Play play = fresh();
         play.limits = new Deployment.Limits(3, 1000, false, true, 500);
         play.start().scan("s", Play.ANY, 9, 4000);
-        List<Action.Dispatch> first = play.all(Action.Dispatch.class);
+        List<Command.SendAttempt> first = play.all(Command.SendAttempt.class);
         assertTrue(
                 first.stream().allMatch(d -> d.reason() == Reason.FIRST_ROUND), first.toString());
-        play.end(first.get(0).partId(), 0, Ending.COMPLETED);
+        play.end(first.get(0).partId(), 0, AttemptOutcome.COMPLETED);
         play.done.clear();
-        play.end(first.get(1).partId(), 0, Ending.FULL);
-        play.end(first.get(2).partId(), 0, Ending.ERROR);
+        play.end(first.get(1).partId(), 0, AttemptOutcome.OVERLOADED);
+        play.end(first.get(2).partId(), 0, AttemptOutcome.ERROR);
         play.waitFor(505);
-        List<Action.Dispatch> later = play.all(Action.Dispatch.class);
+        List<Command.SendAttempt> later = play.all(Command.SendAttempt.class);
         assertEquals(
-                later.stream().map(Action::reason).toList(),
-                List.of(Reason.NEVER_RAN, Reason.FURTHER_TRY, Reason.LATER_ROUND));
+                later.stream().map(Command::reason).toList(),
+                List.of(Reason.RETRY_NOT_RUN, Reason.RETRY, Reason.LATER_ROUND));
         assertEquals(
-                later.get(0).passedOver(),
-                List.of(new PassedOver(first.get(1).server(), PassedOver.Cause.TRIED)));
+                later.get(0).skipped(),
+                List.of(
+                        new SkippedReplica(
+                                first.get(1).server(), SkippedReplica.Cause.ALREADY_TRIED)));
     }
 
     @Test
@@ -1071,31 +1087,33 @@
         play.done.clear();
         play.waitFor(505);
         assertEquals(
-                play.all(Action.Dispatch.class).stream().map(Action::reason).toList(),
-                List.of(Reason.EMPTY_ROUND));
+                play.all(Command.SendAttempt.class).stream().map(Command::reason).toList(),
+                List.of(Reason.ROUND_AFTER_EMPTY));
     }
 
     @Test
     public void drainingHolderIsNamedAsPassedOver() {
         Play play = fresh().start();
         play.tell(
-                new Event.ListReceived(
-                        false, List.of(Play.listing("a", 0, 0, Listing.Mode.DRAINING))));
+                new Event.EndpointsUpdated(
+                        false, List.of(Play.listing("a", 0, 0, Endpoint.State.DRAINING))));
         play.done.clear();
         // By chance one of the two positions is taken; at one of them segment 0 would be a's.
         for (int i = 0; i < 8; i++) {
             play.scan("s" + i, Play.ALL, 1, 4000);
-            play.end("s" + i + "/0", 0, Ending.COMPLETED);
+            play.end("s" + i + "/0", 0, AttemptOutcome.COMPLETED);
         }
-        List<List<PassedOver>> passed =
-                play.all(Action.Dispatch.class).stream()
-                        .map(Action.Dispatch::passedOver)
+        List<List<SkippedReplica>> passed =
+                play.all(Command.SendAttempt.class).stream()
+                        .map(Command.SendAttempt::skipped)
                         .filter(list -> !list.isEmpty())
                         .toList();
         assertFalse(passed.isEmpty());
         assertTrue(
                 passed.stream()
-                        .allMatch(List.of(new PassedOver("a", PassedOver.Cause.DRAINING))::equals));
+                        .allMatch(
+                                List.of(new SkippedReplica("a", SkippedReplica.Cause.DRAINING))
+                                        ::equals));
     }
 
     @DataProvider
@@ -1103,29 +1121,29 @@
         return new Object[][] {
             // type, how its one part's first dispatch ends (null: not at all), reason of the final
             // answer
-            {Play.ALL, Ending.COMPLETED, Reason.WHOLE},
-            {Play.ONCE, Ending.ERROR, Reason.UNDER_LEAST},
-            {Play.ONCE, Ending.RESET, Reason.ALL_BROKEN},
-            {Play.ONCE, null, Reason.TIME_OVER},
+            {Play.ALL, AttemptOutcome.COMPLETED, Reason.COMPLETE},
+            {Play.ONCE, AttemptOutcome.ERROR, Reason.BELOW_MINIMUM_COVERAGE},
+            {Play.ONCE, AttemptOutcome.RESET, Reason.ALL_CONNECTIONS_RESET},
+            {Play.ONCE, null, Reason.DEADLINE},
         };
     }
 
     @Test(dataProvider = "endReasons")
-    public void finalAnswerSaysWhy(TableType type, Ending ending, Reason reason) {
+    public void finalAnswerSaysWhy(QueryClass type, AttemptOutcome outcome, Reason reason) {
         Play play = fresh().start();
         play.scan("s", type, 1, 4000);
-        if (ending != null) {
-            play.end("s/0", 0, ending);
+        if (outcome != null) {
+            play.end("s/0", 0, outcome);
         }
         play.waitFor(4000);
         List<Reason> reasons =
                 play.done.stream()
                         .filter(
-                                action ->
-                                        action instanceof Action.Answer
-                                                || action instanceof Action.Throttle
-                                                || action instanceof Action.Abandon)
-                        .map(Action::reason)
+                                command ->
+                                        command instanceof Command.AnswerQuery
+                                                || command instanceof Command.RejectQuery
+                                                || command instanceof Command.FailQuery)
+                        .map(Command::reason)
                         .toList();
         assertEquals(reasons, List.of(reason));
     }
@@ -1134,13 +1152,13 @@
     public void whatIsCalledOffSaysWhy() {
         Play play = fresh().start();
         play.scan("s", Play.ALL, 2, 4000);
-        play.tell(new Event.ClientLeft("s"));
+        play.tell(new Event.ClientDisconnected("s"));
         assertEquals(
-                play.all(Action.Cancel.class).stream().map(Action::reason).toList(),
-                List.of(Reason.CLIENT_LEFT, Reason.CLIENT_LEFT));
+                play.all(Command.CancelAttempt.class).stream().map(Command::reason).toList(),
+                List.of(Reason.CLIENT_DISCONNECTED, Reason.CLIENT_DISCONNECTED));
     }
 
-    private static Deployment facts(Play play, List<TableType> types) {
+    private static Deployment facts(Play play, List<QueryClass> types) {
         return new Deployment(
                 1,
                 "z",
@@ -1155,14 +1173,16 @@
                 play.listAccess);
     }
 
-    private static TableType repeat(TableType type, TableType.Repeat repeat, double window) {
-        return new TableType(type.name(), repeat, type.targetMs(), 1, 0.1, window, 1, 1, 0);
+    private static QueryClass repeat(
+            QueryClass type, QueryClass.Idempotence repeat, double window) {
+        return new QueryClass(
+                type.name(), repeat, type.latencyObjectiveMs(), 1, 0.1, window, 1, 1, 0);
     }
 
     @DataProvider
     Object[][] retyped() {
-        TableType.Repeat replayable = TableType.Repeat.REPLAYABLE;
-        TableType.Repeat once = TableType.Repeat.NON_REPLAYABLE;
+        QueryClass.Idempotence replayable = QueryClass.Idempotence.IDEMPOTENT;
+        QueryClass.Idempotence once = QueryClass.Idempotence.NON_IDEMPOTENT;
         return new Object[][] {
             // type as the scan was taken, what it turns into while its part is out, whether an
             // error is tried again
@@ -1170,19 +1190,19 @@
             {Play.ALL, repeat(Play.ALL, once, 0), false},
             {Play.ALL, repeat(Play.ALL, replayable, 0), true},
             {Play.KEYED, repeat(Play.KEYED, replayable, 0), true},
-            {Play.KEYED, repeat(Play.KEYED, TableType.Repeat.KEYED, 20), false},
-            {Play.KEYED, repeat(Play.KEYED, TableType.Repeat.KEYED, 9000), true},
+            {Play.KEYED, repeat(Play.KEYED, QueryClass.Idempotence.DEDUPLICATED, 20), false},
+            {Play.KEYED, repeat(Play.KEYED, QueryClass.Idempotence.DEDUPLICATED, 9000), true},
         };
     }
 
     @Test(dataProvider = "retyped")
     public void partThatIsOutIsNeverFreedByAChangeOfItsType(
-            TableType before, TableType after, boolean again) {
+            QueryClass before, QueryClass after, boolean again) {
         Play play = fresh().start();
         play.scan("s", before, 1, 4000);
-        play.tell(new Event.FactsChanged(facts(play, List.of(after))));
+        play.tell(new Event.DeploymentChanged(facts(play, List.of(after))));
         play.now += 50;
-        play.end("s/0", 0, Ending.ERROR);
+        play.end("s/0", 0, AttemptOutcome.ERROR);
         assertEquals(play.dispatches().get("s/0").size(), again ? 2 : 1);
     }
 
@@ -1191,24 +1211,31 @@
         Play play = fresh().start();
         play.scan("s", Play.KEYED, 1, 4000);
         play.tell(
-                new Event.FactsChanged(
-                        facts(play, List.of(repeat(Play.KEYED, TableType.Repeat.KEYED, 9000)))));
+                new Event.DeploymentChanged(
+                        facts(
+                                play,
+                                List.of(
+                                        repeat(
+                                                Play.KEYED,
+                                                QueryClass.Idempotence.DEDUPLICATED,
+                                                9000)))));
         play.now += 1600;
-        play.end("s/0", 0, Ending.ERROR);
+        play.end("s/0", 0, AttemptOutcome.ERROR);
         assertEquals(play.dispatches().get("s/0").size(), 1);
     }
 
     @Test
     public void scansTakenAfterAChangeGoByTheNewFactsAndOpenOnesByTheirs() {
         Play play = fresh().start();
-        var wide = new TableType("any", TableType.Repeat.REPLAYABLE, 1000, 1, 0.1, 0, 1, 1, 0);
+        var wide =
+                new QueryClass("any", QueryClass.Idempotence.IDEMPOTENT, 1000, 1, 0.1, 0, 1, 1, 0);
         play.scan("old", Play.ANY, 9, 4000);
-        play.tell(new Event.FactsChanged(facts(play, List.of(wide))));
+        play.tell(new Event.DeploymentChanged(facts(play, List.of(wide))));
         play.done.clear();
         play.scan("new", wide, 4, 4000);
-        assertEquals(play.all(Action.Dispatch.class).size(), 4);
+        assertEquals(play.all(Command.SendAttempt.class).size(), 4);
         for (int i = 0; i < 7; i++) {
-            play.end("old/" + i, 0, Ending.COMPLETED);
+            play.end("old/" + i, 0, AttemptOutcome.COMPLETED);
         }
         assertTrue(
                 play.endings().contains("answer whole"),
@@ -1218,11 +1245,11 @@
     @Test
     public void customerRemovedWithScansOpenLeavesThemServed() {
         Play play = fresh();
-        play.customers = List.of(new Customer("acme", 10));
+        play.customers = List.of(new Tenant("acme", 10));
         play.start().scan("s", Play.ALL, 1, 4000);
         Deployment now = facts(play, List.of(Play.ALL));
         play.tell(
-                new Event.FactsChanged(
+                new Event.DeploymentChanged(
                         new Deployment(
                                 1,
                                 "z",
@@ -1232,14 +1259,14 @@
                                 List.of(),
                                 now.layout(),
                                 now.limits(),
-                                now.coldRule(),
-                                now.dispatchBudget(),
-                                now.listAccess())));
-        play.end("s/0", 0, Ending.COMPLETED);
+                                now.slowStart(),
+                                now.retryBudget(),
+                                now.endpointSubscription())));
+        play.end("s/0", 0, AttemptOutcome.COMPLETED);
         assertEquals(play.endings(), List.of("answer whole"));
         play.customers = List.of();
         play.scan("t", Play.ALL, 1, 4000);
-        play.end("t/0", 0, Ending.COMPLETED);
+        play.end("t/0", 0, AttemptOutcome.COMPLETED);
         assertEquals(play.endings(), List.of("answer whole", "answer whole"));
     }
 }
