--- a/core/src/test/java/sprucehold/brain/Play.java
+++ b/core/src/test/java/sprucehold/policy/Play.java
@@ -1,47 +1,47 @@
-package sprucehold.brain;
+package sprucehold.policy;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.port.Action;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.TableType;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 
 /** Plays a gatherer by hand: facts to vary, events to bring, and the actions that came of them. */
 final class Play {
-    static final TableType ALL = type("all", TableType.Repeat.REPLAYABLE, 1, 1, 0);
-    static final TableType ANY = type("any", TableType.Repeat.REPLAYABLE, 0.75, 0.75, 0);
-    static final TableType PARTIAL = type("partial", TableType.Repeat.REPLAYABLE, 1, 0.5, 0);
-    static final TableType ONCE = type("once", TableType.Repeat.NON_REPLAYABLE, 1, 1, 0);
-    static final TableType KEYED = type("keyed", TableType.Repeat.KEYED, 1, 1, 0);
-    static final TableType STEPS = type("steps", TableType.Repeat.REPLAYABLE, 1, 1, 2);
+    static final QueryClass ALL = type("all", QueryClass.Idempotence.IDEMPOTENT, 1, 1, 0);
+    static final QueryClass ANY = type("any", QueryClass.Idempotence.IDEMPOTENT, 0.75, 0.75, 0);
+    static final QueryClass PARTIAL = type("partial", QueryClass.Idempotence.IDEMPOTENT, 1, 0.5, 0);
+    static final QueryClass ONCE = type("once", QueryClass.Idempotence.NON_IDEMPOTENT, 1, 1, 0);
+    static final QueryClass KEYED = type("keyed", QueryClass.Idempotence.DEDUPLICATED, 1, 1, 0);
+    static final QueryClass STEPS = type("steps", QueryClass.Idempotence.IDEMPOTENT, 1, 1, 2);
 
-    Deployment.Layout layout = new Deployment.Layout(4, 2, 1);
+    Deployment.ShardLayout layout = new Deployment.ShardLayout(4, 2, 1);
     Deployment.Limits limits = new Deployment.Limits(3, 1000, true, true, 500);
-    Deployment.ColdRule coldRule = new Deployment.ColdRule(0.2, 10_000, 2, 1000);
-    Deployment.DispatchBudget budget = Deployment.DispatchBudget.NONE;
+    Deployment.SlowStartRule coldRule = new Deployment.SlowStartRule(0.2, 10_000, 2, 1000);
+    Deployment.RetryBudget budget = Deployment.RetryBudget.NONE;
     int gatherers = 1;
     long seed = 7;
-    Deployment.ListAccess listAccess = new Deployment.ListAccess(false, 10_000);
-    List<Customer> customers = List.of();
+    Deployment.EndpointSubscription listAccess = new Deployment.EndpointSubscription(false, 10_000);
+    List<Tenant> customers = List.of();
     double now = 1000;
-    final List<Action> done = new ArrayList<>();
+    final List<Command> done = new ArrayList<>();
     private Brain brain;
     private long scans;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
-    private static TableType type(
-            String name, TableType.Repeat repeat, double whole, double least, int second) {
-        return new TableType(name, repeat, 1000, 1, 0.1, 1500, whole, least, second);
+    private static QueryClass type(
+            String name, QueryClass.Idempotence repeat, double whole, double least, int second) {
+        return new QueryClass(name, repeat, 1000, 1, 0.1, 1500, whole, least, second);
     }
 
-    static Listing listing(String server, int cell, double startedAt, Listing.Mode mode) {
-        return new Listing(server, cell, "z", startedAt, mode);
+    static Endpoint listing(String server, int cell, double startedAt, Endpoint.State mode) {
+        return new Endpoint(server, cell, "z", startedAt, mode);
     }
 
     /**
@@ -63,18 +63,18 @@
                                 coldRule,
                                 budget,
                                 listAccess));
-        var entries = new ArrayList<Listing>();
+        var entries = new ArrayList<Endpoint>();
         for (int cell = 0; cell < 4; cell++) {
-            entries.add(listing("abcd".substring(cell, cell + 1), cell, 0, Listing.Mode.RUNNING));
+            entries.add(listing("abcd".substring(cell, cell + 1), cell, 0, Endpoint.State.RUNNING));
         }
-        tell(new Event.ListReceived(true, entries));
+        tell(new Event.EndpointsUpdated(true, entries));
         return this;
     }
 
-    List<Action> tell(Event... events) {
-        List<Action> actions = brain.decide(now, List.of(events));
-        for (Action action : actions) {
-            if (action instanceof Action.Wake wake) {
+    List<Command> tell(Event... events) {
+        List<Command> actions = brain.decide(now, List.of(events));
+        for (Command command : actions) {
+            if (command instanceof Command.ScheduleWakeUp wake) {
                 wakeAt = Math.min(wakeAt, now + wake.delayMs());
             }
         }
@@ -83,10 +83,10 @@
     }
 
     /** Takes a scan with parts "ID/0", "ID/1", ... of equal weight at segments 0, 1, ... */
-    List<Action> scan(String id, TableType type, int parts, double timeLeft) {
+    List<Command> scan(String id, QueryClass type, int parts, double timeLeft) {
         var events = new ArrayList<Event>();
         events.add(
-                new Event.ScanTaken(
+                new Event.QueryReceived(
                         id,
                         ++scans,
                         type,
@@ -99,13 +99,13 @@
     List<Event> parts(String id, int parts) {
         var events = new ArrayList<Event>();
         for (int i = 0; i < parts; i++) {
-            events.add(new Event.PartTaken(id + "/" + i, scans, i, 1.0 / parts));
+            events.add(new Event.PartReceived(id + "/" + i, scans, i, 1.0 / parts));
         }
         return events;
     }
 
-    List<Action> end(String part, int number, Ending ending) {
-        return tell(new Event.DispatchEnded(part, number, ending, 50, null));
+    List<Command> end(String part, int number, AttemptOutcome outcome) {
+        return tell(new Event.AttemptEnded(part, number, outcome, 50, null));
     }
 
     /** Lets time go by, waking the gatherer as it asked. */
@@ -114,7 +114,7 @@
         while (wakeAt <= until) {
             now = Math.max(now, wakeAt);
             wakeAt = Double.POSITIVE_INFINITY;
-            tell(new Event.Woken());
+            tell(new Event.WakeUp());
         }
         now = until;
     }
@@ -122,26 +122,26 @@
     /** Dispatches so far by part, as "server" in order. */
     Map<String, List<String>> dispatches() {
         var byPart = new LinkedHashMap<String, List<String>>();
-        for (Action.Dispatch dispatch : all(Action.Dispatch.class)) {
-            byPart.computeIfAbsent(dispatch.partId(), id -> new ArrayList<>())
-                    .add(dispatch.server());
+        for (Command.SendAttempt sendAttempt : all(Command.SendAttempt.class)) {
+            byPart.computeIfAbsent(sendAttempt.partId(), id -> new ArrayList<>())
+                    .add(sendAttempt.server());
         }
         return byPart;
     }
 
-    <A extends Action> List<A> all(Class<A> kind) {
+    <A extends Command> List<A> all(Class<A> kind) {
         return done.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
     /** The final answers so far, as "answer whole", "answer part", "throttle" or "abandon". */
     List<String> endings() {
         var endings = new ArrayList<String>();
-        for (Action action : done) {
-            if (action instanceof Action.Answer answer) {
-                endings.add(answer.whole() ? "answer whole" : "answer part");
-            } else if (action instanceof Action.Throttle) {
+        for (Command command : done) {
+            if (command instanceof Command.AnswerQuery answer) {
+                endings.add(answer.complete() ? "answer whole" : "answer part");
+            } else if (command instanceof Command.RejectQuery) {
                 endings.add("throttle");
-            } else if (action instanceof Action.Abandon) {
+            } else if (command instanceof Command.FailQuery) {
                 endings.add("abandon");
             }
         }
--- a/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
+++ b/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
@@ -8,7 +8,7 @@
 import java.math.BigDecimal;
 import java.math.RoundingMode;
 import java.nio.charset.StandardCharsets;
-import sprucehold.picker.Answer;
+import sprucehold.coordinator.Answer;
 
 /** Writes the body of an answer and its advice. */
 final class AnswerWriter {
@@ -20,11 +20,11 @@
         var out = new ByteArrayOutputStream(256);
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
-            json.writeBooleanField("finished", answer.whole());
+            json.writeBooleanField("finished", answer.complete());
             json.writeArrayFieldStart("found");
             for (Answer.Value value : answer.values()) {
                 json.writeStartObject();
-                json.writeNumberField("bucket", value.segment());
+                json.writeNumberField("bucket", value.shard());
                 json.writeStringField("item", new String(value.bytes(), StandardCharsets.UTF_8));
                 json.writeEndObject();
             }
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -24,8 +24,8 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
 import sprucehold.sockets.AcceptingTransport;
 import sprucehold.sockets.UnreadInput;
 
@@ -54,7 +54,7 @@
     private final ScanReader reader;
     private final DoubleSupplier clock;
     private final ReadingPasses passes;
-    private final Map<Scan, HttpServerRequest> open = new IdentityHashMap<>();
+    private final Map<Query, HttpServerRequest> open = new IdentityHashMap<>();
     private final Vertx vertx;
     private final ClientConnections<HttpConnection> connections;
 
@@ -258,9 +258,9 @@
                     .map(Map.Entry::getKey)
                     .findAny()
                     .ifPresent(
-                            scan -> {
-                                open.remove(scan);
-                                handler.left(scan);
+                            query -> {
+                                open.remove(query);
+                                handler.left(query);
                             });
             last(request, 500, "this request failed");
         }
@@ -289,9 +289,9 @@
     }
 
     private void take(HttpServerRequest request, String tableType, Buffer body, double cameAt) {
-        Scan scan;
+        Query query;
         try {
-            scan =
+            query =
                     reader.read(
                             tableType,
                             request.headers(),
@@ -301,18 +301,18 @@
             reject(request, 400, e.getMessage(), null);
             return;
         }
-        if (handler.isOpen(scan)) {
+        if (handler.isOpen(query)) {
             reject(request, 400, "a scan of this id is open", null);
             return;
         }
-        open.put(scan, request);
-        request.response().closeHandler(none -> left(scan));
-        handler.take(scan);
+        open.put(query, request);
+        request.response().closeHandler(none -> left(query));
+        handler.take(query);
     }
 
-    private void left(Scan scan) {
-        if (open.remove(scan) != null) {
-            handler.left(scan);
+    private void left(Query query) {
+        if (open.remove(query) != null) {
+            handler.left(query);
         }
     }
 
@@ -321,8 +321,8 @@
      * connection up to this moment: what lies unread there is read first. One that has closed is
      * reported as left right now, before its connection's end is told by the loop.
      */
-    public boolean waits(Scan scan) {
-        HttpServerRequest request = open.get(scan);
+    public boolean waits(Query query) {
+        HttpServerRequest request = open.get(query);
         if (request == null) {
             return false;
         }
@@ -330,7 +330,7 @@
             return true;
         }
         leftUnread++;
-        left(scan);
+        left(query);
         return false;
     }
 
@@ -342,8 +342,8 @@
     }
 
     /** Sends the final answer of a scan; one whose client has left gets none. */
-    public void answer(Scan scan, Answer answer) {
-        HttpServerRequest request = open.remove(scan);
+    public void answer(Query query, Answer answer) {
+        HttpServerRequest request = open.remove(query);
         if (request == null) {
             return;
         }
@@ -351,9 +351,9 @@
         if (answer instanceof Answer.Completed completed) {
             response.putHeader("Content-Type", "application/json");
             end(request, 200, Buffer.buffer(AnswerWriter.body(completed)));
-        } else if (answer instanceof Answer.Throttled throttled) {
-            if (throttled.comeBackMs() > 0) {
-                response.putHeader("Retry-After", AnswerWriter.seconds(throttled.comeBackMs()));
+        } else if (answer instanceof Answer.Rejected throttled) {
+            if (throttled.retryAfterMs() > 0) {
+                response.putHeader("Retry-After", AnswerWriter.seconds(throttled.retryAfterMs()));
             }
             end(request, 503, Buffer.buffer("throttled\n"));
         } else {
--- a/gatherer/src/main/java/sprucehold/clients/DryClient.java
+++ b/gatherer/src/main/java/sprucehold/clients/DryClient.java
@@ -8,8 +8,8 @@
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpServerOptions;
 import java.nio.charset.StandardCharsets;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
 
 /**
  * What the way of a client's scan through this package runs, without a socket: for a warm-up where
@@ -26,7 +26,7 @@
     }
 
     /** Reads a request as one that came whole. */
-    public Scan read(String request) {
+    public Query read(String request) {
         decoder.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.UTF_8));
         HttpRequest head = decoder.readInbound();
         ByteBuf body = Unpooled.buffer();
--- a/gatherer/src/main/java/sprucehold/clients/ScanHandler.java
+++ b/gatherer/src/main/java/sprucehold/clients/ScanHandler.java
@@ -1,6 +1,6 @@
 package sprucehold.clients;
 
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Query;
 
 /** Where scans are taken. */
 public interface ScanHandler {
@@ -10,7 +10,7 @@
     boolean isTableType(String name);
 
     /** Whether a scan of this id is open. */
-    boolean isOpen(Scan scan);
+    boolean isOpen(Query query);
 
     /**
      * Since when what is read on a connection in a pass over the sockets that begins now may have
@@ -24,8 +24,8 @@
      * Takes a scan; its answer comes through {@link ClientServer#answer}, perhaps before this
      * returns.
      */
-    void take(Scan scan);
+    void take(Query query);
 
     /** The client of a scan has gone. */
-    void left(Scan scan);
+    void left(Query query);
 }
--- a/gatherer/src/main/java/sprucehold/clients/ScanReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/ScanReader.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.regex.Pattern;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Query;
 
 /** Reads a client's scan from its headers and body. */
 final class ScanReader {
@@ -55,7 +55,7 @@
     /**
      * {@code spentMs} is how much of the client's time went by since the request began to come in.
      */
-    Scan read(String tableType, MultiMap headers, byte[] body, double spentMs)
+    Query read(String tableType, MultiMap headers, byte[] body, double spentMs)
             throws MalformedException {
         for (String name : ONCE) {
             if (headers.getAll(name).size() > 1) {
@@ -93,7 +93,7 @@
         if (!buckets.isArray() || buckets.isEmpty() || !node.path("body").isTextual()) {
             throw new MalformedException("the body needs buckets and body");
         }
-        var parts = new ArrayList<Scan.Part>(buckets.size());
+        var parts = new ArrayList<Query.Part>(buckets.size());
         double whole = 0;
         for (JsonNode bucket : buckets) {
             double weight = bucket.path("part").isNumber() ? bucket.get("part").doubleValue() : -1;
@@ -113,9 +113,9 @@
                         "each bucket must be one of " + segments + " and stand once");
             }
             // Shares that were rounded on the way still make a whole.
-            parts.add(new Scan.Part(segment, bucket.get("part").doubleValue() / whole));
+            parts.add(new Query.Part(segment, bucket.get("part").doubleValue() / whole));
         }
-        return new Scan(
+        return new Query(
                 id,
                 tableType,
                 headers.get("X-Tenant"),
--- a/gatherer/src/main/java/sprucehold/cluster/ClusterConfig.java
+++ b/gatherer/src/main/java/sprucehold/cluster/ClusterConfig.java
@@ -7,8 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
+import sprucehold.decision.SharedLimit;
 import sprucehold.messaging.PeerMessagingSettings;
-import sprucehold.port.Bound;
 import sprucehold.settings.SettingsFile;
 
 /**
@@ -26,7 +26,7 @@
  */
 public record ClusterConfig(
         Map<String, Member> members,
-        Set<Bound.Kind> shared,
+        Set<SharedLimit.Kind> shared,
         int further,
         double furtherWindowMs,
         double driftPpm,
@@ -75,16 +75,16 @@
             at++;
         }
         JsonNode bounds = node.path("bounds");
-        var shared = EnumSet.noneOf(Bound.Kind.class);
+        var shared = EnumSet.noneOf(SharedLimit.Kind.class);
         if (bounds.path("cold").asBoolean(true)) {
-            shared.add(Bound.Kind.COLD);
+            shared.add(SharedLimit.Kind.SLOW_START);
         }
         if (bounds.path("customers").asBoolean(false)) {
-            shared.add(Bound.Kind.CUSTOMER);
+            shared.add(SharedLimit.Kind.TENANT_QUOTA);
         }
         JsonNode further = bounds.path("further");
         if (!further.isMissingNode()) {
-            shared.add(Bound.Kind.FURTHER);
+            shared.add(SharedLimit.Kind.RETRIES);
         }
         return new ClusterConfig(
                 members,
--- a/gatherer/src/main/java/sprucehold/cluster/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/cluster/ClusterMember.java
@@ -12,20 +12,20 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.logging.Logger;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.SharedLimit;
 import sprucehold.messaging.PeerMessaging;
 import sprucehold.messaging.PeerMessagingSettings;
 import sprucehold.node.Clock;
 import sprucehold.node.Neighbour;
 import sprucehold.node.NodeConfig;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.picker.ServerNews;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Listing;
-import sprucehold.port.Others;
 import sprucehold.together.member.News;
 import sprucehold.together.room.Leave;
 import sprucehold.together.room.RoomTerms;
@@ -66,9 +66,9 @@
     private final String self;
 
     /** What the decisions believe, less what they have taken since. */
-    private final Map<Bound, Integer> believed = new HashMap<>();
+    private final Map<SharedLimit, Integer> believed = new HashMap<>();
 
-    private Others last = Others.NONE;
+    private ClusterView last = ClusterView.NONE;
     private double toldAt = Double.NEGATIVE_INFINITY;
     private long timer = -1;
     private boolean superseded;
@@ -117,7 +117,9 @@
                                 plan.shared(),
                                 plan.further(),
                                 plan.furtherWindowMs(),
-                                Math.min(PATIENCE_MS, config.facts().connections().dialTimeoutMs()),
+                                Math.min(
+                                        PATIENCE_MS,
+                                        config.facts().connections().connectTimeoutMs()),
                                 plan.driftPpm() / 1e6,
                                 plan.clocksOffMs()),
                         talk,
@@ -206,79 +208,79 @@
     // ---- The node ----
 
     @Override
-    public void taken(double nowMs, Scan scan) {
+    public void taken(double nowMs, Query query) {
         rooms.taken(
                 clock.countedMs(),
-                scan.customer(),
-                scan.parts().stream().map(Scan.Part::segment).toList());
+                query.tenant(),
+                query.parts().stream().map(Query.Part::shard).toList());
     }
 
     @Override
-    public void reported(double nowMs, Report report) {
+    public void reported(double nowMs, Observation observation) {
         double counted = clock.countedMs();
         double wall = clock.wallMs();
-        if (report instanceof Report.ListCame list) {
+        if (observation instanceof Observation.EndpointsUpdated list) {
             rooms.listed(
                     counted,
                     wall,
                     list.complete(),
-                    list.servers().stream().map(ClusterMember::listing).toList());
-        } else if (report instanceof Report.DispatchEnded ended) {
-            boolean calledOff = ended.outcome() instanceof Outcome.Cancelled;
+                    list.updates().stream().map(ClusterMember::listing).toList());
+        } else if (observation instanceof Observation.AttemptEnded ended) {
+            boolean calledOff = ended.result() instanceof AttemptResult.Cancelled;
             // What was given up before its time tells nothing of the server.
-            if (!calledOff || ended.dispatch().outMs(nowMs) >= ended.dispatch().patienceMs()) {
+            if (!calledOff || ended.attempt().ageMs(nowMs) >= ended.attempt().timeoutMs()) {
                 rooms.ended(
                         counted,
                         wall,
-                        ended.dispatch().server().name(),
-                        ended.outcome() instanceof Outcome.Completed);
+                        ended.attempt().server().name(),
+                        ended.result() instanceof AttemptResult.Completed);
             }
         }
     }
 
-    private static Listing listing(ServerNews news) {
-        return new Listing(
+    private static Endpoint listing(EndpointUpdate news) {
+        return new Endpoint(
                 news.name(),
-                news.cell(),
+                news.replicaGroup(),
                 news.zone(),
                 news.startedAtMs(),
                 switch (news.state()) {
-                    case RUNNING -> Listing.Mode.RUNNING;
-                    case DRAINING -> Listing.Mode.DRAINING;
-                    case GONE -> Listing.Mode.GONE;
+                    case RUNNING -> Endpoint.State.RUNNING;
+                    case DRAINING -> Endpoint.State.DRAINING;
+                    case GONE -> Endpoint.State.GONE;
                 });
     }
 
     @Override
-    public void sent(double nowMs, Dispatch dispatch) {
-        rooms.sent(clock.countedMs(), clock.wallMs(), dispatch.server().name());
+    public void sent(double nowMs, Attempt attempt) {
+        rooms.sent(clock.countedMs(), clock.wallMs(), attempt.server().name());
     }
 
     @Override
-    public Others told(double nowMs) {
-        Others now = rooms.others(clock.countedMs(), clock.wallMs());
+    public ClusterView told(double nowMs) {
+        ClusterView now = rooms.others(clock.countedMs(), clock.wallMs());
         boolean less =
-                !now.room().keySet().equals(believed.keySet())
-                        || now.room().entrySet().stream()
+                !now.allowances().keySet().equals(believed.keySet())
+                        || now.allowances().entrySet().stream()
                                 .anyMatch(one -> one.getValue() < believed.get(one.getKey()));
         boolean other =
-                !now.trouble().equals(last.trouble())
+                !now.failureScores().equals(last.failureScores())
                         || now.gatherers() != last.gatherers()
-                        || !now.room().equals(believed);
+                        || !now.allowances().equals(believed);
         if (!less && (!other || nowMs - toldAt < TELL_MS)) {
             return null;
         }
         believed.clear();
-        believed.putAll(now.room());
+        believed.putAll(now.allowances());
         last = now;
         toldAt = nowMs;
         return now;
     }
 
     @Override
-    public BooleanSupplier use(double nowMs, Action.Use use) {
-        believed.computeIfPresent(use.bound(), (bound, units) -> units - use.units());
-        Leave leave = rooms.use(clock.countedMs(), clock.wallMs(), use.bound(), use.units());
+    public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
+        believed.computeIfPresent(use.limit(), (bound, units) -> units - use.units());
+        Leave leave = rooms.use(clock.countedMs(), clock.wallMs(), use.limit(), use.units());
         return leave == null ? null : () -> rooms.holds(clock.countedMs(), clock.wallMs(), leave);
     }
 
@@ -315,7 +317,7 @@
                                         .put("used", held.used())
                                         .put("free", held.free()));
         ArrayNode trouble = node.putArray("trouble");
-        last.trouble()
+        last.failureScores()
                 .forEach(
                         (server, share) ->
                                 trouble.addObject().put("server", server).put("trouble", share));
--- a/gatherer/src/main/java/sprucehold/command/Main.java
+++ b/gatherer/src/main/java/sprucehold/command/Main.java
@@ -10,7 +10,6 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
 import sprucehold.admin.AdminConfig;
-import sprucehold.brain.Brain;
 import sprucehold.drill.Drill;
 import sprucehold.node.JsonLines;
 import sprucehold.node.Neighbour;
@@ -18,6 +17,7 @@
 import sprucehold.node.Rehearsal;
 import sprucehold.node.Service;
 import sprucehold.node.ServiceLogManager;
+import sprucehold.policy.Brain;
 
 /** The commands of a gatherer; what its lean jar holds. */
 @Command(
--- a/gatherer/src/main/java/sprucehold/command/Recording.java
+++ b/gatherer/src/main/java/sprucehold/command/Recording.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.DecisionPolicy;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.record.Recorder;
@@ -25,8 +25,8 @@
     }
 
     /** Starts modules whose every call is recorded. */
-    Gatherer.Factory of(Gatherer.Factory factory) {
-        return (seed, facts) -> {
+    DecisionPolicy.Factory of(DecisionPolicy.Factory factory) {
+        return (seed, deployment) -> {
             recorder =
                     new Recorder(
                             plan,
@@ -35,9 +35,9 @@
                                     new Main.Version().getVersion()[0],
                                     seed,
                                     0,
-                                    facts,
+                                    deployment,
                                     ClockFit.REFERENCE));
-            return new RecordingGatherer(factory.start(seed, facts), recorder);
+            return new RecordingGatherer(factory.start(seed, deployment), recorder);
         };
     }
 
--- a/gatherer/src/main/java/sprucehold/discovery/ListNews.java
+++ b/gatherer/src/main/java/sprucehold/discovery/ListNews.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.logging.Logger;
-import sprucehold.picker.ServerNews;
+import sprucehold.coordinator.EndpointUpdate;
 
 /**
  * One answer of discovery.
@@ -16,7 +16,7 @@
  * @param index the version of the list
  * @param complete whether it is the whole list
  */
-public record ListNews(long index, boolean complete, List<ServerNews> servers) {
+public record ListNews(long index, boolean complete, List<EndpointUpdate> servers) {
     private static final Logger LOG = Logger.getLogger(ListNews.class.getName());
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -45,7 +45,7 @@
                 || !node.path("endpoints").isArray()) {
             throw new MalformedException("a list needs index, snapshot and endpoints");
         }
-        var servers = new ArrayList<ServerNews>();
+        var servers = new ArrayList<EndpointUpdate>();
         for (JsonNode endpoint : node.get("endpoints")) {
             servers.add(server(endpoint, cells));
         }
@@ -55,30 +55,30 @@
                 List.copyOf(servers));
     }
 
-    private static ServerNews server(JsonNode endpoint, int cells) throws MalformedException {
+    private static EndpointUpdate server(JsonNode endpoint, int cells) throws MalformedException {
         String name = endpoint.path("name").asText();
         if (name.isEmpty()) {
             throw new MalformedException("an endpoint without a name");
         }
         int cell = endpoint.path("group").asInt(-1);
         String address = endpoint.path("address").asText();
-        ServerNews.State state =
+        EndpointUpdate.State state =
                 switch (endpoint.path("status").asText()) {
-                    case "active" -> ServerNews.State.RUNNING;
-                    case "leaving" -> ServerNews.State.DRAINING;
-                    case "left" -> ServerNews.State.GONE;
+                    case "active" -> EndpointUpdate.State.RUNNING;
+                    case "leaving" -> EndpointUpdate.State.DRAINING;
+                    case "left" -> EndpointUpdate.State.GONE;
                     default -> null;
                 };
         boolean placed = cell >= 0 && cell < cells && isAddress(address);
-        if (state == null || state != ServerNews.State.GONE && !placed) {
+        if (state == null || state != EndpointUpdate.State.GONE && !placed) {
             // One odd entry mustn't hide the others, and where it isn't understood nothing is sent.
             LOG.warning(
                     "the list tells of shard server "
                             + name
                             + " what can't be used; it gets nothing");
-            state = ServerNews.State.GONE;
+            state = EndpointUpdate.State.GONE;
         }
-        return new ServerNews(
+        return new EndpointUpdate(
                 name,
                 address,
                 placed ? cell : 0,
--- a/gatherer/src/main/java/sprucehold/discovery/Watch.java
+++ b/gatherer/src/main/java/sprucehold/discovery/Watch.java
@@ -17,7 +17,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.picker.Report;
+import sprucehold.coordinator.Observation;
 
 /**
  * Follows the list of shard servers over HTTP, as {@link WatchPlan} says. A call that fails is
@@ -30,7 +30,7 @@
     private final Vertx vertx;
     private final int cells;
     private final DoubleSupplier clock;
-    private final Consumer<Report> reports;
+    private final Consumer<Observation> reports;
     private final WatchPlan plan;
     private HttpClient client;
     private String host;
@@ -59,7 +59,7 @@
             boolean asked,
             double askWithinMs,
             DoubleSupplier clock,
-            Consumer<Report> reports) {
+            Consumer<Observation> reports) {
         this.vertx = vertx;
         this.cells = cells;
         this.clock = clock;
@@ -131,9 +131,11 @@
                     request.reset();
                 }
             } else if (step instanceof WatchPlan.Step.Tell tell) {
-                reports.accept(new Report.ListCame(tell.news().complete(), tell.news().servers()));
+                reports.accept(
+                        new Observation.EndpointsUpdated(
+                                tell.news().complete(), tell.news().servers()));
             } else if (step instanceof WatchPlan.Step.TellFailed failed) {
-                reports.accept(new Report.ListFailed());
+                reports.accept(new Observation.EndpointsUnavailable());
                 first.tryComplete();
             } else if (step instanceof WatchPlan.Step.Note note) {
                 LOG.log(note.trouble() ? Level.WARNING : Level.INFO, note.line());
--- a/gatherer/src/main/java/sprucehold/drill/Drill.java
+++ b/gatherer/src/main/java/sprucehold/drill/Drill.java
@@ -17,17 +17,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Listing;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
 
 /**
  * Runs many gatherers on the bench's wire: a line in holds a batch of events, a line out the
  * actions.
  */
 public final class Drill {
-    private final Gatherer.Factory factory;
+    private final DecisionPolicy.Factory factory;
     private final ObjectMapper mapper = new ObjectMapper();
     private final ObjectReader reader =
             mapper.reader()
@@ -37,21 +37,21 @@
     private final Map<Integer, Seat> seats = new HashMap<>();
 
     /** The numbered lists last received; they serve all instances. */
-    private final Map<Integer, List<Listing>> tables = new HashMap<>();
+    private final Map<Integer, List<Endpoint>> tables = new HashMap<>();
 
     /** One instance: the gatherer, how its wire is read, and what has come for it in this batch. */
     private static final class Seat {
-        final Gatherer gatherer;
+        final DecisionPolicy policy;
         final WireReader wire;
         final List<Event> events = new ArrayList<>();
 
-        Seat(Gatherer gatherer, WireReader wire) {
-            this.gatherer = gatherer;
+        Seat(DecisionPolicy policy, WireReader wire) {
+            this.policy = policy;
             this.wire = wire;
         }
     }
 
-    public Drill(Gatherer.Factory factory) {
+    public Drill(DecisionPolicy.Factory factory) {
         this.factory = factory;
     }
 
@@ -103,12 +103,12 @@
             json.writeStartObject();
             json.writeArrayFieldStart("parts");
             for (Map.Entry<Integer, Seat> entry : called.entrySet()) {
-                List<Action> actions;
+                List<Command> actions;
                 String panic = null;
                 try {
                     actions =
                             entry.getValue()
-                                    .gatherer
+                                    .policy
                                     .decide(now, List.copyOf(entry.getValue().events));
                 } catch (RuntimeException | StackOverflowError e) {
                     actions = List.of();
--- a/gatherer/src/main/java/sprucehold/drill/WireWriter.java
+++ b/gatherer/src/main/java/sprucehold/drill/WireWriter.java
@@ -3,20 +3,20 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.List;
-import sprucehold.port.Action;
+import sprucehold.decision.Command;
 
 /** Writes one instance's actions. */
 final class WireWriter {
     private WireWriter() {}
 
     /** {@code panic} is the text of a failure of the decisions, or null. */
-    static void write(JsonGenerator json, int who, List<Action> actions, String panic)
+    static void write(JsonGenerator json, int who, List<Command> actions, String panic)
             throws IOException {
         json.writeStartObject();
         json.writeNumberField("who", who);
         json.writeArrayFieldStart("outbox");
-        for (Action action : actions) {
-            write(json, action);
+        for (Command command : actions) {
+            write(json, command);
         }
         if (panic != null) {
             open(json, "Panic");
@@ -27,42 +27,42 @@
         json.writeEndObject();
     }
 
-    private static void write(JsonGenerator json, Action action) throws IOException {
-        if (action instanceof Action.Dispatch dispatch) {
+    private static void write(JsonGenerator json, Command command) throws IOException {
+        if (command instanceof Command.SendAttempt sendAttempt) {
             open(json, "Attempt");
-            json.writeStringField("id", dispatch.partId());
-            json.writeStringField("server", dispatch.server());
-            json.writeNumberField("timeoutMs", dispatch.timeoutMs());
-        } else if (action instanceof Action.Cancel cancel) {
+            json.writeStringField("id", sendAttempt.partId());
+            json.writeStringField("server", sendAttempt.server());
+            json.writeNumberField("timeoutMs", sendAttempt.timeoutMs());
+        } else if (command instanceof Command.CancelAttempt cancel) {
             open(json, "UndoSend");
             json.writeStringField("id", cancel.partId());
-            json.writeNumberField("sendNo", cancel.number());
-        } else if (action instanceof Action.Answer answer) {
+            json.writeNumberField("sendNo", cancel.attemptNumber());
+        } else if (command instanceof Command.AnswerQuery answer) {
             open(json, "Assemble");
-            json.writeStringField("id", answer.scanId());
-            json.writeBooleanField("complete", answer.whole());
-        } else if (action instanceof Action.Throttle throttle) {
+            json.writeStringField("id", answer.queryId());
+            json.writeBooleanField("complete", answer.complete());
+        } else if (command instanceof Command.RejectQuery throttle) {
             open(json, "Busy");
-            json.writeStringField("id", throttle.scanId());
-            json.writeNumberField("comeBackMs", throttle.comeBackMs());
-        } else if (action instanceof Action.Abandon abandon) {
+            json.writeStringField("id", throttle.queryId());
+            json.writeNumberField("comeBackMs", throttle.retryAfterMs());
+        } else if (command instanceof Command.FailQuery abandon) {
             open(json, "GiveUp");
-            json.writeStringField("id", abandon.scanId());
-        } else if (action instanceof Action.Wake wake) {
+            json.writeStringField("id", abandon.queryId());
+        } else if (command instanceof Command.ScheduleWakeUp wake) {
             open(json, "Timer");
             json.writeNumberField("offsetMs", wake.delayMs());
             json.writeStringField("ref", "wake");
-        } else if (action instanceof Action.Probe probe) {
+        } else if (command instanceof Command.CheckHealth probe) {
             open(json, "Ping");
             json.writeStringField("server", probe.server());
-        } else if (action instanceof Action.FollowList) {
+        } else if (command instanceof Command.SubscribeToEndpoints) {
             open(json, "KeepInformed");
             json.writeBooleanField("complete", true);
-        } else if (action instanceof Action.Note note) {
+        } else if (command instanceof Command.LogMessage note) {
             open(json, "Record");
-            json.writeStringField("line", note.line());
+            json.writeStringField("line", note.text());
         } else {
-            throw new IllegalArgumentException("no wire form for " + action);
+            throw new IllegalArgumentException("no wire form for " + command);
         }
         close(json);
     }
--- a/gatherer/src/main/java/sprucehold/node/Changes.java
+++ b/gatherer/src/main/java/sprucehold/node/Changes.java
@@ -19,12 +19,12 @@
 import sprucehold.change.watch.Before;
 import sprucehold.change.watch.ServiceWatch;
 import sprucehold.change.watch.Slot;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Scan;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Listing;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
 
 /**
  * Changes of one gatherer's facts: carries what happens to the line of versions, and what that
@@ -43,7 +43,7 @@
     private final ServerWords words = new ServerWords();
     private final Before before = new Before();
     private final Slot.Builder slot = new Slot.Builder();
-    private final Map<Scan, Taken> open = new IdentityHashMap<>();
+    private final Map<Query, Taken> open = new IdentityHashMap<>();
     private final Journal journal;
     private final double watchMs;
     private final long leastScans;
@@ -52,11 +52,11 @@
     private long watched;
 
     /** News for the module that go along with the facts that come next. */
-    private List<Listing> news = List.of();
+    private List<Endpoint> news = List.of();
 
     /** Puts facts in force between two moments of the module. */
     interface Apply {
-        void apply(Deployment facts);
+        void apply(Deployment deployment);
     }
 
     /** Writes an entry down before its step is taken. */
@@ -90,9 +90,9 @@
     }
 
     /** The module behind the operator's word on shard servers. */
-    Gatherer.Factory behindWords(Gatherer.Factory factory) {
-        return (seed, facts) -> {
-            Gatherer module = factory.start(seed, facts);
+    DecisionPolicy.Factory behindWords(DecisionPolicy.Factory factory) {
+        return (seed, deployment) -> {
+            DecisionPolicy module = factory.start(seed, deployment);
             return (nowMs, events) -> module.decide(nowMs, joined(events));
         };
     }
@@ -101,15 +101,15 @@
         if (events.stream()
                 .noneMatch(
                         event ->
-                                event instanceof Event.ListReceived
-                                        || event instanceof Event.FactsChanged)) {
+                                event instanceof Event.EndpointsUpdated
+                                        || event instanceof Event.DeploymentChanged)) {
             return events;
         }
         var joined = new ArrayList<Event>(events.size() + 1);
         for (Event event : events) {
-            joined.add(event instanceof Event.ListReceived list ? words.told(list) : event);
-            if (event instanceof Event.FactsChanged && !news.isEmpty()) {
-                joined.add(new Event.ListReceived(false, news));
+            joined.add(event instanceof Event.EndpointsUpdated list ? words.told(list) : event);
+            if (event instanceof Event.DeploymentChanged && !news.isEmpty()) {
+                joined.add(new Event.EndpointsUpdated(false, news));
                 news = List.of();
             }
         }
@@ -149,39 +149,40 @@
         carryOut(nowMs, line.on(new LineEvent.Ending()));
     }
 
-    void taken(double nowMs, Scan scan) {
+    void taken(double nowMs, Query query) {
         line.live()
                 .document()
-                .type(scan.tableType())
+                .type(query.queryClass())
                 .ifPresent(
                         type ->
                                 open.put(
-                                        scan,
+                                        query,
                                         new Taken(
                                                 nowMs,
                                                 type,
                                                 line.live()
                                                         .document()
-                                                        .customer(scan.customer())
-                                                        .map(customer -> customer.name())
+                                                        .customer(query.tenant())
+                                                        .map(tenant -> tenant.name())
                                                         .orElse(null))));
     }
 
-    void answered(double nowMs, Scan scan, Answer answer) {
-        Taken taken = open.remove(scan);
+    void answered(double nowMs, Query query, Answer answer) {
+        Taken taken = open.remove(query);
         if (taken != null) {
             boolean inTime =
                     answer instanceof Answer.Completed
-                            && nowMs - taken.atMs <= taken.type.facts().targetMs();
-            slot.add(taken.type.name(), taken.customer, taken.type.facts().benefit(), inTime);
+                            && nowMs - taken.atMs <= taken.type.facts().latencyObjectiveMs();
+            slot.add(
+                    taken.type.name(), taken.customer, taken.type.facts().priorityWeight(), inTime);
         }
     }
 
     /** Who left before its target time tells nothing of service; who left after it was failed. */
-    void left(double nowMs, Scan scan) {
-        Taken taken = open.remove(scan);
-        if (taken != null && nowMs - taken.atMs > taken.type.facts().targetMs()) {
-            slot.add(taken.type.name(), taken.customer, taken.type.facts().benefit(), false);
+    void left(double nowMs, Query query) {
+        Taken taken = open.remove(query);
+        if (taken != null && nowMs - taken.atMs > taken.type.facts().latencyObjectiveMs()) {
+            slot.add(taken.type.name(), taken.customer, taken.type.facts().priorityWeight(), false);
         }
     }
 
@@ -250,10 +251,11 @@
         // of all.
         Map<Integer, Set<String>> byCell = words.byCell();
         Map<Integer, Set<String>> holders = new HashMap<>();
-        for (int cell = 0; cell < first.layout().cells(); cell++) {
+        for (int cell = 0; cell < first.layout().replicaGroups(); cell++) {
             Set<String> of = new HashSet<>();
-            for (int j = 0; j < first.layout().reach(); j++) {
-                of.addAll(byCell.getOrDefault((cell + j) % first.layout().cells(), Set.of()));
+            for (int j = 0; j < first.layout().groupsPerShard(); j++) {
+                of.addAll(
+                        byCell.getOrDefault((cell + j) % first.layout().replicaGroups(), Set.of()));
             }
             holders.put(cell, of);
         }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -21,9 +21,9 @@
 import sprucehold.change.line.JournalEntry;
 import sprucehold.change.line.LineAction;
 import sprucehold.change.line.VersionLine;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Scan;
-import sprucehold.port.Gatherer;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
+import sprucehold.decision.DecisionPolicy;
 
 /**
  * Changes of the facts of a gatherer that serves: the line of versions, its journal on disk, and
@@ -86,17 +86,17 @@
     private static Document document(NodeConfig config) {
         var deployment = config.facts().deployment();
         var types = new ArrayList<Document.Type>();
-        for (int i = 0; i < deployment.tableTypes().size(); i++) {
+        for (int i = 0; i < deployment.queryClasses().size(); i++) {
             types.add(
                     new Document.Type(
-                            deployment.tableTypes().get(i), config.facts().timeoutsMs().get(i)));
+                            deployment.queryClasses().get(i), config.facts().deadlinesMs().get(i)));
         }
         return new Document(
                 types,
-                deployment.customers(),
+                deployment.tenants(),
                 deployment.limits(),
-                deployment.dispatchBudget(),
-                deployment.coldRule(),
+                deployment.retryBudget(),
+                deployment.slowStart(),
                 new TreeSet<>(),
                 "",
                 "",
@@ -116,7 +116,7 @@
     }
 
     /** The decisions behind the operator's word on shard servers. */
-    Gatherer.Factory behindWords(Gatherer.Factory factory) {
+    DecisionPolicy.Factory behindWords(DecisionPolicy.Factory factory) {
         return changes.behindWords(factory);
     }
 
@@ -124,16 +124,16 @@
         return changes.isTableType(name);
     }
 
-    void taken(Scan scan) {
-        changes.taken(clock.now(), scan);
+    void taken(Query query) {
+        changes.taken(clock.now(), query);
     }
 
-    void left(Scan scan) {
-        changes.left(clock.now(), scan);
+    void left(Query query) {
+        changes.left(clock.now(), query);
     }
 
-    void answered(Scan scan, Answer answer) {
-        changes.answered(clock.now(), scan, answer);
+    void answered(Query query, Answer answer) {
+        changes.answered(clock.now(), query, answer);
     }
 
     /**
--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 import java.util.function.Supplier;
-import sprucehold.picker.Orders;
+import sprucehold.coordinator.Commands;
 
 /**
  * Calls of the decisions that wait for their turn, made in turns of bounded length. Between two
@@ -19,10 +19,10 @@
      */
     static final double LONGEST_TURN_MS = 5;
 
-    private final Queue<Supplier<Orders>> calls = new ArrayDeque<>();
+    private final Queue<Supplier<Commands>> calls = new ArrayDeque<>();
     private double turnEndsAt = Double.NEGATIVE_INFINITY;
 
-    void add(Supplier<Orders> call) {
+    void add(Supplier<Commands> call) {
         calls.add(call);
     }
 
@@ -36,7 +36,7 @@
     }
 
     /** The next call of this turn; null once the turn is over or nothing waits. */
-    Supplier<Orders> next(double nowMs) {
+    Supplier<Commands> next(double nowMs) {
         return nowMs < turnEndsAt ? calls.poll() : null;
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/DryWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/DryWarmUp.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import sprucehold.clients.DryClient;
-import sprucehold.picker.Orders;
-import sprucehold.picker.Picker;
-import sprucehold.picker.Report;
-import sprucehold.picker.ServerNews;
-import sprucehold.port.Deployment;
-import sprucehold.port.Gatherer;
+import sprucehold.coordinator.Commands;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
 import sprucehold.shards.DryServers;
 
 /**
@@ -29,43 +29,52 @@
     private DryWarmUp() {}
 
     /** Returns how many scans were answered. */
-    static int run(NodeConfig config, Gatherer.Factory factory) {
+    static int run(NodeConfig config, DecisionPolicy.Factory factory) {
         Deployment deployment = config.facts().deployment();
-        var picker = new Picker(factory.start(config.seed(), deployment), deployment);
-        var clients = new DryClient(config.facts().segments());
+        var coordinator =
+                new QueryCoordinator(factory.start(config.seed(), deployment), deployment);
+        var clients = new DryClient(config.facts().shards());
         var servers = new DryServers();
         var scans = new WarmUpScans(config);
-        var list = new ArrayList<ServerNews>();
-        for (int cell = 0; cell < deployment.layout().cells(); cell++) {
+        var list = new ArrayList<EndpointUpdate>();
+        for (int cell = 0; cell < deployment.layout().replicaGroups(); cell++) {
             for (String holder : List.of("a", "b")) {
                 list.add(
-                        new ServerNews(
+                        new EndpointUpdate(
                                 holder + cell,
                                 "127.0.0.1:1",
                                 cell,
                                 deployment.zone(),
                                 0,
-                                ServerNews.State.RUNNING));
+                                EndpointUpdate.State.RUNNING));
             }
         }
         double now = 1;
-        int answered = carry(picker.report(now, List.of(new Report.ListCame(true, list))), clients);
+        int answered =
+                carry(
+                        coordinator.observe(
+                                now, List.of(new Observation.EndpointsUpdated(true, list))),
+                        clients);
         for (int i = 0; i < SCANS; i++) {
-            Orders orders = picker.pick(now, clients.read(scans.next(i % 2 == 0 ? MOST_PARTS : 5)));
-            answered += carry(orders, clients);
+            Commands commands =
+                    coordinator.submit(now, clients.read(scans.next(i % 2 == 0 ? MOST_PARTS : 5)));
+            answered += carry(commands, clients);
             // A scan that takes longer than so many rounds is left to its time.
-            for (int round = 0; round < 8 && picker.openScans() > 0; round++) {
+            for (int round = 0; round < 8 && coordinator.openQueries() > 0; round++) {
                 now += 20;
-                List<Report> reports = servers.answered(orders.send(), now);
-                orders = reports.isEmpty() ? picker.tick(now) : picker.report(now, reports);
-                answered += carry(orders, clients);
+                List<Observation> reports = servers.answered(commands.send(), now);
+                commands =
+                        reports.isEmpty()
+                                ? coordinator.tick(now)
+                                : coordinator.observe(now, reports);
+                answered += carry(commands, clients);
             }
         }
         return answered;
     }
 
-    private static int carry(Orders orders, DryClient clients) {
-        orders.replies().forEach(reply -> clients.write(reply.answer()));
-        return orders.replies().size();
+    private static int carry(Commands commands, DryClient clients) {
+        commands.replies().forEach(reply -> clients.write(reply.answer()));
+        return commands.replies().size();
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/Neighbour.java
+++ b/gatherer/src/main/java/sprucehold/node/Neighbour.java
@@ -4,11 +4,11 @@
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.function.BooleanSupplier;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.port.Action;
-import sprucehold.port.Others;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
 
 /**
  * What stands beside a node: it hears what happens there, and may give the decisions typed values.
@@ -30,19 +30,19 @@
     Future<Void> start();
 
     /** A scan was taken. */
-    void taken(double nowMs, Scan scan);
+    void taken(double nowMs, Query query);
 
     /** Something was reported; the decisions hear of it later. */
-    void reported(double nowMs, Report report);
+    void reported(double nowMs, Observation observation);
 
     /** A dispatch is about to be written. */
-    void sent(double nowMs, Dispatch dispatch);
+    void sent(double nowMs, Attempt attempt);
 
     /**
      * What the decisions are to know from this moment on, asked before each call of theirs; null if
      * that is nothing new.
      */
-    Others told(double nowMs);
+    ClusterView told(double nowMs);
 
     /**
      * The decisions take units of a shared bound.
@@ -50,7 +50,7 @@
      * @return whether what they are taken for may be written, to be asked right before that; null
      *     if they are not to be had
      */
-    BooleanSupplier use(double nowMs, Action.Use use);
+    BooleanSupplier use(double nowMs, Command.ConsumeAllowance use);
 
     /** What operators may see of it, as a JSON object. */
     JsonNode status();
--- a/gatherer/src/main/java/sprucehold/node/Node.java
+++ b/gatherer/src/main/java/sprucehold/node/Node.java
@@ -23,20 +23,20 @@
 import sprucehold.clients.Arrival;
 import sprucehold.clients.ClientServer;
 import sprucehold.clients.ScanHandler;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Commands;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.coordinator.WriteProgress;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
 import sprucehold.discovery.Watch;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Orders;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Picker;
-import sprucehold.picker.Progress;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.port.Action;
-import sprucehold.port.Deployment;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Others;
-import sprucehold.port.TableType;
 import sprucehold.shards.AttemptGate;
 import sprucehold.shards.ShardServers;
 
@@ -49,14 +49,14 @@
     private final Vertx vertx;
     private final NodeConfig config;
     private final Clock clock = new Clock();
-    private final Picker picker;
+    private final QueryCoordinator coordinator;
     private final ShardServers shards;
     private final Watch watch;
     private final ClientServer clients;
     private final Set<String> tableTypes;
 
     /** What was reported since the picker was last told. */
-    private final List<Report> reports = new ArrayList<>();
+    private final List<Observation> reports = new ArrayList<>();
 
     /** Calls of the picker wait here until all that came in at one moment is read. */
     private final DecisionQueue calls = new DecisionQueue();
@@ -98,7 +98,7 @@
     Node(
             Vertx vertx,
             NodeConfig config,
-            Gatherer.Factory factory,
+            DecisionPolicy.Factory factory,
             AdminConfig plan,
             List<Neighbour.Factory> beside)
             throws IOException {
@@ -111,14 +111,14 @@
                 beside);
     }
 
-    Node(Vertx vertx, NodeConfig config, Gatherer.Factory factory) {
+    Node(Vertx vertx, NodeConfig config, DecisionPolicy.Factory factory) {
         this(vertx, config, factory, null, null, List.of());
     }
 
     private Node(
             Vertx vertx,
             NodeConfig config,
-            Gatherer.Factory factory,
+            DecisionPolicy.Factory factory,
             JournalFile journal,
             AdminConfig plan,
             List<Neighbour.Factory> beside) {
@@ -136,20 +136,23 @@
         this.config = config;
         var deployment = config.facts().deployment();
         this.tableTypes =
-                deployment.tableTypes().stream().map(TableType::name).collect(Collectors.toSet());
+                deployment.queryClasses().stream()
+                        .map(QueryClass::name)
+                        .collect(Collectors.toSet());
         this.admin =
                 plan == null
                         ? null
                         : new ConfigurationAdmin(
                                 vertx, config, plan, journal, clock, this::applied);
-        Gatherer.Factory behind = admin == null ? factory : admin.behindWords(factory);
-        this.picker = new Picker(behind.start(config.seed(), deployment), deployment);
+        DecisionPolicy.Factory behind = admin == null ? factory : admin.behindWords(factory);
+        this.coordinator =
+                new QueryCoordinator(behind.start(config.seed(), deployment), deployment);
         this.shards =
                 new ShardServers(
                         vertx,
                         config.facts().connections(),
-                        deployment.layout().callParts(),
-                        config.facts().loadByProbe(),
+                        deployment.layout().partsPerCall(),
+                        config.facts().loadByHealthCheck(),
                         clock::now,
                         this::report,
                         gate());
@@ -158,14 +161,14 @@
                         vertx,
                         config.discovery().host(),
                         config.discovery().port(),
-                        deployment.layout().cells(),
-                        deployment.listAccess().mustAsk(),
-                        deployment.listAccess().askWithinMs(),
+                        deployment.layout().replicaGroups(),
+                        deployment.endpointSubscription().mustSubscribe(),
+                        deployment.endpointSubscription().maxPollIntervalMs(),
                         clock::now,
                         this::report);
         this.clients =
                 new ClientServer(
-                        vertx, config.facts().segments(), config.sockets() / 2, this, clock::now);
+                        vertx, config.facts().shards(), config.sockets() / 2, this, clock::now);
         this.neighbours = beside.stream().map(one -> one.beside(vertx, config, clock)).toList();
     }
 
@@ -209,7 +212,9 @@
                 .map(
                         asked -> {
                             if (!hasList && config.known() != null) {
-                                report(new Report.ListCame(true, config.known().servers()));
+                                report(
+                                        new Observation.EndpointsUpdated(
+                                                true, config.known().servers()));
                             }
                             return null;
                         });
@@ -226,8 +231,8 @@
     }
 
     @Override
-    public boolean isOpen(Scan scan) {
-        return coming.contains(scan.id()) || picker.isOpen(scan);
+    public boolean isOpen(Query query) {
+        return coming.contains(query.id()) || coordinator.isOpen(query);
     }
 
     @Override
@@ -236,18 +241,18 @@
     }
 
     @Override
-    public void take(Scan scan) {
+    public void take(Query query) {
         scansTaken++;
-        ScanLog.taken(scan);
+        ScanLog.taken(query);
         if (phase == Drain.Phase.TURNING_AWAY || phase == Drain.Phase.OVER) {
-            clients.answer(scan, new Answer.Throttled(0));
+            clients.answer(query, new Answer.Rejected(0));
             return;
         }
         double most = drain == null ? Double.POSITIVE_INFINITY : drain.timeLeftMs(clock.now());
-        coming.add(scan.id());
-        neighbours.forEach(one -> one.taken(clock.now(), scan));
+        coming.add(query.id());
+        neighbours.forEach(one -> one.taken(clock.now(), query));
         if (admin != null) {
-            admin.taken(scan);
+            admin.taken(query);
         }
         double takenAt = clock.now();
         soon(
@@ -255,52 +260,54 @@
                     double now = clock.now();
                     // Whoever left meanwhile gets no work done, and what has passed meanwhile is no
                     // longer left to the client.
-                    return coming.remove(scan.id())
-                            ? picker.pick(
-                                    now, scan, Math.min(most, scan.timeLeftMs()) - (now - takenAt))
-                            : picker.report(now, List.of());
+                    return coming.remove(query.id())
+                            ? coordinator.submit(
+                                    now,
+                                    query,
+                                    Math.min(most, query.timeLeftMs()) - (now - takenAt))
+                            : coordinator.observe(now, List.of());
                 });
     }
 
     @Override
-    public void left(Scan scan) {
-        ScanLog.left(scan);
+    public void left(Query query) {
+        ScanLog.left(query);
         if (admin != null) {
-            admin.left(scan);
+            admin.left(query);
         }
-        if (!coming.remove(scan.id())) {
-            report(new Report.ClientLeft(scan));
+        if (!coming.remove(query.id())) {
+            report(new Observation.ClientDisconnected(query));
         }
     }
 
-    private void report(Report report) {
-        if (report instanceof Report.ListCame && !hasList) {
+    private void report(Observation observation) {
+        if (observation instanceof Observation.EndpointsUpdated && !hasList) {
             hasList = true;
             LOG.info("ready: a list of shard servers is held");
         }
-        ScanLog.reported(report, clock.now());
-        neighbours.forEach(one -> one.reported(clock.now(), report));
-        reports.add(report);
+        ScanLog.reported(observation, clock.now());
+        neighbours.forEach(one -> one.reported(clock.now(), observation));
+        reports.add(observation);
         if (!carrying) {
             runSoon();
         }
     }
 
-    private Orders reported() {
-        List<Report> batch = List.copyOf(reports);
+    private Commands reported() {
+        List<Observation> batch = List.copyOf(reports);
         reports.clear();
-        return picker.report(clock.now(), batch);
+        return coordinator.observe(clock.now(), batch);
     }
 
     private AttemptGate gate() {
         return new AttemptGate() {
             @Override
-            public boolean clientWaits(Scan query) {
+            public boolean clientWaits(Query query) {
                 return clients.waits(query);
             }
 
             @Override
-            public void begun(Dispatch attempt) {
+            public void begun(Attempt attempt) {
                 ScanLog.begun(attempt, clock.now());
             }
 
@@ -312,7 +319,7 @@
     }
 
     /** Calls the picker in the next turn. */
-    private void soon(Supplier<Orders> call) {
+    private void soon(Supplier<Commands> call) {
         calls.add(call);
         if (!carrying) {
             runSoon();
@@ -364,10 +371,10 @@
         guarded(shards::writeWaiting);
         if (tickDue) {
             tickDue = false;
-            decide(() -> picker.tick(clock.now()));
+            decide(() -> coordinator.tick(clock.now()));
         }
         calls.beginTurn(clock.now());
-        for (Supplier<Orders> call = calls.next(clock.now());
+        for (Supplier<Commands> call = calls.next(clock.now());
                 call != null;
                 call = calls.next(clock.now())) {
             decide(call);
@@ -381,11 +388,11 @@
         }
     }
 
-    private void decide(Supplier<Orders> call) {
+    private void decide(Supplier<Commands> call) {
         hear();
-        Orders orders = call.get();
-        nextTickAt = orders.nextTickAtMs();
-        carryOut(orders);
+        Commands commands = call.get();
+        nextTickAt = commands.nextTickAtMs();
+        carryOut(commands);
     }
 
     /** A task's timer, even one of no delay, fires after the sockets were read once more. */
@@ -401,9 +408,9 @@
     /** What neighbours know by now, before the decisions are asked. */
     private void hear() {
         for (Neighbour one : neighbours) {
-            Others told = one.told(clock.now());
+            ClusterView told = one.told(clock.now());
             if (told != null) {
-                picker.hear(told);
+                coordinator.changeClusterView(told);
             }
         }
     }
@@ -412,20 +419,25 @@
      * Each order stands alone: one that can't be carried out must not lose an answer that is owed
      * to a client.
      */
-    private void carryOut(Orders orders) {
-        guarded(() -> shards.cancel(orders.cancel()));
-        guarded(() -> shards.send(neighbours.isEmpty() ? orders.send() : permitted(orders.send())));
+    private void carryOut(Commands commands) {
+        guarded(() -> shards.cancel(commands.cancel()));
         guarded(
                 () ->
-                        orders.uses()
+                        shards.send(
+                                neighbours.isEmpty()
+                                        ? commands.send()
+                                        : permitted(commands.send())));
+        guarded(
+                () ->
+                        commands.consumed()
                                 .forEach(
                                         use ->
                                                 neighbours.forEach(
                                                         one -> one.use(clock.now(), use))));
-        orders.replies().forEach(reply -> guarded(() -> reply(reply)));
-        guarded(() -> shards.probe(orders.probe()));
-        orders.notes().forEach(LOG::info);
-        if (orders.askList()) {
+        commands.replies().forEach(reply -> guarded(() -> reply(reply)));
+        guarded(() -> shards.probe(commands.healthChecks()));
+        commands.logMessages().forEach(LOG::info);
+        if (commands.subscribe()) {
             guarded(watch::ask);
         }
     }
@@ -440,36 +452,37 @@
         }
     }
 
-    private void reply(Orders.Reply reply) {
+    private void reply(Commands.Reply reply) {
         if (admin != null) {
-            admin.answered(reply.scan(), reply.answer());
+            admin.answered(reply.query(), reply.answer());
         }
         ScanLog.ended(reply);
-        clients.answer(reply.scan(), reply.answer());
+        clients.answer(reply.query(), reply.answer());
     }
 
     /**
      * Those that still have what they take of shared bounds; the others are not sent, and told of
      * as such.
      */
-    private List<Dispatch> permitted(List<Dispatch> dispatches) {
-        var send = new ArrayList<Dispatch>();
-        for (Dispatch dispatch : dispatches) {
+    private List<Attempt> permitted(List<Attempt> dispatches) {
+        var send = new ArrayList<Attempt>();
+        for (Attempt attempt : dispatches) {
             var leaves = new ArrayList<BooleanSupplier>();
-            for (Action.Use use : dispatch.uses()) {
+            for (Command.ConsumeAllowance use : attempt.consumed()) {
                 neighbours.forEach(one -> leaves.add(one.use(clock.now(), use)));
             }
             if (leaves.contains(null)) {
                 report(
-                        new Report.DispatchEnded(
-                                dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN)));
+                        new Observation.AttemptEnded(
+                                attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN)));
                 continue;
             }
             if (!leaves.isEmpty()) {
-                dispatch.onlyIf(() -> leaves.stream().allMatch(BooleanSupplier::getAsBoolean));
+                attempt.requirePermission(
+                        () -> leaves.stream().allMatch(BooleanSupplier::getAsBoolean));
             }
-            neighbours.forEach(one -> one.sent(clock.now(), dispatch));
-            send.add(dispatch);
+            neighbours.forEach(one -> one.sent(clock.now(), attempt));
+            send.add(attempt);
         }
         return send;
     }
@@ -481,12 +494,14 @@
         return views;
     }
 
-    private void applied(Deployment facts) {
-        soon(() -> picker.change(clock.now(), facts));
+    private void applied(Deployment deployment) {
+        soon(() -> coordinator.changeDeployment(clock.now(), deployment));
     }
 
     private Future<Integer> openAdmin() {
-        return admin == null ? Future.succeededFuture(0) : admin.open(views(), picker::held);
+        return admin == null
+                ? Future.succeededFuture(0)
+                : admin.open(views(), coordinator::openItems);
     }
 
     /** The port at which its facts are changed, 0 where that isn't switched on. */
@@ -516,7 +531,7 @@
         }
         LOG.info(
                 "draining: "
-                        + picker.openScans()
+                        + coordinator.openQueries()
                         + " scans open, "
                         + clients.connections()
                         + " client connections");
@@ -544,7 +559,7 @@
                                             "end: "
                                                     + scansTaken
                                                     + " scans taken, "
-                                                    + picker.openScans()
+                                                    + coordinator.openQueries()
                                                     + " left open, "
                                                     + passes.summary()
                                                     + ", "
@@ -560,7 +575,7 @@
                 drain.phase(
                         clock.now(),
                         new Drain.Owed(
-                                picker.openScans() + coming.size(),
+                                coordinator.openQueries() + coming.size(),
                                 clients.underWay(),
                                 clients.arriving()));
         if (phase != Drain.Phase.SERVING_ON) {
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -7,9 +7,9 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import sprucehold.deployment.DeploymentSettings;
+import sprucehold.deployment.InvalidSettingsException;
 import sprucehold.discovery.ListNews;
-import sprucehold.facts.Facts;
-import sprucehold.facts.MalformedFactsException;
 
 /**
  * What one gatherer is told at its start.
@@ -24,7 +24,7 @@
         long seed,
         int sockets,
         ListNews known,
-        Facts facts) {
+        DeploymentSettings facts) {
 
     /** Where to listen or call. */
     public record Address(String host, int port) {
@@ -38,12 +38,12 @@
                     : SocketAddress.inetSocketAddress(port, host);
         }
 
-        static Address parse(String text, String what) throws MalformedFactsException {
+        static Address parse(String text, String what) throws InvalidSettingsException {
             int colon = text.lastIndexOf(':');
             if (colon <= 0
                     || !text.substring(colon + 1).matches("[0-9]{1,5}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
-                throw new MalformedFactsException(what + " needs HOST:PORT");
+                throw new InvalidSettingsException(what + " needs HOST:PORT");
             }
             return new Address(
                     text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -64,31 +64,33 @@
         try {
             node = new ObjectMapper().readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw new MalformedFactsException("not JSON: " + e.getOriginalMessage());
+            throw new InvalidSettingsException("not JSON: " + e.getOriginalMessage());
         }
         if (!node.path("settings").isObject()) {
-            throw new MalformedFactsException("no settings");
+            throw new InvalidSettingsException("no settings");
         }
-        Facts facts = Facts.checked(node.get("settings"));
-        if (facts.deployment().tableTypes().stream().anyMatch(type -> type.secondStepParts() > 0)) {
-            throw new MalformedFactsException(
+        DeploymentSettings settings = DeploymentSettings.checked(node.get("settings"));
+        if (settings.deployment().queryClasses().stream()
+                .anyMatch(type -> type.secondStepParts() > 0)) {
+            throw new InvalidSettingsException(
                     "table types of two steps can't be served by this protocol");
         }
         long seed;
         try {
             seed = Long.parseUnsignedLong(node.path("seed").asText("0"), 16);
         } catch (NumberFormatException e) {
-            throw new MalformedFactsException("seed must be hex digits");
+            throw new InvalidSettingsException("seed must be hex digits");
         }
         ListNews known;
         try {
             known =
                     node.path("known").isObject()
                             ? ListNews.decode(
-                                    node.get("known"), facts.deployment().layout().cells())
+                                    node.get("known"),
+                                    settings.deployment().layout().replicaGroups())
                             : null;
         } catch (ListNews.MalformedException e) {
-            throw new MalformedFactsException("known: " + e.getMessage());
+            throw new InvalidSettingsException("known: " + e.getMessage());
         }
         return new NodeConfig(
                 either(name, node.path("name")),
@@ -97,7 +99,7 @@
                 seed,
                 node.path("limits").path("sockets").asInt(Integer.MAX_VALUE),
                 known,
-                facts);
+                settings);
     }
 
     private static String either(String given, JsonNode inFile) {
@@ -118,13 +120,13 @@
                 + ", discovery at "
                 + discovery
                 + "; "
-                + facts.segments()
+                + facts.shards()
                 + " segments in "
-                + deployment.layout().cells()
+                + deployment.layout().replicaGroups()
                 + " cells, "
-                + deployment.tableTypes().size()
+                + deployment.queryClasses().size()
                 + " table types, "
-                + deployment.customers().size()
+                + deployment.tenants().size()
                 + " customers; "
                 + (known == null
                         ? "no list known"
--- a/gatherer/src/main/java/sprucehold/node/Rehearsal.java
+++ b/gatherer/src/main/java/sprucehold/node/Rehearsal.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import sprucehold.port.Gatherer;
-import sprucehold.port.TableType;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.QueryClass;
 import sprucehold.standin.StandIns;
 
 /**
@@ -24,7 +24,8 @@
     private Rehearsal() {}
 
     /** Returns whether each scan was answered whole; {@code line} takes what happened. */
-    public static boolean run(NodeConfig config, Gatherer.Factory factory, Consumer<String> line)
+    public static boolean run(
+            NodeConfig config, DecisionPolicy.Factory factory, Consumer<String> line)
             throws Service.StartFailedException {
         if (config.known() == null) {
             throw new Service.StartFailedException("no known list to stand in for");
@@ -91,7 +92,7 @@
         HttpClient client = vertx.createHttpClient();
         Future<Boolean> whole = Future.succeededFuture(true);
         int number = 0;
-        for (TableType type : config.facts().deployment().tableTypes()) {
+        for (QueryClass type : config.facts().deployment().queryClasses()) {
             String id = "rehearsal-" + number++;
             whole =
                     whole.compose(
--- a/gatherer/src/main/java/sprucehold/node/ScanLog.java
+++ b/gatherer/src/main/java/sprucehold/node/ScanLog.java
@@ -5,12 +5,12 @@
 import java.util.logging.Handler;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Orders;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Commands;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
 
 /**
  * What becomes of each scan, a line for each step; off unless switched on. With it one scan's id is
@@ -32,87 +32,95 @@
         LOG.setUseParentHandlers(false);
     }
 
-    static void taken(Scan scan) {
+    static void taken(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
             log(
                     "a scan is taken",
-                    fields(scan, "time_left_ms", scan.timeLeftMs(), "parts", scan.parts().size()));
+                    fields(
+                            query,
+                            "time_left_ms",
+                            query.timeLeftMs(),
+                            "parts",
+                            query.parts().size()));
         }
     }
 
-    static void reported(Report report, double nowMs) {
+    static void reported(Observation observation, double nowMs) {
         if (!LOG.isLoggable(Level.INFO)) {
             return;
         }
-        if (report instanceof Report.DispatchEnded ended) {
-            var dispatch = ended.dispatch();
+        if (observation instanceof Observation.AttemptEnded ended) {
+            var attempt = ended.attempt();
             log(
                     "a dispatch has ended",
                     fields(
-                            dispatch.scan(),
+                            attempt.query(),
                             "segment",
-                            dispatch.segment(),
+                            attempt.shard(),
                             "server",
-                            dispatch.server().name(),
+                            attempt.server().name(),
                             "outcome",
-                            words(ended.outcome()),
+                            words(ended.result()),
                             "took_ms",
-                            rounded(dispatch.outMs(nowMs))));
+                            rounded(attempt.ageMs(nowMs))));
         }
     }
 
     /** A client's close was read, by the loop's pass or right before an attempt. */
-    static void left(Scan scan) {
+    static void left(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
-            log("a client has left", fields(scan));
+            log("a client has left", fields(query));
         }
     }
 
     /** An attempt is written now; {@code waited_ms} counts from when the decisions wanted it. */
-    static void begun(Dispatch attempt, double nowMs) {
+    static void begun(Attempt attempt, double nowMs) {
         if (LOG.isLoggable(Level.INFO)) {
             log(
                     "an attempt begins",
                     fields(
-                            attempt.scan(),
+                            attempt.query(),
                             "segment",
-                            attempt.segment(),
+                            attempt.shard(),
                             "number",
                             attempt.number(),
                             "server",
                             attempt.server().name(),
                             "reason",
-                            attempt.reason().name(),
+                            attempt.reason().storedName(),
                             "waited_ms",
-                            rounded(attempt.outMs(nowMs)),
+                            rounded(attempt.ageMs(nowMs)),
                             "told_ms",
-                            rounded(attempt.patienceLeftMs(nowMs))));
+                            rounded(attempt.timeLeftMs(nowMs))));
         }
     }
 
-    static void ended(Orders.Reply reply) {
+    static void ended(Commands.Reply reply) {
         if (LOG.isLoggable(Level.INFO)) {
             String outcome =
                     reply.answer() instanceof Answer.Completed completed
-                            ? completed.whole() ? "whole" : "part"
-                            : reply.answer() instanceof Answer.Throttled
-                                    ? "throttled"
-                                    : "abandoned";
+                            ? completed.complete() ? "whole" : "part"
+                            : reply.answer() instanceof Answer.Rejected ? "throttled" : "abandoned";
             log(
                     "a scan has ended",
-                    fields(reply.scan(), "outcome", outcome, "reason", reply.reason().name()));
+                    fields(
+                            reply.query(),
+                            "outcome",
+                            outcome,
+                            "reason",
+                            reply.reason().storedName()));
         }
     }
 
-    private static String words(Outcome outcome) {
-        if (outcome instanceof Outcome.Lost lost) {
+    private static String words(AttemptResult result) {
+        if (result instanceof AttemptResult.ConnectionLost lost) {
             return "lost " + lost.progress();
-        } else if (outcome instanceof Outcome.Cancelled off) {
+        } else if (result instanceof AttemptResult.Cancelled off) {
             return "called off " + off.progress();
         }
-        return outcome instanceof Outcome.Completed
+        return result instanceof AttemptResult.Completed
                 ? "completed"
-                : outcome instanceof Outcome.Faulty ? "faulty" : "turned away";
+                : result instanceof AttemptResult.Failed ? "faulty" : "turned away";
     }
 
     private static double rounded(double ms) {
@@ -123,11 +131,11 @@
         LOG.log(Level.INFO, text, new Object[] {fields});
     }
 
-    private static Map<String, Object> fields(Scan scan, Object... more) {
+    private static Map<String, Object> fields(Query query, Object... more) {
         var fields = new LinkedHashMap<String, Object>();
-        fields.put("scan", scan.id());
-        fields.put("table_type", scan.tableType());
-        fields.put("customer", scan.customer());
+        fields.put("scan", query.id());
+        fields.put("table_type", query.queryClass());
+        fields.put("customer", query.tenant());
         for (int i = 0; i < more.length; i += 2) {
             fields.put((String) more[i], more[i + 1]);
         }
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -14,7 +14,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import sprucehold.admin.AdminConfig;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.DecisionPolicy;
 import sprucehold.sockets.AcceptingTransport;
 import sprucehold.standin.StandIns;
 
@@ -36,8 +36,8 @@
      */
     public static void start(
             NodeConfig config,
-            Gatherer.Factory rehearsed,
-            Gatherer.Factory factory,
+            DecisionPolicy.Factory rehearsed,
+            DecisionPolicy.Factory factory,
             AdminConfig door,
             List<Neighbour.Factory> beside,
             Callable<NodeConfig> reread,
@@ -142,12 +142,12 @@
                                     ? Future.<Void>succeededFuture()
                                     : node.end(
                                             DrainSchedule.within(
-                                                    config.facts().longestTimeoutMs())))
+                                                    config.facts().longestDeadlineMs())))
                             .onComplete(ended::complete, ended::completeExceptionally);
                 });
         try {
             // Beyond the time at which it may be killed, for what was taken with more time left.
-            ended.get((long) config.facts().longestTimeoutMs() + 5000, TimeUnit.MILLISECONDS);
+            ended.get((long) config.facts().longestDeadlineMs() + 5000, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOG.log(Level.WARNING, "ended before all was answered", e);
         } catch (InterruptedException e) {
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -20,9 +20,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.decision.DecisionPolicy;
 import sprucehold.discovery.ListNews;
-import sprucehold.picker.ServerNews;
-import sprucehold.port.Gatherer;
 import sprucehold.standin.StandIns;
 
 /**
@@ -59,7 +59,7 @@
     }
 
     /** Returns when it is done; whatever goes wrong, only the time is lost. */
-    static void run(NodeConfig config, Gatherer.Factory factory) {
+    static void run(NodeConfig config, DecisionPolicy.Factory factory) {
         // What is tried here is no news to operators.
         Logger all = Logger.getLogger("sprucehold");
         all.setLevel(Level.OFF);
@@ -90,7 +90,7 @@
         }
     }
 
-    private static int overSockets(NodeConfig config, Gatherer.Factory factory) {
+    private static int overSockets(NodeConfig config, DecisionPolicy.Factory factory) {
         Path directory = null;
         var warmUp = new WarmUp(config);
         try {
@@ -123,14 +123,14 @@
         }
     }
 
-    private Future<Void> start(Path directory, Gatherer.Factory factory) {
+    private Future<Void> start(Path directory, DecisionPolicy.Factory factory) {
         String shards = directory.resolve("shards").toString();
-        var servers = new ArrayList<ServerNews>();
-        for (int cell = 0; cell < config.facts().deployment().layout().cells(); cell++) {
+        var servers = new ArrayList<EndpointUpdate>();
+        for (int cell = 0; cell < config.facts().deployment().layout().replicaGroups(); cell++) {
             for (String holder : List.of("a", "b")) {
                 servers.add(
-                        new ServerNews(
-                                holder + cell, shards, cell, "", 0, ServerNews.State.RUNNING));
+                        new EndpointUpdate(
+                                holder + cell, shards, cell, "", 0, EndpointUpdate.State.RUNNING));
             }
         }
         var clients = new NodeConfig.Address(directory.resolve("clients").toString(), 0);
--- a/gatherer/src/main/java/sprucehold/node/WarmUpScans.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUpScans.java
@@ -1,7 +1,7 @@
 package sprucehold.node;
 
 import java.util.List;
-import sprucehold.port.TableType;
+import sprucehold.decision.QueryClass;
 
 /** The scans that a warm-up asks, over whatever way it has. */
 final class WarmUpScans {
@@ -17,9 +17,9 @@
      */
     String next(int mostParts) {
         asked++;
-        List<TableType> types = config.facts().deployment().tableTypes();
+        List<QueryClass> types = config.facts().deployment().queryClasses();
         String type = types.get(asked % types.size()).name();
-        int segments = config.facts().segments();
+        int segments = config.facts().shards();
         int parts = Math.min(mostParts, segments);
         var buckets = new StringBuilder();
         for (int i = 0; i < parts; i++) {
--- a/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
+++ b/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
@@ -1,7 +1,7 @@
 package sprucehold.shards;
 
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.Query;
 
 /**
  * Stands between an attempt that is decided and its first byte, for whatever reason it is made and
@@ -13,10 +13,10 @@
      * Whether the query's client still waits, by all that has reached its connection up to this
      * moment.
      */
-    boolean clientWaits(Scan query);
+    boolean clientWaits(Query query);
 
     /** The frame of the attempt is handed to its connection now. */
-    void begun(Dispatch attempt);
+    void begun(Attempt attempt);
 
     /**
      * Attempts wait that can be written now: {@link ShardServers#writeWaiting} is due in a turn of
--- a/gatherer/src/main/java/sprucehold/shards/DryServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/DryServers.java
@@ -3,9 +3,9 @@
 import io.vertx.core.buffer.Buffer;
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Report;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Observation;
 
 /**
  * What the way of parts through this package runs, without a socket: for a warm-up where none are
@@ -16,19 +16,19 @@
     private final FrameReader reader = new FrameReader(read::add, why -> {});
 
     /** Writes calls as ones that go out, and reads an answer to each. */
-    public List<Report> answered(List<Dispatch> dispatches, double nowMs) {
-        var reports = new ArrayList<Report>();
-        for (Dispatch dispatch : dispatches) {
-            if (!dispatch.mayBeWritten(nowMs)) {
+    public List<Observation> answered(List<Attempt> dispatches, double nowMs) {
+        var reports = new ArrayList<Observation>();
+        for (Attempt attempt : dispatches) {
+            if (!attempt.mayBeWritten(nowMs)) {
                 continue;
             }
-            GathererFrame.call(List.of(dispatch), nowMs);
-            String end = "E" + dispatch.partId() + " hit 5 inflight=1\nvalue";
+            GathererFrame.call(List.of(attempt), nowMs);
+            String end = "E" + attempt.partId() + " hit 5 inflight=1\nvalue";
             reader.handle(Buffer.buffer().appendIntLE(end.length()).appendString(end), nowMs);
             var ended = (ShardFrame.Ended) read.remove(0);
             reports.add(
-                    new Report.DispatchEnded(
-                            dispatch, new Outcome.Completed(ended.value(), ended.load())));
+                    new Observation.AttemptEnded(
+                            attempt, new AttemptResult.Completed(ended.value(), ended.load())));
         }
         return reports;
     }
--- a/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
@@ -3,8 +3,8 @@
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.Query;
 
 /** The frames that a gatherer sends. */
 final class GathererFrame {
@@ -14,17 +14,17 @@
      * One call: parts of one scan. What is waited for counts from its write, which a late
      * connection puts off.
      */
-    static Buffer call(List<Dispatch> dispatches, double nowMs) {
+    static Buffer call(List<Attempt> dispatches, double nowMs) {
         Buffer rest = Buffer.buffer();
-        for (Dispatch dispatch : dispatches) {
-            byte[] text = dispatch.scan().text();
-            long patience = Math.max(1, (long) dispatch.patienceLeftMs(nowMs));
+        for (Attempt attempt : dispatches) {
+            byte[] text = attempt.query().body();
+            long patience = Math.max(1, (long) attempt.timeLeftMs(nowMs));
             rest.appendString(
-                            dispatch.partId()
+                            attempt.partId()
                                     + " "
-                                    + dispatch.segment()
+                                    + attempt.shard()
                                     + " "
-                                    + list(dispatch.scan(), patience)
+                                    + list(attempt.query(), patience)
                                     + " "
                                     + text.length
                                     + "\n")
@@ -37,8 +37,8 @@
      * What a server is told of a part: the time that it is waited for and, where its client sent
      * one, the idempotency key.
      */
-    private static String list(Scan scan, long patienceMs) {
-        return "d=" + patienceMs + scan.idempotencyKey().map(key -> ",k=" + key).orElse("");
+    private static String list(Query query, long patienceMs) {
+        return "d=" + patienceMs + query.idempotencyKey().map(key -> ",k=" + key).orElse("");
     }
 
     static Buffer giveUp(String partId) {
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
-import sprucehold.picker.Load;
+import sprucehold.coordinator.Load;
 
 /** What a shard server sends. */
 sealed interface ShardFrame {
--- a/gatherer/src/main/java/sprucehold/shards/ShardLink.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardLink.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Progress;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.WriteProgress;
 import sprucehold.sockets.UnreadInput;
 import sprucehold.sockets.UnsentOutput;
 
@@ -30,13 +30,13 @@
     interface Owner {
         double now();
 
-        boolean clientWaits(Scan query);
+        boolean clientWaits(Query query);
 
-        void begun(Dispatch dispatch);
+        void begun(Attempt attempt);
 
-        void ended(Dispatch dispatch, Outcome outcome);
+        void ended(Attempt attempt, AttemptResult result);
 
-        void probeEnded(ShardLink link, Outcome outcome, double tookMs);
+        void probeEnded(ShardLink link, AttemptResult result, double tookMs);
 
         void up(ShardLink link);
 
@@ -50,7 +50,7 @@
     }
 
     private static final class Flight {
-        final Dispatch dispatch;
+        final Attempt attempt;
         final double writtenAt;
 
         /**
@@ -58,8 +58,8 @@
          */
         Future<Void> write;
 
-        Flight(Dispatch dispatch, double writtenAt) {
-            this.dispatch = dispatch;
+        Flight(Attempt attempt, double writtenAt) {
+            this.attempt = attempt;
             this.writtenAt = writtenAt;
         }
     }
@@ -72,7 +72,7 @@
      * Calls that wait for the connection to come up, or for the system to take what was written
      * before; each with parts of one scan.
      */
-    private final Queue<List<Dispatch>> waiting = new ArrayDeque<>();
+    private final Queue<List<Attempt>> waiting = new ArrayDeque<>();
 
     private final Map<String, Flight> flights = new LinkedHashMap<>();
 
@@ -154,20 +154,20 @@
     }
 
     /** Whether a call of so many parts can go out on it, now or when it is up. */
-    boolean fits(List<Dispatch> call) {
+    boolean fits(List<Attempt> call) {
         boolean blocked = socket != null && (doubtful || socket.writeQueueFull());
         return !over
                 && !blocked
                 && flights.size() + waitingParts + call.size() <= mostParts
                 && call.stream()
                         .noneMatch(
-                                dispatch ->
-                                        flights.containsKey(dispatch.partId())
-                                                || cancelled.contains(dispatch.partId()));
+                                attempt ->
+                                        flights.containsKey(attempt.partId())
+                                                || cancelled.contains(attempt.partId()));
     }
 
     /** To be called in a turn of the decisions, as {@link #writeWaiting} is. */
-    void send(List<Dispatch> call) {
+    void send(List<Attempt> call) {
         waiting.add(new ArrayList<>(call));
         waitingParts += call.size();
         writeWaiting();
@@ -182,7 +182,7 @@
      */
     void writeWaiting() {
         while (socket != null && !over && !waiting.isEmpty() && UnsentOutput.isEmpty(channel())) {
-            List<Dispatch> call = waiting.poll();
+            List<Attempt> call = waiting.poll();
             waitingParts -= call.size();
             write(call);
         }
@@ -208,32 +208,36 @@
     }
 
     /** The one place at which attempts are written; the parts of a call are of one query. */
-    private void write(List<Dispatch> waited) {
+    private void write(List<Attempt> waited) {
         double now = owner.now();
-        List<Dispatch> call = writable(waited, now);
+        List<Attempt> call = writable(waited, now);
         if (call.isEmpty()) {
             return;
         }
         Buffer frame = GathererFrame.call(call, now);
         // Last, so that a hold-up in all that comes before it changes nothing.
-        if (!owner.clientWaits(call.get(0).scan())) {
+        if (!owner.clientWaits(call.get(0).query())) {
             call.forEach(
-                    dispatch -> owner.ended(dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN)));
+                    attempt ->
+                            owner.ended(
+                                    attempt,
+                                    new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN)));
             return;
         }
         Future<Void> write = put(frame);
-        List<Flight> out = call.stream().map(dispatch -> new Flight(dispatch, now)).toList();
-        out.forEach(flight -> flights.put(flight.dispatch.partId(), flight));
+        List<Flight> out = call.stream().map(attempt -> new Flight(attempt, now)).toList();
+        out.forEach(flight -> flights.put(flight.attempt.partId(), flight));
         out.forEach(flight -> flight.write = write);
         call.forEach(owner::begun);
         write.onFailure(
                 failure ->
                         out.forEach(
                                 flight -> {
-                                    if (flights.remove(flight.dispatch.partId(), flight)) {
+                                    if (flights.remove(flight.attempt.partId(), flight)) {
                                         owner.ended(
-                                                flight.dispatch,
-                                                new Outcome.Lost(Progress.PARTLY_WRITTEN));
+                                                flight.attempt,
+                                                new AttemptResult.ConnectionLost(
+                                                        WriteProgress.PARTLY_WRITTEN));
                                     }
                                 }));
     }
@@ -242,15 +246,15 @@
      * Those that may still be written: while the call waited the list may have said that its server
      * drains, or its time have run out.
      */
-    private List<Dispatch> writable(List<Dispatch> waited, double now) {
-        var call = new ArrayList<Dispatch>();
-        for (Dispatch dispatch : waited) {
-            if (!dispatch.mayBeWritten(now)) {
-                owner.ended(dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN));
-            } else if (dispatch.server().running()) {
-                call.add(dispatch);
+    private List<Attempt> writable(List<Attempt> waited, double now) {
+        var call = new ArrayList<Attempt>();
+        for (Attempt attempt : waited) {
+            if (!attempt.mayBeWritten(now)) {
+                owner.ended(attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
+            } else if (attempt.server().running()) {
+                call.add(attempt);
             } else {
-                owner.ended(dispatch, new Outcome.Lost(Progress.NOT_WRITTEN));
+                owner.ended(attempt, new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
             }
         }
         return call;
@@ -262,44 +266,44 @@
      */
     private void lost(Flight flight) {
         if (spoilt) {
-            owner.ended(flight.dispatch, new Outcome.Faulty(null));
+            owner.ended(flight.attempt, new AttemptResult.Failed(null));
             return;
         }
         if (flight.write == null) {
-            owner.ended(flight.dispatch, new Outcome.Lost(Progress.WRITTEN));
+            owner.ended(flight.attempt, new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
             return;
         }
         flight.write.onComplete(
                 written ->
                         owner.ended(
-                                flight.dispatch,
-                                new Outcome.Lost(
+                                flight.attempt,
+                                new AttemptResult.ConnectionLost(
                                         written.succeeded()
-                                                ? Progress.WRITTEN
-                                                : Progress.PARTLY_WRITTEN)));
+                                                ? WriteProgress.WRITTEN
+                                                : WriteProgress.PARTLY_WRITTEN)));
     }
 
     /** Gives a part up; false if it isn't on this link. */
-    boolean cancel(Dispatch dispatch) {
-        for (List<Dispatch> call : waiting) {
-            if (call.remove(dispatch)) {
+    boolean cancel(Attempt attempt) {
+        for (List<Attempt> call : waiting) {
+            if (call.remove(attempt)) {
                 waitingParts--;
-                owner.ended(dispatch, new Outcome.Cancelled(Progress.NOT_WRITTEN));
+                owner.ended(attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
                 return true;
             }
         }
-        Flight flight = flights.get(dispatch.partId());
-        if (flight == null || flight.dispatch != dispatch) {
+        Flight flight = flights.get(attempt.partId());
+        if (flight == null || flight.attempt != attempt) {
             return false;
         }
-        flights.remove(dispatch.partId());
-        cancelled.add(dispatch.partId());
+        flights.remove(attempt.partId());
+        cancelled.add(attempt.partId());
         if (cancelled.size() > MOST_CANCELLED) {
             cancelled.remove(cancelled.iterator().next());
         }
-        put(GathererFrame.giveUp(dispatch.partId()));
+        put(GathererFrame.giveUp(attempt.partId()));
         idle();
-        owner.ended(dispatch, new Outcome.Cancelled(Progress.WRITTEN));
+        owner.ended(attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         return true;
     }
 
@@ -339,11 +343,11 @@
             idle();
             if (flight != null) {
                 owner.ended(
-                        flight.dispatch,
+                        flight.attempt,
                         switch (ended.end()) {
-                            case HIT -> new Outcome.Completed(ended.value(), ended.load());
-                            case FAULT -> new Outcome.Faulty(ended.load());
-                            case OVERLOAD -> new Outcome.TurnedAway(ended.load());
+                            case HIT -> new AttemptResult.Completed(ended.value(), ended.load());
+                            case FAULT -> new AttemptResult.Failed(ended.load());
+                            case OVERLOAD -> new AttemptResult.Rejected(ended.load());
                         });
             }
         } else if (frame instanceof ShardFrame.Probed probed && !probes.isEmpty()) {
@@ -351,8 +355,8 @@
             owner.probeEnded(
                     this,
                     probed.sound()
-                            ? new Outcome.Completed(new byte[0], probed.load())
-                            : new Outcome.Faulty(probed.load()),
+                            ? new AttemptResult.Completed(new byte[0], probed.load())
+                            : new AttemptResult.Failed(probed.load()),
                     took);
         } else if (frame instanceof ShardFrame.Unusable unusable) {
             LOG.warning(
@@ -412,16 +416,27 @@
             socket.close();
         }
         owner.closed(this, neverUp, why);
-        List<Dispatch> unwritten = waiting.stream().flatMap(List::stream).toList();
+        List<Attempt> unwritten = waiting.stream().flatMap(List::stream).toList();
         waiting.clear();
         List<Flight> written = List.copyOf(flights.values());
         flights.clear();
         unwritten.forEach(
-                dispatch -> owner.ended(dispatch, new Outcome.Lost(Progress.NOT_WRITTEN)));
+                attempt ->
+                        owner.ended(
+                                attempt,
+                                new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN)));
         written.forEach(this::lost);
         waitingProbes.forEach(
-                probe -> owner.probeEnded(this, new Outcome.Lost(Progress.NOT_WRITTEN), 0));
+                probe ->
+                        owner.probeEnded(
+                                this,
+                                new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN),
+                                0));
         probes.forEach(
-                at -> owner.probeEnded(this, new Outcome.Lost(Progress.WRITTEN), owner.now() - at));
+                at ->
+                        owner.probeEnded(
+                                this,
+                                new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
+                                owner.now() - at));
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -16,13 +16,13 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 import java.util.logging.Logger;
-import sprucehold.facts.Connections;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Progress;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.picker.ShardServer;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.ShardServer;
+import sprucehold.coordinator.WriteProgress;
+import sprucehold.deployment.ConnectionSettings;
 
 /**
  * The connections to all shard servers: one each, a further one only when that can take no more.
@@ -31,11 +31,11 @@
     private static final Logger LOG = Logger.getLogger(ShardServers.class.getName());
 
     private final NetClient client;
-    private final Connections limits;
+    private final ConnectionSettings limits;
     private final int callParts;
     private final boolean loadByProbe;
     private final DoubleSupplier clock;
-    private final Consumer<Report> reports;
+    private final Consumer<Observation> reports;
     private final AttemptGate gate;
     private final Map<ShardServer, Peer> peers = new HashMap<>();
 
@@ -57,23 +57,23 @@
         }
 
         @Override
-        public boolean clientWaits(Scan query) {
+        public boolean clientWaits(Query query) {
             return gate.clientWaits(query);
         }
 
         @Override
-        public void begun(Dispatch dispatch) {
-            gate.begun(dispatch);
+        public void begun(Attempt attempt) {
+            gate.begun(attempt);
         }
 
         @Override
-        public void ended(Dispatch dispatch, Outcome outcome) {
-            reports.accept(new Report.DispatchEnded(dispatch, outcome));
+        public void ended(Attempt attempt, AttemptResult result) {
+            reports.accept(new Observation.AttemptEnded(attempt, result));
         }
 
         @Override
-        public void probeEnded(ShardLink link, Outcome outcome, double tookMs) {
-            reports.accept(new Report.ProbeEnded(server, outcome, tookMs));
+        public void probeEnded(ShardLink link, AttemptResult result, double tookMs) {
+            reports.accept(new Observation.HealthCheckEnded(server, result, tookMs));
         }
 
         @Override
@@ -100,7 +100,7 @@
         }
 
         /** A link that can take the call: an open one or a new one. */
-        ShardLink link(List<Dispatch> call) {
+        ShardLink link(List<Attempt> call) {
             for (ShardLink link : List.copyOf(links)) {
                 if (link.address().equals(server.address())
                         && link.fits(call)
@@ -108,7 +108,7 @@
                     return link;
                 }
             }
-            var link = new ShardLink(this, server.address(), limits.parts());
+            var link = new ShardLink(this, server.address(), limits.maxPartsInFlight());
             links.add(link);
             link.dialled(dial(server.address()));
             return link;
@@ -117,11 +117,11 @@
 
     public ShardServers(
             Vertx vertx,
-            Connections limits,
+            ConnectionSettings limits,
             int callParts,
             boolean loadByProbe,
             DoubleSupplier clock,
-            Consumer<Report> reports,
+            Consumer<Observation> reports,
             AttemptGate gate) {
         this.gate = gate;
         this.limits = limits;
@@ -129,7 +129,7 @@
         this.loadByProbe = loadByProbe;
         this.clock = clock;
         this.reports = reports;
-        int dialMs = Math.max(1, (int) limits.dialTimeoutMs());
+        int dialMs = Math.max(1, (int) limits.connectTimeoutMs());
         this.client =
                 vertx.createNetClient(
                         new NetClientOptions().setConnectTimeout(dialMs).setTcpNoDelay(true));
@@ -154,35 +154,35 @@
     void sweep(double dialMs) {
         for (Peer peer : peers.values()) {
             // What isn't listed any more gets nothing new, so its links only hold descriptors.
-            double idleMs = peer.server.running() ? limits.idleCloseMs() - 2 * dialMs : -1;
+            double idleMs = peer.server.running() ? limits.idleTimeoutMs() - 2 * dialMs : -1;
             List.copyOf(peer.links).forEach(link -> link.sweep(dialMs, idleMs));
         }
         peers.values().removeIf(peer -> peer.links.isEmpty() && !peer.server.running());
     }
 
     /** Sends dispatches ordered at one moment; those of one scan to one server share calls. */
-    public void send(List<Dispatch> dispatches) {
+    public void send(List<Attempt> dispatches) {
         record Call(ShardServer server, Object scan) {}
-        var calls = new LinkedHashMap<Call, List<Dispatch>>();
-        for (Dispatch dispatch : dispatches) {
+        var calls = new LinkedHashMap<Call, List<Attempt>>();
+        for (Attempt attempt : dispatches) {
             calls.computeIfAbsent(
-                            new Call(dispatch.server(), dispatch.scan()), key -> new ArrayList<>())
-                    .add(dispatch);
+                            new Call(attempt.server(), attempt.query()), key -> new ArrayList<>())
+                    .add(attempt);
         }
         calls.forEach(
                 (key, parts) -> {
-                    int most = Math.min(callParts, limits.parts());
+                    int most = Math.min(callParts, limits.maxPartsInFlight());
                     for (int from = 0; from < parts.size(); from += most) {
-                        List<Dispatch> call =
+                        List<Attempt> call =
                                 parts.subList(from, Math.min(parts.size(), from + most));
                         if (!key.server.running()) {
                             call.forEach(
-                                    dispatch ->
+                                    attempt ->
                                             reports.accept(
-                                                    new Report.DispatchEnded(
-                                                            dispatch,
-                                                            new Outcome.Lost(
-                                                                    Progress.NOT_WRITTEN))));
+                                                    new Observation.AttemptEnded(
+                                                            attempt,
+                                                            new AttemptResult.ConnectionLost(
+                                                                    WriteProgress.NOT_WRITTEN))));
                         } else {
                             peers.computeIfAbsent(key.server, Peer::new).link(call).send(call);
                         }
@@ -200,19 +200,19 @@
         links.stream().filter(ShardLink::isOpenStill).forEach(ShardLink::writeWaiting);
     }
 
-    public void cancel(List<Dispatch> dispatches) {
-        for (Dispatch dispatch : dispatches) {
-            Peer peer = peers.get(dispatch.server());
+    public void cancel(List<Attempt> dispatches) {
+        for (Attempt attempt : dispatches) {
+            Peer peer = peers.get(attempt.server());
             boolean found =
                     peer != null
                             && List.copyOf(peer.links).stream()
-                                    .anyMatch(link -> link.cancel(dispatch));
+                                    .anyMatch(link -> link.cancel(attempt));
             if (!found) {
                 // Only after a panic is one on no link and not reported; nobody knows whether it
                 // was written.
                 reports.accept(
-                        new Report.DispatchEnded(
-                                dispatch, new Outcome.Cancelled(Progress.WRITTEN)));
+                        new Observation.AttemptEnded(
+                                attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN)));
             }
         }
     }
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -28,8 +28,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.TestLoop;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
 
 /** The HTTP server with a handler that is scripted, asked over plain sockets. */
 public class ClientServerTest {
@@ -63,8 +63,8 @@
     private volatile double now;
     private volatile Answer atOnce;
     private volatile double heldUpMs;
-    private BlockingQueue<Scan> taken;
-    private BlockingQueue<Scan> left;
+    private BlockingQueue<Query> taken;
+    private BlockingQueue<Query> left;
     private BlockingQueue<Arrival> arrivals;
     private boolean inPass;
     private int requestsOfPass;
@@ -100,8 +100,8 @@
                     }
 
                     @Override
-                    public boolean isOpen(Scan scan) {
-                        return scan.id().equals("open");
+                    public boolean isOpen(Query query) {
+                        return query.id().equals("open");
                     }
 
                     @Override
@@ -112,19 +112,19 @@
                     }
 
                     @Override
-                    public void take(Scan scan) {
-                        taken.add(scan);
-                        if (scan.id().equals("panic")) {
+                    public void take(Query query) {
+                        taken.add(query);
+                        if (query.id().equals("panic")) {
                             throw new IllegalStateException("scripted");
                         }
                         if (atOnce != null) {
-                            server.answer(scan, atOnce);
+                            server.answer(query, atOnce);
                         }
                     }
 
                     @Override
-                    public void left(Scan scan) {
-                        left.add(scan);
+                    public void left(Query query) {
+                        left.add(query);
                     }
                 };
         var listening = new CompletableFuture<HttpServer>();
@@ -224,8 +224,8 @@
         loop.until(() -> server.underWay() == 0);
     }
 
-    private void answer(Scan scan, Answer answer) {
-        loop.run(() -> server.answer(scan, answer));
+    private void answer(Query query, Answer answer) {
+        loop.run(() -> server.answer(query, answer));
     }
 
     @Test
@@ -358,7 +358,7 @@
             assertEquals(socket.getInputStream().read(), -1);
         }
         assertTrue(
-                taken.stream().noneMatch(scan -> scan.id().equals("t") || scan.id().equals("u")),
+                taken.stream().noneMatch(query -> query.id().equals("t") || query.id().equals("u")),
                 String.valueOf(taken));
     }
 
@@ -439,11 +439,11 @@
                     post("/q", "behind" + i, BODY.replace("c4", "c4".repeat(1 + longer / 2))));
         }
         Socket socket = connect(requests.toString());
-        Scan scan = taken.poll(5, TimeUnit.SECONDS);
-        assertEquals(scan.id(), "s");
+        Query query = taken.poll(5, TimeUnit.SECONDS);
+        assertEquals(query.id(), "s");
         socket.close();
-        assertEquals(left.poll(5, TimeUnit.SECONDS), scan);
-        answer(scan, HIT);
+        assertEquals(left.poll(5, TimeUnit.SECONDS), query);
+        answer(query, HIT);
         accepted(0);
         assertTrue(taken.isEmpty(), String.valueOf(taken));
     }
@@ -454,10 +454,10 @@
                 connect(
                         post("/q", "s", BODY)
                                 + post("/q", "t", BODY.replace("c4", "c4".repeat(2_000_000))))) {
-            Scan scan = taken.poll(5, TimeUnit.SECONDS);
+            Query query = taken.poll(5, TimeUnit.SECONDS);
             // Read on until it was too much.
             loop.until(() -> server.floods() > 0);
-            answer(scan, HIT);
+            answer(query, HIT);
             String rest = rest(socket);
             assertTrue(
                     rest.startsWith("HTTP/1.1 200 ") && rest.contains("Connection: close"), rest);
@@ -479,10 +479,10 @@
     public void requestThatDoesntComeInTimeClosesItsConnectionAlone(String bytes) throws Exception {
         try (Socket other = connect(post("/q", "s", BODY));
                 Socket socket = connect(bytes)) {
-            Scan scan = taken.poll(5, TimeUnit.SECONDS);
+            Query query = taken.poll(5, TimeUnit.SECONDS);
             accepted(2);
             now = 2400;
-            answer(scan, HIT);
+            answer(query, HIT);
             assertTrue(response(other).startsWith("HTTP/1.1 200 "));
             now = 2501;
             assertEquals(rest(socket), "");
@@ -496,14 +496,14 @@
     public void silentConnectionsGiveWayToNewOnesAndScansThatAreOpenStay() throws Exception {
         var sockets = new ArrayList<Socket>();
         try (Socket busy = connect(post("/q", "s", BODY))) {
-            Scan scan = taken.poll(5, TimeUnit.SECONDS);
+            Query query = taken.poll(5, TimeUnit.SECONDS);
             for (int i = 0; i < 2 * MOST; i++) {
                 sockets.add(connect(""));
             }
             assertEquals(rest(sockets.get(0)), "");
             sockets.add(connect(post("/q", "t", BODY)));
             assertEquals(taken.poll(5, TimeUnit.SECONDS).id(), "t");
-            answer(scan, HIT);
+            answer(query, HIT);
             String response = response(busy);
             assertTrue(response.startsWith("HTTP/1.1 200 "), response);
             assertTrue(response.contains("Connection: close"), response);
@@ -548,9 +548,9 @@
     Object[][] answers() {
         return new Object[][] {
             {HIT, "200", "{\"finished\":true,\"found\":[{\"bucket\":0,\"item\":\"v\"}]}"},
-            {new Answer.Throttled(250), "503", "Retry-After: 0.25\r\n"},
-            {new Answer.Throttled(0), "503", "throttled"},
-            {new Answer.Abandoned(), "502", "abandoned"},
+            {new Answer.Rejected(250), "503", "Retry-After: 0.25\r\n"},
+            {new Answer.Rejected(0), "503", "throttled"},
+            {new Answer.Failed(), "502", "abandoned"},
         };
     }
 
@@ -687,11 +687,11 @@
     @Test
     public void panicEndsItsConnectionAlone() throws Exception {
         try (Socket other = connect(post("/q", "s", BODY))) {
-            Scan scan = taken.poll(5, TimeUnit.SECONDS);
+            Query query = taken.poll(5, TimeUnit.SECONDS);
             try (Socket socket = connect(post("/q", "panic", BODY))) {
                 assertTrue(response(socket).startsWith("HTTP/1.1 500 "));
                 assertEquals(left.poll(5, TimeUnit.SECONDS).id(), "panic");
-                answer(scan, HIT);
+                answer(query, HIT);
                 assertTrue(response(other).startsWith("HTTP/1.1 200 "));
             }
         }
@@ -707,14 +707,14 @@
             atOnce = null;
             try (Socket busy = connect(post("/q", "s", BODY))) {
                 taken.poll(5, TimeUnit.SECONDS);
-                Scan scan = taken.poll(5, TimeUnit.SECONDS);
+                Query query = taken.poll(5, TimeUnit.SECONDS);
                 loop.run(
                         () -> {
                             server.drain();
                             server.closeIdle();
                         });
                 assertEquals(idle.getInputStream().read(), -1);
-                answer(scan, HIT);
+                answer(query, HIT);
                 String response = response(busy);
                 assertTrue(
                         response.startsWith("HTTP/1.1 200 ")
@@ -723,17 +723,17 @@
                 assertEquals(busy.getInputStream().read(), -1);
             }
         }
-        assertFalse(left.stream().anyMatch(scan -> scan.id().equals("i")));
+        assertFalse(left.stream().anyMatch(query -> query.id().equals("i")));
     }
 
     @Test
     public void aCloseThatLiesUnreadIsReadWhenItIsAskedWhetherTheClientWaits() throws Exception {
         Socket stays = connect(post("/q", "stays", BODY));
         Socket leaves = connect(post("/q", "leaves", BODY));
-        var scans = new HashMap<String, Scan>();
+        var scans = new HashMap<String, Query>();
         for (int i = 0; i < 2; i++) {
-            Scan scan = taken.poll(5, TimeUnit.SECONDS);
-            scans.put(scan.id(), scan);
+            Query query = taken.poll(5, TimeUnit.SECONDS);
+            scans.put(query.id(), query);
         }
         var waits = new HashMap<String, Boolean>();
         var asked = new CountDownLatch(1);
@@ -741,7 +741,7 @@
                 loop.hold(
                         () -> {
                             scans.values()
-                                    .forEach(scan -> waits.put(scan.id(), server.waits(scan)));
+                                    .forEach(query -> waits.put(query.id(), server.waits(query)));
                             asked.countDown();
                         });
         // Bytes before the end: it is not the first thing that is read.
@@ -752,7 +752,7 @@
         assertEquals(waits, Map.of("stays", true, "leaves", false));
         assertEquals(left.poll(5, TimeUnit.SECONDS).id(), "leaves");
         assertEquals((long) loop.call(() -> server.leftUnread()), 1L);
-        loop.act(() -> server.answer(scans.get("stays"), new Answer.Throttled(0)));
+        loop.act(() -> server.answer(scans.get("stays"), new Answer.Rejected(0)));
         assertTrue(response(stays).startsWith("HTTP/1.1 503"));
         // Its end, which the loop tells of later, is told once.
         loop.until(() -> server.connections() <= 1);
--- a/gatherer/src/test/java/sprucehold/clients/ScanReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ScanReaderTest.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Scan;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
 
 public class ScanReaderTest {
     private static final String PART = "{\"bucket\":3,\"part\":1.0}";
 
-    private static Scan read(String id, String tableType, String deadline, String body)
+    private static Query read(String id, String tableType, String deadline, String body)
             throws Exception {
         MultiMap headers = MultiMap.caseInsensitiveMultiMap();
         if (id != null) {
@@ -113,7 +113,7 @@
         }
     }
 
-    private static Scan withKey(String key) throws Exception {
+    private static Query withKey(String key) throws Exception {
         MultiMap headers =
                 MultiMap.caseInsensitiveMultiMap()
                         .add("X-Request-Id", "s")
@@ -142,19 +142,19 @@
 
     @Test
     public void scanIsReadWithItsSharesMadeWhole() throws Exception {
-        Scan scan =
+        Query query =
                 read(
                         "s",
                         "q",
                         "480",
                         "{\"more\":1,\"buckets\":[{\"bucket\":3,\"part\":0.333,\"effort\":9000},"
                                 + "{\"bucket\":9,\"part\":0.333},{\"bucket\":0,\"part\":0.333}],\"body\":\"c4\\u00e9\"}");
-        assertEquals(scan.customer(), "acme");
-        assertEquals(scan.timeLeftMs(), 450.0);
+        assertEquals(query.tenant(), "acme");
+        assertEquals(query.timeLeftMs(), 450.0);
         assertEquals(read("s", "q", "29", body(PART)).timeLeftMs(), 0.0);
-        assertEquals(scan.parts().stream().map(Scan.Part::segment).toList(), List.of(3, 9, 0));
-        assertEquals(scan.parts().stream().mapToDouble(Scan.Part::weight).sum(), 1, 1e-9);
-        assertEquals(new String(scan.text(), StandardCharsets.UTF_8), "c4é");
+        assertEquals(query.parts().stream().map(Query.Part::shard).toList(), List.of(3, 9, 0));
+        assertEquals(query.parts().stream().mapToDouble(Query.Part::weight).sum(), 1, 1e-9);
+        assertEquals(new String(query.body(), StandardCharsets.UTF_8), "c4é");
     }
 
     @DataProvider
--- a/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
+++ b/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucehold.decision.SharedLimit;
 import sprucehold.messaging.PeerMessagingSettings;
-import sprucehold.port.Bound;
 
 public class ClusterConfigTest {
     private static ClusterConfig read(String text) throws IOException {
@@ -38,7 +38,7 @@
                         new PeerMessagingSettings.Address("10.0.0.1", 8700)));
         assertEquals(
                 plan.members().get("b").listen(), new PeerMessagingSettings.Address("0.0.0.0", 9));
-        assertEquals(plan.shared(), Set.of(Bound.Kind.COLD));
+        assertEquals(plan.shared(), Set.of(SharedLimit.Kind.SLOW_START));
     }
 
     @Test
@@ -59,7 +59,7 @@
                                         "x",
                                         new PeerMessagingSettings.Address("10.0.0.1", 8700),
                                         new PeerMessagingSettings.Address("0.0.0.0", 9))),
-                        Set.of(Bound.Kind.CUSTOMER, Bound.Kind.FURTHER),
+                        Set.of(SharedLimit.Kind.TENANT_QUOTA, SharedLimit.Kind.RETRIES),
                         7,
                         1500,
                         40,
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
-import sprucehold.brain.Brain;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.policy.Brain;
 import sprucehold.trace.event.Moment;
 import sprucehold.trace.format.TraceReader;
 
@@ -25,20 +25,20 @@
                     1,
                     List.of(),
                     List.of(),
-                    new Deployment.Layout(1, 1, 1),
+                    new Deployment.ShardLayout(1, 1, 1),
                     new Deployment.Limits(1, 10, false, false, 0),
-                    new Deployment.ColdRule(1, 0, 1, 0),
-                    Deployment.DispatchBudget.NONE,
-                    new Deployment.ListAccess(true, 1000));
+                    new Deployment.SlowStartRule(1, 0, 1, 0),
+                    Deployment.RetryBudget.NONE,
+                    new Deployment.EndpointSubscription(true, 1000));
 
     @Test
     public void switchedOnByAFileItRecordsTheModulesEveryCallWithSeedAndFacts() throws IOException {
         Path folder = Files.createTempDirectory("recording");
         Path file = Files.writeString(folder.resolve("recording.json"), "{\"folder\": \".\"}");
         Recording recording = Recording.read(file, "g7");
-        Gatherer module = recording.of(Brain::new).start(77, FACTS);
-        module.decide(5, List.of(new Event.ListReceived(true, List.of())));
-        module.decide(6, List.of(new Event.ListUnavailable()));
+        DecisionPolicy module = recording.of(Brain::new).start(77, FACTS);
+        module.decide(5, List.of(new Event.EndpointsUpdated(true, List.of())));
+        module.decide(6, List.of(new Event.EndpointsUnavailable()));
         recording.end();
         try (Stream<Path> files = Files.list(folder);
                 TraceReader reader =
--- a/gatherer/src/test/java/sprucehold/discovery/WatchTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/WatchTest.java
@@ -21,15 +21,15 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.picker.Report;
-import sprucehold.picker.ServerNews;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.coordinator.Observation;
 
 /** The watch against a scripted discovery on loopback. */
 public class WatchTest {
     private Vertx vertx;
     private Watch watch;
     private int port;
-    private BlockingQueue<Report> reports;
+    private BlockingQueue<Observation> reports;
     private BlockingQueue<HttpServerRequest> calls;
 
     @BeforeMethod
@@ -88,7 +88,7 @@
         return request;
     }
 
-    private Report report() throws InterruptedException {
+    private Observation report() throws InterruptedException {
         return reports.poll(5, TimeUnit.SECONDS);
     }
 
@@ -96,7 +96,7 @@
     private HttpServerRequest following(int waitMs) throws InterruptedException {
         watch.start();
         call("/discovery/hosts").response().end(list(41, true, endpoint("")));
-        assertTrue(report() instanceof Report.ListCame);
+        assertTrue(report() instanceof Observation.EndpointsUpdated);
         return call("/discovery/hosts?after=41&wait_ms=" + waitMs);
     }
 
@@ -107,7 +107,7 @@
         assertFalse(first.isComplete());
         request.response().end(list(41, true, endpoint("")));
         first.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-        assertTrue(report() instanceof Report.ListCame);
+        assertTrue(report() instanceof Observation.EndpointsUpdated);
     }
 
     @Test
@@ -115,7 +115,7 @@
         Future<Void> first = watch.start();
         call("/discovery/hosts").connection().close();
         first.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-        assertTrue(report() instanceof Report.ListFailed);
+        assertTrue(report() instanceof Observation.EndpointsUnavailable);
     }
 
     @DataProvider
@@ -149,11 +149,11 @@
     @Test(dataProvider = "odd")
     public void oddEntryGetsNothingAndHidesNoOther(String field) throws Exception {
         String body = list(1, true, endpoint("," + field), endpoint(",\"name\":\"t\""));
-        List<ServerNews> servers =
+        List<EndpointUpdate> servers =
                 ListNews.decode(body.getBytes(StandardCharsets.UTF_8), 2).servers();
-        assertEquals(servers.get(0).state(), ServerNews.State.GONE);
-        assertEquals(servers.get(0).cell() < 2, true);
-        assertEquals(servers.get(1).state(), ServerNews.State.RUNNING);
+        assertEquals(servers.get(0).state(), EndpointUpdate.State.GONE);
+        assertEquals(servers.get(0).replicaGroup() < 2, true);
+        assertEquals(servers.get(1).state(), EndpointUpdate.State.RUNNING);
     }
 
     @Test(dataProvider = "malformed")
@@ -166,14 +166,15 @@
     @DataProvider
     Object[][] states() {
         return new Object[][] {
-            {"active", ServerNews.State.RUNNING},
-            {"leaving", ServerNews.State.DRAINING},
-            {"left", ServerNews.State.GONE}
+            {"active", EndpointUpdate.State.RUNNING},
+            {"leaving", EndpointUpdate.State.DRAINING},
+            {"left", EndpointUpdate.State.GONE}
         };
     }
 
     @Test(dataProvider = "states")
-    public void entriesAreReadAsTheyStand(String status, ServerNews.State state) throws Exception {
+    public void entriesAreReadAsTheyStand(String status, EndpointUpdate.State state)
+            throws Exception {
         String entry =
                 endpoint(
                         ",\"zone\":\"z\",\"since_ms\":1700000000123,\"status\":\""
@@ -184,18 +185,18 @@
         assertFalse(news.complete());
         assertEquals(
                 news.servers().get(0),
-                new ServerNews("s", "127.0.0.1:1", 1, "z", 1700000000123.0, state));
+                new EndpointUpdate("s", "127.0.0.1:1", 1, "z", 1700000000123.0, state));
     }
 
     @Test
     public void newsComesAndTheNextCallAsksForWhatIsNewer() throws Exception {
         watch.start();
         call("/discovery/hosts").response().end(list(41, true, endpoint("")));
-        assertTrue(((Report.ListCame) report()).complete());
+        assertTrue(((Observation.EndpointsUpdated) report()).complete());
         call("/discovery/hosts?after=41&wait_ms=2000")
                 .response()
                 .end(list(43, false, endpoint("")));
-        assertFalse(((Report.ListCame) report()).complete());
+        assertFalse(((Observation.EndpointsUpdated) report()).complete());
         // Nothing new: nothing told, and asked again.
         call("/discovery/hosts?after=43&wait_ms=2000").response().end(list(43, false));
         call("/discovery/hosts?after=43&wait_ms=2000");
@@ -220,7 +221,7 @@
         assertEquals(first.uri(), "/discovery/hosts");
         old.response().end(list(42, false, endpoint("")));
         first.response().end(list(7, true, endpoint(",\"name\":\"new\"")));
-        assertEquals(((Report.ListCame) report()).servers().get(0).name(), "new");
+        assertEquals(((Observation.EndpointsUpdated) report()).updates().get(0).name(), "new");
         assertEquals(
                 moved.poll(5, TimeUnit.SECONDS).uri(), "/discovery/hosts?after=7&wait_ms=2000");
         assertTrue(reports.isEmpty());
@@ -237,11 +238,12 @@
         var closed = new CompletableFuture<Void>();
         silent.connection().closeHandler(none -> closed.complete(null));
         HttpServerRequest beside = call("/discovery/hosts?after=41&wait_ms=2000");
-        assertTrue(report() instanceof Report.ListFailed);
+        assertTrue(report() instanceof Observation.EndpointsUnavailable);
         assertFalse(closed.isDone());
         beside.response().end(list(44, false, endpoint(",\"status\":\"leaving\"")));
         assertEquals(
-                ((Report.ListCame) report()).servers().get(0).state(), ServerNews.State.DRAINING);
+                ((Observation.EndpointsUpdated) report()).updates().get(0).state(),
+                EndpointUpdate.State.DRAINING);
         call("/discovery/hosts?after=44&wait_ms=2000");
         closed.get(5, TimeUnit.SECONDS);
         assertTrue(reports.isEmpty());
@@ -251,9 +253,9 @@
     public void callWithoutAnAnswerInTimeIsStillHeard() throws Exception {
         HttpServerRequest late = following(2000);
         call("/discovery/hosts?after=41&wait_ms=2000");
-        assertTrue(report() instanceof Report.ListFailed);
+        assertTrue(report() instanceof Observation.EndpointsUnavailable);
         late.response().end(list(42, false, endpoint("")));
-        assertTrue(report() instanceof Report.ListCame);
+        assertTrue(report() instanceof Observation.EndpointsUpdated);
     }
 
     @Test
@@ -263,8 +265,8 @@
         first.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
         // It stays open: what discovery tells at its return counts at once.
         call("/discovery/hosts").response().end(list(41, true, endpoint("")));
-        assertTrue(report() instanceof Report.ListFailed);
-        assertTrue(report() instanceof Report.ListCame);
+        assertTrue(report() instanceof Observation.EndpointsUnavailable);
+        assertTrue(report() instanceof Observation.EndpointsUpdated);
     }
 
     /**
@@ -287,7 +289,7 @@
                 socket.setSoLinger(true, 0);
             }
             first.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-            assertTrue(report() instanceof Report.ListFailed);
+            assertTrue(report() instanceof Observation.EndpointsUnavailable);
         }
     }
 
@@ -297,7 +299,7 @@
         cut.connection().close();
         // By itself: nobody asks for it here, and what it falls back to is a minute away.
         call("/discovery/hosts?after=41&wait_ms=2000");
-        assertTrue(report() instanceof Report.ListFailed);
+        assertTrue(report() instanceof Observation.EndpointsUnavailable);
     }
 
     @Test(dataProvider = "failures")
@@ -311,7 +313,7 @@
             case "closed" -> request.connection().close();
             default -> request.response().end(list(40, true, endpoint("")));
         }
-        assertTrue(report() instanceof Report.ListFailed);
+        assertTrue(report() instanceof Observation.EndpointsUnavailable);
         assertTrue(calls.isEmpty());
         vertx.runOnContext(none -> watch.ask());
         // A list whose index went back is asked for anew, whole.
@@ -321,6 +323,6 @@
                                 ? "/discovery/hosts"
                                 : "/discovery/hosts?after=41&wait_ms=1");
         request.response().end(list(40 + (how.equals("back") ? 0 : 2), true, endpoint("")));
-        assertTrue(report() instanceof Report.ListCame);
+        assertTrue(report() instanceof Observation.EndpointsUpdated);
     }
 }
--- a/gatherer/src/test/java/sprucehold/drill/DrillTest.java
+++ b/gatherer/src/test/java/sprucehold/drill/DrillTest.java
@@ -12,17 +12,17 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.brain.Brain;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Event;
+import sprucehold.policy.Brain;
 
 public class DrillTest {
     private static final String ON =
             "{\"PowerOn\":{\"rngSeed\":5,\"params\":{\"balancers\":2,\"new\":[1],\"classes\":"
                     + "[{\"name\":\"q\",\"semantics\":\"dedup\",\"aimMs\":100}],\"familyInfo\":{\"sets\":2}}}}";
 
-    private static String play(Gatherer.Factory factory, String... lines) throws IOException {
+    private static String play(DecisionPolicy.Factory factory, String... lines) throws IOException {
         var out = new ByteArrayOutputStream();
         byte[] in = (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
         new Drill(factory).run(new ByteArrayInputStream(in), out);
@@ -60,19 +60,19 @@
 
     @Test
     public void everyActionHasItsWireForm() throws IOException {
-        List<Action> actions =
+        List<Command> actions =
                 List.of(
-                        new Action.Dispatch("p", "s", 2),
-                        new Action.Cancel("p", 1),
-                        new Action.Answer("q", true),
-                        new Action.Throttle("q", 5),
-                        new Action.Abandon("q"),
-                        new Action.Wake(1),
-                        new Action.Probe("s"),
-                        new Action.FollowList(),
-                        new Action.Note("n"));
+                        new Command.SendAttempt("p", "s", 2),
+                        new Command.CancelAttempt("p", 1),
+                        new Command.AnswerQuery("q", true),
+                        new Command.RejectQuery("q", 5),
+                        new Command.FailQuery("q"),
+                        new Command.ScheduleWakeUp(1),
+                        new Command.CheckHealth("s"),
+                        new Command.SubscribeToEndpoints(),
+                        new Command.LogMessage("n"));
         assertEquals(
-                play((seed, facts) -> (now, events) -> actions, batch(ON)),
+                play((seed, deployment) -> (now, events) -> actions, batch(ON)),
                 "{\"parts\":[{\"who\":3,\"outbox\":[{\"Attempt\":{\"id\":\"p\",\"server\":\"s\",\"timeoutMs\":2.0}},"
                         + "{\"UndoSend\":{\"id\":\"p\",\"sendNo\":1}},{\"Assemble\":{\"id\":\"q\",\"complete\":true}},"
                         + "{\"Busy\":{\"id\":\"q\",\"comeBackMs\":5.0}},{\"GiveUp\":{\"id\":\"q\"}},"
@@ -84,7 +84,7 @@
     public void exceptionBecomesPanicOfThatInstance() throws IOException {
         String reply =
                 play(
-                        (seed, facts) ->
+                        (seed, deployment) ->
                                 (now, events) -> {
                                     throw new IllegalStateException("lost");
                                 },
@@ -99,8 +99,8 @@
     @Test
     public void eventsComeDecodedInOrderWithTablesResolvedWhereTheyStand() throws IOException {
         var seen = new ArrayList<Event>();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
                             seen.addAll(events);
                             return List.of();
@@ -123,12 +123,12 @@
                                 + "\"wholeNo\":4,\"rangeNo\":-1}},{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}},"
                                 + "{\"Outcome\":{\"id\":\"p1\",\"rc\":14}},{\"Aborted\":{\"id\":\"q1\"}}"));
         assertEquals(seen.size(), 6);
-        assertEquals(((Event.ListReceived) seen.get(0)).servers().get(0).server(), "a");
-        assertEquals(((Event.ListReceived) seen.get(1)).servers().get(0).server(), "b");
-        assertEquals(((Event.ScanTaken) seen.get(2)).type().targetMs(), 100.0);
-        assertEquals(((Event.PartTaken) seen.get(3)).scanNumber(), 4);
-        assertTrue(((Event.DispatchEnded) seen.get(4)).ending().provesNeverRan);
-        assertEquals(((Event.ClientLeft) seen.get(5)).scanId(), "q1");
+        assertEquals(((Event.EndpointsUpdated) seen.get(0)).endpoints().get(0).server(), "a");
+        assertEquals(((Event.EndpointsUpdated) seen.get(1)).endpoints().get(0).server(), "b");
+        assertEquals(((Event.QueryReceived) seen.get(2)).queryClass().latencyObjectiveMs(), 100.0);
+        assertEquals(((Event.PartReceived) seen.get(3)).queryNumber(), 4);
+        assertTrue(((Event.AttemptEnded) seen.get(4)).outcome().provesNeverRan());
+        assertEquals(((Event.ClientDisconnected) seen.get(5)).queryId(), "q1");
     }
 
     @Test
--- a/gatherer/src/test/java/sprucehold/node/ChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ChangesTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.admin.AdminConfig;
-import sprucehold.brain.Brain;
+import sprucehold.policy.Brain;
 import sprucehold.standin.StandIns;
 
 /** A gatherer among stand-ins, under load, changed through its door. */
--- a/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucehold.picker.Orders;
+import sprucehold.coordinator.Commands;
 
 public class DecisionQueueTest {
     private final List<String> made = new ArrayList<>();
@@ -22,7 +22,7 @@
         now = 0;
     }
 
-    private Supplier<Orders> call(String name, double tookMs) {
+    private Supplier<Commands> call(String name, double tookMs) {
         return () -> {
             made.add(name);
             now += tookMs;
@@ -32,7 +32,7 @@
 
     private void turn(DecisionQueue queue) {
         queue.beginTurn(now);
-        for (Supplier<Orders> call = queue.next(now); call != null; call = queue.next(now)) {
+        for (Supplier<Commands> call = queue.next(now); call != null; call = queue.next(now)) {
             call.get();
         }
     }
--- a/gatherer/src/test/java/sprucehold/node/NodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeTest.java
@@ -45,17 +45,17 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.TestLoop;
-import sprucehold.facts.MalformedFactsException;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Listing;
-import sprucehold.port.Others;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.SharedLimit;
+import sprucehold.deployment.InvalidSettingsException;
 import sprucehold.standin.StandIns;
 
 /** A whole gatherer with scripted decisions, and how its file is read. */
@@ -115,7 +115,7 @@
 
     @Test(dataProvider = "malformed")
     public void fileThatCantBeUsedIsRefused(String[] members) {
-        assertThrows(MalformedFactsException.class, () -> config(members));
+        assertThrows(InvalidSettingsException.class, () -> config(members));
     }
 
     @Test
@@ -123,8 +123,8 @@
         NodeConfig config = config(PLACE, SETTINGS, KNOWN);
         assertEquals(config.seed(), -1L);
         assertEquals(config.known().index(), 7);
-        assertEquals(config.facts().segments(), 4);
-        assertEquals(config.facts().longestTimeoutMs(), 300.0);
+        assertEquals(config.facts().shards(), 4);
+        assertEquals(config.facts().longestDeadlineMs(), 300.0);
         assertEquals(
                 NodeConfig.read(file, "m", "127.0.0.2:5", null).listen(),
                 new NodeConfig.Address("127.0.0.2", 5));
@@ -141,14 +141,15 @@
     private int port;
     private TestLoop loop;
 
-    private Node node(Gatherer.Factory factory, String... members) throws Exception {
+    private Node node(DecisionPolicy.Factory factory, String... members) throws Exception {
         return await(begin(config(members), factory, List.of()).start);
     }
 
     private record Begun(Node node, Future<Node> start) {}
 
     /** Makes a node, and returns it with what is over once it listens. */
-    private Begun begin(NodeConfig config, Gatherer.Factory factory, List<Neighbour.Factory> beside)
+    private Begun begin(
+            NodeConfig config, DecisionPolicy.Factory factory, List<Neighbour.Factory> beside)
             throws Exception {
         loop = new TestLoop(vertx);
         return loop.call(
@@ -192,15 +193,15 @@
     public void scanIsAnsweredThroughTheWholeGatherer() throws Exception {
         var lines = new ArrayList<String>();
         // The scripted decisions send every part and answer when one is completed.
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.PartTaken part) {
-                                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
-                                } else if (event instanceof Event.DispatchEnded) {
-                                    actions.add(new Action.Answer("rehearsal-0", true));
+                                if (event instanceof Event.PartReceived part) {
+                                    actions.add(new Command.SendAttempt(part.id(), "a", 5000));
+                                } else if (event instanceof Event.AttemptEnded) {
+                                    actions.add(new Command.AnswerQuery("rehearsal-0", true));
                                 }
                             }
                             return actions;
@@ -219,13 +220,13 @@
     @Test
     public void whatIsKnownFromBeforeIsCheckedBeforeAnythingIsTaken() throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
-        var lists = new LinkedBlockingQueue<Event.ListReceived>();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        var lists = new LinkedBlockingQueue<Event.EndpointsUpdated>();
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
                             events.stream()
-                                    .filter(Event.ListReceived.class::isInstance)
-                                    .forEach(list -> lists.add((Event.ListReceived) list));
+                                    .filter(Event.EndpointsUpdated.class::isInstance)
+                                    .forEach(list -> lists.add((Event.EndpointsUpdated) list));
                             return List.of();
                         };
         int free;
@@ -243,8 +244,8 @@
                         "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:8100\","
                                 + "\"group\":0,\"status\":\"leaving\"}]}");
         assertTrue(await(begun.start).ready());
-        Event.ListReceived list = lists.poll(10, TimeUnit.SECONDS);
-        assertEquals(list.servers().get(0).mode(), Listing.Mode.DRAINING);
+        Event.EndpointsUpdated list = lists.poll(10, TimeUnit.SECONDS);
+        assertEquals(list.endpoints().get(0).state(), Endpoint.State.DRAINING);
         assertTrue(lists.isEmpty());
     }
 
@@ -254,7 +255,7 @@
         Begun begun =
                 begin(
                         asking(calls, new NodeConfig.Address("127.0.0.1", 0)),
-                        (seed, facts) -> (now, events) -> List.of(),
+                        (seed, deployment) -> (now, events) -> List.of(),
                         List.of());
         HttpServerRequest call = calls.poll(10, TimeUnit.SECONDS);
         // Nothing is owed to anybody, so it doesn't serve on.
@@ -266,7 +267,7 @@
 
     @Test
     public void whoIsToldToEndTwiceEndsOnceAndAsItWasToldFirst() throws Exception {
-        Node node = node((seed, facts) -> (now, events) -> List.of(), PLACE, SETTINGS, KNOWN);
+        Node node = node((seed, deployment) -> (now, events) -> List.of(), PLACE, SETTINGS, KNOWN);
         assertTrue(
                 loop.call(
                         () ->
@@ -284,7 +285,7 @@
         int units;
         boolean withdrawn;
         boolean panics;
-        Others next;
+        ClusterView next;
 
         @Override
         public String name() {
@@ -298,34 +299,34 @@
         }
 
         @Override
-        public void taken(double nowMs, Scan scan) {
-            heard.add("taken " + scan.id());
+        public void taken(double nowMs, Query query) {
+            heard.add("taken " + query.id());
         }
 
         @Override
-        public void reported(double nowMs, Report report) {
-            if (report instanceof Report.DispatchEnded ended) {
-                heard.add("ended " + ended.outcome().getClass().getSimpleName());
+        public void reported(double nowMs, Observation observation) {
+            if (observation instanceof Observation.AttemptEnded ended) {
+                heard.add("ended " + ended.result().getClass().getSimpleName());
             }
         }
 
         @Override
-        public void sent(double nowMs, Dispatch dispatch) {
-            heard.add("sent " + dispatch.partId());
+        public void sent(double nowMs, Attempt attempt) {
+            heard.add("sent " + attempt.partId());
             if (panics) {
                 throw new IllegalStateException("scripted");
             }
         }
 
         @Override
-        public Others told(double nowMs) {
-            Others told = next;
+        public ClusterView told(double nowMs) {
+            ClusterView told = next;
             next = null;
             return told;
         }
 
         @Override
-        public BooleanSupplier use(double nowMs, Action.Use use) {
+        public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
             units -= use.units();
             return units < 0 ? null : () -> !withdrawn;
         }
@@ -385,15 +386,15 @@
      * Decisions that stand still at each scan until they are told to go on, and then for longer
      * than a turn may last.
      */
-    private static final class Halting implements Gatherer {
+    private static final class Halting implements DecisionPolicy {
         final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
         final Map<String, Double> timeLeftMs = new ConcurrentHashMap<>();
         final Semaphore goOn = new Semaphore(0);
 
         @Override
-        public List<Action> decide(double nowMs, List<Event> events) {
+        public List<Command> decide(double nowMs, List<Event> events) {
             for (Event event : events) {
-                if (event instanceof Event.ScanTaken scan) {
+                if (event instanceof Event.QueryReceived scan) {
                     timeLeftMs.put(scan.id(), scan.timeLeftMs());
                     taken.add(scan.id());
                     goOn.acquireUninterruptibly();
@@ -413,7 +414,7 @@
     @Test
     public void clientThatLeavesWhileOthersAreDecidedUponGetsNothingSentOn() throws Exception {
         var halting = new Halting();
-        Node node = node((seed, facts) -> halting, PLACE, SETTINGS, KNOWN);
+        Node node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
         Socket stays = connected(port);
         Socket leaves = connected(port);
         Socket first = ask(port, "first");
@@ -436,7 +437,7 @@
     @Test
     public void timeInWhichARequestLayUnreadIsNotGrantedToIt() throws Exception {
         var halting = new Halting();
-        Node node = node((seed, facts) -> halting, PLACE, SETTINGS, KNOWN);
+        Node node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
         Socket unread = connected(port);
         Socket first = ask(port, "first");
         assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "first");
@@ -460,19 +461,19 @@
     public void idleClientsThatFillTheDescriptorsLeaveRoomForTheListTheServersAndWhoAsks()
             throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
-        var lists = new LinkedBlockingQueue<Event.ListReceived>();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        var lists = new LinkedBlockingQueue<Event.EndpointsUpdated>();
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.ListReceived list) {
+                                if (event instanceof Event.EndpointsUpdated list) {
                                     lists.add(list);
-                                } else if (event instanceof Event.PartTaken part) {
-                                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
-                                } else if (event instanceof Event.DispatchEnded ended) {
+                                } else if (event instanceof Event.PartReceived part) {
+                                    actions.add(new Command.SendAttempt(part.id(), "a", 5000));
+                                } else if (event instanceof Event.AttemptEnded ended) {
                                     actions.add(
-                                            new Action.Answer(
+                                            new Command.AnswerQuery(
                                                     ended.partId().split("\\.")[0], true));
                                 }
                             }
@@ -510,7 +511,7 @@
             asks.close();
         }
         lists.clear();
-        Event.ListReceived list = null;
+        Event.EndpointsUpdated list = null;
         while (list == null) {
             // The earliest calls may have been given up by now; one that is open is answered.
             calls.poll(10, TimeUnit.SECONDS)
@@ -533,14 +534,19 @@
             {
                 1,
                 false,
-                Ending.COMPLETED,
+                AttemptOutcome.COMPLETED,
                 List.of("start", "taken s", "sent s.0", "ended Completed", "end")
             },
-            {0, false, Ending.NEVER_SENT, List.of("start", "taken s", "ended Cancelled", "end")},
+            {
+                0,
+                false,
+                AttemptOutcome.NEVER_SENT,
+                List.of("start", "taken s", "ended Cancelled", "end")
+            },
             {
                 1,
                 true,
-                Ending.NEVER_SENT,
+                AttemptOutcome.NEVER_SENT,
                 List.of("start", "taken s", "sent s.0", "ended Cancelled", "end")
             },
         };
@@ -548,26 +554,28 @@
 
     @Test(dataProvider = "lenders")
     public void whatADispatchTakesOfASharedBoundIsAskedForAndAgainBeforeItsWrite(
-            int units, boolean withdrawn, Ending ending, List<String> heard) throws Exception {
+            int units, boolean withdrawn, AttemptOutcome outcome, List<String> heard)
+            throws Exception {
         var lender = new Lender();
         lender.units = units;
         lender.withdrawn = withdrawn;
-        lender.next = new Others(3, Map.of(Bound.FURTHER, units), Map.of());
-        var endings = new CompletableFuture<Ending>();
-        var told = new CompletableFuture<Others>();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        lender.next = new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of());
+        var endings = new CompletableFuture<AttemptOutcome>();
+        var told = new CompletableFuture<ClusterView>();
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.OthersTold others) {
-                                    told.complete(others.others());
-                                } else if (event instanceof Event.PartTaken part) {
-                                    actions.add(new Action.Use(Bound.FURTHER, 1));
-                                    actions.add(new Action.Dispatch(part.id(), "a", 5000));
-                                } else if (event instanceof Event.DispatchEnded ended) {
-                                    endings.complete(ended.ending());
-                                    actions.add(new Action.Answer("s", true));
+                                if (event instanceof Event.ClusterViewChanged others) {
+                                    told.complete(others.view());
+                                } else if (event instanceof Event.PartReceived part) {
+                                    actions.add(
+                                            new Command.ConsumeAllowance(SharedLimit.RETRIES, 1));
+                                    actions.add(new Command.SendAttempt(part.id(), "a", 5000));
+                                } else if (event instanceof Event.AttemptEnded ended) {
+                                    endings.complete(ended.outcome());
+                                    actions.add(new Command.AnswerQuery("s", true));
                                 }
                             }
                             return actions;
@@ -601,10 +609,10 @@
                                                 .send(
                                                         "{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c4\"}"))
                         .compose(response -> response.body()));
-        assertEquals(endings.get(10, TimeUnit.SECONDS), ending);
+        assertEquals(endings.get(10, TimeUnit.SECONDS), outcome);
         assertEquals(
                 told.get(10, TimeUnit.SECONDS),
-                new Others(3, Map.of(Bound.FURTHER, units), Map.of()));
+                new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of()));
         end(node, DrainSchedule.NOW);
         assertEquals(lender.heard, heard);
     }
@@ -613,19 +621,19 @@
     public void orderThatFailsLosesNoAnswer() throws Exception {
         var lender = new Lender();
         lender.panics = true;
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
                             boolean second =
                                     events.stream()
                                             .anyMatch(
                                                     event ->
-                                                            event instanceof Event.PartTaken part
+                                                            event instanceof Event.PartReceived part
                                                                     && part.id().equals("t.0"));
                             return second
                                     ? List.of(
-                                            new Action.Dispatch("t.0", "a", 5000),
-                                            new Action.Throttle("s", 0))
+                                            new Command.SendAttempt("t.0", "a", 5000),
+                                            new Command.RejectQuery("s", 0))
                                     : List.of();
                         };
         Node node =
@@ -650,18 +658,18 @@
     @Test
     public void warmUpRunsScansThroughTheDecisionsAndLeavesNothing() throws Exception {
         var answered = new AtomicInteger();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.PartTaken part) {
-                                    actions.add(new Action.Dispatch(part.id(), "a0", 5000));
-                                } else if (event instanceof Event.DispatchEnded ended
-                                        && ended.ending() == Ending.COMPLETED) {
+                                if (event instanceof Event.PartReceived part) {
+                                    actions.add(new Command.SendAttempt(part.id(), "a0", 5000));
+                                } else if (event instanceof Event.AttemptEnded ended
+                                        && ended.outcome() == AttemptOutcome.COMPLETED) {
                                     answered.incrementAndGet();
                                     actions.add(
-                                            new Action.Answer(
+                                            new Command.AnswerQuery(
                                                     ended.partId().replaceAll("[.].*", ""), true));
                                 }
                             }
@@ -678,18 +686,18 @@
     @Test
     public void withoutSocketsScansAreRunThroughDecisionsAndCodecs() throws Exception {
         var parts = new AtomicInteger();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.PartTaken part) {
+                                if (event instanceof Event.PartReceived part) {
                                     parts.incrementAndGet();
-                                    actions.add(new Action.Dispatch(part.id(), "a0", 5000));
-                                } else if (event instanceof Event.DispatchEnded ended
-                                        && ended.ending() == Ending.COMPLETED) {
+                                    actions.add(new Command.SendAttempt(part.id(), "a0", 5000));
+                                } else if (event instanceof Event.AttemptEnded ended
+                                        && ended.outcome() == AttemptOutcome.COMPLETED) {
                                     actions.add(
-                                            new Action.Answer(
+                                            new Command.AnswerQuery(
                                                     ended.partId().replaceAll("[.].*", ""), true));
                                 }
                             }
@@ -710,19 +718,19 @@
     @Test
     public void requestsOnTheHeelsOfAnAnswerAreWokenFor() throws Exception {
         // The first scan is answered at once, the second only when the decisions are woken.
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
                             for (Event event : events) {
-                                if (event instanceof Event.ScanTaken scan) {
+                                if (event instanceof Event.QueryReceived scan) {
                                     return List.of(
                                             scan.id().equals("a")
-                                                    ? new Action.Throttle("a", 0)
-                                                    : new Action.Wake(20));
+                                                    ? new Command.RejectQuery("a", 0)
+                                                    : new Command.ScheduleWakeUp(20));
                                 }
                             }
-                            return events.contains(new Event.Woken())
-                                    ? List.of(new Action.Throttle("b", 500))
+                            return events.contains(new Event.WakeUp())
+                                    ? List.of(new Command.RejectQuery("b", 500))
                                     : List.of();
                         };
         node(factory, PLACE, SETTINGS, KNOWN);
@@ -753,14 +761,14 @@
     @Test
     public void answersThatAreThereTogetherAreDecidedUponTogether() throws Exception {
         var endings = new LinkedBlockingQueue<Integer>();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.PartTaken part) {
+                                if (event instanceof Event.PartReceived part) {
                                     actions.add(
-                                            new Action.Dispatch(
+                                            new Command.SendAttempt(
                                                     part.id(),
                                                     part.id().endsWith("0") ? "a" : "b",
                                                     5000));
@@ -769,7 +777,7 @@
                             int ended =
                                     (int)
                                             events.stream()
-                                                    .filter(Event.DispatchEnded.class::isInstance)
+                                                    .filter(Event.AttemptEnded.class::isInstance)
                                                     .count();
                             if (ended > 0) {
                                 endings.add(ended);
@@ -824,14 +832,14 @@
     @Test
     public void timeInTheQueueOfDecisionsIsTakenFromTheClientsTime() throws Exception {
         var left = new LinkedBlockingQueue<Double>();
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
-                            var actions = new ArrayList<Action>();
+                            var actions = new ArrayList<Command>();
                             for (Event event : events) {
-                                if (event instanceof Event.ScanTaken scan) {
+                                if (event instanceof Event.QueryReceived scan) {
                                     left.add(scan.timeLeftMs());
-                                    actions.add(new Action.Throttle(scan.id(), 0));
+                                    actions.add(new Command.RejectQuery(scan.id(), 0));
                                     // The first decision takes this long, and the second query
                                     // waits for it.
                                     long end = System.nanoTime() + 60_000_000;
@@ -915,16 +923,17 @@
         var late = new CompletableFuture<Integer>();
         var between = new CompletableFuture<Double>();
         // The first scan is held until the late one has its answer; the late one isn't asked about.
-        Gatherer.Factory factory =
-                (seed, facts) ->
+        DecisionPolicy.Factory factory =
+                (seed, deployment) ->
                         (now, events) -> {
                             for (Event event : events) {
-                                if (event instanceof Event.ScanTaken scan
+                                if (event instanceof Event.QueryReceived scan
                                         && scan.id().equals("between")) {
                                     between.complete(scan.timeLeftMs());
                                     return List.of(
-                                            new Action.Throttle("between", 0), new Action.Wake(10));
-                                } else if (event instanceof Event.ScanTaken scan) {
+                                            new Command.RejectQuery("between", 0),
+                                            new Command.ScheduleWakeUp(10));
+                                } else if (event instanceof Event.QueryReceived scan) {
                                     assertEquals(scan.id(), "s");
                                     taken.complete(null);
                                 }
@@ -933,8 +942,8 @@
                                     ? List.of()
                                     : List.of(
                                             late.isDone()
-                                                    ? new Action.Abandon("s")
-                                                    : new Action.Wake(10));
+                                                    ? new Command.FailQuery("s")
+                                                    : new Command.ScheduleWakeUp(10));
                         };
         Node node = node(factory, PLACE, SETTINGS, KNOWN);
         assertTrue(node.ready());
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -11,15 +11,15 @@
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.picker.Load;
-import sprucehold.picker.Picker;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.picker.ServerNews;
-import sprucehold.port.Action;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.TableType;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.coordinator.Load;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
 
 public class FrameTest {
     private static Buffer frame(String text) {
@@ -106,7 +106,8 @@
 
     @Test
     public void callsToShardServersAreThoseOfEarlierBuilds() {
-        var type = new TableType("t", TableType.Repeat.KEYED, 100, 1, 0, 1000, 1, 1, 0);
+        var type =
+                new QueryClass("t", QueryClass.Idempotence.DEDUPLICATED, 100, 1, 0, 1000, 1, 1, 0);
         var deployment =
                 new Deployment(
                         1,
@@ -115,51 +116,51 @@
                         1,
                         List.of(type),
                         List.of(),
-                        new Deployment.Layout(2, 1, 1),
+                        new Deployment.ShardLayout(2, 1, 1),
                         new Deployment.Limits(4, 200, true, true, 1000),
-                        new Deployment.ColdRule(0.2, 15_000, 4, 1000),
-                        Deployment.DispatchBudget.NONE,
-                        new Deployment.ListAccess(false, 10_000));
-        var picker =
-                new Picker(
+                        new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
+                        Deployment.RetryBudget.NONE,
+                        new Deployment.EndpointSubscription(false, 10_000));
+        var coordinator =
+                new QueryCoordinator(
                         (now, events) ->
                                 events.stream()
-                                        .filter(Event.PartTaken.class::isInstance)
+                                        .filter(Event.PartReceived.class::isInstance)
                                         .map(
                                                 event ->
-                                                        (Action)
-                                                                new Action.Dispatch(
-                                                                        ((Event.PartTaken) event)
+                                                        (Command)
+                                                                new Command.SendAttempt(
+                                                                        ((Event.PartReceived) event)
                                                                                 .id(),
                                                                         "s",
                                                                         250))
                                         .toList(),
                         deployment);
-        picker.report(
+        coordinator.observe(
                 0,
                 List.of(
-                        new Report.ListCame(
+                        new Observation.EndpointsUpdated(
                                 true,
                                 List.of(
-                                        new ServerNews(
+                                        new EndpointUpdate(
                                                 "s",
                                                 "h:1",
                                                 0,
                                                 "z",
                                                 0,
-                                                ServerNews.State.RUNNING)))));
-        var scan =
-                new Scan(
+                                                EndpointUpdate.State.RUNNING)))));
+        var query =
+                new Query(
                         "q",
                         "t",
                         null,
                         400,
                         Optional.of("key"),
-                        List.of(new Scan.Part(3, 0.5), new Scan.Part(9, 0.5)),
+                        List.of(new Query.Part(3, 0.5), new Query.Part(9, 0.5)),
                         "body".getBytes(StandardCharsets.UTF_8));
-        var orders = picker.pick(10, scan);
+        var commands = coordinator.submit(10, query);
         assertEquals(
-                GathererFrame.call(orders.send(), 20),
+                GathererFrame.call(commands.send(), 20),
                 Buffer.buffer("\61\0\0\0Aq.3 3 d=240,k=key 4\nbodyq.9 9 d=240,k=key 4\nbody"));
     }
 
