--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -32,18 +32,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.TestLoop;
-import sprucehold.facts.Connections;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Picker;
-import sprucehold.picker.Progress;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.picker.ServerNews;
-import sprucehold.port.Action;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.TableType;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.coordinator.WriteProgress;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.deployment.ConnectionSettings;
 
 /** The connections to shard servers against scripted ones on loopback. */
 public class ShardServersTest {
@@ -52,24 +52,24 @@
 
     private Vertx vertx;
     private ShardServers shards;
-    private Picker picker;
+    private QueryCoordinator coordinator;
     private NetServer server;
     private volatile double now;
     private volatile boolean panics;
-    private TableType.Repeat repeat;
-    private BlockingQueue<Report> reports;
+    private QueryClass.Idempotence repeat;
+    private BlockingQueue<Observation> reports;
     private BlockingQueue<String> heard;
     private TestLoop loop;
     private volatile boolean clientWaits;
     private final AttemptGate gate =
             new AttemptGate() {
                 @Override
-                public boolean clientWaits(Scan query) {
+                public boolean clientWaits(Query query) {
                     return clientWaits;
                 }
 
                 @Override
-                public void begun(Dispatch attempt) {
+                public void begun(Attempt attempt) {
                     begun.add(attempt.partId());
                 }
 
@@ -100,7 +100,7 @@
         holdsTurns = false;
         turnsWanted.set(0);
         begun.clear();
-        repeat = TableType.Repeat.REPLAYABLE;
+        repeat = QueryClass.Idempotence.IDEMPOTENT;
     }
 
     @AfterMethod
@@ -137,41 +137,43 @@
                         () ->
                                 new ShardServers(
                                         vertx,
-                                        new Connections(5000, 15_000, parts),
+                                        new ConnectionSettings(5000, 15_000, parts),
                                         callParts,
                                         false,
                                         () -> now,
                                         this::reported,
                                         gate));
-        var type = new TableType("q", repeat, 100, 1, 0, 150, 1, 1, 0);
-        picker =
-                new Picker(
+        var type = new QueryClass("q", repeat, 100, 1, 0, 150, 1, 1, 0);
+        coordinator =
+                new QueryCoordinator(
                         (time, events) ->
                                 events.stream()
                                         .flatMap(
                                                 event ->
-                                                        event instanceof Event.PartTaken part
+                                                        event instanceof Event.PartReceived part
                                                                 ? Stream.of(
-                                                                        (Action)
-                                                                                new Action.Dispatch(
+                                                                        (Command)
+                                                                                new Command
+                                                                                        .SendAttempt(
                                                                                         part.id(),
                                                                                         "a", 240.9))
-                                                                : event instanceof Event.Woken
+                                                                : event instanceof Event.WakeUp
                                                                         ? Stream.of(
-                                                                                new Action.Dispatch(
+                                                                                new Command
+                                                                                        .SendAttempt(
                                                                                         "s.0", "a",
                                                                                         240.9))
                                                                         : event
                                                                                                 instanceof
                                                                                                 Event
-                                                                                                                .ScanTaken
+                                                                                                                .QueryReceived
                                                                                                         scan
                                                                                         && scan.id()
                                                                                                 .equals(
                                                                                                         "over")
                                                                                 ? Stream.of(
-                                                                                        new Action
-                                                                                                .Abandon(
+                                                                                        new Command
+                                                                                                .FailQuery(
                                                                                                 "s"))
                                                                                 : Stream.of())
                                         .toList(),
@@ -182,39 +184,39 @@
                                 1,
                                 List.of(type),
                                 List.of(),
-                                new Deployment.Layout(1, 1, 1),
+                                new Deployment.ShardLayout(1, 1, 1),
                                 new Deployment.Limits(4, 1000, true, true, 0),
-                                new Deployment.ColdRule(1, 0, 1, 0),
-                                Deployment.DispatchBudget.NONE,
-                                new Deployment.ListAccess(false, 0)));
-        list(ServerNews.State.RUNNING, port);
+                                new Deployment.SlowStartRule(1, 0, 1, 0),
+                                Deployment.RetryBudget.NONE,
+                                new Deployment.EndpointSubscription(false, 0)));
+        list(EndpointUpdate.State.RUNNING, port);
     }
 
-    private void reported(Report report) {
+    private void reported(Observation observation) {
         if (panics) {
             panics = false;
             throw new IllegalStateException("scripted");
         }
-        reports.add(report);
+        reports.add(observation);
     }
 
-    private void list(ServerNews.State state, int port) {
-        picker.report(
+    private void list(EndpointUpdate.State state, int port) {
+        coordinator.observe(
                 0,
                 List.of(
-                        new Report.ListCame(
+                        new Observation.EndpointsUpdated(
                                 false,
                                 List.of(
-                                        new ServerNews(
+                                        new EndpointUpdate(
                                                 "a", "127.0.0.1:" + port, 0, "z", 0, state)))));
     }
 
-    private List<Dispatch> dispatches(String id, int parts, String text) {
-        var list = new ArrayList<Scan.Part>();
+    private List<Attempt> dispatches(String id, int parts, String text) {
+        var list = new ArrayList<Query.Part>();
         for (int segment = 0; segment < parts; segment++) {
-            list.add(new Scan.Part(segment, 1.0 / parts));
+            list.add(new Query.Part(segment, 1.0 / parts));
         }
-        return picker.pick(now, new Scan(id, "q", null, 500, list, text.getBytes())).send();
+        return coordinator.submit(now, new Query(id, "q", null, 500, list, text.getBytes())).send();
     }
 
     private int links() throws Exception {
@@ -225,18 +227,18 @@
         loop.act(() -> shards.sweep(silenceMs));
     }
 
-    private void cancel(List<Dispatch> dispatches) throws Exception {
+    private void cancel(List<Attempt> dispatches) throws Exception {
         loop.act(() -> shards.cancel(dispatches));
     }
 
-    private void send(List<Dispatch> dispatches) throws Exception {
+    private void send(List<Attempt> dispatches) throws Exception {
         loop.act(() -> shards.send(dispatches));
     }
 
-    private Outcome outcome(Dispatch dispatch) throws Exception {
-        var ended = (Report.DispatchEnded) reports.poll(5, TimeUnit.SECONDS);
-        assertEquals(ended.dispatch(), dispatch);
-        return ended.outcome();
+    private AttemptResult outcome(Attempt attempt) throws Exception {
+        var ended = (Observation.AttemptEnded) reports.poll(5, TimeUnit.SECONDS);
+        assertEquals(ended.attempt(), attempt);
+        return ended.result();
     }
 
     private static void answer(NetSocket socket, String frame) {
@@ -281,7 +283,7 @@
                         answer(socket, frame);
                     }
                 });
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)).toString().startsWith(outcome));
         String call = "As.0 0 d=240 4\ntext";
@@ -293,16 +295,16 @@
     @Test
     public void idempotencyKeyOfItsClientGoesWithEachPart() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
-        var scan =
-                new Scan(
+        var query =
+                new Query(
                         "s",
                         "q",
                         null,
                         500,
                         Optional.of("b086b1d5"),
-                        List.of(new Scan.Part(0, 1)),
+                        List.of(new Query.Part(0, 1)),
                         "text".getBytes());
-        send(picker.pick(now, scan).send());
+        send(coordinator.submit(now, query).send());
         String call = "As.0 0 d=240,k=b086b1d5 4\ntext";
         assertEquals(
                 heard.poll(5, TimeUnit.SECONDS),
@@ -322,9 +324,9 @@
                     answer(socket, "Es.0 hit 5 -\nvalue");
                     answer(socket, "Es.0 hit 5 -\nvalue");
                 });
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
-        assertTrue(outcome(sent.get(0)) instanceof Outcome.Completed);
+        assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
         loop.until(() -> shards.links() == 0);
         assertTrue(reports.isEmpty());
     }
@@ -339,7 +341,7 @@
                                 Buffer.buffer()
                                         .appendIntLE(99)
                                         .appendString("Es.0 hit 5 -\nvalue")));
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.until(
@@ -348,7 +350,7 @@
                     shards.sweep(300);
                     return !reports.isEmpty();
                 });
-        assertEquals(outcome(sent.get(0)), new Outcome.Faulty(null));
+        assertEquals(outcome(sent.get(0)), new AttemptResult.Failed(null));
         assertEquals(links(), 0);
     }
 
@@ -362,10 +364,10 @@
                         answer(socket, "Es.0 hit 5 -\nvalue");
                     }
                 });
-        List<Dispatch> sent = dispatches("s", 2, "text");
+        List<Attempt> sent = dispatches("s", 2, "text");
         panics = true;
         send(sent);
-        assertEquals(outcome(sent.get(1)), new Outcome.Lost(Progress.WRITTEN));
+        assertEquals(outcome(sent.get(1)), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
         assertEquals(links(), 0);
     }
 
@@ -390,9 +392,10 @@
         int port = server.actualPort();
         server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
         untilRefused(port);
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
-        assertEquals(outcome(sent.get(0)), new Outcome.Lost(Progress.NOT_WRITTEN));
+        assertEquals(
+                outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
     }
 
     @Test
@@ -405,9 +408,11 @@
                     socket.pause();
                     vertx.setTimer(100, timer -> socket.close());
                 });
-        List<Dispatch> sent = dispatches("s", 1, "x".repeat(BIG));
+        List<Attempt> sent = dispatches("s", 1, "x".repeat(BIG));
         send(sent);
-        assertEquals(outcome(sent.get(0)), new Outcome.Lost(Progress.PARTLY_WRITTEN));
+        assertEquals(
+                outcome(sent.get(0)),
+                new AttemptResult.ConnectionLost(WriteProgress.PARTLY_WRITTEN));
     }
 
     @Test
@@ -421,12 +426,12 @@
                         answer(socket, "Es.1 hit 5 -\nvalue");
                     }
                 });
-        List<Dispatch> sent = dispatches("s", 2, "text");
+        List<Attempt> sent = dispatches("s", 2, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         cancel(List.of(sent.get(0)));
-        assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.WRITTEN));
-        assertTrue(outcome(sent.get(1)) instanceof Outcome.Completed);
+        assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        assertTrue(outcome(sent.get(1)) instanceof AttemptResult.Completed);
         assertEquals(links(), 1);
     }
 
@@ -442,25 +447,26 @@
                         answer(socket, "Et.0 hit 5 -\nvalue");
                     }
                 });
-        List<Dispatch> first = dispatches("s", 1, "text");
+        List<Attempt> first = dispatches("s", 1, "text");
         send(first);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         cancel(first);
         outcome(first.get(0));
         // Swept as often as time passes, but never idle for so long that the link is closed.
         now = 14_000;
-        List<Dispatch> between = dispatches("u", 1, "text");
+        List<Attempt> between = dispatches("u", 1, "text");
         send(between);
         now = 90_000;
-        List<Dispatch> second =
-                picker.pick(
+        List<Attempt> second =
+                coordinator
+                        .submit(
                                 now,
-                                new Scan(
+                                new Query(
                                         "t",
                                         "q",
                                         null,
                                         500,
-                                        List.of(new Scan.Part(0, 1)),
+                                        List.of(new Query.Part(0, 1)),
                                         new byte[4]))
                         .send();
         loop.act(
@@ -468,31 +474,31 @@
                     shards.sweep(1e9);
                     shards.send(second);
                 });
-        Report.DispatchEnded ended;
+        Observation.AttemptEnded ended;
         do {
-            ended = (Report.DispatchEnded) reports.poll(5, TimeUnit.SECONDS);
-        } while (ended.dispatch() != second.get(0));
-        assertTrue(ended.outcome() instanceof Outcome.Completed, ended.toString());
+            ended = (Observation.AttemptEnded) reports.poll(5, TimeUnit.SECONDS);
+        } while (ended.attempt() != second.get(0));
+        assertTrue(ended.result() instanceof AttemptResult.Completed, ended.toString());
         assertEquals(links(), 1);
     }
 
     @Test
     public void partCalledOffBeforeTheConnectionIsUpIsNeverWritten() throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> sent = dispatches("s", 2, "text");
+        List<Attempt> sent = dispatches("s", 2, "text");
         loop.act(
                 () -> {
                     shards.send(sent);
                     shards.cancel(List.of(sent.get(0)));
                 });
-        assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
+        assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.1"));
     }
 
     /**
      * Has what was sent wait for its connection until so much time has passed and this was done.
      */
-    private void sendAndComeUpLate(List<Dispatch> dispatches, double at, Runnable meanwhile)
+    private void sendAndComeUpLate(List<Attempt> dispatches, double at, Runnable meanwhile)
             throws Exception {
         loop.act(
                 () -> {
@@ -530,20 +536,23 @@
     public void nothingIsWrittenToAConnectionThatComesUpAfterThePartIsOver(
             double at, String happened) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         sendAndComeUpLate(
                 sent,
                 at,
                 () -> {
                     switch (happened) {
                         case "left" ->
-                                picker.report(
-                                        at, List.of(new Report.ClientLeft(sent.get(0).scan())));
+                                coordinator.observe(
+                                        at,
+                                        List.of(
+                                                new Observation.ClientDisconnected(
+                                                        sent.get(0).query())));
                         case "abandoned" -> dispatches("over", 1, "text");
                         default -> {}
                     }
                 });
-        assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
+        assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         assertNull(heard.poll());
     }
 
@@ -552,19 +561,44 @@
         return new Object[][] {
             // How the part may repeat, how its first dispatch ended, when the connection of the
             // second is up, whether it goes out.
-            {TableType.Repeat.KEYED, new Outcome.Lost(Progress.WRITTEN), 149.0, true},
-            {TableType.Repeat.KEYED, new Outcome.Lost(Progress.WRITTEN), 151.0, false},
-            {TableType.Repeat.KEYED, null, 151.0, false},
-            {TableType.Repeat.KEYED, new Outcome.Lost(Progress.PARTLY_WRITTEN), 151.0, true},
-            {TableType.Repeat.KEYED, new Outcome.TurnedAway(null), 151.0, true},
-            {TableType.Repeat.REPLAYABLE, new Outcome.Lost(Progress.WRITTEN), 151.0, true},
             {
-                TableType.Repeat.NON_REPLAYABLE,
-                new Outcome.Lost(Progress.PARTLY_WRITTEN),
+                QueryClass.Idempotence.DEDUPLICATED,
+                new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
+                149.0,
+                true
+            },
+            {
+                QueryClass.Idempotence.DEDUPLICATED,
+                new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
+                151.0,
+                false
+            },
+            {QueryClass.Idempotence.DEDUPLICATED, null, 151.0, false},
+            {
+                QueryClass.Idempotence.DEDUPLICATED,
+                new AttemptResult.ConnectionLost(WriteProgress.PARTLY_WRITTEN),
+                151.0,
+                true
+            },
+            {QueryClass.Idempotence.DEDUPLICATED, new AttemptResult.Rejected(null), 151.0, true},
+            {
+                QueryClass.Idempotence.IDEMPOTENT,
+                new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
+                151.0,
+                true
+            },
+            {
+                QueryClass.Idempotence.NON_IDEMPOTENT,
+                new AttemptResult.ConnectionLost(WriteProgress.PARTLY_WRITTEN),
                 100.0,
                 true
             },
-            {TableType.Repeat.NON_REPLAYABLE, new Outcome.Lost(Progress.WRITTEN), 100.0, false},
+            {
+                QueryClass.Idempotence.NON_IDEMPOTENT,
+                new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
+                100.0,
+                false
+            },
         };
     }
 
@@ -574,47 +608,50 @@
      */
     @Test(dataProvider = "repeats")
     public void repeatIsWrittenOnlyWhileItDoesNoHarm(
-            TableType.Repeat kind, Outcome first, double at, boolean goes) throws Exception {
+            QueryClass.Idempotence kind, AttemptResult first, double at, boolean goes)
+            throws Exception {
         repeat = kind;
         start(32, 1, (socket, bytes) -> {});
-        Dispatch one = dispatches("s", 1, "text").get(0);
+        Attempt one = dispatches("s", 1, "text").get(0);
         if (first != null) {
-            picker.report(1, List.of(new Report.DispatchEnded(one, first)));
+            coordinator.observe(1, List.of(new Observation.AttemptEnded(one, first)));
         }
-        List<Dispatch> sent = picker.tick(1).send();
+        List<Attempt> sent = coordinator.tick(1).send();
         sendAndComeUpLate(sent, at, () -> {});
         if (goes) {
             assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         } else {
-            assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
+            assertEquals(
+                    outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
             assertNull(heard.poll());
         }
     }
 
     @DataProvider
     Object[][] closedStates() {
-        return new Object[][] {{ServerNews.State.DRAINING}, {ServerNews.State.GONE}};
+        return new Object[][] {{EndpointUpdate.State.DRAINING}, {EndpointUpdate.State.GONE}};
     }
 
     @Test(dataProvider = "closedStates")
-    public void nothingGoesToAServerThatBeganToDrainWhileTheConnectionCameUp(ServerNews.State state)
-            throws Exception {
+    public void nothingGoesToAServerThatBeganToDrainWhileTheConnectionCameUp(
+            EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         loop.act(
                 () -> {
                     shards.send(sent);
                     list(state, server.actualPort());
                 });
-        assertEquals(outcome(sent.get(0)), new Outcome.Lost(Progress.NOT_WRITTEN));
+        assertEquals(
+                outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
         assertNull(heard.poll());
     }
 
     @Test(dataProvider = "closedStates")
     public void serverThatIsNotWantedAnyMoreKeepsItsConnectionOnlyWhileSomethingIsOut(
-            ServerNews.State state) throws Exception {
+            EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         for (int left : new int[] {1, 0}) {
@@ -642,7 +679,7 @@
     @Test
     public void sameIdGoesOutOnAnotherConnectionWhileItsFirstAnswerMayCome() throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.act(
@@ -671,7 +708,7 @@
     public void silentConnectionGetsNoFurtherPartsAndIsClosedOnceNothingIsOutOnIt()
             throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> first = dispatches("s", 1, "text");
+        List<Attempt> first = dispatches("s", 1, "text");
         send(first);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         now = 301;
@@ -693,7 +730,7 @@
     @Test
     public void idleConnectionIsClosedBeforeTheServerMay() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
         outcome(sent.get(0));
         for (double[] step : new double[][] {{14_400, 1}, {14_401, 0}}) {
@@ -709,14 +746,15 @@
         // One that waits for its connection, and then one that finds it up.
         clientWaits = false;
         for (String id : List.of("t", "u")) {
-            List<Dispatch> sent = dispatches(id, 1, "text");
+            List<Attempt> sent = dispatches(id, 1, "text");
             send(sent);
-            assertEquals(outcome(sent.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
+            assertEquals(
+                    outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         }
         clientWaits = true;
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
-        assertTrue(outcome(sent.get(0)) instanceof Outcome.Completed);
+        assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         assertEquals(begun, List.of("s.0"));
     }
@@ -739,23 +777,23 @@
 
     @Test
     public void aConnectionWhoseEndLiesUnreadIsNotWrittenTo() throws Exception {
-        repeat = TableType.Repeat.NON_REPLAYABLE;
+        repeat = QueryClass.Idempotence.NON_IDEMPOTENT;
         start(32, 1, (socket, bytes) -> {});
         try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             listener.setSoTimeout(10_000);
-            list(ServerNews.State.RUNNING, listener.getLocalPort());
-            List<Dispatch> first = dispatches("s", 1, "text");
+            list(EndpointUpdate.State.RUNNING, listener.getLocalPort());
+            List<Attempt> first = dispatches("s", 1, "text");
             send(first);
             Socket connection = listener.accept();
             serveOne(connection, "s.0");
-            assertTrue(outcome(first.get(0)) instanceof Outcome.Completed);
-            List<Dispatch> second = dispatches("t", 1, "text");
+            assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
+            List<Attempt> second = dispatches("t", 1, "text");
             Runnable free = loop.hold(() -> shards.send(second));
             connection.close();
             free.run();
             try (Socket further = listener.accept()) {
                 serveOne(further, "t.0");
-                assertTrue(outcome(second.get(0)) instanceof Outcome.Completed);
+                assertTrue(outcome(second.get(0)) instanceof AttemptResult.Completed);
             }
         }
     }
@@ -768,13 +806,14 @@
     public void aConnectionThatComesUpIsWrittenToInTheNextTurnOnly() throws Exception {
         holdsTurns = true;
         start(32, 1, (socket, bytes) -> {});
-        List<Dispatch> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = dispatches("s", 1, "text");
         send(sent);
         loop.until(() -> turnsWanted.get() > 0);
         assertEquals(begun, List.of());
-        list(ServerNews.State.DRAINING, server.actualPort());
+        list(EndpointUpdate.State.DRAINING, server.actualPort());
         loop.act(() -> shards.writeWaiting());
-        assertEquals(outcome(sent.get(0)), new Outcome.Lost(Progress.NOT_WRITTEN));
+        assertEquals(
+                outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
         assertEquals(begun, List.of());
     }
 
@@ -798,8 +837,8 @@
     @Test
     public void noAttemptWaitsInTheProcessBehindWhatTheSystemHasNotTaken() throws Exception {
         List<NetSocket> connections = serveUnread();
-        List<Dispatch> big = dispatches("s", 1, "x".repeat(BIG));
-        List<Dispatch> small = dispatches("t", 1, "text");
+        List<Attempt> big = dispatches("s", 1, "x".repeat(BIG));
+        List<Attempt> small = dispatches("t", 1, "text");
         loop.act(
                 () -> {
                     shards.send(big);
@@ -809,7 +848,7 @@
         assertEquals(begun, List.of("s.0"));
         clientWaits = false;
         connections.get(0).resume();
-        assertEquals(outcome(small.get(0)), new Outcome.Cancelled(Progress.NOT_WRITTEN));
+        assertEquals(outcome(small.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         assertEquals(begun, List.of("s.0"));
     }
 
@@ -836,12 +875,12 @@
         start(32, 1, (socket, bytes) -> {});
         try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             listener.setSoTimeout(10_000);
-            list(ServerNews.State.RUNNING, listener.getLocalPort());
-            List<Dispatch> first = dispatches("s", 1, "text");
+            list(EndpointUpdate.State.RUNNING, listener.getLocalPort());
+            List<Attempt> first = dispatches("s", 1, "text");
             send(first);
             try (Socket connection = listener.accept()) {
                 loop.until(() -> begun.contains("s.0"));
-                List<Dispatch> second = dispatches("t", 1, "text");
+                List<Attempt> second = dispatches("t", 1, "text");
                 Runnable free =
                         loop.hold(
                                 () -> {
@@ -851,9 +890,9 @@
                                 });
                 serveOne(connection, "s.0");
                 free.run();
-                assertTrue(outcome(first.get(0)) instanceof Outcome.Completed);
+                assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
                 serveOne(connection, "t.0");
-                assertTrue(outcome(second.get(0)) instanceof Outcome.Completed);
+                assertTrue(outcome(second.get(0)) instanceof AttemptResult.Completed);
                 assertEquals(links(), 1);
             }
         }
--- a/rig/src/main/java/sprucehold/rig/list/AgentHost.java
+++ b/rig/src/main/java/sprucehold/rig/list/AgentHost.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
-import sprucehold.port.Listing;
+import sprucehold.decision.Endpoint;
 import sprucehold.rig.plan.Plan;
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
@@ -34,7 +34,7 @@
     private final String gatherer;
     private final Function<ServerList.Entry, String> address;
     private final List<Waiting> waiting = new ArrayList<>();
-    private final Map<String, Listing.Mode> told = new HashMap<>();
+    private final Map<String, Endpoint.State> told = new HashMap<>();
     private HttpServer server;
     private long timer;
 
@@ -115,9 +115,9 @@
 
     /** Only what differs from what it was told before goes into the ledger. */
     private void tell(double nowMs, Agent.News news) {
-        var modes = new HashMap<String, Listing.Mode>();
+        var modes = new HashMap<String, Endpoint.State>();
         if (news.whole()) {
-            told.keySet().forEach(name -> modes.put(name, Listing.Mode.GONE));
+            told.keySet().forEach(name -> modes.put(name, Endpoint.State.GONE));
         }
         news.entries()
                 .forEach(
@@ -125,10 +125,10 @@
                                 modes.put(
                                         entry.name(),
                                         entry.status() == ServerList.Status.ACTIVE
-                                                ? Listing.Mode.RUNNING
+                                                ? Endpoint.State.RUNNING
                                                 : entry.status() == ServerList.Status.LEAVING
-                                                        ? Listing.Mode.DRAINING
-                                                        : Listing.Mode.GONE));
+                                                        ? Endpoint.State.DRAINING
+                                                        : Endpoint.State.GONE));
         modes.forEach(
                 (name, mode) -> {
                     if (told.put(name, mode) != mode) {
--- a/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Locale;
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Script;
 
@@ -38,19 +38,19 @@
                 .put("memory_mb", 192)
                 .put("sockets", script.limits().sockets());
         root.set("known", known);
-        Deployment facts = script.deployment(gatherer.site());
+        Deployment deployment = script.deployment(gatherer.site());
         ObjectNode settings =
                 root.putObject("settings")
-                        .put("balancers", facts.gatherers())
-                        .put("locality", facts.zone())
-                        .put("quantumMs", facts.tickMs())
-                        .put("overShareWorth", facts.overShareBenefit())
+                        .put("balancers", deployment.gatherers())
+                        .put("locality", deployment.zone())
+                        .put("quantumMs", deployment.tickMs())
+                        .put("overShareWorth", deployment.overQuotaPriority())
                         .put("discovery", "automatic");
         var classes = settings.putArray("classes");
         ObjectNode family =
                 settings.putObject("familyInfo")
                         .put("ranges", script.segments())
-                        .put("sets", facts.layout().cells())
+                        .put("sets", deployment.layout().replicaGroups())
                         .put("width", 1)
                         .put("bundleMax", 1);
         var completeFrom = family.putArray("completeFrom");
@@ -61,18 +61,18 @@
                     .put("name", kind.type().name())
                     .put(
                             "semantics",
-                            switch (kind.type().repeat()) {
-                                case REPLAYABLE -> "retryable";
-                                case KEYED -> "dedup";
-                                case NON_REPLAYABLE -> "fragile";
+                            switch (kind.type().idempotence()) {
+                                case IDEMPOTENT -> "retryable";
+                                case DEDUPLICATED -> "dedup";
+                                case NON_IDEMPOTENT -> "fragile";
                             })
-                    .put("aimMs", kind.type().targetMs())
+                    .put("aimMs", kind.type().latencyObjectiveMs())
                     .put("giveUpMs", kind.timeoutMs())
-                    .put("worth", kind.type().benefit())
-                    .put("lateValue", kind.type().lateShare())
-                    .put("windowMs", kind.type().keyedWindowMs());
-            completeFrom.add(kind.type().completeFrom());
-            leastShare.add(kind.type().leastShare());
+                    .put("worth", kind.type().priorityWeight())
+                    .put("lateValue", kind.type().lateWeight())
+                    .put("windowMs", kind.type().deduplicationWindowMs());
+            completeFrom.add(kind.type().completeCoverage());
+            leastShare.add(kind.type().minimumCoverage());
             fetch.add(0);
         }
         var tenants = settings.putArray("tenants");
@@ -98,12 +98,12 @@
                 settings.putObject("safety")
                         .put("coldFrom", script.coldRule().startShare())
                         .put("coldMs", script.coldRule().warmAfterMs())
-                        .put("fallMultiple", script.coldRule().multiple())
+                        .put("fallMultiple", script.coldRule().overloadFactor())
                         .put("overloadForMs", script.coldRule().windowMs())
-                        .put("mustAskInMs", facts.listAccess().askWithinMs());
-        if (!script.budget().equals(Deployment.DispatchBudget.NONE)) {
-            safety.put("budgetFree", script.budget().free())
-                    .put("extraRatio", script.budget().perTaken())
+                        .put("mustAskInMs", deployment.endpointSubscription().maxPollIntervalMs());
+        if (!script.budget().equals(Deployment.RetryBudget.NONE)) {
+            safety.put("budgetFree", script.budget().fixed())
+                    .put("extraRatio", script.budget().perRequest())
                     .put("countedOverMs", script.budget().windowMs());
         }
         return root.toPrettyString();
--- a/rig/src/main/java/sprucehold/rig/run/Ends.java
+++ b/rig/src/main/java/sprucehold/rig/run/Ends.java
@@ -23,7 +23,7 @@
         double target =
                 script.tableTypes().stream()
                         .filter(kind -> kind.type().name().equals(load.tableType()))
-                        .mapToDouble(kind -> kind.type().targetMs())
+                        .mapToDouble(kind -> kind.type().latencyObjectiveMs())
                         .findFirst()
                         .orElse(0);
         boolean completed = end == Clients.End.WHOLE || end == Clients.End.PART;
--- a/rig/src/main/java/sprucehold/rig/script/Script.java
+++ b/rig/src/main/java/sprucehold/rig/script/Script.java
@@ -1,8 +1,8 @@
 package sprucehold.rig.script;
 
 import java.util.List;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
 
 /**
  * What a run is to be.
@@ -10,7 +10,7 @@
  * @param lengthS how long clients ask, in seconds
  * @param segments how many segments there are, spread over {@code cells}
  * @param coldRule by what a server that has just started falls over
- * @param budget the most further dispatches, or {@link Deployment.DispatchBudget#NONE}
+ * @param budget the most further dispatches, or {@link Deployment.RetryBudget#NONE}
  * @param frontLearnsMs how long a front goes on sending clients to a gatherer that is gone
  * @param bands what the figures have to be; rules hold whatever they say
  * @param together what its gatherers share with each other, or null where they don't talk
@@ -25,8 +25,8 @@
         List<Customer> customers,
         Servers servers,
         Limits limits,
-        Deployment.ColdRule coldRule,
-        Deployment.DispatchBudget budget,
+        Deployment.SlowStartRule coldRule,
+        Deployment.RetryBudget budget,
         double frontLearnsMs,
         List<Load> load,
         List<Fault> faults,
@@ -48,8 +48,8 @@
             List<Customer> customers,
             Servers servers,
             Limits limits,
-            Deployment.ColdRule coldRule,
-            Deployment.DispatchBudget budget,
+            Deployment.SlowStartRule coldRule,
+            Deployment.RetryBudget budget,
             double frontLearnsMs,
             List<Load> load,
             List<Fault> faults,
@@ -83,7 +83,7 @@
      * @param workMs the median of a part's time on one core of a warm server, in milliseconds
      * @param spread the standard deviation of that time's logarithm
      */
-    public record Kind(TableType type, double timeoutMs, double workMs, double spread) {}
+    public record Kind(QueryClass type, double timeoutMs, double workMs, double spread) {}
 
     /** A customer and the scans a second it is entitled to over the fleet. */
     public record Customer(String name, double scansPerS) {}
@@ -156,7 +156,7 @@
         var part =
                 together == null || together.further == 0
                         ? budget
-                        : new Deployment.DispatchBudget(
+                        : new Deployment.RetryBudget(
                                 together.further / gatherers, 0, together.furtherWindowMs);
         return new Script(
                 name,
@@ -186,9 +186,9 @@
                 0.2,
                 tableTypes.stream().map(Kind::type).toList(),
                 customers.stream()
-                        .map(c -> new sprucehold.port.Customer(c.name(), c.scansPerS()))
+                        .map(c -> new sprucehold.decision.Tenant(c.name(), c.scansPerS()))
                         .toList(),
-                new Deployment.Layout(cells, 1, 1),
+                new Deployment.ShardLayout(cells, 1, 1),
                 new Deployment.Limits(
                         limits.dispatchesPerPart(),
                         limits.maxOpen(),
@@ -197,7 +197,7 @@
                         limits.comeBackMs()),
                 coldRule,
                 budget,
-                new Deployment.ListAccess(false, 10_000));
+                new Deployment.EndpointSubscription(false, 10_000));
     }
 
     /** This script with other faults. */
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -24,8 +24,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.StreamSupport;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.StoredEnum;
 
 /** Reads a script: its form by the schema {@code deploy/rig.schema.json}, then its meaning. */
 public final class ScriptReader {
@@ -146,9 +147,7 @@
     }
 
     private static <E extends Enum<E>> E named(Class<E> type, JsonNode node, E otherwise) {
-        return node.isMissingNode()
-                ? otherwise
-                : Enum.valueOf(type, node.asText().toUpperCase(Locale.ROOT).replace('-', '_'));
+        return node.isMissingNode() ? otherwise : Enum.valueOf(type, constantName(node.asText()));
     }
 
     private static Script script(JsonNode node) {
@@ -199,14 +198,14 @@
                         limits.path("secondCopies").asBoolean(true),
                         limits.path("comeBackMs").asDouble(500),
                         limits.path("sockets").asInt(1024)),
-                new Deployment.ColdRule(
+                new Deployment.SlowStartRule(
                         cold.path("startShare").asDouble(0.2),
                         cold.path("warmAfterMs").asDouble(5000),
                         cold.path("multiple").asDouble(4),
                         cold.path("windowMs").asDouble(1000)),
                 budget.isMissingNode()
-                        ? Deployment.DispatchBudget.NONE
-                        : new Deployment.DispatchBudget(
+                        ? Deployment.RetryBudget.NONE
+                        : new Deployment.RetryBudget(
                                 budget.get("free").doubleValue(),
                                 budget.get("perTaken").doubleValue(),
                                 budget.get("windowMs").doubleValue()),
@@ -227,11 +226,18 @@
                         node.path("clocksOffMs").asDouble(5000));
     }
 
+    private static String constantName(String word) {
+        return word.toUpperCase(Locale.ROOT).replace('-', '_');
+    }
+
     private static Script.Kind kind(JsonNode type) {
         return new Script.Kind(
-                new TableType(
+                new QueryClass(
                         type.get("name").asText(),
-                        named(TableType.Repeat.class, type.get("repeat"), null),
+                        StoredEnum.ofName(
+                                        QueryClass.Idempotence.class,
+                                        constantName(type.get("repeat").asText()))
+                                .orElseThrow(),
                         type.get("targetMs").doubleValue(),
                         type.path("benefit").asDouble(1),
                         type.path("lateShare").asDouble(0.3),
--- a/rig/src/main/java/sprucehold/rig/script/ScriptWriter.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptWriter.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
 import java.util.Locale;
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
 
 /** Writes a script as JSON that {@link ScriptReader} reads as the same script. */
 public final class ScriptWriter {
@@ -32,14 +32,14 @@
                         kind ->
                                 types.addObject()
                                         .put("name", kind.type().name())
-                                        .put("repeat", word(kind.type().repeat()))
-                                        .put("targetMs", kind.type().targetMs())
+                                        .put("repeat", word(kind.type().idempotence().storedName()))
+                                        .put("targetMs", kind.type().latencyObjectiveMs())
                                         .put("timeoutMs", kind.timeoutMs())
-                                        .put("benefit", kind.type().benefit())
-                                        .put("lateShare", kind.type().lateShare())
-                                        .put("keyedWindowMs", kind.type().keyedWindowMs())
-                                        .put("completeFrom", kind.type().completeFrom())
-                                        .put("leastShare", kind.type().leastShare())
+                                        .put("benefit", kind.type().priorityWeight())
+                                        .put("lateShare", kind.type().lateWeight())
+                                        .put("keyedWindowMs", kind.type().deduplicationWindowMs())
+                                        .put("completeFrom", kind.type().completeCoverage())
+                                        .put("leastShare", kind.type().minimumCoverage())
                                         .put("workMs", kind.workMs())
                                         .put("spread", kind.spread()));
         ArrayNode customers = root.putArray("customers");
@@ -63,12 +63,12 @@
         root.putObject("cold")
                 .put("startShare", script.coldRule().startShare())
                 .put("warmAfterMs", script.coldRule().warmAfterMs())
-                .put("multiple", script.coldRule().multiple())
+                .put("multiple", script.coldRule().overloadFactor())
                 .put("windowMs", script.coldRule().windowMs());
-        if (!script.budget().equals(Deployment.DispatchBudget.NONE)) {
+        if (!script.budget().equals(Deployment.RetryBudget.NONE)) {
             root.putObject("budget")
-                    .put("free", script.budget().free())
-                    .put("perTaken", script.budget().perTaken())
+                    .put("free", script.budget().fixed())
+                    .put("perTaken", script.budget().perRequest())
                     .put("windowMs", script.budget().windowMs());
         }
         root.put("frontLearnsMs", script.frontLearnsMs());
@@ -140,6 +140,10 @@
     }
 
     private static String word(Enum<?> value) {
-        return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return word(value.name());
+    }
+
+    private static String word(String constantName) {
+        return constantName.toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -13,7 +13,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
@@ -91,7 +91,7 @@
 
     /** The share of its work that it can do: less than 1 while cold. */
     public double warmth(double nowMs) {
-        Deployment.ColdRule rule = script.coldRule();
+        Deployment.SlowStartRule rule = script.coldRule();
         double passed = Math.min(1, Math.max(0, nowMs - startedMs) / rule.warmAfterMs());
         return startedMs <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * passed;
     }
@@ -144,10 +144,11 @@
         double warmth = warmth(nowMs);
         if (warmth < 1) {
             pushes.add(new Push(nowMs, part.gatherer, workMs(part)));
-            Deployment.ColdRule rule = script.coldRule();
+            Deployment.SlowStartRule rule = script.coldRule();
             pushes.removeIf(push -> push.atMs < nowMs - rule.windowMs());
             double pushed = pushes.stream().mapToDouble(Push::workMs).sum();
-            double most = rule.multiple() * warmth * script.servers().cores() * rule.windowMs();
+            double most =
+                    rule.overloadFactor() * warmth * script.servers().cores() * rule.windowMs();
             mostPushed = Math.max(mostPushed, pushed / most);
             if (pushed > most) {
                 var by = new TreeMap<String, Double>();
--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Judge.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Collectors;
-import sprucehold.port.TableType;
+import sprucehold.decision.QueryClass;
 import sprucehold.rig.script.Script;
 import sprucehold.standin.ledger.Seen;
 import sprucehold.standin.rules.Broken;
@@ -46,7 +46,7 @@
         return new Terms(
                 script.tableTypes().stream()
                         .map(Script.Kind::type)
-                        .collect(Collectors.toMap(TableType::name, type -> type)),
+                        .collect(Collectors.toMap(QueryClass::name, type -> type)),
                 script.budget(),
                 script.together() == null || script.together().further() == 0
                         ? null
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
 import sprucehold.rig.process.Home;
 import sprucehold.rig.report.RunPage;
 import sprucehold.rig.run.Run;
@@ -85,10 +85,8 @@
                 calm.customers(),
                 calm.servers(),
                 calm.limits(),
-                new Deployment.ColdRule(0.2, 5000, 0.02, 1000),
-                budget
-                        ? new Deployment.DispatchBudget(1, 0.1, 1000)
-                        : Deployment.DispatchBudget.NONE,
+                new Deployment.SlowStartRule(0.2, 5000, 0.02, 1000),
+                budget ? new Deployment.RetryBudget(1, 0.1, 1000) : Deployment.RetryBudget.NONE,
                 500,
                 calm.load().stream()
                         .filter(load -> load.site().equals("a"))
--- a/rig/src/test/java/sprucehold/rig/Scripts.java
+++ b/rig/src/test/java/sprucehold/rig/Scripts.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
@@ -75,7 +75,7 @@
                 calm.customers(),
                 calm.servers(),
                 calm.limits(),
-                new Deployment.ColdRule(0.2, 5000, multiple, 1000),
+                new Deployment.SlowStartRule(0.2, 5000, multiple, 1000),
                 calm.budget(),
                 calm.frontLearnsMs(),
                 calm.load(),
--- a/rig/src/test/java/sprucehold/rig/VerdictTest.java
+++ b/rig/src/test/java/sprucehold/rig/VerdictTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Listing;
+import sprucehold.decision.Endpoint;
 import sprucehold.rig.script.Script;
 import sprucehold.rig.verdict.Figures;
 import sprucehold.rig.verdict.Judge;
@@ -118,7 +118,7 @@
     }
 
     private static Seen.Told told(double at) {
-        return new Seen.Told(at, "a-0", "x", Listing.Mode.DRAINING);
+        return new Seen.Told(at, "a-0", "x", Endpoint.State.DRAINING);
     }
 
     private static Seen.Left left(double at) {
--- a/standin/src/main/java/sprucehold/standin/StandIns.java
+++ b/standin/src/main/java/sprucehold/standin/StandIns.java
@@ -7,7 +7,7 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.picker.ServerNews;
+import sprucehold.coordinator.EndpointUpdate;
 
 /**
  * Discovery and shard servers on this machine, for trying a gatherer out; they know no trouble and
@@ -23,10 +23,10 @@
      * @return the port of discovery
      */
     public static Future<Integer> start(
-            Vertx vertx, String host, int port, List<ServerNews> servers, boolean moved) {
+            Vertx vertx, String host, int port, List<EndpointUpdate> servers, boolean moved) {
         var endpoints = new ArrayList<ObjectNode>();
         Future<?> started = Future.succeededFuture();
-        for (ServerNews server : servers) {
+        for (EndpointUpdate server : servers) {
             int colon = server.address().lastIndexOf(':');
             String at = server.address().substring(0, colon);
             int listed = Integer.parseInt(server.address().substring(colon + 1));
@@ -60,13 +60,13 @@
         return new StandInShardServer(vertx).listen(SocketAddress.domainSocketAddress(path));
     }
 
-    private static ObjectNode endpoint(ServerNews server, String address) {
+    private static ObjectNode endpoint(EndpointUpdate server, String address) {
         return new ObjectMapper()
                 .createObjectNode()
                 .put("name", server.name())
                 .put("address", address)
                 .put("zone", server.zone())
-                .put("group", server.cell())
+                .put("group", server.replicaGroup())
                 .put("status", "active")
                 .put("since_ms", server.startedAtMs());
     }
--- a/standin/src/main/java/sprucehold/standin/ledger/Seen.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Seen.java
@@ -1,7 +1,7 @@
 package sprucehold.standin.ledger;
 
 import java.util.Map;
-import sprucehold.port.Listing;
+import sprucehold.decision.Endpoint;
 
 /**
  * One thing that somebody outside a gatherer saw; {@code atMs} is when, by the one clock of the
@@ -72,5 +72,5 @@
     record HeldUp(double atMs, double untilMs, String gatherer, boolean killed) implements Seen {}
 
     /** Discovery has written news of a shard server to a gatherer. */
-    record Told(double atMs, String gatherer, String server, Listing.Mode mode) implements Seen {}
+    record Told(double atMs, String gatherer, String server, Endpoint.State mode) implements Seen {}
 }
--- a/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import sprucehold.port.Deployment;
-import sprucehold.port.Listing;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.QueryClass;
 import sprucehold.standin.ledger.Seen;
 
 /** Reads a run's ledger once, in order of time, and tells every breach of a rule. */
@@ -27,13 +27,13 @@
 
     private static final class Scan {
         final Seen.Asked asked;
-        final TableType type;
+        final QueryClass type;
         Seen.Answered answered;
         double leftMs = Double.POSITIVE_INFINITY;
         final Map<Integer, List<Double>> arrived = new HashMap<>();
         final Map<Integer, List<Seen.Ran>> ran = new HashMap<>();
 
-        Scan(Seen.Asked asked, TableType type) {
+        Scan(Seen.Asked asked, QueryClass type) {
             this.asked = asked;
             this.type = type;
         }
@@ -102,7 +102,7 @@
                                             + fell.workByGatherer()));
         } else if (seen instanceof Seen.Told told) {
             String key = told.gatherer() + " " + told.server();
-            if (told.mode() == Listing.Mode.RUNNING) {
+            if (told.mode() == Endpoint.State.RUNNING) {
                 drainsSince.remove(key);
             } else {
                 drainsSince.putIfAbsent(key, told.atMs());
@@ -176,7 +176,7 @@
             }
         }
         // Sums of weights may fall a ten-thousandth short.
-        if (weight < scan.type.leastShare() - 1e-4) {
+        if (weight < scan.type.minimumCoverage() - 1e-4) {
             broken(
                     Rule.HONEST,
                     answered.atMs(),
@@ -185,8 +185,8 @@
                             + " was answered with "
                             + weight
                             + ", under the least share "
-                            + scan.type.leastShare());
-        } else if (answered.whole() && weight < scan.type.completeFrom() - 1e-4) {
+                            + scan.type.minimumCoverage());
+        } else if (answered.whole() && weight < scan.type.completeCoverage() - 1e-4) {
             broken(
                     Rule.HONEST,
                     answered.atMs(),
@@ -195,7 +195,7 @@
                             + " is called whole with "
                             + weight
                             + " of "
-                            + scan.type.completeFrom());
+                            + scan.type.completeCoverage());
         }
     }
 
@@ -284,9 +284,10 @@
 
     private void further(Seen.Arrived arrived, Scan scan, List<Double> before) {
         boolean mayHaveRun = !scan.ran.getOrDefault(arrived.segment(), List.of()).isEmpty();
-        if (scan.type.repeat() == TableType.Repeat.KEYED
+        if (scan.type.idempotence() == QueryClass.Idempotence.DEDUPLICATED
                 && mayHaveRun
-                && arrived.atMs() > before.get(0) + scan.type.keyedWindowMs() + terms.wayMs()) {
+                && arrived.atMs()
+                        > before.get(0) + scan.type.deduplicationWindowMs() + terms.wayMs()) {
             broken(
                     Rule.NO_EFFECT_TWICE,
                     arrived.atMs(),
@@ -316,13 +317,13 @@
                                 + " are allowed");
             }
         }
-        Deployment.DispatchBudget budget = terms.budget();
+        Deployment.RetryBudget budget = terms.budget();
         Budget of = budgets.computeIfAbsent(arrived.gatherer(), name -> new Budget());
         of.further.add(arrived.atMs());
-        if (!budget.equals(Deployment.DispatchBudget.NONE)) {
+        if (!budget.equals(Deployment.RetryBudget.NONE)) {
             of.taken.removeIf(at -> at < arrived.atMs() - budget.windowMs() - terms.wayMs());
             of.further.removeIf(at -> at < arrived.atMs() - budget.windowMs());
-            if (of.further.size() > budget.free() + budget.perTaken() * of.taken.size() + 1e-9) {
+            if (of.further.size() > budget.fixed() + budget.perRequest() * of.taken.size() + 1e-9) {
                 broken(
                         Rule.BUDGET,
                         arrived.atMs(),
@@ -343,7 +344,7 @@
         }
         List<Seen.Ran> before =
                 scan.ran.computeIfAbsent(ran.segment(), segment -> new ArrayList<>());
-        if (!before.isEmpty() && scan.type.repeat() == TableType.Repeat.NON_REPLAYABLE) {
+        if (!before.isEmpty() && scan.type.idempotence() == QueryClass.Idempotence.NON_IDEMPOTENT) {
             broken(
                     Rule.NO_EFFECT_TWICE,
                     ran.atMs(),
@@ -375,7 +376,7 @@
             // Judged at the end: what it may have run may run yet when it is throttled.
             if (scan.answered != null
                     && scan.answered.answer() == Seen.Answer.THROTTLED
-                    && scan.type.repeat() == TableType.Repeat.NON_REPLAYABLE
+                    && scan.type.idempotence() == QueryClass.Idempotence.NON_IDEMPOTENT
                     && !scan.ran.isEmpty()) {
                 broken(
                         Rule.NO_EFFECT_TWICE,
--- a/standin/src/main/java/sprucehold/standin/rules/Terms.java
+++ b/standin/src/main/java/sprucehold/standin/rules/Terms.java
@@ -1,8 +1,8 @@
 package sprucehold.standin.rules;
 
 import java.util.Map;
-import sprucehold.port.Deployment;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
 
 /**
  * The figures that the rules are held by.
@@ -15,8 +15,8 @@
  * @param toldMs how much more time than its client has left an attempt may tell its shard server
  */
 public record Terms(
-        Map<String, TableType> types,
-        Deployment.DispatchBudget budget,
+        Map<String, QueryClass> types,
+        Deployment.RetryBudget budget,
         FleetBudget fleet,
         double slackMs,
         double graceMs,
@@ -30,8 +30,8 @@
 
     /** Where nothing is stated of the fleet. */
     public Terms(
-            Map<String, TableType> types,
-            Deployment.DispatchBudget budget,
+            Map<String, QueryClass> types,
+            Deployment.RetryBudget budget,
             double slackMs,
             double graceMs,
             double wayMs,
--- a/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
+++ b/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Deployment;
-import sprucehold.port.Listing;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.QueryClass;
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
 
@@ -19,9 +19,9 @@
             new Terms(
                     Map.of(
                             "any",
-                                    new TableType(
+                                    new QueryClass(
                                             "any",
-                                            TableType.Repeat.REPLAYABLE,
+                                            QueryClass.Idempotence.IDEMPOTENT,
                                             500,
                                             1,
                                             0,
@@ -30,9 +30,9 @@
                                             0.5,
                                             0),
                             "once",
-                                    new TableType(
+                                    new QueryClass(
                                             "once",
-                                            TableType.Repeat.NON_REPLAYABLE,
+                                            QueryClass.Idempotence.NON_IDEMPOTENT,
                                             500,
                                             1,
                                             0,
@@ -41,9 +41,9 @@
                                             1,
                                             0),
                             "keyed",
-                                    new TableType(
+                                    new QueryClass(
                                             "keyed",
-                                            TableType.Repeat.KEYED,
+                                            QueryClass.Idempotence.DEDUPLICATED,
                                             500,
                                             1,
                                             0,
@@ -51,7 +51,7 @@
                                             1,
                                             1,
                                             0)),
-                    new Deployment.DispatchBudget(2, 0.5, 1000),
+                    new Deployment.RetryBudget(2, 0.5, 1000),
                     100,
                     50,
                     20,
@@ -81,7 +81,7 @@
         return new Seen.Answered(at, "s", how, false, Map.of());
     }
 
-    private static Seen.Told told(double at, Listing.Mode mode) {
+    private static Seen.Told told(double at, Endpoint.State mode) {
         return new Seen.Told(at, "g", "a", mode);
     }
 
@@ -183,7 +183,7 @@
                 "sent to a draining server as it went on",
                 run(
                         "any",
-                        told(1, Listing.Mode.DRAINING),
+                        told(1, Endpoint.State.DRAINING),
                         new Seen.HeldUp(1, 79, "g", false),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
@@ -239,7 +239,7 @@
                 "sent to a draining server",
                 run(
                         "any",
-                        told(1, Listing.Mode.DRAINING),
+                        told(1, Endpoint.State.DRAINING),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of(Rule.DRAINS)
@@ -248,7 +248,7 @@
                 "sent within the grace",
                 run(
                         "any",
-                        told(1, Listing.Mode.DRAINING),
+                        told(1, Endpoint.State.DRAINING),
                         arrived(60, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of()
@@ -257,8 +257,8 @@
                 "told of a drain twice, the first counts",
                 run(
                         "any",
-                        told(1, Listing.Mode.DRAINING),
-                        told(40, Listing.Mode.GONE),
+                        told(1, Endpoint.State.DRAINING),
+                        told(40, Endpoint.State.GONE),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of(Rule.DRAINS)
@@ -267,8 +267,8 @@
                 "sent when it was back",
                 run(
                         "any",
-                        told(1, Listing.Mode.GONE),
-                        told(50, Listing.Mode.RUNNING),
+                        told(1, Endpoint.State.GONE),
+                        told(50, Endpoint.State.RUNNING),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of()
@@ -344,7 +344,7 @@
         var terms =
                 new Terms(
                         TERMS.types(),
-                        Deployment.DispatchBudget.NONE,
+                        Deployment.RetryBudget.NONE,
                         new Terms.FleetBudget(2, 100),
                         100,
                         50,
--- a/together/src/main/java/sprucehold/together/room/RoomTerms.java
+++ b/together/src/main/java/sprucehold/together/room/RoomTerms.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Set;
-import sprucehold.port.Bound;
+import sprucehold.decision.SharedLimit;
 
 /**
  * What an installation states of the bounds that its gatherers share.
@@ -22,7 +22,7 @@
 public record RoomTerms(
         String self,
         List<String> fleet,
-        Set<Bound.Kind> shared,
+        Set<SharedLimit.Kind> shared,
         int further,
         double furtherWindowMs,
         double patienceMs,
--- a/together/src/main/java/sprucehold/together/room/Rooms.java
+++ b/together/src/main/java/sprucehold/together/room/Rooms.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import sprucehold.port.Bound;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Listing;
-import sprucehold.port.Others;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.Tenant;
 import sprucehold.together.share.Permit;
 import sprucehold.together.share.ShareTerms;
 import sprucehold.together.talk.Talk;
@@ -59,7 +59,7 @@
     }
 
     private static final class Server {
-        Listing listing;
+        Endpoint endpoint;
 
         /** When this life first heard of this start, by the counting clock. */
         double heardAt;
@@ -68,11 +68,15 @@
         Growth growth;
 
         String bound() {
-            return Bound.Kind.COLD + " " + listing.server() + "@" + (long) listing.startedAtMs();
+            return SharedLimit.Kind.SLOW_START.storedName()
+                    + " "
+                    + endpoint.server()
+                    + "@"
+                    + (long) endpoint.startedAtMs();
         }
     }
 
-    private final Deployment facts;
+    private final Deployment deployment;
     private final RoomTerms terms;
     private final Talk talk;
     private final Map<String, Server> servers = new TreeMap<>();
@@ -84,43 +88,47 @@
 
     private Map<String, Double> trouble = Map.of();
 
-    public Rooms(Deployment facts, RoomTerms terms, Talk talk, double countedMs, double wallMs) {
-        this.facts = facts;
+    public Rooms(
+            Deployment deployment, RoomTerms terms, Talk talk, double countedMs, double wallMs) {
+        this.deployment = deployment;
         this.terms = terms;
         this.talk = talk;
-        this.byCell = new Rate[facts.layout().cells()];
+        this.byCell = new Rate[deployment.layout().replicaGroups()];
         Arrays.setAll(byCell, cell -> new Rate());
         // As the decisions do, before they have seen any part's time.
         this.pieceMs =
-                facts.tableTypes().stream()
-                        .mapToDouble(type -> type.targetMs() / 4)
+                deployment.queryClasses().stream()
+                        .mapToDouble(type -> type.latencyObjectiveMs() / 4)
                         .min()
                         .orElse(1);
-        if (terms.shared().contains(Bound.Kind.FURTHER)) {
+        if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
             begin(
                     countedMs,
                     wallMs,
-                    name(Bound.FURTHER),
+                    name(SharedLimit.RETRIES),
                     terms.further(),
                     terms.furtherWindowMs(),
                     true);
         }
-        if (terms.shared().contains(Bound.Kind.CUSTOMER)) {
-            facts.customers()
+        if (terms.shared().contains(SharedLimit.Kind.TENANT_QUOTA)) {
+            deployment
+                    .tenants()
                     .forEach(
-                            customer ->
+                            tenant ->
                                     begin(
                                             countedMs,
                                             wallMs,
-                                            name(Bound.customer(customer.name())),
-                                            (int) customer.scansPerSecond(),
+                                            name(SharedLimit.tenantQuota(tenant.name())),
+                                            (int) tenant.queriesPerSecond(),
                                             CUSTOMER_WINDOW_MS,
                                             true));
         }
     }
 
-    private static String name(Bound bound) {
-        return bound.of().isEmpty() ? bound.kind().name() : bound.kind() + " " + bound.of();
+    private static String name(SharedLimit bound) {
+        return bound.subject().isEmpty()
+                ? bound.kind().storedName()
+                : bound.kind().storedName() + " " + bound.subject();
     }
 
     /**
@@ -151,34 +159,34 @@
     // ---- Cold servers ----
 
     /** News of shard servers, before the decisions hear of them. */
-    public void listed(double countedMs, double wallMs, boolean complete, List<Listing> news) {
+    public void listed(double countedMs, double wallMs, boolean complete, List<Endpoint> news) {
         if (complete) {
-            var named = news.stream().map(Listing::server).toList();
+            var named = news.stream().map(Endpoint::server).toList();
             List.copyOf(servers.values()).stream()
-                    .filter(server -> !named.contains(server.listing.server()))
+                    .filter(server -> !named.contains(server.endpoint.server()))
                     .forEach(this::gone);
         }
-        for (Listing listing : news) {
-            Server server = servers.get(listing.server());
-            if (listing.mode() == Listing.Mode.GONE) {
+        for (Endpoint endpoint : news) {
+            Server server = servers.get(endpoint.server());
+            if (endpoint.state() == Endpoint.State.GONE) {
                 if (server != null) {
                     gone(server);
                 }
                 continue;
             }
-            if (server == null || server.listing.startedAtMs() != listing.startedAtMs()) {
+            if (server == null || server.endpoint.startedAtMs() != endpoint.startedAtMs()) {
                 if (server != null) {
                     gone(server);
                 }
                 server = new Server();
                 server.heardAt = countedMs;
-                servers.put(listing.server(), server);
+                servers.put(endpoint.server(), server);
             }
-            server.listing = listing;
+            server.endpoint = endpoint;
             if (server.growth == null
-                    && terms.shared().contains(Bound.Kind.COLD)
+                    && terms.shared().contains(SharedLimit.Kind.SLOW_START)
                     && share(countedMs, wallMs, server) < 1) {
-                var rule = facts.coldRule();
+                var rule = deployment.slowStart();
                 server.growth =
                         new Growth((rule.windowMs() + terms.patienceMs()) * (1 + terms.drift()));
                 begin(
@@ -194,7 +202,7 @@
 
     private void gone(Server server) {
         warm(server);
-        servers.remove(server.listing.server());
+        servers.remove(server.endpoint.server());
     }
 
     private void warm(Server server) {
@@ -209,8 +217,8 @@
      * server has.
      */
     private int units(double share) {
-        var rule = facts.coldRule();
-        return (int) (rule.multiple() * share * rule.windowMs());
+        var rule = deployment.slowStart();
+        return (int) (rule.overloadFactor() * share * rule.windowMs());
     }
 
     /**
@@ -218,18 +226,20 @@
      * heard of; what wall clocks say beyond that counts less by what they may be apart.
      */
     private double share(double countedMs, double wallMs, Server server) {
-        double startedAt = server.listing.startedAtMs();
+        double startedAt = server.endpoint.startedAtMs();
         double age =
                 Math.max(countedMs - server.heardAt, wallMs - startedAt - terms.clocksOffMs())
                         * (1 - terms.drift());
-        var rule = facts.coldRule();
+        var rule = deployment.slowStart();
         double warmth = Math.min(1, Math.max(0, age) / rule.warmAfterMs());
         return startedAt <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmth;
     }
 
     /** This gatherer's part of what the bound has grown by. */
     private int grown(double countedMs, double wallMs, Server server) {
-        int more = units(share(countedMs, wallMs, server)) - units(facts.coldRule().startShare());
+        int more =
+                units(share(countedMs, wallMs, server))
+                        - units(deployment.slowStart().startShare());
         return more / terms.fleet().size();
     }
 
@@ -241,7 +251,7 @@
             byCustomer.computeIfAbsent(customer, none -> new Rate()).add(countedMs, 1);
         }
         for (int segment : segments) {
-            for (int j = 0; j < facts.layout().reach(); j++) {
+            for (int j = 0; j < deployment.layout().groupsPerShard(); j++) {
                 byCell[Math.floorMod(segment + j, byCell.length)].add(countedMs, 1);
             }
         }
@@ -260,8 +270,8 @@
                     countedMs,
                     wallMs,
                     server,
-                    known.listing.zone(),
-                    known.listing.startedAtMs(),
+                    known.endpoint.zone(),
+                    known.endpoint.startedAtMs(),
                     well);
         }
     }
@@ -272,12 +282,12 @@
      * @return null, with nothing sent to be, if they aren't free; an empty leave where the bound
      *     isn't shared
      */
-    public Leave use(double countedMs, double wallMs, Bound bound, int units) {
+    public Leave use(double countedMs, double wallMs, SharedLimit bound, int units) {
         var permits = new ArrayList<Permit>();
         int left = units;
         String name = name(bound);
-        if (bound.kind() == Bound.Kind.COLD) {
-            Server server = servers.get(bound.of());
+        if (bound.kind() == SharedLimit.Kind.SLOW_START) {
+            Server server = servers.get(bound.subject());
             if (server == null || server.growth == null) {
                 return new Leave(List.of());
             }
@@ -295,8 +305,9 @@
                 left -= own;
             }
         } else if (!terms.shared().contains(bound.kind())
-                || bound.kind() == Bound.Kind.CUSTOMER
-                        && facts.customers().stream().noneMatch(c -> c.name().equals(bound.of()))) {
+                || bound.kind() == SharedLimit.Kind.TENANT_QUOTA
+                        && deployment.tenants().stream()
+                                .noneMatch(c -> c.name().equals(bound.subject()))) {
             return new Leave(List.of());
         }
         if (left > 0) {
@@ -329,21 +340,22 @@
                                 servers.values().stream()
                                         .filter(
                                                 other ->
-                                                        other.listing.cell()
-                                                                        == server.listing.cell()
-                                                                && other.listing.mode()
-                                                                        == Listing.Mode.RUNNING)
+                                                        other.endpoint.replicaGroup()
+                                                                        == server.endpoint
+                                                                                .replicaGroup()
+                                                                && other.endpoint.state()
+                                                                        == Endpoint.State.RUNNING)
                                         .count();
-                double partsPerS = byCell[server.listing.cell()].perS(countedMs);
+                double partsPerS = byCell[server.endpoint.replicaGroup()].perS(countedMs);
                 // One part at the least where any comes in: a segment's last holders are never all
                 // left aside.
                 double parts =
-                        partsPerS < 0.1 || server.listing.mode() != Listing.Mode.RUNNING
+                        partsPerS < 0.1 || server.endpoint.state() != Endpoint.State.RUNNING
                                 ? 0
                                 : Math.max(
                                         1,
                                         partsPerS
-                                                * facts.coldRule().windowMs()
+                                                * deployment.slowStart().windowMs()
                                                 / 1000
                                                 / Math.max(1, holders));
                 talk.want(
@@ -353,19 +365,19 @@
                     talk.opinion(
                                     countedMs,
                                     wallMs,
-                                    server.listing.server(),
-                                    server.listing.startedAtMs())
+                                    server.endpoint.server(),
+                                    server.endpoint.startedAtMs())
                             .trouble();
             if (seen >= LEAST_TROUBLE) {
                 // In tenths: a new word for each thousandth would tell nobody anything.
-                found.put(server.listing.server(), Math.round(10 * seen) / 10.0);
+                found.put(server.endpoint.server(), Math.round(10 * seen) / 10.0);
             }
         }
         trouble = Map.copyOf(found);
         byCustomer.forEach(
                 (customer, rate) ->
                         talk.want(
-                                name(Bound.customer(customer)),
+                                name(SharedLimit.tenantQuota(customer)),
                                 (int)
                                         Math.ceil(
                                                 1.25
@@ -373,37 +385,37 @@
                                                         * CUSTOMER_WINDOW_MS
                                                         / 1000),
                                 1));
-        if (terms.shared().contains(Bound.Kind.FURTHER)) {
-            Talk.Held held = talk.held(countedMs, wallMs, name(Bound.FURTHER));
+        if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
+            Talk.Held held = talk.held(countedMs, wallMs, name(SharedLimit.RETRIES));
             // Refusals aren't seen here: who has used up all that it holds is taken to want as much
             // again.
             talk.want(
-                    name(Bound.FURTHER),
+                    name(SharedLimit.RETRIES),
                     held.free() == 0 ? 2 * held.used() + 1 : (int) Math.ceil(1.25 * held.used()),
                     1);
         }
     }
 
     /** What the decisions are to know now. */
-    public Others others(double countedMs, double wallMs) {
-        var room = new HashMap<Bound, Integer>();
+    public ClusterView others(double countedMs, double wallMs) {
+        var room = new HashMap<SharedLimit, Integer>();
         for (Server server : servers.values()) {
             if (server.growth != null) {
                 room.put(
-                        Bound.cold(server.listing.server()),
+                        SharedLimit.slowStart(server.endpoint.server()),
                         talk.free(countedMs, wallMs, server.bound())
                                 + server.growth.free(countedMs, grown(countedMs, wallMs, server)));
             }
         }
-        if (terms.shared().contains(Bound.Kind.CUSTOMER)) {
-            for (Customer customer : facts.customers()) {
-                Bound bound = Bound.customer(customer.name());
+        if (terms.shared().contains(SharedLimit.Kind.TENANT_QUOTA)) {
+            for (Tenant tenant : deployment.tenants()) {
+                SharedLimit bound = SharedLimit.tenantQuota(tenant.name());
                 room.put(bound, talk.free(countedMs, wallMs, name(bound)));
             }
         }
-        if (terms.shared().contains(Bound.Kind.FURTHER)) {
-            room.put(Bound.FURTHER, talk.free(countedMs, wallMs, name(Bound.FURTHER)));
+        if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
+            room.put(SharedLimit.RETRIES, talk.free(countedMs, wallMs, name(SharedLimit.RETRIES)));
         }
-        return new Others(talk.there() + 1, room, trouble);
+        return new ClusterView(talk.there() + 1, room, trouble);
     }
 }
--- a/together/src/test/java/sprucehold/together/room/RoomsTest.java
+++ b/together/src/test/java/sprucehold/together/room/RoomsTest.java
@@ -18,11 +18,11 @@
 import java.util.function.DoubleUnaryOperator;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Bound;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Listing;
-import sprucehold.port.TableType;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.Tenant;
 import sprucehold.together.talk.Talk;
 import sprucehold.together.talk.TalkTerms;
 
@@ -35,7 +35,7 @@
     private static final double WINDOW_MS = 1000;
     private static final double WARM_MS = 5000;
     private static final double MULTIPLE = 1;
-    private static final Set<Bound.Kind> ALL = EnumSet.allOf(Bound.Kind.class);
+    private static final Set<SharedLimit.Kind> ALL = EnumSet.allOf(SharedLimit.Kind.class);
 
     private static Deployment facts() {
         return new Deployment(
@@ -43,13 +43,15 @@
                 "a",
                 5,
                 0.2,
-                List.of(new TableType("q", TableType.Repeat.REPLAYABLE, 80, 1, 0.3, 0, 1, 1, 0)),
-                List.of(new Customer("acme", 12)),
-                new Deployment.Layout(2, 1, 1),
+                List.of(
+                        new QueryClass(
+                                "q", QueryClass.Idempotence.IDEMPOTENT, 80, 1, 0.3, 0, 1, 1, 0)),
+                List.of(new Tenant("acme", 12)),
+                new Deployment.ShardLayout(2, 1, 1),
                 new Deployment.Limits(3, 100, true, true, 500),
-                new Deployment.ColdRule(0.2, WARM_MS, MULTIPLE, WINDOW_MS),
-                Deployment.DispatchBudget.NONE,
-                new Deployment.ListAccess(false, 10_000));
+                new Deployment.SlowStartRule(0.2, WARM_MS, MULTIPLE, WINDOW_MS),
+                Deployment.RetryBudget.NONE,
+                new Deployment.EndpointSubscription(false, 10_000));
     }
 
     /**
@@ -59,8 +61,8 @@
         return MULTIPLE * (0.2 + 0.8 * Math.min(1, ageMs / WARM_MS)) * WINDOW_MS;
     }
 
-    private static Listing listing(String server, double startedAt, Listing.Mode mode) {
-        return new Listing(server, 0, "z", startedAt, mode);
+    private static Endpoint listing(String server, double startedAt, Endpoint.State mode) {
+        return new Endpoint(server, 0, "z", startedAt, mode);
     }
 
     /** One of a fleet, with clocks that may be wrong. */
@@ -107,8 +109,8 @@
                             wall(now));
         }
 
-        int room(double now, Bound bound) {
-            return rooms.others(counted(now), wall(now)).room().getOrDefault(bound, -1);
+        int room(double now, SharedLimit bound) {
+            return rooms.others(counted(now), wall(now)).allowances().getOrDefault(bound, -1);
         }
     }
 
@@ -166,24 +168,24 @@
                 one.counted(now),
                 one.wall(now),
                 true,
-                List.of(listing("s", WALL + now - agoMs, Listing.Mode.RUNNING)));
+                List.of(listing("s", WALL + now - agoMs, Endpoint.State.RUNNING)));
         // After so long in one life nothing of an earlier one can be out: the whole home is free at
         // once.
-        int found = one.room(now, Bound.cold("s"));
+        int found = one.room(now, SharedLimit.slowStart("s"));
         assertTrue(room < 0 ? found < 0 : found >= room && found <= room + 1, what + ": " + found);
     }
 
     @Test
     public void aColdServerFoundRightAfterARestartWaitsUntilWhatTheEarlierLifeLentHasLapsed() {
         One one = alone(0);
-        one.rooms.listed(0, one.wall(0), true, List.of(listing("s", WALL, Listing.Mode.RUNNING)));
-        assertEquals(one.room(0, Bound.cold("s")), 0);
+        one.rooms.listed(0, one.wall(0), true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
+        assertEquals(one.room(0, SharedLimit.slowStart("s")), 0);
         assertEquals(
-                one.room(3000, Bound.cold("s")),
+                one.room(3000, SharedLimit.slowStart("s")),
                 (int) (allowed(3000 * 0.998) - allowed(0)) / 6,
                 "what it has grown by alone");
         assertTrue(
-                one.room(3400, Bound.cold("s")) > 33 + 80,
+                one.room(3400, SharedLimit.slowStart("s")) > 33 + 80,
                 "a term, a window, the patience and their drift later");
     }
 
@@ -195,50 +197,55 @@
                 one.counted(now),
                 one.wall(now),
                 true,
-                List.of(listing("s", WALL + now, Listing.Mode.RUNNING)));
+                List.of(listing("s", WALL + now, Endpoint.State.RUNNING)));
         now += 2500;
-        int room = one.room(now, Bound.cold("s"));
+        int room = one.room(now, SharedLimit.slowStart("s"));
         assertTrue(room >= 33 + 65 && room <= 34 + 67, "half warm: " + room);
-        Leave leave = one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), room);
+        Leave leave =
+                one.rooms.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), room);
         assertNotNull(leave);
-        assertEquals(one.room(now, Bound.cold("s")), 0);
+        assertEquals(one.room(now, SharedLimit.slowStart("s")), 0);
         assertNull(
-                one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), 1),
+                one.rooms.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 1),
                 "nothing more than there is");
         assertTrue(one.rooms.holds(one.counted(now + 290), one.wall(now + 290), leave));
         assertFalse(
                 one.rooms.holds(one.counted(now + 310), one.wall(now + 310), leave),
                 "beyond the patience");
         assertTrue(
-                one.room(now + 1200, Bound.cold("s")) < room,
+                one.room(now + 1200, SharedLimit.slowStart("s")) < room,
                 "it counts for a window and the patience");
-        assertTrue(one.room(now + 1400, Bound.cold("s")) >= room);
+        assertTrue(one.room(now + 1400, SharedLimit.slowStart("s")) >= room);
         one.rooms.tick(one.counted(now + 2600), one.wall(now + 2600));
-        assertEquals(one.room(now + 2600, Bound.cold("s")), -1, "warm, and no longer a bound");
+        assertEquals(
+                one.room(now + 2600, SharedLimit.slowStart("s")),
+                -1,
+                "warm, and no longer a bound");
     }
 
     @DataProvider
     Object[][] gone() {
         return new Object[][] {
-            {"drains: nothing of what it has out is forgotten", Listing.Mode.DRAINING, true},
-            {"gone", Listing.Mode.GONE, false},
+            {"drains: nothing of what it has out is forgotten", Endpoint.State.DRAINING, true},
+            {"gone", Endpoint.State.GONE, false},
         };
     }
 
     @Test(dataProvider = "gone")
     public void aServerThatLeavesAndComesBackUnderTheSameStartHasNoNewBound(
-            String what, Listing.Mode mode, boolean stays) {
+            String what, Endpoint.State mode, boolean stays) {
         One one = alone(0);
         double now = 50_000;
-        var running = List.of(listing("s", WALL + now, Listing.Mode.RUNNING));
+        var running = List.of(listing("s", WALL + now, Endpoint.State.RUNNING));
         one.rooms.listed(one.counted(now), one.wall(now), true, running);
-        assertNotNull(one.rooms.use(one.counted(now), one.wall(now), Bound.cold("s"), 33));
+        assertNotNull(
+                one.rooms.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 33));
         one.rooms.listed(
                 one.counted(now), one.wall(now), false, List.of(listing("s", WALL + now, mode)));
-        assertEquals(one.room(now, Bound.cold("s")) >= 0, stays, what);
+        assertEquals(one.room(now, SharedLimit.slowStart("s")) >= 0, stays, what);
         one.rooms.listed(one.counted(now), one.wall(now), false, running);
         assertTrue(
-                one.room(now, Bound.cold("s")) <= 1,
+                one.room(now, SharedLimit.slowStart("s")) <= 1,
                 "used just now, whatever the list says in between");
     }
 
@@ -253,17 +260,17 @@
                         one.talk,
                         0,
                         WALL);
-        one.rooms.listed(0, WALL, true, List.of(listing("s", WALL, Listing.Mode.RUNNING)));
-        for (Bound bound :
+        one.rooms.listed(0, WALL, true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
+        for (SharedLimit bound :
                 List.of(
-                        Bound.FURTHER,
-                        Bound.cold("s"),
-                        Bound.customer("acme"),
-                        Bound.customer("nobody"))) {
+                        SharedLimit.RETRIES,
+                        SharedLimit.slowStart("s"),
+                        SharedLimit.tenantQuota("acme"),
+                        SharedLimit.tenantQuota("nobody"))) {
             Leave leave = one.rooms.use(0, WALL, bound, 1_000_000);
             assertTrue(leave != null && one.rooms.holds(0, WALL, leave), bound.toString());
         }
-        assertEquals(one.rooms.others(0, WALL).room(), Map.of());
+        assertEquals(one.rooms.others(0, WALL).allowances(), Map.of());
     }
 
     /** What befalls a fleet of six between 6 and 12 s of 20. */
@@ -402,9 +409,9 @@
         }
 
         void tell(One one) {
-            var list = new ArrayList<Listing>();
+            var list = new ArrayList<Endpoint>();
             startedAt.forEach(
-                    (server, at) -> list.add(listing(server, WALL + at, Listing.Mode.RUNNING)));
+                    (server, at) -> list.add(listing(server, WALL + at, Endpoint.State.RUNNING)));
             Runnable told = () -> one.rooms.listed(one.counted(now), one.wall(now), true, list);
             if (paused(one)) {
                 woken.add(told);
@@ -471,14 +478,16 @@
             if (chance.nextDouble() < (busy ? 0.4 : 0.05)) {
                 one.rooms.taken(counted, "acme", List.of(0));
             }
-            Bound bound =
-                    chance.nextDouble() < 0.3 ? Bound.FURTHER : Bound.cold("s" + chance.nextInt(4));
-            int wanted = bound == Bound.FURTHER ? 1 : 20;
+            SharedLimit bound =
+                    chance.nextDouble() < 0.3
+                            ? SharedLimit.RETRIES
+                            : SharedLimit.slowStart("s" + chance.nextInt(4));
+            int wanted = bound == SharedLimit.RETRIES ? 1 : 20;
             boolean wants =
-                    bound == Bound.FURTHER
+                    bound == SharedLimit.RETRIES
                             ? chance.nextDouble() < (busy ? 0.5 : 0.01)
                             : chance.nextDouble() < (busy ? 0.9 : 0.2);
-            int room = one.rooms.others(counted, wall).room().getOrDefault(bound, -1);
+            int room = one.rooms.others(counted, wall).allowances().getOrDefault(bound, -1);
             if (!wants || room < wanted) {
                 return;
             }
@@ -513,19 +522,19 @@
             }
         }
 
-        void written(One one, Bound bound, int wanted) {
-            if (bound == Bound.FURTHER) {
+        void written(One one, SharedLimit bound, int wanted) {
+            if (bound == SharedLimit.RETRIES) {
                 furtherSent++;
                 furtherByBusy += one.name.equals("a-0") ? 1 : 0;
                 count(further, at -> 12, "further");
             } else {
                 coldSent++;
                 units = wanted;
-                double started = startedAt.get(bound.of());
+                double started = startedAt.get(bound.subject());
                 count(
-                        cold.computeIfAbsent(bound.of(), none -> new ArrayDeque<>()),
+                        cold.computeIfAbsent(bound.subject(), none -> new ArrayDeque<>()),
                         at -> allowed(at - started),
-                        bound.of());
+                        bound.subject());
             }
         }
 
--- a/trace/src/main/java/sprucehold/trace/book/BookedScan.java
+++ b/trace/src/main/java/sprucehold/trace/book/BookedScan.java
@@ -4,21 +4,21 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.port.Event;
+import sprucehold.decision.Event;
 
 /**
  * A scan as it is met in a trace. There is one object a scan, so it can be compared by identity.
  */
 public final class BookedScan {
     private final int source;
-    private final Event.ScanTaken taken;
+    private final Event.QueryReceived taken;
     private final double takenMs;
     final Map<String, BookedPart> parts = new HashMap<>();
     boolean ended;
     boolean secondStep;
     int out;
 
-    BookedScan(int source, Event.ScanTaken taken, double takenMs) {
+    BookedScan(int source, Event.QueryReceived taken, double takenMs) {
         this.source = source;
         this.taken = taken;
         this.takenMs = takenMs;
@@ -38,7 +38,7 @@
         return source;
     }
 
-    public Event.ScanTaken taken() {
+    public Event.QueryReceived taken() {
         return taken;
     }
 
--- a/trace/src/main/java/sprucehold/trace/book/ScanBook.java
+++ b/trace/src/main/java/sprucehold/trace/book/ScanBook.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
 import sprucehold.trace.event.Item;
 
 /** Tells, item by item in the order of a source, which scan each belongs to. */
@@ -51,7 +51,7 @@
     }
 
     private BookedScan add(Shelf shelf, int source, double nowMs, Event event) {
-        if (event instanceof Event.ScanTaken taken) {
+        if (event instanceof Event.QueryReceived taken) {
             if (shelf.byNumber.size() >= MOST) {
                 remove(shelf, shelf.byNumber.values().iterator().next());
             }
@@ -59,65 +59,68 @@
             shelf.byNumber.put(taken.number(), scan);
             shelf.byId.put(taken.id(), scan);
             return scan;
-        } else if (event instanceof Event.PartTaken taken) {
-            BookedScan scan = shelf.byNumber.get(taken.scanNumber());
+        } else if (event instanceof Event.PartReceived taken) {
+            BookedScan scan = shelf.byNumber.get(taken.queryNumber());
             if (scan != null) {
                 var part = new BookedScan.BookedPart(scan);
                 scan.parts.put(taken.id(), part);
                 shelf.parts.put(taken.id(), part);
             }
             return scan;
-        } else if (event instanceof Event.DispatchEnded ended) {
+        } else if (event instanceof Event.AttemptEnded ended) {
             BookedScan.BookedPart part = shelf.parts.get(ended.partId());
             if (part == null) {
                 return null;
             }
-            server = ended.number() < part.servers.size() ? part.servers.get(ended.number()) : null;
+            server =
+                    ended.attemptNumber() < part.servers.size()
+                            ? part.servers.get(ended.attemptNumber())
+                            : null;
             part.scan.out--;
             return settled(shelf, part.scan);
-        } else if (event instanceof Event.ClientLeft left) {
-            return ended(shelf, shelf.byId.get(left.scanId()));
-        } else if (event instanceof Event.ProbeEnded ended) {
+        } else if (event instanceof Event.ClientDisconnected left) {
+            return ended(shelf, shelf.byId.get(left.queryId()));
+        } else if (event instanceof Event.HealthCheckEnded ended) {
             server = ended.server();
         }
         return null;
     }
 
-    private BookedScan add(Shelf shelf, Action action) {
-        if (action instanceof Action.Dispatch dispatch) {
-            server = dispatch.server();
-            BookedScan.BookedPart part = shelf.parts.get(dispatch.partId());
+    private BookedScan add(Shelf shelf, Command command) {
+        if (command instanceof Command.SendAttempt sendAttempt) {
+            server = sendAttempt.server();
+            BookedScan.BookedPart part = shelf.parts.get(sendAttempt.partId());
             if (part == null) {
                 return null;
             }
-            part.servers.add(dispatch.server());
+            part.servers.add(sendAttempt.server());
             part.scan.out++;
             return part.scan;
-        } else if (action instanceof Action.Cancel cancel) {
+        } else if (command instanceof Command.CancelAttempt cancel) {
             BookedScan.BookedPart part = shelf.parts.get(cancel.partId());
             if (part == null) {
                 return null;
             }
             server =
-                    cancel.number() < part.servers.size()
-                            ? part.servers.get(cancel.number())
+                    cancel.attemptNumber() < part.servers.size()
+                            ? part.servers.get(cancel.attemptNumber())
                             : null;
             return part.scan;
-        } else if (action instanceof Action.Answer answer) {
-            BookedScan scan = shelf.byId.get(answer.scanId());
+        } else if (command instanceof Command.AnswerQuery answer) {
+            BookedScan scan = shelf.byId.get(answer.queryId());
             if (scan != null
-                    && answer.whole()
+                    && answer.complete()
                     && !scan.secondStep
-                    && scan.taken().type().secondStepParts() > 0) {
+                    && scan.taken().queryClass().secondStepParts() > 0) {
                 scan.secondStep = true;
                 return scan;
             }
             return ended(shelf, scan);
-        } else if (action instanceof Action.Throttle throttle) {
-            return ended(shelf, shelf.byId.get(throttle.scanId()));
-        } else if (action instanceof Action.Abandon abandon) {
-            return ended(shelf, shelf.byId.get(abandon.scanId()));
-        } else if (action instanceof Action.Probe probe) {
+        } else if (command instanceof Command.RejectQuery throttle) {
+            return ended(shelf, shelf.byId.get(throttle.queryId()));
+        } else if (command instanceof Command.FailQuery abandon) {
+            return ended(shelf, shelf.byId.get(abandon.queryId()));
+        } else if (command instanceof Command.CheckHealth probe) {
             server = probe.server();
         }
         return null;
--- a/trace/src/main/java/sprucehold/trace/event/Item.java
+++ b/trace/src/main/java/sprucehold/trace/event/Item.java
@@ -1,14 +1,14 @@
 package sprucehold.trace.event;
 
-import sprucehold.port.Action;
-import sprucehold.port.Event;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
 
 /**
  * One event that went in, or one action that came out: exactly one of the two is not null.
  *
  * @param index its place, from 0, among all events and then all actions of its moment
  */
-public record Item(int index, Event event, Action action) {
+public record Item(int index, Event event, Command action) {
     public Item {
         if ((event == null) == (action == null)) {
             throw new IllegalArgumentException("an item is an event or an action");
--- a/trace/src/main/java/sprucehold/trace/event/Moment.java
+++ b/trace/src/main/java/sprucehold/trace/event/Moment.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
 
 /**
  * One call of the module: what went in and what came out.
@@ -26,11 +26,11 @@
             long seq,
             double nowMs,
             List<Event> events,
-            List<Action> actions,
+            List<Command> actions,
             boolean failed) {
         var items = new ArrayList<Item>(events.size() + actions.size());
         events.forEach(event -> items.add(new Item(items.size(), event, null)));
-        actions.forEach(action -> items.add(new Item(items.size(), null, action)));
+        actions.forEach(command -> items.add(new Item(items.size(), null, command)));
         return new Moment(source, seq, nowMs, failed, items.size(), items);
     }
 
@@ -43,8 +43,8 @@
         return items.stream().map(Item::event).filter(event -> event != null).toList();
     }
 
-    public List<Action> actions() {
-        return items.stream().map(Item::action).filter(action -> action != null).toList();
+    public List<Command> actions() {
+        return items.stream().map(Item::action).filter(command -> command != null).toList();
     }
 
     @Override
--- a/trace/src/main/java/sprucehold/trace/event/Source.java
+++ b/trace/src/main/java/sprucehold/trace/event/Source.java
@@ -1,6 +1,6 @@
 package sprucehold.trace.event;
 
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
 
 /**
  * One gatherer from one start to its end.
--- a/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
@@ -5,17 +5,18 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Customer;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.LoadReport;
-import sprucehold.port.Others;
-import sprucehold.port.PassedOver;
-import sprucehold.port.Reason;
-import sprucehold.port.TableType;
+import java.util.Optional;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.LoadReport;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Reason;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.SkippedReplica;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
@@ -24,11 +25,15 @@
 
 /** Reads the entries of one block. */
 final class BlockDecoder {
-    private static final Ending[] ENDINGS = Ending.values();
-    private static final Reason[] REASONS = Reason.values();
-    private static final Listing.Mode[] MODES = Listing.Mode.values();
-    private static final Bound.Kind[] BOUNDS = Bound.Kind.values();
-    private static final PassedOver.Cause[] CAUSES = PassedOver.Cause.values();
+    private static final StoredNumbers<AttemptOutcome> OUTCOMES =
+            new StoredNumbers<>(AttemptOutcome.values());
+    private static final StoredNumbers<Reason> REASONS = new StoredNumbers<>(Reason.values());
+    private static final StoredNumbers<Endpoint.State> STATES =
+            new StoredNumbers<>(Endpoint.State.values());
+    private static final StoredNumbers<SharedLimit.Kind> LIMITS =
+            new StoredNumbers<>(SharedLimit.Kind.values());
+    private static final StoredNumbers<SkippedReplica.Cause> CAUSES =
+            new StoredNumbers<>(SkippedReplica.Cause.values());
 
     private final List<Source> sources;
     private final CodedInputStream in;
@@ -130,57 +135,62 @@
     private Event event(int kind) throws IOException {
         return switch (kind) {
             case RecordKind.SCAN_TAKEN -> {
-                var facts = sources.get(open.source()).facts();
+                var deployment = sources.get(open.source()).facts();
                 String id = name();
                 long number = in.readUInt64();
                 int type = in.readUInt32();
                 int customer = in.readUInt32();
                 double left = number();
-                TableType of =
-                        type == facts.tableTypes().size()
-                                ? HeadJson.read(in.readStringRequireUtf8(), TableType.class)
-                                : facts.tableTypes().get(type);
-                Customer by =
+                QueryClass of =
+                        type == deployment.queryClasses().size()
+                                ? HeadJson.read(in.readStringRequireUtf8(), QueryClass.class)
+                                : deployment.queryClasses().get(type);
+                Tenant by =
                         customer == 0
                                 ? null
-                                : customer == facts.customers().size() + 1
-                                        ? HeadJson.read(in.readStringRequireUtf8(), Customer.class)
-                                        : facts.customers().get(customer - 1);
-                yield new Event.ScanTaken(id, number, of, by, left);
+                                : customer == deployment.tenants().size() + 1
+                                        ? HeadJson.read(in.readStringRequireUtf8(), Tenant.class)
+                                        : deployment.tenants().get(customer - 1);
+                yield new Event.QueryReceived(id, number, of, by, left);
             }
             case RecordKind.PART_TAKEN ->
-                    new Event.PartTaken(name(), in.readUInt64(), in.readSInt32(), number());
+                    new Event.PartReceived(name(), in.readUInt64(), in.readSInt32(), number());
             case RecordKind.DISPATCH_ENDED ->
-                    new Event.DispatchEnded(
-                            name(), in.readUInt32(), ENDINGS[in.readUInt32()], number(), load());
-            case RecordKind.CLIENT_LEFT -> new Event.ClientLeft(name());
+                    new Event.AttemptEnded(
+                            name(),
+                            in.readUInt32(),
+                            OUTCOMES.required(in.readUInt32()),
+                            number(),
+                            load());
+            case RecordKind.CLIENT_LEFT -> new Event.ClientDisconnected(name());
             case RecordKind.LIST_RECEIVED -> {
                 boolean complete = in.readBool();
                 int count = in.readUInt32();
                 count(count);
-                var servers = new ArrayList<Listing>();
+                var servers = new ArrayList<Endpoint>();
                 for (int i = 0; i < count; i++) {
                     servers.add(
-                            new Listing(
+                            new Endpoint(
                                     name(),
                                     in.readSInt32(),
                                     name(),
                                     number(),
-                                    MODES[in.readUInt32()]));
+                                    STATES.required(in.readUInt32())));
                 }
-                yield new Event.ListReceived(complete, List.copyOf(servers));
+                yield new Event.EndpointsUpdated(complete, List.copyOf(servers));
             }
-            case RecordKind.LIST_UNAVAILABLE -> new Event.ListUnavailable();
+            case RecordKind.LIST_UNAVAILABLE -> new Event.EndpointsUnavailable();
             case RecordKind.PROBE_ENDED ->
-                    new Event.ProbeEnded(name(), ENDINGS[in.readUInt32()], number(), load());
+                    new Event.HealthCheckEnded(
+                            name(), OUTCOMES.required(in.readUInt32()), number(), load());
             case RecordKind.FACTS_CHANGED ->
-                    new Event.FactsChanged(HeadJson.facts(in.readStringRequireUtf8()));
-            case RecordKind.OTHERS_TOLD -> new Event.OthersTold(others());
-            default -> new Event.Woken();
+                    new Event.DeploymentChanged(HeadJson.facts(in.readStringRequireUtf8()));
+            case RecordKind.OTHERS_TOLD -> new Event.ClusterViewChanged(others());
+            default -> new Event.WakeUp();
         };
     }
 
-    private Action action(int kind) throws IOException {
+    private Command action(int kind) throws IOException {
         return switch (kind) {
             case RecordKind.DISPATCH -> {
                 String part = name();
@@ -190,42 +200,41 @@
                 int position = in.readUInt32();
                 int count = in.readUInt32();
                 count(count);
-                var passed = new ArrayList<PassedOver>();
+                var passed = new ArrayList<SkippedReplica>();
                 for (int i = 0; i < count; i++) {
                     String over = name();
-                    int cause = in.readUInt32();
-                    if (cause < CAUSES.length) {
-                        passed.add(new PassedOver(over, CAUSES[cause]));
-                    }
+                    CAUSES.known(in.readUInt32())
+                            .ifPresent(cause -> passed.add(new SkippedReplica(over, cause)));
                 }
-                yield new Action.Dispatch(
+                yield new Command.SendAttempt(
                         part, server, timeout, reason, position, List.copyOf(passed));
             }
-            case RecordKind.CANCEL -> new Action.Cancel(name(), in.readUInt32(), reason());
-            case RecordKind.ANSWER -> new Action.Answer(name(), in.readBool(), reason());
-            case RecordKind.THROTTLE -> new Action.Throttle(name(), number(), reason());
-            case RecordKind.ABANDON -> new Action.Abandon(name(), reason());
-            case RecordKind.WAKE -> new Action.Wake(number());
-            case RecordKind.PROBE -> new Action.Probe(name());
-            case RecordKind.FOLLOW_LIST -> new Action.FollowList(reason());
+            case RecordKind.CANCEL -> new Command.CancelAttempt(name(), in.readUInt32(), reason());
+            case RecordKind.ANSWER -> new Command.AnswerQuery(name(), in.readBool(), reason());
+            case RecordKind.THROTTLE -> new Command.RejectQuery(name(), number(), reason());
+            case RecordKind.ABANDON -> new Command.FailQuery(name(), reason());
+            case RecordKind.WAKE -> new Command.ScheduleWakeUp(number());
+            case RecordKind.PROBE -> new Command.CheckHealth(name());
+            case RecordKind.FOLLOW_LIST -> new Command.SubscribeToEndpoints(reason());
             case RecordKind.USE -> {
-                Bound bound = bound();
+                SharedLimit bound = bound();
                 int units = in.readUInt32();
                 yield bound == null
-                        ? new Action.Note(units + " units of a bound that this build can't name")
-                        : new Action.Use(bound, units);
+                        ? new Command.LogMessage(
+                                units + " units of a bound that this build can't name")
+                        : new Command.ConsumeAllowance(bound, units);
             }
-            default -> new Action.Note(in.readStringRequireUtf8());
+            default -> new Command.LogMessage(in.readStringRequireUtf8());
         };
     }
 
-    private Others others() throws IOException {
+    private ClusterView others() throws IOException {
         int gatherers = in.readUInt32();
         int bounds = in.readUInt32();
         count(bounds);
-        var room = new HashMap<Bound, Integer>();
+        var room = new HashMap<SharedLimit, Integer>();
         for (int i = 0; i < bounds; i++) {
-            Bound bound = bound();
+            SharedLimit bound = bound();
             int units = in.readUInt32();
             if (bound != null) {
                 room.put(bound, units);
@@ -237,20 +246,19 @@
         for (int i = 0; i < servers; i++) {
             trouble.put(name(), number());
         }
-        return new Others(gatherers, room, trouble);
+        return new ClusterView(gatherers, room, trouble);
     }
 
     /** Null for one of a kind that a newer minor version has added. */
-    private Bound bound() throws IOException {
-        int kind = in.readUInt32();
-        String of = name();
-        return kind >= 0 && kind < BOUNDS.length ? new Bound(BOUNDS[kind], of) : null;
+    private SharedLimit bound() throws IOException {
+        Optional<SharedLimit.Kind> kind = LIMITS.known(in.readUInt32());
+        String subject = name();
+        return kind.map(known -> new SharedLimit(known, subject)).orElse(null);
     }
 
     /** One that a newer minor version has added is none that this build can name. */
     private Reason reason() throws IOException {
-        int reason = in.readUInt32();
-        return reason >= 0 && reason < REASONS.length ? REASONS[reason] : Reason.UNSTATED;
+        return REASONS.known(in.readUInt32()).orElse(Reason.UNSTATED);
     }
 
     private LoadReport load() throws IOException {
--- a/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
@@ -7,14 +7,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.LoadReport;
-import sprucehold.port.Others;
-import sprucehold.port.PassedOver;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.LoadReport;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.SkippedReplica;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
@@ -42,7 +42,7 @@
                                 source -> {
                                     var index = new HashMap<String, Integer>();
                                     source.facts()
-                                            .tableTypes()
+                                            .queryClasses()
                                             .forEach(type -> index.put(type.name(), index.size()));
                                     return (Map<String, Integer>) index;
                                 })
@@ -53,11 +53,10 @@
                                 source -> {
                                     var index = new HashMap<String, Integer>();
                                     source.facts()
-                                            .customers()
+                                            .tenants()
                                             .forEach(
-                                                    customer ->
-                                                            index.put(
-                                                                    customer.name(), index.size()));
+                                                    tenant ->
+                                                            index.put(tenant.name(), index.size()));
                                     return (Map<String, Integer>) index;
                                 })
                         .toList();
@@ -120,148 +119,154 @@
     }
 
     private int event(int source, Event event) throws IOException {
-        if (event instanceof Event.ScanTaken taken) {
+        if (event instanceof Event.QueryReceived taken) {
             name(taken.id());
             to.writeUInt64NoTag(taken.number());
-            Deployment facts = sources.get(source).facts();
+            Deployment deployment = sources.get(source).facts();
             int type =
-                    index(types.get(source), facts.tableTypes(), taken.type(), taken.type().name());
+                    index(
+                            types.get(source),
+                            deployment.queryClasses(),
+                            taken.queryClass(),
+                            taken.queryClass().name());
             int customer =
-                    taken.customer() == null
+                    taken.tenant() == null
                             ? -1
                             : index(
                                     customers.get(source),
-                                    facts.customers(),
-                                    taken.customer(),
-                                    taken.customer().name());
+                                    deployment.tenants(),
+                                    taken.tenant(),
+                                    taken.tenant().name());
             to.writeUInt32NoTag(type);
             to.writeUInt32NoTag(customer + 1);
             number(taken.timeLeftMs());
-            if (type == facts.tableTypes().size()) {
-                to.writeStringNoTag(HeadJson.text(taken.type()));
+            if (type == deployment.queryClasses().size()) {
+                to.writeStringNoTag(HeadJson.text(taken.queryClass()));
             }
-            if (customer == facts.customers().size()) {
-                to.writeStringNoTag(HeadJson.text(taken.customer()));
+            if (customer == deployment.tenants().size()) {
+                to.writeStringNoTag(HeadJson.text(taken.tenant()));
             }
             return RecordKind.SCAN_TAKEN;
-        } else if (event instanceof Event.PartTaken taken) {
+        } else if (event instanceof Event.PartReceived taken) {
             name(taken.id());
-            to.writeUInt64NoTag(taken.scanNumber());
-            to.writeSInt32NoTag(taken.segment());
+            to.writeUInt64NoTag(taken.queryNumber());
+            to.writeSInt32NoTag(taken.shard());
             number(taken.weight());
             return RecordKind.PART_TAKEN;
-        } else if (event instanceof Event.DispatchEnded ended) {
+        } else if (event instanceof Event.AttemptEnded ended) {
             name(ended.partId());
-            to.writeUInt32NoTag(ended.number());
-            to.writeUInt32NoTag(ended.ending().ordinal());
-            number(ended.tookMs());
+            to.writeUInt32NoTag(ended.attemptNumber());
+            to.writeUInt32NoTag(ended.outcome().storedNumber());
+            number(ended.durationMs());
             load(ended.load());
             return RecordKind.DISPATCH_ENDED;
-        } else if (event instanceof Event.ClientLeft left) {
-            name(left.scanId());
+        } else if (event instanceof Event.ClientDisconnected left) {
+            name(left.queryId());
             return RecordKind.CLIENT_LEFT;
-        } else if (event instanceof Event.ListReceived list) {
+        } else if (event instanceof Event.EndpointsUpdated list) {
             to.writeBoolNoTag(list.complete());
-            to.writeUInt32NoTag(list.servers().size());
-            for (Listing server : list.servers()) {
+            to.writeUInt32NoTag(list.endpoints().size());
+            for (Endpoint server : list.endpoints()) {
                 name(server.server());
-                to.writeSInt32NoTag(server.cell());
+                to.writeSInt32NoTag(server.replicaGroup());
                 name(server.zone());
                 number(server.startedAtMs());
-                to.writeUInt32NoTag(server.mode().ordinal());
+                to.writeUInt32NoTag(server.state().storedNumber());
             }
             return RecordKind.LIST_RECEIVED;
-        } else if (event instanceof Event.ListUnavailable) {
+        } else if (event instanceof Event.EndpointsUnavailable) {
             return RecordKind.LIST_UNAVAILABLE;
-        } else if (event instanceof Event.ProbeEnded ended) {
+        } else if (event instanceof Event.HealthCheckEnded ended) {
             name(ended.server());
-            to.writeUInt32NoTag(ended.ending().ordinal());
-            number(ended.tookMs());
+            to.writeUInt32NoTag(ended.outcome().storedNumber());
+            number(ended.durationMs());
             load(ended.load());
             return RecordKind.PROBE_ENDED;
         }
-        if (event instanceof Event.FactsChanged changed) {
-            to.writeStringNoTag(HeadJson.text(changed.facts()));
+        if (event instanceof Event.DeploymentChanged changed) {
+            to.writeStringNoTag(HeadJson.text(changed.deployment()));
             return RecordKind.FACTS_CHANGED;
-        } else if (event instanceof Event.OthersTold told) {
-            others(told.others());
+        } else if (event instanceof Event.ClusterViewChanged told) {
+            others(told.view());
             return RecordKind.OTHERS_TOLD;
         }
         return RecordKind.WOKEN;
     }
 
-    private int action(Action action) throws IOException {
-        if (action instanceof Action.Dispatch dispatch) {
-            name(dispatch.partId());
-            name(dispatch.server());
-            number(dispatch.timeoutMs());
-            to.writeUInt32NoTag(dispatch.reason().ordinal());
-            to.writeUInt32NoTag(dispatch.position());
-            to.writeUInt32NoTag(dispatch.passedOver().size());
-            for (PassedOver passed : dispatch.passedOver()) {
+    private int action(Command command) throws IOException {
+        if (command instanceof Command.SendAttempt sendAttempt) {
+            name(sendAttempt.partId());
+            name(sendAttempt.server());
+            number(sendAttempt.timeoutMs());
+            to.writeUInt32NoTag(sendAttempt.reason().storedNumber());
+            to.writeUInt32NoTag(sendAttempt.position());
+            to.writeUInt32NoTag(sendAttempt.skipped().size());
+            for (SkippedReplica passed : sendAttempt.skipped()) {
                 name(passed.server());
-                to.writeUInt32NoTag(passed.cause().ordinal());
+                to.writeUInt32NoTag(passed.cause().storedNumber());
             }
             return RecordKind.DISPATCH;
-        } else if (action instanceof Action.Cancel cancel) {
+        } else if (command instanceof Command.CancelAttempt cancel) {
             name(cancel.partId());
-            to.writeUInt32NoTag(cancel.number());
-            to.writeUInt32NoTag(cancel.reason().ordinal());
+            to.writeUInt32NoTag(cancel.attemptNumber());
+            to.writeUInt32NoTag(cancel.reason().storedNumber());
             return RecordKind.CANCEL;
-        } else if (action instanceof Action.Answer answer) {
-            name(answer.scanId());
-            to.writeBoolNoTag(answer.whole());
-            to.writeUInt32NoTag(answer.reason().ordinal());
+        } else if (command instanceof Command.AnswerQuery answer) {
+            name(answer.queryId());
+            to.writeBoolNoTag(answer.complete());
+            to.writeUInt32NoTag(answer.reason().storedNumber());
             return RecordKind.ANSWER;
-        } else if (action instanceof Action.Throttle throttle) {
-            name(throttle.scanId());
-            number(throttle.comeBackMs());
-            to.writeUInt32NoTag(throttle.reason().ordinal());
+        } else if (command instanceof Command.RejectQuery throttle) {
+            name(throttle.queryId());
+            number(throttle.retryAfterMs());
+            to.writeUInt32NoTag(throttle.reason().storedNumber());
             return RecordKind.THROTTLE;
-        } else if (action instanceof Action.Abandon abandon) {
-            name(abandon.scanId());
-            to.writeUInt32NoTag(abandon.reason().ordinal());
+        } else if (command instanceof Command.FailQuery abandon) {
+            name(abandon.queryId());
+            to.writeUInt32NoTag(abandon.reason().storedNumber());
             return RecordKind.ABANDON;
-        } else if (action instanceof Action.Wake wake) {
+        } else if (command instanceof Command.ScheduleWakeUp wake) {
             number(wake.delayMs());
             return RecordKind.WAKE;
-        } else if (action instanceof Action.Probe probe) {
+        } else if (command instanceof Command.CheckHealth probe) {
             name(probe.server());
             return RecordKind.PROBE;
-        } else if (action instanceof Action.FollowList follow) {
-            to.writeUInt32NoTag(follow.reason().ordinal());
+        } else if (command instanceof Command.SubscribeToEndpoints follow) {
+            to.writeUInt32NoTag(follow.reason().storedNumber());
             return RecordKind.FOLLOW_LIST;
         }
-        if (action instanceof Action.Use use) {
-            bound(use.bound());
+        if (command instanceof Command.ConsumeAllowance use) {
+            bound(use.limit());
             to.writeUInt32NoTag(use.units());
             return RecordKind.USE;
         }
-        to.writeStringNoTag(((Action.Note) action).line());
+        to.writeStringNoTag(((Command.LogMessage) command).text());
         return RecordKind.NOTE;
     }
 
     /** In the order of their names, so that equal values are equal bytes. */
-    private void others(Others others) throws IOException {
-        to.writeUInt32NoTag(others.gatherers());
-        to.writeUInt32NoTag(others.room().size());
-        for (Bound bound :
-                others.room().keySet().stream()
-                        .sorted(Comparator.comparing(Bound::kind).thenComparing(Bound::of))
+    private void others(ClusterView clusterView) throws IOException {
+        to.writeUInt32NoTag(clusterView.gatherers());
+        to.writeUInt32NoTag(clusterView.allowances().size());
+        for (SharedLimit bound :
+                clusterView.allowances().keySet().stream()
+                        .sorted(
+                                Comparator.comparing(SharedLimit::kind)
+                                        .thenComparing(SharedLimit::subject))
                         .toList()) {
             bound(bound);
-            to.writeUInt32NoTag(others.room().get(bound));
+            to.writeUInt32NoTag(clusterView.allowances().get(bound));
         }
-        to.writeUInt32NoTag(others.trouble().size());
-        for (String server : others.trouble().keySet().stream().sorted().toList()) {
+        to.writeUInt32NoTag(clusterView.failureScores().size());
+        for (String server : clusterView.failureScores().keySet().stream().sorted().toList()) {
             name(server);
-            number(others.trouble().get(server));
+            number(clusterView.failureScores().get(server));
         }
     }
 
-    private void bound(Bound bound) throws IOException {
-        to.writeUInt32NoTag(bound.kind().ordinal());
-        name(bound.of());
+    private void bound(SharedLimit bound) throws IOException {
+        to.writeUInt32NoTag(bound.kind().storedNumber());
+        name(bound.subject());
     }
 
     /** The index of a fact among the head's; one beyond the last where it came by a change. */
--- a/trace/src/main/java/sprucehold/trace/format/HeadJson.java
+++ b/trace/src/main/java/sprucehold/trace/format/HeadJson.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.IOException;
-import sprucehold.port.Deployment;
+import sprucehold.decision.Deployment;
+import sprucehold.storage.StoredJson;
 import sprucehold.trace.event.Head;
 
 /** The head as JSON: fields are the records' own; unknown ones are skipped. */
 final class HeadJson {
     private static final ObjectMapper MAPPER =
-            JsonMapper.builder()
+            StoredJson.mapperBuilder()
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                     .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                     .build();
@@ -34,15 +34,15 @@
         return head;
     }
 
-    private static boolean whole(Deployment facts) {
-        return facts != null
-                && facts.tableTypes() != null
-                && facts.customers() != null
-                && facts.layout() != null
-                && facts.limits() != null
-                && facts.coldRule() != null
-                && facts.dispatchBudget() != null
-                && facts.listAccess() != null;
+    private static boolean whole(Deployment deployment) {
+        return deployment != null
+                && deployment.queryClasses() != null
+                && deployment.tenants() != null
+                && deployment.layout() != null
+                && deployment.limits() != null
+                && deployment.slowStart() != null
+                && deployment.retryBudget() != null
+                && deployment.endpointSubscription() != null;
     }
 
     static String text(Object fact) throws IOException {
@@ -58,10 +58,10 @@
     }
 
     static Deployment facts(String json) throws IOException {
-        Deployment facts = read(json, Deployment.class);
-        if (!whole(facts)) {
+        Deployment deployment = read(json, Deployment.class);
+        if (!whole(deployment)) {
             throw new IOException("facts that aren't whole");
         }
-        return facts;
+        return deployment;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Head;
@@ -116,7 +116,7 @@
     }
 
     /** Takes one call of the module. */
-    void took(double nowMs, List<Event> events, List<Action> actions, boolean failed) {
+    void took(double nowMs, List<Event> events, List<Command> actions, boolean failed) {
         if (!began) {
             began = true;
             startedMs = nowMs;
--- a/trace/src/main/java/sprucehold/trace/record/RecordingGatherer.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingGatherer.java
@@ -1,25 +1,25 @@
 package sprucehold.trace.record;
 
 import java.util.List;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Event;
 
 /** A module with a recorder at its door; it decides just what the module decides. */
-public final class RecordingGatherer implements Gatherer {
-    private final Gatherer gatherer;
+public final class RecordingGatherer implements DecisionPolicy {
+    private final DecisionPolicy policy;
     private final Recorder recorder;
 
-    public RecordingGatherer(Gatherer gatherer, Recorder recorder) {
-        this.gatherer = gatherer;
+    public RecordingGatherer(DecisionPolicy policy, Recorder recorder) {
+        this.policy = policy;
         this.recorder = recorder;
     }
 
     @Override
-    public List<Action> decide(double nowMs, List<Event> events) {
-        List<Action> actions;
+    public List<Command> decide(double nowMs, List<Event> events) {
+        List<Command> actions;
         try {
-            actions = gatherer.decide(nowMs, events);
+            actions = policy.decide(nowMs, events);
         } catch (RuntimeException | StackOverflowError e) {
             recorder.took(nowMs, events, List.of(), true);
             throw e;
--- a/trace/src/main/java/sprucehold/trace/record/Thinning.java
+++ b/trace/src/main/java/sprucehold/trace/record/Thinning.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
 import sprucehold.trace.book.BookedScan;
 import sprucehold.trace.book.ScanBook;
 import sprucehold.trace.event.Entry;
@@ -77,9 +77,9 @@
         }
         fate.known = true;
         boolean well =
-                item.action() instanceof Action.Answer answer
-                        && answer.whole()
-                        && nowMs <= scan.takenMs() + scan.taken().type().targetMs();
+                item.action() instanceof Command.AnswerQuery answer
+                        && answer.complete()
+                        && nowMs <= scan.takenMs() + scan.taken().queryClass().latencyObjectiveMs();
         fate.kept = !well || Math.floorMod(scan.taken().id().hashCode(), oneIn) == 0;
     }
 
@@ -119,7 +119,8 @@
             // What merely passes the time is most of a quiet file, and tells nothing without the
             // rest.
             boolean time =
-                    item.event() instanceof Event.Woken || item.action() instanceof Action.Wake;
+                    item.event() instanceof Event.WakeUp
+                            || item.action() instanceof Command.ScheduleWakeUp;
             if (!time && (fate == null || !fate.known || fate.kept)) {
                 items.add(item);
             }
--- a/trace/src/test/java/sprucehold/trace/format/Samples.java
+++ b/trace/src/test/java/sprucehold/trace/format/Samples.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import sprucehold.port.Action;
-import sprucehold.port.Bound;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.LoadReport;
-import sprucehold.port.Others;
-import sprucehold.port.PassedOver;
-import sprucehold.port.Reason;
-import sprucehold.port.TableType;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.LoadReport;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Reason;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.SkippedReplica;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
@@ -30,11 +30,13 @@
 
 /** Heads and entries of every kind, from a seed. */
 public final class Samples {
-    public static final TableType TYPE =
-            new TableType("offers", TableType.Repeat.REPLAYABLE, 1200, 2, 0.3, 0, 0.75, 0.75, 0);
-    public static final TableType ONCE =
-            new TableType("stamps", TableType.Repeat.NON_REPLAYABLE, 800, 1, 0.3, 0, 1, 1, 0);
-    public static final Customer CUSTOMER = new Customer("acme", 12.5);
+    public static final QueryClass TYPE =
+            new QueryClass(
+                    "offers", QueryClass.Idempotence.IDEMPOTENT, 1200, 2, 0.3, 0, 0.75, 0.75, 0);
+    public static final QueryClass ONCE =
+            new QueryClass(
+                    "stamps", QueryClass.Idempotence.NON_IDEMPOTENT, 800, 1, 0.3, 0, 1, 1, 0);
+    public static final Tenant CUSTOMER = new Tenant("acme", 12.5);
     public static final Deployment FACTS =
             new Deployment(
                     2,
@@ -43,11 +45,11 @@
                     0.2,
                     List.of(TYPE, ONCE),
                     List.of(CUSTOMER),
-                    new Deployment.Layout(2, 1, 1),
+                    new Deployment.ShardLayout(2, 1, 1),
                     new Deployment.Limits(4, 200, true, true, 1000),
-                    new Deployment.ColdRule(0.2, 15_000, 4, 1000),
-                    Deployment.DispatchBudget.NONE,
-                    new Deployment.ListAccess(false, 10_000));
+                    new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
+                    Deployment.RetryBudget.NONE,
+                    new Deployment.EndpointSubscription(false, 10_000));
     public static final double BEGIN = 1_767_225_600_000.0;
 
     private Samples() {}
@@ -70,28 +72,31 @@
             String id = String.format("%016x", random.nextLong());
             List<Event> taken =
                     List.of(
-                            new Event.ScanTaken(
+                            new Event.QueryReceived(
                                     id,
                                     i + 1,
                                     i % 3 == 0 ? ONCE : TYPE,
                                     i % 2 == 0 ? CUSTOMER : null,
                                     480),
-                            new Event.PartTaken(id + ".3", i + 1, 3, 0.5),
-                            new Event.PartTaken(id + ".9", i + 1, 9, 0.5));
-            List<Action> sent =
+                            new Event.PartReceived(id + ".3", i + 1, 3, 0.5),
+                            new Event.PartReceived(id + ".9", i + 1, 9, 0.5));
+            List<Command> sent =
                     List.of(
-                            new Action.Dispatch(
+                            new Command.SendAttempt(
                                     id + ".3",
                                     "s-" + i % 5,
                                     470.25,
                                     Reason.FIRST_ROUND,
                                     1,
-                                    List.of(new PassedOver("s-7", PassedOver.Cause.COLD_BUDGET))),
-                            new Action.Dispatch(id + ".9", "s-8", 470.25),
-                            new Action.Wake(12.5),
-                            new Action.Probe("s-1"),
-                            new Action.FollowList(Reason.LIST_FAILED),
-                            new Action.Note("näher"));
+                                    List.of(
+                                            new SkippedReplica(
+                                                    "s-7",
+                                                    SkippedReplica.Cause.AT_SLOW_START_BUDGET))),
+                            new Command.SendAttempt(id + ".9", "s-8", 470.25),
+                            new Command.ScheduleWakeUp(12.5),
+                            new Command.CheckHealth("s-1"),
+                            new Command.SubscribeToEndpoints(Reason.ENDPOINTS_UNAVAILABLE),
+                            new Command.LogMessage("näher"));
             entries.add(Moment.of(0, seq++, now, taken, sent, false));
             if (i % 11 == 5) {
                 entries.add(new Gap(0, seq, now + 1, 3, now + 2));
@@ -99,31 +104,31 @@
             }
             List<Event> ends =
                     List.of(
-                            new Event.DispatchEnded(
+                            new Event.AttemptEnded(
                                     id + ".3",
                                     0,
-                                    Ending.values()[i % 8],
+                                    AttemptOutcome.values()[i % 8],
                                     random.nextDouble() * 100,
                                     new LoadReport(3, Double.NaN, 0.61)),
-                            new Event.DispatchEnded(id + ".9", 0, Ending.COMPLETED, 3, null),
-                            new Event.Woken(),
-                            new Event.ListUnavailable(),
-                            new Event.ProbeEnded("s-1", Ending.FULL, 1, null),
-                            new Event.ListReceived(
+                            new Event.AttemptEnded(id + ".9", 0, AttemptOutcome.COMPLETED, 3, null),
+                            new Event.WakeUp(),
+                            new Event.EndpointsUnavailable(),
+                            new Event.HealthCheckEnded("s-1", AttemptOutcome.OVERLOADED, 1, null),
+                            new Event.EndpointsUpdated(
                                     i % 2 == 0,
                                     List.of(
-                                            new Listing(
+                                            new Endpoint(
                                                     "s-" + i % 5,
                                                     1,
                                                     "a",
                                                     0,
-                                                    Listing.Mode.values()[i % 3]))));
-            Action end =
+                                                    Endpoint.State.values()[i % 3]))));
+            Command end =
                     switch (i % 4) {
-                        case 0 -> new Action.Answer(id, true, Reason.WHOLE);
-                        case 1 -> new Action.Throttle(id, 250, Reason.NO_ROOM);
-                        case 2 -> new Action.Abandon(id, Reason.TIME_OVER);
-                        default -> new Action.Answer(id, false, Reason.TARGET_TIME);
+                        case 0 -> new Command.AnswerQuery(id, true, Reason.COMPLETE);
+                        case 1 -> new Command.RejectQuery(id, 250, Reason.NO_CAPACITY);
+                        case 2 -> new Command.FailQuery(id, Reason.DEADLINE);
+                        default -> new Command.AnswerQuery(id, false, Reason.LATENCY_OBJECTIVE);
                     };
             Moment moment =
                     Moment.of(
@@ -131,7 +136,9 @@
                             seq++,
                             now + 40.125,
                             ends,
-                            List.of(new Action.Cancel(id + ".9", 0, Reason.PART_COMPLETED), end),
+                            List.of(
+                                    new Command.CancelAttempt(id + ".9", 0, Reason.PART_COMPLETED),
+                                    end),
                             false);
             // Some were cut, and some calls failed.
             entries.add(
@@ -145,7 +152,7 @@
                                 0,
                                 seq++,
                                 now + 41,
-                                List.of(new Event.ClientLeft(id)),
+                                List.of(new Event.ClientDisconnected(id)),
                                 List.of(),
                                 true));
             }
@@ -157,17 +164,17 @@
     static List<Entry> entriesOfOneOne(long seed, int scans) {
         var entries = new ArrayList<>(entries(seed, scans));
         double now = BEGIN + 1e6;
-        for (Others others :
+        for (ClusterView clusterView :
                 List.of(
-                        Others.NONE,
-                        new Others(
+                        ClusterView.NONE,
+                        new ClusterView(
                                 7,
                                 Map.of(
-                                        Bound.FURTHER,
+                                        SharedLimit.RETRIES,
                                         0,
-                                        Bound.cold("s-1"),
+                                        SharedLimit.slowStart("s-1"),
                                         300,
-                                        Bound.customer("acme"),
+                                        SharedLimit.tenantQuota("acme"),
                                         7),
                                 Map.of("s-3", 0.7, "s-1", 1.0)))) {
             entries.add(
@@ -175,10 +182,10 @@
                             0,
                             entries.size() + 100,
                             now++,
-                            List.of(new Event.OthersTold(others)),
+                            List.of(new Event.ClusterViewChanged(clusterView)),
                             List.of(
-                                    new Action.Use(Bound.cold("s-1"), 12),
-                                    new Action.Use(Bound.FURTHER, 1)),
+                                    new Command.ConsumeAllowance(SharedLimit.slowStart("s-1"), 12),
+                                    new Command.ConsumeAllowance(SharedLimit.RETRIES, 1)),
                             false));
         }
         return entries;
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -14,12 +14,12 @@
 import java.util.zip.Deflater;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Action;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.Others;
-import sprucehold.port.TableType;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
@@ -57,7 +57,7 @@
         try (TraceReader reader = TraceReader.open(file)) {
             for (int i = 0; i < entries.size(); i += 37) {
                 if (!(entries.get(i) instanceof Moment moment)
-                        || !(moment.items().get(0).event() instanceof Event.ScanTaken taken)) {
+                        || !(moment.items().get(0).event() instanceof Event.QueryReceived taken)) {
                     continue;
                 }
                 assertEquals(
@@ -90,7 +90,7 @@
         var again = new java.util.ArrayList<Entry>();
         for (int i = 0; i < 60; i++) {
             Event taken =
-                    new Event.ScanTaken(
+                    new Event.QueryReceived(
                             i % 20 == 0 ? "again" : "other-" + i, i + 1, Samples.TYPE, null, 100);
             again.add(Moment.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
         }
@@ -130,12 +130,17 @@
         assertEquals(
                 ((Moment) read.get(0)).items(),
                 List.of(
-                        new Item(0, new Event.OthersTold(new Others(5, Map.of(), Map.of())), null),
+                        new Item(
+                                0,
+                                new Event.ClusterViewChanged(
+                                        new ClusterView(5, Map.of(), Map.of())),
+                                null),
                         new Item(
                                 1,
                                 null,
-                                new Action.Note("4 units of a bound that this build can't name")),
-                        new Item(2, new Event.Woken(), null)));
+                                new Command.LogMessage(
+                                        "4 units of a bound that this build can't name")),
+                        new Item(2, new Event.WakeUp(), null)));
     }
 
     @Test
@@ -159,8 +164,8 @@
                                 false,
                                 2,
                                 List.of(
-                                        new Item(0, new Event.Woken(), null),
-                                        new Item(1, new Event.Woken(), null)))));
+                                        new Item(0, new Event.WakeUp(), null),
+                                        new Item(1, new Event.WakeUp(), null)))));
     }
 
     private static void record(CodedOutputStream out, int kind, int... body) throws IOException {
@@ -178,7 +183,7 @@
         var bytes = new ByteArrayOutputStream();
         try (var writer = new TraceWriter(bytes, HEAD)) {
             for (int i = 0; i < scans; i++) {
-                Event taken = new Event.ScanTaken("scan-" + i, i + 1, Samples.TYPE, null, 100);
+                Event taken = new Event.QueryReceived("scan-" + i, i + 1, Samples.TYPE, null, 100);
                 writer.add(Moment.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
             }
         }
@@ -202,35 +207,50 @@
 
     @Test
     public void changeOfFactsAndScansUnderItAreReadAsTheyWere() throws IOException {
-        var type = new TableType("offers", TableType.Repeat.KEYED, 600, 2, 0.3, 900, 0.75, 0.75, 0);
-        var customer = new Customer("late comer", 3);
+        var type =
+                new QueryClass(
+                        "offers",
+                        QueryClass.Idempotence.DEDUPLICATED,
+                        600,
+                        2,
+                        0.3,
+                        900,
+                        0.75,
+                        0.75,
+                        0);
+        var tenant = new Tenant("late comer", 3);
         Deployment f = Samples.FACTS;
-        var facts =
+        var deployment =
                 new Deployment(
                         f.gatherers(),
                         f.zone(),
                         f.tickMs(),
-                        f.overShareBenefit(),
+                        f.overQuotaPriority(),
                         List.of(type),
-                        List.of(customer),
+                        List.of(tenant),
                         f.layout(),
                         f.limits(),
-                        f.coldRule(),
-                        f.dispatchBudget(),
-                        f.listAccess());
+                        f.slowStart(),
+                        f.retryBudget(),
+                        f.endpointSubscription());
         List<Entry> entries =
                 List.of(
                         Moment.of(
-                                0, 0, 5, List.of(new Event.FactsChanged(facts)), List.of(), false),
+                                0,
+                                0,
+                                5,
+                                List.of(new Event.DeploymentChanged(deployment)),
+                                List.of(),
+                                false),
                         Moment.of(
                                 0,
                                 1,
                                 6,
                                 List.of(
-                                        new Event.ScanTaken("a", 1, type, customer, 9),
-                                        new Event.ScanTaken(
+                                        new Event.QueryReceived("a", 1, type, tenant, 9),
+                                        new Event.QueryReceived(
                                                 "b", 2, Samples.TYPE, Samples.CUSTOMER, 9),
-                                        new Event.ScanTaken("c", 3, type, null, 9)),
+                                        new Event.QueryReceived("c", 3, type, null, 9)),
                                 List.of(),
                                 false));
         Path file = Samples.file(Samples.bytes(HEAD, entries, true));
--- a/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
@@ -22,10 +22,10 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.Reason;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Event;
+import sprucehold.decision.Reason;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Moment;
@@ -80,8 +80,8 @@
         String id = "scan-" + number;
         recorder.took(
                 now,
-                List.of(new Event.ScanTaken(id, number, Samples.TYPE, null, 400)),
-                List.of(new Action.Answer(id, true, Reason.WHOLE)),
+                List.of(new Event.QueryReceived(id, number, Samples.TYPE, null, 400)),
+                List.of(new Command.AnswerQuery(id, true, Reason.COMPLETE)),
                 false);
     }
 
@@ -250,13 +250,13 @@
     @Test
     public void folderThatIsGoneIsOneWarningAndServingGoesOn() throws IOException {
         var gone = new RecordingPlan(folder.resolve("none"), 1 << 20, 1000, 5, 10_000, 1);
-        Gatherer module = (now, events) -> List.of(new Action.Wake(1));
+        DecisionPolicy module = (now, events) -> List.of(new Command.ScheduleWakeUp(1));
         try (var recorder = new Recorder(gone, Samples.source("g0"))) {
             var recording = new RecordingGatherer(module, recorder);
             for (int i = 0; i < 100; i++) {
                 assertEquals(
                         recording.decide(Samples.BEGIN + i, List.of()),
-                        List.of(new Action.Wake(1)));
+                        List.of(new Command.ScheduleWakeUp(1)));
             }
         }
         assertEquals(warnings(), 1);
@@ -264,7 +264,7 @@
 
     @Test
     public void moduleThatFailsIsRecordedSoAndFailsOn() throws IOException {
-        Gatherer module =
+        DecisionPolicy module =
                 (now, events) -> {
                     throw new IllegalStateException("lost");
                 };
@@ -273,7 +273,7 @@
                     IllegalStateException.class,
                     () ->
                             new RecordingGatherer(module, recorder)
-                                    .decide(Samples.BEGIN, List.of(new Event.Woken())));
+                                    .decide(Samples.BEGIN, List.of(new Event.WakeUp())));
         }
         Moment only = (Moment) all().get(0);
         assertTrue(only.failed() && only.events().size() == 1 && only.actions().isEmpty());
--- a/trace/src/test/java/sprucehold/trace/record/ThinningTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/ThinningTest.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.port.Action;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.Reason;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
+import sprucehold.decision.Reason;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
@@ -22,7 +22,7 @@
 public class ThinningTest {
     private long seq;
 
-    private Moment moment(double now, List<Event> events, List<Action> actions) {
+    private Moment moment(double now, List<Event> events, List<Command> actions) {
         return Moment.of(0, seq++, now, events, actions, false);
     }
 
@@ -30,17 +30,19 @@
         return moment(
                 now,
                 List.of(
-                        new Event.ScanTaken(id, number, Samples.TYPE, null, 4000),
-                        new Event.PartTaken(id + ".0", number, 0, 1)),
-                List.of(new Action.Dispatch(id + ".0", "s", 3000), new Action.Wake(3)));
+                        new Event.QueryReceived(id, number, Samples.TYPE, null, 4000),
+                        new Event.PartReceived(id + ".0", number, 0, 1)),
+                List.of(
+                        new Command.SendAttempt(id + ".0", "s", 3000),
+                        new Command.ScheduleWakeUp(3)));
     }
 
-    private Moment ended(String id, double now, Action end) {
+    private Moment ended(String id, double now, Command end) {
         return moment(
                 now,
                 List.of(
-                        new Event.DispatchEnded(id + ".0", 0, Ending.COMPLETED, 10, null),
-                        new Event.Woken()),
+                        new Event.AttemptEnded(id + ".0", 0, AttemptOutcome.COMPLETED, 10, null),
+                        new Event.WakeUp()),
                 List.of(end));
     }
 
@@ -48,16 +50,16 @@
     Object[][] endings() {
         return new Object[][] {
             // how it ends, how long after it was taken, whether it is always kept
-            {new Action.Answer("s", true, Reason.WHOLE), 100, false},
-            {new Action.Answer("s", true, Reason.WHOLE), 1201, true},
-            {new Action.Answer("s", false, Reason.TARGET_TIME), 100, true},
-            {new Action.Throttle("s", 0, Reason.NO_ROOM), 1, true},
-            {new Action.Abandon("s", Reason.TIME_OVER), 100, true},
+            {new Command.AnswerQuery("s", true, Reason.COMPLETE), 100, false},
+            {new Command.AnswerQuery("s", true, Reason.COMPLETE), 1201, true},
+            {new Command.AnswerQuery("s", false, Reason.LATENCY_OBJECTIVE), 100, true},
+            {new Command.RejectQuery("s", 0, Reason.NO_CAPACITY), 1, true},
+            {new Command.FailQuery("s", Reason.DEADLINE), 100, true},
         };
     }
 
     @Test(dataProvider = "endings")
-    public void scanThatEndedBadlyOrLateIsKeptWhole(Action end, int after, boolean kept) {
+    public void scanThatEndedBadlyOrLateIsKeptWhole(Command end, int after, boolean kept) {
         // So many that the one scan is never among the one in n by chance.
         var thinning = new Thinning(Integer.MAX_VALUE);
         var out = new ArrayList<Entry>();
@@ -81,7 +83,10 @@
                 String before = "scan-" + (i - 3);
                 out.addAll(
                         thinning.add(
-                                ended(before, i, new Action.Answer(before, true, Reason.WHOLE))));
+                                ended(
+                                        before,
+                                        i,
+                                        new Command.AnswerQuery(before, true, Reason.COMPLETE))));
             }
         }
         out.addAll(thinning.end());
@@ -92,10 +97,10 @@
             assertTrue(entry.seq() > last);
             last = entry.seq();
             for (Item item : ((Moment) entry).items()) {
-                if (item.event() instanceof Event.ScanTaken taken) {
+                if (item.event() instanceof Event.QueryReceived taken) {
                     begun.add(taken.id());
-                } else if (item.action() instanceof Action.Answer answer) {
-                    done.add(answer.scanId());
+                } else if (item.action() instanceof Command.AnswerQuery answer) {
+                    done.add(answer.queryId());
                 }
             }
         }
@@ -110,7 +115,7 @@
         thinning.add(taken("s", 1, 0));
         thinning.add(new Gap(0, seq++, 1, 1, 1));
         List<Entry> out =
-                thinning.add(ended("s", 5000, new Action.Answer("s", true, Reason.WHOLE)));
+                thinning.add(ended("s", 5000, new Command.AnswerQuery("s", true, Reason.COMPLETE)));
         assertEquals(
                 out.stream().map(Entry::getClass).toList(),
                 List.of(Moment.class, Gap.class, Moment.class));
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
-import sprucehold.port.Action;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.PassedOver;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.SkippedReplica;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.book.BookedScan;
 import sprucehold.trace.book.ScanBook;
 import sprucehold.trace.event.ClockFit;
@@ -70,10 +70,10 @@
     private final Pseudonyms pseudonyms;
     private final EvenShares shares = new EvenShares();
     private final Map<EvenShares.Cell, Integer> scansOf = new HashMap<>();
-    private final Map<String, Customer> named = new LinkedHashMap<>();
-    private Customer pool;
+    private final Map<String, Tenant> named = new LinkedHashMap<>();
+    private Tenant pool;
     private Source source;
-    private Deployment facts;
+    private Deployment deployment;
     private long seq;
     private long number;
 
@@ -107,7 +107,7 @@
 
     private static EvenShares.Cell cell(Source source, BookedScan scan) {
         long stretch = (long) Math.floor(source.clock().corrected(scan.takenMs()) / STRETCH_MS);
-        return new EvenShares.Cell(stretch, scan.taken().type().name());
+        return new EvenShares.Cell(stretch, scan.taken().queryClass().name());
     }
 
     private void count(TraceReader reader, LongConsumer progress) throws IOException {
@@ -118,12 +118,12 @@
             if (entry instanceof Moment moment) {
                 for (Item item : moment.items()) {
                     BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-                    if (item.event() instanceof Event.ScanTaken taken) {
+                    if (item.event() instanceof Event.QueryReceived taken) {
                         EvenShares.Cell cell =
                                 cell(reader.head().sources().get(moment.source()), scan);
                         scansOf.merge(cell, 1, Integer::sum);
-                        if (taken.customer() != null) {
-                            shares.count(taken.customer().name(), cell);
+                        if (taken.tenant() != null) {
+                            shares.count(taken.tenant().name(), cell);
                         }
                     }
                 }
@@ -141,23 +141,23 @@
         // In the order of their pseudonyms, all with the same rate: places and rates would tell.
         var byPseudonym = new TreeMap<String, String>();
         shares.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
-        byPseudonym.forEach((pseudonym, name) -> named.put(name, new Customer(pseudonym, 1)));
-        pool = new Customer(POOL, 1);
+        byPseudonym.forEach((pseudonym, name) -> named.put(name, new Tenant(pseudonym, 1)));
+        pool = new Tenant(POOL, 1);
         var customers = new ArrayList<>(named.values());
         customers.add(pool);
-        facts =
+        deployment =
                 new Deployment(
                         before.gatherers(),
                         pseudonyms.name("zone", before.zone()),
                         before.tickMs(),
-                        before.overShareBenefit(),
-                        before.tableTypes(),
+                        before.overQuotaPriority(),
+                        before.queryClasses(),
                         List.copyOf(customers),
                         before.layout(),
                         before.limits(),
-                        before.coldRule(),
-                        before.dispatchBudget(),
-                        before.listAccess());
+                        before.slowStart(),
+                        before.retryBudget(),
+                        before.endpointSubscription());
         double began =
                 scansOf.keySet().stream()
                         .mapToDouble(cell -> cell.stretch() * STRETCH_MS)
@@ -165,7 +165,7 @@
                         .orElse(0);
         // Gatherers are told apart by nothing: together they are one source, ordered by the fitted
         // clocks.
-        source = new Source("anonymised", first.build(), 0, began, facts, ClockFit.REFERENCE);
+        source = new Source("anonymised", first.build(), 0, began, deployment, ClockFit.REFERENCE);
         var lost = new ArrayList<>(LOST);
         var head = new Head(List.of(source), reader.head().oneIn(), true, null, lost);
 
@@ -261,19 +261,19 @@
         all.forEach((cell, count) -> left.put(cell, count / GRAIN * GRAIN));
         // Shown pseudonyms first, so that the grain never takes one of theirs and not another's.
         Map<String, Integer> shown = new HashMap<>();
-        var chosen = new ArrayList<Map.Entry<Whole, Customer>>();
+        var chosen = new ArrayList<Map.Entry<Whole, Tenant>>();
         var rest = new ArrayList<Whole>();
         for (Ranked one : ranked) {
             EvenShares.Cell cell =
                     cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan);
-            var customer = one.whole.scan.taken().customer();
+            var tenant = one.whole.scan.taken().tenant();
             boolean fits = left.get(cell) >= shares.shown(cell) * named.size();
-            if (customer != null
-                    && named.containsKey(customer.name())
+            if (tenant != null
+                    && named.containsKey(tenant.name())
                     && fits
-                    && shown.merge(customer.name() + "|" + cell, 1, Integer::sum)
+                    && shown.merge(tenant.name() + "|" + cell, 1, Integer::sum)
                             <= shares.shown(cell)) {
-                chosen.add(Map.entry(one.whole, named.get(customer.name())));
+                chosen.add(Map.entry(one.whole, named.get(tenant.name())));
             } else {
                 rest.add(one.whole);
             }
@@ -315,7 +315,7 @@
         return new long[] {chosen.size(), scans.size() - chosen.size(), pooled};
     }
 
-    private List<Moment> moments(Whole whole, Customer customer, double at) {
+    private List<Moment> moments(Whole whole, Tenant tenant, double at) {
         String id =
                 pseudonyms.name(
                         "scan",
@@ -333,7 +333,7 @@
         int partCount =
                 (int)
                         whole.lines.stream()
-                                .filter(line -> line.item.event() instanceof Event.PartTaken)
+                                .filter(line -> line.item.event() instanceof Event.PartReceived)
                                 .count();
         for (Line line : whole.lines) {
             double after = Math.rint(line.afterMs / STEP_MS) * STEP_MS;
@@ -342,7 +342,7 @@
                 items = new ArrayList<>();
             }
             before = Math.max(before, after);
-            Item item = item(line.item, id, own, customer, parts, partCount, items.size());
+            Item item = item(line.item, id, own, tenant, parts, partCount, items.size());
             if (item != null) {
                 items.add(item);
             }
@@ -361,78 +361,83 @@
             Item item,
             String id,
             long own,
-            Customer customer,
+            Tenant tenant,
             Map<String, String> parts,
             int partCount,
             int index) {
         Event event = item.event();
-        if (event instanceof Event.ScanTaken taken) {
+        if (event instanceof Event.QueryReceived taken) {
             return new Item(
                     index,
-                    new Event.ScanTaken(
+                    new Event.QueryReceived(
                             id,
                             own,
-                            taken.type(),
-                            customer,
+                            taken.queryClass(),
+                            tenant,
                             Math.rint(taken.timeLeftMs() / 100) * 100),
                     null);
-        } else if (event instanceof Event.PartTaken taken) {
+        } else if (event instanceof Event.PartReceived taken) {
             int number = parts.size();
             parts.put(taken.id(), id + "." + number);
             return new Item(
                     index,
-                    new Event.PartTaken(id + "." + number, own, number, 1.0 / partCount),
+                    new Event.PartReceived(id + "." + number, own, number, 1.0 / partCount),
                     null);
-        } else if (event instanceof Event.DispatchEnded ended) {
+        } else if (event instanceof Event.AttemptEnded ended) {
             return parts.containsKey(ended.partId())
                     ? new Item(
                             index,
-                            new Event.DispatchEnded(
+                            new Event.AttemptEnded(
                                     parts.get(ended.partId()),
-                                    ended.number(),
-                                    ended.ending(),
-                                    Math.rint(ended.tookMs() / STEP_MS) * STEP_MS,
+                                    ended.attemptNumber(),
+                                    ended.outcome(),
+                                    Math.rint(ended.durationMs() / STEP_MS) * STEP_MS,
                                     null),
                             null)
                     : null;
-        } else if (event instanceof Event.ClientLeft) {
-            return new Item(index, new Event.ClientLeft(id), null);
+        } else if (event instanceof Event.ClientDisconnected) {
+            return new Item(index, new Event.ClientDisconnected(id), null);
         } else if (event != null) {
             return null;
         }
-        Action action = item.action();
-        if (action instanceof Action.Dispatch dispatch) {
+        Command command = item.action();
+        if (command instanceof Command.SendAttempt sendAttempt) {
             var passed =
-                    dispatch.passedOver().stream()
-                            .map(over -> new PassedOver(server(over.server()), over.cause()))
+                    sendAttempt.skipped().stream()
+                            .map(over -> new SkippedReplica(server(over.server()), over.cause()))
                             .toList();
-            return parts.containsKey(dispatch.partId())
+            return parts.containsKey(sendAttempt.partId())
                     ? new Item(
                             index,
                             null,
-                            new Action.Dispatch(
-                                    parts.get(dispatch.partId()),
-                                    server(dispatch.server()),
-                                    Math.rint(dispatch.timeoutMs() / 100) * 100,
-                                    dispatch.reason(),
-                                    dispatch.position(),
+                            new Command.SendAttempt(
+                                    parts.get(sendAttempt.partId()),
+                                    server(sendAttempt.server()),
+                                    Math.rint(sendAttempt.timeoutMs() / 100) * 100,
+                                    sendAttempt.reason(),
+                                    sendAttempt.position(),
                                     passed))
                     : null;
-        } else if (action instanceof Action.Cancel cancel) {
+        } else if (command instanceof Command.CancelAttempt cancel) {
             return parts.containsKey(cancel.partId())
                     ? new Item(
                             index,
                             null,
-                            new Action.Cancel(
-                                    parts.get(cancel.partId()), cancel.number(), cancel.reason()))
+                            new Command.CancelAttempt(
+                                    parts.get(cancel.partId()),
+                                    cancel.attemptNumber(),
+                                    cancel.reason()))
                     : null;
-        } else if (action instanceof Action.Answer answer) {
-            return new Item(index, null, new Action.Answer(id, answer.whole(), answer.reason()));
-        } else if (action instanceof Action.Throttle throttle) {
+        } else if (command instanceof Command.AnswerQuery answer) {
             return new Item(
-                    index, null, new Action.Throttle(id, throttle.comeBackMs(), throttle.reason()));
-        } else if (action instanceof Action.Abandon abandon) {
-            return new Item(index, null, new Action.Abandon(id, abandon.reason()));
+                    index, null, new Command.AnswerQuery(id, answer.complete(), answer.reason()));
+        } else if (command instanceof Command.RejectQuery throttle) {
+            return new Item(
+                    index,
+                    null,
+                    new Command.RejectQuery(id, throttle.retryAfterMs(), throttle.reason()));
+        } else if (command instanceof Command.FailQuery abandon) {
+            return new Item(index, null, new Command.FailQuery(id, abandon.reason()));
         }
         return null;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/Sightings.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/Sightings.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.Moment;
@@ -27,16 +27,16 @@
             return;
         }
         for (Item item : moment.items()) {
-            if (item.event() instanceof Event.ListReceived list) {
-                for (Listing server : list.servers()) {
+            if (item.event() instanceof Event.EndpointsUpdated list) {
+                for (Endpoint server : list.endpoints()) {
                     see(server, list.complete(), moment.nowMs());
                 }
             }
         }
     }
 
-    private void see(Listing server, boolean complete, double nowMs) {
-        String what = server.startedAtMs() + " " + server.mode();
+    private void see(Endpoint server, boolean complete, double nowMs) {
+        String what = server.startedAtMs() + " " + server.state();
         String before = lastOf.put(server.server(), what);
         // A whole list repeats what was known, and a first one tells of nothing that happened just
         // then.
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.io.Writer;
 import org.apache.commons.csv.CSVFormat;
 import org.apache.commons.csv.CSVPrinter;
-import sprucehold.port.Event;
+import sprucehold.decision.Event;
+import sprucehold.storage.StoredJson;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
@@ -22,7 +22,7 @@
 /** Writes a trace as text: every record as a JSON line, or every scan as a row. */
 public final class TraceExport {
     private static final ObjectMapper MAPPER =
-            JsonMapper.builder()
+            StoredJson.mapperBuilder()
                     .disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET)
                     .defaultPropertyInclusion(
                             JsonInclude.Value.construct(
@@ -52,12 +52,11 @@
             for (Item item : ((Moment) entry).items()) {
                 Object what = item.event() != null ? item.event() : item.action();
                 ObjectNode fields = MAPPER.valueToTree(what);
-                if (what instanceof Event.ScanTaken taken) {
-                    fields.put("type", taken.type().name());
-                    fields.put(
-                            "customer", taken.customer() == null ? null : taken.customer().name());
+                if (what instanceof Event.QueryReceived taken) {
+                    fields.put("type", taken.queryClass().name());
+                    fields.put("customer", taken.tenant() == null ? null : taken.tenant().name());
                 }
-                line(to, source, entry, what.getClass().getSimpleName(), fields);
+                line(to, source, entry, StoredJson.kind(what), fields);
                 lines++;
             }
         }
@@ -131,11 +130,11 @@
         printer.printRecord(
                 reader.head().sources().get(tally.scan().source()).gatherer(),
                 taken.id(),
-                taken.type().name(),
+                taken.queryClass().name(),
                 tally.customer(),
                 tally.scan().takenMs(),
                 tally.outcome(),
-                tally.reason(),
+                tally.reason().storedName(),
                 Double.isNaN(tally.tookMs()) ? "" : tally.tookMs(),
                 tally.inTargetTime(),
                 tally.parts(),
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.function.LongConsumer;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Event;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Head;
@@ -43,7 +43,7 @@
      *     or have a gap
      */
     public static Verdict replay(
-            List<TraceReader> readers, Gatherer.Factory factory, LongConsumer progress)
+            List<TraceReader> readers, DecisionPolicy.Factory factory, LongConsumer progress)
             throws IOException {
         record Piece(TraceReader reader, int source, Source of, long firstSeq) {}
         var pieces = new ArrayList<Piece>();
@@ -72,7 +72,7 @@
         long moments = 0;
         long agreed = 0;
         String current = null;
-        Gatherer module = null;
+        DecisionPolicy module = null;
         long seq = 0;
         for (Piece piece : pieces) {
             if (!piece.of.id().equals(current)) {
@@ -139,10 +139,10 @@
         }
     }
 
-    private static String decide(Gatherer module, Moment moment, Source source) {
+    private static String decide(DecisionPolicy module, Moment moment, Source source) {
         List<Event> events = moment.events();
-        List<Action> recorded = moment.actions();
-        List<Action> now;
+        List<Command> recorded = moment.actions();
+        List<Command> now;
         String where = "gatherer " + source.gatherer() + ", call " + moment.seq();
         try {
             now = module.decide(moment.nowMs(), events);
@@ -153,8 +153,8 @@
             return where + ": the recorded module failed, this build doesn't";
         }
         for (int i = 0; i < Math.max(recorded.size(), now.size()); i++) {
-            Action was = i < recorded.size() ? recorded.get(i) : null;
-            Action is = i < now.size() ? now.get(i) : null;
+            Command was = i < recorded.size() ? recorded.get(i) : null;
+            Command is = i < now.size() ? now.get(i) : null;
             if (!Objects.equals(was, is)) {
                 return where
                         + ", action "
--- a/tracetools/src/main/java/sprucehold/tracetools/story/ScanTally.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/story/ScanTally.java
@@ -4,11 +4,11 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import sprucehold.port.Action;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.PassedOver;
-import sprucehold.port.Reason;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
+import sprucehold.decision.Reason;
+import sprucehold.decision.SkippedReplica;
 import sprucehold.trace.book.BookedScan;
 import sprucehold.trace.event.Item;
 
@@ -23,9 +23,10 @@
     private int copies;
     private int furtherTries;
     private final Set<String> servers = new LinkedHashSet<>();
-    private final Map<Ending, Integer> endings = new EnumMap<>(Ending.class);
+    private final Map<AttemptOutcome, Integer> endings = new EnumMap<>(AttemptOutcome.class);
     private final Map<Reason, Integer> reasons = new EnumMap<>(Reason.class);
-    private final Map<PassedOver.Cause, Integer> passedOver = new EnumMap<>(PassedOver.Cause.class);
+    private final Map<SkippedReplica.Cause, Integer> passedOver =
+            new EnumMap<>(SkippedReplica.Cause.class);
 
     /** How a scan ended. */
     public enum Outcome {
@@ -53,32 +54,34 @@
 
     void add(double nowMs, Item item) {
         Event event = item.event();
-        Action action = item.action();
-        if (event instanceof Event.PartTaken) {
+        Command command = item.action();
+        if (event instanceof Event.PartReceived) {
             parts++;
-        } else if (event instanceof Event.DispatchEnded ended) {
-            endings.merge(ended.ending(), 1, Integer::sum);
-        } else if (event instanceof Event.ClientLeft) {
-            end(Outcome.CLIENT_LEFT, Reason.CLIENT_LEFT, nowMs);
-        } else if (action instanceof Action.Dispatch dispatch) {
+        } else if (event instanceof Event.AttemptEnded ended) {
+            endings.merge(ended.outcome(), 1, Integer::sum);
+        } else if (event instanceof Event.ClientDisconnected) {
+            end(Outcome.CLIENT_LEFT, Reason.CLIENT_DISCONNECTED, nowMs);
+        } else if (command instanceof Command.SendAttempt sendAttempt) {
             dispatches++;
-            servers.add(dispatch.server());
-            copies += dispatch.reason() == Reason.SECOND_COPY ? 1 : 0;
+            servers.add(sendAttempt.server());
+            copies += sendAttempt.reason() == Reason.HEDGE ? 1 : 0;
             furtherTries +=
-                    dispatch.reason() == Reason.FURTHER_TRY || dispatch.reason() == Reason.NEVER_RAN
+                    sendAttempt.reason() == Reason.RETRY
+                                    || sendAttempt.reason() == Reason.RETRY_NOT_RUN
                             ? 1
                             : 0;
-            dispatch.passedOver()
+            sendAttempt
+                    .skipped()
                     .forEach(passed -> passedOver.merge(passed.cause(), 1, Integer::sum));
-        } else if (action instanceof Action.Answer answer && scan.ended()) {
-            end(answer.whole() ? Outcome.WHOLE : Outcome.PART, answer.reason(), nowMs);
-        } else if (action instanceof Action.Throttle throttle) {
+        } else if (command instanceof Command.AnswerQuery answer && scan.ended()) {
+            end(answer.complete() ? Outcome.WHOLE : Outcome.PART, answer.reason(), nowMs);
+        } else if (command instanceof Command.RejectQuery throttle) {
             end(Outcome.THROTTLED, throttle.reason(), nowMs);
-        } else if (action instanceof Action.Abandon abandon) {
+        } else if (command instanceof Command.FailQuery abandon) {
             end(Outcome.ABANDONED, abandon.reason(), nowMs);
         }
-        if (action != null) {
-            reasons.merge(action.reason(), 1, Integer::sum);
+        if (command != null) {
+            reasons.merge(command.reason(), 1, Integer::sum);
         }
     }
 
@@ -114,7 +117,7 @@
     /** Whether it was completed within its target time. */
     public boolean inTargetTime() {
         return (outcome == Outcome.WHOLE || outcome == Outcome.PART)
-                && tookMs() <= scan.taken().type().targetMs();
+                && tookMs() <= scan.taken().queryClass().latencyObjectiveMs();
     }
 
     public int parts() {
@@ -138,7 +141,7 @@
     }
 
     /** How many of its dispatches ended how. */
-    public Map<Ending, Integer> endings() {
+    public Map<AttemptOutcome, Integer> endings() {
         return endings;
     }
 
@@ -148,12 +151,12 @@
     }
 
     /** How often holders were passed over for what. */
-    public Map<PassedOver.Cause, Integer> passedOver() {
+    public Map<SkippedReplica.Cause, Integer> passedOver() {
         return passedOver;
     }
 
     /** Its customer's name, or a dash where there is none. */
     public String customer() {
-        return scan.taken().customer() == null ? "-" : scan.taken().customer().name();
+        return scan.taken().tenant() == null ? "-" : scan.taken().tenant().name();
     }
 }
