--- a/tracetools/src/main/java/sprucehold/tracetools/story/Storyteller.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/story/Storyteller.java
@@ -7,11 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import sprucehold.port.Action;
-import sprucehold.port.Ending;
-import sprucehold.port.Event;
-import sprucehold.port.PassedOver;
-import sprucehold.port.TableType;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.SkippedReplica;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Source;
 
@@ -25,17 +25,17 @@
     public static List<String> tell(Story story, Source source) {
         var lines = new ArrayList<String>();
         ScanTally tally = story.tally();
-        Event.ScanTaken taken = tally.scan().taken();
-        TableType type = taken.type();
+        Event.QueryReceived taken = tally.scan().taken();
+        QueryClass type = taken.queryClass();
         lines.add(
                 "scan "
                         + taken.id()
                         + " of "
                         + type.name()
                         + " for "
-                        + (taken.customer() == null
+                        + (taken.tenant() == null
                                 ? "no known customer"
-                                : "customer " + taken.customer().name())
+                                : "customer " + taken.tenant().name())
                         + ", taken by gatherer "
                         + source.gatherer()
                         + " at "
@@ -46,13 +46,13 @@
                         + " parts; "
                         + repeat(type)
                         + "; target time "
-                        + ms(type.targetMs())
+                        + ms(type.latencyObjectiveMs())
                         + ", its client would wait "
                         + ms(taken.timeLeftMs())
                         + "; whole from "
-                        + percent(type.completeFrom())
+                        + percent(type.completeCoverage())
                         + ", answered at all from "
-                        + percent(type.leastShare()));
+                        + percent(type.minimumCoverage()));
         lines.add("  " + verdict(tally));
         lines.add("");
         for (Story.Line line : story.lines()) {
@@ -94,7 +94,7 @@
                                 ? ", past its target time"
                                 : "")
                 + ", because "
-                + tally.reason().words()
+                + tally.reason().description()
                 + "; "
                 + tally.dispatches()
                 + " dispatches, "
@@ -104,90 +104,90 @@
                 + " second copies";
     }
 
-    private static String repeat(TableType type) {
-        return switch (type.repeat()) {
-            case REPLAYABLE -> "replayable";
-            case KEYED -> "keyed, repeats dropped for " + ms(type.keyedWindowMs());
-            case NON_REPLAYABLE -> "non-replayable";
+    private static String repeat(QueryClass type) {
+        return switch (type.idempotence()) {
+            case IDEMPOTENT -> "replayable";
+            case DEDUPLICATED -> "keyed, repeats dropped for " + ms(type.deduplicationWindowMs());
+            case NON_IDEMPOTENT -> "non-replayable";
         };
     }
 
     private static String words(Story.Line line) {
         Event event = line.item().event();
-        Action action = line.item().action();
-        if (event instanceof Event.ScanTaken) {
+        Command command = line.item().action();
+        if (event instanceof Event.QueryReceived) {
             return "taken";
-        } else if (event instanceof Event.PartTaken part) {
+        } else if (event instanceof Event.PartReceived part) {
             return "part "
                     + part.id()
                     + " for segment "
-                    + part.segment()
+                    + part.shard()
                     + ", "
                     + percent(part.weight())
                     + " of the answer";
-        } else if (event instanceof Event.DispatchEnded ended) {
+        } else if (event instanceof Event.AttemptEnded ended) {
             return "part "
                     + ended.partId()
                     + ", dispatch "
-                    + ended.number()
+                    + ended.attemptNumber()
                     + ": "
-                    + words(ended.ending())
+                    + words(ended.outcome())
                     + " after "
-                    + ms(ended.tookMs());
-        } else if (event instanceof Event.ClientLeft) {
+                    + ms(ended.durationMs());
+        } else if (event instanceof Event.ClientDisconnected) {
             return "its client left";
-        } else if (action instanceof Action.Dispatch dispatch) {
+        } else if (command instanceof Command.SendAttempt sendAttempt) {
             String passed =
-                    dispatch.passedOver().stream()
+                    sendAttempt.skipped().stream()
                             .map(Storyteller::words)
                             .collect(Collectors.joining("; "));
             return "part "
-                    + dispatch.partId()
+                    + sendAttempt.partId()
                     + " goes to "
-                    + dispatch.server()
+                    + sendAttempt.server()
                     + ", waited for "
-                    + ms(dispatch.timeoutMs())
+                    + ms(sendAttempt.timeoutMs())
                     + ", because of: "
-                    + dispatch.reason().words()
+                    + sendAttempt.reason().description()
                     + "; position "
-                    + dispatch.position()
+                    + sendAttempt.position()
                     + (passed.isEmpty() ? "" : "; passed over " + passed);
-        } else if (action instanceof Action.Cancel cancel) {
+        } else if (command instanceof Command.CancelAttempt cancel) {
             return "part "
                     + cancel.partId()
                     + ", dispatch "
-                    + cancel.number()
+                    + cancel.attemptNumber()
                     + " is called off, because "
-                    + cancel.reason().words();
-        } else if (action instanceof Action.Answer answer) {
+                    + cancel.reason().description();
+        } else if (command instanceof Command.AnswerQuery answer) {
             return "answered "
-                    + (answer.whole() ? "whole" : "in part")
+                    + (answer.complete() ? "whole" : "in part")
                     + ", because "
-                    + answer.reason().words();
-        } else if (action instanceof Action.Throttle throttle) {
+                    + answer.reason().description();
+        } else if (command instanceof Command.RejectQuery throttle) {
             return "throttled, because "
-                    + throttle.reason().words()
-                    + (throttle.comeBackMs() > 0
-                            ? "; come back in " + ms(throttle.comeBackMs())
+                    + throttle.reason().description()
+                    + (throttle.retryAfterMs() > 0
+                            ? "; come back in " + ms(throttle.retryAfterMs())
                             : "");
-        } else if (action instanceof Action.Abandon abandon) {
-            return "abandoned, because " + abandon.reason().words();
+        } else if (command instanceof Command.FailQuery abandon) {
+            return "abandoned, because " + abandon.reason().description();
         }
         return null;
     }
 
-    private static String words(PassedOver passed) {
-        return passed.server() + " (" + passed.cause().words() + ")";
+    private static String words(SkippedReplica passed) {
+        return passed.server() + " (" + passed.cause().description() + ")";
     }
 
     /** An ending in words. */
-    public static String words(Ending ending) {
-        return switch (ending) {
+    public static String words(AttemptOutcome outcome) {
+        return switch (outcome) {
             case COMPLETED -> "completed";
             case ERROR -> "an error, it may have run";
-            case FULL -> "turned away, it never ran";
+            case OVERLOADED -> "turned away, it never ran";
             case TIMED_OUT -> "timed out, it may have run or may yet";
-            case UNCONNECTED -> "no connection, it never ran";
+            case UNREACHABLE -> "no connection, it never ran";
             case RESET -> "its connection broke, it may have run";
             case CANCELLED -> "called off, it may have run or may yet";
             case NEVER_SENT -> "never sent";
@@ -218,16 +218,16 @@
             Map<String, String> bars = new LinkedHashMap<>();
             Map<String, String> label = new HashMap<>();
             for (Story.Line line : story.lines()) {
-                if (line.item().action() instanceof Action.Dispatch dispatch) {
-                    int number = sent.merge(dispatch.partId(), 1, Integer::sum) - 1;
-                    String key = dispatch.partId() + "#" + number;
+                if (line.item().action() instanceof Command.SendAttempt sendAttempt) {
+                    int number = sent.merge(sendAttempt.partId(), 1, Integer::sum) - 1;
+                    String key = sendAttempt.partId() + "#" + number;
                     sentAt.put(key, line.nowMs());
-                    label.put(key, dispatch.partId() + " at " + dispatch.server());
+                    label.put(key, sendAttempt.partId() + " at " + sendAttempt.server());
                     bars.put(key, bar(line.nowMs(), begun + span, '>'));
-                } else if (line.item().event() instanceof Event.DispatchEnded ended) {
-                    String key = ended.partId() + "#" + ended.number();
+                } else if (line.item().event() instanceof Event.AttemptEnded ended) {
+                    String key = ended.partId() + "#" + ended.attemptNumber();
                     if (sentAt.containsKey(key)) {
-                        bars.put(key, bar(sentAt.get(key), line.nowMs(), mark(ended.ending())));
+                        bars.put(key, bar(sentAt.get(key), line.nowMs(), mark(ended.outcome())));
                     }
                 }
             }
@@ -260,11 +260,11 @@
             return " ".repeat(first) + "-".repeat(last - first) + end;
         }
 
-        private static char mark(Ending ending) {
-            return switch (ending) {
+        private static char mark(AttemptOutcome outcome) {
+            return switch (outcome) {
                 case COMPLETED -> '+';
                 case ERROR, RESET -> 'x';
-                case FULL, UNCONNECTED, NEVER_SENT -> 'o';
+                case OVERLOADED, UNREACHABLE, NEVER_SENT -> 'o';
                 case CANCELLED -> 'c';
                 case TIMED_OUT -> 't';
             };
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ScanGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ScanGroup.java
@@ -26,12 +26,15 @@
         dispatches += tally.dispatches();
         furtherTries += tally.furtherTries();
         copies += tally.copies();
-        var type = tally.scan().taken().type();
+        var type = tally.scan().taken().queryClass();
         boolean completed =
                 tally.outcome() == ScanTally.Outcome.WHOLE
                         || tally.outcome() == ScanTally.Outcome.PART;
-        benefitAsked += type.benefit();
-        benefit += !completed ? 0 : type.benefit() * (tally.inTargetTime() ? 1 : type.lateShare());
+        benefitAsked += type.priorityWeight();
+        benefit +=
+                !completed
+                        ? 0
+                        : type.priorityWeight() * (tally.inTargetTime() ? 1 : type.lateWeight());
         if (completed) {
             took.recordValue(Math.max(0, Math.round(tally.tookMs() * 1000)));
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
@@ -3,28 +3,29 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import sprucehold.port.Ending;
-import sprucehold.port.PassedOver;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.SkippedReplica;
 
 /** Figures of one shard server. */
 public final class ServerGroup {
     private final Histogram took = new Histogram(2);
-    private final Map<Ending, Long> endings = new EnumMap<>(Ending.class);
-    private final Map<PassedOver.Cause, Long> passedOver = new EnumMap<>(PassedOver.Cause.class);
+    private final Map<AttemptOutcome, Long> endings = new EnumMap<>(AttemptOutcome.class);
+    private final Map<SkippedReplica.Cause, Long> passedOver =
+            new EnumMap<>(SkippedReplica.Cause.class);
     private long dispatches;
 
     void dispatched() {
         dispatches++;
     }
 
-    void ended(Ending ending, double tookMs) {
-        endings.merge(ending, 1L, Long::sum);
-        if (ending == Ending.COMPLETED) {
+    void ended(AttemptOutcome outcome, double tookMs) {
+        endings.merge(outcome, 1L, Long::sum);
+        if (outcome == AttemptOutcome.COMPLETED) {
             took.recordValue(Math.max(0, Math.round(tookMs * 1000)));
         }
     }
 
-    void passedOver(PassedOver.Cause cause) {
+    void passedOver(SkippedReplica.Cause cause) {
         passedOver.merge(cause, 1L, Long::sum);
     }
 
@@ -32,12 +33,12 @@
         return dispatches;
     }
 
-    public long of(Ending ending) {
-        return endings.getOrDefault(ending, 0L);
+    public long of(AttemptOutcome outcome) {
+        return endings.getOrDefault(outcome, 0L);
     }
 
     /** How often it was passed over for what. */
-    public Map<PassedOver.Cause, Long> passedOver() {
+    public Map<SkippedReplica.Cause, Long> passedOver() {
         return passedOver;
     }
 
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
@@ -18,8 +18,8 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
-import sprucehold.port.Ending;
-import sprucehold.port.Reason;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Reason;
 import sprucehold.tracetools.story.ScanTally;
 
 /** A summary as one HTML page with its charts inside: it opens with no network. */
@@ -82,13 +82,13 @@
                         (how, why) ->
                                 why.forEach(
                                         (reason, count) ->
-                                                row(how.words(), reason.words(), count)));
+                                                row(how.words(), reason.description(), count)));
         html.append("</table>\n");
         chart(reasons());
         html.append("<h2>Shard servers</h2>\n<table><tr><th>server</th><th>dispatches</th>");
-        for (Ending ending : Ending.values()) {
+        for (AttemptOutcome outcome : AttemptOutcome.values()) {
             html.append("<th>")
-                    .append(ending.name().toLowerCase(Locale.ROOT).replace('_', ' '))
+                    .append(outcome.name().toLowerCase(Locale.ROOT).replace('_', ' '))
                     .append("</th>");
         }
         html.append("<th>p50 ms</th><th>p99 ms</th><th>passed over</th></tr>\n");
@@ -100,8 +100,8 @@
                                     .append("</td><td>")
                                     .append(group.dispatches())
                                     .append("</td>");
-                            for (Ending ending : Ending.values()) {
-                                html.append("<td>").append(group.of(ending)).append("</td>");
+                            for (AttemptOutcome outcome : AttemptOutcome.values()) {
+                                html.append("<td>").append(group.of(outcome)).append("</td>");
                             }
                             long passed =
                                     group.passedOver().values().stream()
@@ -201,11 +201,11 @@
                 new Reason[] {
                     Reason.FIRST_ROUND,
                     Reason.LATER_ROUND,
-                    Reason.EMPTY_ROUND,
-                    Reason.WAITED,
-                    Reason.FURTHER_TRY,
-                    Reason.NEVER_RAN,
-                    Reason.SECOND_COPY
+                    Reason.ROUND_AFTER_EMPTY,
+                    Reason.REPLICA_AVAILABLE,
+                    Reason.RETRY,
+                    Reason.RETRY_NOT_RUN,
+                    Reason.HEDGE
                 }) {
             data.addValue(
                     summary.reasons().getOrDefault(reason, 0L),
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 import java.util.function.LongConsumer;
 import java.util.function.Supplier;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Reason;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
+import sprucehold.decision.Reason;
 import sprucehold.trace.book.ScanBook;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
@@ -74,22 +74,23 @@
         if (item.action() != null) {
             reasons.merge(item.action().reason(), 1L, Long::sum);
         }
-        if (item.action() instanceof Action.Dispatch dispatch) {
-            of(byServer, dispatch.server(), ServerGroup::new).dispatched();
-            dispatch.passedOver()
+        if (item.action() instanceof Command.SendAttempt sendAttempt) {
+            of(byServer, sendAttempt.server(), ServerGroup::new).dispatched();
+            sendAttempt
+                    .skipped()
                     .forEach(
                             passed ->
                                     of(byServer, passed.server(), ServerGroup::new)
                                             .passedOver(passed.cause()));
-        } else if (item.event() instanceof Event.DispatchEnded ended && server != null) {
-            of(byServer, server, ServerGroup::new).ended(ended.ending(), ended.tookMs());
+        } else if (item.event() instanceof Event.AttemptEnded ended && server != null) {
+            of(byServer, server, ServerGroup::new).ended(ended.outcome(), ended.durationMs());
         }
     }
 
     private void add(ScanTally tally, TraceReader reader) {
         var source = reader.head().sources().get(tally.scan().source());
         all.add(tally);
-        byType.computeIfAbsent(tally.scan().taken().type().name(), name -> new ScanGroup())
+        byType.computeIfAbsent(tally.scan().taken().queryClass().name(), name -> new ScanGroup())
                 .add(tally);
         of(byCustomer, tally.customer(), ScanGroup::new).add(tally);
         of(byGatherer, source.gatherer(), ScanGroup::new).add(tally);
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
@@ -20,22 +20,22 @@
 import org.apache.commons.rng.sampling.distribution.SharedStateDiscreteSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
-import sprucehold.picker.Answer;
-import sprucehold.picker.Dispatch;
-import sprucehold.picker.Orders;
-import sprucehold.picker.Outcome;
-import sprucehold.picker.Picker;
-import sprucehold.picker.Progress;
-import sprucehold.picker.Report;
-import sprucehold.picker.Scan;
-import sprucehold.picker.ServerNews;
-import sprucehold.picker.ShardServer;
-import sprucehold.port.Action;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.Gatherer;
-import sprucehold.port.TableType;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Commands;
+import sprucehold.coordinator.EndpointUpdate;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.coordinator.ShardServer;
+import sprucehold.coordinator.WriteProgress;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.QueryClass;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Moment;
@@ -62,15 +62,48 @@
     /** The busiest hour has four times the scans of the quietest. */
     private static final double WAVE = 0.6;
 
-    private static final List<TableType> TYPES =
+    private static final List<QueryClass> TYPES =
             List.of(
-                    new TableType(
-                            "offers", TableType.Repeat.REPLAYABLE, 1200, 2, 0.3, 0, 0.75, 0.75, 0),
-                    new TableType(
-                            "receipts", TableType.Repeat.REPLAYABLE, 800, 1, 0.1, 0, 1, 0.5, 0),
-                    new TableType("orders", TableType.Repeat.KEYED, 800, 1, 0.3, 3000, 1, 1, 0),
-                    new TableType(
-                            "stamps", TableType.Repeat.NON_REPLAYABLE, 800, 1, 0.3, 0, 1, 1, 0));
+                    new QueryClass(
+                            "offers",
+                            QueryClass.Idempotence.IDEMPOTENT,
+                            1200,
+                            2,
+                            0.3,
+                            0,
+                            0.75,
+                            0.75,
+                            0),
+                    new QueryClass(
+                            "receipts",
+                            QueryClass.Idempotence.IDEMPOTENT,
+                            800,
+                            1,
+                            0.1,
+                            0,
+                            1,
+                            0.5,
+                            0),
+                    new QueryClass(
+                            "orders",
+                            QueryClass.Idempotence.DEDUPLICATED,
+                            800,
+                            1,
+                            0.3,
+                            3000,
+                            1,
+                            1,
+                            0),
+                    new QueryClass(
+                            "stamps",
+                            QueryClass.Idempotence.NON_IDEMPOTENT,
+                            800,
+                            1,
+                            0.3,
+                            0,
+                            1,
+                            1,
+                            0));
     private static final double[] TYPE_SHARES = {0.4, 0.35, 0.15, 0.1};
 
     private final DayPlan plan;
@@ -79,7 +112,7 @@
     private final SharedStateContinuousSampler exponential;
     private final SharedStateDiscreteSampler whichCustomer;
     private final double[] phases;
-    private final Deployment facts;
+    private final Deployment deployment;
     private final List<Seat> seats = new ArrayList<>();
     private final List<Server> servers = new ArrayList<>();
     private final Map<String, Server> serversByName = new HashMap<>();
@@ -99,20 +132,20 @@
     }
 
     /** One gatherer, its clock, and where its entries go. */
-    private final class Seat implements Gatherer {
+    private final class Seat implements DecisionPolicy {
         final int number;
         final double skew;
         final double drift;
         final Source source;
-        final Gatherer module;
-        final Picker picker;
-        final Map<Scan, Client> clients = new HashMap<>();
-        final Map<Dispatch, Out> out = new HashMap<>();
+        final DecisionPolicy module;
+        final QueryCoordinator coordinator;
+        final Map<Query, Client> clients = new HashMap<>();
+        final Map<Attempt, Out> out = new HashMap<>();
         Sink sink;
         long seq;
         double tickAt = Double.POSITIVE_INFINITY;
 
-        Seat(int number, Gatherer.Factory factory) {
+        Seat(int number, DecisionPolicy.Factory factory) {
             this.number = number;
             skew = number == 0 ? 0 : 1000 * plan.skewS() * (2 * chance.nextDouble() - 1);
             drift = number == 0 ? 0 : 1e-6 * plan.driftPpm() * (2 * chance.nextDouble() - 1);
@@ -123,10 +156,10 @@
                             "synthetic",
                             seed,
                             own(BEGIN_MS),
-                            facts,
+                            deployment,
                             ClockFit.REFERENCE);
-            module = factory.start(seed, facts);
-            picker = new Picker(this, facts);
+            module = factory.start(seed, deployment);
+            coordinator = new QueryCoordinator(this, deployment);
         }
 
         double own(double trueMs) {
@@ -138,8 +171,8 @@
         }
 
         @Override
-        public List<Action> decide(double nowMs, List<Event> events) {
-            List<Action> actions = module.decide(nowMs, events);
+        public List<Command> decide(double nowMs, List<Event> events) {
+            List<Command> actions = module.decide(nowMs, events);
             try {
                 sink.add(Moment.of(0, seq++, nowMs, events, actions, false));
             } catch (IOException e) {
@@ -149,7 +182,7 @@
         }
     }
 
-    private record Client(TableType type, int customer, double patience, int tries) {}
+    private record Client(QueryClass type, int customer, double patience, int tries) {}
 
     private static final class Server {
         final String name;
@@ -158,7 +191,7 @@
         final double[] freeAt = new double[CORES];
         double startedAt;
         boolean up = true;
-        ServerNews.State state = ServerNews.State.RUNNING;
+        EndpointUpdate.State state = EndpointUpdate.State.RUNNING;
         double slowness = 1;
         double faulty;
         boolean silent;
@@ -170,40 +203,40 @@
             this.zone = zone;
         }
 
-        ServerNews news() {
-            return new ServerNews(name, "127.0.0.1:1", cell, zone, startedAt, state);
+        EndpointUpdate news() {
+            return new EndpointUpdate(name, "127.0.0.1:1", cell, zone, startedAt, state);
         }
     }
 
     /** A dispatch on its way. */
     private final class Out {
         final Seat seat;
-        final Dispatch dispatch;
+        final Attempt attempt;
         final Server server;
         boolean over;
 
-        Out(Seat seat, Dispatch dispatch, Server server) {
+        Out(Seat seat, Attempt attempt, Server server) {
             this.seat = seat;
-            this.dispatch = dispatch;
+            this.attempt = attempt;
             this.server = server;
         }
 
-        void end(double afterMs, Supplier<Outcome> outcome) {
+        void end(double afterMs, Supplier<AttemptResult> outcome) {
             at(
                     now + afterMs,
                     () -> {
                         if (!over) {
                             over = true;
                             server.out.remove(this);
-                            seat.out.remove(dispatch);
+                            seat.out.remove(attempt);
                             call(
                                     seat,
                                     () ->
-                                            seat.picker.report(
+                                            seat.coordinator.observe(
                                                     seat.own(now),
                                                     List.of(
-                                                            new Report.DispatchEnded(
-                                                                    dispatch, outcome.get()))));
+                                                            new Observation.AttemptEnded(
+                                                                    attempt, outcome.get()))));
                         }
                     });
         }
@@ -212,7 +245,7 @@
     /**
      * @param factory starts the module that decides
      */
-    public SyntheticDay(DayPlan plan, Gatherer.Factory factory) {
+    public SyntheticDay(DayPlan plan, DecisionPolicy.Factory factory) {
         this.plan = plan;
         this.length = plan.hours() * 3_600_000;
         this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
@@ -224,16 +257,16 @@
         this.exponential = ZigguratSampler.Exponential.of(chance);
         this.whichCustomer = RejectionInversionZipfSampler.of(chance, plan.customers(), 0.8);
         this.phases = new double[plan.customers()];
-        var customers = new ArrayList<Customer>();
+        var customers = new ArrayList<Tenant>();
         double perSecond = plan.scans() / (length / 1000);
         for (int i = 0; i < phases.length; i++) {
             phases[i] = chance.nextDouble();
             customers.add(
-                    new Customer(
+                    new Tenant(
                             String.format(Locale.ROOT, "customer-%03d", i),
                             2 * perSecond / (i + 1)));
         }
-        facts =
+        deployment =
                 new Deployment(
                         plan.gatherers(),
                         "a",
@@ -241,11 +274,11 @@
                         0.2,
                         TYPES,
                         customers,
-                        new Deployment.Layout(CELLS, 1, 1),
+                        new Deployment.ShardLayout(CELLS, 1, 1),
                         new Deployment.Limits(4, 2000, true, true, 1000),
-                        new Deployment.ColdRule(0.2, 15_000, 4, 1000),
-                        Deployment.DispatchBudget.NONE,
-                        new Deployment.ListAccess(false, 10_000));
+                        new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
+                        Deployment.RetryBudget.NONE,
+                        new Deployment.EndpointSubscription(false, 10_000));
         for (int cell = 0; cell < CELLS; cell++) {
             for (int i = 0; i < HOLDERS; i++) {
                 var server =
@@ -278,12 +311,13 @@
     public void play(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
         for (Seat seat : seats) {
             seat.sink = sinks.get(seat.number);
-            List<ServerNews> all = servers.stream().map(Server::news).toList();
+            List<EndpointUpdate> all = servers.stream().map(Server::news).toList();
             call(
                     seat,
                     () ->
-                            seat.picker.report(
-                                    seat.own(now), List.of(new Report.ListCame(true, all))));
+                            seat.coordinator.observe(
+                                    seat.own(now),
+                                    List.of(new Observation.EndpointsUpdated(true, all))));
         }
         for (int i = 0; i < plan.troubles(); i++) {
             at(BEGIN_MS + length * (i + chance.nextDouble()) / plan.troubles(), this::trouble);
@@ -350,48 +384,50 @@
     private void ask(Client client, Seat seat) {
         int count = Math.min(SEGMENTS, 1 + Math.min(11, (int) (exponential.sample() * 3)));
         int first = chance.nextInt(SEGMENTS);
-        var parts = new ArrayList<Scan.Part>();
+        var parts = new ArrayList<Query.Part>();
         for (int i = 0; i < count; i++) {
-            parts.add(new Scan.Part((first + i) % SEGMENTS, 1.0 / count));
+            parts.add(new Query.Part((first + i) % SEGMENTS, 1.0 / count));
         }
-        var scan =
-                new Scan(
+        var query =
+                new Query(
                         String.format(Locale.ROOT, "%016x", chance.nextLong()),
                         client.type.name(),
-                        facts.customers().get(client.customer).name(),
+                        deployment.tenants().get(client.customer).name(),
                         client.patience,
                         parts,
                         new byte[0]);
-        seat.clients.put(scan, client);
+        seat.clients.put(query, client);
         if (chance.nextInt(50) == 0) {
             at(
                     now + client.patience * chance.nextDouble(),
                     () -> {
-                        if (seat.clients.remove(scan) != null) {
+                        if (seat.clients.remove(query) != null) {
                             call(
                                     seat,
                                     () ->
-                                            seat.picker.report(
+                                            seat.coordinator.observe(
                                                     seat.own(now),
-                                                    List.of(new Report.ClientLeft(scan))));
+                                                    List.of(
+                                                            new Observation.ClientDisconnected(
+                                                                    query))));
                         }
                     });
         }
-        call(seat, () -> seat.picker.pick(seat.own(now), scan));
+        call(seat, () -> seat.coordinator.submit(seat.own(now), query));
     }
 
-    private void answered(Seat seat, Orders.Reply reply) {
-        Client client = seat.clients.remove(reply.scan());
+    private void answered(Seat seat, Commands.Reply reply) {
+        Client client = seat.clients.remove(reply.query());
         if (client == null || reply.answer() instanceof Answer.Completed || client.tries >= 2) {
             return;
         }
         boolean harmless =
-                reply.answer() instanceof Answer.Throttled
-                        || client.type.repeat() == TableType.Repeat.REPLAYABLE;
+                reply.answer() instanceof Answer.Rejected
+                        || client.type.idempotence() == QueryClass.Idempotence.IDEMPOTENT;
         if (harmless) {
             double wait =
-                    reply.answer() instanceof Answer.Throttled throttled
-                            ? throttled.comeBackMs()
+                    reply.answer() instanceof Answer.Rejected throttled
+                            ? throttled.retryAfterMs()
                             : 200;
             Client again =
                     new Client(client.type, client.customer, client.patience, client.tries + 1);
@@ -403,17 +439,17 @@
 
     // ---- Gatherers ----
 
-    private void call(Seat seat, Supplier<Orders> call) {
-        Orders orders = call.get();
-        for (Dispatch dispatch : orders.cancel()) {
-            Out out = seat.out.get(dispatch);
+    private void call(Seat seat, Supplier<Commands> call) {
+        Commands commands = call.get();
+        for (Attempt attempt : commands.cancel()) {
+            Out out = seat.out.get(attempt);
             if (out != null) {
-                out.end(0.02, () -> new Outcome.Cancelled(Progress.WRITTEN));
+                out.end(0.02, () -> new AttemptResult.Cancelled(WriteProgress.WRITTEN));
             }
         }
-        orders.send().forEach(dispatch -> send(seat, dispatch));
-        orders.replies().forEach(reply -> answered(seat, reply));
-        double next = orders.nextTickAtMs();
+        commands.send().forEach(attempt -> send(seat, attempt));
+        commands.replies().forEach(reply -> answered(seat, reply));
+        double next = commands.nextTickAtMs();
         if (next < Double.POSITIVE_INFINITY && next != seat.tickAt) {
             seat.tickAt = next;
             // A timer wakes late by up to a tick, never early.
@@ -422,7 +458,7 @@
                     () -> {
                         if (seat.tickAt == next) {
                             seat.tickAt = Double.POSITIVE_INFINITY;
-                            call(seat, () -> seat.picker.tick(Math.max(next, seat.own(now))));
+                            call(seat, () -> seat.coordinator.tick(Math.max(next, seat.own(now))));
                         }
                     });
         } else if (next == Double.POSITIVE_INFINITY) {
@@ -432,15 +468,15 @@
 
     // ---- Shard servers ----
 
-    private void send(Seat seat, Dispatch dispatch) {
-        ShardServer named = dispatch.server();
+    private void send(Seat seat, Attempt attempt) {
+        ShardServer named = attempt.server();
         Server server = serversByName.get(named.name());
-        var out = new Out(seat, dispatch, server);
-        seat.out.put(dispatch, out);
+        var out = new Out(seat, attempt, server);
+        seat.out.put(attempt, out);
         server.out.add(out);
         double way = 0.4 + 0.4 * exponential.sample();
         if (!server.up) {
-            out.end(way, () -> new Outcome.Lost(Progress.NOT_WRITTEN));
+            out.end(way, () -> new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
             return;
         } else if (server.silent) {
             return;
@@ -450,8 +486,8 @@
             core = server.freeAt[i] < server.freeAt[core] ? i : core;
         }
         double starts = Math.max(now + way, server.freeAt[core]);
-        if (starts - now > MOST_WAIT_MS || server.state != ServerNews.State.RUNNING) {
-            out.end(2 * way, () -> new Outcome.TurnedAway(null));
+        if (starts - now > MOST_WAIT_MS || server.state != EndpointUpdate.State.RUNNING) {
+            out.end(2 * way, () -> new AttemptResult.Rejected(null));
             return;
         }
         // Cold caches make a server that has just started take up to three times as long.
@@ -463,12 +499,15 @@
         double ends = starts + (fails ? Math.min(2, takes) : takes) + way;
         out.end(
                 ends - now,
-                () -> fails ? new Outcome.Faulty(null) : new Outcome.Completed(new byte[0], null));
+                () ->
+                        fails
+                                ? new AttemptResult.Failed(null)
+                                : new AttemptResult.Completed(new byte[0], null));
     }
 
     private void trouble() {
         Server server = servers.get(chance.nextInt(servers.size()));
-        if (!server.up || server.state != ServerNews.State.RUNNING) {
+        if (!server.up || server.state != EndpointUpdate.State.RUNNING) {
             return;
         }
         double lasts = 10_000 + 40_000 * chance.nextDouble();
@@ -477,13 +516,13 @@
                 die(server);
                 at(
                         now + 2000 + 3000 * chance.nextDouble(),
-                        () -> tell(server, ServerNews.State.GONE));
+                        () -> tell(server, EndpointUpdate.State.GONE));
                 at(now + 5000 + lasts, () -> comeBack(server));
             }
             case 1 -> {
-                tell(server, ServerNews.State.DRAINING);
+                tell(server, EndpointUpdate.State.DRAINING);
                 at(now + 5000, () -> die(server));
-                at(now + 5100, () -> tell(server, ServerNews.State.GONE));
+                at(now + 5100, () -> tell(server, EndpointUpdate.State.GONE));
                 at(now + 6000 + lasts, () -> comeBack(server));
             }
             case 2 -> {
@@ -504,7 +543,13 @@
     private void die(Server server) {
         server.up = false;
         List.copyOf(server.out)
-                .forEach(out -> out.end(0.5, () -> new Outcome.Lost(Progress.WRITTEN)));
+                .forEach(
+                        out ->
+                                out.end(
+                                        0.5,
+                                        () ->
+                                                new AttemptResult.ConnectionLost(
+                                                        WriteProgress.WRITTEN)));
     }
 
     private void comeBack(Server server) {
@@ -512,13 +557,13 @@
         server.silent = false;
         server.startedAt = Math.rint(now);
         Arrays.fill(server.freeAt, now);
-        tell(server, ServerNews.State.RUNNING);
+        tell(server, EndpointUpdate.State.RUNNING);
     }
 
     /** Each gatherer hears of it in its own time: some 50 ms after the quickest. */
-    private void tell(Server server, ServerNews.State state) {
+    private void tell(Server server, EndpointUpdate.State state) {
         server.state = state;
-        ServerNews news = server.news();
+        EndpointUpdate news = server.news();
         for (Seat seat : seats) {
             at(
                     now + 20 + 30 * exponential.sample(),
@@ -526,10 +571,10 @@
                             call(
                                     seat,
                                     () ->
-                                            seat.picker.report(
+                                            seat.coordinator.observe(
                                                     seat.own(now),
                                                     List.of(
-                                                            new Report.ListCame(
+                                                            new Observation.EndpointsUpdated(
                                                                     false, List.of(news))))));
         }
     }
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -20,8 +20,8 @@
 import java.util.TreeMap;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import sprucehold.port.Customer;
-import sprucehold.port.Event;
+import sprucehold.decision.Event;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
@@ -68,12 +68,11 @@
         double begin = of.stream().mapToDouble(Entry::nowMs).min().orElse(0);
         for (Entry entry : of) {
             for (Item item : entry instanceof Moment moment ? moment.items() : List.<Item>of()) {
-                if (item.event() instanceof Event.ScanTaken taken && taken.customer() != null) {
+                if (item.event() instanceof Event.QueryReceived taken && taken.tenant() != null) {
                     double[] profile =
-                            profiles.computeIfAbsent(
-                                    taken.customer().name(), name -> new double[28]);
+                            profiles.computeIfAbsent(taken.tenant().name(), name -> new double[28]);
                     profile[Math.min(23, (int) ((entry.nowMs() - begin) / 600_000))]++;
-                    profile[24 + Math.abs(taken.type().name().hashCode()) % 4] += 1;
+                    profile[24 + Math.abs(taken.queryClass().name().hashCode()) % 4] += 1;
                 }
             }
         }
@@ -207,16 +206,14 @@
                         source -> {
                             names.add(source.gatherer() + "\"");
                             names.add(Long.toString(source.seed()));
-                            source.facts().customers().stream()
-                                    .map(Customer::name)
-                                    .forEach(names::add);
+                            source.facts().tenants().stream().map(Tenant::name).forEach(names::add);
                         });
         for (Entry entry : entries) {
             for (Item item : ((Moment) entry).items()) {
-                if (item.event() instanceof Event.ScanTaken taken) {
+                if (item.event() instanceof Event.QueryReceived taken) {
                     names.add(taken.id());
-                } else if (item.event() instanceof Event.ListReceived list) {
-                    list.servers().forEach(server -> names.add("\"" + server.server() + "\""));
+                } else if (item.event() instanceof Event.EndpointsUpdated list) {
+                    list.endpoints().forEach(server -> names.add("\"" + server.server() + "\""));
                 }
             }
         }
@@ -243,8 +240,8 @@
             assertTrue(after.all().scans() > 0.9 * before.all().scans());
             assertEquals(after.all().service(), before.all().service(), 0.01);
             assertEquals(after.all().percentileMs(50), before.all().percentileMs(50), 6);
-            Event.ScanTaken first =
-                    (Event.ScanTaken) ((Moment) Days.read(to).get(0)).items().get(0).event();
+            Event.QueryReceived first =
+                    (Event.QueryReceived) ((Moment) Days.read(to).get(0)).items().get(0).event();
             assertFalse(Days.all(reader.ofScan(first.id())).isEmpty());
         }
     }
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/Days.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.brain.Brain;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.policy.Brain;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.format.TraceReader;
@@ -28,7 +28,8 @@
     }
 
     /** Plays a day and writes a file for each gatherer. */
-    static List<Path> play(Path folder, DayPlan plan, Gatherer.Factory factory) throws IOException {
+    static List<Path> play(Path folder, DayPlan plan, DecisionPolicy.Factory factory)
+            throws IOException {
         var day = new SyntheticDay(plan, factory);
         var files = new ArrayList<Path>();
         var writers = new ArrayList<TraceWriter>();
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -15,11 +15,11 @@
 import java.util.Random;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import sprucehold.brain.Brain;
-import sprucehold.port.Action;
-import sprucehold.port.Event;
-import sprucehold.port.Listing;
-import sprucehold.port.Reason;
+import sprucehold.decision.Command;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.Reason;
+import sprucehold.policy.Brain;
 import sprucehold.trace.book.BookedScan;
 import sprucehold.trace.book.ScanBook;
 import sprucehold.trace.event.ClockFit;
@@ -148,7 +148,10 @@
                 boolean taken =
                         entry instanceof Moment moment
                                 && moment.items().stream()
-                                        .anyMatch(item -> item.event() instanceof Event.ScanTaken);
+                                        .anyMatch(
+                                                item ->
+                                                        item.event()
+                                                                instanceof Event.QueryReceived);
                 double at =
                         reader.head().sources().get(entry.source()).clock().corrected(entry.nowMs())
                                 + 2;
@@ -236,9 +239,9 @@
         double t = SyntheticDay.BEGIN_MS;
         for (int i = 0; i < 12; i++) {
             Event list =
-                    new Event.ListReceived(
+                    new Event.EndpointsUpdated(
                             false,
-                            List.of(new Listing("s-" + i, 0, "a", 0, Listing.Mode.DRAINING)));
+                            List.of(new Endpoint("s-" + i, 0, "a", 0, Endpoint.State.DRAINING)));
             at0.add(
                     Moment.of(
                             0, at0.size(), t + 100_000 * i + 30, List.of(list), List.of(), false));
@@ -257,13 +260,13 @@
                         at0.size(),
                         "first",
                         asked,
-                        new Action.Throttle("first", 1000, Reason.NO_ROOM)));
+                        new Command.RejectQuery("first", 1000, Reason.NO_CAPACITY)));
         at1.add(
                 scan(
                         at1.size(),
                         "again",
                         asked + 1100 - 4000,
-                        new Action.Answer("again", true, Reason.WHOLE)));
+                        new Command.AnswerQuery("again", true, Reason.COMPLETE)));
         Path to =
                 merge(
                         "asked-again",
@@ -276,7 +279,7 @@
                     .items()
                     .forEach(
                             item -> {
-                                if (item.event() instanceof Event.ScanTaken taken) {
+                                if (item.event() instanceof Event.QueryReceived taken) {
                                     order.add(taken.id());
                                 }
                             });
@@ -297,14 +300,14 @@
         }
     }
 
-    private Moment scan(long seq, String id, double now, Action end) throws IOException {
+    private Moment scan(long seq, String id, double now, Command end) throws IOException {
         return Moment.of(
                 0,
                 seq,
                 now,
                 List.of(
-                        new Event.ScanTaken(
-                                id, seq, source("x", 0).facts().tableTypes().get(0), null, 3000)),
+                        new Event.QueryReceived(
+                                id, seq, source("x", 0).facts().queryClasses().get(0), null, 3000)),
                 List.of(end),
                 false);
     }
@@ -314,7 +317,8 @@
         var back = new ArrayList<Entry>();
         for (int i = 0; i < 10; i++) {
             double now = SyntheticDay.BEGIN_MS + (i < 5 ? 10_000 + i : i);
-            back.add(scan(i, "s" + i, now, new Action.Answer("s" + i, true, Reason.WHOLE)));
+            back.add(
+                    scan(i, "s" + i, now, new Command.AnswerQuery("s" + i, true, Reason.COMPLETE)));
         }
         back.add(new Gap(0, 10, SyntheticDay.BEGIN_MS + 20, 5, SyntheticDay.BEGIN_MS + 30));
         Path file = Days.write(folder.resolve("back.trace"), Head.of(source("g9", 7)), back);
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -11,9 +11,9 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.brain.Brain;
-import sprucehold.port.Action;
-import sprucehold.port.Gatherer;
+import sprucehold.decision.Command;
+import sprucehold.decision.DecisionPolicy;
+import sprucehold.policy.Brain;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Head;
@@ -38,7 +38,7 @@
         }
     }
 
-    private static TraceReplay.Verdict replay(Gatherer.Factory factory, Path... of)
+    private static TraceReplay.Verdict replay(DecisionPolicy.Factory factory, Path... of)
             throws IOException {
         var readers = new ArrayList<TraceReader>();
         for (Path file : of) {
@@ -65,25 +65,25 @@
     }
 
     /** A build that sends every hundredth dispatch elsewhere. */
-    private static Gatherer.Factory changed() {
-        return (seed, facts) -> {
-            var module = new Brain(seed, facts);
+    private static DecisionPolicy.Factory changed() {
+        return (seed, deployment) -> {
+            var module = new Brain(seed, deployment);
             int[] dispatches = {0};
             return (now, events) ->
                     module.decide(now, events).stream()
                             .map(
-                                    action -> {
-                                        if (action instanceof Action.Dispatch d
+                                    command -> {
+                                        if (command instanceof Command.SendAttempt d
                                                 && ++dispatches[0] == 100) {
-                                            return new Action.Dispatch(
+                                            return new Command.SendAttempt(
                                                     d.partId(),
                                                     "elsewhere",
                                                     d.timeoutMs(),
                                                     d.reason(),
                                                     d.position(),
-                                                    d.passedOver());
+                                                    d.skipped());
                                         }
-                                        return action;
+                                        return command;
                                     })
                             .toList();
         };
@@ -148,7 +148,7 @@
             List<TraceDiff.Parting> partings = TraceDiff.diff(a, b);
             assertEquals(partings.size(), 1);
             assertTrue(
-                    partings.get(0).what().startsWith("action Dispatch")
+                    partings.get(0).what().startsWith("action SendAttempt")
                             && partings.get(0).what().contains("elsewhere"),
                     partings.toString());
             assertTrue(TraceDiff.diff(a, again).isEmpty());
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -15,11 +15,11 @@
 import org.apache.commons.csv.CSVRecord;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
-import sprucehold.port.Action;
-import sprucehold.port.Customer;
-import sprucehold.port.Deployment;
-import sprucehold.port.Event;
-import sprucehold.port.Reason;
+import sprucehold.decision.Command;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.Event;
+import sprucehold.decision.Reason;
+import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Moment;
@@ -99,20 +99,20 @@
             source = reader.head().sources().get(0);
         }
         Deployment f = source.facts();
-        var evil = new Customer("<script>alert(1)</script>", 1);
-        var facts =
+        var evil = new Tenant("<script>alert(1)</script>", 1);
+        var deployment =
                 new Deployment(
                         f.gatherers(),
                         f.zone(),
                         f.tickMs(),
-                        f.overShareBenefit(),
-                        f.tableTypes(),
+                        f.overQuotaPriority(),
+                        f.queryClasses(),
                         List.of(evil),
                         f.layout(),
                         f.limits(),
-                        f.coldRule(),
-                        f.dispatchBudget(),
-                        f.listAccess());
+                        f.slowStart(),
+                        f.retryBudget(),
+                        f.endpointSubscription());
         List<Entry> entries =
                 List.of(
                         Moment.of(
@@ -120,14 +120,14 @@
                                 0,
                                 1,
                                 List.of(
-                                        new Event.ScanTaken(
-                                                "s", 1, f.tableTypes().get(0), evil, 1)),
-                                List.of(new Action.Throttle("s", 0, Reason.PRESSURE)),
+                                        new Event.QueryReceived(
+                                                "s", 1, f.queryClasses().get(0), evil, 1)),
+                                List.of(new Command.RejectQuery("s", 0, Reason.OVERLOAD)),
                                 false));
         Path path =
                 Days.write(
                         Days.folder().resolve("evil.trace"),
-                        Head.of(new Source("g", "b", 1, 1, facts, source.clock())),
+                        Head.of(new Source("g", "b", 1, 1, deployment, source.clock())),
                         entries);
         var of = new TraceSummary();
         try (TraceReader reader = TraceReader.open(path)) {
@@ -141,10 +141,10 @@
         try (TraceReader reader = TraceReader.open(file)) {
             String id = null;
             for (Entry entry : Days.all(reader.all())) {
-                for (Action action : ((Moment) entry).actions()) {
-                    if (action instanceof Action.Dispatch dispatch
-                            && dispatch.reason() == Reason.SECOND_COPY) {
-                        id = dispatch.partId().substring(0, 16);
+                for (Command command : ((Moment) entry).actions()) {
+                    if (command instanceof Command.SendAttempt sendAttempt
+                            && sendAttempt.reason() == Reason.HEDGE) {
+                        id = sendAttempt.partId().substring(0, 16);
                     }
                 }
             }
@@ -159,8 +159,8 @@
                             Storyteller.tell(
                                     collector.stories().get(0), reader.head().sources().get(0)));
             assertTrue(
-                    told.contains(Reason.SECOND_COPY.words())
-                            && told.contains(Reason.FIRST_ROUND.words())
+                    told.contains(Reason.HEDGE.description())
+                            && told.contains(Reason.FIRST_ROUND.description())
                             && told.contains("passed over")
                             && told.contains(" is called off"),
                     told);
