--- a/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
@@ -21,7 +21,7 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 import sprucehold.decision.QueryClass;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 
 /**
  * What decisions cost: processor time and allocation a query, by its parts, by listed shard
@@ -82,7 +82,7 @@
                         new Deployment.SlowStartRule(0.2, 10_000, 2, 1000),
                         Deployment.RetryBudget.NONE,
                         new Deployment.EndpointSubscription(false, 10_000));
-        decisions = new Brain(1, deployment);
+        decisions = new QueryScheduler(1, deployment);
         var listed = new ArrayList<Endpoint>();
         for (int server = 0; server < size.servers; server++) {
             listed.add(
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -16,12 +16,12 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
-import sprucehold.together.play.Division;
-import sprucehold.together.play.EvidencePlay;
-import sprucehold.together.play.MemberPlay;
-import sprucehold.together.play.Network;
-import sprucehold.together.play.SharePlay;
-import sprucehold.together.play.Trouble;
+import sprucehold.cluster.simulation.Division;
+import sprucehold.cluster.simulation.EvidencePlay;
+import sprucehold.cluster.simulation.MemberPlay;
+import sprucehold.cluster.simulation.Network;
+import sprucehold.cluster.simulation.SharePlay;
+import sprucehold.cluster.simulation.Trouble;
 
 /**
  * What gatherers know together, in simulated time: ways to find out who is there, and ways to
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -20,7 +20,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.TearDown;
 import org.openjdk.jmh.annotations.Warmup;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Moment;
@@ -46,7 +46,7 @@
 
     @Setup(Level.Trial)
     public void playADay() throws IOException {
-        var day = new SyntheticDay(new DayPlan(8000, 1, 1, 0, 0, 6, 40, 20), Brain::new);
+        var day = new SyntheticDay(new DayPlan(8000, 1, 1, 0, 0, 6, 40, 20), QueryScheduler::new);
         source = day.sources().get(0);
         int[] records = {0};
         day.play(
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.cluster.ClusterConfig;
+import sprucehold.clustering.ClusterConfig;
 import sprucehold.decision.SharedLimit;
 
 /** What gatherers know together. */
--- a/cli/src/main/java/sprucehold/cli/TraceJudge.java
+++ b/cli/src/main/java/sprucehold/cli/TraceJudge.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import sprucehold.decision.AttemptOutcome;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
@@ -334,7 +334,8 @@
                     readers.add(TraceLook.open(file));
                 }
                 var progress = new Printed.Progress("calls decided again");
-                TraceReplay.Verdict verdict = TraceReplay.replay(readers, Brain::new, progress::at);
+                TraceReplay.Verdict verdict =
+                        TraceReplay.replay(readers, QueryScheduler::new, progress::at);
                 progress.end();
                 if (json) {
                     Printed.json(
@@ -445,7 +446,7 @@
                             new DayPlan(
                                     scans, seed, gatherers, skewS, driftPpm, hours, customers,
                                     troubles),
-                            Brain::new);
+                            QueryScheduler::new);
             Files.createDirectories(out);
             var files = new ArrayList<Path>();
             var writers = new ArrayList<TraceWriter>();
--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -19,6 +19,7 @@
 
     private static final String[] CORE = {
         "sprucehold.decision..",
+        "sprucehold.storage..",
         "sprucehold.deployment..",
         "sprucehold.coordinator..",
         "sprucehold.policy.."
@@ -26,7 +27,7 @@
     private static final String[] TRACE = {"sprucehold.trace.."};
     private static final String[] TOOLS = {"sprucehold.tracetools.."};
     private static final String[] CHANGE = {"sprucehold.change.."};
-    private static final String[] TOGETHER = {"sprucehold.together.."};
+    private static final String[] TOGETHER = {"sprucehold.cluster.."};
     private static final String[] STANDIN = {"sprucehold.standin.."};
     private static final String[] GATHERER = {
         "sprucehold.node..",
@@ -37,7 +38,7 @@
         "sprucehold.admin..",
         "sprucehold.command..",
         "sprucehold.messaging..",
-        "sprucehold.cluster..",
+        "sprucehold.clustering..",
         "sprucehold.settings..",
         "sprucehold.sockets.."
     };
@@ -146,18 +147,18 @@
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                "sprucehold.cluster..",
+                                "sprucehold.clustering..",
                                 "sprucehold.messaging..",
-                                "sprucehold.together..")
+                                "sprucehold.cluster..")
             },
             {
                 "nothing that serves loads a fleet in simulated time",
                 noClasses()
                         .that()
-                        .resideOutsideOfPackages("sprucehold.together.play..")
+                        .resideOutsideOfPackages("sprucehold.cluster.simulation..")
                         .should()
                         .dependOnClassesThat()
-                        .resideInAPackage("sprucehold.together.play..")
+                        .resideInAPackage("sprucehold.cluster.simulation..")
             },
             {
                 "changes are decided without files, clocks or threads",
@@ -326,6 +327,7 @@
     @Test
     public void theRulesLookAtSomething() {
         Assert.assertTrue(
-                ALL.contain("sprucehold.policy.Brain") && ALL.contain("sprucehold.cli.Sprucehold"));
+                ALL.contain("sprucehold.policy.QueryScheduler")
+                        && ALL.contain("sprucehold.cli.Sprucehold"));
     }
 }
--- a/together/src/main/java/sprucehold/together/room/Growth.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Growth.java
@@ -1,4 +1,4 @@
-package sprucehold.together.room;
+package sprucehold.cluster.allowance;
 
 import java.util.ArrayDeque;
 
--- a/together/src/main/java/sprucehold/together/room/Leave.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Leave.java
@@ -1,7 +1,7 @@
-package sprucehold.together.room;
+package sprucehold.cluster.allowance;
 
 import java.util.List;
-import sprucehold.together.share.Permit;
+import sprucehold.cluster.quota.Permit;
 
 /**
  * Leave for one dispatch, or one scan: all permits that it rests on have to hold when it is
--- a/together/src/main/java/sprucehold/together/room/RoomTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/RoomTerms.java
@@ -1,4 +1,4 @@
-package sprucehold.together.room;
+package sprucehold.cluster.allowance;
 
 import java.util.List;
 import java.util.Set;
--- a/together/src/main/java/sprucehold/together/room/Rooms.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Rooms.java
@@ -1,4 +1,4 @@
-package sprucehold.together.room;
+package sprucehold.cluster.allowance;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import sprucehold.cluster.quota.Permit;
+import sprucehold.cluster.quota.ShareTerms;
+import sprucehold.cluster.session.Talk;
 import sprucehold.decision.ClusterView;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.SharedLimit;
 import sprucehold.decision.Tenant;
-import sprucehold.together.share.Permit;
-import sprucehold.together.share.ShareTerms;
-import sprucehold.together.talk.Talk;
 
 /**
  * The shared bounds of one gatherer as its decisions see them. A cold server's bound comes up with
--- a/together/src/main/java/sprucehold/together/count/Count.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/Count.java
@@ -1,4 +1,4 @@
-package sprucehold.together.count;
+package sprucehold.cluster.counter;
 
 /**
  * How much one life of a gatherer has counted of one thing.
--- a/together/src/main/java/sprucehold/together/count/Counts.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/Counts.java
@@ -1,4 +1,4 @@
-package sprucehold.together.count;
+package sprucehold.cluster.counter;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/together/src/main/java/sprucehold/together/evidence/Evidence.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/Evidence.java
@@ -1,4 +1,4 @@
-package sprucehold.together.evidence;
+package sprucehold.cluster.evidence;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/together/src/main/java/sprucehold/together/evidence/Opinion.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/Opinion.java
@@ -1,4 +1,4 @@
-package sprucehold.together.evidence;
+package sprucehold.cluster.evidence;
 
 /**
  * What others' sightings of a server come to.
--- a/together/src/main/java/sprucehold/together/evidence/Sighting.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/Sighting.java
@@ -1,4 +1,4 @@
-package sprucehold.together.evidence;
+package sprucehold.cluster.evidence;
 
 /**
  * What one gatherer saw of one shard server of late.
--- a/together/src/main/java/sprucehold/together/member/Detector.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Detector.java
@@ -1,4 +1,4 @@
-package sprucehold.together.member;
+package sprucehold.cluster.membership;
 
 import java.util.List;
 import java.util.Set;
--- a/together/src/main/java/sprucehold/together/member/News.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/News.java
@@ -1,4 +1,4 @@
-package sprucehold.together.member;
+package sprucehold.cluster.membership;
 
 /**
  * What one gatherer says of another, or of itself. Of two pieces of news of one name the greater
--- a/together/src/main/java/sprucehold/together/member/Rumours.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Rumours.java
@@ -1,4 +1,4 @@
-package sprucehold.together.member;
+package sprucehold.cluster.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/together/src/main/java/sprucehold/together/share/Exchange.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Exchange.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/together/src/main/java/sprucehold/together/share/Loan.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Loan.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 /**
  * Units of a lender's home that another may use for a while.
--- a/together/src/main/java/sprucehold/together/share/OwnClock.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/OwnClock.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 /**
  * A gatherer's own time as loans see it, from two clocks of its machine: one that only counts up,
--- a/together/src/main/java/sprucehold/together/share/Permit.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 /**
  * Leave to send what was counted as used.
--- a/together/src/main/java/sprucehold/together/share/ShareMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/ShareMessage.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 /** What gatherers say to each other of shares. Each may be lost, doubled, late or out of order. */
 public sealed interface ShareMessage {
--- a/together/src/main/java/sprucehold/together/share/ShareTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/ShareTerms.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 /**
  * What a gatherer's share of one bound of the fleet is, and how it may be lent. The same at all
--- a/together/src/main/java/sprucehold/together/share/UnitLedger.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/UnitLedger.java
@@ -1,4 +1,4 @@
-package sprucehold.together.share;
+package sprucehold.cluster.quota;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/together/src/main/java/sprucehold/together/talk/Letter.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/Letter.java
@@ -1,10 +1,10 @@
-package sprucehold.together.talk;
+package sprucehold.cluster.session;
 
 import java.util.List;
-import sprucehold.together.count.Count;
-import sprucehold.together.evidence.Sighting;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.share.ShareMessage;
+import sprucehold.cluster.counter.Count;
+import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.quota.ShareMessage;
 
 /** What one gatherer says to another at once; each fits into a datagram. */
 public sealed interface Letter {
--- a/together/src/main/java/sprucehold/together/talk/Talk.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/Talk.java
@@ -1,4 +1,4 @@
-package sprucehold.together.talk;
+package sprucehold.cluster.session;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,18 +10,18 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucehold.together.count.Counts;
-import sprucehold.together.evidence.Evidence;
-import sprucehold.together.evidence.Opinion;
-import sprucehold.together.member.Detector;
-import sprucehold.together.member.Membership;
-import sprucehold.together.member.News;
-import sprucehold.together.share.Exchange;
-import sprucehold.together.share.OwnClock;
-import sprucehold.together.share.Permit;
-import sprucehold.together.share.ShareMessage;
-import sprucehold.together.share.ShareTerms;
-import sprucehold.together.share.UnitLedger;
+import sprucehold.cluster.counter.Counts;
+import sprucehold.cluster.evidence.Evidence;
+import sprucehold.cluster.evidence.Opinion;
+import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.Membership;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.quota.Exchange;
+import sprucehold.cluster.quota.OwnClock;
+import sprucehold.cluster.quota.Permit;
+import sprucehold.cluster.quota.ShareMessage;
+import sprucehold.cluster.quota.ShareTerms;
+import sprucehold.cluster.quota.UnitLedger;
 
 /** One gatherer among others: who is there, what is shared, what was counted and seen. */
 public final class Talk {
--- a/together/src/main/java/sprucehold/together/talk/TalkTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/TalkTerms.java
@@ -1,7 +1,7 @@
-package sprucehold.together.talk;
+package sprucehold.cluster.session;
 
 import java.util.Map;
-import sprucehold.together.share.ShareTerms;
+import sprucehold.cluster.quota.ShareTerms;
 
 /**
  * What is agreed before anybody talks.
--- a/together/src/main/java/sprucehold/together/play/Division.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/Division.java
@@ -1,6 +1,6 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
-import sprucehold.together.share.ShareTerms;
+import sprucehold.cluster.quota.ShareTerms;
 
 /** Ways to divide one bound among a fleet. */
 public enum Division {
--- a/together/src/main/java/sprucehold/together/play/EvidencePlay.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidencePlay.java
@@ -1,4 +1,4 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,11 +8,11 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.News;
-import sprucehold.together.talk.Letter;
-import sprucehold.together.talk.Talk;
-import sprucehold.together.talk.TalkTerms;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.session.Talk;
+import sprucehold.cluster.session.TalkTerms;
 
 /**
  * A fleet one of whose shard servers fails from a moment on: how soon its gatherers know that, each
--- a/together/src/main/java/sprucehold/together/play/HeartbeatsToAll.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
@@ -1,4 +1,4 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,8 +6,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucehold.together.member.Detector;
-import sprucehold.together.member.MemberMessage;
+import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.MemberMessage;
 
 /**
  * Each tells all that it is there, every period; who is silent for five is held to be dead. To
--- a/together/src/main/java/sprucehold/together/play/MemberPlay.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MemberPlay.java
@@ -1,4 +1,4 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import sprucehold.together.member.Detector;
-import sprucehold.together.member.Membership;
+import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.Membership;
 
 /**
  * A fleet that watches itself, in simulated time: how soon all know of a death, and who is held
--- a/together/src/main/java/sprucehold/together/play/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -1,4 +1,4 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,9 +7,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucehold.together.member.Detector;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.News;
+import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.News;
 
 /**
  * Each counts up a heartbeat a period and tells the whole table to three others drawn by chance;
--- a/together/src/main/java/sprucehold/together/play/SharePlay.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/SharePlay.java
@@ -1,4 +1,4 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,10 +9,10 @@
 import java.util.Random;
 import java.util.function.ToDoubleBiFunction;
 import java.util.stream.IntStream;
-import sprucehold.together.share.Exchange;
-import sprucehold.together.share.OwnClock;
-import sprucehold.together.share.Permit;
-import sprucehold.together.share.UnitLedger;
+import sprucehold.cluster.quota.Exchange;
+import sprucehold.cluster.quota.OwnClock;
+import sprucehold.cluster.quota.Permit;
+import sprucehold.cluster.quota.UnitLedger;
 
 /**
  * A fleet that shares one bound, in simulated time: who wanted how much, who got it, and what any
--- a/together/src/main/java/sprucehold/together/play/Trouble.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/Trouble.java
@@ -1,4 +1,4 @@
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
 
 import java.util.Set;
 
--- a/together/src/main/java/sprucehold/together/play/package-info.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Fleets in simulated time that try what gatherers know together: many members, a network that
  * loses, doubles, delays and cuts, crashes, pauses, clocks that drift. The entry point is {@link
- * sprucehold.together.play.SharePlay}. One seed decides everything; it must never be loaded by what
- * serves.
+ * sprucehold.cluster.simulation.SharePlay}. One seed decides everything; it must never be loaded by
+ * what serves.
  */
-package sprucehold.together.play;
+package sprucehold.cluster.simulation;
--- a/together/src/main/java/sprucehold/together/wire/Codec.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
@@ -1,4 +1,4 @@
-package sprucehold.together.wire;
+package sprucehold.cluster.wire;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -21,13 +21,13 @@
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.io.EncoderFactory;
-import sprucehold.together.count.Count;
-import sprucehold.together.evidence.Sighting;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.News;
-import sprucehold.together.share.Loan;
-import sprucehold.together.share.ShareMessage;
-import sprucehold.together.talk.Letter;
+import sprucehold.cluster.counter.Count;
+import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.quota.Loan;
+import sprucehold.cluster.quota.ShareMessage;
+import sprucehold.cluster.session.Letter;
 
 /** Letters to bytes and back. */
 public final class Codec {
--- a/together/src/main/java/sprucehold/together/wire/Received.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Received.java
@@ -1,6 +1,6 @@
-package sprucehold.together.wire;
+package sprucehold.cluster.wire;
 
-import sprucehold.together.talk.Letter;
+import sprucehold.cluster.session.Letter;
 
 /** What a datagram turned out to be. */
 public sealed interface Received {
--- a/together/src/main/java/sprucehold/together/wire/package-info.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Letters as bytes: Avro by the schema {@code letter-1.avsc}, in a frame with a version and a
- * checksum. The entry point is {@link sprucehold.together.wire.Codec}. It must never hand on what
+ * checksum. The entry point is {@link sprucehold.cluster.wire.Codec}. It must never hand on what
  * doesn't pass every check, nor fail on any bytes.
  *
  * <pre>
@@ -10,4 +10,4 @@
  * stream   := length:u32 datagram, then the end    most significant byte first; what is longer than a datagram goes by TCP
  * </pre>
  */
-package sprucehold.together.wire;
+package sprucehold.cluster.wire;
--- a/together/src/test/java/sprucehold/together/CountsAndEvidenceTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together;
+package sprucehold.cluster;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -10,11 +10,11 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.together.count.Count;
-import sprucehold.together.count.Counts;
-import sprucehold.together.evidence.Evidence;
-import sprucehold.together.evidence.Opinion;
-import sprucehold.together.evidence.Sighting;
+import sprucehold.cluster.counter.Count;
+import sprucehold.cluster.counter.Counts;
+import sprucehold.cluster.evidence.Evidence;
+import sprucehold.cluster.evidence.Opinion;
+import sprucehold.cluster.evidence.Sighting;
 
 /**
  * Counts that any order, repeat or restart leaves right, and evidence that no single voice moves.
--- a/together/src/test/java/sprucehold/together/MembershipTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together;
+package sprucehold.cluster;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,13 +12,13 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.together.member.Detector;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.Membership;
-import sprucehold.together.member.News;
-import sprucehold.together.play.MemberPlay;
-import sprucehold.together.play.Network;
-import sprucehold.together.play.Trouble;
+import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.Membership;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.simulation.MemberPlay;
+import sprucehold.cluster.simulation.Network;
+import sprucehold.cluster.simulation.Trouble;
 
 /** Who is there: alone by hand, and fleets in simulated time. */
 public class MembershipTest {
--- a/together/src/test/java/sprucehold/together/SharePlayTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/SharePlayTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together;
+package sprucehold.cluster;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,10 +9,10 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.together.play.Division;
-import sprucehold.together.play.Network;
-import sprucehold.together.play.SharePlay;
-import sprucehold.together.play.Trouble;
+import sprucehold.cluster.simulation.Division;
+import sprucehold.cluster.simulation.Network;
+import sprucehold.cluster.simulation.SharePlay;
+import sprucehold.cluster.simulation.Trouble;
 
 /**
  * Fleets that share one bound: never beyond it in whatever trouble, and with something gained where
--- a/together/src/test/java/sprucehold/together/TalkTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/TalkTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together;
+package sprucehold.cluster;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -12,17 +12,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
-import sprucehold.together.count.Count;
-import sprucehold.together.evidence.Sighting;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.News;
-import sprucehold.together.share.Permit;
-import sprucehold.together.share.ShareTerms;
-import sprucehold.together.talk.Letter;
-import sprucehold.together.talk.Talk;
-import sprucehold.together.talk.TalkTerms;
-import sprucehold.together.wire.Codec;
-import sprucehold.together.wire.Received;
+import sprucehold.cluster.counter.Count;
+import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.quota.Permit;
+import sprucehold.cluster.quota.ShareTerms;
+import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.session.Talk;
+import sprucehold.cluster.session.TalkTerms;
+import sprucehold.cluster.wire.Codec;
+import sprucehold.cluster.wire.Received;
 
 /** Whole gatherers' talk by letters as bytes, in a time that the test tells. */
 public class TalkTest {
--- a/together/src/test/java/sprucehold/together/UnitLedgerExplorerTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/UnitLedgerExplorerTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together;
+package sprucehold.cluster;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -12,11 +12,11 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.together.share.Loan;
-import sprucehold.together.share.OwnClock;
-import sprucehold.together.share.Permit;
-import sprucehold.together.share.ShareTerms;
-import sprucehold.together.share.UnitLedger;
+import sprucehold.cluster.quota.Loan;
+import sprucehold.cluster.quota.OwnClock;
+import sprucehold.cluster.quota.Permit;
+import sprucehold.cluster.quota.ShareTerms;
+import sprucehold.cluster.quota.UnitLedger;
 
 /**
  * Visits every state of a bounded world: three gatherers, two units that are the homes of two of
--- a/together/src/test/java/sprucehold/together/room/RoomsTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/RoomsTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together.room;
+package sprucehold.cluster.allowance;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -18,13 +18,13 @@
 import java.util.function.DoubleUnaryOperator;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucehold.cluster.session.Talk;
+import sprucehold.cluster.session.TalkTerms;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.SharedLimit;
 import sprucehold.decision.Tenant;
-import sprucehold.together.talk.Talk;
-import sprucehold.together.talk.TalkTerms;
 
 /**
  * Shared bounds as decisions see them: one gatherer by hand, and whole fleets whose every send is
--- a/together/src/test/java/sprucehold/together/wire/CodecTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
@@ -1,4 +1,4 @@
-package sprucehold.together.wire;
+package sprucehold.cluster.wire;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -20,13 +20,13 @@
 import org.apache.avro.Schema;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.together.count.Count;
-import sprucehold.together.evidence.Sighting;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.News;
-import sprucehold.together.share.Loan;
-import sprucehold.together.share.ShareMessage;
-import sprucehold.together.talk.Letter;
+import sprucehold.cluster.counter.Count;
+import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.quota.Loan;
+import sprucehold.cluster.quota.ShareMessage;
+import sprucehold.cluster.session.Letter;
 
 /** Letters as bytes: whole, or nothing at all. */
 public class CodecTest {
--- a/core/src/main/java/sprucehold/policy/Brain.java
+++ b/core/src/main/java/sprucehold/policy/QueryScheduler.java
@@ -45,7 +45,7 @@
  *   <li>endings: when a scan is answered, and when it is given up.
  * </ol>
  */
-public final class Brain implements DecisionPolicy {
+public final class QueryScheduler implements DecisionPolicy {
     private Deployment deployment;
     private final Random chance;
 
@@ -264,7 +264,7 @@
         }
     }
 
-    public Brain(long seed, Deployment deployment) {
+    public QueryScheduler(long seed, Deployment deployment) {
         this.chance = new Random(seed);
         this.crowded = deployment.gatherers() > Srv.USUAL_ROOM;
         for (int i = 0; i < deployment.layout().replicaGroups(); i++) {
--- a/core/src/test/java/sprucehold/coordinator/PickerTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -20,7 +20,7 @@
 import sprucehold.decision.Tenant;
 
 /** The picker against decisions that are scripted: one list of actions for each call. */
-public class PickerTest {
+public class QueryCoordinatorTest {
     private static final AttemptResult HIT = new AttemptResult.Completed(bytes("v"), null);
     private final Queue<List<Command>> script = new ArrayDeque<>();
     private final List<List<Event>> seen = new ArrayList<>();
--- a/core/src/test/java/sprucehold/deployment/FactsCheckTest.java
+++ b/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** Settings that lack or contradict what is needed to serve by them. */
-public class FactsCheckTest {
+public class DeploymentSettingsValidatorTest {
     private static final String SOUND =
             "{'classes':[{'name':'q','semantics':'retryable','aimMs':100,'giveUpMs':300},"
                     + "{'name':'k','semantics':'dedup','aimMs':100,'giveUpMs':300,'windowMs':700,'worth':2}],"
--- a/core/src/test/java/sprucehold/policy/Play.java
+++ b/core/src/test/java/sprucehold/policy/Play.java
@@ -31,7 +31,7 @@
     List<Tenant> customers = List.of();
     double now = 1000;
     final List<Command> done = new ArrayList<>();
-    private Brain brain;
+    private QueryScheduler brain;
     private long scans;
     private double wakeAt = Double.POSITIVE_INFINITY;
 
@@ -49,7 +49,7 @@
      */
     Play start() {
         brain =
-                new Brain(
+                new QueryScheduler(
                         seed,
                         new Deployment(
                                 gatherers,
--- a/core/src/test/java/sprucehold/policy/BrainTest.java
+++ b/core/src/test/java/sprucehold/policy/QuerySchedulerTest.java
@@ -22,7 +22,7 @@
 import sprucehold.decision.SkippedReplica;
 import sprucehold.decision.Tenant;
 
-public class BrainTest {
+public class QuerySchedulerTest {
     private Play fresh() {
         return new Play();
     }
--- a/gatherer/src/main/java/sprucehold/cluster/ClusterConfig.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterConfig.java
@@ -1,4 +1,4 @@
-package sprucehold.cluster;
+package sprucehold.clustering;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
--- a/gatherer/src/main/java/sprucehold/cluster/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -1,4 +1,4 @@
-package sprucehold.cluster;
+package sprucehold.clustering;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -12,6 +12,13 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.logging.Logger;
+import sprucehold.cluster.allowance.Leave;
+import sprucehold.cluster.allowance.RoomTerms;
+import sprucehold.cluster.allowance.Rooms;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.session.Talk;
+import sprucehold.cluster.session.TalkTerms;
 import sprucehold.coordinator.Attempt;
 import sprucehold.coordinator.AttemptResult;
 import sprucehold.coordinator.EndpointUpdate;
@@ -26,13 +33,6 @@
 import sprucehold.node.Clock;
 import sprucehold.node.Neighbour;
 import sprucehold.node.NodeConfig;
-import sprucehold.together.member.News;
-import sprucehold.together.room.Leave;
-import sprucehold.together.room.RoomTerms;
-import sprucehold.together.room.Rooms;
-import sprucehold.together.talk.Letter;
-import sprucehold.together.talk.Talk;
-import sprucehold.together.talk.TalkTerms;
 
 /**
  * One gatherer among others: what happens at its node goes into what they know together, and what
--- a/gatherer/src/main/java/sprucehold/command/Main.java
+++ b/gatherer/src/main/java/sprucehold/command/Main.java
@@ -17,7 +17,7 @@
 import sprucehold.node.Rehearsal;
 import sprucehold.node.Service;
 import sprucehold.node.ServiceLogManager;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 
 /** The commands of a gatherer; what its lean jar holds. */
 @Command(
@@ -236,13 +236,19 @@
                     together == null ? List.of() : List.of(Talking.read(together));
             if (recording == null) {
                 Service.start(
-                        config, Brain::new, Brain::new, plan, beside, place::reread, () -> {});
+                        config,
+                        QueryScheduler::new,
+                        QueryScheduler::new,
+                        plan,
+                        beside,
+                        place::reread,
+                        () -> {});
             } else {
                 Recording recorded = Recording.read(recording, config.name());
                 Service.start(
                         config,
-                        Brain::new,
-                        recorded.of(Brain::new),
+                        QueryScheduler::new,
+                        recorded.of(QueryScheduler::new),
                         plan,
                         beside,
                         place::reread,
@@ -277,7 +283,7 @@
 
         @Override
         public Integer call() throws IOException, Service.StartFailedException {
-            return Rehearsal.run(place.config(), Brain::new, System.out::println)
+            return Rehearsal.run(place.config(), QueryScheduler::new, System.out::println)
                     ? CommandLine.ExitCode.OK
                     : CommandLine.ExitCode.SOFTWARE;
         }
@@ -306,7 +312,7 @@
     public static final class DrillCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            new Drill(Brain::new).run(System.in, System.out);
+            new Drill(QueryScheduler::new).run(System.in, System.out);
             return CommandLine.ExitCode.OK;
         }
     }
--- a/gatherer/src/main/java/sprucehold/command/Talking.java
+++ b/gatherer/src/main/java/sprucehold/command/Talking.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.nio.file.Path;
-import sprucehold.cluster.ClusterConfig;
-import sprucehold.cluster.ClusterMember;
+import sprucehold.clustering.ClusterConfig;
+import sprucehold.clustering.ClusterMember;
 import sprucehold.node.Neighbour;
 
 /** Talk among gatherers; loaded only where an operator has switched it on. */
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
@@ -20,9 +20,9 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.together.talk.Letter;
-import sprucehold.together.wire.Codec;
-import sprucehold.together.wire.Received;
+import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.wire.Codec;
+import sprucehold.cluster.wire.Received;
 
 /** Takes letters to other gatherers and hands on those that come. On one event loop. */
 public final class PeerMessaging {
--- a/gatherer/src/main/java/sprucehold/node/Node.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -44,8 +44,8 @@
  * One gatherer: it carries what happens outside to the picker, and what the picker orders to the
  * network. All of it runs on the one event loop.
  */
-final class Node implements ScanHandler {
-    private static final Logger LOG = Logger.getLogger(Node.class.getName());
+final class GathererNode implements ScanHandler {
+    private static final Logger LOG = Logger.getLogger(GathererNode.class.getName());
     private final Vertx vertx;
     private final NodeConfig config;
     private final Clock clock = new Clock();
@@ -95,7 +95,7 @@
      * @param plan where operators change its configuration, or null
      * @param beside makes what stands beside it
      */
-    Node(
+    GathererNode(
             Vertx vertx,
             NodeConfig config,
             DecisionPolicy.Factory factory,
@@ -111,11 +111,11 @@
                 beside);
     }
 
-    Node(Vertx vertx, NodeConfig config, DecisionPolicy.Factory factory) {
+    GathererNode(Vertx vertx, NodeConfig config, DecisionPolicy.Factory factory) {
         this(vertx, config, factory, null, null, List.of());
     }
 
-    private Node(
+    private GathererNode(
             Vertx vertx,
             NodeConfig config,
             DecisionPolicy.Factory factory,
--- a/gatherer/src/main/java/sprucehold/node/Rehearsal.java
+++ b/gatherer/src/main/java/sprucehold/node/Rehearsal.java
@@ -52,7 +52,7 @@
                                                             config.sockets(),
                                                             null,
                                                             config.facts());
-                                            var node = new Node(vertx, moved, factory);
+                                            var node = new GathererNode(vertx, moved, factory);
                                             return node.start()
                                                     .compose(
                                                             port ->
@@ -81,7 +81,7 @@
         }
     }
 
-    private static Future<Void> whenReady(Vertx vertx, Node node) {
+    private static Future<Void> whenReady(Vertx vertx, GathererNode node) {
         return node.ready()
                 ? Future.succeededFuture()
                 : vertx.timer(10).compose(waited -> whenReady(vertx, node));
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -45,8 +45,8 @@
             throws StartFailedException {
         WarmUp.run(config, rehearsed);
         Vertx vertx = vertx();
-        var started = new CompletableFuture<Node>();
-        var made = new AtomicReference<Node>();
+        var started = new CompletableFuture<GathererNode>();
+        var made = new AtomicReference<GathererNode>();
         // Before it listens: what it takes from its first moment on is owed an answer.
         Runtime.getRuntime()
                 .addShutdownHook(
@@ -59,7 +59,7 @@
         vertx.runOnContext(
                 none -> {
                     try {
-                        var node = new Node(vertx, config, factory, door, beside);
+                        var node = new GathererNode(vertx, config, factory, door, beside);
                         made.set(node);
                         node.start()
                                 .onComplete(
@@ -69,7 +69,7 @@
                         started.completeExceptionally(e);
                     }
                 });
-        Node node = await(started);
+        GathererNode node = await(started);
         Signals.onHangUp(() -> reconfigure(vertx, node, reread));
     }
 
@@ -120,7 +120,7 @@
 
     /** Runs on the signal's own thread; one at a time, so that what was read last counts. */
     private static synchronized void reconfigure(
-            Vertx vertx, Node node, Callable<NodeConfig> reread) {
+            Vertx vertx, GathererNode node, Callable<NodeConfig> reread) {
         LOG.info("SIGHUP: the configuration is read again");
         try {
             NodeConfig now = reread.call();
@@ -133,11 +133,11 @@
     }
 
     /** Runs on the hook's own thread, and only waits there for what the event loop does. */
-    private static void end(Vertx vertx, AtomicReference<Node> made, NodeConfig config) {
+    private static void end(Vertx vertx, AtomicReference<GathererNode> made, NodeConfig config) {
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none -> {
-                    Node node = made.get();
+                    GathererNode node = made.get();
                     (node == null
                                     ? Future.<Void>succeededFuture()
                                     : node.end(
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -147,7 +147,8 @@
         vertx.runOnContext(
                 none ->
                         StandIns.shardServer(vertx, shards)
-                                .compose(listening -> new Node(vertx, warm, factory).start())
+                                .compose(
+                                        listening -> new GathererNode(vertx, warm, factory).start())
                                 .compose(
                                         listening -> {
                                             var asking = new ArrayList<Future<Void>>();
--- a/gatherer/src/test/java/sprucehold/cluster/ClusterConfigTest.java
+++ b/gatherer/src/test/java/sprucehold/clustering/ClusterConfigTest.java
@@ -1,4 +1,4 @@
-package sprucehold.cluster;
+package sprucehold.clustering;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -12,7 +12,7 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Event;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Moment;
 import sprucehold.trace.format.TraceReader;
 
@@ -36,7 +36,7 @@
         Path folder = Files.createTempDirectory("recording");
         Path file = Files.writeString(folder.resolve("recording.json"), "{\"folder\": \".\"}");
         Recording recording = Recording.read(file, "g7");
-        DecisionPolicy module = recording.of(Brain::new).start(77, FACTS);
+        DecisionPolicy module = recording.of(QueryScheduler::new).start(77, FACTS);
         module.decide(5, List.of(new Event.EndpointsUpdated(true, List.of())));
         module.decide(6, List.of(new Event.EndpointsUnavailable()));
         recording.end();
--- a/gatherer/src/test/java/sprucehold/drill/DrillTest.java
+++ b/gatherer/src/test/java/sprucehold/drill/DrillTest.java
@@ -15,7 +15,7 @@
 import sprucehold.decision.Command;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Event;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 
 public class DrillTest {
     private static final String ON =
@@ -54,7 +54,7 @@
         byte[] in = (line + "\n").getBytes(StandardCharsets.UTF_8);
         assertThrows(
                 MalformedBatchException.class,
-                () -> new Drill(Brain::new).run(new ByteArrayInputStream(in), out));
+                () -> new Drill(QueryScheduler::new).run(new ByteArrayInputStream(in), out));
         assertEquals(out.size(), 0);
     }
 
@@ -141,8 +141,8 @@
                             + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":90,\"wholeNo\":4,\"rangeNo\":-1}},"
                             + "{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}}")
         };
-        String first = play(Brain::new, lines);
+        String first = play(QueryScheduler::new, lines);
         assertTrue(first.contains("Attempt"), first);
-        assertEquals(play(Brain::new, lines), first);
+        assertEquals(play(QueryScheduler::new, lines), first);
     }
 }
--- a/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
+++ b/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
@@ -32,10 +32,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.together.member.MemberMessage;
-import sprucehold.together.member.News;
-import sprucehold.together.talk.Letter;
-import sprucehold.together.wire.Codec;
+import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.News;
+import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.wire.Codec;
 
 /** Letters over sockets, and whatever else may come to where they come. */
 public class PeerMessagingTest {
--- a/gatherer/src/test/java/sprucehold/node/ChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ChangesTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.admin.AdminConfig;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.standin.StandIns;
 
 /** A gatherer among stand-ins, under load, changed through its door. */
@@ -52,7 +52,7 @@
 
     private Vertx vertx;
     private Path folder;
-    private Node node;
+    private GathererNode node;
     private int port;
     private long load;
     private final AtomicInteger asked = new AtomicInteger();
@@ -67,11 +67,11 @@
         node = serve();
     }
 
-    private Node serve() throws Exception {
+    private GathererNode serve() throws Exception {
         NodeConfig config =
                 NodeConfig.read(
                         Files.writeString(folder.resolve("config.json"), CONFIG), null, null, null);
-        var started = new CompletableFuture<Node>();
+        var started = new CompletableFuture<GathererNode>();
         vertx.runOnContext(
                 none ->
                         StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true)
@@ -89,10 +89,10 @@
                                                             config.facts());
                                             try {
                                                 var serving =
-                                                        new Node(
+                                                        new GathererNode(
                                                                 vertx,
                                                                 moved,
-                                                                Brain::new,
+                                                                QueryScheduler::new,
                                                                 new AdminConfig(
                                                                         "127.0.0.1",
                                                                         0,
@@ -112,7 +112,7 @@
                                             }
                                         })
                                 .onComplete(started::complete, started::completeExceptionally));
-        Node serving = started.get(10, TimeUnit.SECONDS);
+        GathererNode serving = started.get(10, TimeUnit.SECONDS);
         while (!serving.ready()) {
             Thread.onSpinWait();
         }
--- a/gatherer/src/test/java/sprucehold/node/NodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeTest.java
@@ -141,11 +141,11 @@
     private int port;
     private TestLoop loop;
 
-    private Node node(DecisionPolicy.Factory factory, String... members) throws Exception {
+    private GathererNode node(DecisionPolicy.Factory factory, String... members) throws Exception {
         return await(begin(config(members), factory, List.of()).start);
     }
 
-    private record Begun(Node node, Future<Node> start) {}
+    private record Begun(GathererNode node, Future<GathererNode> start) {}
 
     /** Makes a node, and returns it with what is over once it listens. */
     private Begun begin(
@@ -154,7 +154,7 @@
         loop = new TestLoop(vertx);
         return loop.call(
                 () -> {
-                    var node = new Node(vertx, config, factory, null, beside);
+                    var node = new GathererNode(vertx, config, factory, null, beside);
                     return new Begun(
                             node,
                             node.start()
@@ -185,7 +185,7 @@
                 told.facts());
     }
 
-    private void end(Node node, DrainSchedule how) throws Exception {
+    private void end(GathererNode node, DrainSchedule how) throws Exception {
         await(loop.call(() -> node.end(how)));
     }
 
@@ -267,7 +267,8 @@
 
     @Test
     public void whoIsToldToEndTwiceEndsOnceAndAsItWasToldFirst() throws Exception {
-        Node node = node((seed, deployment) -> (now, events) -> List.of(), PLACE, SETTINGS, KNOWN);
+        GathererNode node =
+                node((seed, deployment) -> (now, events) -> List.of(), PLACE, SETTINGS, KNOWN);
         assertTrue(
                 loop.call(
                         () ->
@@ -414,7 +415,7 @@
     @Test
     public void clientThatLeavesWhileOthersAreDecidedUponGetsNothingSentOn() throws Exception {
         var halting = new Halting();
-        Node node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
+        GathererNode node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
         Socket stays = connected(port);
         Socket leaves = connected(port);
         Socket first = ask(port, "first");
@@ -437,7 +438,7 @@
     @Test
     public void timeInWhichARequestLayUnreadIsNotGrantedToIt() throws Exception {
         var halting = new Halting();
-        Node node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
+        GathererNode node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
         Socket unread = connected(port);
         Socket first = ask(port, "first");
         assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "first");
@@ -485,7 +486,7 @@
         int server = await(StandIns.shardServerAt(vertx, "127.0.0.1"));
         NodeConfig told = config(PLACE, SETTINGS, KNOWN.replace("8100", String.valueOf(server)));
         // Discovery is silent: the list is the one from before.
-        Node node =
+        GathererNode node =
                 await(
                         begin(
                                         new NodeConfig(
@@ -583,7 +584,7 @@
         NodeConfig config = config(PLACE, SETTINGS, KNOWN);
         int discovery =
                 await(StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true));
-        Node node =
+        GathererNode node =
                 await(
                         begin(
                                         new NodeConfig(
@@ -636,7 +637,7 @@
                                             new Command.RejectQuery("s", 0))
                                     : List.of();
                         };
-        Node node =
+        GathererNode node =
                 await(
                         begin(
                                         config(PLACE, SETTINGS, KNOWN),
@@ -945,7 +946,7 @@
                                                     ? new Command.FailQuery("s")
                                                     : new Command.ScheduleWakeUp(10));
                         };
-        Node node = node(factory, PLACE, SETTINGS, KNOWN);
+        GathererNode node = node(factory, PLACE, SETTINGS, KNOWN);
         assertTrue(node.ready());
         Future<Integer> status = ask("s");
         taken.get(10, TimeUnit.SECONDS);
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/Days.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import sprucehold.decision.DecisionPolicy;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Head;
 import sprucehold.trace.format.TraceReader;
@@ -48,7 +48,7 @@
     }
 
     static List<Path> play(Path folder, DayPlan plan) throws IOException {
-        return play(folder, plan, Brain::new);
+        return play(folder, plan, QueryScheduler::new);
     }
 
     /** Two hours of three gatherers whose clocks differ by seconds. */
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -19,7 +19,7 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 import sprucehold.decision.Reason;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.book.BookedScan;
 import sprucehold.trace.book.ScanBook;
 import sprucehold.trace.event.ClockFit;
@@ -191,7 +191,7 @@
     @Test
     public void clocksAreFittedWithinTheirErrorBars() throws IOException {
         for (long seed = 1; seed <= 6; seed++) {
-            var day = new SyntheticDay(Days.usual(50, seed), Brain::new);
+            var day = new SyntheticDay(Days.usual(50, seed), QueryScheduler::new);
             Path of = Days.folder();
             List<Source> fitted =
                     TraceMerge.merge(
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 import sprucehold.decision.Command;
 import sprucehold.decision.DecisionPolicy;
-import sprucehold.policy.Brain;
+import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Head;
@@ -49,7 +49,7 @@
 
     @Test
     public void allActionsAreDecidedAgainAlike() throws IOException {
-        TraceReplay.Verdict verdict = replay(Brain::new, files.toArray(new Path[0]));
+        TraceReplay.Verdict verdict = replay(QueryScheduler::new, files.toArray(new Path[0]));
         assertNull(verdict.difference());
         assertTrue(verdict.agreed() > 5000, verdict.agreed() + " actions");
     }
@@ -59,7 +59,7 @@
         Path second =
                 Days.write(folder.resolve("2.trace"), head, entries.subList(300, entries.size()));
         Path first = Days.write(folder.resolve("1.trace"), head, entries.subList(0, 300));
-        TraceReplay.Verdict verdict = replay(Brain::new, second, first);
+        TraceReplay.Verdict verdict = replay(QueryScheduler::new, second, first);
         assertNull(verdict.difference());
         assertEquals(verdict.moments(), entries.size());
     }
@@ -67,7 +67,7 @@
     /** A build that sends every hundredth dispatch elsewhere. */
     private static DecisionPolicy.Factory changed() {
         return (seed, deployment) -> {
-            var module = new Brain(seed, deployment);
+            var module = new QueryScheduler(seed, deployment);
             int[] dispatches = {0};
             return (now, events) ->
                     module.decide(now, events).stream()
@@ -129,7 +129,7 @@
             String name, Head of, List<Entry> what, String said) throws IOException {
         Path file = Days.write(folder.resolve(name + ".trace"), of, what);
         try {
-            replay(Brain::new, file);
+            replay(QueryScheduler::new, file);
             throw new AssertionError(name + " was replayed");
         } catch (TraceReplay.CannotReplayException e) {
             assertTrue(
