--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -16,12 +16,12 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
-import sprucehold.cluster.simulation.Division;
-import sprucehold.cluster.simulation.EvidencePlay;
-import sprucehold.cluster.simulation.MemberPlay;
+import sprucehold.cluster.simulation.EvidenceSimulation;
+import sprucehold.cluster.simulation.MembershipSimulation;
 import sprucehold.cluster.simulation.Network;
-import sprucehold.cluster.simulation.SharePlay;
-import sprucehold.cluster.simulation.Trouble;
+import sprucehold.cluster.simulation.QuotaSimulation;
+import sprucehold.cluster.simulation.QuotaStrategy;
+import sprucehold.cluster.simulation.SimulatedFault;
 
 /**
  * What gatherers know together, in simulated time: ways to find out who is there, and ways to
@@ -49,7 +49,7 @@
         } else if (args.length > 0 && args[0].equals("evidence")) {
             evidence(seeds);
         } else if (args.length > 0 && args[0].equals("thousand")) {
-            members(Math.min(2, seeds), List.of(1000), List.of(MemberPlay.Way.SWIM));
+            members(Math.min(2, seeds), List.of(1000), List.of(MembershipSimulation.Way.SWIM));
         } else {
             System.err.println(
                     "together-days: members, thousand, shares or evidence, or plot and a file, was expected");
@@ -66,7 +66,7 @@
     }
 
     private static void members(int seeds) {
-        members(seeds, List.of(10, 100, 1000), List.of(MemberPlay.Way.values()));
+        members(seeds, List.of(10, 100, 1000), List.of(MembershipSimulation.Way.values()));
     }
 
     /** How soon a failing server is known, by each gatherer's own dispatches and by the others. */
@@ -98,11 +98,11 @@
         if (size >= 1000 && network == BAD) {
             return;
         }
-        var results = new ArrayList<EvidencePlay.Result>();
+        var results = new ArrayList<EvidenceSimulation.Result>();
         for (long seed = 1; seed <= (size >= 1000 ? 1 : seeds); seed++) {
             results.add(
-                    EvidencePlay.play(
-                            new EvidencePlay.Setting(
+                    EvidenceSimulation.play(
+                            new EvidenceSimulation.Setting(
                                     size, 3, perS, size >= 1000 ? 20_000 : 40_000, network, liar),
                             seed));
         }
@@ -112,15 +112,16 @@
                 size,
                 perS,
                 liar ? "a liar" : network == USUAL ? "usual" : "bad",
-                mean(results, EvidencePlay.Result::aloneMedianMs) / 1000,
-                mean(results, EvidencePlay.Result::aloneAllMs) / 1000,
-                mean(results, EvidencePlay.Result::toldMedianMs) / 1000,
-                mean(results, EvidencePlay.Result::toldAllMs) / 1000,
+                mean(results, EvidenceSimulation.Result::aloneMedianMs) / 1000,
+                mean(results, EvidenceSimulation.Result::aloneAllMs) / 1000,
+                mean(results, EvidenceSimulation.Result::toldMedianMs) / 1000,
+                mean(results, EvidenceSimulation.Result::toldAllMs) / 1000,
                 mean(results, one -> one.believedForNothing()),
-                mean(results, EvidencePlay.Result::lettersPerS));
+                mean(results, EvidenceSimulation.Result::lettersPerS));
     }
 
-    private static void members(int seeds, List<Integer> sizes, List<MemberPlay.Way> ways) {
+    private static void members(
+            int seeds, List<Integer> sizes, List<MembershipSimulation.Way> ways) {
         System.out.printf(
                 Locale.ROOT,
                 "a death after 90 s of 150; means over %d seeds%n%-8s %-8s %-24s %12s %12s %16s %12s %14s%n",
@@ -135,27 +136,27 @@
                 "messages/s");
         for (int size : sizes) {
             for (Network network : List.of(USUAL, BAD)) {
-                for (MemberPlay.Way way : ways) {
+                for (MembershipSimulation.Way way : ways) {
                     // All to all, and whole tables, at a thousand: millions of messages a second,
                     // and minutes to play.
                     boolean dear =
                             size >= 1000
-                                    && (way == MemberPlay.Way.HEARTBEATS_TO_ALL
-                                            || way == MemberPlay.Way.PHI_GOSSIP);
+                                    && (way == MembershipSimulation.Way.HEARTBEATS_TO_ALL
+                                            || way == MembershipSimulation.Way.PHI_GOSSIP);
                     int plays = dear ? 1 : size >= 1000 ? Math.min(2, seeds) : seeds;
                     double lengthMs = dear ? 30_000 : 150_000;
                     double dies = dear ? 15_000 : 90_000;
-                    var results = new ArrayList<MemberPlay.Result>();
+                    var results = new ArrayList<MembershipSimulation.Result>();
                     for (long seed = 1; seed <= plays; seed++) {
                         results.add(
-                                MemberPlay.play(
-                                        new MemberPlay.Setting(
+                                MembershipSimulation.play(
+                                        new MembershipSimulation.Setting(
                                                 size,
                                                 lengthMs,
                                                 network,
                                                 List.of(
-                                                        new Trouble(
-                                                                Trouble.Kind.DEAD,
+                                                        new SimulatedFault(
+                                                                SimulatedFault.Kind.DEAD,
                                                                 Set.of(size / 2),
                                                                 dies,
                                                                 1e9))),
@@ -168,17 +169,17 @@
                             size,
                             network == USUAL ? "usual" : "bad",
                             way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                            mean(results, MemberPlay.Result::firstMs) / 1000,
-                            mean(results, MemberPlay.Result::allMs) / 1000,
+                            mean(results, MembershipSimulation.Result::firstMs) / 1000,
+                            mean(results, MembershipSimulation.Result::allMs) / 1000,
                             mean(results, one -> one.falselyDead()),
                             mean(results, one -> one.wrongAtEnd()),
-                            mean(results, MemberPlay.Result::messages));
+                            mean(results, MembershipSimulation.Result::messages));
                 }
             }
         }
     }
 
-    private record Day(String name, Network network, List<Trouble> troubles) {}
+    private record Day(String name, Network network, List<SimulatedFault> troubles) {}
 
     private static List<Day> days(int members) {
         Set<Integer> few =
@@ -190,19 +191,25 @@
                 new Day(
                         "a fifth deaf",
                         USUAL,
-                        List.of(new Trouble(Trouble.Kind.DEAF, few, 10_000, 25_000))),
+                        List.of(new SimulatedFault(SimulatedFault.Kind.DEAF, few, 10_000, 25_000))),
                 new Day(
                         "cut in two",
                         USUAL,
-                        List.of(new Trouble(Trouble.Kind.CUT_OFF, half, 10_000, 25_000))),
+                        List.of(
+                                new SimulatedFault(
+                                        SimulatedFault.Kind.CUT_OFF, half, 10_000, 25_000))),
                 new Day(
                         "a fifth paused 6 s",
                         USUAL,
-                        List.of(new Trouble(Trouble.Kind.PAUSED, few, 10_000, 16_000))),
+                        List.of(
+                                new SimulatedFault(
+                                        SimulatedFault.Kind.PAUSED, few, 10_000, 16_000))),
                 new Day(
                         "half killed",
                         USUAL,
-                        List.of(new Trouble(Trouble.Kind.DEAD, half, 10_000, 11_000))));
+                        List.of(
+                                new SimulatedFault(
+                                        SimulatedFault.Kind.DEAD, half, 10_000, 11_000))));
     }
 
     private static void shares(int seeds) {
@@ -220,14 +227,14 @@
                 "dropped");
         for (int size : List.of(5, 20, 60, 100, 1000)) {
             for (Day day : days(size)) {
-                for (Division division : Division.values()) {
+                for (QuotaStrategy division : QuotaStrategy.values()) {
                     int plays = size >= 1000 ? 1 : seeds;
-                    var results = new ArrayList<SharePlay.Result>();
+                    var results = new ArrayList<QuotaSimulation.Result>();
                     int bound = 10 * size;
                     for (long seed = 1; seed <= plays; seed++) {
                         results.add(
-                                SharePlay.play(
-                                        new SharePlay.Setting(
+                                QuotaSimulation.play(
+                                        new QuotaSimulation.Setting(
                                                 size,
                                                 bound,
                                                 1000,
@@ -236,7 +243,7 @@
                                                 30_000,
                                                 day.network,
                                                 day.troubles,
-                                                SharePlay.busyFew(
+                                                QuotaSimulation.busyFew(
                                                         size,
                                                         Math.max(1, size / 10),
                                                         60,
@@ -251,9 +258,12 @@
                             size,
                             day.name,
                             division.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                            100 * mean(results, one -> SharePlay.mean(one.gotBySecond(), 6, 30)),
+                            100
+                                    * mean(
+                                            results,
+                                            one -> QuotaSimulation.mean(one.gotBySecond(), 6, 30)),
                             results.stream()
-                                    .mapToInt(SharePlay.Result::mostInWindow)
+                                    .mapToInt(QuotaSimulation.Result::mostInWindow)
                                     .max()
                                     .orElse(0),
                             bound,
@@ -268,13 +278,13 @@
     private static String plot() {
         var all = new XYSeriesCollection();
         Day day = days(20).get(3);
-        for (Division division : Division.values()) {
+        for (QuotaStrategy division : QuotaStrategy.values()) {
             var series = new XYSeries(division.name().toLowerCase(Locale.ROOT).replace('_', ' '));
-            var results = new ArrayList<SharePlay.Result>();
+            var results = new ArrayList<QuotaSimulation.Result>();
             for (long seed = 1; seed <= 10; seed++) {
                 results.add(
-                        SharePlay.play(
-                                new SharePlay.Setting(
+                        QuotaSimulation.play(
+                                new QuotaSimulation.Setting(
                                         20,
                                         200,
                                         1000,
@@ -283,7 +293,7 @@
                                         30_000,
                                         day.network,
                                         day.troubles,
-                                        SharePlay.busyFew(20, 2, 60, 1, 10_000)),
+                                        QuotaSimulation.busyFew(20, 2, 60, 1, 10_000)),
                                 division,
                                 seed));
             }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import sprucehold.change.watch.Before;
-import sprucehold.change.watch.ServiceWatch;
-import sprucehold.change.watch.Slot;
+import sprucehold.change.watch.Baseline;
+import sprucehold.change.watch.HealthWatch;
+import sprucehold.change.watch.TimeWindow;
 
 /**
  * Plays synthetic days in virtual time and counts how often a change is undone: for nothing, and
@@ -88,25 +88,25 @@
                         0.1 + 0.23 * random.nextDouble());
             }
         }
-        var before = new Before();
-        ServiceWatch watch = null;
+        var before = new Baseline();
+        HealthWatch watch = null;
         for (int i = 0; i < trouble.length; i++) {
             double t = i * SLOT_S - 120;
             double sound = Math.max(0, 0.98 - trouble[i] - (t >= 0 ? kind.harm : 0));
             double rate = kind == Kind.EBB && t >= 0 ? Math.max(0.05, 1 - t / 100) : 1;
-            Slot slot = slot(random, sound, rate, (t + 1000) * 1000);
+            TimeWindow slot = slot(random, sound, rate, (t + 1000) * 1000);
             if (t < 0) {
                 before.add(slot);
                 continue;
             }
             watch =
                     watch == null
-                            ? new ServiceWatch(before, (t + 1000) * 1000, WATCH_S * 1000, 100)
+                            ? new HealthWatch(before, (t + 1000) * 1000, WATCH_S * 1000, 100)
                             : watch;
-            ServiceWatch.Word word = watch.add(slot);
-            if (word instanceof ServiceWatch.Word.Fell) {
+            HealthWatch.Word word = watch.add(slot);
+            if (word instanceof HealthWatch.Word.Fell) {
                 return t;
-            } else if (word instanceof ServiceWatch.Word.Held) {
+            } else if (word instanceof HealthWatch.Word.Held) {
                 return -1;
             }
         }
@@ -117,8 +117,9 @@
         return -300 * Math.log(1 - random.nextDouble());
     }
 
-    private static Slot slot(SplittableRandom random, double sound, double rate, double endsMs) {
-        var builder = new Slot.Builder();
+    private static TimeWindow slot(
+            SplittableRandom random, double sound, double rate, double endsMs) {
+        var builder = new TimeWindow.Builder();
         for (int c = 0; c < CUSTOMERS.length; c++) {
             double expected = RATES[c] * rate * SLOT_S;
             int scans = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
--- a/change/src/main/java/sprucehold/change/document/Document.java
+++ b/change/src/main/java/sprucehold/change/document/ConfigurationDocument.java
@@ -23,7 +23,7 @@
  * @param recording the recording's file; empty for none
  * @param logLevel a level of java.util.logging
  */
-public record Document(
+public record ConfigurationDocument(
         List<Type> types,
         List<Tenant> customers,
         Deployment.Limits limits,
@@ -45,7 +45,7 @@
         }
     }
 
-    public Document {
+    public ConfigurationDocument {
         types = List.copyOf(types);
         customers = List.copyOf(customers);
         serversOut = Collections.unmodifiableSortedSet(new TreeSet<>(serversOut));
--- a/change/src/main/java/sprucehold/change/document/Difference.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentDifference.java
@@ -16,7 +16,7 @@
  * @param words what it means, what risks most first
  * @param risk the greatest of all
  */
-public record Difference(List<Meaning> words, Risk risk) {
+public record DocumentDifference(List<Meaning> words, Risk risk) {
     /** How much a change may harm. */
     public enum Risk {
         /** Nothing that is served depends on it. */
@@ -41,7 +41,8 @@
     private static final double LITTLE = 0.05;
 
     /** What changes from one document to the next. */
-    public static Difference between(Document before, Document after) {
+    public static DocumentDifference between(
+            ConfigurationDocument before, ConfigurationDocument after) {
         var words = new ArrayList<Meaning>();
         types(before, after, words);
         customers(before, after, words);
@@ -80,13 +81,15 @@
                             Risk.NONE));
         }
         words.sort((a, b) -> b.risk.compareTo(a.risk));
-        return new Difference(List.copyOf(words), words.isEmpty() ? Risk.NONE : words.get(0).risk);
+        return new DocumentDifference(
+                List.copyOf(words), words.isEmpty() ? Risk.NONE : words.get(0).risk);
     }
 
-    private static void types(Document before, Document after, List<Meaning> words) {
-        for (Document.Type type : after.types()) {
+    private static void types(
+            ConfigurationDocument before, ConfigurationDocument after, List<Meaning> words) {
+        for (ConfigurationDocument.Type type : after.types()) {
             String at = "/tableTypes/" + type.name();
-            Document.Type was = before.type(type.name()).orElse(null);
+            ConfigurationDocument.Type was = before.type(type.name()).orElse(null);
             if (was == null) {
                 words.add(new Meaning(at, "scans of '" + type.name() + "' are served", Risk.LOW));
                 continue;
@@ -166,7 +169,7 @@
                     true,
                     words);
         }
-        for (Document.Type type : before.types()) {
+        for (ConfigurationDocument.Type type : before.types()) {
             if (after.type(type.name()).isEmpty()) {
                 words.add(
                         new Meaning(
@@ -181,7 +184,8 @@
         return type.idempotence().storedName().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static void customers(Document before, Document after, List<Meaning> words) {
+    private static void customers(
+            ConfigurationDocument before, ConfigurationDocument after, List<Meaning> words) {
         for (Tenant tenant : after.customers()) {
             Tenant was = before.customer(tenant.name()).orElse(null);
             if (was == null) {
@@ -296,7 +300,8 @@
         }
     }
 
-    private static void servers(Document before, Document after, List<Meaning> words) {
+    private static void servers(
+            ConfigurationDocument before, ConfigurationDocument after, List<Meaning> words) {
         SortedSet<String> out = new TreeSet<>(after.serversOut());
         out.removeAll(before.serversOut());
         SortedSet<String> back = new TreeSet<>(before.serversOut());
--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -64,9 +64,9 @@
 
     /** A document, or all that is wrong with its form. */
     public sealed interface Read {
-        record Good(Document document) implements Read {}
+        record Good(ConfigurationDocument document) implements Read {}
 
-        record Bad(List<Fault> faults) implements Read {}
+        record Bad(List<ValidationError> faults) implements Read {}
     }
 
     /** Reads bytes that may be anything. */
@@ -89,7 +89,7 @@
         if (node == null || !node.isObject()) {
             return bad("", "it is no JSON object", "begin it with {");
         }
-        var faults = new TreeSet<Fault>();
+        var faults = new TreeSet<ValidationError>();
         for (ValidationMessage message : SCHEMA.validate(node)) {
             String pointer =
                     message.getInstanceLocation()
@@ -100,7 +100,7 @@
                             .replace("[", "/")
                             .replace("]", "");
             faults.add(
-                    new Fault(
+                    new ValidationError(
                             pointer,
                             message.getMessage().replaceFirst("^[^:]*: ", ""),
                             "see change.schema.json"));
@@ -109,11 +109,11 @@
     }
 
     private static Read bad(String path, String what, String mend) {
-        return new Read.Bad(List.of(new Fault(path, what, mend)));
+        return new Read.Bad(List.of(new ValidationError(path, what, mend)));
     }
 
-    private static Document document(JsonNode node) {
-        var types = new ArrayList<Document.Type>();
+    private static ConfigurationDocument document(JsonNode node) {
+        var types = new ArrayList<ConfigurationDocument.Type>();
         for (JsonNode type : node.get("tableTypes")) {
             QueryClass.Idempotence repeat =
                     StoredEnum.ofName(
@@ -124,7 +124,7 @@
                                             .replace('-', '_'))
                             .orElseThrow();
             types.add(
-                    new Document.Type(
+                    new ConfigurationDocument.Type(
                             new QueryClass(
                                     type.get("name").asText(),
                                     repeat,
@@ -149,7 +149,7 @@
         JsonNode cold = node.get("coldRule");
         var out = new TreeSet<String>();
         node.path("serversOut").forEach(server -> out.add(server.asText()));
-        return new Document(
+        return new ConfigurationDocument(
                 types,
                 customers,
                 new Deployment.Limits(
@@ -176,10 +176,10 @@
     }
 
     /** The document as JSON: the same document brings the same bytes. */
-    public static byte[] write(Document document) {
+    public static byte[] write(ConfigurationDocument document) {
         ObjectNode node = MAPPER.createObjectNode();
         ArrayNode types = node.putArray("tableTypes");
-        for (Document.Type type : document.types()) {
+        for (ConfigurationDocument.Type type : document.types()) {
             QueryClass facts = type.facts();
             types.addObject()
                     .put("name", facts.name())
--- a/change/src/main/java/sprucehold/change/document/Running.java
+++ b/change/src/main/java/sprucehold/change/document/RunningState.java
@@ -11,11 +11,11 @@
  * @param open scans and parts held
  * @param holders the running servers of each segment, as the list has them
  */
-public record Running(
+public record RunningState(
         Map<String, Integer> openByType,
         Map<String, Integer> openByCustomer,
         int open,
         Map<Integer, Set<String>> holders) {
     /** Nothing at all, as before the start. */
-    public static final Running NOTHING = new Running(Map.of(), Map.of(), 0, Map.of());
+    public static final RunningState NOTHING = new RunningState(Map.of(), Map.of(), 0, Map.of());
 }
--- a/change/src/main/java/sprucehold/change/document/MeaningCheck.java
+++ b/change/src/main/java/sprucehold/change/document/SemanticValidator.java
@@ -15,7 +15,7 @@
  * Whether a document of sound form means something that can be served. Every fault is told, not the
  * first alone.
  */
-public final class MeaningCheck {
+public final class SemanticValidator {
     /**
      * A budget that lets each scan be tried more than this often again is no limit; a server that
      * is down would be asked by all at once. Three is what one part may be sent beyond its first
@@ -23,16 +23,16 @@
      */
     private static final double MOST_PER_TAKEN = 3;
 
-    private final Document document;
-    private final TreeSet<Fault> faults = new TreeSet<>();
+    private final ConfigurationDocument document;
+    private final TreeSet<ValidationError> faults = new TreeSet<>();
 
-    private MeaningCheck(Document document) {
+    private SemanticValidator(ConfigurationDocument document) {
         this.document = document;
     }
 
     /** All that contradicts itself in the document. */
-    public static List<Fault> alone(Document document) {
-        var check = new MeaningCheck(document);
+    public static List<ValidationError> alone(ConfigurationDocument document) {
+        var check = new SemanticValidator(document);
         check.types();
         check.customers();
         check.limits();
@@ -44,15 +44,16 @@
      *
      * @param before the document that is live
      */
-    public static List<Fault> against(Document document, Document before, Running running) {
-        var check = new MeaningCheck(document);
+    public static List<ValidationError> against(
+            ConfigurationDocument document, ConfigurationDocument before, RunningState running) {
+        var check = new SemanticValidator(document);
         check.faults.addAll(alone(document));
         check.running(before, running);
         return List.copyOf(check.faults);
     }
 
     private void fault(String path, String what, String mend) {
-        faults.add(new Fault(path, what, mend));
+        faults.add(new ValidationError(path, what, mend));
     }
 
     private void names(String path, Collection<String> names) {
@@ -70,7 +71,9 @@
     }
 
     private void types() {
-        names("/tableTypes", document.types().stream().map(Document.Type::name).toList());
+        names(
+                "/tableTypes",
+                document.types().stream().map(ConfigurationDocument.Type::name).toList());
         for (int i = 0; i < document.types().size(); i++) {
             String at = "/tableTypes/" + i;
             QueryClass type = document.types().get(i).facts();
@@ -152,7 +155,7 @@
         }
     }
 
-    private void running(Document before, Running running) {
+    private void running(ConfigurationDocument before, RunningState running) {
         for (Map.Entry<String, Integer> open : running.openByType().entrySet()) {
             if (open.getValue() > 0
                     && document.type(open.getKey()).isEmpty()
--- a/change/src/main/java/sprucehold/change/document/Fault.java
+++ b/change/src/main/java/sprucehold/change/document/ValidationError.java
@@ -7,9 +7,10 @@
  * @param what what is wrong there
  * @param mend what to do about it
  */
-public record Fault(String path, String what, String mend) implements Comparable<Fault> {
+public record ValidationError(String path, String what, String mend)
+        implements Comparable<ValidationError> {
     @Override
-    public int compareTo(Fault other) {
+    public int compareTo(ValidationError other) {
         int byPath = path.compareTo(other.path);
         return byPath != 0 ? byPath : what.compareTo(other.what);
     }
--- a/change/src/main/java/sprucehold/change/journal/JournalFile.java
+++ b/change/src/main/java/sprucehold/change/journal/JournalFile.java
@@ -17,10 +17,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.DocumentReader;
-import sprucehold.change.line.JournalEntry;
-import sprucehold.change.line.Version;
+import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.Version;
 
 /**
  * A file of lines, one an entry: its CRC-32C in eight hex digits, a space, JSON. One process owns
@@ -195,7 +195,7 @@
             if (!(read instanceof DocumentReader.Read.Good good)) {
                 return null;
             }
-            Document document = good.document();
+            ConfigurationDocument document = good.document();
             return new JournalEntry.Accepted(
                     new Version(
                             node.get("accepted").longValue(),
--- a/change/src/main/java/sprucehold/change/server/ServerWords.java
+++ b/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
@@ -1,4 +1,4 @@
-package sprucehold.change.server;
+package sprucehold.change.override;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
  * server that the operator gives back counts as freshly started, so that the cold budget holds for
  * it.
  */
-public final class ServerWords {
+public final class EndpointOverrides {
     private final Map<String, Endpoint> told = new HashMap<>();
     private final Map<String, Double> givenBackAt = new HashMap<>();
     private Set<String> out = Set.of();
--- a/change/src/main/java/sprucehold/change/server/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * What operator and discovery say of shard servers, joined so that the stricter wins: {@link
- * sprucehold.change.server.ServerWords}. Pure. It must never lift a drain that discovery told of.
- */
-package sprucehold.change.server;
--- a/change/src/main/java/sprucehold/change/line/JournalEntry.java
+++ b/change/src/main/java/sprucehold/change/version/JournalEntry.java
@@ -1,4 +1,4 @@
-package sprucehold.change.line;
+package sprucehold.change.version;
 
 /** One step of the line, as it is written down before it is taken. */
 public sealed interface JournalEntry {
--- a/change/src/main/java/sprucehold/change/line/Version.java
+++ b/change/src/main/java/sprucehold/change/version/Version.java
@@ -1,6 +1,6 @@
-package sprucehold.change.line;
+package sprucehold.change.version;
 
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
 
 /**
  * One version.
@@ -10,4 +10,5 @@
  * @param by who asked for it
  * @param undoes the version that it takes back, 0 for none
  */
-public record Version(long number, long madeFrom, Document document, String by, long undoes) {}
+public record Version(
+        long number, long madeFrom, ConfigurationDocument document, String by, long undoes) {}
--- a/change/src/main/java/sprucehold/change/line/VersionLine.java
+++ b/change/src/main/java/sprucehold/change/version/VersionHistory.java
@@ -1,14 +1,14 @@
-package sprucehold.change.line;
+package sprucehold.change.version;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.change.document.Difference;
-import sprucehold.change.document.Document;
-import sprucehold.change.document.Fault;
-import sprucehold.change.document.MeaningCheck;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.DocumentDifference;
+import sprucehold.change.document.SemanticValidator;
+import sprucehold.change.document.ValidationError;
 
 /**
  * The line of versions of one gatherer. A proposal is checked whole and staged; it goes live
@@ -17,7 +17,7 @@
  * is written down before it is taken; a process that was killed between any two starts with one
  * whole version.
  */
-public final class VersionLine {
+public final class VersionHistory {
     /**
      * A version under which the process died so often without an end in good order is set aside.
      */
@@ -28,7 +28,7 @@
 
     private static final String ASIDE = "set aside";
 
-    private final Map<Long, Outcome> history = new LinkedHashMap<>();
+    private final Map<Long, VersionStatus> history = new LinkedHashMap<>();
     private final Map<String, Long> numberOfProposal = new HashMap<>();
     private final Map<Long, Integer> deaths = new HashMap<>();
     private Version confirmed;
@@ -36,41 +36,41 @@
     private Version staged;
     private boolean watched;
     private long last;
-    private List<LineAction> todo = new ArrayList<>();
+    private List<VersionCommand> todo = new ArrayList<>();
 
     /**
      * @param first the document that the process was started with; it is version 1 and confirmed
      */
-    public VersionLine(Document first) {
+    public VersionHistory(ConfigurationDocument first) {
         confirmed = new Version(1, 0, first, "start", 0);
         live = confirmed;
         last = 1;
-        remember(confirmed, Outcome.State.CONFIRMED, "");
+        remember(confirmed, VersionStatus.State.CONFIRMED, "");
     }
 
     /** Takes one event and returns what is to be done, in order. */
-    public List<LineAction> on(LineEvent event) {
+    public List<VersionCommand> on(VersionEvent event) {
         todo = new ArrayList<>();
-        if (event instanceof LineEvent.Proposed proposed) {
+        if (event instanceof VersionEvent.Proposed proposed) {
             proposed(proposed);
-        } else if (event instanceof LineEvent.BetweenMoments) {
+        } else if (event instanceof VersionEvent.BetweenDecisions) {
             goLive();
-        } else if (event instanceof LineEvent.Judged judged) {
+        } else if (event instanceof VersionEvent.Judged judged) {
             judged(judged);
-        } else if (event instanceof LineEvent.ConfirmAsked asked) {
+        } else if (event instanceof VersionEvent.ConfirmRequested asked) {
             if (watched && live.number() == asked.version()) {
                 confirm("confirmed by " + asked.by());
             }
-        } else if (event instanceof LineEvent.UndoAsked asked) {
+        } else if (event instanceof VersionEvent.RollbackRequested asked) {
             if (watched && live.number() == asked.version()) {
                 undo("undone by " + asked.by(), asked.by());
             } else if (staged != null && staged.number() == asked.version()) {
                 drop(staged, "withdrawn by " + asked.by());
                 staged = null;
             }
-        } else if (event instanceof LineEvent.Ending) {
-            todo.add(new LineAction.Write(new JournalEntry.Ended()));
-        } else if (event instanceof LineEvent.Started started) {
+        } else if (event instanceof VersionEvent.ShuttingDown) {
+            todo.add(new VersionCommand.Write(new JournalEntry.Ended()));
+        } else if (event instanceof VersionEvent.Started started) {
             started(started.journal());
         }
         return todo;
@@ -78,17 +78,17 @@
 
     // ---- Proposals ----
 
-    private void proposed(LineEvent.Proposed proposed) {
+    private void proposed(VersionEvent.Proposed proposed) {
         Long known = numberOfProposal.get(proposed.id());
         if (known != null) {
-            todo.add(new LineAction.AlreadyThere(proposed.id(), known));
+            todo.add(new VersionCommand.AlreadyKnown(proposed.id(), known));
             return;
         }
         Version newest = staged != null ? staged : live;
         if (proposed.madeFrom() != newest.number()) {
-            Outcome from = history.get(proposed.madeFrom());
-            Fault fault =
-                    new Fault(
+            VersionStatus from = history.get(proposed.madeFrom());
+            ValidationError fault =
+                    new ValidationError(
                             "",
                             "it was made from version "
                                     + proposed.madeFrom()
@@ -96,41 +96,41 @@
                                     + newest.number(),
                             "make it anew from version " + newest.number());
             todo.add(
-                    new LineAction.TurnedDown(
+                    new VersionCommand.Rejected(
                             proposed.id(),
                             List.of(fault),
                             from == null
                                     ? null
-                                    : Difference.between(
+                                    : DocumentDifference.between(
                                             from.version().document(), newest.document())));
             return;
         }
         if (watched || staged != null) {
             // Two changes at a time: nobody could tell which of them service fell by.
-            Fault fault =
-                    new Fault(
+            ValidationError fault =
+                    new ValidationError(
                             "",
                             "version "
                                     + newest.number()
                                     + (watched ? " is still watched" : " isn't live yet"),
                             "wait for its end, confirm it or undo it");
-            todo.add(new LineAction.TurnedDown(proposed.id(), List.of(fault), null));
+            todo.add(new VersionCommand.Rejected(proposed.id(), List.of(fault), null));
             return;
         }
         if (proposed.document().equals(live.document())) {
             numberOfProposal.put(proposed.id(), live.number());
-            todo.add(new LineAction.AlreadyThere(proposed.id(), live.number()));
+            todo.add(new VersionCommand.AlreadyKnown(proposed.id(), live.number()));
             return;
         }
-        List<Fault> faults =
+        List<ValidationError> faults =
                 new ArrayList<>(
-                        MeaningCheck.against(
+                        SemanticValidator.against(
                                 proposed.document(), live.document(), proposed.running()));
-        for (Outcome outcome : history.values()) {
-            if (outcome.how() == Outcome.State.SET_ASIDE
+        for (VersionStatus outcome : history.values()) {
+            if (outcome.how() == VersionStatus.State.SET_ASIDE
                     && outcome.version().document().equals(proposed.document())) {
                 faults.add(
-                        new Fault(
+                        new ValidationError(
                                 "",
                                 "it is the same as version "
                                         + outcome.version().number()
@@ -140,18 +140,18 @@
             }
         }
         if (!faults.isEmpty()) {
-            todo.add(new LineAction.TurnedDown(proposed.id(), List.copyOf(faults), null));
+            todo.add(new VersionCommand.Rejected(proposed.id(), List.copyOf(faults), null));
             return;
         }
         staged = new Version(++last, live.number(), proposed.document(), proposed.by(), 0);
         numberOfProposal.put(proposed.id(), staged.number());
-        remember(staged, Outcome.State.STAGED, "");
-        todo.add(new LineAction.Write(new JournalEntry.Accepted(staged, proposed.id())));
+        remember(staged, VersionStatus.State.STAGED, "");
+        todo.add(new VersionCommand.Write(new JournalEntry.Accepted(staged, proposed.id())));
         todo.add(
-                new LineAction.Accepted(
+                new VersionCommand.Accepted(
                         proposed.id(),
                         staged,
-                        Difference.between(live.document(), staged.document())));
+                        DocumentDifference.between(live.document(), staged.document())));
     }
 
     // ---- Going live, and the end of it ----
@@ -163,16 +163,16 @@
         live = staged;
         staged = null;
         watched = true;
-        remember(live, Outcome.State.WATCHED, "");
-        todo.add(new LineAction.Write(new JournalEntry.Live(live.number())));
-        todo.add(new LineAction.Apply(live));
-        todo.add(new LineAction.Watch(live.number()));
+        remember(live, VersionStatus.State.WATCHED, "");
+        todo.add(new VersionCommand.Write(new JournalEntry.Live(live.number())));
+        todo.add(new VersionCommand.Apply(live));
+        todo.add(new VersionCommand.Watch(live.number()));
         todo.add(
-                new LineAction.Tell(
+                new VersionCommand.Log(
                         "version " + live.number() + " by " + live.by() + " is live and watched"));
     }
 
-    private void judged(LineEvent.Judged judged) {
+    private void judged(VersionEvent.Judged judged) {
         // The watch's word may cross an operator's, or come of a version that is gone.
         if (!watched || live.number() != judged.version()) {
             return;
@@ -186,12 +186,12 @@
 
     private void confirm(String why) {
         watched = false;
-        remember(confirmed, Outcome.State.REPLACED, "by version " + live.number());
+        remember(confirmed, VersionStatus.State.REPLACED, "by version " + live.number());
         confirmed = live;
-        remember(live, Outcome.State.CONFIRMED, why);
-        todo.add(new LineAction.Write(new JournalEntry.Confirmed(live.number())));
-        todo.add(new LineAction.StopWatch(live.number()));
-        todo.add(new LineAction.Tell("version " + live.number() + " is confirmed: " + why));
+        remember(live, VersionStatus.State.CONFIRMED, why);
+        todo.add(new VersionCommand.Write(new JournalEntry.Confirmed(live.number())));
+        todo.add(new VersionCommand.StopWatch(live.number()));
+        todo.add(new VersionCommand.Log("version " + live.number() + " is confirmed: " + why));
     }
 
     /**
@@ -201,11 +201,11 @@
     private void undo(String why, String by) {
         Version undone = live;
         watched = false;
-        todo.add(new LineAction.StopWatch(undone.number()));
+        todo.add(new VersionCommand.StopWatch(undone.number()));
         drop(undone, why);
         back(undone.number(), by);
         todo.add(
-                new LineAction.Tell(
+                new VersionCommand.Log(
                         "version "
                                 + undone.number()
                                 + " is undone, version "
@@ -220,18 +220,18 @@
      */
     private void back(long undone, String by) {
         var back = new Version(++last, undone, confirmed.document(), by, undone);
-        todo.add(new LineAction.Write(new JournalEntry.Accepted(back, "undo-" + undone)));
-        todo.add(new LineAction.Write(new JournalEntry.Confirmed(back.number())));
-        remember(confirmed, Outcome.State.REPLACED, "by version " + back.number());
+        todo.add(new VersionCommand.Write(new JournalEntry.Accepted(back, "undo-" + undone)));
+        todo.add(new VersionCommand.Write(new JournalEntry.Confirmed(back.number())));
+        remember(confirmed, VersionStatus.State.REPLACED, "by version " + back.number());
         confirmed = back;
         live = back;
-        remember(back, Outcome.State.CONFIRMED, "it undoes version " + undone);
-        todo.add(new LineAction.Apply(back));
+        remember(back, VersionStatus.State.CONFIRMED, "it undoes version " + undone);
+        todo.add(new VersionCommand.Apply(back));
     }
 
     private void drop(Version version, String why) {
-        remember(version, Outcome.State.UNDONE, why);
-        todo.add(new LineAction.Write(new JournalEntry.Dropped(version.number(), why)));
+        remember(version, VersionStatus.State.UNDONE, why);
+        todo.add(new VersionCommand.Write(new JournalEntry.Dropped(version.number(), why)));
     }
 
     // ---- Recovery ----
@@ -249,7 +249,7 @@
                 accepted.put(of.version().number(), of.version());
                 numberOfProposal.put(of.id(), of.version().number());
                 last = Math.max(last, of.version().number());
-                remember(of.version(), Outcome.State.STAGED, "");
+                remember(of.version(), VersionStatus.State.STAGED, "");
             } else if (entry instanceof JournalEntry.Live of) {
                 unresolved = accepted.get(of.number());
                 everLive = Math.max(everLive, of.number());
@@ -257,10 +257,10 @@
                 unresolved = accepted.get(of.number());
                 deaths.merge(of.number(), 1, Integer::sum);
             } else if (entry instanceof JournalEntry.Confirmed of) {
-                remember(confirmed, Outcome.State.REPLACED, "by version " + of.number());
+                remember(confirmed, VersionStatus.State.REPLACED, "by version " + of.number());
                 confirmed = accepted.getOrDefault(of.number(), confirmed);
                 unresolved = null;
-                remember(confirmed, Outcome.State.CONFIRMED, "");
+                remember(confirmed, VersionStatus.State.CONFIRMED, "");
             } else if (entry instanceof JournalEntry.Dropped of) {
                 unresolved =
                         unresolved != null && unresolved.number() == of.number()
@@ -270,7 +270,7 @@
                     boolean aside = of.why().startsWith(ASIDE);
                     remember(
                             accepted.get(of.number()),
-                            aside ? Outcome.State.SET_ASIDE : Outcome.State.UNDONE,
+                            aside ? VersionStatus.State.SET_ASIDE : VersionStatus.State.UNDONE,
                             of.why());
                 }
             } else if (entry instanceof JournalEntry.Ended) {
@@ -290,10 +290,10 @@
             // Killed in the midst of an undoing: it is brought to its end.
             back(everLive, "restart");
         } else {
-            todo.add(new LineAction.Apply(live));
+            todo.add(new VersionCommand.Apply(live));
         }
-        for (Outcome outcome : List.copyOf(history.values())) {
-            if (outcome.how() == Outcome.State.STAGED) {
+        for (VersionStatus outcome : List.copyOf(history.values())) {
+            if (outcome.how() == VersionStatus.State.STAGED) {
                 drop(outcome.version(), "the process ended before it went live");
             }
         }
@@ -305,11 +305,11 @@
         int died = deaths.getOrDefault(version.number(), 0) + (inOrder ? 0 : 1);
         if (died >= MOST_DEATHS) {
             String why = ASIDE + ": the process died under it " + died + " times";
-            remember(version, Outcome.State.SET_ASIDE, why);
-            todo.add(new LineAction.Write(new JournalEntry.Dropped(version.number(), why)));
+            remember(version, VersionStatus.State.SET_ASIDE, why);
+            todo.add(new VersionCommand.Write(new JournalEntry.Dropped(version.number(), why)));
             back(version.number(), "restart");
             todo.add(
-                    new LineAction.Tell(
+                    new VersionCommand.Log(
                             "version "
                                     + version.number()
                                     + " is "
@@ -320,21 +320,21 @@
             return;
         }
         if (!inOrder) {
-            todo.add(new LineAction.Write(new JournalEntry.Retried(version.number())));
+            todo.add(new VersionCommand.Write(new JournalEntry.Retried(version.number())));
             deaths.put(version.number(), died);
         }
         live = version;
         watched = true;
-        remember(live, Outcome.State.WATCHED, "");
-        todo.add(new LineAction.Apply(live));
-        todo.add(new LineAction.Watch(live.number()));
+        remember(live, VersionStatus.State.WATCHED, "");
+        todo.add(new VersionCommand.Apply(live));
+        todo.add(new VersionCommand.Watch(live.number()));
         todo.add(
-                new LineAction.Tell(
+                new VersionCommand.Log(
                         "version " + live.number() + " is live and watched again after a restart"));
     }
 
-    private void remember(Version version, Outcome.State how, String why) {
-        history.put(version.number(), new Outcome(version, how, why));
+    private void remember(Version version, VersionStatus.State how, String why) {
+        history.put(version.number(), new VersionStatus(version, how, why));
         while (history.size() > MOST_HISTORY) {
             history.remove(history.keySet().iterator().next());
         }
@@ -366,7 +366,7 @@
     }
 
     /** What became of each version, the oldest first. */
-    public List<Outcome> history() {
+    public List<VersionStatus> history() {
         return List.copyOf(history.values());
     }
 }
--- a/change/src/main/java/sprucehold/change/line/Outcome.java
+++ b/change/src/main/java/sprucehold/change/version/VersionStatus.java
@@ -1,4 +1,4 @@
-package sprucehold.change.line;
+package sprucehold.change.version;
 
 /**
  * What became of a version.
@@ -6,7 +6,7 @@
  * @param how its state now
  * @param why in words; empty while nothing is to be said
  */
-public record Outcome(Version version, State how, String why) {
+public record VersionStatus(Version version, State how, String why) {
     /** Where a version stands. */
     public enum State {
         STAGED,
--- a/change/src/main/java/sprucehold/change/watch/Before.java
+++ b/change/src/main/java/sprucehold/change/watch/Baseline.java
@@ -9,7 +9,7 @@
  * is expected of a stratum is its worst recent stretch rather than its mean: trouble that had begun
  * before must not be held against a change that came during it.
  */
-public final class Before {
+public final class Baseline {
     /** Two minutes: several rounds of any trouble's ups and downs, and still today's traffic. */
     private static final double KEEP_MS = 120_000;
 
@@ -19,12 +19,12 @@
     /** With fewer scans a stretch says nothing by itself. */
     private static final long LEAST_SCANS = 20;
 
-    private final ArrayDeque<Slot> slots = new ArrayDeque<>();
+    private final ArrayDeque<TimeWindow> slots = new ArrayDeque<>();
 
     /** What a stratum did before: its usual and its worst share, and scans a second. */
     record Usual(double mean, double worst, double scansPerSecond, long scans) {}
 
-    public void add(Slot slot) {
+    public void add(TimeWindow slot) {
         // A clock that went back leaves nothing to compare with.
         if (!slots.isEmpty() && slot.endsMs() < slots.peekLast().endsMs()) {
             slots.clear();
@@ -36,33 +36,33 @@
     }
 
     /** What each stratum did; empty where nothing was seen. */
-    Map<Slot.Stratum, Usual> usual() {
-        Map<Slot.Stratum, Slot.Service> all = new HashMap<>();
-        Map<Slot.Stratum, Map<Long, Slot.Service>> stretches = new HashMap<>();
+    Map<TimeWindow.Segment, Usual> usual() {
+        Map<TimeWindow.Segment, TimeWindow.Service> all = new HashMap<>();
+        Map<TimeWindow.Segment, Map<Long, TimeWindow.Service>> stretches = new HashMap<>();
         if (slots.isEmpty()) {
             return Map.of();
         }
         double last = slots.peekLast().endsMs();
         double span = Math.max(1000, last - slots.peek().endsMs());
-        for (Slot slot : slots) {
+        for (TimeWindow slot : slots) {
             // Counted back from the end, so that what came last is a whole stretch.
             long stretch = (long) ((last - slot.endsMs()) / STRETCH_MS);
             slot.service()
                     .forEach(
                             (stratum, service) -> {
-                                all.merge(stratum, service, Slot.Service::plus);
+                                all.merge(stratum, service, TimeWindow.Service::plus);
                                 stretches
                                         .computeIfAbsent(stratum, none -> new HashMap<>())
-                                        .merge(stretch, service, Slot.Service::plus);
+                                        .merge(stretch, service, TimeWindow.Service::plus);
                             });
         }
-        Map<Slot.Stratum, Usual> usual = new HashMap<>();
+        Map<TimeWindow.Segment, Usual> usual = new HashMap<>();
         all.forEach(
                 (stratum, service) -> {
                     double worst =
                             stretches.get(stratum).values().stream()
                                     .filter(of -> of.scans() >= LEAST_SCANS)
-                                    .mapToDouble(Slot.Service::share)
+                                    .mapToDouble(TimeWindow.Service::share)
                                     .min()
                                     .orElse(service.share());
                     usual.put(
--- a/change/src/main/java/sprucehold/change/watch/ServiceWatch.java
+++ b/change/src/main/java/sprucehold/change/watch/HealthWatch.java
@@ -10,7 +10,7 @@
  * that and a tolerance. All tests together raise a false alarm with a chance of at most {@link
  * #FALSE_ALARMS}, as long as service is no worse than it was in its worst stretch before.
  */
-public final class ServiceWatch {
+public final class HealthWatch {
     /** One change in a thousand undone for nothing: an operator makes some ten a week. */
     public static final double FALSE_ALARMS = 0.001;
 
@@ -29,7 +29,7 @@
     /** A flood is told from chance by so many standard errors of the count. */
     private static final double FLOOD_ERRORS = 4;
 
-    private final Map<Slot.Stratum, Tested> tested = new HashMap<>();
+    private final Map<TimeWindow.Segment, Tested> tested = new HashMap<>();
     private final double begunMs;
     private final double confirmAfterMs;
     private final long leastScans;
@@ -40,10 +40,10 @@
     private static final class Tested {
         final BettingTest test;
         final double alpha;
-        final Before.Usual before;
-        Slot.Service service = new Slot.Service(0, 0, 0);
+        final Baseline.Usual before;
+        TimeWindow.Service service = new TimeWindow.Service(0, 0, 0);
 
-        Tested(BettingTest test, double alpha, Before.Usual before) {
+        Tested(BettingTest test, double alpha, Baseline.Usual before) {
             this.test = test;
             this.alpha = alpha;
             this.before = before;
@@ -56,7 +56,7 @@
         record Wait() implements Word {}
 
         /** Service fell. */
-        record Fell(Slot.Stratum of, String grounds) implements Word {}
+        record Fell(TimeWindow.Segment of, String grounds) implements Word {}
 
         /** Service held for as long as it is looked at. */
         record Held(String grounds) implements Word {}
@@ -69,22 +69,22 @@
      * @param confirmAfterMs how long it is looked at, in milliseconds
      * @param leastScans and how many scans it takes at least: where none come nothing was seen
      */
-    public ServiceWatch(Before before, double nowMs, double confirmAfterMs, long leastScans) {
+    public HealthWatch(Baseline before, double nowMs, double confirmAfterMs, long leastScans) {
         this.begunMs = nowMs;
         this.latestMs = nowMs;
         this.confirmAfterMs = confirmAfterMs;
         this.leastScans = leastScans;
-        Map<Slot.Stratum, Before.Usual> usual = before.usual();
+        Map<TimeWindow.Segment, Baseline.Usual> usual = before.usual();
         long others =
                 usual.entrySet().stream()
                         .filter(
                                 of ->
-                                        !of.getKey().equals(Slot.Stratum.ALL)
+                                        !of.getKey().equals(TimeWindow.Segment.ALL)
                                                 && of.getValue().scans() >= LEAST_SCANS)
                         .count();
         usual.forEach(
                 (stratum, of) -> {
-                    boolean all = stratum.equals(Slot.Stratum.ALL);
+                    boolean all = stratum.equals(TimeWindow.Segment.ALL);
                     if (of.scans() >= LEAST_SCANS) {
                         // Two standard errors of a share: the one before is itself only seen by
                         // chance.
@@ -109,16 +109,16 @@
     }
 
     /** Takes the service of the next stretch of time. */
-    public Word add(Slot slot) {
+    public Word add(TimeWindow slot) {
         // A clock that steps must neither end the watch at once nor hold it up: only plausible
         // steps count.
         double passed = slot.endsMs() - latestMs;
         watchedMs += passed > 0 && passed < 10_000 ? passed : 0;
         latestMs = slot.endsMs();
-        Slot.Service all = slot.service().get(Slot.Stratum.ALL);
+        TimeWindow.Service all = slot.service().get(TimeWindow.Segment.ALL);
         scans += all == null ? 0 : all.scans();
         for (var of : tested.entrySet()) {
-            Slot.Service service = slot.service().get(of.getKey());
+            TimeWindow.Service service = slot.service().get(of.getKey());
             if (service == null || service.scans() == 0) {
                 // Nobody asked: traffic that ebbs tells nothing.
                 continue;
@@ -160,8 +160,8 @@
      * Whether all scans together fell only by customers that flood: then each other customer that
      * is tested still does as before.
      */
-    private boolean madeByFloods(Slot.Stratum stratum) {
-        if (stratum.kind() == Slot.Stratum.Kind.CUSTOMER) {
+    private boolean madeByFloods(TimeWindow.Segment stratum) {
+        if (stratum.kind() == TimeWindow.Segment.Kind.CUSTOMER) {
             return false;
         }
         boolean anyFlood = false;
@@ -169,7 +169,7 @@
         double earned = 0;
         double usual = 0;
         for (var of : tested.entrySet()) {
-            if (of.getKey().kind() == Slot.Stratum.Kind.CUSTOMER) {
+            if (of.getKey().kind() == TimeWindow.Segment.Kind.CUSTOMER) {
                 if (flooded(of.getValue())) {
                     anyFlood = true;
                 } else {
--- a/change/src/main/java/sprucehold/change/watch/Slot.java
+++ b/change/src/main/java/sprucehold/change/watch/TimeWindow.java
@@ -10,10 +10,10 @@
  *
  * @param endsMs when the stretch ended
  */
-public record Slot(double endsMs, Map<Stratum, Service> service) {
+public record TimeWindow(double endsMs, Map<Segment, Service> service) {
     /** Whose service it is. */
-    public record Stratum(Kind kind, String name) {
-        public static final Stratum ALL = new Stratum(Kind.ALL, "");
+    public record Segment(Kind kind, String name) {
+        public static final Segment ALL = new Segment(Kind.ALL, "");
 
         /** What scans are told apart by. */
         public enum Kind {
@@ -47,13 +47,13 @@
         }
     }
 
-    public Slot {
+    public TimeWindow {
         service = Map.copyOf(service);
     }
 
     /** Puts scans together into a slot. */
     public static final class Builder {
-        private final Map<Stratum, Service> service = new HashMap<>();
+        private final Map<Segment, Service> service = new HashMap<>();
 
         /**
          * Counts one scan.
@@ -64,17 +64,17 @@
          */
         public Builder add(String type, String customer, double benefit, boolean inTargetTime) {
             var one = new Service(1, benefit, inTargetTime ? benefit : 0);
-            service.merge(Stratum.ALL, one, Service::plus);
-            service.merge(new Stratum(Stratum.Kind.TABLE_TYPE, type), one, Service::plus);
+            service.merge(Segment.ALL, one, Service::plus);
+            service.merge(new Segment(Segment.Kind.TABLE_TYPE, type), one, Service::plus);
             if (customer != null) {
-                service.merge(new Stratum(Stratum.Kind.CUSTOMER, customer), one, Service::plus);
+                service.merge(new Segment(Segment.Kind.CUSTOMER, customer), one, Service::plus);
             }
             return this;
         }
 
         /** The slot so far; the next one begins. */
-        public Slot take(double endsMs) {
-            var slot = new Slot(endsMs, service);
+        public TimeWindow take(double endsMs) {
+            var slot = new TimeWindow(endsMs, service);
             service.clear();
             return slot;
         }
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.change.document.Difference;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.DocumentDifference;
 import sprucehold.change.document.DocumentReader;
-import sprucehold.change.document.Fault;
-import sprucehold.change.document.MeaningCheck;
-import sprucehold.change.document.Running;
+import sprucehold.change.document.RunningState;
+import sprucehold.change.document.SemanticValidator;
+import sprucehold.change.document.ValidationError;
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
@@ -25,7 +25,7 @@
 
     @Test
     public void documentIsWrittenAndReadAsItWas() {
-        Document document =
+        ConfigurationDocument document =
                 Documents.with(
                         Documents.usual().types(),
                         Documents.usual().customers(),
@@ -79,10 +79,10 @@
     Object[][] meaningless() {
         QueryClass.Idempotence replayable = QueryClass.Idempotence.IDEMPOTENT;
         var least =
-                new Document.Type(
+                new ConfigurationDocument.Type(
                         new QueryClass("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
         var keyed =
-                new Document.Type(
+                new ConfigurationDocument.Type(
                         new QueryClass(
                                 "offers",
                                 QueryClass.Idempotence.DEDUPLICATED,
@@ -119,9 +119,10 @@
 
     @Test(dataProvider = "meaningless")
     public void whatContradictsItselfIsToldByItsPath(
-            List<Document.Type> types, List<Tenant> customers, String path) {
-        List<Fault> faults = MeaningCheck.alone(Documents.with(types, customers, 10));
-        assertEquals(faults.stream().map(Fault::path).toList(), List.of(path));
+            List<ConfigurationDocument.Type> types, List<Tenant> customers, String path) {
+        List<ValidationError> faults =
+                SemanticValidator.alone(Documents.with(types, customers, 10));
+        assertEquals(faults.stream().map(ValidationError::path).toList(), List.of(path));
     }
 
     @DataProvider
@@ -154,18 +155,18 @@
 
     @Test(dataProvider = "unfit")
     public void whatDoesNotFitWhatRunsIsToldByItsPath(
-            Document document,
+            ConfigurationDocument document,
             Map<String, Integer> byType,
             int open,
             Set<String> holders,
             String path) {
-        List<Fault> faults =
-                MeaningCheck.against(
+        List<ValidationError> faults =
+                SemanticValidator.against(
                         document,
                         Documents.usual(),
-                        new Running(byType, Map.of(), open, Map.of(3, holders)));
+                        new RunningState(byType, Map.of(), open, Map.of(3, holders)));
         assertEquals(
-                faults.stream().map(Fault::path).toList(),
+                faults.stream().map(ValidationError::path).toList(),
                 path == null ? List.of() : List.of(path));
     }
 
@@ -182,35 +183,35 @@
                         Documents.type("offers", QueryClass.Idempotence.IDEMPOTENT, 400, 2000),
                         types.get(1));
         return new Object[][] {
-            {Documents.usual(), Difference.Risk.NONE, ""},
-            {Documents.number(10), Difference.Risk.LOW, "rises from 200 to 210"},
-            {Documents.number(-9), Difference.Risk.LOW, "falls from 200 to 191"},
-            {Documents.number(-40), Difference.Risk.MIDDLE, "falls from 200 to 160"},
-            {Documents.number(-100), Difference.Risk.HIGH, "falls from 200 to 100"},
+            {Documents.usual(), DocumentDifference.Risk.NONE, ""},
+            {Documents.number(10), DocumentDifference.Risk.LOW, "rises from 200 to 210"},
+            {Documents.number(-9), DocumentDifference.Risk.LOW, "falls from 200 to 191"},
+            {Documents.number(-40), DocumentDifference.Risk.MIDDLE, "falls from 200 to 160"},
+            {Documents.number(-100), DocumentDifference.Risk.HIGH, "falls from 200 to 100"},
             {
                 Documents.with(freed, customers, 200),
-                Difference.Risk.HIGH,
+                DocumentDifference.Risk.HIGH,
                 "what is out stays non-replayable"
             },
             {
                 Documents.with(halved, customers, 200),
-                Difference.Risk.HIGH,
+                DocumentDifference.Risk.HIGH,
                 "the target time of 'offers' falls"
             },
             {
                 Documents.with(types, List.of(customers.get(0)), 200),
-                Difference.Risk.HIGH,
+                DocumentDifference.Risk.HIGH,
                 "'bolt' has no share"
             },
             {
                 Documents.with(types, List.of(new Tenant("acme", 2), customers.get(1)), 200),
-                Difference.Risk.HIGH,
+                DocumentDifference.Risk.HIGH,
                 "falls from 20 to 2 scans/s"
             },
-            {Documents.number(0, "s-1"), Difference.Risk.MIDDLE, "nothing new goes to s-1"},
+            {Documents.number(0, "s-1"), DocumentDifference.Risk.MIDDLE, "nothing new goes to s-1"},
             {
                 Documents.number(0, "s-1", "s-2"),
-                Difference.Risk.HIGH,
+                DocumentDifference.Risk.HIGH,
                 "nothing new goes to s-1, s-2"
             },
         };
@@ -218,12 +219,12 @@
 
     @Test(dataProvider = "differences")
     public void differenceIsToldInWordsWithItsRisk(
-            Document after, Difference.Risk risk, String words) {
-        Difference difference = Difference.between(Documents.usual(), after);
+            ConfigurationDocument after, DocumentDifference.Risk risk, String words) {
+        DocumentDifference difference = DocumentDifference.between(Documents.usual(), after);
         assertEquals(difference.risk(), risk);
         assertTrue(
                 difference.words().stream()
-                        .map(Difference.Meaning::words)
+                        .map(DocumentDifference.Meaning::words)
                         .reduce("", (a, b) -> a + b)
                         .contains(words),
                 difference.toString());
--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.TreeSet;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
@@ -11,9 +11,9 @@
 final class Documents {
     private Documents() {}
 
-    static Document.Type type(
+    static ConfigurationDocument.Type type(
             String name, QueryClass.Idempotence repeat, double target, double timeout) {
-        return new Document.Type(
+        return new ConfigurationDocument.Type(
                 new QueryClass(
                         name,
                         repeat,
@@ -27,7 +27,7 @@
                 timeout);
     }
 
-    static Document usual() {
+    static ConfigurationDocument usual() {
         return with(
                 List.of(
                         type("offers", QueryClass.Idempotence.IDEMPOTENT, 800, 2000),
@@ -36,9 +36,12 @@
                 200);
     }
 
-    static Document with(
-            List<Document.Type> types, List<Tenant> customers, int maxOpen, String... out) {
-        return new Document(
+    static ConfigurationDocument with(
+            List<ConfigurationDocument.Type> types,
+            List<Tenant> customers,
+            int maxOpen,
+            String... out) {
+        return new ConfigurationDocument(
                 types,
                 customers,
                 new Deployment.Limits(4, maxOpen, true, true, 1000),
@@ -51,7 +54,7 @@
     }
 
     /** Told apart by how much may be open. */
-    static Document number(int n, String... out) {
+    static ConfigurationDocument number(int n, String... out) {
         return with(usual().types(), usual().customers(), 200 + n, out);
     }
 }
--- a/change/src/test/java/sprucehold/change/ServerWordsTest.java
+++ b/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
@@ -9,11 +9,11 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.change.server.ServerWords;
+import sprucehold.change.override.EndpointOverrides;
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 
-public class ServerWordsTest {
+public class EndpointOverridesTest {
     private static Endpoint listing(String server, Endpoint.State mode, double started) {
         return new Endpoint(server, 0, "z", started, mode);
     }
@@ -37,7 +37,7 @@
 
     @Test(dataProvider = "words")
     public void stricterWordWins(Endpoint.State told, boolean out, Endpoint.State heard) {
-        var words = new ServerWords();
+        var words = new EndpointOverrides();
         words.takenOut(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
         assertEquals(
                 words.told(news(true, listing("s", told, 0))).endpoints().get(0).state(), heard);
@@ -45,7 +45,7 @@
 
     @Test
     public void serverTakenOutWhileDrainingDrainsOnWhenTheChangeIsUndone() {
-        var words = new ServerWords();
+        var words = new EndpointOverrides();
         words.told(news(true, listing("s", Endpoint.State.RUNNING, 0)));
         words.told(news(false, listing("s", Endpoint.State.DRAINING, 0)));
         words.takenOut(new TreeSet<>(List.of("s")), 10);
@@ -56,7 +56,7 @@
 
     @Test
     public void serverGivenBackCountsAsFreshlyStarted() {
-        var words = new ServerWords();
+        var words = new EndpointOverrides();
         words.told(news(true, listing("s", Endpoint.State.RUNNING, 5)));
         words.takenOut(new TreeSet<>(List.of("s")), 1000);
         List<Endpoint> back = words.takenOut(new TreeSet<>(), 2000);
@@ -80,7 +80,7 @@
     public void whateverIsSaidInWhateverOrderADrainIsNeverLifted() {
         var random = new Random(4);
         for (int play = 0; play < 2000; play++) {
-            var words = new ServerWords();
+            var words = new EndpointOverrides();
             Endpoint.State[] modes = {Endpoint.State.RUNNING, Endpoint.State.RUNNING};
             var heard = new ArrayList<>(List.of(Endpoint.State.GONE, Endpoint.State.GONE));
             boolean[] out = new boolean[2];
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -11,13 +11,13 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.change.document.Document;
-import sprucehold.change.document.Running;
-import sprucehold.change.line.JournalEntry;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.LineEvent;
-import sprucehold.change.line.VersionLine;
-import sprucehold.change.server.ServerWords;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.RunningState;
+import sprucehold.change.override.EndpointOverrides;
+import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionEvent;
+import sprucehold.change.version.VersionHistory;
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 import sprucehold.decision.QueryClass;
@@ -42,26 +42,26 @@
     }
 
     private static final QueryClass ONCE = Documents.usual().types().get(1).facts();
-    private static final Document FIRST = Documents.usual();
-    private static final Document SERVER_OUT = Documents.number(1, "s1");
-    private static final Document FREED =
+    private static final ConfigurationDocument FIRST = Documents.usual();
+    private static final ConfigurationDocument SERVER_OUT = Documents.number(1, "s1");
+    private static final ConfigurationDocument FREED =
             Documents.with(
                     List.of(
                             FIRST.types().get(0),
                             Documents.type("stamps", QueryClass.Idempotence.IDEMPOTENT, 800, 2000)),
                     FIRST.customers(),
                     200);
-    private static final Document SMALLER = Documents.number(-1);
-    private static final List<Document> CHANGES = List.of(SERVER_OUT, FREED, SMALLER);
+    private static final ConfigurationDocument SMALLER = Documents.number(-1);
+    private static final List<ConfigurationDocument> CHANGES = List.of(SERVER_OUT, FREED, SMALLER);
 
     /** One state, built by steps from the beginning. */
     private static final class World {
         final Mutation mutation;
-        VersionLine line = new VersionLine(FIRST);
-        ServerWords words = new ServerWords();
+        VersionHistory history = new VersionHistory(FIRST);
+        EndpointOverrides words = new EndpointOverrides();
         final List<JournalEntry> journal = new ArrayList<>();
         int writtenBefore;
-        Document inForce = FIRST;
+        ConfigurationDocument inForce = FIRST;
         final TreeMap<String, Endpoint.State> told = new TreeMap<>();
         final TreeMap<String, Endpoint> heard = new TreeMap<>();
         final TreeSet<String> out = new TreeSet<>();
@@ -101,14 +101,14 @@
             if (proposed < CHANGES.size()) {
                 steps.add("propose");
             }
-            if (line.staged() != null) {
+            if (history.staged() != null) {
                 steps.add("moment");
             }
-            if (line.watched()) {
+            if (history.watched()) {
                 steps.add("fell");
                 steps.add("held");
             }
-            if (undos < 1 && (line.watched() || line.staged() != null)) {
+            if (undos < 1 && (history.watched() || history.staged() != null)) {
                 steps.add("undo");
             }
             if (toldCount < 3) {
@@ -144,26 +144,26 @@
             switch (step) {
                 case "propose" -> {
                     on(
-                            new LineEvent.Proposed(
+                            new VersionEvent.Proposed(
                                     "p" + proposed,
                                     "o",
-                                    line.staged() != null
-                                            ? line.staged().number()
-                                            : line.live().number(),
+                                    history.staged() != null
+                                            ? history.staged().number()
+                                            : history.live().number(),
                                     CHANGES.get(proposed),
-                                    Running.NOTHING));
+                                    RunningState.NOTHING));
                     proposed++;
                 }
-                case "moment" -> on(new LineEvent.BetweenMoments());
-                case "fell" -> on(new LineEvent.Judged(line.live().number(), true, "fell"));
-                case "held" -> on(new LineEvent.Judged(line.live().number(), false, "held"));
+                case "moment" -> on(new VersionEvent.BetweenDecisions());
+                case "fell" -> on(new VersionEvent.Judged(history.live().number(), true, "fell"));
+                case "held" -> on(new VersionEvent.Judged(history.live().number(), false, "held"));
                 case "undo" -> {
                     undos++;
                     on(
-                            new LineEvent.UndoAsked(
-                                    line.staged() != null
-                                            ? line.staged().number()
-                                            : line.live().number(),
+                            new VersionEvent.RollbackRequested(
+                                    history.staged() != null
+                                            ? history.staged().number()
+                                            : history.live().number(),
                                     "o"));
                 }
                 case "slow" -> {
@@ -200,15 +200,15 @@
             }
         }
 
-        private void on(LineEvent event) {
-            List<LineAction> actions = new ArrayList<>(line.on(event));
-            for (LineAction action : actions) {
-                if (action instanceof LineAction.Write write) {
+        private void on(VersionEvent event) {
+            List<VersionCommand> actions = new ArrayList<>(history.on(event));
+            for (VersionCommand action : actions) {
+                if (action instanceof VersionCommand.Write write) {
                     if (mutation != Mutation.CONFIRMED_NOT_WRITTEN
                             || !(write.entry() instanceof JournalEntry.Confirmed)) {
                         journal.add(write.entry());
                     }
-                } else if (action instanceof LineAction.Apply apply) {
+                } else if (action instanceof VersionCommand.Apply apply) {
                     boolean back = apply.version().undoes() > 0;
                     inForce = apply.version().document();
                     if (slow != null) {
@@ -217,7 +217,7 @@
                                         ? inForce.type("stamps").orElseThrow().facts()
                                         : slow.restrictedBy(
                                                 inForce.types().stream()
-                                                        .map(Document.Type::facts)
+                                                        .map(ConfigurationDocument.Type::facts)
                                                         .toList());
                     }
                     for (String server : out) {
@@ -246,8 +246,8 @@
                     }
                 }
             }
-            if (!line.watched()) {
-                confirmedSeen = Math.max(confirmedSeen, line.confirmed().number());
+            if (!history.watched()) {
+                confirmedSeen = Math.max(confirmedSeen, history.confirmed().number());
             }
         }
 
@@ -287,8 +287,8 @@
             slow = null;
             out.clear();
             givenBack.clear();
-            line = new VersionLine(FIRST);
-            words = new ServerWords();
+            history = new VersionHistory(FIRST);
+            words = new EndpointOverrides();
             list();
             writtenBefore = journal.size();
             List<JournalEntry> read =
@@ -302,7 +302,7 @@
                             : List.copyOf(journal);
             long before = greatest;
             greatest = 1;
-            on(new LineEvent.Started(read));
+            on(new VersionEvent.Started(read));
             greatest = Math.max(before, greatest);
             if (mutation == Mutation.RESTART_TAKES_STAGED
                     && journal.stream().anyMatch(JournalEntry.Accepted.class::isInstance)) {
@@ -314,18 +314,18 @@
                                         .orElseThrow();
                 inForce = last.version().document();
             }
-            if (line.confirmed().number() < confirmedSeen) {
+            if (history.confirmed().number() < confirmedSeen) {
                 broken =
                         "version "
                                 + confirmedSeen
                                 + " was confirmed and is "
-                                + line.confirmed().number()
+                                + history.confirmed().number()
                                 + " after the crash";
             }
         }
 
         private void check(String step) {
-            if (!inForce.equals(line.live().document())) {
+            if (!inForce.equals(history.live().document())) {
                 broken = "in force isn't what is live";
             }
             if (!inForce.equals(FIRST) && !CHANGES.contains(inForce)) {
@@ -358,11 +358,11 @@
                     && slowTakenUnderOnce) {
                 broken = "a part in flight was freed";
             }
-            if (line.staged() != null && line.watched()) {
+            if (history.staged() != null && history.watched()) {
                 broken = "two changes at a time";
             }
-            if (line.live().number() < greatest && !step.startsWith("crash")) {
-                broken = "number " + line.live().number() + " after " + greatest;
+            if (history.live().number() < greatest && !step.startsWith("crash")) {
+                broken = "number " + history.live().number() + " after " + greatest;
             }
         }
 
@@ -371,13 +371,13 @@
 
         /** Every change can still come to its end from here. */
         void checkEnds() {
-            if (line.staged() != null) {
-                on(new LineEvent.BetweenMoments());
+            if (history.staged() != null) {
+                on(new VersionEvent.BetweenDecisions());
             }
-            if (line.watched()) {
-                on(new LineEvent.Judged(line.live().number(), true, "end"));
+            if (history.watched()) {
+                on(new VersionEvent.Judged(history.live().number(), true, "end"));
             }
-            if (line.staged() != null || line.watched()) {
+            if (history.staged() != null || history.watched()) {
                 broken = "a change without an end";
             }
         }
@@ -389,13 +389,13 @@
                     + "|"
                     + inForce.types().get(1).facts().idempotence()
                     + "|"
-                    + line.watched()
+                    + history.watched()
                     + "|"
-                    + (line.staged() == null ? "" : line.staged().number())
+                    + (history.staged() == null ? "" : history.staged().number())
                     + "|"
-                    + line.live().number()
+                    + history.live().number()
                     + "|"
-                    + line.confirmed().number()
+                    + history.confirmed().number()
                     + "|"
                     + journal.size()
                     + journal.hashCode()
--- a/change/src/test/java/sprucehold/change/ServiceWatchTest.java
+++ b/change/src/test/java/sprucehold/change/HealthWatchTest.java
@@ -6,12 +6,12 @@
 import java.util.Random;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.change.watch.Before;
+import sprucehold.change.watch.Baseline;
 import sprucehold.change.watch.BettingTest;
-import sprucehold.change.watch.ServiceWatch;
-import sprucehold.change.watch.Slot;
+import sprucehold.change.watch.HealthWatch;
+import sprucehold.change.watch.TimeWindow;
 
-public class ServiceWatchTest {
+public class HealthWatchTest {
     private static final double SLOT_MS = 250;
     private static final double CONFIRM_MS = 300_000;
 
@@ -27,29 +27,29 @@
     private static final String[] CUSTOMERS = {"acme", "bolt", "cog"};
     private static final double[] RATES = {50, 20, 8};
 
-    private static ServiceWatch.Word play(Day day, long seed) {
+    private static HealthWatch.Word play(Day day, long seed) {
         var random = new Random(seed);
-        var before = new Before();
+        var before = new Baseline();
         double t = -120;
         while (t < 0) {
             before.add(slot(day, t, random));
             t += SLOT_MS / 1000;
         }
-        var watch = new ServiceWatch(before, 0, CONFIRM_MS, 100);
+        var watch = new HealthWatch(before, 0, CONFIRM_MS, 100);
         for (t = 0; t < CONFIRM_MS / 1000 + 60; t += SLOT_MS / 1000) {
-            ServiceWatch.Word word = watch.add(slot(day, t, random));
-            if (!(word instanceof ServiceWatch.Word.Wait)) {
+            HealthWatch.Word word = watch.add(slot(day, t, random));
+            if (!(word instanceof HealthWatch.Word.Wait)) {
                 at = t;
                 return word;
             }
         }
-        return new ServiceWatch.Word.Wait();
+        return new HealthWatch.Word.Wait();
     }
 
     private static double at;
 
-    private static Slot slot(Day day, double t, Random random) {
-        var builder = new Slot.Builder();
+    private static TimeWindow slot(Day day, double t, Random random) {
+        var builder = new TimeWindow.Builder();
         for (int c = 0; c < CUSTOMERS.length; c++) {
             double expected = day.rate(t, CUSTOMERS[c]) * SLOT_MS / 1000;
             int scans = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
@@ -127,9 +127,9 @@
     @Test(dataProvider = "harmless")
     public void changeThatDoesNoHarmIsNeverUndone(String what, Day day) {
         for (long seed = 0; seed < 40; seed++) {
-            ServiceWatch.Word word = play(day, seed);
+            HealthWatch.Word word = play(day, seed);
             assertTrue(
-                    !(word instanceof ServiceWatch.Word.Fell),
+                    !(word instanceof HealthWatch.Word.Fell),
                     what + ", seed " + seed + ": " + word);
         }
     }
@@ -167,9 +167,9 @@
     @Test(dataProvider = "harmful")
     public void harmIsFoundInTime(String what, Day day, double latest) {
         for (long seed = 0; seed < 40; seed++) {
-            ServiceWatch.Word word = play(day, seed);
+            HealthWatch.Word word = play(day, seed);
             assertTrue(
-                    word instanceof ServiceWatch.Word.Fell, what + ", seed " + seed + ": " + word);
+                    word instanceof HealthWatch.Word.Fell, what + ", seed " + seed + ": " + word);
             assertTrue(at <= latest, what + ", seed " + seed + ": found after " + at + " s");
         }
     }
@@ -194,18 +194,18 @@
     @Test
     public void clockThatStepsNeitherEndsTheWatchNorHoldsItUp() {
         var random = new Random(1);
-        var before = new Before();
+        var before = new Baseline();
         for (double t = -60; t < 0; t += 0.25) {
             before.add(slot(day(0.98), t, random));
         }
-        var watch = new ServiceWatch(before, 1_000_000, 5000, 10);
+        var watch = new HealthWatch(before, 1_000_000, 5000, 10);
         // An hour ahead at once.
-        Slot jumped = slot(day(0.98), 3600, random);
-        assertEquals(watch.add(jumped), new ServiceWatch.Word.Wait());
-        ServiceWatch.Word word = new ServiceWatch.Word.Wait();
-        for (int i = 1; i < 100 && word instanceof ServiceWatch.Word.Wait; i++) {
+        TimeWindow jumped = slot(day(0.98), 3600, random);
+        assertEquals(watch.add(jumped), new HealthWatch.Word.Wait());
+        HealthWatch.Word word = new HealthWatch.Word.Wait();
+        for (int i = 1; i < 100 && word instanceof HealthWatch.Word.Wait; i++) {
             word = watch.add(slot(day(0.98), (i == 50 ? -3600 : 3600) + i * 0.25, random));
         }
-        assertTrue(word instanceof ServiceWatch.Word.Held, word.toString());
+        assertTrue(word instanceof HealthWatch.Word.Held, word.toString());
     }
 }
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import sprucehold.change.journal.JournalFile;
-import sprucehold.change.line.JournalEntry;
-import sprucehold.change.line.Version;
+import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.Version;
 
 public class JournalFileTest {
     private static final List<JournalEntry> ENTRIES =
--- a/change/src/test/java/sprucehold/change/VersionLineTest.java
+++ b/change/src/test/java/sprucehold/change/VersionHistoryTest.java
@@ -7,42 +7,43 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
-import sprucehold.change.document.Document;
-import sprucehold.change.document.Running;
-import sprucehold.change.line.JournalEntry;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.LineEvent;
-import sprucehold.change.line.Outcome;
-import sprucehold.change.line.VersionLine;
-
-public class VersionLineTest {
-    private VersionLine line = new VersionLine(Documents.usual());
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.RunningState;
+import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionEvent;
+import sprucehold.change.version.VersionHistory;
+import sprucehold.change.version.VersionStatus;
+
+public class VersionHistoryTest {
+    private VersionHistory history = new VersionHistory(Documents.usual());
     private List<JournalEntry> journal = new ArrayList<>();
-    private Document inForce = Documents.usual();
+    private ConfigurationDocument inForce = Documents.usual();
 
-    private List<LineAction> on(LineEvent event) {
-        List<LineAction> actions = line.on(event);
-        for (LineAction action : actions) {
-            if (action instanceof LineAction.Write write) {
+    private List<VersionCommand> on(VersionEvent event) {
+        List<VersionCommand> actions = history.on(event);
+        for (VersionCommand action : actions) {
+            if (action instanceof VersionCommand.Write write) {
                 journal.add(write.entry());
-            } else if (action instanceof LineAction.Apply apply) {
+            } else if (action instanceof VersionCommand.Apply apply) {
                 inForce = apply.version().document();
             }
         }
         return actions;
     }
 
-    private List<LineAction> propose(String id, long from, Document document) {
-        return on(new LineEvent.Proposed(id, "operator", from, document, Running.NOTHING));
+    private List<VersionCommand> propose(String id, long from, ConfigurationDocument document) {
+        return on(new VersionEvent.Proposed(id, "operator", from, document, RunningState.NOTHING));
     }
 
     private void fresh() {
-        line = new VersionLine(Documents.usual());
+        history = new VersionHistory(Documents.usual());
         journal = new ArrayList<>();
         inForce = Documents.usual();
     }
 
-    private static <A extends LineAction> List<A> of(List<LineAction> actions, Class<A> kind) {
+    private static <A extends VersionCommand> List<A> of(
+            List<VersionCommand> actions, Class<A> kind) {
         return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
@@ -50,32 +51,32 @@
     public void changeIsStagedAppliedWatchedAndConfirmed() {
         fresh();
         assertEquals(
-                of(propose("a", 1, Documents.number(1)), LineAction.Accepted.class)
+                of(propose("a", 1, Documents.number(1)), VersionCommand.Accepted.class)
                         .get(0)
                         .version()
                         .number(),
                 2);
         assertEquals(inForce, Documents.usual(), "not before the moment is over");
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.number(1));
-        assertTrue(line.watched());
-        on(new LineEvent.Judged(2, false, "held"));
-        assertFalse(line.watched());
-        assertEquals(line.confirmed().number(), 2);
+        assertTrue(history.watched());
+        on(new VersionEvent.Judged(2, false, "held"));
+        assertFalse(history.watched());
+        assertEquals(history.confirmed().number(), 2);
     }
 
     @Test
     public void harmfulChangeIsUndoneUnderANewNumber() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new LineEvent.BetweenMoments());
-        on(new LineEvent.Judged(2, true, "fell"));
+        on(new VersionEvent.BetweenDecisions());
+        on(new VersionEvent.Judged(2, true, "fell"));
         assertEquals(inForce, Documents.usual());
-        assertEquals(line.live().number(), 3);
-        assertEquals(line.live().undoes(), 2);
+        assertEquals(history.live().number(), 3);
+        assertEquals(history.live().undoes(), 2);
         // The watch's late word on a version that is gone changes nothing.
-        assertTrue(on(new LineEvent.Judged(2, true, "fell")).isEmpty());
-        assertTrue(on(new LineEvent.ConfirmAsked(2, "late operator")).isEmpty());
+        assertTrue(on(new VersionEvent.Judged(2, true, "fell")).isEmpty());
+        assertTrue(on(new VersionEvent.ConfirmRequested(2, "late operator")).isEmpty());
         assertEquals(inForce, Documents.usual());
     }
 
@@ -83,12 +84,12 @@
     public void secondOfTwoOperatorsIsTurnedDownAndToldWhatChangedMeanwhile() {
         fresh();
         propose("a", 1, Documents.number(1));
-        List<LineAction> second = propose("b", 1, Documents.number(2));
-        LineAction.TurnedDown down = of(second, LineAction.TurnedDown.class).get(0);
+        List<VersionCommand> second = propose("b", 1, Documents.number(2));
+        VersionCommand.Rejected down = of(second, VersionCommand.Rejected.class).get(0);
         assertTrue(
                 down.meanwhile().words().get(0).words().contains("from 200 to 201"),
                 down.toString());
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.number(1));
     }
 
@@ -96,11 +97,12 @@
     public void secondChangeDuringTheWatchIsTurnedDown() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.BetweenDecisions());
         assertEquals(
-                of(propose("b", 2, Documents.number(2)), LineAction.TurnedDown.class).size(), 1);
-        on(new LineEvent.Judged(2, false, "held"));
-        assertEquals(of(propose("c", 2, Documents.number(2)), LineAction.Accepted.class).size(), 1);
+                of(propose("b", 2, Documents.number(2)), VersionCommand.Rejected.class).size(), 1);
+        on(new VersionEvent.Judged(2, false, "held"));
+        assertEquals(
+                of(propose("c", 2, Documents.number(2)), VersionCommand.Accepted.class).size(), 1);
     }
 
     @Test
@@ -108,15 +110,15 @@
         fresh();
         propose("a", 1, Documents.number(1));
         assertEquals(
-                of(propose("a", 1, Documents.number(1)), LineAction.AlreadyThere.class)
+                of(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
                         .get(0)
                         .number(),
                 2);
-        on(new LineEvent.BetweenMoments());
-        on(new LineEvent.ConfirmAsked(2, "operator"));
+        on(new VersionEvent.BetweenDecisions());
+        on(new VersionEvent.ConfirmRequested(2, "operator"));
         restart();
         assertEquals(
-                of(propose("a", 1, Documents.number(1)), LineAction.AlreadyThere.class)
+                of(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
                         .get(0)
                         .number(),
                 2);
@@ -124,24 +126,24 @@
     }
 
     private void restart() {
-        line = new VersionLine(Documents.usual());
+        history = new VersionHistory(Documents.usual());
         inForce = null;
-        on(new LineEvent.Started(List.copyOf(journal)));
+        on(new VersionEvent.Started(List.copyOf(journal)));
     }
 
     @Test
     public void killedBetweenAnyTwoStepsItStartsWithOneWholeVersion() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new LineEvent.BetweenMoments());
-        on(new LineEvent.Judged(2, false, "held"));
+        on(new VersionEvent.BetweenDecisions());
+        on(new VersionEvent.Judged(2, false, "held"));
         propose("b", 2, Documents.number(2));
-        on(new LineEvent.BetweenMoments());
-        on(new LineEvent.Judged(3, true, "fell"));
+        on(new VersionEvent.BetweenDecisions());
+        on(new VersionEvent.Judged(3, true, "fell"));
         propose("c", 4, Documents.number(3));
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.BetweenDecisions());
         List<JournalEntry> all = List.copyOf(journal);
-        List<Document> whole =
+        List<ConfigurationDocument> whole =
                 List.of(
                         Documents.usual(),
                         Documents.number(1),
@@ -151,17 +153,17 @@
             journal = new ArrayList<>(all.subList(0, cut));
             restart();
             assertTrue(whole.contains(inForce), "after " + cut + " steps");
-            assertEquals(inForce, line.live().document());
+            assertEquals(inForce, history.live().document());
             // A version that was confirmed before the kill is never lost.
             for (JournalEntry entry : all.subList(0, cut)) {
                 if (entry instanceof JournalEntry.Confirmed confirmed) {
-                    assertTrue(line.confirmed().number() >= confirmed.number());
+                    assertTrue(history.confirmed().number() >= confirmed.number());
                 }
             }
-            long last = line.live().number();
-            propose("after-" + cut, line.live().number(), Documents.number(50 + cut));
-            if (line.staged() != null) {
-                assertTrue(line.staged().number() > last, "numbers never go back");
+            long last = history.live().number();
+            propose("after-" + cut, history.live().number(), Documents.number(50 + cut));
+            if (history.staged() != null) {
+                assertTrue(history.staged().number() > last, "numbers never go back");
             }
         }
     }
@@ -170,19 +172,21 @@
     public void versionThatKilledTheProcessTwiceIsSetAside() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.BetweenDecisions());
         restart();
         assertEquals(inForce, Documents.number(1), "once may have been chance");
-        assertTrue(line.watched());
+        assertTrue(history.watched());
         restart();
         assertEquals(inForce, Documents.usual());
-        assertTrue(line.history().stream().anyMatch(of -> of.how() == Outcome.State.SET_ASIDE));
+        assertTrue(
+                history.history().stream()
+                        .anyMatch(of -> of.how() == VersionStatus.State.SET_ASIDE));
         restart();
         assertEquals(inForce, Documents.usual(), "and stays so");
-        LineAction.TurnedDown down =
+        VersionCommand.Rejected down =
                 of(
-                                propose("again", line.live().number(), Documents.number(1)),
-                                LineAction.TurnedDown.class)
+                                propose("again", history.live().number(), Documents.number(1)),
+                                VersionCommand.Rejected.class)
                         .get(0);
         assertTrue(down.faults().get(0).what().contains("set aside"), down.toString());
     }
@@ -191,12 +195,12 @@
     public void endInGoodOrderIsNoDeath() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.BetweenDecisions());
         for (int i = 0; i < 5; i++) {
-            on(new LineEvent.Ending());
+            on(new VersionEvent.ShuttingDown());
             restart();
             assertEquals(inForce, Documents.number(1));
-            assertTrue(line.watched());
+            assertTrue(history.watched());
         }
     }
 
@@ -204,9 +208,9 @@
     public void withdrawnBeforeItIsLiveItNeverGoesLive() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new LineEvent.UndoAsked(2, "operator"));
-        on(new LineEvent.BetweenMoments());
+        on(new VersionEvent.RollbackRequested(2, "operator"));
+        on(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.usual());
-        assertEquals(line.history().get(1).how(), Outcome.State.UNDONE);
+        assertEquals(history.history().get(1).how(), VersionStatus.State.UNDONE);
     }
 }
--- a/cli/src/main/java/sprucehold/cli/ChangeCommand.java
+++ b/cli/src/main/java/sprucehold/cli/ChangeCommand.java
@@ -14,11 +14,11 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.change.document.Difference;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.DocumentDifference;
 import sprucehold.change.document.DocumentReader;
-import sprucehold.change.document.Fault;
-import sprucehold.change.document.MeaningCheck;
+import sprucehold.change.document.SemanticValidator;
+import sprucehold.change.document.ValidationError;
 
 /** Changes of running gatherers. */
 @Command(
@@ -43,16 +43,16 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** Reads a document; its faults are told, a line each, and null is returned. */
-    private static Document read(Path file, boolean json) throws IOException {
+    private static ConfigurationDocument read(Path file, boolean json) throws IOException {
         DocumentReader.Read read = DocumentReader.read(Files.readAllBytes(file));
-        List<Fault> faults =
+        List<ValidationError> faults =
                 read instanceof DocumentReader.Read.Bad bad
                         ? bad.faults()
-                        : MeaningCheck.alone(((DocumentReader.Read.Good) read).document());
+                        : SemanticValidator.alone(((DocumentReader.Read.Good) read).document());
         if (faults.isEmpty()) {
             return ((DocumentReader.Read.Good) read).document();
         }
-        for (Fault fault : faults) {
+        for (ValidationError fault : faults) {
             if (json) {
                 Printed.json(fault);
             } else {
@@ -62,7 +62,7 @@
         return null;
     }
 
-    private static void print(Difference difference, boolean json) {
+    private static void print(DocumentDifference difference, boolean json) {
         if (json) {
             Printed.json(difference);
             return;
@@ -119,12 +119,12 @@
 
         @Override
         public Integer call() throws IOException {
-            Document from = read(before, json);
-            Document to = read(after, json);
+            ConfigurationDocument from = read(before, json);
+            ConfigurationDocument to = read(after, json);
             if (from == null || to == null) {
                 return 1;
             }
-            print(Difference.between(from, to), json);
+            print(DocumentDifference.between(from, to), json);
             return 0;
         }
     }
@@ -223,7 +223,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Document document = read(file, door.json);
+            ConfigurationDocument document = read(file, door.json);
             if (document == null) {
                 return 1;
             }
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.DocumentReader;
 import sprucehold.change.rollout.Rollout;
 import sprucehold.change.rollout.RolloutState;
@@ -83,7 +83,7 @@
     /** What each gatherer served before, kept beside the state. */
     private ObjectNode before = MAPPER.createObjectNode();
 
-    private Document document;
+    private ConfigurationDocument document;
 
     @Override
     public Integer call() throws IOException {
--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -34,7 +34,7 @@
         "sprucehold.clients..",
         "sprucehold.shards..",
         "sprucehold.discovery..",
-        "sprucehold.drill..",
+        "sprucehold.simulation..",
         "sprucehold.admin..",
         "sprucehold.command..",
         "sprucehold.messaging..",
@@ -143,7 +143,7 @@
                                 "sprucehold.shards..",
                                 "sprucehold.discovery..",
                                 "sprucehold.admin..",
-                                "sprucehold.drill..")
+                                "sprucehold.simulation..")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
@@ -166,9 +166,9 @@
                         .that()
                         .resideInAnyPackage(
                                 "sprucehold.change.document..",
-                                "sprucehold.change.line..",
+                                "sprucehold.change.version..",
                                 "sprucehold.change.watch..",
-                                "sprucehold.change.server..",
+                                "sprucehold.change.override..",
                                 "sprucehold.change.rollout..")
                         .should()
                         .dependOnClassesThat()
--- a/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
@@ -21,12 +21,12 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.DocumentReader;
-import sprucehold.change.document.Running;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.LineEvent;
-import sprucehold.change.line.VersionLine;
+import sprucehold.change.document.RunningState;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionEvent;
+import sprucehold.change.version.VersionHistory;
 
 /** The tool against scripted doors, whose versions are the real ones. */
 public class RolloutCommandTest {
@@ -39,7 +39,7 @@
     private Path folder;
     private final List<FakeDoor> doors = new ArrayList<>();
 
-    private static Document document(int maxOpen) {
+    private static ConfigurationDocument document(int maxOpen) {
         return ((DocumentReader.Read.Good)
                         DocumentReader.read(DOCUMENT.formatted(maxOpen).getBytes()))
                 .document();
@@ -48,7 +48,7 @@
     /** A gatherer's door; a version is judged at the second look at it. */
     private static final class FakeDoor {
         final HttpServer server;
-        final VersionLine line = new VersionLine(document(100));
+        final VersionHistory history = new VersionHistory(document(100));
         final boolean harmed;
         int looks;
         boolean silent;
@@ -77,13 +77,14 @@
             JsonNode answer = node;
             int status = 200;
             if (path.equals("/change/document")) {
-                answer = MAPPER.readTree(DocumentReader.write(line.live().document()));
+                answer = MAPPER.readTree(DocumentReader.write(history.live().document()));
             } else if (path.equals("/change/history")) {
-                if (line.watched() && ++looks >= 2) {
-                    line.on(new LineEvent.Judged(line.live().number(), harmed, "so it was"));
+                if (history.watched() && ++looks >= 2) {
+                    history.on(
+                            new VersionEvent.Judged(history.live().number(), harmed, "so it was"));
                 }
                 ArrayNode all = MAPPER.createArrayNode();
-                line.history()
+                history.history()
                         .forEach(
                                 of ->
                                         all.addObject()
@@ -94,7 +95,7 @@
                                                 .put("why", of.why()));
                 answer = all;
             } else if (path.startsWith("/change/proposal/")) {
-                Long version = line.numberOf(path.substring("/change/proposal/".length()));
+                Long version = history.numberOf(path.substring("/change/proposal/".length()));
                 status = version == null ? 404 : 200;
                 node.put(
                         version == null ? "error" : "version",
@@ -104,39 +105,39 @@
                 }
             } else if (path.equals("/change/propose")) {
                 JsonNode asked = MAPPER.readTree(body);
-                Document wanted =
+                ConfigurationDocument wanted =
                         ((DocumentReader.Read.Good)
                                         DocumentReader.read(
                                                 MAPPER.writeValueAsBytes(asked.get("document"))))
                                 .document();
-                for (LineAction action :
-                        line.on(
-                                new LineEvent.Proposed(
+                for (VersionCommand action :
+                        history.on(
+                                new VersionEvent.Proposed(
                                         asked.get("id").asText(),
                                         "o",
                                         asked.get("madeFrom").asLong(),
                                         wanted,
-                                        Running.NOTHING))) {
-                    if (action instanceof LineAction.Accepted accepted) {
+                                        RunningState.NOTHING))) {
+                    if (action instanceof VersionCommand.Accepted accepted) {
                         node.put("version", accepted.version().number());
-                    } else if (action instanceof LineAction.AlreadyThere there) {
+                    } else if (action instanceof VersionCommand.AlreadyKnown there) {
                         node.put("version", there.number());
-                    } else if (action instanceof LineAction.TurnedDown) {
+                    } else if (action instanceof VersionCommand.Rejected) {
                         status = 409;
                         node.put("error", "turned down");
                     }
                 }
-                line.on(new LineEvent.BetweenMoments());
+                history.on(new VersionEvent.BetweenDecisions());
             } else if (path.equals("/change/confirm")) {
-                line.on(
-                        new LineEvent.ConfirmAsked(
+                history.on(
+                        new VersionEvent.ConfirmRequested(
                                 MAPPER.readTree(body).get("version").asLong(), "o"));
             } else if (path.equals("/change/undo")) {
-                line.on(
-                        new LineEvent.UndoAsked(
+                history.on(
+                        new VersionEvent.RollbackRequested(
                                 MAPPER.readTree(body).get("version").asLong(), "o"));
             } else {
-                node.put("live", line.live().number()).put("watched", line.watched());
+                node.put("live", history.live().number()).put("watched", history.watched());
             }
             byte[] bytes = MAPPER.writeValueAsBytes(answer);
             exchange.sendResponseHeaders(status, bytes.length);
@@ -181,7 +182,9 @@
     }
 
     private List<Integer> serving() {
-        return doors.stream().map(door -> door.line.live().document().limits().maxOpen()).toList();
+        return doors.stream()
+                .map(door -> door.history.live().document().limits().maxOpen())
+                .toList();
     }
 
     @Test
@@ -198,8 +201,9 @@
         // The first confirmed it, and serves a proposal of what was before; the last was never
         // asked.
         assertEquals(serving(), List.of(100, 100, 100, 100));
-        assertEquals(doors.get(3).line.live().number(), 1);
-        assertFalse(doors.get(0).line.watched(), "an undoing would bring the harmful change back");
+        assertEquals(doors.get(3).history.live().number(), 1);
+        assertFalse(
+                doors.get(0).history.watched(), "an undoing would bring the harmful change back");
     }
 
     @Test
@@ -207,8 +211,10 @@
         fleet(false, false);
         // As if killed after the first was asked: the state on disk says so, and nothing else is
         // known.
-        doors.get(0).line.on(new LineEvent.Proposed("r-7", "o", 1, document(90), Running.NOTHING));
-        doors.get(0).line.on(new LineEvent.BetweenMoments());
+        doors.get(0)
+                .history
+                .on(new VersionEvent.Proposed("r-7", "o", 1, document(90), RunningState.NOTHING));
+        doors.get(0).history.on(new VersionEvent.BetweenDecisions());
         Files.writeString(
                 folder.resolve("state"),
                 "{\"id\":\"r-7\",\"waves\":[[\""
@@ -222,7 +228,7 @@
                         + "\":\"UNTOUCHED\"},\"phase\":\"ROLLING\",\"why\":\"\"}");
         assertEquals(roll(), 0);
         assertEquals(serving(), List.of(90, 90));
-        assertEquals(doors.get(0).line.live().number(), 2, "asked once, not twice");
+        assertEquals(doors.get(0).history.live().number(), 2, "asked once, not twice");
         assertTrue(Files.readString(folder.resolve("state")).contains("\"DONE\""));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/allowance/RoomTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
@@ -19,7 +19,7 @@
  * @param drift how far any clock's rate may be off, as a share of it
  * @param clocksOffMs how far any two wall clocks may be apart, in milliseconds
  */
-public record RoomTerms(
+public record AllowanceSettings(
         String self,
         List<String> fleet,
         Set<SharedLimit.Kind> shared,
@@ -32,7 +32,7 @@
      * @throws IllegalArgumentException if this gatherer isn't one of the fleet, or a name stands
      *     twice
      */
-    public RoomTerms {
+    public AllowanceSettings {
         fleet = fleet.stream().sorted().toList();
         shared = Set.copyOf(shared);
         if (!fleet.contains(self)) {
--- a/cluster/src/main/java/sprucehold/cluster/allowance/Rooms.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.ShareTerms;
-import sprucehold.cluster.session.Talk;
+import sprucehold.cluster.quota.QuotaTerms;
+import sprucehold.cluster.session.CoordinationSession;
 import sprucehold.decision.ClusterView;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Endpoint;
@@ -20,7 +20,7 @@
  * the news of its start and goes once it is surely warm. All times are a reading of the clock that
  * counts and one of the wall's, in milliseconds.
  */
-public final class Rooms {
+public final class AllowanceTable {
     /**
      * How long a loan lasts: eight looks, so that asking again costs little, and what a dead one
      * held is back in four seconds.
@@ -65,7 +65,7 @@
         double heardAt;
 
         /** Null while it isn't cold, or that isn't shared. */
-        Growth growth;
+        WarmUpAllowance growth;
 
         String bound() {
             return SharedLimit.Kind.SLOW_START.storedName()
@@ -77,8 +77,8 @@
     }
 
     private final Deployment deployment;
-    private final RoomTerms terms;
-    private final Talk talk;
+    private final AllowanceSettings terms;
+    private final CoordinationSession session;
     private final Map<String, Server> servers = new TreeMap<>();
     private final Map<String, Rate> byCustomer = new TreeMap<>();
     private final Rate[] byCell;
@@ -88,11 +88,15 @@
 
     private Map<String, Double> trouble = Map.of();
 
-    public Rooms(
-            Deployment deployment, RoomTerms terms, Talk talk, double countedMs, double wallMs) {
+    public AllowanceTable(
+            Deployment deployment,
+            AllowanceSettings terms,
+            CoordinationSession session,
+            double countedMs,
+            double wallMs) {
         this.deployment = deployment;
         this.terms = terms;
-        this.talk = talk;
+        this.session = session;
         this.byCell = new Rate[deployment.layout().replicaGroups()];
         Arrays.setAll(byCell, cell -> new Rate());
         // As the decisions do, before they have seen any part's time.
@@ -143,11 +147,11 @@
             double windowMs,
             boolean keeps) {
         int home = terms.home(bound, units);
-        talk.begin(
+        session.begin(
                 countedMs,
                 wallMs,
                 bound,
-                new ShareTerms(
+                new QuotaTerms(
                         home,
                         keeps ? home / 4 : 0,
                         windowMs,
@@ -188,7 +192,8 @@
                     && share(countedMs, wallMs, server) < 1) {
                 var rule = deployment.slowStart();
                 server.growth =
-                        new Growth((rule.windowMs() + terms.patienceMs()) * (1 + terms.drift()));
+                        new WarmUpAllowance(
+                                (rule.windowMs() + terms.patienceMs()) * (1 + terms.drift()));
                 begin(
                         countedMs,
                         wallMs,
@@ -208,7 +213,7 @@
     private void warm(Server server) {
         if (server.growth != null) {
             server.growth = null;
-            talk.end(server.bound());
+            session.end(server.bound());
         }
     }
 
@@ -259,14 +264,14 @@
 
     /** A dispatch to a server was written. */
     public void sent(double countedMs, double wallMs, String server) {
-        talk.counted(countedMs, wallMs, server, 1);
+        session.counted(countedMs, wallMs, server, 1);
     }
 
     /** A dispatch to a server ended, well or with what may be the server's fault. */
     public void ended(double countedMs, double wallMs, String server, boolean well) {
         Server known = servers.get(server);
         if (known != null) {
-            talk.saw(
+            session.saw(
                     countedMs,
                     wallMs,
                     server,
@@ -282,47 +287,49 @@
      * @return null, with nothing sent to be, if they aren't free; an empty leave where the bound
      *     isn't shared
      */
-    public Leave use(double countedMs, double wallMs, SharedLimit bound, int units) {
+    public Grant use(double countedMs, double wallMs, SharedLimit bound, int units) {
         var permits = new ArrayList<Permit>();
         int left = units;
         String name = name(bound);
         if (bound.kind() == SharedLimit.Kind.SLOW_START) {
             Server server = servers.get(bound.subject());
             if (server == null || server.growth == null) {
-                return new Leave(List.of());
+                return new Grant(List.of());
             }
             pieceMs += 0.1 * (units - pieceMs);
             name = server.bound();
             int own =
                     Math.min(left, server.growth.free(countedMs, grown(countedMs, wallMs, server)));
-            if (left - own > talk.free(countedMs, wallMs, name)) {
+            if (left - own > session.free(countedMs, wallMs, name)) {
                 return null;
             }
             if (own > 0) {
                 server.growth.use(countedMs, own);
                 permits.add(
-                        talk.permit(countedMs, wallMs, terms.patienceMs() * (1 - terms.drift())));
+                        session.permit(
+                                countedMs, wallMs, terms.patienceMs() * (1 - terms.drift())));
                 left -= own;
             }
         } else if (!terms.shared().contains(bound.kind())
                 || bound.kind() == SharedLimit.Kind.TENANT_QUOTA
                         && deployment.tenants().stream()
                                 .noneMatch(c -> c.name().equals(bound.subject()))) {
-            return new Leave(List.of());
+            return new Grant(List.of());
         }
         if (left > 0) {
-            Permit permit = talk.use(countedMs, wallMs, name, left);
+            Permit permit = session.use(countedMs, wallMs, name, left);
             if (permit == null) {
                 return null;
             }
             permits.add(permit);
         }
-        return new Leave(permits);
+        return new Grant(permits);
     }
 
     /** Whether it may be written now; to be asked right before. */
-    public boolean holds(double countedMs, double wallMs, Leave leave) {
-        return leave.permits().stream().allMatch(permit -> talk.holds(countedMs, wallMs, permit));
+    public boolean holds(double countedMs, double wallMs, Grant leave) {
+        return leave.permits().stream()
+                .allMatch(permit -> session.holds(countedMs, wallMs, permit));
     }
 
     // ---- What is told ----
@@ -358,11 +365,11 @@
                                                 * deployment.slowStart().windowMs()
                                                 / 1000
                                                 / Math.max(1, holders));
-                talk.want(
+                session.want(
                         server.bound(), (int) Math.ceil(parts * pieceMs), (int) Math.ceil(pieceMs));
             }
             double seen =
-                    talk.opinion(
+                    session.opinion(
                                     countedMs,
                                     wallMs,
                                     server.endpoint.server(),
@@ -376,7 +383,7 @@
         trouble = Map.copyOf(found);
         byCustomer.forEach(
                 (customer, rate) ->
-                        talk.want(
+                        session.want(
                                 name(SharedLimit.tenantQuota(customer)),
                                 (int)
                                         Math.ceil(
@@ -386,10 +393,11 @@
                                                         / 1000),
                                 1));
         if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
-            Talk.Held held = talk.held(countedMs, wallMs, name(SharedLimit.RETRIES));
+            CoordinationSession.Held held =
+                    session.held(countedMs, wallMs, name(SharedLimit.RETRIES));
             // Refusals aren't seen here: who has used up all that it holds is taken to want as much
             // again.
-            talk.want(
+            session.want(
                     name(SharedLimit.RETRIES),
                     held.free() == 0 ? 2 * held.used() + 1 : (int) Math.ceil(1.25 * held.used()),
                     1);
@@ -403,19 +411,21 @@
             if (server.growth != null) {
                 room.put(
                         SharedLimit.slowStart(server.endpoint.server()),
-                        talk.free(countedMs, wallMs, server.bound())
+                        session.free(countedMs, wallMs, server.bound())
                                 + server.growth.free(countedMs, grown(countedMs, wallMs, server)));
             }
         }
         if (terms.shared().contains(SharedLimit.Kind.TENANT_QUOTA)) {
             for (Tenant tenant : deployment.tenants()) {
                 SharedLimit bound = SharedLimit.tenantQuota(tenant.name());
-                room.put(bound, talk.free(countedMs, wallMs, name(bound)));
+                room.put(bound, session.free(countedMs, wallMs, name(bound)));
             }
         }
         if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
-            room.put(SharedLimit.RETRIES, talk.free(countedMs, wallMs, name(SharedLimit.RETRIES)));
+            room.put(
+                    SharedLimit.RETRIES,
+                    session.free(countedMs, wallMs, name(SharedLimit.RETRIES)));
         }
-        return new ClusterView(talk.there() + 1, room, trouble);
+        return new ClusterView(session.there() + 1, room, trouble);
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/allowance/Leave.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
@@ -7,8 +7,8 @@
  * Leave for one dispatch, or one scan: all permits that it rests on have to hold when it is
  * written.
  */
-public record Leave(List<Permit> permits) {
-    public Leave {
+public record Grant(List<Permit> permits) {
+    public Grant {
         permits = List.copyOf(permits);
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/allowance/Growth.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/WarmUpAllowance.java
@@ -7,7 +7,7 @@
  * and never lent. A use counts as long as one of a ledger does, so that any window holds no more
  * uses than there are units at its end.
  */
-final class Growth {
+final class WarmUpAllowance {
     private record Used(double countsUntil, int units) {}
 
     private final double countedMs;
@@ -16,7 +16,7 @@
     /**
      * @param countedMs how long a use counts, by the slow clock
      */
-    Growth(double countedMs) {
+    WarmUpAllowance(double countedMs) {
         this.countedMs = countedMs;
     }
 
--- a/cluster/src/main/java/sprucehold/cluster/counter/Counts.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
@@ -13,7 +13,7 @@
  * changes nothing, and all who have heard the same know the same. A restart begins a new life at
  * nought and takes nothing back of what earlier ones counted.
  */
-public final class Counts {
+public final class CounterTable {
     /**
      * Lives of one gatherer that are told apart; earlier ones are kept as one sum, to which late
      * news add nothing.
@@ -50,7 +50,7 @@
     /**
      * @param halfMs a rate heard so long ago counts half, twice as long ago a quarter
      */
-    public Counts(String self, long life, double halfMs) {
+    public CounterTable(String self, long life, double halfMs) {
         this.self = self;
         this.life = life;
         this.halfMs = halfMs;
@@ -59,12 +59,12 @@
     /** Counts up this gatherer's own. */
     public void add(double nowMs, String key, long units) {
         Long own = line(key, self).byLife.get(life);
-        take(nowMs, new Count(self, life, key, (own == null ? 0 : own) + units));
+        take(nowMs, new CounterValue(self, life, key, (own == null ? 0 : own) + units));
         changedMs.put(key, nowMs);
     }
 
     /** Takes news of another, or what came back of its own. */
-    public void heard(double nowMs, Count count) {
+    public void heard(double nowMs, CounterValue count) {
         // Nobody else counts for this life.
         if (!count.gatherer().equals(self) || count.life() != life) {
             take(nowMs, count);
@@ -76,7 +76,7 @@
                 .computeIfAbsent(gatherer, none -> new Line());
     }
 
-    private void take(double nowMs, Count count) {
+    private void take(double nowMs, CounterValue count) {
         Line line = line(count.key(), count.gatherer());
         if (count.life() <= line.earliest
                 || count.total() <= line.byLife.getOrDefault(count.life(), 0L)) {
@@ -124,8 +124,8 @@
      * This gatherer's own counts, those first that changed last: what fits into a message goes
      * along.
      */
-    public List<Count> own(int most) {
-        var own = new ArrayList<Count>();
+    public List<CounterValue> own(int most) {
+        var own = new ArrayList<CounterValue>();
         changedMs.entrySet().stream()
                 .sorted(
                         Map.Entry.<String, Double>comparingByValue(Comparator.reverseOrder())
@@ -134,7 +134,7 @@
                 .forEach(
                         one ->
                                 own.add(
-                                        new Count(
+                                        new CounterValue(
                                                 self,
                                                 life,
                                                 one.getKey(),
--- a/cluster/src/main/java/sprucehold/cluster/counter/Count.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterValue.java
@@ -8,4 +8,4 @@
  * @param key what is counted, such as a shard server or a customer
  * @param total units since the life began; it only grows
  */
-public record Count(String gatherer, long life, String key, long total) {}
+public record CounterValue(String gatherer, long life, String key, long total) {}
--- a/cluster/src/main/java/sprucehold/cluster/evidence/Evidence.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
@@ -15,7 +15,7 @@
  * site where there is more than one, and who sees most servers of a site failing is held to have
  * trouble on the way there rather than to have found so many failures.
  */
-public final class Evidence {
+public final class EvidenceTable {
     /** Sightings fade by half in so long: about what a queue takes to fill or to drain. */
     static final double HALF_MS = 5000;
 
@@ -57,7 +57,7 @@
         }
     }
 
-    private record Heard(Sighting sighting, double atMs) {
+    private record Heard(Observation sighting, double atMs) {
         double fading(double nowMs) {
             return Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_MS);
         }
@@ -77,7 +77,7 @@
     private final Map<String, Map<String, Heard>> byObserver = new TreeMap<>();
     private long number;
 
-    public Evidence(String self, String site) {
+    public EvidenceTable(String self, String site) {
         this.self = self;
         this.site = site;
     }
@@ -104,7 +104,7 @@
      * This gatherer's sightings that tell something, the worst first: what fits into a message goes
      * along.
      */
-    public List<Sighting> tell(double nowMs, int most) {
+    public List<Observation> tell(double nowMs, int most) {
         own.values().forEach(seen -> seen.fade(nowMs));
         own.values().removeIf(seen -> seen.good + seen.bad < 0.1);
         return own.values().stream()
@@ -113,7 +113,7 @@
                 .limit(most)
                 .map(
                         seen ->
-                                new Sighting(
+                                new Observation(
                                         self,
                                         site,
                                         seen.server,
@@ -129,7 +129,7 @@
      * Takes another's sighting; of one observer and server only the latest counts, and nobody tells
      * of this gatherer's own.
      */
-    public void heard(double nowMs, Sighting sighting) {
+    public void heard(double nowMs, Observation sighting) {
         boolean sound =
                 sighting.good() >= 0
                         && sighting.bad() >= 0
@@ -162,7 +162,7 @@
      *
      * @param startedAtMs when this gatherer's list says that the server started
      */
-    public Opinion of(double nowMs, String server, double startedAtMs) {
+    public FailureAssessment of(double nowMs, String server, double startedAtMs) {
         var shares = new ArrayList<Double>();
         Set<String> sites = new HashSet<>();
         Set<String> allSites = new HashSet<>(Set.of(site));
@@ -178,11 +178,12 @@
             }
         }
         if (shares.size() < LEAST_OBSERVERS || sites.size() < Math.min(2, allSites.size())) {
-            return new Opinion(0, shares.size(), sites.size());
+            return new FailureAssessment(0, shares.size(), sites.size());
         }
         shares.sort(null);
         // The lower of two middles: in doubt for the server.
-        return new Opinion(shares.get((shares.size() - 1) / 2), shares.size(), sites.size());
+        return new FailureAssessment(
+                shares.get((shares.size() - 1) / 2), shares.size(), sites.size());
     }
 
     /**
--- a/cluster/src/main/java/sprucehold/cluster/evidence/Opinion.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/FailureAssessment.java
@@ -8,7 +8,7 @@
  * @param observers how many independent ones it rests on
  * @param sites how many sites they stand in
  */
-public record Opinion(double trouble, int observers, int sites) {
+public record FailureAssessment(double trouble, int observers, int sites) {
     /** Nothing is known. */
-    public static final Opinion NONE = new Opinion(0, 0, 0);
+    public static final FailureAssessment NONE = new FailureAssessment(0, 0, 0);
 }
--- a/cluster/src/main/java/sprucehold/cluster/evidence/Sighting.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/Observation.java
@@ -13,7 +13,7 @@
  * @param bad dispatches that failed or were late, fading
  * @param number grows with each sighting of one observer: of two the later counts
  */
-public record Sighting(
+public record Observation(
         String observer,
         String observerSite,
         String server,
--- a/cluster/src/main/java/sprucehold/cluster/membership/Detector.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/FailureDetector.java
@@ -7,7 +7,7 @@
  * A way to find out who is there. Time is in milliseconds by the owner's clock, and never goes
  * back.
  */
-public interface Detector {
+public interface FailureDetector {
     /** A message to another. */
     record Out(String to, MemberMessage message) {}
 
--- a/cluster/src/main/java/sprucehold/cluster/membership/Rumours.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
@@ -12,7 +12,7 @@
  * all have heard it. Of trouble before all else: while a whole fleet starts, who has come is told
  * by tables anyway, and a suspicion that waits behind a thousand arrivals is refuted too late.
  */
-final class Rumours {
+final class GossipQueue {
     /**
      * Times the binary logarithm of the size: suspicions and refutations must reach all, over a
      * network that loses some.
@@ -28,16 +28,16 @@
     private static final int LEFT_FOR_USUAL = 2;
 
     private static final class Rumour {
-        final News news;
+        final MemberUpdate update;
         int sent;
 
-        Rumour(News news) {
-            this.news = news;
+        Rumour(MemberUpdate update) {
+            this.update = update;
         }
 
         /** An arrival: neither blamed nor the answer to a blame. */
         boolean usual() {
-            return news.state() == News.State.ALIVE && news.incarnation() == 0;
+            return update.state() == MemberUpdate.State.ALIVE && update.incarnation() == 0;
         }
     }
 
@@ -62,9 +62,9 @@
     }
 
     /** Takes news; what was to be told of the same name is told no more. */
-    void add(News news) {
-        var rumour = new Rumour(news);
-        Rumour before = byName.put(news.name(), rumour);
+    void add(MemberUpdate update) {
+        var rumour = new Rumour(update);
+        Rumour before = byName.put(update.name(), rumour);
         if (before != null) {
             take(before);
         }
@@ -77,7 +77,7 @@
      * @param most how many at most
      * @param members how many there are to reach
      */
-    List<News> next(int most, int members) {
+    List<MemberUpdate> next(int most, int members) {
         var next = new ArrayList<Rumour>();
         first(urgent, usual.isEmpty() ? most : Math.max(1, most - LEFT_FOR_USUAL), next);
         first(usual, most, next);
@@ -89,10 +89,10 @@
             if (rumour.sent < Math.ceil((rumour.usual() ? USUAL_SENDS : URGENT_SENDS) * sizes)) {
                 put(rumour);
             } else {
-                byName.remove(rumour.news.name());
+                byName.remove(rumour.update.name());
             }
         }
-        return next.stream().map(rumour -> rumour.news).toList();
+        return next.stream().map(rumour -> rumour.update).toList();
     }
 
     private static void first(
--- a/cluster/src/main/java/sprucehold/cluster/membership/News.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/MemberUpdate.java
@@ -11,7 +11,7 @@
  * @param life grows with each start under this name
  * @param incarnation raised by the gatherer itself, and nobody else, to refute a suspicion
  */
-public record News(String name, String site, long life, int incarnation, State state) {
+public record MemberUpdate(String name, String site, long life, int incarnation, State state) {
     /** What a gatherer is held to be, the better first. */
     public enum State {
         /** It answers, or nobody has found that it doesn't. */
@@ -30,7 +30,7 @@
     }
 
     /** Whether this counts and the other no more. */
-    public boolean beats(News other) {
+    public boolean beats(MemberUpdate other) {
         if (life != other.life) {
             return life > other.life;
         }
@@ -39,11 +39,11 @@
                 : state.compareTo(other.state) > 0;
     }
 
-    News with(State other) {
-        return new News(name, site, life, incarnation, other);
+    MemberUpdate with(State other) {
+        return new MemberUpdate(name, site, life, incarnation, other);
     }
 
-    News refuted(int above) {
-        return new News(name, site, life, Math.max(incarnation, above) + 1, State.ALIVE);
+    MemberUpdate refuted(int above) {
+        return new MemberUpdate(name, site, life, Math.max(incarnation, above) + 1, State.ALIVE);
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
@@ -25,7 +25,7 @@
  * that has trouble itself, as its probes fail or its ticks come late, waits longer before it blames
  * others. News go along with probes, so that messages a second don't grow with the fleet.
  */
-public final class Membership implements Detector {
+public final class Membership implements FailureDetector {
     /**
      * One probe in so long; half a second to a second is usual, and a budget's term is several
      * times that.
@@ -110,10 +110,10 @@
 
     private final Random chance;
     private final boolean suspects;
-    private final Map<String, News> known = new TreeMap<>();
+    private final Map<String, MemberUpdate> known = new TreeMap<>();
     private final Map<String, Double> changedAt = new TreeMap<>();
     private final Map<String, Suspicion> suspicions = new TreeMap<>();
-    private final Rumours rumours = new Rumours();
+    private final GossipQueue rumours = new GossipQueue();
     private final Set<String> counting = new TreeSet<>();
 
     /** A copy of these; null when it has to be made anew. */
@@ -128,8 +128,8 @@
     private final Map<Long, Probe> probes = new LinkedHashMap<>();
     private final Map<Long, Errand> errands = new LinkedHashMap<>();
     private final Deque<String> round = new ArrayDeque<>();
-    private final List<News> changes = new ArrayList<>();
-    private News self;
+    private final List<MemberUpdate> changes = new ArrayList<>();
+    private MemberUpdate self;
     private long numbers;
     private int health;
     private int unanswered;
@@ -169,11 +169,11 @@
             boolean suspects) {
         this.chance = chance;
         this.suspects = suspects;
-        this.self = new News(name, site, life, 0, News.State.ALIVE);
+        this.self = new MemberUpdate(name, site, life, 0, MemberUpdate.State.ALIVE);
         seeds.forEach(
                 (seed, at) -> {
                     if (!seed.equals(name)) {
-                        known.put(seed, new News(seed, at, 0, 0, News.State.DEAD));
+                        known.put(seed, new MemberUpdate(seed, at, 0, 0, MemberUpdate.State.DEAD));
                         changedAt.put(seed, 0.0);
                     }
                 });
@@ -181,18 +181,20 @@
         rumours.add(self);
     }
 
-    private void itself(News news) {
-        digest ^= digest(self) ^ digest(news);
-        self = news;
+    private void itself(MemberUpdate update) {
+        digest ^= digest(self) ^ digest(update);
+        self = update;
         spread(self);
     }
 
-    private void put(News news) {
-        News before = known.put(news.name(), news);
-        changedAt.put(news.name(), now);
-        met += (news.life() > 0 ? 1 : 0) - (before != null && before.life() > 0 ? 1 : 0);
-        digest ^= (before == null ? 0 : digest(before)) ^ digest(news);
-        if (news.state().counts() ? counting.add(news.name()) : counting.remove(news.name())) {
+    private void put(MemberUpdate update) {
+        MemberUpdate before = known.put(update.name(), update);
+        changedAt.put(update.name(), now);
+        met += (update.life() > 0 ? 1 : 0) - (before != null && before.life() > 0 ? 1 : 0);
+        digest ^= (before == null ? 0 : digest(before)) ^ digest(update);
+        if (update.state().counts()
+                ? counting.add(update.name())
+                : counting.remove(update.name())) {
             there = null;
         }
     }
@@ -201,11 +203,11 @@
      * Of one piece of news; nought where it says that somebody isn't there, as that is forgotten by
      * each in its own time.
      */
-    private static long digest(News news) {
-        return !news.state().counts()
+    private static long digest(MemberUpdate update) {
+        return !update.state().counts()
                 ? 0
                 : MurmurHash3.hash128x64(
-                        (news.name() + '/' + news.life() + '/' + news.incarnation())
+                        (update.name() + '/' + update.life() + '/' + update.incarnation())
                                 .getBytes(StandardCharsets.UTF_8))[0];
     }
 
@@ -223,16 +225,16 @@
     }
 
     /** What is known of all, itself first. */
-    public List<News> view() {
-        var view = new ArrayList<News>();
+    public List<MemberUpdate> view() {
+        var view = new ArrayList<MemberUpdate>();
         view.add(self);
         view.addAll(known.values());
         return view;
     }
 
     /** What others have become since this was last asked. */
-    public List<News> changes() {
-        List<News> since = List.copyOf(changes);
+    public List<MemberUpdate> changes() {
+        List<MemberUpdate> since = List.copyOf(changes);
         changes.clear();
         return since;
     }
@@ -252,7 +254,7 @@
 
     /** Says that it goes; the messages are the last that it sends. */
     public List<Out> leave() {
-        itself(self.with(News.State.LEFT));
+        itself(self.with(MemberUpdate.State.LEFT));
         var out = new ArrayList<Out>();
         List<String> alive = new ArrayList<>(there());
         Collections.shuffle(alive, chance);
@@ -285,7 +287,7 @@
             Suspicion suspicion = suspicions.get(name);
             double left = suspicion.sinceMs + suspicionMs(suspicion) - now;
             if (left <= 0) {
-                heard(known.get(name).with(News.State.DEAD), self.name());
+                heard(known.get(name).with(MemberUpdate.State.DEAD), self.name());
             } else if (left <= PERIOD_MS && !suspicion.asked) {
                 // Its refutation may have passed this member by: who is blamed hears of it first,
                 // and answers with it.
@@ -369,9 +371,9 @@
                 probes.remove(one.getKey());
                 health = Math.min(WORST_HEALTH, health + 1);
                 unanswered++;
-                News news = known.get(probe.target);
-                if (news != null && news.state().counts() && !cutOff()) {
-                    heard(news.with(News.State.SUSPECT), self.name());
+                MemberUpdate update = known.get(probe.target);
+                if (update != null && update.state().counts() && !cutOff()) {
+                    heard(update.with(MemberUpdate.State.SUSPECT), self.name());
                 }
             }
         }
@@ -401,16 +403,18 @@
 
     /** Nobody asks the dead, so a cut that is mended would never be found. */
     private void callTheDead(List<Out> out) {
-        for (News news : List.copyOf(known.values())) {
-            if (!news.state().counts()
-                    && news.life() > 0
-                    && now - changedAt.get(news.name()) > FORGET_MS) {
-                known.remove(news.name());
+        for (MemberUpdate update : List.copyOf(known.values())) {
+            if (!update.state().counts()
+                    && update.life() > 0
+                    && now - changedAt.get(update.name()) > FORGET_MS) {
+                known.remove(update.name());
                 met--;
             }
         }
-        List<News> dead =
-                known.values().stream().filter(news -> news.state() == News.State.DEAD).toList();
+        List<MemberUpdate> dead =
+                known.values().stream()
+                        .filter(update -> update.state() == MemberUpdate.State.DEAD)
+                        .toList();
         if (!dead.isEmpty()) {
             String one = dead.get(chance.nextInt(dead.size())).name();
             out.add(new Out(one, new MemberMessage.Ping(numbers++, some(one))));
@@ -422,10 +426,10 @@
     @Override
     public List<Out> received(double nowMs, String from, MemberMessage message) {
         now = nowMs;
-        News before = known.get(from);
-        message.news().forEach(news -> heard(news, from));
+        MemberUpdate before = known.get(from);
+        message.news().forEach(update -> heard(update, from));
         var out = new ArrayList<Out>();
-        if (message instanceof MemberMessage.Ping ping && self.state() != News.State.LEFT) {
+        if (message instanceof MemberMessage.Ping ping && self.state() != MemberUpdate.State.LEFT) {
             // Whoever is superseded goes on asking, to learn when its name is free, but answers for
             // nobody.
             if (!superseded) {
@@ -446,7 +450,7 @@
             differed = true;
             beyond(from, table.news(), out);
         }
-        News after = known.get(from);
+        MemberUpdate after = known.get(from);
         if (after != null
                 && after.state().counts()
                 && (before == null || !before.state().counts() || before.life() != after.life())) {
@@ -480,72 +484,80 @@
         }
     }
 
-    private List<News> told() {
+    private List<MemberUpdate> told() {
         return view().stream()
-                .filter(news -> news.life() > 0 && !(superseded && news == self))
+                .filter(update -> update.life() > 0 && !(superseded && update == self))
                 .toList();
     }
 
     /** What another's table lacks. */
-    private void beyond(String to, List<News> table, List<Out> out) {
-        Map<String, News> theirs = new HashMap<>();
-        table.forEach(news -> theirs.put(news.name(), news));
-        List<News> beyond =
+    private void beyond(String to, List<MemberUpdate> table, List<Out> out) {
+        Map<String, MemberUpdate> theirs = new HashMap<>();
+        table.forEach(update -> theirs.put(update.name(), update));
+        List<MemberUpdate> beyond =
                 told().stream()
                         .filter(
-                                news ->
-                                        !theirs.containsKey(news.name())
-                                                || news.beats(theirs.get(news.name())))
+                                update ->
+                                        !theirs.containsKey(update.name())
+                                                || update.beats(theirs.get(update.name())))
                         .toList();
         if (!beyond.isEmpty()) {
             out.add(new Out(to, new MemberMessage.Table(false, beyond)));
         }
     }
 
-    private void heard(News news, String from) {
-        if (news.name().equals(self.name())) {
-            heardOfItself(news);
+    private void heard(MemberUpdate update, String from) {
+        if (update.name().equals(self.name())) {
+            heardOfItself(update);
             return;
         }
-        News before = known.get(news.name());
-        if (before != null && !news.beats(before)) {
-            Suspicion suspicion = suspicions.get(news.name());
-            if (suspicion != null && news.equals(before) && suspicion.by.size() <= CONFIRMATIONS) {
+        MemberUpdate before = known.get(update.name());
+        if (before != null && !update.beats(before)) {
+            Suspicion suspicion = suspicions.get(update.name());
+            if (suspicion != null
+                    && update.equals(before)
+                    && suspicion.by.size() <= CONFIRMATIONS) {
                 // Another way that it came is another who suspects, or passes on whom it believes.
                 suspicion.by.add(from);
             }
             return;
         }
-        put(news);
-        if (news.state() == News.State.SUSPECT) {
+        put(update);
+        if (update.state() == MemberUpdate.State.SUSPECT) {
             var suspicion = new Suspicion(now);
             suspicion.by.add(from);
-            suspicions.put(news.name(), suspicion);
+            suspicions.put(update.name(), suspicion);
         } else {
-            suspicions.remove(news.name());
+            suspicions.remove(update.name());
         }
-        if (before == null || before.state() != news.state() || before.life() != news.life()) {
-            changes.add(news);
+        if (before == null || before.state() != update.state() || before.life() != update.life()) {
+            changes.add(update);
         }
-        spread(news);
+        spread(update);
     }
 
-    private void heardOfItself(News news) {
-        if (self.state() == News.State.LEFT) {
+    private void heardOfItself(MemberUpdate update) {
+        if (self.state() == MemberUpdate.State.LEFT) {
             return;
         }
-        if (news.life() > self.life()) {
-            if (news.state().counts()) {
+        if (update.life() > self.life()) {
+            if (update.state().counts()) {
                 superseded = true;
             } else {
                 // A clock that went back, or the other of two claimants is gone.
                 superseded = false;
-                itself(new News(self.name(), self.site(), news.life() + 1, 0, News.State.ALIVE));
+                itself(
+                        new MemberUpdate(
+                                self.name(),
+                                self.site(),
+                                update.life() + 1,
+                                0,
+                                MemberUpdate.State.ALIVE));
             }
-        } else if (news.life() == self.life()
-                && news.state() != News.State.ALIVE
-                && !self.beats(news)) {
-            itself(self.refuted(news.incarnation()));
+        } else if (update.life() == self.life()
+                && update.state() != MemberUpdate.State.ALIVE
+                && !self.beats(update)) {
+            itself(self.refuted(update.incarnation()));
             // Others had reason to doubt it.
             health = Math.min(WORST_HEALTH, health + 1);
         }
@@ -553,21 +565,21 @@
 
     // ---- News that go along ----
 
-    private void spread(News news) {
-        if (!superseded || !news.name().equals(self.name())) {
-            rumours.add(news);
+    private void spread(MemberUpdate update) {
+        if (!superseded || !update.name().equals(self.name())) {
+            rumours.add(update);
         }
     }
 
     /** The news least often sent so far; what all have heard by now is sent no more. */
-    private List<News> some(String to) {
-        var news = new ArrayList<News>();
-        News of = known.get(to);
-        if (of != null && of.state() != News.State.ALIVE && of.life() > 0) {
+    private List<MemberUpdate> some(String to) {
+        var news = new ArrayList<MemberUpdate>();
+        MemberUpdate of = known.get(to);
+        if (of != null && of.state() != MemberUpdate.State.ALIVE && of.life() > 0) {
             // First of all who is blamed should hear of it.
             news.add(of);
         }
-        for (News rumour : rumours.next(NEWS - news.size(), known.size())) {
+        for (MemberUpdate rumour : rumours.next(NEWS - news.size(), known.size())) {
             if (!news.contains(rumour)) {
                 news.add(rumour);
             }
@@ -588,7 +600,7 @@
                 .filter(name -> !name.equals(self.name()) && !known.containsKey(name))
                 .forEach(
                         name -> {
-                            put(new News(name, site, 0, 0, News.State.DEAD));
+                            put(new MemberUpdate(name, site, 0, 0, MemberUpdate.State.DEAD));
                         });
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/Loan.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Lease.java
@@ -9,4 +9,4 @@
  * @param number unique within that life
  * @param units at least one
  */
-public record Loan(String lender, long epoch, long number, int units) {}
+public record Lease(String lender, long epoch, long number, int units) {}
--- a/cluster/src/main/java/sprucehold/cluster/quota/Exchange.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
@@ -18,17 +18,17 @@
 /**
  * Moves units of one bound to where they are wanted: who runs short asks a few others, who has some
  * to spare lends them, who needs a loan no more gives it back. It decides only who holds what for
- * how long; that no unit is used twice is {@link UnitLedger}'s matter and doesn't rest on anything
+ * how long; that no unit is used twice is {@link QuotaLedger}'s matter and doesn't rest on anything
  * here. Pure: time, messages and chance are handed in.
  */
-public final class Exchange {
+public final class LeaseExchange {
     /** A message to a gatherer. */
-    public record Out(String to, ShareMessage message) {}
+    public record Out(String to, QuotaMessage message) {}
 
     /**
      * @param renews the loan that is to last longer; null where a new one was asked for
      */
-    private record Asked(String of, double atFast, double atSlow, Loan renews) {}
+    private record Asked(String of, double atFast, double atSlow, Lease renews) {}
 
     /** How often it looks; a gatherer that runs short is helped within a few of these. */
     public static final double TICK_MS = 250;
@@ -48,9 +48,9 @@
     private static final double ASK_MS = 4 * TICK_MS;
 
     private final String bound;
-    private final ShareTerms terms;
-    private final UnitLedger ledger;
-    private final OwnClock clock;
+    private final QuotaTerms terms;
+    private final QuotaLedger ledger;
+    private final MonotonicLeaseClock clock;
     private final long epoch;
     private final Random chance;
     private final Map<Long, Asked> asked = new LinkedHashMap<>();
@@ -59,7 +59,7 @@
      * The last request answered, of each asker's last life known: a doubled ask gets no second
      * loan.
      */
-    private final Map<String, ShareMessage.Ask> answered = new HashMap<>();
+    private final Map<String, QuotaMessage.Ask> answered = new HashMap<>();
 
     /** Who lent last time it was asked, asked first again. */
     private final Set<String> lenders = new LinkedHashSet<>();
@@ -79,11 +79,11 @@
      * @param bound its name, the same at all
      * @param others who may be asked, in any order
      */
-    public Exchange(
+    public LeaseExchange(
             String bound,
-            ShareTerms terms,
-            UnitLedger ledger,
-            OwnClock clock,
+            QuotaTerms terms,
+            QuotaLedger ledger,
+            MonotonicLeaseClock clock,
             long epoch,
             Collection<String> others,
             Random chance) {
@@ -153,14 +153,19 @@
         } else if (missing < 0) {
             ledger.giveBack(-missing)
                     .forEach(
-                            loan -> out.add(new Out(loan.lender(), new ShareMessage.Return(loan))));
+                            lease ->
+                                    out.add(
+                                            new Out(
+                                                    lease.lender(),
+                                                    new QuotaMessage.Return(lease))));
         }
         // Halfway: one that is lost on the way leaves time for another before the loan is over.
-        for (Loan loan : missing < 0 ? List.<Loan>of() : ledger.endingWithin(terms.termMs() / 2)) {
-            if (others.contains(loan.lender())
-                    && asked.values().stream().noneMatch(ask -> loan.equals(ask.renews))) {
-                asked.put(requests, new Asked(loan.lender(), clock.fastMs(), slow, loan));
-                out.add(new Out(loan.lender(), new ShareMessage.Renew(epoch, requests++, loan)));
+        for (Lease lease :
+                missing < 0 ? List.<Lease>of() : ledger.endingWithin(terms.termMs() / 2)) {
+            if (others.contains(lease.lender())
+                    && asked.values().stream().noneMatch(ask -> lease.equals(ask.renews))) {
+                asked.put(requests, new Asked(lease.lender(), clock.fastMs(), slow, lease));
+                out.add(new Out(lease.lender(), new QuotaMessage.Renew(epoch, requests++, lease)));
             }
         }
         refused = 0;
@@ -198,16 +203,16 @@
             out.add(
                     new Out(
                             one,
-                            new ShareMessage.Ask(
+                            new QuotaMessage.Ask(
                                     epoch, request, (missing + whom.size() - 1) / whom.size())));
         }
     }
 
     /** Takes a message. */
-    public List<Out> received(String from, ShareMessage message) {
-        if (message instanceof ShareMessage.Ask ask) {
+    public List<Out> received(String from, QuotaMessage message) {
+        if (message instanceof QuotaMessage.Ask ask) {
             return asked(from, ask);
-        } else if (message instanceof ShareMessage.Grant grant && grant.askerEpoch() == epoch) {
+        } else if (message instanceof QuotaMessage.Grant grant && grant.askerEpoch() == epoch) {
             Asked ask = asked.get(grant.request());
             if (ask != null
                     && ask.renews == null
@@ -217,17 +222,17 @@
                 lenders.add(from);
                 if (!ledger.take(grant.loan(), ask.atFast)) {
                     // Too late to be used, and so nothing of it was.
-                    return List.of(new Out(from, new ShareMessage.Return(grant.loan())));
+                    return List.of(new Out(from, new QuotaMessage.Return(grant.loan())));
                 }
             }
-        } else if (message instanceof ShareMessage.Nothing nothing
+        } else if (message instanceof QuotaMessage.Nothing nothing
                 && nothing.askerEpoch() == epoch) {
             Asked ask = asked.get(nothing.request());
             if (ask != null && ask.of.equals(from)) {
                 asked.remove(nothing.request());
                 lenders.remove(from);
             }
-        } else if (message instanceof ShareMessage.Renew renew) {
+        } else if (message instanceof QuotaMessage.Renew renew) {
             // Not where it is wanted here by now; and every other time not where another was sent
             // away of late, so that who has
             // become busy later isn't left with nothing by those who were there first.
@@ -243,17 +248,17 @@
                     new Out(
                             from,
                             renewed
-                                    ? new ShareMessage.Renewed(
+                                    ? new QuotaMessage.Renewed(
                                             renew.epoch(), renew.request(), renew.loan())
-                                    : new ShareMessage.Nothing(renew.epoch(), renew.request())));
-        } else if (message instanceof ShareMessage.Renewed renewed
+                                    : new QuotaMessage.Nothing(renew.epoch(), renew.request())));
+        } else if (message instanceof QuotaMessage.Renewed renewed
                 && renewed.askerEpoch() == epoch) {
             Asked ask = asked.get(renewed.request());
             if (ask != null && ask.of.equals(from) && renewed.loan().equals(ask.renews)) {
                 asked.remove(renewed.request());
                 ledger.renewed(ask.renews, ask.atFast);
             }
-        } else if (message instanceof ShareMessage.Return back) {
+        } else if (message instanceof QuotaMessage.Return back) {
             ledger.returned(from, back.loan());
         }
         return List.of();
@@ -264,8 +269,8 @@
         return MurmurHash3.hash32x86((bound + '\n' + one).getBytes(StandardCharsets.UTF_8));
     }
 
-    private List<Out> asked(String from, ShareMessage.Ask ask) {
-        ShareMessage.Ask before = answered.get(from);
+    private List<Out> asked(String from, QuotaMessage.Ask ask) {
+        QuotaMessage.Ask before = answered.get(from);
         if (before != null && before.epoch() == ask.epoch() && before.request() >= ask.request()) {
             return List.of();
         }
@@ -277,22 +282,22 @@
                         && rank(from) < rank(ledger.name());
         // Else half of what can be spared: the next who asks finds some as well.
         int spare = yields ? ledger.free() : (ledger.free() - wanted() + ledger.used()) / 2;
-        Loan loan =
+        Lease lease =
                 ask.units() <= 0
                         ? null
                         : ledger.lend(
                                 from,
                                 Math.min(ask.units(), Math.max(spare, 0)),
                                 yields ? 0 : Math.max(0, wanted() - ledger.used()));
-        if (loan == null) {
+        if (lease == null) {
             unmet = from;
             unmetAt = clock.slowMs();
         }
         return List.of(
                 new Out(
                         from,
-                        loan == null
-                                ? new ShareMessage.Nothing(ask.epoch(), ask.request())
-                                : new ShareMessage.Grant(ask.epoch(), ask.request(), loan)));
+                        lease == null
+                                ? new QuotaMessage.Nothing(ask.epoch(), ask.request())
+                                : new QuotaMessage.Grant(ask.epoch(), ask.request(), lease)));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/OwnClock.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/MonotonicLeaseClock.java
@@ -7,7 +7,7 @@
  * what must not last too long by {@link #fastMs}. A wall clock that jumps ahead only ends loans
  * early, one that jumps back does nothing.
  */
-public class OwnClock {
+public class MonotonicLeaseClock {
     /**
      * The wall may be ahead by so much unseen: it is read in whole milliseconds, and drawn slowly
      * to the right time.
--- a/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
@@ -8,7 +8,7 @@
  */
 public record Permit(double notAfterMs) {
     /** Whether it may be sent now; to be asked right before the send, with the clock just read. */
-    public boolean holds(OwnClock clock) {
+    public boolean holds(MonotonicLeaseClock clock) {
         return clock.fastMs() < notAfterMs;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/UnitLedger.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
@@ -20,7 +20,7 @@
  * not known. A ledger that a life opens later, for a bound that has come up since, is free of that
  * as far as what an earlier life can have done has lapsed.
  */
-public final class UnitLedger {
+public final class QuotaLedger {
     /** Units used at one moment. */
     private record Used(double countsUntil, int units) {}
 
@@ -31,20 +31,20 @@
      * A loan held: until when by the fast clock its units may be used, and what was used of them.
      */
     private static final class Borrowed {
-        final Loan loan;
+        final Lease lease;
         double usableUntil;
         final Deque<Used> used = new ArrayDeque<>();
 
-        Borrowed(Loan loan, double usableUntil) {
-            this.loan = loan;
+        Borrowed(Lease lease, double usableUntil) {
+            this.lease = lease;
             this.usableUntil = usableUntil;
         }
     }
 
     private final String name;
     private final long epoch;
-    private final ShareTerms terms;
-    private final OwnClock clock;
+    private final QuotaTerms terms;
+    private final MonotonicLeaseClock clock;
     private final Deque<Used> used = new ArrayDeque<>();
     private final Map<Long, Lent> lent = new LinkedHashMap<>();
     private final List<Borrowed> borrowed = new ArrayList<>();
@@ -54,7 +54,7 @@
      * @param epoch differs from that of each earlier life under this name
      * @param clock read before each call
      */
-    public UnitLedger(String name, long epoch, ShareTerms terms, OwnClock clock) {
+    public QuotaLedger(String name, long epoch, QuotaTerms terms, MonotonicLeaseClock clock) {
         this(name, epoch, terms, clock, 0);
     }
 
@@ -62,7 +62,8 @@
      * @param lifeMs for how long this life has lasted by its slow clock, with no ledger of this
      *     bound before
      */
-    public UnitLedger(String name, long epoch, ShareTerms terms, OwnClock clock, double lifeMs) {
+    public QuotaLedger(
+            String name, long epoch, QuotaTerms terms, MonotonicLeaseClock clock, double lifeMs) {
         this.name = name;
         this.epoch = epoch;
         this.terms = terms;
@@ -108,7 +109,7 @@
     }
 
     private static int free(Borrowed held) {
-        return held.loan.units() - units(held.used);
+        return held.lease.units() - units(held.used);
     }
 
     /** Whose it is. */
@@ -119,7 +120,7 @@
     /** Units that may be used now. */
     public int free() {
         forgetThePast();
-        return freeHome() + borrowed.stream().mapToInt(UnitLedger::free).sum();
+        return freeHome() + borrowed.stream().mapToInt(QuotaLedger::free).sum();
     }
 
     /** Units of the home that are lent, or that an earlier life may have lent. */
@@ -131,7 +132,7 @@
     /** Units borrowed, used or not. */
     public int borrowed() {
         forgetThePast();
-        return borrowed.stream().mapToInt(held -> held.loan.units()).sum();
+        return borrowed.stream().mapToInt(held -> held.lease.units()).sum();
     }
 
     /** Units used that count now, of the home and of what is still borrowed. */
@@ -174,31 +175,31 @@
      * @param reserve units that stay here beside those never lent
      * @return the loan, or null if nothing can be lent
      */
-    public Loan lend(String to, int wanted, int reserve) {
+    public Lease lend(String to, int wanted, int reserve) {
         forgetThePast();
         int most = Math.min(terms.home() - terms.kept() - lentUnits(), freeHome() - reserve);
         int units = Math.min(wanted, most);
         if (units <= 0) {
             return null;
         }
-        var loan = new Loan(name, epoch, loans++, units);
+        var lease = new Lease(name, epoch, loans++, units);
         lent.put(
-                loan.number(),
+                lease.number(),
                 new Lent(to, units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
-        return loan;
+        return lease;
     }
 
     /**
      * A borrower has given a loan back, of which no use counts any more; doubled, unknown or
      * another's news changes nothing.
      */
-    public void returned(String from, Loan loan) {
-        Lent out = lent.get(loan.number());
+    public void returned(String from, Lease lease) {
+        Lent out = lent.get(lease.number());
         if (out != null
                 && out.to.equals(from)
-                && loan.lender().equals(name)
-                && loan.epoch() == epoch) {
-            lent.remove(loan.number());
+                && lease.lender().equals(name)
+                && lease.epoch() == epoch) {
+            lent.remove(lease.number());
         }
     }
 
@@ -207,17 +208,17 @@
      *
      * @return false if it isn't out to that borrower any more
      */
-    public boolean renew(String to, Loan loan) {
+    public boolean renew(String to, Lease lease) {
         forgetThePast();
-        Lent out = lent.get(loan.number());
+        Lent out = lent.get(lease.number());
         if (out == null
                 || !out.to.equals(to)
-                || !loan.lender().equals(name)
-                || loan.epoch() != epoch) {
+                || !lease.lender().equals(name)
+                || lease.epoch() != epoch) {
             return false;
         }
         lent.put(
-                loan.number(),
+                lease.number(),
                 new Lent(to, out.units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
         return true;
     }
@@ -226,10 +227,10 @@
      * A loan that is held lasts longer, from when that was asked; one that is held no more is not
      * taken up again.
      */
-    public void renewed(Loan loan, double askedAtFast) {
+    public void renewed(Lease lease, double askedAtFast) {
         forgetThePast();
         borrowed.stream()
-                .filter(held -> held.loan.equals(loan))
+                .filter(held -> held.lease.equals(lease))
                 .forEach(
                         held ->
                                 held.usableUntil =
@@ -239,11 +240,11 @@
     }
 
     /** Loans held that are over in less than so many milliseconds. */
-    public List<Loan> endingWithin(double ms) {
+    public List<Lease> endingWithin(double ms) {
         forgetThePast();
         return borrowed.stream()
                 .filter(held -> held.usableUntil - clock.fastMs() < ms)
-                .map(held -> held.loan)
+                .map(held -> held.lease)
                 .toList();
     }
 
@@ -253,12 +254,12 @@
      * @param askedAtFast the fast clock when it was asked for; it was granted later
      * @return false if its time is over already, or it holds nothing
      */
-    public boolean take(Loan loan, double askedAtFast) {
+    public boolean take(Lease lease, double askedAtFast) {
         double until = askedAtFast + terms.borrowedMs();
-        if (until <= clock.fastMs() || loan.units() <= 0) {
+        if (until <= clock.fastMs() || lease.units() <= 0) {
             return false;
         }
-        borrowed.add(new Borrowed(loan, until));
+        borrowed.add(new Borrowed(lease, until));
         return true;
     }
 
@@ -266,15 +267,15 @@
      * Gives up loans of which no use counts any more, up to so many units; they can be told to
      * their lenders, who may use the units at once.
      */
-    public List<Loan> giveBack(int most) {
+    public List<Lease> giveBack(int most) {
         forgetThePast();
-        var back = new ArrayList<Loan>();
+        var back = new ArrayList<Lease>();
         int left = most;
         for (Iterator<Borrowed> all = borrowed.iterator(); all.hasNext(); ) {
             Borrowed held = all.next();
-            if (held.used.isEmpty() && held.loan.units() <= left) {
-                left -= held.loan.units();
-                back.add(held.loan);
+            if (held.used.isEmpty() && held.lease.units() <= left) {
+                left -= held.lease.units();
+                back.add(held.lease);
                 all.remove();
             }
         }
@@ -304,7 +305,7 @@
         borrowed.forEach(
                 held -> {
                     text.append(' ')
-                            .append(held.loan.units())
+                            .append(held.lease.units())
                             .append('<')
                             .append(left(held.usableUntil - clock.fastMs()));
                     held.used.forEach(
--- a/cluster/src/main/java/sprucehold/cluster/quota/ShareTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
@@ -14,12 +14,12 @@
  * @param drift how far any clock's rate may be off from true time, as a share of it: 0.002 for
  *     2,000 ppm
  */
-public record ShareTerms(
+public record QuotaTerms(
         int home, int kept, double windowMs, double patienceMs, double termMs, double drift) {
     /**
      * @throws IllegalArgumentException if a figure is outside its range, with its name
      */
-    public ShareTerms {
+    public QuotaTerms {
         if (home < 0 || kept < 0 || kept > home) {
             throw new IllegalArgumentException(
                     "home and kept: 0 <= kept <= home was expected, not " + kept + " of " + home);
@@ -31,9 +31,12 @@
                             + " and "
                             + patienceMs);
         }
-        if (!(termMs >= 2 * OwnClock.UNSEEN_MS)) {
+        if (!(termMs >= 2 * MonotonicLeaseClock.UNSEEN_MS)) {
             throw new IllegalArgumentException(
-                    "termMs: at least " + 2 * OwnClock.UNSEEN_MS + " was expected, not " + termMs);
+                    "termMs: at least "
+                            + 2 * MonotonicLeaseClock.UNSEEN_MS
+                            + " was expected, not "
+                            + termMs);
         }
         if (!(drift >= 0 && drift < 0.5)) {
             throw new IllegalArgumentException(
@@ -43,7 +46,7 @@
 
     /** How long a borrower may use a loan by its own clock, from the moment at which it asked. */
     double borrowedMs() {
-        return termMs * (1 - drift) - OwnClock.UNSEEN_MS;
+        return termMs * (1 - drift) - MonotonicLeaseClock.UNSEEN_MS;
     }
 
     /**
--- a/cluster/src/main/java/sprucehold/cluster/session/Talk.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/CoordinationSession.java
@@ -10,23 +10,23 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import sprucehold.cluster.counter.Counts;
-import sprucehold.cluster.evidence.Evidence;
-import sprucehold.cluster.evidence.Opinion;
-import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.counter.CounterTable;
+import sprucehold.cluster.evidence.EvidenceTable;
+import sprucehold.cluster.evidence.FailureAssessment;
+import sprucehold.cluster.membership.FailureDetector;
+import sprucehold.cluster.membership.MemberUpdate;
 import sprucehold.cluster.membership.Membership;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.quota.Exchange;
-import sprucehold.cluster.quota.OwnClock;
+import sprucehold.cluster.quota.LeaseExchange;
+import sprucehold.cluster.quota.MonotonicLeaseClock;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.ShareMessage;
-import sprucehold.cluster.quota.ShareTerms;
-import sprucehold.cluster.quota.UnitLedger;
+import sprucehold.cluster.quota.QuotaLedger;
+import sprucehold.cluster.quota.QuotaMessage;
+import sprucehold.cluster.quota.QuotaTerms;
 
 /** One gatherer among others: who is there, what is shared, what was counted and seen. */
-public final class Talk {
+public final class CoordinationSession {
     /** A letter to another. */
-    public record Out(String to, Letter letter) {}
+    public record Out(String to, ClusterMessage letter) {}
 
     /**
      * What stands with one bound.
@@ -38,7 +38,7 @@
 
     /** What one gatherer knows, for operators. */
     public record Status(
-            List<News> members,
+            List<MemberUpdate> members,
             Map<String, Held> bounds,
             boolean superseded,
             boolean cutOff,
@@ -69,14 +69,14 @@
 
     /** One bound, as this gatherer holds its part of it. */
     private static final class Holding {
-        final ShareTerms terms;
-        final UnitLedger ledger;
-        final Exchange exchange;
+        final QuotaTerms terms;
+        final QuotaLedger ledger;
+        final LeaseExchange exchange;
 
         /** Nobody uses or lends it any more; kept until what is out of it has lapsed. */
         boolean ending;
 
-        Holding(ShareTerms terms, UnitLedger ledger, Exchange exchange) {
+        Holding(QuotaTerms terms, QuotaLedger ledger, LeaseExchange exchange) {
             this.terms = terms;
             this.ledger = ledger;
             this.exchange = exchange;
@@ -85,9 +85,9 @@
 
     private final Membership membership;
     private final Map<String, Holding> holdings = new TreeMap<>();
-    private final Counts counts;
-    private final Evidence evidence;
-    private final OwnClock clock = new OwnClock();
+    private final CounterTable counts;
+    private final EvidenceTable evidence;
+    private final MonotonicLeaseClock clock = new MonotonicLeaseClock();
     private final Random chance;
     private final double lettersPerS;
     private final String name;
@@ -109,8 +109,8 @@
      * @param life by the wall clock at the start, in milliseconds
      * @param others names that may be there, and the site of each
      */
-    public Talk(
-            TalkTerms terms,
+    public CoordinationSession(
+            SessionSettings terms,
             String name,
             String site,
             long life,
@@ -123,22 +123,22 @@
         this.room = lettersPerS;
         clock.read(countedMs, wallMs);
         this.membership = new Membership(name, site, life, others, new Random(chance.nextLong()));
-        this.counts = new Counts(name, life, terms.countHalfMs());
-        this.evidence = new Evidence(name, site);
+        this.counts = new CounterTable(name, life, terms.countHalfMs());
+        this.evidence = new EvidenceTable(name, site);
         this.name = name;
         this.life = life;
         this.lifeAt = clock.slowMs();
         new TreeMap<>(terms.bounds()).forEach(this::hold);
     }
 
-    private void hold(String bound, ShareTerms terms) {
-        var ledger = new UnitLedger(name, life, terms, clock, clock.slowMs() - lifeAt);
+    private void hold(String bound, QuotaTerms terms) {
+        var ledger = new QuotaLedger(name, life, terms, clock, clock.slowMs() - lifeAt);
         holdings.put(
                 bound,
                 new Holding(
                         terms,
                         ledger,
-                        new Exchange(
+                        new LeaseExchange(
                                 bound,
                                 terms,
                                 ledger,
@@ -159,7 +159,7 @@
     /**
      * A bound has come up. One that ended a moment ago goes on as it was, with what is out of it.
      */
-    public void begin(double countedMs, double wallMs, String bound, ShareTerms terms) {
+    public void begin(double countedMs, double wallMs, String bound, QuotaTerms terms) {
         read(countedMs, wallMs);
         Holding before = holdings.get(bound);
         if (before == null) {
@@ -178,8 +178,8 @@
     }
 
     /**
-     * States how many units of a bound are wanted in a window; see {@link Exchange#want}. Nothing
-     * where it isn't held.
+     * States how many units of a bound are wanted in a window; see {@link LeaseExchange#want}.
+     * Nothing where it isn't held.
      */
     public void want(String bound, int units, int atOnce) {
         Holding holding = held(bound);
@@ -218,7 +218,7 @@
         double now = read(countedMs, wallMs);
         var out = new ArrayList<Out>();
         ofMembers(membership.tick(now), out);
-        if (now - sharesAt >= Exchange.TICK_MS && !membership.superseded()) {
+        if (now - sharesAt >= LeaseExchange.TICK_MS && !membership.superseded()) {
             sharesAt = now;
             shares(out);
         }
@@ -245,15 +245,16 @@
                 .forEach(
                         holding ->
                                 holding.exchange.lenders().stream()
-                                        .limit(Math.max(0, Exchange.ASKS / 2 - whom.size()))
+                                        .limit(Math.max(0, LeaseExchange.ASKS / 2 - whom.size()))
                                         .forEach(whom::add));
         List<String> all = List.copyOf(there);
         for (int tries = 0;
-                whom.size() < Math.min(Exchange.ASKS, all.size()) && tries < 4 * Exchange.ASKS;
+                whom.size() < Math.min(LeaseExchange.ASKS, all.size())
+                        && tries < 4 * LeaseExchange.ASKS;
                 tries++) {
             whom.add(all.get(chance.nextInt(all.size())));
         }
-        var to = new TreeMap<String, List<Letter.OfShare>>();
+        var to = new TreeMap<String, List<ClusterMessage.OfShare>>();
         holdings.forEach(
                 (bound, holding) -> {
                     if (!holding.ending) {
@@ -264,19 +265,19 @@
                                                 to.computeIfAbsent(
                                                                 one.to(), none -> new ArrayList<>())
                                                         .add(
-                                                                new Letter.OfShare(
+                                                                new ClusterMessage.OfShare(
                                                                         bound, one.message())));
                     }
                 });
         to.forEach((one, shares) -> ofShares(one, shares, out));
     }
 
-    private static void ofShares(String to, List<Letter.OfShare> shares, List<Out> out) {
+    private static void ofShares(String to, List<ClusterMessage.OfShare> shares, List<Out> out) {
         for (int from = 0; from < shares.size(); from += SHARES) {
             out.add(
                     new Out(
                             to,
-                            new Letter.OfShares(
+                            new ClusterMessage.OfShares(
                                     List.copyOf(
                                             shares.subList(
                                                     from,
@@ -289,7 +290,7 @@
      * could speak for many.
      */
     private void news(double now, List<Out> out) {
-        var letter = new Letter.OfNews(counts.own(COUNTS), evidence.tell(now, SIGHTINGS));
+        var letter = new ClusterMessage.OfNews(counts.own(COUNTS), evidence.tell(now, SIGHTINGS));
         if (letter.counts().isEmpty() && letter.sightings().isEmpty()) {
             return;
         }
@@ -307,8 +308,9 @@
         }
     }
 
-    private void ofMembers(List<Detector.Out> messages, List<Out> out) {
-        messages.forEach(one -> out.add(new Out(one.to(), new Letter.OfMembers(one.message()))));
+    private void ofMembers(List<FailureDetector.Out> messages, List<Out> out) {
+        messages.forEach(
+                one -> out.add(new Out(one.to(), new ClusterMessage.OfMembers(one.message()))));
         Set<String> now = membership.there();
         if (!now.equals(there)) {
             there = now;
@@ -335,29 +337,30 @@
         return List.copyOf(out.subList(0, most));
     }
 
-    private static int rank(Letter letter) {
-        if (letter instanceof Letter.OfMembers) {
+    private static int rank(ClusterMessage message) {
+        if (message instanceof ClusterMessage.OfMembers) {
             return 0;
         }
-        return letter instanceof Letter.OfShares shares
+        return message instanceof ClusterMessage.OfShares shares
                         && shares.shares().stream()
-                                .anyMatch(one -> !(one.message() instanceof ShareMessage.Ask))
+                                .anyMatch(one -> !(one.message() instanceof QuotaMessage.Ask))
                 ? 1
                 : 2;
     }
 
     /** Takes a letter from another. */
-    public List<Out> received(double countedMs, double wallMs, String from, Letter letter) {
+    public List<Out> received(
+            double countedMs, double wallMs, String from, ClusterMessage message) {
         double now = read(countedMs, wallMs);
         var out = new ArrayList<Out>();
-        if (letter instanceof Letter.OfMembers members) {
+        if (message instanceof ClusterMessage.OfMembers members) {
             ofMembers(membership.received(now, from, members.message()), out);
-        } else if (letter instanceof Letter.OfShares shares) {
-            var answers = new ArrayList<Letter.OfShare>();
-            for (Letter.OfShare one : shares.shares()) {
+        } else if (message instanceof ClusterMessage.OfShares shares) {
+            var answers = new ArrayList<ClusterMessage.OfShare>();
+            for (ClusterMessage.OfShare one : shares.shares()) {
                 // What is ending lends nothing, but what comes back to it frees it sooner.
                 Holding holding =
-                        one.message() instanceof ShareMessage.Ask
+                        one.message() instanceof QuotaMessage.Ask
                                 ? held(one.bound())
                                 : holdings.get(one.bound());
                 if (holding != null && !membership.superseded()) {
@@ -366,12 +369,12 @@
                             .forEach(
                                     answer ->
                                             answers.add(
-                                                    new Letter.OfShare(
+                                                    new ClusterMessage.OfShare(
                                                             one.bound(), answer.message())));
                 }
             }
             ofShares(from, answers, out);
-        } else if (letter instanceof Letter.OfNews news) {
+        } else if (message instanceof ClusterMessage.OfNews news) {
             // Each speaks for itself alone.
             news.counts().stream()
                     .filter(count -> count.gatherer().equals(from))
@@ -429,7 +432,7 @@
     }
 
     /** What others have become since this was last asked. */
-    public List<News> changes() {
+    public List<MemberUpdate> changes() {
         return membership.changes();
     }
 
@@ -466,7 +469,8 @@
     }
 
     /** What others saw of a server. */
-    public Opinion opinion(double countedMs, double wallMs, String server, double startedAtMs) {
+    public FailureAssessment opinion(
+            double countedMs, double wallMs, String server, double startedAtMs) {
         return evidence.of(read(countedMs, wallMs), server, startedAtMs);
     }
 
--- a/cluster/src/main/java/sprucehold/cluster/session/TalkTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SessionSettings.java
@@ -1,7 +1,7 @@
 package sprucehold.cluster.session;
 
 import java.util.Map;
-import sprucehold.cluster.quota.ShareTerms;
+import sprucehold.cluster.quota.QuotaTerms;
 
 /**
  * What is agreed before anybody talks.
@@ -11,11 +11,12 @@
  *     what is beyond is dropped, as the network may do anyway
  * @param countHalfMs how long until a rate heard from another counts half, in milliseconds
  */
-public record TalkTerms(Map<String, ShareTerms> bounds, double lettersPerS, double countHalfMs) {
+public record SessionSettings(
+        Map<String, QuotaTerms> bounds, double lettersPerS, double countHalfMs) {
     /**
      * @throws IllegalArgumentException if a figure is outside its range, with its name
      */
-    public TalkTerms {
+    public SessionSettings {
         if (!(lettersPerS >= 10) || !(countHalfMs > 0)) {
             throw new IllegalArgumentException(
                     "lettersPerS and countHalfMs: at least 10 and more than 0 were expected, not "
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidencePlay.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -9,16 +9,16 @@
 import java.util.Random;
 import java.util.TreeMap;
 import sprucehold.cluster.membership.MemberMessage;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.session.Letter;
-import sprucehold.cluster.session.Talk;
-import sprucehold.cluster.session.TalkTerms;
+import sprucehold.cluster.membership.MemberUpdate;
+import sprucehold.cluster.session.ClusterMessage;
+import sprucehold.cluster.session.CoordinationSession;
+import sprucehold.cluster.session.SessionSettings;
 
 /**
  * A fleet one of whose shard servers fails from a moment on: how soon its gatherers know that, each
  * alone and by the others.
  */
-public final class EvidencePlay {
+public final class EvidenceSimulation {
     private static final String FAILING = "s-0";
     private static final int SOUND = 5;
     private static final double WALL = 1.7e12;
@@ -60,7 +60,7 @@
 
     private final Setting setting;
     private final Random chance;
-    private final List<Talk> talks = new ArrayList<>();
+    private final List<CoordinationSession> talks = new ArrayList<>();
     private final PriorityQueue<Happening> next =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
@@ -72,7 +72,7 @@
     private long turns;
     private long letters;
 
-    private EvidencePlay(Setting setting, long seed) {
+    private EvidenceSimulation(Setting setting, long seed) {
         this.setting = setting;
         this.chance = new Random(seed);
         this.failures = new int[setting.members];
@@ -89,7 +89,7 @@
 
     /** Plays it; the same for the same seed. */
     public static Result play(Setting setting, long seed) {
-        return new EvidencePlay(setting, seed).play();
+        return new EvidenceSimulation(setting, seed).play();
     }
 
     private static String name(int member) {
@@ -102,15 +102,17 @@
 
     private Result play() {
         var sites = new TreeMap<String, String>();
-        var all = new ArrayList<News>();
+        var all = new ArrayList<MemberUpdate>();
         for (int i = 0; i < setting.members; i++) {
             sites.put(name(i), "site-" + i % setting.sites);
-            all.add(new News(name(i), "site-" + i % setting.sites, 1, 0, News.State.ALIVE));
+            all.add(
+                    new MemberUpdate(
+                            name(i), "site-" + i % setting.sites, 1, 0, MemberUpdate.State.ALIVE));
         }
         for (int i = 0; i < setting.members; i++) {
-            var talk =
-                    new Talk(
-                            new TalkTerms(Map.of(), 1000, 5000),
+            var session =
+                    new CoordinationSession(
+                            new SessionSettings(Map.of(), 1000, 5000),
                             name(i),
                             sites.get(name(i)),
                             1,
@@ -118,14 +120,14 @@
                             chance.nextLong(),
                             0,
                             WALL);
-            talks.add(talk);
-            talk.received(
+            talks.add(session);
+            session.received(
                     0,
                     WALL,
                     name((i + 1) % setting.members),
-                    new Letter.OfMembers(new MemberMessage.Table(false, all)));
+                    new ClusterMessage.OfMembers(new MemberMessage.Table(false, all)));
             int member = i;
-            at(chance.nextDouble() * talk.tickMs(), () -> tick(member));
+            at(chance.nextDouble() * session.tickMs(), () -> tick(member));
             for (int server = 0; server <= SOUND; server++) {
                 dispatch(member, server);
             }
@@ -164,20 +166,21 @@
     }
 
     private void tick(int member) {
-        Talk talk = talks.get(member);
-        send(member, talk.tick(now, WALL + now));
+        CoordinationSession session = talks.get(member);
+        send(member, session.tick(now, WALL + now));
         for (int server = 0; server <= SOUND; server++) {
-            boolean trouble = talk.opinion(now, WALL + now, "s-" + server, 0).trouble() > TROUBLE;
+            boolean trouble =
+                    session.opinion(now, WALL + now, "s-" + server, 0).trouble() > TROUBLE;
             if (trouble && server == 0 && !setting.liar && Double.isNaN(toldAt[member])) {
                 toldAt[member] = now - FAILS_AT_MS;
             }
             fooled[member] |= trouble && (server > 0 || setting.liar);
         }
-        at(now + talk.tickMs(), () -> tick(member));
+        at(now + session.tickMs(), () -> tick(member));
     }
 
-    private void send(int from, List<Talk.Out> out) {
-        for (Talk.Out one : out) {
+    private void send(int from, List<CoordinationSession.Out> out) {
+        for (CoordinationSession.Out one : out) {
             letters++;
             if (!setting.network.loses(chance)) {
                 int to = Integer.parseInt(one.to().substring(1));
--- a/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
@@ -6,14 +6,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.FailureDetector;
 import sprucehold.cluster.membership.MemberMessage;
 
 /**
  * Each tells all that it is there, every period; who is silent for five is held to be dead. To
  * compare with.
  */
-final class HeartbeatsToAll implements Detector {
+final class HeartbeatsToAll implements FailureDetector {
     private static final double PERIOD_MS = 1000;
     private static final double SILENT_MS = 5 * PERIOD_MS;
 
