--- a/cluster/src/main/java/sprucehold/cluster/simulation/MemberPlay.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.FailureDetector;
 import sprucehold.cluster.membership.Membership;
 
 /**
  * A fleet that watches itself, in simulated time: how soon all know of a death, and who is held
  * dead and isn't.
  */
-public final class MemberPlay {
+public final class MembershipSimulation {
     /** Ways to know who is there. */
     public enum Way {
         HEARTBEATS_TO_ALL,
@@ -29,9 +29,11 @@
     /**
      * What is played.
      *
-     * @param troubles {@link Trouble.Kind#DEAD} is a death that is to be known, all others are none
+     * @param troubles {@link SimulatedFault.Kind#DEAD} is a death that is to be known, all others
+     *     are none
      */
-    public record Setting(int members, double lengthMs, Network network, List<Trouble> troubles) {}
+    public record Setting(
+            int members, double lengthMs, Network network, List<SimulatedFault> troubles) {}
 
     /**
      * What came of it.
@@ -54,7 +56,7 @@
     private final PriorityQueue<Happening> next =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
-    private final List<Detector> members = new ArrayList<>();
+    private final List<FailureDetector> members = new ArrayList<>();
     private final List<List<Runnable>> later = new ArrayList<>();
     private final List<Set<String>> believed = new ArrayList<>();
     private final Map<Integer, TreeMap<Double, Integer>> knownBy = new HashMap<>();
@@ -70,7 +72,7 @@
     private long messages;
     private long falselyDead;
 
-    private MemberPlay(Setting setting, Way way, long seed) {
+    private MembershipSimulation(Setting setting, Way way, long seed) {
         this.setting = setting;
         this.way = way;
         this.chance = new Random(seed);
@@ -80,15 +82,16 @@
 
     /** Plays it; the same for the same seed. */
     public static Result play(Setting setting, Way way, long seed) {
-        return new MemberPlay(setting, way, seed).play();
+        return new MembershipSimulation(setting, way, seed).play();
     }
 
     private static String name(int member) {
         return "g" + member;
     }
 
-    private Detector detector(int member) {
-        List<String> all = IntStream.range(0, setting.members).mapToObj(MemberPlay::name).toList();
+    private FailureDetector detector(int member) {
+        List<String> all =
+                IntStream.range(0, setting.members).mapToObj(MembershipSimulation::name).toList();
         var own = new Random(chance.nextLong());
         return switch (way) {
             case HEARTBEATS_TO_ALL -> new HeartbeatsToAll(name(member), all);
@@ -107,15 +110,15 @@
         next.add(new Happening(when, turns++, what));
     }
 
-    private boolean is(Trouble.Kind kind, int member) {
+    private boolean is(SimulatedFault.Kind kind, int member) {
         return setting.troubles.stream()
                 .anyMatch(one -> one.kind() == kind && one.of().contains(member) && one.at(now));
     }
 
     private void act(int member, Runnable what) {
-        if (is(Trouble.Kind.PAUSED, member)) {
+        if (is(SimulatedFault.Kind.PAUSED, member)) {
             later.get(member).add(what);
-        } else if (!is(Trouble.Kind.DEAD, member)) {
+        } else if (!is(SimulatedFault.Kind.DEAD, member)) {
             what.run();
             if (now - lookedAt[member] >= lookMs) {
                 lookedAt[member] = now;
@@ -132,9 +135,9 @@
             believed.add(Set.of());
             at(chance.nextDouble() * members.get(i).tickMs(), () -> tick(member));
         }
-        for (Trouble trouble : setting.troubles) {
+        for (SimulatedFault trouble : setting.troubles) {
             for (int member : trouble.of()) {
-                if (trouble.kind() == Trouble.Kind.PAUSED) {
+                if (trouble.kind() == SimulatedFault.Kind.PAUSED) {
                     at(
                             trouble.toMs(),
                             () -> {
@@ -142,7 +145,7 @@
                                 later.get(member).clear();
                                 late.forEach(what -> act(member, what));
                             });
-                } else if (trouble.kind() == Trouble.Kind.DEAD) {
+                } else if (trouble.kind() == SimulatedFault.Kind.DEAD) {
                     at(
                             trouble.toMs(),
                             () -> {
@@ -165,7 +168,7 @@
         at(now + members.get(member).tickMs(), () -> tick(member));
     }
 
-    private void send(int from, Detector.Out out) {
+    private void send(int from, FailureDetector.Out out) {
         messages++;
         int to = Integer.parseInt(out.to().substring(1));
         for (int copies = setting.network.doubles(chance) ? 2 : 1; copies > 0; copies--) {
@@ -199,7 +202,7 @@
         for (String gone : believed.get(member)) {
             if (!there.contains(gone)) {
                 int other = Integer.parseInt(gone.substring(1));
-                if (is(Trouble.Kind.DEAD, other)) {
+                if (is(SimulatedFault.Kind.DEAD, other)) {
                     knownBy.computeIfAbsent(other, none -> new TreeMap<>())
                             .merge(now, 1, Integer::sum);
                 } else if (!excused(member) && !excused(other)) {
@@ -221,14 +224,14 @@
                                 now >= one.fromMs()
                                         && now < one.toMs() + 60_000
                                         && (one.of().contains(member)
-                                                || one.kind() == Trouble.Kind.CUT_OFF));
+                                                || one.kind() == SimulatedFault.Kind.CUT_OFF));
     }
 
     private Result result() {
         var first = new ArrayList<Double>();
         var all = new ArrayList<Double>();
-        for (Trouble trouble : setting.troubles) {
-            if (trouble.kind() != Trouble.Kind.DEAD) {
+        for (SimulatedFault trouble : setting.troubles) {
+            if (trouble.kind() != SimulatedFault.Kind.DEAD) {
                 continue;
             }
             for (int dead : trouble.of()) {
@@ -245,8 +248,8 @@
         for (int i = 0; i < setting.members; i++) {
             for (int j = 0; j < setting.members; j++) {
                 if (i != j
-                        && !is(Trouble.Kind.DEAD, i)
-                        && !is(Trouble.Kind.DEAD, j)
+                        && !is(SimulatedFault.Kind.DEAD, i)
+                        && !is(SimulatedFault.Kind.DEAD, j)
                         && !members.get(i).there().contains(name(j))) {
                     wrong++;
                 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.FailureDetector;
 import sprucehold.cluster.membership.MemberMessage;
-import sprucehold.cluster.membership.News;
+import sprucehold.cluster.membership.MemberUpdate;
 
 /**
  * Each counts up a heartbeat a period and tells the whole table to three others drawn by chance;
  * who hasn't counted up for far longer than it used to is held to be dead: phi accrual (Hayashibara
  * and others 2004) at 8 on a normal distribution of the times between two counts. To compare with.
  */
-final class PhiGossip implements Detector {
+final class PhiGossip implements FailureDetector {
     private static final double PERIOD_MS = 1000;
     private static final int FANOUT = 3;
 
@@ -60,11 +60,16 @@
         List<String> others = new ArrayList<>(there());
         for (int i = 0; i < Math.min(FANOUT, others.size()); i++) {
             String to = others.get(chance.nextInt(others.size()));
-            var piece = new ArrayList<News>();
+            var piece = new ArrayList<MemberUpdate>();
             for (var one : all.entrySet()) {
                 if (one.getValue().count > 0) {
                     piece.add(
-                            new News(one.getKey(), "", 1, one.getValue().count, News.State.ALIVE));
+                            new MemberUpdate(
+                                    one.getKey(),
+                                    "",
+                                    1,
+                                    one.getValue().count,
+                                    MemberUpdate.State.ALIVE));
                 }
                 if (piece.size() == PIECE) {
                     out.add(new Out(to, new MemberMessage.Table(false, List.copyOf(piece))));
@@ -81,9 +86,9 @@
     @Override
     public List<Out> received(double nowMs, String from, MemberMessage message) {
         now = nowMs;
-        for (News news : message.news()) {
-            Beats beats = all.get(news.name());
-            if (news.incarnation() > beats.count) {
+        for (MemberUpdate update : message.news()) {
+            Beats beats = all.get(update.name());
+            if (update.incarnation() > beats.count) {
                 double took = now - beats.atMs;
                 if (beats.count > 0) {
                     // The last ten or so count.
@@ -91,7 +96,7 @@
                             0.1 * ((took - beats.mean) * (took - beats.mean) - beats.variance);
                     beats.mean += 0.1 * (took - beats.mean);
                 }
-                beats.count = news.incarnation();
+                beats.count = update.incarnation();
                 beats.atMs = now;
             }
         }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/SharePlay.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -9,16 +9,16 @@
 import java.util.Random;
 import java.util.function.ToDoubleBiFunction;
 import java.util.stream.IntStream;
-import sprucehold.cluster.quota.Exchange;
-import sprucehold.cluster.quota.OwnClock;
+import sprucehold.cluster.quota.LeaseExchange;
+import sprucehold.cluster.quota.MonotonicLeaseClock;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.UnitLedger;
+import sprucehold.cluster.quota.QuotaLedger;
 
 /**
  * A fleet that shares one bound, in simulated time: who wanted how much, who got it, and what any
  * window saw at the most.
  */
-public final class SharePlay {
+public final class QuotaSimulation {
     /**
      * What is played.
      *
@@ -34,7 +34,7 @@
             double drift,
             double lengthMs,
             Network network,
-            List<Trouble> troubles,
+            List<SimulatedFault> troubles,
             ToDoubleBiFunction<Integer, Double> demand) {}
 
     /**
@@ -64,9 +64,9 @@
         final int number;
         final double rate;
         long life;
-        OwnClock clock;
-        UnitLedger ledger;
-        Exchange exchange;
+        MonotonicLeaseClock clock;
+        QuotaLedger ledger;
+        LeaseExchange exchange;
 
         /** What is to be done once it is no longer paused. */
         final List<Runnable> later = new ArrayList<>();
@@ -79,7 +79,7 @@
 
         void begin() {
             life++;
-            clock = new OwnClock();
+            clock = new MonotonicLeaseClock();
             read();
             var terms =
                     division.terms(
@@ -89,18 +89,18 @@
                             setting.windowMs,
                             setting.termMs,
                             setting.drift);
-            ledger = new UnitLedger(name(number), life, terms, clock);
+            ledger = new QuotaLedger(name(number), life, terms, clock);
             List<String> others =
-                    division == Division.LENT
+                    division == QuotaStrategy.LENT
                             ? IntStream.range(0, setting.members)
                                     .filter(one -> one != number)
-                                    .mapToObj(SharePlay::name)
+                                    .mapToObj(QuotaSimulation::name)
                                     .toList()
-                            : division == Division.COORDINATED && number != 0
+                            : division == QuotaStrategy.COORDINATED && number != 0
                                     ? List.of(name(0))
                                     : List.of();
             exchange =
-                    new Exchange(
+                    new LeaseExchange(
                             "played",
                             terms,
                             ledger,
@@ -114,7 +114,7 @@
             clock.read(now * rate, now * rate);
         }
 
-        boolean is(Trouble.Kind kind) {
+        boolean is(SimulatedFault.Kind kind) {
             return setting.troubles.stream()
                     .anyMatch(
                             one -> one.kind() == kind && one.of().contains(number) && one.at(now));
@@ -122,16 +122,16 @@
 
         /** Does it now, or after a pause; the dead do nothing. */
         void act(Runnable what) {
-            if (is(Trouble.Kind.PAUSED)) {
+            if (is(SimulatedFault.Kind.PAUSED)) {
                 later.add(what);
-            } else if (!is(Trouble.Kind.DEAD)) {
+            } else if (!is(SimulatedFault.Kind.DEAD)) {
                 what.run();
             }
         }
     }
 
     private final Setting setting;
-    private final Division division;
+    private final QuotaStrategy division;
     private final Random chance;
     private final List<Member> members = new ArrayList<>();
     private final PriorityQueue<Happening> next =
@@ -148,7 +148,7 @@
     private final long[] wantedBySecond;
     private final long[] gotBySecond;
 
-    private SharePlay(Setting setting, Division division, long seed) {
+    private QuotaSimulation(Setting setting, QuotaStrategy division, long seed) {
         this.setting = setting;
         this.division = division;
         this.chance = new Random(seed);
@@ -158,8 +158,8 @@
     }
 
     /** Plays it; the same to the last use for the same seed. */
-    public static Result play(Setting setting, Division division, long seed) {
-        return new SharePlay(setting, division, seed).play();
+    public static Result play(Setting setting, QuotaStrategy division, long seed) {
+        return new QuotaSimulation(setting, division, seed).play();
     }
 
     private static String name(int member) {
@@ -175,11 +175,11 @@
             var member = new Member(i);
             members.add(member);
             // Looks are spread, as processes start at different moments.
-            at(chance.nextDouble() * Exchange.TICK_MS, () -> tick(member));
+            at(chance.nextDouble() * LeaseExchange.TICK_MS, () -> tick(member));
             at(0, () -> want(member));
         }
-        for (Trouble trouble : setting.troubles) {
-            if (trouble.kind() == Trouble.Kind.PAUSED) {
+        for (SimulatedFault trouble : setting.troubles) {
+            if (trouble.kind() == SimulatedFault.Kind.PAUSED) {
                 at(
                         trouble.toMs(),
                         () ->
@@ -191,7 +191,7 @@
                                                     members.get(one).later.clear();
                                                     late.forEach(members.get(one)::act);
                                                 }));
-            } else if (trouble.kind() == Trouble.Kind.DEAD) {
+            } else if (trouble.kind() == SimulatedFault.Kind.DEAD) {
                 at(trouble.toMs(), () -> trouble.of().forEach(one -> members.get(one).begin()));
             }
         }
@@ -218,10 +218,10 @@
                     member.read();
                     member.exchange.tick().forEach(out -> send(member, out));
                 });
-        at(now + Exchange.TICK_MS, () -> tick(member));
+        at(now + LeaseExchange.TICK_MS, () -> tick(member));
     }
 
-    private void send(Member from, Exchange.Out out) {
+    private void send(Member from, LeaseExchange.Out out) {
         messages++;
         int to = Integer.parseInt(out.to().substring(1));
         int copies = setting.network.doubles(chance) ? 2 : 1;
@@ -267,7 +267,8 @@
         at(
                 now + wait,
                 () -> {
-                    if (!member.is(Trouble.Kind.DEAD) && !member.is(Trouble.Kind.PAUSED)) {
+                    if (!member.is(SimulatedFault.Kind.DEAD)
+                            && !member.is(SimulatedFault.Kind.PAUSED)) {
                         use(member);
                     }
                     want(member);
@@ -278,7 +279,7 @@
         count(wantedBySecond);
         wanted++;
         member.read();
-        if (division == Division.ALL_KNOWING) {
+        if (division == QuotaStrategy.ALL_KNOWING) {
             if (inWindow() < setting.bound) {
                 used();
             }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/Division.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaStrategy.java
@@ -1,9 +1,9 @@
 package sprucehold.cluster.simulation;
 
-import sprucehold.cluster.quota.ShareTerms;
+import sprucehold.cluster.quota.QuotaTerms;
 
 /** Ways to divide one bound among a fleet. */
-public enum Division {
+public enum QuotaStrategy {
     /** Each has the same for good; nobody talks. What a gatherer does today. */
     EQUAL,
     /** Each has the same home, and lends what it doesn't need. */
@@ -22,13 +22,13 @@
      * The terms of a member; homes add up to the bound, or a little less where it can't be divided
      * evenly.
      */
-    ShareTerms terms(
+    QuotaTerms terms(
             int member, int members, int bound, double windowMs, double termMs, double drift) {
         int equal = bound / members;
         return switch (this) {
-            case EQUAL -> new ShareTerms(equal, equal, windowMs, 20, termMs, drift);
+            case EQUAL -> new QuotaTerms(equal, equal, windowMs, 20, termMs, drift);
             case LENT ->
-                    new ShareTerms(
+                    new QuotaTerms(
                             equal,
                             Math.min(equal, Math.max(1, equal / 4)),
                             windowMs,
@@ -38,11 +38,11 @@
             case COORDINATED -> {
                 int kept = equal / 10;
                 yield member == 0
-                        ? new ShareTerms(
+                        ? new QuotaTerms(
                                 bound - (members - 1) * kept, kept, windowMs, 20, termMs, drift)
-                        : new ShareTerms(kept, kept, windowMs, 20, termMs, drift);
+                        : new QuotaTerms(kept, kept, windowMs, 20, termMs, drift);
             }
-            case ALL_KNOWING -> new ShareTerms(0, 0, windowMs, 20, termMs, drift);
+            case ALL_KNOWING -> new QuotaTerms(0, 0, windowMs, 20, termMs, drift);
         };
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/Trouble.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
@@ -9,7 +9,7 @@
  * @param fromMs when it begins, in milliseconds of simulated time
  * @param toMs when it is over
  */
-public record Trouble(Kind kind, Set<Integer> of, double fromMs, double toMs) {
+public record SimulatedFault(Kind kind, Set<Integer> of, double fromMs, double toMs) {
     /** What may befall them. */
     public enum Kind {
         /** They and the others hear nothing of each other. */
--- a/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
@@ -21,13 +21,13 @@
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.DecoderFactory;
 import org.apache.avro.io.EncoderFactory;
-import sprucehold.cluster.counter.Count;
-import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.counter.CounterValue;
+import sprucehold.cluster.evidence.Observation;
 import sprucehold.cluster.membership.MemberMessage;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.quota.Loan;
-import sprucehold.cluster.quota.ShareMessage;
-import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.membership.MemberUpdate;
+import sprucehold.cluster.quota.Lease;
+import sprucehold.cluster.quota.QuotaMessage;
+import sprucehold.cluster.session.ClusterMessage;
 
 /** Letters to bytes and back. */
 public final class Codec {
@@ -102,13 +102,13 @@
      * @return more than {@link #MOST_BYTES} if it is to go on a stream; null if it is longer than
      *     {@link #MOST_LONG_BYTES}
      */
-    public byte[] write(String to, Letter letter, int version) {
+    public byte[] write(String to, ClusterMessage message, int version) {
         Schema schema = versions.get(version);
         GenericRecord record = new GenericData.Record(schema);
         record.put("from", self);
         record.put("to", to);
         record.put("reads", highest());
-        record.put("body", body(schema.getField("body").schema(), letter));
+        record.put("body", body(schema.getField("body").schema(), message));
         // Fields that this program fills with nothing have their defaults.
         for (Schema.Field field : schema.getFields()) {
             if (record.get(field.pos()) == null) {
@@ -245,7 +245,7 @@
         return values.stream().map(value -> record(item, fields.apply(value))).toList();
     }
 
-    private static List<GenericRecord> news(Schema of, List<News> news) {
+    private static List<GenericRecord> news(Schema of, List<MemberUpdate> news) {
         Schema state = of.getField("news").schema().getElementType().getField("state").schema();
         return records(
                 of,
@@ -266,23 +266,23 @@
                         });
     }
 
-    private static GenericRecord loan(Schema of, Loan loan) {
+    private static GenericRecord loan(Schema of, Lease lease) {
         return record(
                 of.getField("loan").schema(),
                 "lender",
-                loan.lender(),
+                lease.lender(),
                 "epoch",
-                loan.epoch(),
+                lease.epoch(),
                 "number",
-                loan.number(),
+                lease.number(),
                 "units",
-                loan.units());
+                lease.units());
     }
 
-    private static GenericRecord body(Schema union, Letter letter) {
-        if (letter instanceof Letter.OfMembers members) {
+    private static GenericRecord body(Schema union, ClusterMessage message) {
+        if (message instanceof ClusterMessage.OfMembers members) {
             return body(union, members.message());
-        } else if (letter instanceof Letter.OfShares shares) {
+        } else if (message instanceof ClusterMessage.OfShares shares) {
             Schema of = kind(union, "Shares");
             Schema messages =
                     of.getField("shares").schema().getElementType().getField("message").schema();
@@ -301,7 +301,7 @@
                                         message(messages, one.message())
                                     }));
         }
-        var told = (Letter.OfNews) letter;
+        var told = (ClusterMessage.OfNews) message;
         Schema of = kind(union, "Told");
         return record(
                 of,
@@ -353,11 +353,11 @@
         return record(of, "back", ((MemberMessage.Table) message).back(), "news", news);
     }
 
-    private static GenericRecord message(Schema union, ShareMessage message) {
+    private static GenericRecord message(Schema union, QuotaMessage message) {
         Schema of = kind(union, message.getClass().getSimpleName());
-        if (message instanceof ShareMessage.Ask ask) {
+        if (message instanceof QuotaMessage.Ask ask) {
             return record(of, "epoch", ask.epoch(), "request", ask.request(), "units", ask.units());
-        } else if (message instanceof ShareMessage.Grant grant) {
+        } else if (message instanceof QuotaMessage.Grant grant) {
             return record(
                     of,
                     "epoch",
@@ -366,10 +366,10 @@
                     grant.request(),
                     "loan",
                     loan(of, grant.loan()));
-        } else if (message instanceof ShareMessage.Nothing nothing) {
+        } else if (message instanceof QuotaMessage.Nothing nothing) {
             return record(of, "epoch", nothing.askerEpoch(), "request", nothing.request());
         }
-        if (message instanceof ShareMessage.Renew renew) {
+        if (message instanceof QuotaMessage.Renew renew) {
             return record(
                     of,
                     "epoch",
@@ -378,7 +378,7 @@
                     renew.request(),
                     "loan",
                     loan(of, renew.loan()));
-        } else if (message instanceof ShareMessage.Renewed renewed) {
+        } else if (message instanceof QuotaMessage.Renewed renewed) {
             return record(
                     of,
                     "epoch",
@@ -388,7 +388,7 @@
                     "loan",
                     loan(of, renewed.loan()));
         }
-        return record(of, "loan", loan(of, ((ShareMessage.Return) message).loan()));
+        return record(of, "loan", loan(of, ((QuotaMessage.Return) message).loan()));
     }
 
     // ---- Records to letters ----
@@ -408,64 +408,64 @@
         return items;
     }
 
-    private static List<News> news(GenericRecord record) {
+    private static List<MemberUpdate> news(GenericRecord record) {
         return items(record, "news").stream()
                 .map(
                         one ->
-                                new News(
+                                new MemberUpdate(
                                         text(one, "name"),
                                         text(one, "site"),
                                         (long) one.get("life"),
                                         (int) one.get("incarnation"),
-                                        News.State.valueOf(text(one, "state"))))
+                                        MemberUpdate.State.valueOf(text(one, "state"))))
                 .toList();
     }
 
-    private static Loan loan(GenericRecord record) {
+    private static Lease loan(GenericRecord record) {
         var loan = (GenericRecord) record.get("loan");
-        return new Loan(
+        return new Lease(
                 text(loan, "lender"),
                 (long) loan.get("epoch"),
                 (long) loan.get("number"),
                 (int) loan.get("units"));
     }
 
-    private static Letter letter(String from, GenericRecord body) {
+    private static ClusterMessage letter(String from, GenericRecord body) {
         String kind = body.getSchema().getName();
         return switch (kind) {
             case "Ping" ->
-                    new Letter.OfMembers(
+                    new ClusterMessage.OfMembers(
                             new MemberMessage.Ping((long) body.get("number"), news(body)));
             case "Ack" ->
-                    new Letter.OfMembers(
+                    new ClusterMessage.OfMembers(
                             new MemberMessage.Ack((long) body.get("number"), news(body)));
             case "PingFor" ->
-                    new Letter.OfMembers(
+                    new ClusterMessage.OfMembers(
                             new MemberMessage.PingFor(
                                     (long) body.get("number"), text(body, "target"), news(body)));
             case "Compare" ->
-                    new Letter.OfMembers(
+                    new ClusterMessage.OfMembers(
                             new MemberMessage.Compare((long) body.get("digest"), news(body)));
             case "Table" ->
-                    new Letter.OfMembers(
+                    new ClusterMessage.OfMembers(
                             new MemberMessage.Table((boolean) body.get("back"), news(body)));
             case "Shares" ->
-                    new Letter.OfShares(
+                    new ClusterMessage.OfShares(
                             items(body, "shares").stream()
                                     .map(
                                             one ->
-                                                    new Letter.OfShare(
+                                                    new ClusterMessage.OfShare(
                                                             text(one, "bound"),
                                                             message(
                                                                     (GenericRecord)
                                                                             one.get("message"))))
                                     .toList());
             case "Told" ->
-                    new Letter.OfNews(
+                    new ClusterMessage.OfNews(
                             items(body, "counts").stream()
                                     .map(
                                             one ->
-                                                    new Count(
+                                                    new CounterValue(
                                                             from,
                                                             (long) one.get("life"),
                                                             text(one, "key"),
@@ -474,7 +474,7 @@
                             items(body, "sightings").stream()
                                     .map(
                                             one ->
-                                                    new Sighting(
+                                                    new Observation(
                                                             from,
                                                             text(one, "site"),
                                                             text(one, "server"),
@@ -488,27 +488,27 @@
         };
     }
 
-    private static ShareMessage message(GenericRecord record) {
+    private static QuotaMessage message(GenericRecord record) {
         String kind = record.getSchema().getName();
         return switch (kind) {
             case "Ask" ->
-                    new ShareMessage.Ask(
+                    new QuotaMessage.Ask(
                             (long) record.get("epoch"),
                             (long) record.get("request"),
                             (int) record.get("units"));
             case "Grant" ->
-                    new ShareMessage.Grant(
+                    new QuotaMessage.Grant(
                             (long) record.get("epoch"), (long) record.get("request"), loan(record));
             case "Nothing" ->
-                    new ShareMessage.Nothing(
+                    new QuotaMessage.Nothing(
                             (long) record.get("epoch"), (long) record.get("request"));
             case "Renew" ->
-                    new ShareMessage.Renew(
+                    new QuotaMessage.Renew(
                             (long) record.get("epoch"), (long) record.get("request"), loan(record));
             case "Renewed" ->
-                    new ShareMessage.Renewed(
+                    new QuotaMessage.Renewed(
                             (long) record.get("epoch"), (long) record.get("request"), loan(record));
-            case "Return" -> new ShareMessage.Return(loan(record));
+            case "Return" -> new QuotaMessage.Return(loan(record));
             default -> throw new IllegalArgumentException("a message called " + kind);
         };
     }
--- a/cluster/src/main/java/sprucehold/cluster/wire/Received.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Received.java
@@ -1,6 +1,6 @@
 package sprucehold.cluster.wire;
 
-import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.session.ClusterMessage;
 
 /** What a datagram turned out to be. */
 public sealed interface Received {
@@ -9,7 +9,7 @@
      *
      * @param reads the highest version that the sender can read
      */
-    record Read(String from, int reads, Letter letter) implements Received {}
+    record Read(String from, int reads, ClusterMessage letter) implements Received {}
 
     /** Of a version that can't be read here: its sender should be told, once. */
     record Unknown(int version) implements Received {}
--- a/cluster/src/test/java/sprucehold/cluster/TalkTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
@@ -12,35 +12,35 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
-import sprucehold.cluster.counter.Count;
-import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.counter.CounterValue;
+import sprucehold.cluster.evidence.Observation;
 import sprucehold.cluster.membership.MemberMessage;
-import sprucehold.cluster.membership.News;
+import sprucehold.cluster.membership.MemberUpdate;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.ShareTerms;
-import sprucehold.cluster.session.Letter;
-import sprucehold.cluster.session.Talk;
-import sprucehold.cluster.session.TalkTerms;
+import sprucehold.cluster.quota.QuotaTerms;
+import sprucehold.cluster.session.ClusterMessage;
+import sprucehold.cluster.session.CoordinationSession;
+import sprucehold.cluster.session.SessionSettings;
 import sprucehold.cluster.wire.Codec;
 import sprucehold.cluster.wire.Received;
 
 /** Whole gatherers' talk by letters as bytes, in a time that the test tells. */
-public class TalkTest {
+public class CoordinationSessionTest {
     private static final Map<String, String> SITES = Map.of("a", "x", "b", "y", "c", "y");
     private static final double WALL = 1.7e12;
 
-    private static TalkTerms terms() {
-        return new TalkTerms(
-                Map.of("further", new ShareTerms(10, 2, 1000, 20, 2000, 0.002)), 60, 5000);
+    private static SessionSettings terms() {
+        return new SessionSettings(
+                Map.of("further", new QuotaTerms(10, 2, 1000, 20, 2000, 0.002)), 60, 5000);
     }
 
-    private static Talk talk(String name, long life) {
-        return new Talk(terms(), name, SITES.get(name), life, SITES, 1, 0, WALL);
+    private static CoordinationSession talk(String name, long life) {
+        return new CoordinationSession(terms(), name, SITES.get(name), life, SITES, 1, 0, WALL);
     }
 
     /** Three that talk with each other, and what time it is. */
     private static final class Room {
-        final Map<String, Talk> talks = new TreeMap<>();
+        final Map<String, CoordinationSession> talks = new TreeMap<>();
         final Map<String, Codec> codecs = new TreeMap<>();
         final List<String> deaf = new ArrayList<>();
         double now;
@@ -57,13 +57,13 @@
         void passes(double ms) {
             for (double until = now + ms; now < until; now += 50) {
                 if (now % 200 == 0) {
-                    talks.forEach((name, talk) -> deliver(name, talk.tick(now, WALL + now)));
+                    talks.forEach((name, session) -> deliver(name, session.tick(now, WALL + now)));
                 }
             }
         }
 
-        private void deliver(String from, List<Talk.Out> out) {
-            for (Talk.Out one : out) {
+        private void deliver(String from, List<CoordinationSession.Out> out) {
+            for (CoordinationSession.Out one : out) {
                 byte[] bytes = codecs.get(from).write(one.to(), one.letter(), 1);
                 if (!deaf.contains(one.to())
                         && codecs.get(one.to()).read(bytes) instanceof Received.Read read) {
@@ -88,13 +88,13 @@
     public void threeFindEachOtherLendAndTellWhatTheySaw() {
         var room = new Room();
         room.passes(10_000);
-        Talk a = room.talks.get("a");
+        CoordinationSession a = room.talks.get("a");
         assertEquals(
                 a.status(room.now, WALL + room.now).members().stream()
-                        .map(News::state)
+                        .map(MemberUpdate::state)
                         .distinct()
                         .toList(),
-                List.of(News.State.ALIVE));
+                List.of(MemberUpdate.State.ALIVE));
         int most = 0;
         for (int second = 0; second < 5; second++) {
             most = Math.max(most, room.uses("a", 30));
@@ -158,68 +158,75 @@
 
     @Test
     public void whoIsSupersededUsesNothing() {
-        Talk talk = talk("a", 7);
-        talk.tick(10_000, WALL + 10_000);
-        Permit permit = talk.use(10_000, WALL + 10_000, "further", 1);
+        CoordinationSession session = talk("a", 7);
+        session.tick(10_000, WALL + 10_000);
+        Permit permit = session.use(10_000, WALL + 10_000, "further", 1);
         assertNotNull(permit);
-        talk.received(
+        session.received(
                 10_001,
                 WALL + 10_001,
                 "b",
-                new Letter.OfMembers(
+                new ClusterMessage.OfMembers(
                         new MemberMessage.Table(
-                                false, List.of(new News("a", "x", 9, 0, News.State.ALIVE)))));
-        assertNull(talk.use(10_002, WALL + 10_002, "further", 1));
+                                false,
+                                List.of(
+                                        new MemberUpdate(
+                                                "a", "x", 9, 0, MemberUpdate.State.ALIVE)))));
+        assertNull(session.use(10_002, WALL + 10_002, "further", 1));
         assertFalse(
-                talk.holds(10_002, WALL + 10_002, permit),
+                session.holds(10_002, WALL + 10_002, permit),
                 "what it had counted is not sent either");
-        talk.received(
+        session.received(
                 10_003,
                 WALL + 10_003,
                 "b",
-                new Letter.OfMembers(
+                new ClusterMessage.OfMembers(
                         new MemberMessage.Table(
-                                false, List.of(new News("a", "x", 9, 0, News.State.DEAD)))));
+                                false,
+                                List.of(
+                                        new MemberUpdate(
+                                                "a", "x", 9, 0, MemberUpdate.State.DEAD)))));
         assertNull(
-                talk.use(10_004, WALL + 10_004, "further", 1),
+                session.use(10_004, WALL + 10_004, "further", 1),
                 "the other may have used and lent all until just now");
-        assertNotNull(talk.use(14_000, WALL + 14_000, "further", 10));
+        assertNotNull(session.use(14_000, WALL + 14_000, "further", 10));
     }
 
     @Test
     public void aFloodOfLettersIsAnsweredNoOftenerThanAgreed() {
-        Talk talk = talk("a", 7);
+        CoordinationSession session = talk("a", 7);
         int answers = 0;
         for (int i = 0; i < 10_000; i++) {
             answers +=
-                    talk.received(
+                    session.received(
                                     i / 10.0,
                                     WALL + i / 10.0,
                                     "b",
-                                    new Letter.OfMembers(new MemberMessage.Ping(i, List.of())))
+                                    new ClusterMessage.OfMembers(
+                                            new MemberMessage.Ping(i, List.of())))
                             .size();
         }
         assertTrue(answers <= 60 + 60 + 1, "one second's, and one saved up: " + answers);
-        assertTrue(talk.status(1000, WALL + 1000).dropped() > 9000);
+        assertTrue(session.status(1000, WALL + 1000).dropped() > 9000);
     }
 
     @Test
     public void nobodySpeaksForAnother() {
-        Talk talk = talk("a", 7);
-        var counts = List.of(new Count("c", 1, "s", 1_000_000));
+        CoordinationSession session = talk("a", 7);
+        var counts = List.of(new CounterValue("c", 1, "s", 1_000_000));
         for (String liar : List.of("b")) {
             for (String observer : List.of("c", "d", "e")) {
-                talk.received(
+                session.received(
                         10,
                         WALL,
                         liar,
-                        new Letter.OfNews(
+                        new ClusterMessage.OfNews(
                                 counts,
-                                List.of(new Sighting(observer, "y", "s", "z", 5, 0, 99, 1))));
+                                List.of(new Observation(observer, "y", "s", "z", 5, 0, 99, 1))));
             }
         }
-        assertEquals(talk.opinion(10, WALL, "s", 5).observers(), 0);
-        assertEquals(talk.othersPerSecond(10, WALL, "s"), 0.0);
+        assertEquals(session.opinion(10, WALL, "s", 5).observers(), 0);
+        assertEquals(session.othersPerSecond(10, WALL, "s"), 0.0);
     }
 
     @Test
@@ -228,29 +235,30 @@
         for (int i = 0; i < 60; i++) {
             sites.put("g" + i, "x");
         }
-        var talk = new Talk(terms(), "g0", "x", 1, sites, 1, 0, WALL);
+        var session = new CoordinationSession(terms(), "g0", "x", 1, sites, 1, 0, WALL);
         sites.keySet()
                 .forEach(
                         name ->
-                                talk.received(
+                                session.received(
                                         0,
                                         WALL,
                                         "g1",
-                                        new Letter.OfMembers(
+                                        new ClusterMessage.OfMembers(
                                                 new MemberMessage.Table(
                                                         false,
                                                         List.of(
-                                                                new News(
+                                                                new MemberUpdate(
                                                                         name,
                                                                         "x",
                                                                         1,
                                                                         0,
-                                                                        News.State.ALIVE))))));
+                                                                        MemberUpdate.State
+                                                                                .ALIVE))))));
         var heard = new TreeMap<String, Integer>();
         for (double now = 0; now <= 3000; now += 200) {
-            talk.saw(now, WALL + now, "s", "z", 5, false);
-            for (Talk.Out out : talk.tick(now, WALL + now)) {
-                if (out.letter() instanceof Letter.OfNews) {
+            session.saw(now, WALL + now, "s", "z", 5, false);
+            for (CoordinationSession.Out out : session.tick(now, WALL + now)) {
+                if (out.letter() instanceof ClusterMessage.OfNews) {
                     heard.merge(out.to(), 1, Integer::sum);
                 }
             }
--- a/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
@@ -10,11 +10,11 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.counter.Count;
-import sprucehold.cluster.counter.Counts;
-import sprucehold.cluster.evidence.Evidence;
-import sprucehold.cluster.evidence.Opinion;
-import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.counter.CounterTable;
+import sprucehold.cluster.counter.CounterValue;
+import sprucehold.cluster.evidence.EvidenceTable;
+import sprucehold.cluster.evidence.FailureAssessment;
+import sprucehold.cluster.evidence.Observation;
 
 /**
  * Counts that any order, repeat or restart leaves right, and evidence that no single voice moves.
@@ -22,19 +22,19 @@
 public class CountsAndEvidenceTest {
     @Test
     public void countsHeardInAnyOrderAndTwiceAreTheSame() {
-        List<Count> news =
+        List<CounterValue> news =
                 List.of(
-                        new Count("b", 1, "s", 5),
-                        new Count("b", 1, "s", 9),
-                        new Count("b", 2, "s", 3),
-                        new Count("c", 1, "s", 4),
-                        new Count("c", 1, "t", 2),
-                        new Count("b", 2, "s", 1));
+                        new CounterValue("b", 1, "s", 5),
+                        new CounterValue("b", 1, "s", 9),
+                        new CounterValue("b", 2, "s", 3),
+                        new CounterValue("c", 1, "s", 4),
+                        new CounterValue("c", 1, "t", 2),
+                        new CounterValue("b", 2, "s", 1));
         for (long seed = 0; seed < 100; seed++) {
             var order = new ArrayList<>(news);
             order.addAll(news.subList(0, 3));
             Collections.shuffle(order, new Random(seed));
-            var counts = new Counts("a", 7, 5000);
+            var counts = new CounterTable("a", 7, 5000);
             counts.add(0, "s", 10);
             order.forEach(one -> counts.heard(1, one));
             assertEquals(counts.total("s"), 10 + 9 + 3 + 4);
@@ -44,42 +44,42 @@
 
     @Test
     public void aRestartTakesNothingBackAndNobodyCountsForAnother() {
-        var counts = new Counts("a", 7, 5000);
+        var counts = new CounterTable("a", 7, 5000);
         counts.add(0, "s", 10);
-        counts.heard(1, new Count("a", 7, "s", 1000));
-        counts.heard(1, new Count("a", 6, "s", 4));
+        counts.heard(1, new CounterValue("a", 7, "s", 1000));
+        counts.heard(1, new CounterValue("a", 6, "s", 4));
         assertEquals(
                 counts.total("s"), 14, "its own is its own, and an earlier life's is remembered");
         for (int life = 1; life <= 20; life++) {
-            counts.heard(life, new Count("b", life, "s", 1));
+            counts.heard(life, new CounterValue("b", life, "s", 1));
         }
         assertEquals(counts.total("s"), 14 + 20);
-        counts.heard(30, new Count("b", 3, "s", 500));
+        counts.heard(30, new CounterValue("b", 3, "s", 500));
         assertEquals(counts.total("s"), 34, "late news of a life long gone add nothing");
-        assertEquals(counts.own(5), List.of(new Count("a", 7, "s", 10)));
+        assertEquals(counts.own(5), List.of(new CounterValue("a", 7, "s", 10)));
     }
 
     @Test
     public void aRateFadesByTheStatedLaw() {
-        var counts = new Counts("a", 7, 5000);
-        counts.heard(1000, new Count("b", 1, "s", 100));
+        var counts = new CounterTable("a", 7, 5000);
+        counts.heard(1000, new CounterValue("b", 1, "s", 100));
         assertEquals(counts.othersPerSecond(1000, "s"), 0.0, "one piece of news tells no rate");
-        counts.heard(2000, new Count("b", 1, "s", 150));
+        counts.heard(2000, new CounterValue("b", 1, "s", 150));
         assertEquals(counts.othersPerSecond(2000, "s"), 50, 1e-9);
         assertEquals(counts.othersPerSecond(7000, "s"), 25, 1e-9);
         counts.add(2000, "s", 1000);
         assertEquals(counts.othersPerSecond(2000, "s"), 50, 1e-9, "its own isn't others'");
     }
 
-    private static Sighting sighting(
+    private static Observation sighting(
             String observer, String observerSite, String server, double good, double bad) {
-        return new Sighting(observer, observerSite, server, "x", 50, good, bad, 1);
+        return new Observation(observer, observerSite, server, "x", 50, good, bad, 1);
     }
 
     @DataProvider
     Object[][] opinions() {
         return new Object[][] {
-            {"nobody says anything", (Consumer<Evidence>) evidence -> {}, 0.0},
+            {"nobody says anything", (Consumer<EvidenceTable>) evidence -> {}, 0.0},
             {"one liar", of("b:y:0:99"), 0.0},
             {"two of one mind are too few", of("b:y:0:9", "c:z:0:9"), 0.0},
             {"three from two sites", of("b:y:0:9", "c:z:0:9", "d:z:0:9"), 1.0},
@@ -96,7 +96,7 @@
     }
 
     /** Sightings of server s as OBSERVER:SITE:GOOD:BAD. */
-    private static Consumer<Evidence> of(String... sightings) {
+    private static Consumer<EvidenceTable> of(String... sightings) {
         return evidence -> {
             for (String one : sightings) {
                 String[] words = one.split(":");
@@ -114,15 +114,15 @@
 
     @Test(dataProvider = "opinions")
     public void anOpinionTakesSeveralWhoCanBeBelieved(
-            String what, Consumer<Evidence> told, double trouble) {
-        var evidence = new Evidence("a", "y");
+            String what, Consumer<EvidenceTable> told, double trouble) {
+        var evidence = new EvidenceTable("a", "y");
         told.accept(evidence);
         assertEquals(evidence.of(0, "s", 50).trouble(), trouble, what);
     }
 
     @Test
     public void whoSeesAWholeSiteFailHasTroubleOnTheWay() {
-        var evidence = new Evidence("a", "y");
+        var evidence = new EvidenceTable("a", "y");
         for (String observer : List.of("b", "c", "d")) {
             for (String server : List.of("s", "t", "u")) {
                 evidence.heard(
@@ -131,13 +131,13 @@
         }
         assertEquals(
                 evidence.of(0, "s", 50),
-                Opinion.NONE,
+                FailureAssessment.NONE,
                 "three who are all cut off from x prove nothing of its servers");
     }
 
     @Test
     public void evidenceFadesAndSaysNothingOfAnotherLife() {
-        var evidence = new Evidence("a", "y");
+        var evidence = new EvidenceTable("a", "y");
         of("b:y:0:9", "c:z:0:9", "d:z:0:9").accept(evidence);
         assertEquals(evidence.of(0, "s", 50).trouble(), 1.0);
         assertEquals(evidence.of(0, "s", 51).trouble(), 0.0, "the server has started since");
@@ -151,19 +151,19 @@
 
     @Test
     public void ownSightingsAreToldTheWorstFirstAndBeginAnewWithAServer() {
-        var evidence = new Evidence("a", "y");
+        var evidence = new EvidenceTable("a", "y");
         for (int i = 0; i < 4; i++) {
             evidence.saw(i, "s", "x", 50, true);
             evidence.saw(i, "t", "x", 50, false);
         }
         evidence.saw(4, "u", "x", 50, false);
-        List<Sighting> told = evidence.tell(4, 5);
+        List<Observation> told = evidence.tell(4, 5);
         assertEquals(
-                told.stream().map(Sighting::server).toList(),
+                told.stream().map(Observation::server).toList(),
                 List.of("t", "s"),
                 "one dispatch tells nothing");
         assertTrue(told.get(0).bad() > 3.9 && told.get(0).good() == 0, told.toString());
         evidence.saw(5, "t", "x", 99, true);
-        assertEquals(evidence.tell(5, 5).stream().map(Sighting::server).toList(), List.of("s"));
+        assertEquals(evidence.tell(5, 5).stream().map(Observation::server).toList(), List.of("s"));
     }
 }
--- a/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
@@ -12,13 +12,13 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.membership.Detector;
+import sprucehold.cluster.membership.FailureDetector;
 import sprucehold.cluster.membership.MemberMessage;
+import sprucehold.cluster.membership.MemberUpdate;
 import sprucehold.cluster.membership.Membership;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.simulation.MemberPlay;
+import sprucehold.cluster.simulation.MembershipSimulation;
 import sprucehold.cluster.simulation.Network;
-import sprucehold.cluster.simulation.Trouble;
+import sprucehold.cluster.simulation.SimulatedFault;
 
 /** Who is there: alone by hand, and fleets in simulated time. */
 public class MembershipTest {
@@ -28,39 +28,41 @@
         return new Membership(name, "a", life, Map.of("a", "a", "b", "a", "c", "a"), new Random(1));
     }
 
-    private static News news(String name, long life, int incarnation, News.State state) {
-        return new News(name, "a", life, incarnation, state);
+    private static MemberUpdate news(
+            String name, long life, int incarnation, MemberUpdate.State state) {
+        return new MemberUpdate(name, "a", life, incarnation, state);
     }
 
-    private static News of(Membership member, String name) {
+    private static MemberUpdate of(Membership member, String name) {
         return member.view().stream()
                 .filter(one -> one.name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static void tell(Membership member, News... news) {
+    private static void tell(Membership member, MemberUpdate... news) {
         member.received(0, "c", new MemberMessage.Table(false, List.of(news)));
     }
 
     @Test
     public void allWhoHeardTheSameNewsInWhateverOrderBelieveTheSame() {
-        List<News> all =
+        List<MemberUpdate> all =
                 List.of(
-                        news("b", 5, 0, News.State.ALIVE),
-                        news("b", 5, 0, News.State.SUSPECT),
-                        news("b", 5, 1, News.State.ALIVE),
-                        news("b", 5, 1, News.State.DEAD),
-                        news("b", 6, 0, News.State.ALIVE),
-                        news("b", 6, 0, News.State.SUSPECT),
-                        news("b", 4, 9, News.State.LEFT));
+                        news("b", 5, 0, MemberUpdate.State.ALIVE),
+                        news("b", 5, 0, MemberUpdate.State.SUSPECT),
+                        news("b", 5, 1, MemberUpdate.State.ALIVE),
+                        news("b", 5, 1, MemberUpdate.State.DEAD),
+                        news("b", 6, 0, MemberUpdate.State.ALIVE),
+                        news("b", 6, 0, MemberUpdate.State.SUSPECT),
+                        news("b", 4, 9, MemberUpdate.State.LEFT));
         for (long seed = 0; seed < 200; seed++) {
             var order = new ArrayList<>(all);
             order.addAll(all.subList(0, (int) (seed % all.size())));
             Collections.shuffle(order, new Random(seed));
             var member = member("a", 1);
             order.forEach(one -> tell(member, one));
-            assertEquals(of(member, "b"), news("b", 6, 0, News.State.SUSPECT), "order " + order);
+            assertEquals(
+                    of(member, "b"), news("b", 6, 0, MemberUpdate.State.SUSPECT), "order " + order);
         }
     }
 
@@ -69,44 +71,44 @@
         return new Object[][] {
             {
                 "suspected",
-                news("a", 7, 0, News.State.SUSPECT),
-                news("a", 7, 1, News.State.ALIVE),
+                news("a", 7, 0, MemberUpdate.State.SUSPECT),
+                news("a", 7, 1, MemberUpdate.State.ALIVE),
                 false
             },
             {
                 "held dead at a higher incarnation",
-                news("a", 7, 4, News.State.DEAD),
-                news("a", 7, 5, News.State.ALIVE),
+                news("a", 7, 4, MemberUpdate.State.DEAD),
+                news("a", 7, 5, MemberUpdate.State.ALIVE),
                 false
             },
             {
                 "an earlier life is dead",
-                news("a", 3, 9, News.State.DEAD),
-                news("a", 7, 0, News.State.ALIVE),
+                news("a", 3, 9, MemberUpdate.State.DEAD),
+                news("a", 7, 0, MemberUpdate.State.ALIVE),
                 false
             },
             {
                 "a later life is dead: the clock went back",
-                news("a", 9, 2, News.State.DEAD),
-                news("a", 10, 0, News.State.ALIVE),
+                news("a", 9, 2, MemberUpdate.State.DEAD),
+                news("a", 10, 0, MemberUpdate.State.ALIVE),
                 false
             },
             {
                 "a later life left",
-                news("a", 9, 2, News.State.LEFT),
-                news("a", 10, 0, News.State.ALIVE),
+                news("a", 9, 2, MemberUpdate.State.LEFT),
+                news("a", 10, 0, MemberUpdate.State.ALIVE),
                 false
             },
             {
                 "a later life is there: two of one name",
-                news("a", 9, 0, News.State.ALIVE),
-                news("a", 7, 0, News.State.ALIVE),
+                news("a", 9, 0, MemberUpdate.State.ALIVE),
+                news("a", 7, 0, MemberUpdate.State.ALIVE),
                 true
             },
             {
                 "its own news come back",
-                news("a", 7, 0, News.State.ALIVE),
-                news("a", 7, 0, News.State.ALIVE),
+                news("a", 7, 0, MemberUpdate.State.ALIVE),
+                news("a", 7, 0, MemberUpdate.State.ALIVE),
                 false
             },
         };
@@ -114,7 +116,7 @@
 
     @Test(dataProvider = "ofItself")
     public void whatOthersSayOfItIsRefutedOrYieldedTo(
-            String what, News heard, News then, boolean superseded) {
+            String what, MemberUpdate heard, MemberUpdate then, boolean superseded) {
         var member = member("a", 7);
         tell(member, heard);
         assertEquals(member.view().get(0), then, what);
@@ -124,12 +126,13 @@
     @Test
     public void whoIsSupersededAnswersForNobodyUntilTheOtherIsGone() {
         var member = member("a", 7);
-        tell(member, news("a", 9, 0, News.State.ALIVE));
-        List<Detector.Out> out = member.received(10, "b", new MemberMessage.Ping(1, List.of()));
+        tell(member, news("a", 9, 0, MemberUpdate.State.ALIVE));
+        List<FailureDetector.Out> out =
+                member.received(10, "b", new MemberMessage.Ping(1, List.of()));
         assertTrue(
                 out.stream().noneMatch(one -> one.message() instanceof MemberMessage.Ack),
                 out.toString());
-        tell(member, news("a", 9, 0, News.State.DEAD));
+        tell(member, news("a", 9, 0, MemberUpdate.State.DEAD));
         assertFalse(member.superseded());
         out = member.received(10, "b", new MemberMessage.Ping(2, List.of()));
         assertTrue(
@@ -140,7 +143,10 @@
     @Test
     public void whoWasHeldUpItselfBlamesNobodyForIt() {
         var member = member("a", 7);
-        tell(member, news("b", 1, 0, News.State.ALIVE), news("c", 1, 0, News.State.ALIVE));
+        tell(
+                member,
+                news("b", 1, 0, MemberUpdate.State.ALIVE),
+                news("c", 1, 0, MemberUpdate.State.ALIVE));
         for (double now = 0; now <= 800; now += 200) {
             member.tick(now);
         }
@@ -149,7 +155,7 @@
         assertEquals(member.health(), 8);
         assertEquals(member.there(), Set.of("b", "c"));
         assertTrue(
-                member.view().stream().allMatch(one -> one.state() == News.State.ALIVE),
+                member.view().stream().allMatch(one -> one.state() == MemberUpdate.State.ALIVE),
                 member.view().toString());
     }
 
@@ -157,16 +163,19 @@
     public void whoNobodyAnswersBlamesNobody() {
         var member = new Membership("a", "a", 7, Map.of(), new Random(1));
         for (int i = 0; i < 20; i++) {
-            tell(member, news("g" + i, 1, 0, News.State.ALIVE));
+            tell(member, news("g" + i, 1, 0, MemberUpdate.State.ALIVE));
         }
         for (double now = 0; now <= 600_000; now += 200) {
             member.tick(now);
         }
         assertTrue(member.cutOff());
-        long blamed = member.view().stream().filter(one -> one.state() != News.State.ALIVE).count();
+        long blamed =
+                member.view().stream()
+                        .filter(one -> one.state() != MemberUpdate.State.ALIVE)
+                        .count();
         assertTrue(blamed <= 2, member.view().toString());
         assertTrue(
-                member.view().stream().noneMatch(one -> one.state() == News.State.DEAD),
+                member.view().stream().noneMatch(one -> one.state() == MemberUpdate.State.DEAD),
                 member.view().toString());
     }
 
@@ -174,22 +183,23 @@
     public void messagesStayWithinADatagramHoweverMuchIsNew() {
         var member = member("a", 7);
         for (int i = 0; i < 500; i++) {
-            tell(member, news("g" + i, 1, 0, News.State.ALIVE));
+            tell(member, news("g" + i, 1, 0, MemberUpdate.State.ALIVE));
         }
         for (double now = 0; now <= 60_000; now += 200) {
-            for (Detector.Out out : member.tick(now)) {
+            for (FailureDetector.Out out : member.tick(now)) {
                 assertTrue(out.message().news().size() <= 12, out.toString());
             }
         }
     }
 
-    private static Trouble trouble(Trouble.Kind kind, double fromMs, double toMs, Integer... of) {
-        return new Trouble(kind, Set.of(of), fromMs, toMs);
+    private static SimulatedFault trouble(
+            SimulatedFault.Kind kind, double fromMs, double toMs, Integer... of) {
+        return new SimulatedFault(kind, Set.of(of), fromMs, toMs);
     }
 
-    private static MemberPlay.Setting setting(
-            int members, double lengthMs, Network network, Trouble... troubles) {
-        return new MemberPlay.Setting(members, lengthMs, network, List.of(troubles));
+    private static MembershipSimulation.Setting setting(
+            int members, double lengthMs, Network network, SimulatedFault... troubles) {
+        return new MembershipSimulation.Setting(members, lengthMs, network, List.of(troubles));
     }
 
     @DataProvider
@@ -199,25 +209,33 @@
             {"sound", setting(30, 90_000, Network.SOUND), 0},
             {"sound, three of them", setting(3, 90_000, Network.SOUND), 0},
             {"a bad network", setting(30, 90_000, BAD), 0},
-            {"a death", setting(30, 120_000, BAD, trouble(Trouble.Kind.DEAD, 60_000, never, 4)), 0},
+            {
+                "a death",
+                setting(30, 120_000, BAD, trouble(SimulatedFault.Kind.DEAD, 60_000, never, 4)),
+                0
+            },
             {
                 "a restart under the same name",
-                setting(30, 180_000, BAD, trouble(Trouble.Kind.DEAD, 60_000, 62_000, 4)),
+                setting(30, 180_000, BAD, trouble(SimulatedFault.Kind.DEAD, 60_000, 62_000, 4)),
                 0
             },
             {
                 "a pause of ten seconds",
-                setting(30, 180_000, BAD, trouble(Trouble.Kind.PAUSED, 60_000, 70_000, 4, 5)),
+                setting(
+                        30,
+                        180_000,
+                        BAD,
+                        trouble(SimulatedFault.Kind.PAUSED, 60_000, 70_000, 4, 5)),
                 0
             },
             {
                 "deaf for a while",
-                setting(30, 240_000, BAD, trouble(Trouble.Kind.DEAF, 60_000, 100_000, 4)),
+                setting(30, 240_000, BAD, trouble(SimulatedFault.Kind.DEAF, 60_000, 100_000, 4)),
                 0
             },
             {
                 "mute for a while",
-                setting(30, 240_000, BAD, trouble(Trouble.Kind.MUTE, 60_000, 100_000, 4)),
+                setting(30, 240_000, BAD, trouble(SimulatedFault.Kind.MUTE, 60_000, 100_000, 4)),
                 0
             },
             {
@@ -226,7 +244,7 @@
                         20,
                         300_000,
                         BAD,
-                        trouble(Trouble.Kind.CUT_OFF, 60_000, 120_000, 0, 1, 2, 3, 4, 5, 6)),
+                        trouble(SimulatedFault.Kind.CUT_OFF, 60_000, 120_000, 0, 1, 2, 3, 4, 5, 6)),
                 0
             },
             {
@@ -235,7 +253,7 @@
                         6,
                         300_000,
                         BAD,
-                        trouble(Trouble.Kind.ALONE, 60_000, 120_000, 0, 1, 2, 3, 4, 5)),
+                        trouble(SimulatedFault.Kind.ALONE, 60_000, 120_000, 0, 1, 2, 3, 4, 5)),
                 0
             },
         };
@@ -243,9 +261,9 @@
 
     @Test(dataProvider = "fleets")
     public void allAreRightInTheEndAndNobodyIsHeldDeadForNothing(
-            String what, MemberPlay.Setting setting, int falsely) {
+            String what, MembershipSimulation.Setting setting, int falsely) {
         for (long seed = 1; seed <= 3; seed++) {
-            var result = MemberPlay.play(setting, MemberPlay.Way.SWIM, seed);
+            var result = MembershipSimulation.play(setting, MembershipSimulation.Way.SWIM, seed);
             assertEquals(result.wrongAtEnd(), 0, what + ", seed " + seed + ": " + result);
             assertEquals(result.falselyDead(), falsely, what + ", seed " + seed + ": " + result);
             assertTrue(result.messages() < 10, what + ", seed " + seed + ": " + result);
@@ -255,13 +273,13 @@
     @Test
     public void allKnowOfADeathWithinHalfAMinute() {
         var result =
-                MemberPlay.play(
+                MembershipSimulation.play(
                         setting(
                                 30,
                                 150_000,
                                 Network.SOUND,
-                                trouble(Trouble.Kind.DEAD, 60_000, 1e9, 4)),
-                        MemberPlay.Way.SWIM,
+                                trouble(SimulatedFault.Kind.DEAD, 60_000, 1e9, 4)),
+                        MembershipSimulation.Way.SWIM,
                         1);
         assertTrue(result.allMs() < 30_000, result.toString());
     }
@@ -270,9 +288,9 @@
     public void withoutSuspicionALossyNetworkKills() {
         // What the suspicion is for; the same fleet with it is in the table above.
         var result =
-                MemberPlay.play(
+                MembershipSimulation.play(
                         setting(30, 90_000, new Network(5, 0.2, 0)),
-                        MemberPlay.Way.SWIM_WITHOUT_SUSPICION,
+                        MembershipSimulation.Way.SWIM_WITHOUT_SUSPICION,
                         1);
         assertTrue(result.falselyDead() > 0, result.toString());
     }
--- a/cluster/src/test/java/sprucehold/cluster/UnitLedgerExplorerTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/QuotaLedgerExplorerTest.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.quota.Loan;
-import sprucehold.cluster.quota.OwnClock;
+import sprucehold.cluster.quota.Lease;
+import sprucehold.cluster.quota.MonotonicLeaseClock;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.ShareTerms;
-import sprucehold.cluster.quota.UnitLedger;
+import sprucehold.cluster.quota.QuotaLedger;
+import sprucehold.cluster.quota.QuotaTerms;
 
 /**
  * Visits every state of a bounded world: three gatherers, two units that are the homes of two of
@@ -25,7 +25,7 @@
  * may more than two uses be sent. A state is rebuilt by playing its steps again, as the pure part
  * is deterministic.
  */
-public class UnitLedgerExplorerTest {
+public class QuotaLedgerExplorerTest {
     private static final double TICK_MS = 500;
     private static final double WINDOW_MS = 1000;
 
@@ -86,9 +86,9 @@
     private static final Most RENEWED = new Most(false, 14, 1, 3, 0, 0, 0, 0, 1);
     private static final Most RENEWED_AND_MORE = new Most(false, 9, 1, 3, 0, 1, 0, 1, 1);
 
-    private record Message(int from, int to, String what, int request, Loan loan) {}
+    private record Message(int from, int to, String what, int request, Lease loan) {}
 
-    private static final class ExchangedClock extends OwnClock {
+    private static final class ExchangedClock extends MonotonicLeaseClock {
         @Override
         public double slowMs() {
             return super.fastMs();
@@ -102,8 +102,8 @@
 
     private static final class Member {
         final int number;
-        OwnClock clock;
-        UnitLedger ledger;
+        MonotonicLeaseClock clock;
+        QuotaLedger ledger;
         long epoch;
         double countedMs;
         double wallMs;
@@ -113,7 +113,7 @@
         int request = -1;
 
         double askedAt;
-        Loan renewing;
+        Lease renewing;
         double renewAskedAt;
 
         Member(int number) {
@@ -125,8 +125,8 @@
         final Mutation mutation;
         final Clocks clocks;
         final Most most;
-        final ShareTerms lender;
-        final ShareTerms borrower;
+        final QuotaTerms lender;
+        final QuotaTerms borrower;
         final List<Member> members = new ArrayList<>();
         final List<Message> under = new ArrayList<>();
         final List<Double> sent = new ArrayList<>();
@@ -148,9 +148,9 @@
             this.most = most;
             double drift = mutation == Mutation.DRIFT_IGNORED ? 0 : 0.25;
             double window = mutation == Mutation.USES_FORGOTTEN_EARLY ? 1 : WINDOW_MS;
-            lender = new ShareTerms(1, 0, window, 300, 2000, drift);
+            lender = new QuotaTerms(1, 0, window, 300, 2000, drift);
             borrower =
-                    new ShareTerms(
+                    new QuotaTerms(
                             0,
                             0,
                             window,
@@ -170,11 +170,13 @@
 
         private void begin(Member member) {
             member.clock =
-                    mutation == Mutation.CLOCKS_EXCHANGED ? new ExchangedClock() : new OwnClock();
+                    mutation == Mutation.CLOCKS_EXCHANGED
+                            ? new ExchangedClock()
+                            : new MonotonicLeaseClock();
             read(member);
             member.epoch++;
             member.ledger =
-                    new UnitLedger(
+                    new QuotaLedger(
                             "abc".substring(member.number, member.number + 1),
                             member.epoch,
                             member.number < 2 ? lender : borrower,
@@ -282,11 +284,11 @@
                 case "return" -> {
                     returns++;
                     Member member = members.get(of);
-                    List<Loan> back = member.ledger.giveBack(1);
+                    List<Lease> back = member.ledger.giveBack(1);
                     if (mutation == Mutation.USED_AFTER_RETURN) {
-                        back.forEach(loan -> member.ledger.take(loan, member.clock.fastMs()));
+                        back.forEach(lease -> member.ledger.take(lease, member.clock.fastMs()));
                     }
-                    back.forEach(loan -> under.add(new Message(of, 0, "return", 0, loan)));
+                    back.forEach(lease -> under.add(new Message(of, 0, "return", 0, lease)));
                 }
                 case "lose" -> {
                     lost++;
@@ -318,11 +320,11 @@
             Member to = members.get(message.to);
             switch (message.what) {
                 case "ask" -> {
-                    Loan loan = to.ledger.lend("" + message.from, 1, 0);
-                    if (loan != null) {
+                    Lease lease = to.ledger.lend("" + message.from, 1, 0);
+                    if (lease != null) {
                         under.add(
                                 new Message(
-                                        message.to, message.from, "grant", message.request, loan));
+                                        message.to, message.from, "grant", message.request, lease));
                     }
                 }
                 case "grant" -> {
@@ -353,11 +355,11 @@
                     }
                 }
                 case "return" -> {
-                    Loan loan = message.loan;
+                    Lease lease = message.loan;
                     if (mutation == Mutation.EPOCH_IGNORED) {
-                        loan = new Loan(loan.lender(), to.epoch, loan.number(), loan.units());
+                        lease = new Lease(lease.lender(), to.epoch, lease.number(), lease.units());
                     }
-                    to.ledger.returned("" + message.from, loan);
+                    to.ledger.returned("" + message.from, lease);
                 }
                 default -> throw new IllegalArgumentException(message.what);
             }
@@ -516,14 +518,14 @@
 
     @Test
     public void onlyItsBorrowerGivesALoanBack() {
-        var clock = new OwnClock();
+        var clock = new MonotonicLeaseClock();
         clock.read(0, 0);
-        var ledger = new UnitLedger("a", 1, new ShareTerms(2, 0, 1000, 20, 2000, 0), clock);
+        var ledger = new QuotaLedger("a", 1, new QuotaTerms(2, 0, 1000, 20, 2000, 0), clock);
         clock.read(1e5, 1e5);
-        Loan loan = ledger.lend("b", 2, 0);
-        ledger.returned("c", loan);
+        Lease lease = ledger.lend("b", 2, 0);
+        ledger.returned("c", lease);
         assertEquals(ledger.free(), 0);
-        ledger.returned("b", loan);
+        ledger.returned("b", lease);
         assertEquals(ledger.free(), 2);
     }
 }
--- a/cluster/src/test/java/sprucehold/cluster/SharePlayTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
@@ -9,20 +9,21 @@
 import java.util.TreeSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.simulation.Division;
 import sprucehold.cluster.simulation.Network;
-import sprucehold.cluster.simulation.SharePlay;
-import sprucehold.cluster.simulation.Trouble;
+import sprucehold.cluster.simulation.QuotaSimulation;
+import sprucehold.cluster.simulation.QuotaStrategy;
+import sprucehold.cluster.simulation.SimulatedFault;
 
 /**
  * Fleets that share one bound: never beyond it in whatever trouble, and with something gained where
  * nothing is wrong.
  */
-public class SharePlayTest {
+public class QuotaSimulationTest {
     private static final Network BAD = new Network(5, 0.1, 0.1);
 
-    private static SharePlay.Setting setting(int members, Network network, Trouble... troubles) {
-        return new SharePlay.Setting(
+    private static QuotaSimulation.Setting setting(
+            int members, Network network, SimulatedFault... troubles) {
+        return new QuotaSimulation.Setting(
                 members,
                 10 * members,
                 1000,
@@ -31,11 +32,12 @@
                 20_000,
                 network,
                 List.of(troubles),
-                SharePlay.busyFew(members, Math.max(1, members / 10), 60, 1, 5000));
+                QuotaSimulation.busyFew(members, Math.max(1, members / 10), 60, 1, 5000));
     }
 
-    private static Trouble trouble(Trouble.Kind kind, double fromMs, double toMs, Integer... of) {
-        return new Trouble(kind, Set.of(of), fromMs, toMs);
+    private static SimulatedFault trouble(
+            SimulatedFault.Kind kind, double fromMs, double toMs, Integer... of) {
+        return new SimulatedFault(kind, Set.of(of), fromMs, toMs);
     }
 
     @DataProvider
@@ -45,37 +47,47 @@
             {"a network that loses, doubles and delays", setting(20, BAD)},
             {
                 "a few deaf for a term",
-                setting(20, BAD, trouble(Trouble.Kind.DEAF, 6000, 10_000, 0, 1, 2, 3))
+                setting(20, BAD, trouble(SimulatedFault.Kind.DEAF, 6000, 10_000, 0, 1, 2, 3))
             },
             {
                 "a few mute for a term",
-                setting(20, BAD, trouble(Trouble.Kind.MUTE, 6000, 10_000, 0, 1, 2, 3))
+                setting(20, BAD, trouble(SimulatedFault.Kind.MUTE, 6000, 10_000, 0, 1, 2, 3))
             },
             {
                 "cut in two",
                 setting(
                         20,
                         BAD,
-                        trouble(Trouble.Kind.CUT_OFF, 6000, 14_000, 0, 1, 2, 3, 4, 5, 6, 7))
+                        trouble(SimulatedFault.Kind.CUT_OFF, 6000, 14_000, 0, 1, 2, 3, 4, 5, 6, 7))
+            },
+            {
+                "all alone",
+                setting(4, BAD, trouble(SimulatedFault.Kind.ALONE, 6000, 14_000, 0, 1, 2, 3))
             },
-            {"all alone", setting(4, BAD, trouble(Trouble.Kind.ALONE, 6000, 14_000, 0, 1, 2, 3))},
             {
                 "paused over the end of a loan",
-                setting(20, BAD, trouble(Trouble.Kind.PAUSED, 6000, 12_000, 0, 1, 2, 3, 4, 5))
+                setting(
+                        20,
+                        BAD,
+                        trouble(SimulatedFault.Kind.PAUSED, 6000, 12_000, 0, 1, 2, 3, 4, 5))
             },
             {
                 "half killed",
-                setting(10, BAD, trouble(Trouble.Kind.DEAD, 6000, 7000, 0, 1, 2, 3, 4))
+                setting(10, BAD, trouble(SimulatedFault.Kind.DEAD, 6000, 7000, 0, 1, 2, 3, 4))
+            },
+            {
+                "all killed",
+                setting(4, BAD, trouble(SimulatedFault.Kind.DEAD, 6000, 6500, 0, 1, 2, 3))
             },
-            {"all killed", setting(4, BAD, trouble(Trouble.Kind.DEAD, 6000, 6500, 0, 1, 2, 3))},
         };
     }
 
     @Test(dataProvider = "troubles")
-    public void noWindowSeesMoreThanTheBound(String what, SharePlay.Setting setting) {
+    public void noWindowSeesMoreThanTheBound(String what, QuotaSimulation.Setting setting) {
         for (long seed = 1; seed <= 5; seed++) {
-            for (Division division : List.of(Division.EQUAL, Division.LENT, Division.COORDINATED)) {
-                var result = SharePlay.play(setting, division, seed);
+            for (QuotaStrategy division :
+                    List.of(QuotaStrategy.EQUAL, QuotaStrategy.LENT, QuotaStrategy.COORDINATED)) {
+                var result = QuotaSimulation.play(setting, division, seed);
                 assertTrue(
                         result.mostInWindow() <= setting.bound(),
                         what
@@ -98,7 +110,7 @@
     public void troublesDrawnByChanceNeverBreakTheBound() {
         for (long seed = 1; seed <= 60; seed++) {
             var chance = new Random(seed);
-            var troubles = new Trouble[1 + chance.nextInt(5)];
+            var troubles = new SimulatedFault[1 + chance.nextInt(5)];
             for (int i = 0; i < troubles.length; i++) {
                 var of = new TreeSet<Integer>();
                 for (int j = 0; j < 1 + chance.nextInt(5); j++) {
@@ -106,14 +118,15 @@
                 }
                 double from = 1000 + chance.nextDouble() * 14_000;
                 troubles[i] =
-                        new Trouble(
-                                Trouble.Kind.values()[chance.nextInt(Trouble.Kind.values().length)],
+                        new SimulatedFault(
+                                SimulatedFault.Kind.values()[
+                                        chance.nextInt(SimulatedFault.Kind.values().length)],
                                 of,
                                 from,
                                 from + chance.nextDouble() * 6000);
             }
-            SharePlay.Setting setting = setting(10, BAD, troubles);
-            var result = SharePlay.play(setting, Division.LENT, seed);
+            QuotaSimulation.Setting setting = setting(10, BAD, troubles);
+            var result = QuotaSimulation.play(setting, QuotaStrategy.LENT, seed);
             assertTrue(
                     result.mostInWindow() <= setting.bound(),
                     "seed "
@@ -129,47 +142,56 @@
 
     @Test
     public void busyOnesAreHelpedWithinTwoSecondsAndBeyondWhatIsEqual() {
-        SharePlay.Setting setting = setting(20, Network.SOUND);
-        var equal = SharePlay.play(setting, Division.EQUAL, 1);
-        var lent = SharePlay.play(setting, Division.LENT, 1);
-        var most = SharePlay.play(setting, Division.ALL_KNOWING, 1);
+        QuotaSimulation.Setting setting = setting(20, Network.SOUND);
+        var equal = QuotaSimulation.play(setting, QuotaStrategy.EQUAL, 1);
+        var lent = QuotaSimulation.play(setting, QuotaStrategy.LENT, 1);
+        var most = QuotaSimulation.play(setting, QuotaStrategy.ALL_KNOWING, 1);
         assertTrue(most.share() > 0.99, "the bound suffices for all: " + most.share());
         assertTrue(equal.share() < 0.4, "equal shares don't: " + equal.share());
         // After the quarantine of a first life; whose turn it is changes at 10 and 15 s.
         for (int turn : List.of(10, 15)) {
-            double helped = SharePlay.mean(lent.gotBySecond(), turn + 2, turn + 5);
+            double helped = QuotaSimulation.mean(lent.gotBySecond(), turn + 2, turn + 5);
             assertTrue(helped > 0.9, "two seconds after " + turn + " s: " + helped);
         }
     }
 
     @Test
     public void whoHearsNothingHasItsHomeAndTheOthersGoOn() {
-        SharePlay.Setting setting =
-                setting(4, Network.SOUND, trouble(Trouble.Kind.ALONE, 6000, 20_000, 0, 1, 2, 3));
-        var lent = SharePlay.play(setting, Division.LENT, 1);
-        var equal = SharePlay.play(setting, Division.EQUAL, 1);
+        QuotaSimulation.Setting setting =
+                setting(
+                        4,
+                        Network.SOUND,
+                        trouble(SimulatedFault.Kind.ALONE, 6000, 20_000, 0, 1, 2, 3));
+        var lent = QuotaSimulation.play(setting, QuotaStrategy.LENT, 1);
+        var equal = QuotaSimulation.play(setting, QuotaStrategy.EQUAL, 1);
         // From a term after the cut on each has what it would have without any talk.
         assertEquals(
-                SharePlay.mean(lent.gotBySecond(), 13, 20),
-                SharePlay.mean(equal.gotBySecond(), 13, 20),
+                QuotaSimulation.mean(lent.gotBySecond(), 13, 20),
+                QuotaSimulation.mean(equal.gotBySecond(), 13, 20),
                 0.03);
     }
 
     @Test
     public void theSameSeedGivesTheSameFleet() {
-        SharePlay.Setting setting =
-                setting(10, BAD, trouble(Trouble.Kind.PAUSED, 6000, 9000, 0, 3));
+        QuotaSimulation.Setting setting =
+                setting(10, BAD, trouble(SimulatedFault.Kind.PAUSED, 6000, 9000, 0, 3));
         assertEquals(
-                SharePlay.play(setting, Division.LENT, 9).toString().replaceAll("\\[D@.*", ""),
-                SharePlay.play(setting, Division.LENT, 9).toString().replaceAll("\\[D@.*", ""));
+                QuotaSimulation.play(setting, QuotaStrategy.LENT, 9)
+                        .toString()
+                        .replaceAll("\\[D@.*", ""),
+                QuotaSimulation.play(setting, QuotaStrategy.LENT, 9)
+                        .toString()
+                        .replaceAll("\\[D@.*", ""));
     }
 
     @Test
     public void messagesStayFewWhateverTheSize() {
         for (int members : List.of(10, 100)) {
-            SharePlay.Setting setting = setting(members, Network.SOUND);
+            QuotaSimulation.Setting setting = setting(members, Network.SOUND);
             double perMemberAndSecond =
-                    SharePlay.play(setting, Division.LENT, 1).messages() / (double) members / 20;
+                    QuotaSimulation.play(setting, QuotaStrategy.LENT, 1).messages()
+                            / (double) members
+                            / 20;
             assertTrue(perMemberAndSecond < 20, members + " members: " + perMemberAndSecond);
         }
     }
--- a/cluster/src/test/java/sprucehold/cluster/allowance/RoomsTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
@@ -18,8 +18,8 @@
 import java.util.function.DoubleUnaryOperator;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.session.Talk;
-import sprucehold.cluster.session.TalkTerms;
+import sprucehold.cluster.session.CoordinationSession;
+import sprucehold.cluster.session.SessionSettings;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.QueryClass;
@@ -30,7 +30,7 @@
  * Shared bounds as decisions see them: one gatherer by hand, and whole fleets whose every send is
  * counted in true time.
  */
-public class RoomsTest {
+public class AllowanceTableTest {
     private static final double WALL = 1.7e12;
     private static final double WINDOW_MS = 1000;
     private static final double WARM_MS = 5000;
@@ -70,8 +70,8 @@
         final String name;
         double drift;
         double offMs;
-        Talk talk;
-        Rooms rooms;
+        CoordinationSession session;
+        AllowanceTable allowances;
         double bornAt;
 
         One(String name) {
@@ -90,9 +90,9 @@
             bornAt = now;
             var sites = new TreeMap<String, String>();
             fleet.forEach(one -> sites.put(one, one.substring(0, 1)));
-            talk =
-                    new Talk(
-                            new TalkTerms(Map.of(), 500, 5000),
+            session =
+                    new CoordinationSession(
+                            new SessionSettings(Map.of(), 500, 5000),
                             name,
                             sites.get(name),
                             (long) wall(now),
@@ -100,17 +100,18 @@
                             seed,
                             0,
                             wall(now));
-            rooms =
-                    new Rooms(
+            allowances =
+                    new AllowanceTable(
                             facts(),
-                            new RoomTerms(name, fleet, ALL, 12, WINDOW_MS, 300, 0.002, 10_000),
-                            talk,
+                            new AllowanceSettings(
+                                    name, fleet, ALL, 12, WINDOW_MS, 300, 0.002, 10_000),
+                            session,
                             0,
                             wall(now));
         }
 
         int room(double now, SharedLimit bound) {
-            return rooms.others(counted(now), wall(now)).allowances().getOrDefault(bound, -1);
+            return allowances.others(counted(now), wall(now)).allowances().getOrDefault(bound, -1);
         }
     }
 
@@ -129,7 +130,8 @@
                         fleet.stream()
                                 .mapToInt(
                                         self ->
-                                                new RoomTerms(self, fleet, ALL, 1, 1, 1, 0, 0)
+                                                new AllowanceSettings(
+                                                                self, fleet, ALL, 1, 1, 1, 0, 0)
                                                         .home(bound, units))
                                 .sum();
                 assertEquals(sum, units, bound);
@@ -142,7 +144,7 @@
         assertEquals(
                 expectThrows(
                                 IllegalArgumentException.class,
-                                () -> new RoomTerms("x", List.of("y"), ALL, 1, 1, 1, 0, 0))
+                                () -> new AllowanceSettings("x", List.of("y"), ALL, 1, 1, 1, 0, 0))
                         .getMessage(),
                 "fleet: x was expected among 1 names");
     }
@@ -164,7 +166,7 @@
     public void aColdServerIsSharedFromTheNewsOfItsStart(String what, double agoMs, int room) {
         One one = alone(0);
         double now = 50_000;
-        one.rooms.listed(
+        one.allowances.listed(
                 one.counted(now),
                 one.wall(now),
                 true,
@@ -178,7 +180,8 @@
     @Test
     public void aColdServerFoundRightAfterARestartWaitsUntilWhatTheEarlierLifeLentHasLapsed() {
         One one = alone(0);
-        one.rooms.listed(0, one.wall(0), true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
+        one.allowances.listed(
+                0, one.wall(0), true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
         assertEquals(one.room(0, SharedLimit.slowStart("s")), 0);
         assertEquals(
                 one.room(3000, SharedLimit.slowStart("s")),
@@ -193,7 +196,7 @@
     public void roomGrowsWithWarmthAndIsTakenFromWhatNobodyElseCanUseFirst() {
         One one = alone(0);
         double now = 50_000;
-        one.rooms.listed(
+        one.allowances.listed(
                 one.counted(now),
                 one.wall(now),
                 true,
@@ -201,22 +204,23 @@
         now += 2500;
         int room = one.room(now, SharedLimit.slowStart("s"));
         assertTrue(room >= 33 + 65 && room <= 34 + 67, "half warm: " + room);
-        Leave leave =
-                one.rooms.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), room);
+        Grant leave =
+                one.allowances.use(
+                        one.counted(now), one.wall(now), SharedLimit.slowStart("s"), room);
         assertNotNull(leave);
         assertEquals(one.room(now, SharedLimit.slowStart("s")), 0);
         assertNull(
-                one.rooms.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 1),
+                one.allowances.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 1),
                 "nothing more than there is");
-        assertTrue(one.rooms.holds(one.counted(now + 290), one.wall(now + 290), leave));
+        assertTrue(one.allowances.holds(one.counted(now + 290), one.wall(now + 290), leave));
         assertFalse(
-                one.rooms.holds(one.counted(now + 310), one.wall(now + 310), leave),
+                one.allowances.holds(one.counted(now + 310), one.wall(now + 310), leave),
                 "beyond the patience");
         assertTrue(
                 one.room(now + 1200, SharedLimit.slowStart("s")) < room,
                 "it counts for a window and the patience");
         assertTrue(one.room(now + 1400, SharedLimit.slowStart("s")) >= room);
-        one.rooms.tick(one.counted(now + 2600), one.wall(now + 2600));
+        one.allowances.tick(one.counted(now + 2600), one.wall(now + 2600));
         assertEquals(
                 one.room(now + 2600, SharedLimit.slowStart("s")),
                 -1,
@@ -237,13 +241,14 @@
         One one = alone(0);
         double now = 50_000;
         var running = List.of(listing("s", WALL + now, Endpoint.State.RUNNING));
-        one.rooms.listed(one.counted(now), one.wall(now), true, running);
+        one.allowances.listed(one.counted(now), one.wall(now), true, running);
         assertNotNull(
-                one.rooms.use(one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 33));
-        one.rooms.listed(
+                one.allowances.use(
+                        one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 33));
+        one.allowances.listed(
                 one.counted(now), one.wall(now), false, List.of(listing("s", WALL + now, mode)));
         assertEquals(one.room(now, SharedLimit.slowStart("s")) >= 0, stays, what);
-        one.rooms.listed(one.counted(now), one.wall(now), false, running);
+        one.allowances.listed(one.counted(now), one.wall(now), false, running);
         assertTrue(
                 one.room(now, SharedLimit.slowStart("s")) <= 1,
                 "used just now, whatever the list says in between");
@@ -253,24 +258,25 @@
     public void whatIsNotSharedIsNeverRefused() {
         var one = new One("a-0");
         one.begin(0, List.of("a-0", "b-0"), 1);
-        one.rooms =
-                new Rooms(
+        one.allowances =
+                new AllowanceTable(
                         facts(),
-                        new RoomTerms("a-0", List.of("a-0", "b-0"), Set.of(), 0, 1000, 300, 0, 0),
-                        one.talk,
+                        new AllowanceSettings(
+                                "a-0", List.of("a-0", "b-0"), Set.of(), 0, 1000, 300, 0, 0),
+                        one.session,
                         0,
                         WALL);
-        one.rooms.listed(0, WALL, true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
+        one.allowances.listed(0, WALL, true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
         for (SharedLimit bound :
                 List.of(
                         SharedLimit.RETRIES,
                         SharedLimit.slowStart("s"),
                         SharedLimit.tenantQuota("acme"),
                         SharedLimit.tenantQuota("nobody"))) {
-            Leave leave = one.rooms.use(0, WALL, bound, 1_000_000);
-            assertTrue(leave != null && one.rooms.holds(0, WALL, leave), bound.toString());
+            Grant leave = one.allowances.use(0, WALL, bound, 1_000_000);
+            assertTrue(leave != null && one.allowances.holds(0, WALL, leave), bound.toString());
         }
-        assertEquals(one.rooms.others(0, WALL).allowances(), Map.of());
+        assertEquals(one.allowances.others(0, WALL).allowances(), Map.of());
     }
 
     /** What befalls a fleet of six between 6 and 12 s of 20. */
@@ -325,7 +331,7 @@
 
         private record Sent(double atMs, double units) {}
 
-        private record Mail(double atMs, long turn, String from, Talk.Out out) {}
+        private record Mail(double atMs, long turn, String from, CoordinationSession.Out out) {}
 
         final Day day;
         final Random chance;
@@ -412,7 +418,8 @@
             var list = new ArrayList<Endpoint>();
             startedAt.forEach(
                     (server, at) -> list.add(listing(server, WALL + at, Endpoint.State.RUNNING)));
-            Runnable told = () -> one.rooms.listed(one.counted(now), one.wall(now), true, list);
+            Runnable told =
+                    () -> one.allowances.listed(one.counted(now), one.wall(now), true, list);
             if (paused(one)) {
                 woken.add(told);
             } else {
@@ -420,8 +427,8 @@
             }
         }
 
-        void send(String from, List<Talk.Out> letters) {
-            for (Talk.Out out : letters) {
+        void send(String from, List<CoordinationSession.Out> letters) {
+            for (CoordinationSession.Out out : letters) {
                 int copies =
                         lost(from, out.to())
                                 ? 0
@@ -461,7 +468,7 @@
         void received(One to, Mail one) {
             send(
                     to.name,
-                    to.talk.received(to.counted(now), to.wall(now), one.from, one.out.letter()));
+                    to.session.received(to.counted(now), to.wall(now), one.from, one.out.letter()));
         }
 
         void act(One one) {
@@ -471,12 +478,12 @@
             double counted = one.counted(now);
             double wall = one.wall(now);
             if (now % 200 == 0) {
-                one.rooms.tick(counted, wall);
-                send(one.name, one.talk.tick(counted, wall));
+                one.allowances.tick(counted, wall);
+                send(one.name, one.session.tick(counted, wall));
             }
             boolean busy = one.name.startsWith("a");
             if (chance.nextDouble() < (busy ? 0.4 : 0.05)) {
-                one.rooms.taken(counted, "acme", List.of(0));
+                one.allowances.taken(counted, "acme", List.of(0));
             }
             SharedLimit bound =
                     chance.nextDouble() < 0.3
@@ -487,11 +494,11 @@
                     bound == SharedLimit.RETRIES
                             ? chance.nextDouble() < (busy ? 0.5 : 0.01)
                             : chance.nextDouble() < (busy ? 0.9 : 0.2);
-            int room = one.rooms.others(counted, wall).allowances().getOrDefault(bound, -1);
+            int room = one.allowances.others(counted, wall).allowances().getOrDefault(bound, -1);
             if (!wants || room < wanted) {
                 return;
             }
-            Leave leave = one.rooms.use(counted, wall, bound, wanted);
+            Grant leave = one.allowances.use(counted, wall, bound, wanted);
             if (leave == null) {
                 broken.add(
                         now
@@ -507,7 +514,7 @@
             double writtenAt = now + 250 * chance.nextDouble();
             Runnable write =
                     () -> {
-                        if (one.rooms.holds(one.counted(now), one.wall(now), leave)) {
+                        if (one.allowances.holds(one.counted(now), one.wall(now), leave)) {
                             written(one, bound, wanted);
                         }
                     };
--- a/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
@@ -20,56 +20,63 @@
 import org.apache.avro.Schema;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.counter.Count;
-import sprucehold.cluster.evidence.Sighting;
+import sprucehold.cluster.counter.CounterValue;
+import sprucehold.cluster.evidence.Observation;
 import sprucehold.cluster.membership.MemberMessage;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.quota.Loan;
-import sprucehold.cluster.quota.ShareMessage;
-import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.membership.MemberUpdate;
+import sprucehold.cluster.quota.Lease;
+import sprucehold.cluster.quota.QuotaMessage;
+import sprucehold.cluster.session.ClusterMessage;
 
 /** Letters as bytes: whole, or nothing at all. */
 public class CodecTest {
-    private static final News NEWS = new News("b", "y", 1L << 41, 3, News.State.SUSPECT);
-    private static final Loan LOAN = new Loan("a", 1L << 41, 7, 5);
+    private static final MemberUpdate NEWS =
+            new MemberUpdate("b", "y", 1L << 41, 3, MemberUpdate.State.SUSPECT);
+    private static final Lease LOAN = new Lease("a", 1L << 41, 7, 5);
     private final Codec a = new Codec("a");
     private final Codec b = new Codec("b");
 
-    private static Letter shares(String bound, ShareMessage message) {
-        return new Letter.OfShares(List.of(new Letter.OfShare(bound, message)));
+    private static ClusterMessage shares(String bound, QuotaMessage message) {
+        return new ClusterMessage.OfShares(List.of(new ClusterMessage.OfShare(bound, message)));
     }
 
     @DataProvider
     Object[][] letters() {
         return new Object[][] {
-            {new Letter.OfMembers(new MemberMessage.Ping(1, List.of()))},
+            {new ClusterMessage.OfMembers(new MemberMessage.Ping(1, List.of()))},
             {
-                new Letter.OfMembers(
+                new ClusterMessage.OfMembers(
                         new MemberMessage.Ping(
-                                1, List.of(NEWS, new News("c", "z", 0, 0, News.State.LEFT))))
+                                1,
+                                List.of(
+                                        NEWS,
+                                        new MemberUpdate("c", "z", 0, 0, MemberUpdate.State.LEFT))))
             },
-            {new Letter.OfMembers(new MemberMessage.Ack(Long.MAX_VALUE, List.of(NEWS)))},
-            {new Letter.OfMembers(new MemberMessage.PingFor(2, "c", List.of(NEWS)))},
-            {new Letter.OfMembers(new MemberMessage.Table(false, List.of(NEWS)))},
-            {new Letter.OfMembers(new MemberMessage.Table(true, List.of()))},
-            {new Letter.OfMembers(new MemberMessage.Compare(Long.MIN_VALUE, List.of(NEWS)))},
-            {shares("further dispatches", new ShareMessage.Ask(5, 6, 7))},
-            {shares("x", new ShareMessage.Grant(5, 6, LOAN))},
-            {shares("x", new ShareMessage.Nothing(5, 6))},
-            {shares("x", new ShareMessage.Renew(5, 6, LOAN))},
-            {shares("x", new ShareMessage.Renewed(5, 6, LOAN))},
+            {new ClusterMessage.OfMembers(new MemberMessage.Ack(Long.MAX_VALUE, List.of(NEWS)))},
+            {new ClusterMessage.OfMembers(new MemberMessage.PingFor(2, "c", List.of(NEWS)))},
+            {new ClusterMessage.OfMembers(new MemberMessage.Table(false, List.of(NEWS)))},
+            {new ClusterMessage.OfMembers(new MemberMessage.Table(true, List.of()))},
             {
-                new Letter.OfShares(
+                new ClusterMessage.OfMembers(
+                        new MemberMessage.Compare(Long.MIN_VALUE, List.of(NEWS)))
+            },
+            {shares("further dispatches", new QuotaMessage.Ask(5, 6, 7))},
+            {shares("x", new QuotaMessage.Grant(5, 6, LOAN))},
+            {shares("x", new QuotaMessage.Nothing(5, 6))},
+            {shares("x", new QuotaMessage.Renew(5, 6, LOAN))},
+            {shares("x", new QuotaMessage.Renewed(5, 6, LOAN))},
+            {
+                new ClusterMessage.OfShares(
                         List.of(
-                                new Letter.OfShare("x", new ShareMessage.Return(LOAN)),
-                                new Letter.OfShare("y", new ShareMessage.Ask(1, 2, 3))))
+                                new ClusterMessage.OfShare("x", new QuotaMessage.Return(LOAN)),
+                                new ClusterMessage.OfShare("y", new QuotaMessage.Ask(1, 2, 3))))
             },
             {
-                new Letter.OfNews(
-                        List.of(new Count("a", 4, "s-1", 99)),
-                        List.of(new Sighting("a", "x", "s-1", "y", 1.7e12, 1.5, 2.25, 8)))
+                new ClusterMessage.OfNews(
+                        List.of(new CounterValue("a", 4, "s-1", 99)),
+                        List.of(new Observation("a", "x", "s-1", "y", 1.7e12, 1.5, 2.25, 8)))
             },
-            {new Letter.OfNews(List.of(), List.of())},
+            {new ClusterMessage.OfNews(List.of(), List.of())},
         };
     }
 
@@ -78,7 +85,7 @@
     public void bytesOnTheWireAreThoseOfEarlierBuilds() throws IOException {
         var written = new StringBuilder();
         for (Object[] letter : letters()) {
-            written.append(HexFormat.of().formatHex(a.write("b", (Letter) letter[0], 1)))
+            written.append(HexFormat.of().formatHex(a.write("b", (ClusterMessage) letter[0], 1)))
                     .append('\n');
         }
         try (InputStream in = CodecTest.class.getResourceAsStream("/golden-messages.hex")) {
@@ -88,13 +95,13 @@
     }
 
     @Test(dataProvider = "letters")
-    public void eachKindIsReadAsItWasWritten(Letter letter) {
-        assertEquals(b.read(a.write("b", letter, 1)), new Received.Read("a", 1, letter));
+    public void eachKindIsReadAsItWasWritten(ClusterMessage message) {
+        assertEquals(b.read(a.write("b", message, 1)), new Received.Read("a", 1, message));
     }
 
     @Test(dataProvider = "letters")
-    public void whatIsFlippedCutOrLengthenedIsNoLetter(Letter letter) {
-        byte[] whole = a.write("b", letter, 1);
+    public void whatIsFlippedCutOrLengthenedIsNoLetter(ClusterMessage message) {
+        byte[] whole = a.write("b", message, 1);
         for (int bit = 0; bit < 8 * whole.length; bit++) {
             byte[] flipped = whole.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
@@ -112,7 +119,10 @@
     public void noBytesMakeItFail() {
         var chance = new Random(4);
         byte[] sound =
-                a.write("b", new Letter.OfMembers(new MemberMessage.Ping(1, List.of(NEWS))), 1);
+                a.write(
+                        "b",
+                        new ClusterMessage.OfMembers(new MemberMessage.Ping(1, List.of(NEWS))),
+                        1);
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = new byte[chance.nextInt(200)];
             chance.nextBytes(bytes);
@@ -153,33 +163,35 @@
     @Test
     public void aLetterToAnotherIsForeign() {
         assertEquals(
-                b.read(a.write("c", shares("x", new ShareMessage.Ask(5, 6, 7)), 1)),
+                b.read(a.write("c", shares("x", new QuotaMessage.Ask(5, 6, 7)), 1)),
                 new Received.Foreign("a letter to c"));
     }
 
     @Test
     public void lettersButTablesFitIntoADatagramAndTablesOntoAStream() {
-        var news = new News("n".repeat(32), "s".repeat(24), 1L << 41, 100, News.State.ALIVE);
-        var twelve = Collections.nCopies(12, news);
+        var update =
+                new MemberUpdate(
+                        "n".repeat(32), "s".repeat(24), 1L << 41, 100, MemberUpdate.State.ALIVE);
+        var twelve = Collections.nCopies(12, update);
         var asks =
                 Collections.nCopies(
                         10,
-                        new Letter.OfShare(
+                        new ClusterMessage.OfShare(
                                 "COLD " + "s".repeat(32) + "@1700000000000",
-                                new ShareMessage.Grant(
+                                new QuotaMessage.Grant(
                                         1L << 41,
                                         1L << 20,
-                                        new Loan("n".repeat(32), 1L << 41, 1L << 20, 1000))));
-        for (Letter letter :
+                                        new Lease("n".repeat(32), 1L << 41, 1L << 20, 1000))));
+        for (ClusterMessage message :
                 List.of(
-                        new Letter.OfMembers(new MemberMessage.Ping(1L << 40, twelve)),
-                        new Letter.OfShares(asks))) {
-            byte[] bytes = a.write("b".repeat(32), letter, 1);
+                        new ClusterMessage.OfMembers(new MemberMessage.Ping(1L << 40, twelve)),
+                        new ClusterMessage.OfShares(asks))) {
+            byte[] bytes = a.write("b".repeat(32), message, 1);
             assertTrue(bytes.length <= Codec.MOST_BYTES, "length " + bytes.length);
         }
         var table =
-                new Letter.OfMembers(
-                        new MemberMessage.Table(true, Collections.nCopies(1000, news)));
+                new ClusterMessage.OfMembers(
+                        new MemberMessage.Table(true, Collections.nCopies(1000, update)));
         byte[] bytes = a.write("b", table, 1);
         assertTrue(
                 bytes.length > Codec.MOST_BYTES && bytes.length < 90_000, "length " + bytes.length);
@@ -187,15 +199,15 @@
         assertNull(
                 a.write(
                         "b",
-                        new Letter.OfMembers(
-                                new MemberMessage.Table(true, Collections.nCopies(20_000, news))),
+                        new ClusterMessage.OfMembers(
+                                new MemberMessage.Table(true, Collections.nCopies(20_000, update))),
                         1));
     }
 
     @Test
     public void whoseLettersCantBeReadIsToldWhy() {
         var later = new Codec("c", next());
-        byte[] letter = later.write("a", shares("x", new ShareMessage.Ask(5, 6, 7)), 2);
+        byte[] letter = later.write("a", shares("x", new QuotaMessage.Ask(5, 6, 7)), 2);
         int version = ((Received.Unknown) a.read(letter)).version();
         assertEquals(
                 later.read(a.refusal(version)),
@@ -218,13 +230,13 @@
 
     @Test
     public void theVersionBeforeAndAfterUnderstandEachOtherOrSaySo() {
-        var letter = shares("x", new ShareMessage.Ask(5, 6, 7));
+        var message = shares("x", new QuotaMessage.Ask(5, 6, 7));
         var later = new Codec("c", next());
-        assertEquals(later.read(a.write("c", letter, 1)), new Received.Read("a", 1, letter));
+        assertEquals(later.read(a.write("c", message, 1)), new Received.Read("a", 1, message));
         assertEquals(
-                a.read(later.write("a", letter, later.common(1))),
-                new Received.Read("c", 2, letter));
-        assertEquals(a.read(later.write("a", letter, 2)), new Received.Unknown(2));
+                a.read(later.write("a", message, later.common(1))),
+                new Received.Read("c", 2, message));
+        assertEquals(a.read(later.write("a", message, 2)), new Received.Unknown(2));
         assertEquals(
                 Map.of(
                         "lowest",
--- a/gatherer/src/main/java/sprucehold/admin/AdminServer.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminServer.java
@@ -25,15 +25,15 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
-import sprucehold.change.document.Difference;
-import sprucehold.change.document.Document;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.DocumentDifference;
 import sprucehold.change.document.DocumentReader;
-import sprucehold.change.document.Fault;
-import sprucehold.change.document.MeaningCheck;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.Outcome;
-import sprucehold.change.line.Version;
-import sprucehold.change.line.VersionLine;
+import sprucehold.change.document.SemanticValidator;
+import sprucehold.change.document.ValidationError;
+import sprucehold.change.version.Version;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionHistory;
+import sprucehold.change.version.VersionStatus;
 
 /** The HTTP server for operators ({@code --door}): one JSON object in, one out. */
 public final class AdminServer {
@@ -55,7 +55,7 @@
     private static final ObjectMapper MAPPER = JsonMapper.builder().build();
 
     private final Vertx vertx;
-    private final ChangeDesk desk;
+    private final ConfigurationHandler desk;
     private final Map<String, Supplier<JsonNode>> views;
     private final byte[] tokenDigest;
     private final Set<HttpConnection> connections = new HashSet<>();
@@ -66,7 +66,10 @@
      *     name of each
      */
     public AdminServer(
-            Vertx vertx, String token, Map<String, Supplier<JsonNode>> views, ChangeDesk desk) {
+            Vertx vertx,
+            String token,
+            Map<String, Supplier<JsonNode>> views,
+            ConfigurationHandler desk) {
         this.vertx = vertx;
         this.views = views;
         this.desk = desk;
@@ -178,18 +181,18 @@
     }
 
     private byte[] status() {
-        VersionLine line = desk.line();
+        VersionHistory history = desk.line();
         ObjectNode node = MAPPER.createObjectNode();
-        node.put("live", line.live().number())
-                .put("watched", line.watched())
-                .put("confirmed", line.confirmed().number());
-        if (line.staged() != null) {
-            node.put("staged", line.staged().number());
+        node.put("live", history.live().number())
+                .put("watched", history.watched())
+                .put("confirmed", history.confirmed().number());
+        if (history.staged() != null) {
+            node.put("staged", history.staged().number());
         }
         return bytes(node);
     }
 
-    private static ObjectNode outcome(Outcome outcome) {
+    private static ObjectNode outcome(VersionStatus outcome) {
         Version version = outcome.version();
         return MAPPER.createObjectNode()
                 .put("version", version.number())
@@ -250,13 +253,16 @@
             answer(request, 422, faults(bad.faults(), null));
             return;
         }
-        Document good = ((DocumentReader.Read.Good) read).document();
-        List<Fault> faults = MeaningCheck.alone(good);
+        ConfigurationDocument good = ((DocumentReader.Read.Good) read).document();
+        List<ValidationError> faults = SemanticValidator.alone(good);
         answer(
                 request,
                 faults.isEmpty() ? 200 : 422,
                 faults.isEmpty()
-                        ? bytes(difference(Difference.between(desk.line().live().document(), good)))
+                        ? bytes(
+                                difference(
+                                        DocumentDifference.between(
+                                                desk.line().live().document(), good)))
                         : faults(faults, null));
     }
 
@@ -272,18 +278,18 @@
             answer(request, 422, faults(bad.faults(), null));
             return;
         }
-        List<LineAction> actions =
+        List<VersionCommand> actions =
                 desk.propose(
                         node.get("id").asText(),
                         by,
                         node.get("madeFrom").longValue(),
                         ((DocumentReader.Read.Good) read).document());
-        for (LineAction action : actions) {
-            if (action instanceof LineAction.Accepted accepted) {
+        for (VersionCommand action : actions) {
+            if (action instanceof VersionCommand.Accepted accepted) {
                 ObjectNode answer = difference(accepted.difference());
                 answer.put("version", accepted.version().number());
                 answer(request, 202, bytes(answer));
-            } else if (action instanceof LineAction.AlreadyThere there) {
+            } else if (action instanceof VersionCommand.AlreadyKnown there) {
                 answer(
                         request,
                         200,
@@ -291,13 +297,13 @@
                                 MAPPER.createObjectNode()
                                         .put("version", there.number())
                                         .put("already", true)));
-            } else if (action instanceof LineAction.TurnedDown down) {
+            } else if (action instanceof VersionCommand.Rejected down) {
                 answer(request, 409, faults(down.faults(), down.meanwhile()));
             }
         }
     }
 
-    private static ObjectNode difference(Difference difference) {
+    private static ObjectNode difference(DocumentDifference difference) {
         ObjectNode node = MAPPER.createObjectNode();
         node.put("risk", difference.risk().name().toLowerCase(Locale.ROOT));
         ArrayNode words = node.putArray("changes");
@@ -312,7 +318,7 @@
         return node;
     }
 
-    private static byte[] faults(List<Fault> faults, Difference meanwhile) {
+    private static byte[] faults(List<ValidationError> faults, DocumentDifference meanwhile) {
         ObjectNode node = MAPPER.createObjectNode();
         ArrayNode all = node.putArray("faults");
         faults.forEach(
--- a/gatherer/src/main/java/sprucehold/admin/ChangeDesk.java
+++ b/gatherer/src/main/java/sprucehold/admin/ConfigurationHandler.java
@@ -1,16 +1,17 @@
 package sprucehold.admin;
 
 import java.util.List;
-import sprucehold.change.document.Document;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.VersionLine;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionHistory;
 
 /** Where changes are taken; all calls come on the event loop. */
-public interface ChangeDesk {
-    VersionLine line();
+public interface ConfigurationHandler {
+    VersionHistory line();
 
     /** Takes a proposal; what is returned holds the answer to it. */
-    List<LineAction> propose(String id, String by, long madeFrom, Document document);
+    List<VersionCommand> propose(
+            String id, String by, long madeFrom, ConfigurationDocument document);
 
     /** Takes the watched version for good; nothing where it isn't that. */
     void confirm(long version, String by);
--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -63,9 +63,9 @@
         /** To be shut unless the next pass over the sockets brings something of it. */
         boolean doomed;
 
-        final Arrival arrival;
+        final ConnectionArrival arrival;
 
-        State(Arrival arrival) {
+        State(ConnectionArrival arrival) {
             this.arrival = arrival;
             this.since = arrival.openedAt();
         }
@@ -104,7 +104,7 @@
      *     in the backlog
      */
     boolean opened(C connection, double connectedSince) {
-        all.put(connection, new State(new Arrival(connectedSince, clock.getAsDouble())));
+        all.put(connection, new State(new ConnectionArrival(connectedSince, clock.getAsDouble())));
         fresh.add(connection);
         return held() > most;
     }
@@ -210,7 +210,7 @@
     }
 
     /** When it came. */
-    Arrival arrival(C connection) {
+    ConnectionArrival arrival(C connection) {
         return all.get(connection).arrival;
     }
 
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -50,8 +50,8 @@
     private static final int READS_A_PASS = 2;
 
     private final HttpServer server;
-    private final ScanHandler handler;
-    private final ScanReader reader;
+    private final QueryHandler handler;
+    private final QueryReader reader;
     private final DoubleSupplier clock;
     private final ReadingPasses passes;
     private final Map<Query, HttpServerRequest> open = new IdentityHashMap<>();
@@ -70,7 +70,7 @@
 
     /** {@code most} is how many connections clients may hold. */
     public ClientServer(
-            Vertx vertx, int segments, int most, ScanHandler handler, DoubleSupplier clock) {
+            Vertx vertx, int segments, int most, QueryHandler handler, DoubleSupplier clock) {
         this(vertx, segments, most, handler, clock, LingeringClose.LINGER_MS);
     }
 
@@ -78,7 +78,7 @@
             Vertx vertx,
             int segments,
             int most,
-            ScanHandler handler,
+            QueryHandler handler,
             DoubleSupplier clock,
             long lingerMs) {
         this.lingerMs = lingerMs;
@@ -86,7 +86,7 @@
         this.handler = handler;
         this.clock = clock;
         this.passes = new ReadingPasses(clock);
-        this.reader = new ScanReader(segments);
+        this.reader = new QueryReader(segments);
         this.connections = new ClientConnections<>(most, clock, new ChannelCloser());
         var options =
                 new HttpServerOptions()
@@ -297,7 +297,7 @@
                             request.headers(),
                             body.getBytes(),
                             clock.getAsDouble() - cameAt);
-        } catch (ScanReader.MalformedException e) {
+        } catch (QueryReader.MalformedException e) {
             reject(request, 400, e.getMessage(), null);
             return;
         }
--- a/gatherer/src/main/java/sprucehold/clients/Arrival.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionArrival.java
@@ -7,4 +7,4 @@
  *     backlog of the system, and what its client sent meanwhile with it
  * @param openedAt when it was accepted and the event loop began to read it
  */
-public record Arrival(double connectedSince, double openedAt) {}
+public record ConnectionArrival(double connectedSince, double openedAt) {}
--- a/gatherer/src/main/java/sprucehold/clients/ScanHandler.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
@@ -3,7 +3,7 @@
 import sprucehold.coordinator.Query;
 
 /** Where scans are taken. */
-public interface ScanHandler {
+public interface QueryHandler {
     /** Whether scans can be taken: a list is held, and the gatherer isn't ending. */
     boolean ready();
 
@@ -18,7 +18,7 @@
      * straight from other work, in which it did not look at its sockets, and where the connection
      * waited to be accepted and is read for the first time.
      */
-    double unreadSince(double nowMs, Arrival arrival);
+    double unreadSince(double nowMs, ConnectionArrival arrival);
 
     /**
      * Takes a scan; its answer comes through {@link ClientServer#answer}, perhaps before this
--- a/gatherer/src/main/java/sprucehold/clients/ScanReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -19,7 +19,7 @@
 import sprucehold.coordinator.Query;
 
 /** Reads a client's scan from its headers and body. */
-final class ScanReader {
+final class QueryReader {
     /** Nothing is guessed: what two readers might take differently is no request. */
     private static final ObjectMapper MAPPER =
             JsonMapper.builder()
@@ -48,7 +48,7 @@
         }
     }
 
-    ScanReader(int segments) {
+    QueryReader(int segments) {
         this.segments = segments;
     }
 
--- a/gatherer/src/main/java/sprucehold/clients/DryClient.java
+++ b/gatherer/src/main/java/sprucehold/clients/StubClient.java
@@ -15,14 +15,14 @@
  * What the way of a client's scan through this package runs, without a socket: for a warm-up where
  * none are granted.
  */
-public final class DryClient {
+public final class StubClient {
     private final EmbeddedChannel decoder =
             new EmbeddedChannel(new StrictDecoder(new HttpServerOptions()));
-    private final ScanReader reader;
+    private final QueryReader reader;
 
     /** {@code segments} is how many segments there are. */
-    public DryClient(int segments) {
-        this.reader = new ScanReader(segments);
+    public StubClient(int segments) {
+        this.reader = new QueryReader(segments);
     }
 
     /** Reads a request as one that came whole. */
@@ -42,7 +42,7 @@
                     (MultiMap) head.headers(),
                     body.toString(StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8),
                     0);
-        } catch (ScanReader.MalformedException e) {
+        } catch (QueryReader.MalformedException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.logging.Logger;
-import sprucehold.cluster.allowance.Leave;
-import sprucehold.cluster.allowance.RoomTerms;
-import sprucehold.cluster.allowance.Rooms;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.session.Letter;
-import sprucehold.cluster.session.Talk;
-import sprucehold.cluster.session.TalkTerms;
+import sprucehold.cluster.allowance.AllowanceSettings;
+import sprucehold.cluster.allowance.AllowanceTable;
+import sprucehold.cluster.allowance.Grant;
+import sprucehold.cluster.membership.MemberUpdate;
+import sprucehold.cluster.session.ClusterMessage;
+import sprucehold.cluster.session.CoordinationSession;
+import sprucehold.cluster.session.SessionSettings;
 import sprucehold.coordinator.Attempt;
 import sprucehold.coordinator.AttemptResult;
 import sprucehold.coordinator.EndpointUpdate;
@@ -31,14 +31,14 @@
 import sprucehold.messaging.PeerMessaging;
 import sprucehold.messaging.PeerMessagingSettings;
 import sprucehold.node.Clock;
-import sprucehold.node.Neighbour;
 import sprucehold.node.NodeConfig;
+import sprucehold.node.NodeExtension;
 
 /**
  * One gatherer among others: what happens at its node goes into what they know together, and what
  * comes of that into the node.
  */
-public final class ClusterMember implements Neighbour {
+public final class ClusterMember implements NodeExtension {
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
 
     /**
@@ -60,8 +60,8 @@
 
     private final Vertx vertx;
     private final Clock clock;
-    private final Talk talk;
-    private final Rooms rooms;
+    private final CoordinationSession session;
+    private final AllowanceTable allowances;
     private final PeerMessaging messaging;
     private final String self;
 
@@ -98,9 +98,9 @@
                         });
         double counted = clock.countedMs();
         double wall = clock.wallMs();
-        this.talk =
-                new Talk(
-                        new TalkTerms(Map.of(), plan.lettersPerS(), COUNT_HALF_MS),
+        this.session =
+                new CoordinationSession(
+                        new SessionSettings(Map.of(), plan.lettersPerS(), COUNT_HALF_MS),
                         self,
                         own.site(),
                         (long) wall,
@@ -108,10 +108,10 @@
                         config.seed(),
                         counted,
                         wall);
-        this.rooms =
-                new Rooms(
+        this.allowances =
+                new AllowanceTable(
                         config.facts().deployment(),
-                        new RoomTerms(
+                        new AllowanceSettings(
                                 self,
                                 List.copyOf(plan.members().keySet()),
                                 plan.shared(),
@@ -122,7 +122,7 @@
                                         config.facts().connections().connectTimeoutMs()),
                                 plan.driftPpm() / 1e6,
                                 plan.clocksOffMs()),
-                        talk,
+                        session,
                         counted,
                         wall);
         this.messaging =
@@ -150,7 +150,7 @@
                 .map(
                         port -> {
                             LOG.info("talking with other gatherers at port " + port);
-                            timer = vertx.setPeriodic((long) talk.tickMs(), id -> tick());
+                            timer = vertx.setPeriodic((long) session.tickMs(), id -> tick());
                             return null;
                         });
     }
@@ -158,28 +158,28 @@
     @Override
     public Future<Void> end() {
         vertx.cancelTimer(timer);
-        send(talk.leave(clock.countedMs(), clock.wallMs()));
+        send(session.leave(clock.countedMs(), clock.wallMs()));
         return messaging.close();
     }
 
     private void tick() {
         double counted = clock.countedMs();
         double wall = clock.wallMs();
-        rooms.tick(counted, wall);
-        send(talk.tick(counted, wall));
-        for (News news : talk.changes()) {
+        allowances.tick(counted, wall);
+        send(session.tick(counted, wall));
+        for (MemberUpdate update : session.changes()) {
             LOG.info(
                     "gatherer "
-                            + news.name()
-                            + switch (news.state()) {
+                            + update.name()
+                            + switch (update.state()) {
                                 case ALIVE -> " is there";
                                 case SUSPECT -> " has not answered and is suspected";
                                 case DEAD -> " is held to be gone";
                                 case LEFT -> " has left";
                             });
         }
-        if (talk.superseded() != superseded) {
-            superseded = talk.superseded();
+        if (session.superseded() != superseded) {
+            superseded = session.superseded();
             LOG.warning(
                     superseded
                             ? "another process is called "
@@ -188,8 +188,8 @@
                                     + " that is gone"
                             : "no other process is called " + self + " any more");
         }
-        if (talk.cutOff() != cutOff) {
-            cutOff = talk.cutOff();
+        if (session.cutOff() != cutOff) {
+            cutOff = session.cutOff();
             LOG.warning(
                     cutOff
                             ? "no other gatherer answers: this one does what it may do alone"
@@ -197,11 +197,11 @@
         }
     }
 
-    private void read(String from, Letter letter) {
-        send(talk.received(clock.countedMs(), clock.wallMs(), from, letter));
+    private void read(String from, ClusterMessage message) {
+        send(session.received(clock.countedMs(), clock.wallMs(), from, message));
     }
 
-    private void send(List<Talk.Out> letters) {
+    private void send(List<CoordinationSession.Out> letters) {
         letters.forEach(out -> messaging.send(out.to(), out.letter()));
     }
 
@@ -209,7 +209,7 @@
 
     @Override
     public void taken(double nowMs, Query query) {
-        rooms.taken(
+        allowances.taken(
                 clock.countedMs(),
                 query.tenant(),
                 query.parts().stream().map(Query.Part::shard).toList());
@@ -220,7 +220,7 @@
         double counted = clock.countedMs();
         double wall = clock.wallMs();
         if (observation instanceof Observation.EndpointsUpdated list) {
-            rooms.listed(
+            allowances.listed(
                     counted,
                     wall,
                     list.complete(),
@@ -229,7 +229,7 @@
             boolean calledOff = ended.result() instanceof AttemptResult.Cancelled;
             // What was given up before its time tells nothing of the server.
             if (!calledOff || ended.attempt().ageMs(nowMs) >= ended.attempt().timeoutMs()) {
-                rooms.ended(
+                allowances.ended(
                         counted,
                         wall,
                         ended.attempt().server().name(),
@@ -253,12 +253,12 @@
 
     @Override
     public void sent(double nowMs, Attempt attempt) {
-        rooms.sent(clock.countedMs(), clock.wallMs(), attempt.server().name());
+        allowances.sent(clock.countedMs(), clock.wallMs(), attempt.server().name());
     }
 
     @Override
     public ClusterView told(double nowMs) {
-        ClusterView now = rooms.others(clock.countedMs(), clock.wallMs());
+        ClusterView now = allowances.others(clock.countedMs(), clock.wallMs());
         boolean less =
                 !now.allowances().keySet().equals(believed.keySet())
                         || now.allowances().entrySet().stream()
@@ -280,30 +280,32 @@
     @Override
     public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
         believed.computeIfPresent(use.limit(), (bound, units) -> units - use.units());
-        Leave leave = rooms.use(clock.countedMs(), clock.wallMs(), use.limit(), use.units());
-        return leave == null ? null : () -> rooms.holds(clock.countedMs(), clock.wallMs(), leave);
+        Grant leave = allowances.use(clock.countedMs(), clock.wallMs(), use.limit(), use.units());
+        return leave == null
+                ? null
+                : () -> allowances.holds(clock.countedMs(), clock.wallMs(), leave);
     }
 
     // ---- For operators ----
 
     @Override
     public JsonNode status() {
-        Talk.Status status = talk.status(clock.countedMs(), clock.wallMs());
+        CoordinationSession.Status status = session.status(clock.countedMs(), clock.wallMs());
         ObjectNode node =
                 MAPPER.createObjectNode()
                         .put("name", self)
-                        .put("there", talk.there() + 1)
+                        .put("there", session.there() + 1)
                         .put("superseded", status.superseded())
                         .put("cutOff", status.cutOff())
                         .put("health", status.health());
         ArrayNode members = node.putArray("members");
-        for (News news : status.members()) {
+        for (MemberUpdate update : status.members()) {
             members.addObject()
-                    .put("name", news.name())
-                    .put("site", news.site())
-                    .put("state", news.state().name().toLowerCase())
-                    .put("life", news.life())
-                    .put("incarnation", news.incarnation());
+                    .put("name", update.name())
+                    .put("site", update.site())
+                    .put("state", update.state().name().toLowerCase())
+                    .put("life", update.life())
+                    .put("incarnation", update.incarnation());
         }
         ArrayNode bounds = node.putArray("bounds");
         status.bounds()
--- a/gatherer/src/main/java/sprucehold/command/Talking.java
+++ b/gatherer/src/main/java/sprucehold/command/Clustering.java
@@ -4,13 +4,13 @@
 import java.nio.file.Path;
 import sprucehold.clustering.ClusterConfig;
 import sprucehold.clustering.ClusterMember;
-import sprucehold.node.Neighbour;
+import sprucehold.node.NodeExtension;
 
 /** Talk among gatherers; loaded only where an operator has switched it on. */
-final class Talking {
-    private Talking() {}
+final class Clustering {
+    private Clustering() {}
 
-    static Neighbour.Factory read(Path file) throws IOException {
+    static NodeExtension.Factory read(Path file) throws IOException {
         ClusterConfig plan = ClusterConfig.read(file);
         return (vertx, config, clock) -> {
             try {
--- a/gatherer/src/main/java/sprucehold/command/Main.java
+++ b/gatherer/src/main/java/sprucehold/command/Main.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
 import sprucehold.admin.AdminConfig;
-import sprucehold.drill.Drill;
 import sprucehold.node.JsonLines;
-import sprucehold.node.Neighbour;
 import sprucehold.node.NodeConfig;
-import sprucehold.node.Rehearsal;
+import sprucehold.node.NodeExtension;
 import sprucehold.node.Service;
 import sprucehold.node.ServiceLogManager;
+import sprucehold.node.SmokeTest;
 import sprucehold.policy.QueryScheduler;
+import sprucehold.simulation.SimulationAdapter;
 
 /** The commands of a gatherer; what its lean jar holds. */
 @Command(
@@ -232,8 +232,8 @@
             }
             NodeConfig config = place.config();
             AdminConfig plan = door == null ? null : AdminConfig.read(door);
-            List<Neighbour.Factory> beside =
-                    together == null ? List.of() : List.of(Talking.read(together));
+            List<NodeExtension.Factory> beside =
+                    together == null ? List.of() : List.of(Clustering.read(together));
             if (recording == null) {
                 Service.start(
                         config,
@@ -283,7 +283,7 @@
 
         @Override
         public Integer call() throws IOException, Service.StartFailedException {
-            return Rehearsal.run(place.config(), QueryScheduler::new, System.out::println)
+            return SmokeTest.run(place.config(), QueryScheduler::new, System.out::println)
                     ? CommandLine.ExitCode.OK
                     : CommandLine.ExitCode.SOFTWARE;
         }
@@ -312,7 +312,7 @@
     public static final class DrillCommand implements Callable<Integer> {
         @Override
         public Integer call() throws IOException {
-            new Drill(QueryScheduler::new).run(System.in, System.out);
+            new SimulationAdapter(QueryScheduler::new).run(System.in, System.out);
             return CommandLine.ExitCode.OK;
         }
     }
--- a/gatherer/src/main/java/sprucehold/discovery/ListNews.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointListReader.java
@@ -16,8 +16,8 @@
  * @param index the version of the list
  * @param complete whether it is the whole list
  */
-public record ListNews(long index, boolean complete, List<EndpointUpdate> servers) {
-    private static final Logger LOG = Logger.getLogger(ListNews.class.getName());
+public record EndpointListReader(long index, boolean complete, List<EndpointUpdate> servers) {
+    private static final Logger LOG = Logger.getLogger(EndpointListReader.class.getName());
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** The answer doesn't tell what it has to. */
@@ -30,7 +30,7 @@
     }
 
     /** {@code cells} is how many cells there are. */
-    public static ListNews decode(byte[] body, int cells) throws MalformedException {
+    public static EndpointListReader decode(byte[] body, int cells) throws MalformedException {
         try {
             return decode(MAPPER.readTree(new String(body, StandardCharsets.UTF_8)), cells);
         } catch (JsonProcessingException e) {
@@ -38,7 +38,7 @@
         }
     }
 
-    public static ListNews decode(JsonNode node, int cells) throws MalformedException {
+    public static EndpointListReader decode(JsonNode node, int cells) throws MalformedException {
         if (!node.path("index").canConvertToLong()
                 || !node.path("index").isIntegralNumber()
                 || !node.path("snapshot").isBoolean()
@@ -49,7 +49,7 @@
         for (JsonNode endpoint : node.get("endpoints")) {
             servers.add(server(endpoint, cells));
         }
-        return new ListNews(
+        return new EndpointListReader(
                 node.get("index").longValue(),
                 node.get("snapshot").booleanValue(),
                 List.copyOf(servers));
--- a/gatherer/src/main/java/sprucehold/discovery/Watch.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
@@ -20,18 +20,18 @@
 import sprucehold.coordinator.Observation;
 
 /**
- * Follows the list of shard servers over HTTP, as {@link WatchPlan} says. A call that fails is
- * reported and not repeated until {@link #ask} or, should nobody ask, until the longest wait
+ * Follows the list of shard servers over HTTP, as {@link EndpointWatchPlan} says. A call that fails
+ * is reported and not repeated until {@link #ask} or, should nobody ask, until the longest wait
  * between calls is over.
  */
-public final class Watch {
-    private static final Logger LOG = Logger.getLogger(Watch.class.getName());
+public final class EndpointWatch {
+    private static final Logger LOG = Logger.getLogger(EndpointWatch.class.getName());
 
     private final Vertx vertx;
     private final int cells;
     private final DoubleSupplier clock;
     private final Consumer<Observation> reports;
-    private final WatchPlan plan;
+    private final EndpointWatchPlan plan;
     private HttpClient client;
     private String host;
     private int port;
@@ -51,7 +51,7 @@
      *     service
      * @param askWithinMs the longest wait between calls, in milliseconds
      */
-    public Watch(
+    public EndpointWatch(
             Vertx vertx,
             String host,
             int port,
@@ -64,7 +64,7 @@
         this.cells = cells;
         this.clock = clock;
         this.reports = reports;
-        this.plan = new WatchPlan(!asked, Math.max(1000, askWithinMs));
+        this.plan = new EndpointWatchPlan(!asked, Math.max(1000, askWithinMs));
         address(host, port);
     }
 
@@ -75,7 +75,7 @@
         // one that is being closed.
         client =
                 vertx.httpClientBuilder()
-                        .with(new HttpClientOptions().setConnectTimeout(WatchPlan.WAY_MS))
+                        .with(new HttpClientOptions().setConnectTimeout(EndpointWatchPlan.WAY_MS))
                         .with(new PoolOptions().setHttp1MaxSize(3))
                         .withConnectHandler(
                                 connection ->
@@ -121,23 +121,23 @@
         }
     }
 
-    private void carryOut(List<WatchPlan.Step> steps) {
-        for (WatchPlan.Step step : steps) {
-            if (step instanceof WatchPlan.Step.Ask ask) {
+    private void carryOut(List<EndpointWatchPlan.Step> steps) {
+        for (EndpointWatchPlan.Step step : steps) {
+            if (step instanceof EndpointWatchPlan.Step.Ask ask) {
                 call(ask.call());
-            } else if (step instanceof WatchPlan.Step.Drop drop) {
+            } else if (step instanceof EndpointWatchPlan.Step.Drop drop) {
                 HttpClientRequest request = calls.remove(drop.number());
                 if (request != null) {
                     request.reset();
                 }
-            } else if (step instanceof WatchPlan.Step.Tell tell) {
+            } else if (step instanceof EndpointWatchPlan.Step.Tell tell) {
                 reports.accept(
                         new Observation.EndpointsUpdated(
                                 tell.news().complete(), tell.news().servers()));
-            } else if (step instanceof WatchPlan.Step.TellFailed failed) {
+            } else if (step instanceof EndpointWatchPlan.Step.TellFailed failed) {
                 reports.accept(new Observation.EndpointsUnavailable());
                 first.tryComplete();
-            } else if (step instanceof WatchPlan.Step.Note note) {
+            } else if (step instanceof EndpointWatchPlan.Step.Note note) {
                 LOG.log(note.trouble() ? Level.WARNING : Level.INFO, note.line());
             }
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    private void call(WatchPlan.Call call) {
+    private void call(EndpointWatchPlan.Call call) {
         calls.put(call.number(), null);
         String uri =
                 call.after() < 0
@@ -202,18 +202,18 @@
                                                 : String.valueOf(called.cause().getMessage())));
     }
 
-    private void ended(WatchPlan.Call call, Buffer body, String failure) {
+    private void ended(EndpointWatchPlan.Call call, Buffer body, String failure) {
         boolean known = calls.containsKey(call.number());
         calls.remove(call.number());
         if (stopped || !known) {
             return;
         }
         String why = failure;
-        ListNews news = null;
+        EndpointListReader news = null;
         if (why == null) {
             try {
-                news = ListNews.decode(body.getBytes(), cells);
-            } catch (ListNews.MalformedException e) {
+                news = EndpointListReader.decode(body.getBytes(), cells);
+            } catch (EndpointListReader.MalformedException e) {
                 why = e.getMessage();
             }
         }
--- a/gatherer/src/main/java/sprucehold/discovery/WatchPlan.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointWatchPlan.java
@@ -14,7 +14,7 @@
  * and another is made beside it. Where the list is asked for, each call costs the list service:
  * there calls wait long, and one without an answer by then has failed.
  */
-final class WatchPlan {
+final class EndpointWatchPlan {
     /** How long a call may be kept where each costs the list service. */
     static final int ASKED_WAIT_MS = 20_000;
 
@@ -61,7 +61,7 @@
         record Drop(long number) implements Step {}
 
         /** To tell what came. */
-        record Tell(ListNews news) implements Step {}
+        record Tell(EndpointListReader news) implements Step {}
 
         /**
          * To tell that the list can't be followed, and why; when to ask again is for whoever is
@@ -95,7 +95,7 @@
      * @param fallbackMs where each call costs the list service: after a failure nobody asked about,
      *     when to ask all the same
      */
-    WatchPlan(boolean pushed, double fallbackMs) {
+    EndpointWatchPlan(boolean pushed, double fallbackMs) {
         this.pushed = pushed;
         this.fallbackMs = fallbackMs;
     }
@@ -145,7 +145,7 @@
     }
 
     /** A call was answered. */
-    List<Step> answered(double now, long number, ListNews news) {
+    List<Step> answered(double now, long number, EndpointListReader news) {
         boolean ofLatest = latest != null && number == latest.number;
         if (!ofLatest && (overdue == null || number != overdue.number)) {
             return List.of();
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
@@ -20,7 +20,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.session.ClusterMessage;
 import sprucehold.cluster.wire.Codec;
 import sprucehold.cluster.wire.Received;
 
@@ -89,11 +89,11 @@
     private final PeerMessagingSettings terms;
     private final Codec codec;
     private final DoubleSupplier clock;
-    private final BiConsumer<String, Letter> reader;
+    private final BiConsumer<String, ClusterMessage> reader;
     private final Map<String, Integer> versions = new HashMap<>();
     private final Set<String> told = new HashSet<>();
-    private final Allowance writes;
-    private final Allowance reads = new Allowance(READ_PER_S);
+    private final RateLimiter writes;
+    private final RateLimiter reads = new RateLimiter(READ_PER_S);
     private final NetClient client;
     private final Set<NetSocket> streams = new HashSet<>();
     private final Tally tally = new Tally();
@@ -108,13 +108,13 @@
             Vertx vertx,
             PeerMessagingSettings terms,
             DoubleSupplier clock,
-            BiConsumer<String, Letter> reader) {
+            BiConsumer<String, ClusterMessage> reader) {
         this.vertx = vertx;
         this.terms = terms;
         this.codec = new Codec(terms.self());
         this.clock = clock;
         this.reader = reader;
-        this.writes = new Allowance(terms.bytesPerS());
+        this.writes = new RateLimiter(terms.bytesPerS());
         this.client =
                 vertx.createNetClient(
                         new NetClientOptions().setConnectTimeout(DIAL_MS).setIdleTimeout(STREAM_S));
@@ -151,14 +151,14 @@
     // ---- Out ----
 
     /** Sends a letter; it may get lost like any datagram, and nobody is told. */
-    public void send(String to, Letter letter) {
+    public void send(String to, ClusterMessage message) {
         PeerMessagingSettings.Address at = terms.others().get(to);
         byte[] bytes =
                 at == null
                         ? null
                         : codec.write(
                                 to,
-                                letter,
+                                message,
                                 codec.common(versions.getOrDefault(to, codec.lowest())));
         if (bytes == null || !writes.take(clock.getAsDouble(), bytes.length)) {
             tally.unsent++;
--- a/gatherer/src/main/java/sprucehold/messaging/Allowance.java
+++ b/gatherer/src/main/java/sprucehold/messaging/RateLimiter.java
@@ -1,12 +1,12 @@
 package sprucehold.messaging;
 
 /** So much a second, and one second's saved up. */
-final class Allowance {
+final class RateLimiter {
     private final double perS;
     private double left;
     private double atMs = Double.NaN;
 
-    Allowance(double perS) {
+    RateLimiter(double perS) {
         this.perS = perS;
         this.left = perS;
     }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -15,12 +15,12 @@
 import java.util.logging.Logger;
 import sprucehold.admin.AdminConfig;
 import sprucehold.admin.AdminServer;
-import sprucehold.admin.ChangeDesk;
-import sprucehold.change.document.Document;
+import sprucehold.admin.ConfigurationHandler;
+import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.journal.JournalFile;
-import sprucehold.change.line.JournalEntry;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.VersionLine;
+import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionHistory;
 import sprucehold.coordinator.Answer;
 import sprucehold.coordinator.Query;
 import sprucehold.decision.DecisionPolicy;
@@ -38,7 +38,7 @@
     private final AdminConfig plan;
     private final Clock clock;
     private final JournalFile journal;
-    private final Changes changes;
+    private final ConfigurationChanges changes;
     private AdminServer server;
     private int port;
     private long slots = -1;
@@ -53,17 +53,17 @@
             AdminConfig plan,
             JournalFile journal,
             Clock clock,
-            Changes.Apply apply) {
+            ConfigurationChanges.Apply apply) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.plan = plan;
         this.journal = journal;
         this.clock = clock;
         this.changes =
-                new Changes(
+                new ConfigurationChanges(
                         document(config),
                         config.facts().deployment(),
-                        journal == null ? Changes.Journal.NONE : this::write,
+                        journal == null ? ConfigurationChanges.Journal.NONE : this::write,
                         plan.watchMs(),
                         plan.leastScans(),
                         apply);
@@ -83,15 +83,15 @@
     }
 
     /** The facts that the start brought. */
-    private static Document document(NodeConfig config) {
+    private static ConfigurationDocument document(NodeConfig config) {
         var deployment = config.facts().deployment();
-        var types = new ArrayList<Document.Type>();
+        var types = new ArrayList<ConfigurationDocument.Type>();
         for (int i = 0; i < deployment.queryClasses().size(); i++) {
             types.add(
-                    new Document.Type(
+                    new ConfigurationDocument.Type(
                             deployment.queryClasses().get(i), config.facts().deadlinesMs().get(i)));
         }
-        return new Document(
+        return new ConfigurationDocument(
                 types,
                 deployment.tenants(),
                 deployment.limits(),
@@ -144,22 +144,27 @@
      */
     Future<Integer> open(Map<String, Supplier<JsonNode>> views, IntSupplier held) {
         changes.started(clock.now(), journal == null ? List.of() : journal.entries());
-        slots = vertx.setPeriodic(Changes.SLOT_MS, id -> changes.slotEnds(clock.now()));
+        slots =
+                vertx.setPeriodic(
+                        ConfigurationChanges.SLOT_MS, id -> changes.slotEnds(clock.now()));
         server =
                 new AdminServer(
                         vertx,
                         plan.token(),
                         views,
-                        new ChangeDesk() {
+                        new ConfigurationHandler() {
                             @Override
-                            public VersionLine line() {
+                            public VersionHistory line() {
                                 return changes.line();
                             }
 
                             @Override
-                            public List<LineAction> propose(
-                                    String id, String by, long madeFrom, Document document) {
-                                List<LineAction> answer =
+                            public List<VersionCommand> propose(
+                                    String id,
+                                    String by,
+                                    long madeFrom,
+                                    ConfigurationDocument document) {
+                                List<VersionCommand> answer =
                                         changes.propose(
                                                 clock.now(),
                                                 id,
--- a/gatherer/src/main/java/sprucehold/node/Changes.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.change.document.Document;
-import sprucehold.change.document.Running;
-import sprucehold.change.line.JournalEntry;
-import sprucehold.change.line.LineAction;
-import sprucehold.change.line.LineEvent;
-import sprucehold.change.line.VersionLine;
-import sprucehold.change.server.ServerWords;
-import sprucehold.change.watch.Before;
-import sprucehold.change.watch.ServiceWatch;
-import sprucehold.change.watch.Slot;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.RunningState;
+import sprucehold.change.override.EndpointOverrides;
+import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionEvent;
+import sprucehold.change.version.VersionHistory;
+import sprucehold.change.watch.Baseline;
+import sprucehold.change.watch.HealthWatch;
+import sprucehold.change.watch.TimeWindow;
 import sprucehold.coordinator.Answer;
 import sprucehold.coordinator.Query;
 import sprucehold.decision.DecisionPolicy;
@@ -30,8 +30,8 @@
  * Changes of one gatherer's facts: carries what happens to the line of versions, and what that
  * wants to the gatherer. All of it belongs to the event loop.
  */
-final class Changes {
-    private static final Logger LOG = Logger.getLogger(Changes.class.getName());
+final class ConfigurationChanges {
+    private static final Logger LOG = Logger.getLogger(ConfigurationChanges.class.getName());
 
     /**
      * Service is counted in stretches of a quarter of a second: a harm shows within a few of them.
@@ -39,16 +39,16 @@
     static final long SLOT_MS = 250;
 
     private final Deployment first;
-    private final VersionLine line;
-    private final ServerWords words = new ServerWords();
-    private final Before before = new Before();
-    private final Slot.Builder slot = new Slot.Builder();
+    private final VersionHistory history;
+    private final EndpointOverrides words = new EndpointOverrides();
+    private final Baseline before = new Baseline();
+    private final TimeWindow.Builder slot = new TimeWindow.Builder();
     private final Map<Query, Taken> open = new IdentityHashMap<>();
     private final Journal journal;
     private final double watchMs;
     private final long leastScans;
     private final Apply apply;
-    private ServiceWatch watch;
+    private HealthWatch watch;
     private long watched;
 
     /** News for the module that go along with the facts that come next. */
@@ -67,22 +67,22 @@
         void write(JournalEntry entry);
     }
 
-    private record Taken(double atMs, Document.Type type, String customer) {}
+    private record Taken(double atMs, ConfigurationDocument.Type type, String customer) {}
 
     /**
      * @param start the document that the start brought
      * @param watchMs how long service has to hold before a version is confirmed
      * @param leastScans and how many scans have to be seen
      */
-    Changes(
-            Document start,
+    ConfigurationChanges(
+            ConfigurationDocument start,
             Deployment first,
             Journal journal,
             double watchMs,
             long leastScans,
             Apply apply) {
         this.first = first;
-        this.line = new VersionLine(start);
+        this.history = new VersionHistory(start);
         this.journal = journal;
         this.watchMs = watchMs;
         this.leastScans = leastScans;
@@ -120,37 +120,43 @@
 
     void started(double nowMs, List<JournalEntry> entries) {
         if (!entries.isEmpty()) {
-            carryOut(nowMs, line.on(new LineEvent.Started(entries)));
+            carryOut(nowMs, history.on(new VersionEvent.Started(entries)));
         }
     }
 
-    List<LineAction> propose(
-            double nowMs, String id, String by, long madeFrom, Document document, int held) {
+    List<VersionCommand> propose(
+            double nowMs,
+            String id,
+            String by,
+            long madeFrom,
+            ConfigurationDocument document,
+            int held) {
         return carryOut(
-                nowMs, line.on(new LineEvent.Proposed(id, by, madeFrom, document, running(held))));
+                nowMs,
+                history.on(new VersionEvent.Proposed(id, by, madeFrom, document, running(held))));
     }
 
     void confirm(double nowMs, long version, String by) {
-        carryOut(nowMs, line.on(new LineEvent.ConfirmAsked(version, by)));
+        carryOut(nowMs, history.on(new VersionEvent.ConfirmRequested(version, by)));
     }
 
     void undo(double nowMs, long version, String by) {
-        carryOut(nowMs, line.on(new LineEvent.UndoAsked(version, by)));
+        carryOut(nowMs, history.on(new VersionEvent.RollbackRequested(version, by)));
     }
 
     /** Between two moments of the module. */
     void moment(double nowMs) {
-        if (line.staged() != null) {
-            carryOut(nowMs, line.on(new LineEvent.BetweenMoments()));
+        if (history.staged() != null) {
+            carryOut(nowMs, history.on(new VersionEvent.BetweenDecisions()));
         }
     }
 
     void ending(double nowMs) {
-        carryOut(nowMs, line.on(new LineEvent.Ending()));
+        carryOut(nowMs, history.on(new VersionEvent.ShuttingDown()));
     }
 
     void taken(double nowMs, Query query) {
-        line.live()
+        history.live()
                 .document()
                 .type(query.queryClass())
                 .ifPresent(
@@ -160,7 +166,7 @@
                                         new Taken(
                                                 nowMs,
                                                 type,
-                                                line.live()
+                                                history.live()
                                                         .document()
                                                         .customer(query.tenant())
                                                         .map(tenant -> tenant.name())
@@ -188,55 +194,55 @@
 
     /** The end of a stretch of time. */
     void slotEnds(double nowMs) {
-        Slot ended = slot.take(nowMs);
+        TimeWindow ended = slot.take(nowMs);
         if (watch == null) {
             before.add(ended);
             return;
         }
-        ServiceWatch.Word word = watch.add(ended);
-        if (word instanceof ServiceWatch.Word.Fell fell) {
-            carryOut(nowMs, line.on(new LineEvent.Judged(watched, true, fell.grounds())));
-        } else if (word instanceof ServiceWatch.Word.Held held) {
-            carryOut(nowMs, line.on(new LineEvent.Judged(watched, false, held.grounds())));
+        HealthWatch.Word word = watch.add(ended);
+        if (word instanceof HealthWatch.Word.Fell fell) {
+            carryOut(nowMs, history.on(new VersionEvent.Judged(watched, true, fell.grounds())));
+        } else if (word instanceof HealthWatch.Word.Held held) {
+            carryOut(nowMs, history.on(new VersionEvent.Judged(watched, false, held.grounds())));
         }
     }
 
     // ---- What is to be done ----
 
-    private List<LineAction> carryOut(double nowMs, List<LineAction> actions) {
-        for (LineAction action : actions) {
-            if (action instanceof LineAction.Write write) {
+    private List<VersionCommand> carryOut(double nowMs, List<VersionCommand> actions) {
+        for (VersionCommand action : actions) {
+            if (action instanceof VersionCommand.Write write) {
                 journal.write(write.entry());
-            } else if (action instanceof LineAction.Apply version) {
-                Document document = version.version().document();
+            } else if (action instanceof VersionCommand.Apply version) {
+                ConfigurationDocument document = version.version().document();
                 news = words.takenOut(document.serversOut(), nowMs);
                 apply.apply(document.onto(first));
-            } else if (action instanceof LineAction.Watch of) {
+            } else if (action instanceof VersionCommand.Watch of) {
                 watched = of.number();
-                watch = new ServiceWatch(before, nowMs, watchMs, leastScans);
-            } else if (action instanceof LineAction.StopWatch) {
+                watch = new HealthWatch(before, nowMs, watchMs, leastScans);
+            } else if (action instanceof VersionCommand.StopWatch) {
                 watch = null;
-            } else if (action instanceof LineAction.Tell tell) {
+            } else if (action instanceof VersionCommand.Log tell) {
                 LOG.log(
                         Level.INFO,
                         tell.line(),
                         new Object[] {
                             Map.of(
                                     "version",
-                                    line.live().number(),
+                                    history.live().number(),
                                     "watched",
-                                    line.watched(),
+                                    history.watched(),
                                     "confirmed",
-                                    line.confirmed().number(),
+                                    history.confirmed().number(),
                                     "by",
-                                    line.live().by())
+                                    history.live().by())
                         });
             }
         }
         return actions;
     }
 
-    private Running running(int held) {
+    private RunningState running(int held) {
         Map<String, Integer> byType = new HashMap<>();
         Map<String, Integer> byCustomer = new HashMap<>();
         open.values()
@@ -259,15 +265,15 @@
             }
             holders.put(cell, of);
         }
-        return new Running(byType, byCustomer, held, holders);
+        return new RunningState(byType, byCustomer, held, holders);
     }
 
-    VersionLine line() {
-        return line;
+    VersionHistory line() {
+        return history;
     }
 
     /** Whether a table type is served now. */
     boolean isTableType(String name) {
-        return line.live().document().type(name).isPresent();
+        return history.live().document().type(name).isPresent();
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -20,9 +20,9 @@
 import java.util.stream.Collectors;
 import sprucehold.admin.AdminConfig;
 import sprucehold.change.journal.JournalFile;
-import sprucehold.clients.Arrival;
 import sprucehold.clients.ClientServer;
-import sprucehold.clients.ScanHandler;
+import sprucehold.clients.ConnectionArrival;
+import sprucehold.clients.QueryHandler;
 import sprucehold.coordinator.Answer;
 import sprucehold.coordinator.Attempt;
 import sprucehold.coordinator.AttemptResult;
@@ -36,7 +36,7 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.QueryClass;
-import sprucehold.discovery.Watch;
+import sprucehold.discovery.EndpointWatch;
 import sprucehold.shards.AttemptGate;
 import sprucehold.shards.ShardServers;
 
@@ -44,14 +44,14 @@
  * One gatherer: it carries what happens outside to the picker, and what the picker orders to the
  * network. All of it runs on the one event loop.
  */
-final class GathererNode implements ScanHandler {
+final class GathererNode implements QueryHandler {
     private static final Logger LOG = Logger.getLogger(GathererNode.class.getName());
     private final Vertx vertx;
     private final NodeConfig config;
     private final Clock clock = new Clock();
     private final QueryCoordinator coordinator;
     private final ShardServers shards;
-    private final Watch watch;
+    private final EndpointWatch watch;
     private final ClientServer clients;
     private final Set<String> tableTypes;
 
@@ -89,7 +89,7 @@
     private final ConfigurationAdmin admin;
 
     /** What stands beside it. */
-    private final List<Neighbour> neighbours;
+    private final List<NodeExtension> neighbours;
 
     /**
      * @param plan where operators change its configuration, or null
@@ -100,7 +100,7 @@
             NodeConfig config,
             DecisionPolicy.Factory factory,
             AdminConfig plan,
-            List<Neighbour.Factory> beside)
+            List<NodeExtension.Factory> beside)
             throws IOException {
         this(
                 vertx,
@@ -121,7 +121,7 @@
             DecisionPolicy.Factory factory,
             JournalFile journal,
             AdminConfig plan,
-            List<Neighbour.Factory> beside) {
+            List<NodeExtension.Factory> beside) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.passes = new SocketPasses(clock::now, this::schedule);
@@ -157,7 +157,7 @@
                         this::report,
                         gate());
         this.watch =
-                new Watch(
+                new EndpointWatch(
                         vertx,
                         config.discovery().host(),
                         config.discovery().port(),
@@ -182,7 +182,9 @@
         return firstList()
                 .compose(checked -> stillWanted())
                 .compose(wanted -> openAdmin())
-                .compose(opened -> Future.all(neighbours.stream().map(Neighbour::start).toList()))
+                .compose(
+                        opened ->
+                                Future.all(neighbours.stream().map(NodeExtension::start).toList()))
                 .compose(begun -> stillWanted())
                 .compose(
                         wanted -> {
@@ -236,14 +238,14 @@
     }
 
     @Override
-    public double unreadSince(double nowMs, Arrival arrival) {
+    public double unreadSince(double nowMs, ConnectionArrival arrival) {
         return passes.unreadSince(nowMs, arrival);
     }
 
     @Override
     public void take(Query query) {
         scansTaken++;
-        ScanLog.taken(query);
+        QueryLog.taken(query);
         if (phase == Drain.Phase.TURNING_AWAY || phase == Drain.Phase.OVER) {
             clients.answer(query, new Answer.Rejected(0));
             return;
@@ -271,7 +273,7 @@
 
     @Override
     public void left(Query query) {
-        ScanLog.left(query);
+        QueryLog.left(query);
         if (admin != null) {
             admin.left(query);
         }
@@ -285,7 +287,7 @@
             hasList = true;
             LOG.info("ready: a list of shard servers is held");
         }
-        ScanLog.reported(observation, clock.now());
+        QueryLog.reported(observation, clock.now());
         neighbours.forEach(one -> one.reported(clock.now(), observation));
         reports.add(observation);
         if (!carrying) {
@@ -308,7 +310,7 @@
 
             @Override
             public void begun(Attempt attempt) {
-                ScanLog.begun(attempt, clock.now());
+                QueryLog.begun(attempt, clock.now());
             }
 
             @Override
@@ -407,7 +409,7 @@
 
     /** What neighbours know by now, before the decisions are asked. */
     private void hear() {
-        for (Neighbour one : neighbours) {
+        for (NodeExtension one : neighbours) {
             ClusterView told = one.told(clock.now());
             if (told != null) {
                 coordinator.changeClusterView(told);
@@ -456,7 +458,7 @@
         if (admin != null) {
             admin.answered(reply.query(), reply.answer());
         }
-        ScanLog.ended(reply);
+        QueryLog.ended(reply);
         clients.answer(reply.query(), reply.answer());
     }
 
@@ -548,7 +550,7 @@
                                 done ->
                                         Future.join(
                                                         neighbours.stream()
-                                                                .map(Neighbour::end)
+                                                                .map(NodeExtension::end)
                                                                 .toList())
                                                 .otherwiseEmpty())
                         .map(
--- a/gatherer/src/main/java/sprucehold/node/JsonLines.java
+++ b/gatherer/src/main/java/sprucehold/node/JsonLines.java
@@ -34,7 +34,7 @@
     public static void logScans() {
         var handler = new ConsoleHandler();
         handler.setFormatter(new JsonLines());
-        ScanLog.to(handler);
+        QueryLog.to(handler);
     }
 
     @Override
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import sprucehold.deployment.DeploymentSettings;
 import sprucehold.deployment.InvalidSettingsException;
-import sprucehold.discovery.ListNews;
+import sprucehold.discovery.EndpointListReader;
 
 /**
  * What one gatherer is told at its start.
@@ -23,7 +23,7 @@
         Address discovery,
         long seed,
         int sockets,
-        ListNews known,
+        EndpointListReader known,
         DeploymentSettings facts) {
 
     /** Where to listen or call. */
@@ -81,15 +81,15 @@
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("seed must be hex digits");
         }
-        ListNews known;
+        EndpointListReader known;
         try {
             known =
                     node.path("known").isObject()
-                            ? ListNews.decode(
+                            ? EndpointListReader.decode(
                                     node.get("known"),
                                     settings.deployment().layout().replicaGroups())
                             : null;
-        } catch (ListNews.MalformedException e) {
+        } catch (EndpointListReader.MalformedException e) {
             throw new InvalidSettingsException("known: " + e.getMessage());
         }
         return new NodeConfig(
--- a/gatherer/src/main/java/sprucehold/node/Neighbour.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -14,13 +14,13 @@
  * What stands beside a node: it hears what happens there, and may give the decisions typed values.
  * All calls come on the node's event loop, with the time of the node's clock; none may wait.
  */
-public interface Neighbour {
+public interface NodeExtension {
     /** Makes one for a node that is about to start. */
     interface Factory {
         /**
          * @throws IllegalArgumentException in one line if it doesn't fit the configuration
          */
-        Neighbour beside(Vertx vertx, NodeConfig config, Clock clock);
+        NodeExtension beside(Vertx vertx, NodeConfig config, Clock clock);
     }
 
     /** By which it is asked for at the door. */
--- a/gatherer/src/main/java/sprucehold/node/ScanLog.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryLog.java
@@ -16,14 +16,14 @@
  * What becomes of each scan, a line for each step; off unless switched on. With it one scan's id is
  * followed through the logs of all gatherers that it came to, and losses are added up by cause.
  */
-final class ScanLog {
+final class QueryLog {
     private static final Logger LOG = Logger.getLogger("sprucehold.scans");
 
     static {
         LOG.setLevel(Level.OFF);
     }
 
-    private ScanLog() {}
+    private QueryLog() {}
 
     /** Switches it on; where the level above is off, as during the warm-up, it stays silent. */
     static void to(Handler handler) {
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -39,7 +39,7 @@
             DecisionPolicy.Factory rehearsed,
             DecisionPolicy.Factory factory,
             AdminConfig door,
-            List<Neighbour.Factory> beside,
+            List<NodeExtension.Factory> beside,
             Callable<NodeConfig> reread,
             Runnable ended)
             throws StartFailedException {
--- a/gatherer/src/main/java/sprucehold/node/Rehearsal.java
+++ b/gatherer/src/main/java/sprucehold/node/SmokeTest.java
@@ -18,10 +18,10 @@
  * Starts a gatherer among stand-ins on free ports of this machine and asks it for a scan of each
  * table type.
  */
-public final class Rehearsal {
+public final class SmokeTest {
     private static final String HOST = "127.0.0.1";
 
-    private Rehearsal() {}
+    private SmokeTest() {}
 
     /** Returns whether each scan was answered whole; {@code line} takes what happened. */
     public static boolean run(
@@ -33,7 +33,7 @@
         WarmUp.run(config, factory);
         // Both ways of warming up, whichever the platform will grant: the archive of loaded classes
         // is made of this run.
-        DryWarmUp.run(config, factory);
+        StubWarmUp.run(config, factory);
         Vertx vertx = Service.vertx();
         var done = new CompletableFuture<Boolean>();
         vertx.runOnContext(
--- a/gatherer/src/main/java/sprucehold/node/SocketPasses.java
+++ b/gatherer/src/main/java/sprucehold/node/SocketPasses.java
@@ -2,7 +2,7 @@
 
 import java.util.function.DoubleSupplier;
 import java.util.logging.Logger;
-import sprucehold.clients.Arrival;
+import sprucehold.clients.ConnectionArrival;
 
 /**
  * The passes of the event loop over its sockets. In each pass the loop asks the system once which
@@ -118,7 +118,7 @@
      * moment itself where the loop is on time. A connection that no whole pass has read since it
      * was opened may bring what came while it waited to be accepted.
      */
-    double unreadSince(double nowMs, Arrival arrival) {
+    double unreadSince(double nowMs, ConnectionArrival arrival) {
         double since =
                 polledAfter >= arrival.openedAt()
                         ? polledAfter
--- a/gatherer/src/main/java/sprucehold/node/DryWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -2,21 +2,21 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.clients.DryClient;
+import sprucehold.clients.StubClient;
 import sprucehold.coordinator.Commands;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.coordinator.Observation;
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
-import sprucehold.shards.DryServers;
+import sprucehold.shards.StubShardServers;
 
 /**
  * Runs scans through decisions and codecs without any socket, on a clock of its own. For platforms
  * that grant a process no sockets within itself: there the first scan after a start, interpreted,
  * held the loop for half a second, and others were answered late.
  */
-final class DryWarmUp {
+final class StubWarmUp {
     /**
      * Two wide scans make two hundred parts, after which most of what is called for each is
      * compiled; more starts later.
@@ -26,16 +26,16 @@
     /** The widest scans that are rehearsed. */
     private static final int MOST_PARTS = 100;
 
-    private DryWarmUp() {}
+    private StubWarmUp() {}
 
     /** Returns how many scans were answered. */
     static int run(NodeConfig config, DecisionPolicy.Factory factory) {
         Deployment deployment = config.facts().deployment();
         var coordinator =
                 new QueryCoordinator(factory.start(config.seed(), deployment), deployment);
-        var clients = new DryClient(config.facts().shards());
-        var servers = new DryServers();
-        var scans = new WarmUpScans(config);
+        var clients = new StubClient(config.facts().shards());
+        var servers = new StubShardServers();
+        var scans = new WarmUpQueries(config);
         var list = new ArrayList<EndpointUpdate>();
         for (int cell = 0; cell < deployment.layout().replicaGroups(); cell++) {
             for (String holder : List.of("a", "b")) {
@@ -73,7 +73,7 @@
         return answered;
     }
 
-    private static int carry(Commands commands, DryClient clients) {
+    private static int carry(Commands commands, StubClient clients) {
         commands.replies().forEach(reply -> clients.write(reply.answer()));
         return commands.replies().size();
     }
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -22,15 +22,15 @@
 import java.util.logging.Logger;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.decision.DecisionPolicy;
-import sprucehold.discovery.ListNews;
+import sprucehold.discovery.EndpointListReader;
 import sprucehold.standin.StandIns;
 
 /**
  * Runs scans through a gatherer of its own before the real one listens, so that what serving needs
  * is loaded and compiled by then: a JVM that begins under load with a part of a core answers
  * nothing in time for seconds. All stays within the process: its sockets are files in a directory
- * that nobody else knows, and go with it. Where such sockets aren't granted, {@link DryWarmUp} does
- * what goes without.
+ * that nobody else knows, and go with it. Where such sockets aren't granted, {@link StubWarmUp}
+ * does what goes without.
  */
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
@@ -51,11 +51,11 @@
 
     private final Vertx vertx = Service.vertx();
     private final NodeConfig config;
-    private final WarmUpScans scans;
+    private final WarmUpQueries scans;
 
     private WarmUp(NodeConfig config) {
         this.config = config;
-        this.scans = new WarmUpScans(config);
+        this.scans = new WarmUpQueries(config);
     }
 
     /** Returns when it is done; whatever goes wrong, only the time is lost. */
@@ -67,7 +67,7 @@
         int scans = 0;
         try {
             scans = withinTheProcess() ? overSockets(config, factory) : 0;
-            scans = scans > 0 ? scans : DryWarmUp.run(config, factory);
+            scans = scans > 0 ? scans : StubWarmUp.run(config, factory);
         } catch (RuntimeException e) {
             // Served cold then.
         } finally {
@@ -141,7 +141,7 @@
                         NodeConfig.Address.NONE,
                         config.seed(),
                         config.sockets(),
-                        new ListNews(0, true, servers),
+                        new EndpointListReader(0, true, servers),
                         config.facts());
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(
--- a/gatherer/src/main/java/sprucehold/node/WarmUpScans.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
@@ -4,11 +4,11 @@
 import sprucehold.decision.QueryClass;
 
 /** The scans that a warm-up asks, over whatever way it has. */
-final class WarmUpScans {
+final class WarmUpQueries {
     private final NodeConfig config;
     private int asked;
 
-    WarmUpScans(NodeConfig config) {
+    WarmUpQueries(NodeConfig config) {
         this.config = config;
     }
 
--- a/gatherer/src/main/java/sprucehold/shards/ShardLink.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -23,8 +23,8 @@
 import sprucehold.sockets.UnsentOutput;
 
 /** One connection to a shard server, from the dial to its end, and all parts that are out on it. */
-final class ShardLink {
-    private static final Logger LOG = Logger.getLogger(ShardLink.class.getName());
+final class ShardConnection {
+    private static final Logger LOG = Logger.getLogger(ShardConnection.class.getName());
 
     /** What a link tells its owner. */
     interface Owner {
@@ -36,17 +36,17 @@
 
         void ended(Attempt attempt, AttemptResult result);
 
-        void probeEnded(ShardLink link, AttemptResult result, double tookMs);
+        void probeEnded(ShardConnection link, AttemptResult result, double tookMs);
 
-        void up(ShardLink link);
+        void up(ShardConnection link);
 
         /**
          * Calls wait on it that can be written now: {@link #writeWaiting} is due in the next turn.
          */
-        void turnWanted(ShardLink link);
+        void turnWanted(ShardConnection link);
 
         /** The link is over; {@code neverUp} if the dial failed. */
-        void closed(ShardLink link, boolean neverUp, String why);
+        void closed(ShardConnection link, boolean neverUp, String why);
     }
 
     private static final class Flight {
@@ -101,7 +101,7 @@
     private boolean spoilt;
     private FrameReader reader;
 
-    ShardLink(Owner owner, String address, int mostParts) {
+    ShardConnection(Owner owner, String address, int mostParts) {
         this.owner = owner;
         this.address = address;
         this.mostParts = mostParts;
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -40,11 +40,11 @@
     private final Map<ShardServer, Peer> peers = new HashMap<>();
 
     /** Links on which calls wait that can be written in the next turn. */
-    private final Set<ShardLink> ready = new LinkedHashSet<>();
+    private final Set<ShardConnection> ready = new LinkedHashSet<>();
 
-    private final class Peer implements ShardLink.Owner {
+    private final class Peer implements ShardConnection.Owner {
         final ShardServer server;
-        final List<ShardLink> links = new ArrayList<>();
+        final List<ShardConnection> links = new ArrayList<>();
         boolean unreachable;
 
         Peer(ShardServer server) {
@@ -72,12 +72,12 @@
         }
 
         @Override
-        public void probeEnded(ShardLink link, AttemptResult result, double tookMs) {
+        public void probeEnded(ShardConnection link, AttemptResult result, double tookMs) {
             reports.accept(new Observation.HealthCheckEnded(server, result, tookMs));
         }
 
         @Override
-        public void up(ShardLink link) {
+        public void up(ShardConnection link) {
             if (unreachable) {
                 unreachable = false;
                 LOG.info("shard server " + server + " is reached again");
@@ -85,13 +85,13 @@
         }
 
         @Override
-        public void turnWanted(ShardLink link) {
+        public void turnWanted(ShardConnection link) {
             ready.add(link);
             gate.turnWanted();
         }
 
         @Override
-        public void closed(ShardLink link, boolean neverUp, String why) {
+        public void closed(ShardConnection link, boolean neverUp, String why) {
             links.remove(link);
             if (neverUp && !unreachable) {
                 unreachable = true;
@@ -100,15 +100,15 @@
         }
 
         /** A link that can take the call: an open one or a new one. */
-        ShardLink link(List<Attempt> call) {
-            for (ShardLink link : List.copyOf(links)) {
+        ShardConnection link(List<Attempt> call) {
+            for (ShardConnection link : List.copyOf(links)) {
                 if (link.address().equals(server.address())
                         && link.fits(call)
                         && link.isOpenStill()) {
                     return link;
                 }
             }
-            var link = new ShardLink(this, server.address(), limits.maxPartsInFlight());
+            var link = new ShardConnection(this, server.address(), limits.maxPartsInFlight());
             links.add(link);
             link.dialled(dial(server.address()));
             return link;
@@ -195,9 +195,9 @@
      * all that had come when it began.
      */
     public void writeWaiting() {
-        List<ShardLink> links = List.copyOf(ready);
+        List<ShardConnection> links = List.copyOf(ready);
         ready.clear();
-        links.stream().filter(ShardLink::isOpenStill).forEach(ShardLink::writeWaiting);
+        links.stream().filter(ShardConnection::isOpenStill).forEach(ShardConnection::writeWaiting);
     }
 
     public void cancel(List<Attempt> dispatches) {
--- a/gatherer/src/main/java/sprucehold/shards/DryServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
@@ -11,7 +11,7 @@
  * What the way of parts through this package runs, without a socket: for a warm-up where none are
  * granted.
  */
-public final class DryServers {
+public final class StubShardServers {
     private final List<ShardFrame> read = new ArrayList<>();
     private final FrameReader reader = new FrameReader(read::add, why -> {});
 
--- a/gatherer/src/main/java/sprucehold/drill/MalformedBatchException.java
+++ b/gatherer/src/main/java/sprucehold/simulation/MalformedBatchException.java
@@ -1,4 +1,4 @@
-package sprucehold.drill;
+package sprucehold.simulation;
 
 import java.io.IOException;
 
--- a/gatherer/src/main/java/sprucehold/drill/Drill.java
+++ b/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
@@ -1,4 +1,4 @@
-package sprucehold.drill;
+package sprucehold.simulation;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -26,7 +26,7 @@
  * Runs many gatherers on the bench's wire: a line in holds a batch of events, a line out the
  * actions.
  */
-public final class Drill {
+public final class SimulationAdapter {
     private final DecisionPolicy.Factory factory;
     private final ObjectMapper mapper = new ObjectMapper();
     private final ObjectReader reader =
@@ -51,7 +51,7 @@
         }
     }
 
-    public Drill(DecisionPolicy.Factory factory) {
+    public SimulationAdapter(DecisionPolicy.Factory factory) {
         this.factory = factory;
     }
 
--- a/gatherer/src/main/java/sprucehold/drill/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireReader.java
@@ -1,4 +1,4 @@
-package sprucehold.drill;
+package sprucehold.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
--- a/gatherer/src/main/java/sprucehold/drill/WireWriter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
@@ -1,4 +1,4 @@
-package sprucehold.drill;
+package sprucehold.simulation;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -176,7 +176,10 @@
                 List.of("100", "open a", "head a", "whole a", "7", "answered a", "5", "head a")) {
             step(step);
             if (now > 0 && connections.size() > 0) {
-                assertEquals(connections.arrival("a"), new Arrival(100 - BACKLOG_MS, 100), step);
+                assertEquals(
+                        connections.arrival("a"),
+                        new ConnectionArrival(100 - BACKLOG_MS, 100),
+                        step);
             }
         }
         assertEquals(connections.size(), 1);
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -65,7 +65,7 @@
     private volatile double heldUpMs;
     private BlockingQueue<Query> taken;
     private BlockingQueue<Query> left;
-    private BlockingQueue<Arrival> arrivals;
+    private BlockingQueue<ConnectionArrival> arrivals;
     private boolean inPass;
     private int requestsOfPass;
     private volatile int mostRequestsOfAPass;
@@ -88,7 +88,7 @@
         vertx = Vertx.vertx();
         loop = new TestLoop(vertx);
         var handler =
-                new ScanHandler() {
+                new QueryHandler() {
                     @Override
                     public boolean ready() {
                         return ready;
@@ -105,7 +105,7 @@
                     }
 
                     @Override
-                    public double unreadSince(double nowMs, Arrival arrival) {
+                    public double unreadSince(double nowMs, ConnectionArrival arrival) {
                         arrivals.add(arrival);
                         countInPass();
                         return nowMs - heldUpMs;
--- a/gatherer/src/test/java/sprucehold/clients/ScanReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
@@ -12,7 +12,7 @@
 import sprucehold.coordinator.Answer;
 import sprucehold.coordinator.Query;
 
-public class ScanReaderTest {
+public class QueryReaderTest {
     private static final String PART = "{\"bucket\":3,\"part\":1.0}";
 
     private static Query read(String id, String tableType, String deadline, String body)
@@ -26,7 +26,7 @@
             headers.add("X-Deadline-Ms", deadline);
         }
         // A single byte for what isn't ASCII, which is no UTF-8.
-        return new ScanReader(10)
+        return new QueryReader(10)
                 .read("q", headers, body.getBytes(StandardCharsets.ISO_8859_1), 30);
     }
 
@@ -81,7 +81,7 @@
     public void scansThatCantBeTakenAreRefused(
             String id, String tableType, String deadline, String body) {
         assertThrows(
-                ScanReader.MalformedException.class, () -> read(id, tableType, deadline, body));
+                QueryReader.MalformedException.class, () -> read(id, tableType, deadline, body));
     }
 
     @Test
@@ -102,9 +102,9 @@
                             .add("Idempotency-Key", "k");
             headers.add(name, headers.get(name));
             assertThrows(
-                    ScanReader.MalformedException.class,
+                    QueryReader.MalformedException.class,
                     () ->
-                            new ScanReader(10)
+                            new QueryReader(10)
                                     .read(
                                             "q",
                                             headers,
@@ -120,7 +120,7 @@
                         .add("X-Class", "q")
                         .add("X-Deadline-Ms", "9")
                         .add("Idempotency-Key", key);
-        return new ScanReader(10)
+        return new QueryReader(10)
                 .read("q", headers, body(PART).getBytes(StandardCharsets.UTF_8), 0);
     }
 
@@ -137,7 +137,7 @@
 
     @Test(dataProvider = "keysThatFitNoFrame")
     public void idempotencyKeyThatWouldChangeTheFrameIsRefused(String key) {
-        assertThrows(ScanReader.MalformedException.class, () -> withKey(key));
+        assertThrows(QueryReader.MalformedException.class, () -> withKey(key));
     }
 
     @Test
--- a/gatherer/src/test/java/sprucehold/discovery/WatchPlanTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchPlanTest.java
@@ -16,7 +16,7 @@
  * When each change of the list counts as told, and when the gatherer knows it, on a clock of its
  * own.
  */
-public class WatchPlanTest {
+public class EndpointWatchPlanTest {
     private static final double WAY = 1;
 
     /**
@@ -34,13 +34,13 @@
         private final PriorityQueue<Due> due =
                 new PriorityQueue<>(
                         Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-        private final WatchPlan plan;
+        private final EndpointWatchPlan plan;
         private long orders;
         private double now;
         private long version = 1;
         private boolean down;
         private long moves;
-        private final Map<Long, WatchPlan.Call> waiting = new HashMap<>();
+        private final Map<Long, EndpointWatchPlan.Call> waiting = new HashMap<>();
 
         /** When each call was made, and since when those that have fallen silent are. */
         private final Map<Long, Double> calledAt = new HashMap<>();
@@ -50,16 +50,16 @@
         int calls;
 
         Play(boolean pushed) {
-            plan = new WatchPlan(pushed, 10_000);
+            plan = new EndpointWatchPlan(pushed, 10_000);
         }
 
         void at(double time, Runnable what) {
             due.add(new Due(time, orders++, what));
         }
 
-        private void carryOut(List<WatchPlan.Step> steps) {
-            for (WatchPlan.Step step : steps) {
-                if (step instanceof WatchPlan.Step.Ask ask) {
+        private void carryOut(List<EndpointWatchPlan.Step> steps) {
+            for (EndpointWatchPlan.Step step : steps) {
+                if (step instanceof EndpointWatchPlan.Step.Ask ask) {
                     calls++;
                     long to = moves;
                     calledAt.put(ask.call().number(), now);
@@ -75,14 +75,14 @@
                                                                     now,
                                                                     ask.call().number(),
                                                                     "no answer"))));
-                } else if (step instanceof WatchPlan.Step.Drop drop) {
+                } else if (step instanceof EndpointWatchPlan.Step.Drop drop) {
                     waiting.remove(drop.number());
                     calledAt.remove(drop.number());
-                } else if (step instanceof WatchPlan.Step.Tell tell) {
+                } else if (step instanceof EndpointWatchPlan.Step.Tell tell) {
                     for (long v = 1; v <= tell.news().index(); v++) {
                         knownAt.putIfAbsent(v, now);
                     }
-                } else if (step instanceof WatchPlan.Step.TellFailed) {
+                } else if (step instanceof EndpointWatchPlan.Step.TellFailed) {
                     // What the decisions do: they ask again after up to three seconds.
                     at(now + 3000, () -> carryOut(plan.ask(now)));
                 }
@@ -101,7 +101,7 @@
             }
         }
 
-        private void arrive(WatchPlan.Call call, long to) {
+        private void arrive(EndpointWatchPlan.Call call, long to) {
             if (to != moves || !calledAt.containsKey(call.number())) {
                 return;
             }
@@ -111,7 +111,7 @@
         }
 
         private void answer(long number, boolean over) {
-            WatchPlan.Call call = waiting.get(number);
+            EndpointWatchPlan.Call call = waiting.get(number);
             if (call == null
                     || down
                     || silentSince.containsKey(number)
@@ -130,7 +130,7 @@
                                                     plan.answered(
                                                             now,
                                                             number,
-                                                            new ListNews(
+                                                            new EndpointListReader(
                                                                     told,
                                                                     call.after() < 0,
                                                                     List.of())))));
@@ -334,23 +334,24 @@
 
     @Test
     public void listThatGoesBackIsAskedForAnewAndWhole() {
-        var plan = new WatchPlan(true, 10_000);
+        var plan = new EndpointWatchPlan(true, 10_000);
         plan.ask(0);
-        plan.answered(1, 1, new ListNews(9, true, List.of()));
+        plan.answered(1, 1, new EndpointListReader(9, true, List.of()));
         plan.woken(3001);
-        List<WatchPlan.Step> steps = plan.answered(3002, 3, new ListNews(4, false, List.of()));
-        assertEquals(steps.get(0), new WatchPlan.Step.Drop(2));
+        List<EndpointWatchPlan.Step> steps =
+                plan.answered(3002, 3, new EndpointListReader(4, false, List.of()));
+        assertEquals(steps.get(0), new EndpointWatchPlan.Step.Drop(2));
         assertTrue(
-                steps.contains(new WatchPlan.Step.TellFailed("its index went back")),
+                steps.contains(new EndpointWatchPlan.Step.TellFailed("its index went back")),
                 steps.toString());
-        assertEquals(((WatchPlan.Step.Ask) plan.ask(3010).get(0)).call().after(), -1);
+        assertEquals(((EndpointWatchPlan.Step.Ask) plan.ask(3010).get(0)).call().after(), -1);
     }
 
     @Test
     public void refusedCallsAreMadeASecondApart() {
-        var plan = new WatchPlan(true, 10_000);
+        var plan = new EndpointWatchPlan(true, 10_000);
         plan.ask(0);
-        plan.answered(1, 1, new ListNews(9, true, List.of()));
+        plan.answered(1, 1, new EndpointListReader(9, true, List.of()));
         plan.failed(1000, 2, "reset");
         // The watch goes on if the next call comes within 200 ms.
         assertEquals(plan.dueAt(), 1050.0);
@@ -361,13 +362,13 @@
 
     @Test
     public void atMostTwoCallsAreOpenHoweverLongDiscoveryIsSilent() {
-        var plan = new WatchPlan(true, 10_000);
+        var plan = new EndpointWatchPlan(true, 10_000);
         plan.ask(0);
         int open = 1;
         for (int i = 0; i < 20; i++) {
-            List<WatchPlan.Step> steps = plan.woken(plan.dueAt());
-            open += steps.stream().filter(WatchPlan.Step.Ask.class::isInstance).count();
-            open -= steps.stream().filter(WatchPlan.Step.Drop.class::isInstance).count();
+            List<EndpointWatchPlan.Step> steps = plan.woken(plan.dueAt());
+            open += steps.stream().filter(EndpointWatchPlan.Step.Ask.class::isInstance).count();
+            open -= steps.stream().filter(EndpointWatchPlan.Step.Drop.class::isInstance).count();
             assertEquals(open, 2);
         }
     }
--- a/gatherer/src/test/java/sprucehold/discovery/WatchTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
@@ -25,9 +25,9 @@
 import sprucehold.coordinator.Observation;
 
 /** The watch against a scripted discovery on loopback. */
-public class WatchTest {
+public class EndpointWatchTest {
     private Vertx vertx;
-    private Watch watch;
+    private EndpointWatch watch;
     private int port;
     private BlockingQueue<Observation> reports;
     private BlockingQueue<HttpServerRequest> calls;
@@ -48,8 +48,8 @@
         watch = watch(port, false);
     }
 
-    private Watch watch(int at, boolean asked) {
-        return new Watch(
+    private EndpointWatch watch(int at, boolean asked) {
+        return new EndpointWatch(
                 vertx,
                 "127.0.0.1",
                 at,
@@ -150,7 +150,7 @@
     public void oddEntryGetsNothingAndHidesNoOther(String field) throws Exception {
         String body = list(1, true, endpoint("," + field), endpoint(",\"name\":\"t\""));
         List<EndpointUpdate> servers =
-                ListNews.decode(body.getBytes(StandardCharsets.UTF_8), 2).servers();
+                EndpointListReader.decode(body.getBytes(StandardCharsets.UTF_8), 2).servers();
         assertEquals(servers.get(0).state(), EndpointUpdate.State.GONE);
         assertEquals(servers.get(0).replicaGroup() < 2, true);
         assertEquals(servers.get(1).state(), EndpointUpdate.State.RUNNING);
@@ -159,8 +159,8 @@
     @Test(dataProvider = "malformed")
     public void listThatCantBeUsedIsRefusedWhole(String body) {
         assertThrows(
-                ListNews.MalformedException.class,
-                () -> ListNews.decode(body.getBytes(StandardCharsets.UTF_8), 2));
+                EndpointListReader.MalformedException.class,
+                () -> EndpointListReader.decode(body.getBytes(StandardCharsets.UTF_8), 2));
     }
 
     @DataProvider
@@ -180,7 +180,9 @@
                         ",\"zone\":\"z\",\"since_ms\":1700000000123,\"status\":\""
                                 + status
                                 + "\",\"new\":[]");
-        ListNews news = ListNews.decode(list(41, false, entry).getBytes(StandardCharsets.UTF_8), 2);
+        EndpointListReader news =
+                EndpointListReader.decode(
+                        list(41, false, entry).getBytes(StandardCharsets.UTF_8), 2);
         assertEquals(news.index(), 41);
         assertFalse(news.complete());
         assertEquals(
