--- a/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
+++ b/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
@@ -33,17 +33,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.cluster.membership.MemberMessage;
-import sprucehold.cluster.membership.News;
-import sprucehold.cluster.session.Letter;
+import sprucehold.cluster.membership.MemberUpdate;
+import sprucehold.cluster.session.ClusterMessage;
 import sprucehold.cluster.wire.Codec;
 
 /** Letters over sockets, and whatever else may come to where they come. */
 public class PeerMessagingTest {
     private static final int WITHIN_S = 10;
     private static final String HERE = "127.0.0.1";
-    private static final Letter PING = new Letter.OfMembers(new MemberMessage.Ping(1, List.of()));
+    private static final ClusterMessage PING =
+            new ClusterMessage.OfMembers(new MemberMessage.Ping(1, List.of()));
 
-    private record Came(String from, Letter letter) {}
+    private record Came(String from, ClusterMessage letter) {}
 
     private Vertx vertx;
     private int portA;
@@ -93,7 +94,7 @@
                                     vertx,
                                     new PeerMessagingSettings(self, HERE, port, others, 100_000),
                                     () -> now,
-                                    (from, letter) -> into.add(new Came(from, letter)));
+                                    (from, message) -> into.add(new Came(from, message)));
                     return post.open().map(post);
                 });
     }
@@ -110,21 +111,22 @@
         return done.get(WITHIN_S, TimeUnit.SECONDS);
     }
 
-    private void send(PeerMessaging from, String to, Letter letter) throws Exception {
+    private void send(PeerMessaging from, String to, ClusterMessage message) throws Exception {
         on(
                 () -> {
-                    from.send(to, letter);
+                    from.send(to, message);
                     return Future.succeededFuture();
                 });
     }
 
-    private static Letter table(int members) {
-        return new Letter.OfMembers(
+    private static ClusterMessage table(int members) {
+        return new ClusterMessage.OfMembers(
                 new MemberMessage.Table(
                         true,
                         Collections.nCopies(
                                 members,
-                                new News("gatherer-one", "site", 5, 0, News.State.ALIVE))));
+                                new MemberUpdate(
+                                        "gatherer-one", "site", 5, 0, MemberUpdate.State.ALIVE))));
     }
 
     @DataProvider
@@ -137,9 +139,9 @@
     }
 
     @Test(dataProvider = "letters")
-    public void aLetterComesAsItWasSent(String what, Letter letter) throws Exception {
-        send(a, "b", letter);
-        assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", letter), what);
+    public void aLetterComesAsItWasSent(String what, ClusterMessage message) throws Exception {
+        send(a, "b", message);
+        assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", message), what);
     }
 
     @DataProvider
@@ -321,8 +323,8 @@
                                                                 HERE, portA)),
                                                 1e6),
                                         () -> now,
-                                        (from, letter) -> {
-                                            came.add(new Came(from, letter));
+                                        (from, message) -> {
+                                            came.add(new Came(from, message));
                                             throw new IllegalStateException("scripted");
                                         })
                                 .open());
@@ -346,7 +348,7 @@
                                         vertx,
                                         new PeerMessagingSettings("d", HERE, portB, Map.of(), 1e6),
                                         () -> now,
-                                        (from, letter) -> {})
+                                        (from, message) -> {})
                                 .open()
                                 .onComplete(
                                         open -> failed.complete("opened"),
--- a/gatherer/src/test/java/sprucehold/node/ChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
@@ -32,7 +32,7 @@
 import sprucehold.standin.StandIns;
 
 /** A gatherer among stand-ins, under load, changed through its door. */
-public class ChangesTest {
+public class ConfigurationChangesTest {
     private static final String TOKEN = "a token of some letters";
     private static final java.net.http.HttpClient CALLS =
             java.net.http.HttpClient.newBuilder()
--- a/gatherer/src/test/java/sprucehold/node/NodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
@@ -59,7 +59,7 @@
 import sprucehold.standin.StandIns;
 
 /** A whole gatherer with scripted decisions, and how its file is read. */
-public class NodeTest {
+public class GathererNodeTest {
     private static final String SETTINGS =
             "\"settings\":{\"classes\":[{\"name\":\"q\",\"semantics\":\"retryable\","
                     + "\"aimMs\":100,\"giveUpMs\":300}],\"familyInfo\":{\"ranges\":4,\"sets\":2},"
@@ -149,7 +149,7 @@
 
     /** Makes a node, and returns it with what is over once it listens. */
     private Begun begin(
-            NodeConfig config, DecisionPolicy.Factory factory, List<Neighbour.Factory> beside)
+            NodeConfig config, DecisionPolicy.Factory factory, List<NodeExtension.Factory> beside)
             throws Exception {
         loop = new TestLoop(vertx);
         return loop.call(
@@ -206,7 +206,7 @@
                             }
                             return actions;
                         };
-        assertTrue(Rehearsal.run(config(PLACE, SETTINGS, KNOWN), factory, lines::add));
+        assertTrue(SmokeTest.run(config(PLACE, SETTINGS, KNOWN), factory, lines::add));
         assertEquals(
                 lines,
                 List.of(
@@ -281,7 +281,7 @@
      * One that leaves so many dispatches their units, says that it withdraws them again, and tells
      * what it is asked.
      */
-    private static final class Lender implements Neighbour {
+    private static final class Lender implements NodeExtension {
         final List<String> heard = new ArrayList<>();
         int units;
         boolean withdrawn;
@@ -704,7 +704,7 @@
                             }
                             return actions;
                         };
-        int answered = DryWarmUp.run(config(PLACE, SETTINGS), factory);
+        int answered = StubWarmUp.run(config(PLACE, SETTINGS), factory);
         assertEquals(answered, 3);
         assertTrue(parts.get() >= 3 * 4, String.valueOf(parts));
     }
--- a/gatherer/src/test/java/sprucehold/node/SocketPassesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/SocketPassesTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.clients.Arrival;
+import sprucehold.clients.ConnectionArrival;
 
 /** What is known of the passes over the sockets, on a clock and timers of the test's own. */
 public class SocketPassesTest {
@@ -32,7 +32,7 @@
      * read for long.
      */
     private double unreadSince(double nowMs) {
-        return passes.unreadSince(nowMs, new Arrival(0, 0));
+        return passes.unreadSince(nowMs, new ConnectionArrival(0, 0));
     }
 
     /** A pass at a moment: the sockets are read, then the timers that are due fire. */
@@ -91,7 +91,9 @@
             pass(at);
         }
         assertEquals(
-                passes.unreadSince(1200, new Arrival(connectedSince, openedAt)), expected, which);
+                passes.unreadSince(1200, new ConnectionArrival(connectedSince, openedAt)),
+                expected,
+                which);
     }
 
     @Test
--- a/gatherer/src/test/java/sprucehold/drill/DrillTest.java
+++ b/gatherer/src/test/java/sprucehold/simulation/SimulationAdapterTest.java
@@ -1,4 +1,4 @@
-package sprucehold.drill;
+package sprucehold.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -17,7 +17,7 @@
 import sprucehold.decision.Event;
 import sprucehold.policy.QueryScheduler;
 
-public class DrillTest {
+public class SimulationAdapterTest {
     private static final String ON =
             "{\"PowerOn\":{\"rngSeed\":5,\"params\":{\"balancers\":2,\"new\":[1],\"classes\":"
                     + "[{\"name\":\"q\",\"semantics\":\"dedup\",\"aimMs\":100}],\"familyInfo\":{\"sets\":2}}}}";
@@ -25,7 +25,7 @@
     private static String play(DecisionPolicy.Factory factory, String... lines) throws IOException {
         var out = new ByteArrayOutputStream();
         byte[] in = (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
-        new Drill(factory).run(new ByteArrayInputStream(in), out);
+        new SimulationAdapter(factory).run(new ByteArrayInputStream(in), out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -54,7 +54,9 @@
         byte[] in = (line + "\n").getBytes(StandardCharsets.UTF_8);
         assertThrows(
                 MalformedBatchException.class,
-                () -> new Drill(QueryScheduler::new).run(new ByteArrayInputStream(in), out));
+                () ->
+                        new SimulationAdapter(QueryScheduler::new)
+                                .run(new ByteArrayInputStream(in), out));
         assertEquals(out.size(), 0);
     }
 
