--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -250,18 +250,18 @@
     Object[][] answers() {
         return new Object[][] {
             {"Es.0 hit 5 -\nvalue", "Completed"},
-            {"Es.0 fault 0 -\n", "Faulty"},
-            {"Es.0 overload 0 -\n", "TurnedAway"},
-            {"Fwhat was that", "Lost[progress=WRITTEN]"},
-            {"Xunknown", "Faulty"},
-            {"Es.0 maybe 0 -\n", "Faulty"},
-            {"Et.0 hit 5 -\nvalue", "Faulty"},
-            {"Es.00 hit 5 -\nvalue", "Faulty"},
-            {"Es.0 hit 0x5 -\nvalue", "Faulty"},
-            {"Es.0 hit 5 -\nval\0ue", "Faulty"},
-            {"Es.0 hit 5 -\nval\u00ffue", "Faulty"},
-            {"close", "Lost[progress=WRITTEN]"},
-            {"half", "Lost[progress=WRITTEN]"},
+            {"Es.0 fault 0 -\n", "Failed"},
+            {"Es.0 overload 0 -\n", "Rejected"},
+            {"Fwhat was that", "ConnectionLost[progress=WRITTEN]"},
+            {"Xunknown", "Failed"},
+            {"Es.0 maybe 0 -\n", "Failed"},
+            {"Et.0 hit 5 -\nvalue", "Failed"},
+            {"Es.00 hit 5 -\nvalue", "Failed"},
+            {"Es.0 hit 0x5 -\nvalue", "Failed"},
+            {"Es.0 hit 5 -\nval\0ue", "Failed"},
+            {"Es.0 hit 5 -\nval\u00ffue", "Failed"},
+            {"close", "ConnectionLost[progress=WRITTEN]"},
+            {"half", "ConnectionLost[progress=WRITTEN]"},
         };
     }
 
