--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -22,14 +22,14 @@
 import org.openjdk.jmh.annotations.Warmup;
 import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
-import sprucehold.tracetools.synth.DayPlan;
-import sprucehold.tracetools.synth.SyntheticDay;
+import sprucehold.tracetools.synthetic.DayPlan;
+import sprucehold.tracetools.synthetic.SyntheticDay;
 
 /** Nanoseconds a record to write a trace file, and to read it. */
 @State(Scope.Thread)
@@ -54,12 +54,12 @@
                         entry -> {
                             if (records[0] < RECORDS) {
                                 entries.add(entry);
-                                records[0] += ((Moment) entry).items().size();
+                                records[0] += ((PolicyCall) entry).items().size();
                             }
                         }),
                 count -> {});
         file = Files.createTempFile("codec", ".trace");
-        try (var writer = new TraceWriter(TraceRepair.create(file), Head.of(source))) {
+        try (var writer = new TraceWriter(TraceRepair.create(file), TraceHeader.of(source))) {
             for (Entry entry : entries) {
                 writer.add(entry);
             }
@@ -74,7 +74,8 @@
     @Benchmark
     @OperationsPerInvocation(RECORDS)
     public long encode() throws IOException {
-        try (var writer = new TraceWriter(OutputStream.nullOutputStream(), Head.of(source))) {
+        try (var writer =
+                new TraceWriter(OutputStream.nullOutputStream(), TraceHeader.of(source))) {
             for (Entry entry : entries) {
                 writer.add(entry);
             }
--- /dev/null
+++ b/cli/src/main/java/sprucehold/cli/OutcomeNames.java
@@ -0,0 +1,32 @@
+package sprucehold.cli;
+
+import java.util.Arrays;
+import java.util.Iterator;
+import picocli.CommandLine.ITypeConverter;
+import picocli.CommandLine.TypeConversionException;
+import sprucehold.tracetools.explanation.QueryStatistics;
+
+/** Outcomes of queries as options name them: by their stored names, which scripts know. */
+final class OutcomeNames implements ITypeConverter<QueryStatistics.Outcome>, Iterable<String> {
+    @Override
+    public QueryStatistics.Outcome convert(String name) {
+        return Arrays.stream(QueryStatistics.Outcome.values())
+                .filter(outcome -> outcome.storedName().equals(name))
+                .findFirst()
+                .orElseThrow(
+                        () ->
+                                new TypeConversionException(
+                                        "expected one of "
+                                                + String.join(", ", this)
+                                                + " but was '"
+                                                + name
+                                                + "'"));
+    }
+
+    @Override
+    public Iterator<String> iterator() {
+        return Arrays.stream(QueryStatistics.Outcome.values())
+                .map(QueryStatistics.Outcome::storedName)
+                .iterator();
+    }
+}
--- a/cli/src/main/java/sprucehold/cli/TraceChange.java
+++ b/cli/src/main/java/sprucehold/cli/TraceChange.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.anonymise.Anonymiser;
 import sprucehold.tracetools.clock.ClockEstimate;
 import sprucehold.tracetools.cut.TraceCut;
+import sprucehold.tracetools.explanation.Times;
 import sprucehold.tracetools.export.TraceExport;
 import sprucehold.tracetools.merge.TraceMerge;
-import sprucehold.tracetools.story.Times;
 
 /** Commands that make a file of others. */
 final class TraceChange {
@@ -70,7 +70,7 @@
 
         @Override
         public Integer call() throws IOException {
-            var window = new Head.Window(Times.parse(from), Times.parse(to));
+            var window = new TraceHeader.Window(Times.parse(from), Times.parse(to));
             if (!(window.fromMs() < window.toMs())) {
                 throw new IOException("--from " + from + " isn't before --to " + to);
             }
@@ -210,7 +210,7 @@
                                         "pooled",
                                         written.pooled(),
                                         "lost",
-                                        done.head().lost()));
+                                        done.header().lost()));
                         return 0;
                     }
                     System.out.printf(
@@ -221,7 +221,7 @@
                             written.leftOut(),
                             written.named(),
                             written.pooled());
-                    done.head().lost().forEach(lost -> System.out.println("  " + lost));
+                    done.header().lost().forEach(lost -> System.out.println("  " + lost));
                 }
             }
             return 0;
--- a/cli/src/main/java/sprucehold/cli/TraceJudge.java
+++ b/cli/src/main/java/sprucehold/cli/TraceJudge.java
@@ -13,18 +13,18 @@
 import picocli.CommandLine.Parameters;
 import sprucehold.decision.AttemptOutcome;
 import sprucehold.policy.QueryScheduler;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
+import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.replay.TraceDiff;
 import sprucehold.tracetools.replay.TraceReplay;
-import sprucehold.tracetools.story.ScanTally;
-import sprucehold.tracetools.summary.ScanGroup;
+import sprucehold.tracetools.summary.QueryGroup;
 import sprucehold.tracetools.summary.SummaryPage;
 import sprucehold.tracetools.summary.TraceSummary;
-import sprucehold.tracetools.synth.DayPlan;
-import sprucehold.tracetools.synth.SyntheticDay;
+import sprucehold.tracetools.synthetic.DayPlan;
+import sprucehold.tracetools.synthetic.SyntheticDay;
 
 /** Commands that judge files, and one that makes days to judge. */
 final class TraceJudge {
@@ -117,7 +117,7 @@
                                             (reason, count) ->
                                                     why.add(
                                                             List.of(
-                                                                    how.words(),
+                                                                    how.description(),
                                                                     reason.description(),
                                                                     count))));
             Printed.table(List.of("outcome", "because", "scans"), why);
@@ -169,7 +169,7 @@
             return 0;
         }
 
-        private static void table(String what, Map<String, ScanGroup> groups) {
+        private static void table(String what, Map<String, QueryGroup> groups) {
             var rows = new ArrayList<List<Object>>();
             groups.forEach(
                     (name, group) ->
@@ -177,11 +177,11 @@
                                     List.of(
                                             name,
                                             group.scans(),
-                                            group.of(ScanTally.Outcome.WHOLE),
-                                            group.of(ScanTally.Outcome.PART),
-                                            group.of(ScanTally.Outcome.THROTTLED),
-                                            group.of(ScanTally.Outcome.ABANDONED),
-                                            group.of(ScanTally.Outcome.CLIENT_LEFT),
+                                            group.of(QueryStatistics.Outcome.COMPLETE),
+                                            group.of(QueryStatistics.Outcome.PARTIAL),
+                                            group.of(QueryStatistics.Outcome.REJECTED),
+                                            group.of(QueryStatistics.Outcome.FAILED),
+                                            group.of(QueryStatistics.Outcome.CLIENT_DISCONNECTED),
                                             100.0
                                                     * group.inTargetTime()
                                                     / Math.max(1, group.scans()),
@@ -207,13 +207,13 @@
             System.out.println();
         }
 
-        private static Map<String, Object> groups(Map<String, ScanGroup> groups) {
+        private static Map<String, Object> groups(Map<String, QueryGroup> groups) {
             var map = TraceLook.map();
             groups.forEach(
                     (name, group) -> {
                         var outcomes = TraceLook.map();
-                        for (ScanTally.Outcome outcome : ScanTally.Outcome.values()) {
-                            outcomes.put(outcome.name(), group.of(outcome));
+                        for (QueryStatistics.Outcome outcome : QueryStatistics.Outcome.values()) {
+                            outcomes.put(outcome.storedName(), group.of(outcome));
                         }
                         map.put(
                                 name,
@@ -455,7 +455,7 @@
                 for (var source : day.sources()) {
                     Path file = out.resolve(source.gatherer() + ".trace");
                     files.add(file);
-                    writers.add(new TraceWriter(TraceRepair.create(file), Head.of(source)));
+                    writers.add(new TraceWriter(TraceRepair.create(file), TraceHeader.of(source)));
                 }
                 day.play(
                         writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
--- a/cli/src/main/java/sprucehold/cli/TraceLook.java
+++ b/cli/src/main/java/sprucehold/cli/TraceLook.java
@@ -17,11 +17,11 @@
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.tracetools.clock.ClockEstimate;
-import sprucehold.tracetools.story.ScanTallies;
-import sprucehold.tracetools.story.ScanTally;
-import sprucehold.tracetools.story.Story;
-import sprucehold.tracetools.story.Storyteller;
-import sprucehold.tracetools.story.Times;
+import sprucehold.tracetools.explanation.QueryExplainer;
+import sprucehold.tracetools.explanation.QueryExplanation;
+import sprucehold.tracetools.explanation.QueryStatistics;
+import sprucehold.tracetools.explanation.QueryStatisticsCollector;
+import sprucehold.tracetools.explanation.Times;
 
 /** Commands that look at one trace file. */
 final class TraceLook {
@@ -67,9 +67,9 @@
         @Override
         public Integer call() throws IOException {
             try (TraceReader reader = open(file)) {
-                var head = reader.head();
+                var header = reader.header();
                 var sources = new ArrayList<Map<String, Object>>();
-                for (Source source : head.sources()) {
+                for (Source source : header.sources()) {
                     sources.add(
                             map(
                                     "gatherer",
@@ -97,13 +97,13 @@
                                     "sound_end",
                                     reader.damage() == null,
                                     "one_in",
-                                    head.oneIn(),
+                                    header.oneIn(),
                                     "anonymised",
-                                    head.anonymised(),
+                                    header.anonymised(),
                                     "window",
-                                    head.window(),
+                                    header.window(),
                                     "lost",
-                                    head.lost(),
+                                    header.lost(),
                                     "sources",
                                     sources));
                     return 0;
@@ -127,17 +127,17 @@
                 pairs.put("gaps", reader.gaps() < 0 ? "unknown without an index" : reader.gaps());
                 pairs.put(
                         "keeps",
-                        head.oneIn() == 1
+                        header.oneIn() == 1
                                 ? "every scan"
                                 : "scans that ended badly or late, and one in "
-                                        + head.oneIn()
+                                        + header.oneIn()
                                         + " of the others");
-                if (head.window() != null) {
+                if (header.window() != null) {
                     pairs.put(
                             "cut to",
-                            Times.iso(head.window().fromMs())
+                            Times.iso(header.window().fromMs())
                                     + " until before "
-                                    + Times.iso(head.window().toMs()));
+                                    + Times.iso(header.window().toMs()));
                 }
                 sources.forEach(
                         source ->
@@ -150,8 +150,8 @@
                                                 + source.get("started")
                                                 + "; clock: "
                                                 + source.get("clock")));
-                for (int i = 0; i < head.lost().size(); i++) {
-                    pairs.put("lost " + (i + 1), head.lost().get(i));
+                for (int i = 0; i < header.lost().size(); i++) {
+                    pairs.put("lost " + (i + 1), header.lost().get(i));
                 }
                 Printed.pairs(pairs);
                 return 0;
@@ -173,7 +173,7 @@
         @Override
         public Integer call() throws IOException {
             try (TraceReader reader = TraceReader.open(file)) {
-                TraceReader.Verdict verdict = reader.verify();
+                TraceReader.Verification verdict = reader.verify();
                 if (json) {
                     Printed.json(
                             map(
@@ -268,8 +268,10 @@
         @Option(
                 names = "--outcome",
                 paramLabel = "OUTCOME",
-                description = "one of ${COMPLETION-CANDIDATES}")
-        private ScanTally.Outcome outcome;
+                description = "one of ${COMPLETION-CANDIDATES}",
+                completionCandidates = OutcomeNames.class,
+                converter = OutcomeNames.class)
+        private QueryStatistics.Outcome outcome;
 
         @Option(
                 names = "--late",
@@ -305,31 +307,42 @@
         public Integer call() throws IOException {
             double fromMs = from == null ? Double.NEGATIVE_INFINITY : Times.parse(from);
             double toMs = to == null ? Double.POSITIVE_INFINITY : Times.parse(to);
-            var found = new ArrayList<ScanTally>();
+            var found = new ArrayList<QueryStatistics>();
             long[] more = {0};
             try (TraceReader reader = open(file)) {
                 var tallies =
-                        new ScanTallies(
-                                tally -> {
+                        new QueryStatisticsCollector(
+                                statistics -> {
                                     Source source =
-                                            reader.head().sources().get(tally.scan().source());
-                                    double taken = source.clock().corrected(tally.scan().takenMs());
-                                    if ((scan == null || tally.scan().taken().id().equals(scan))
-                                            && (server == null || tally.servers().contains(server))
-                                            && (outcome == null || tally.outcome() == outcome)
-                                            && (!late || !tally.inTargetTime())
+                                            reader.header()
+                                                    .sources()
+                                                    .get(statistics.query().source());
+                                    double taken =
+                                            source.clock()
+                                                    .corrected(statistics.query().receivedMs());
+                                    if ((scan == null
+                                                    || statistics
+                                                            .query()
+                                                            .received()
+                                                            .id()
+                                                            .equals(scan))
+                                            && (server == null
+                                                    || statistics.servers().contains(server))
+                                            && (outcome == null || statistics.outcome() == outcome)
+                                            && (!late || !statistics.metLatencyObjective())
                                             && (type == null
-                                                    || tally.scan()
-                                                            .taken()
+                                                    || statistics
+                                                            .query()
+                                                            .received()
                                                             .queryClass()
                                                             .name()
                                                             .equals(type))
                                             && (customer == null
-                                                    || tally.customer().equals(customer))
+                                                    || statistics.tenant().equals(customer))
                                             && taken >= fromMs
                                             && taken < toMs) {
                                         if (found.size() < most) {
-                                            found.add(tally);
+                                            found.add(statistics);
                                         } else {
                                             more[0]++;
                                         }
@@ -338,7 +351,7 @@
                 // A scan may end long after the window, so only its beginning bounds what is read.
                 TraceReader.Cursor cursor =
                         scan != null
-                                ? reader.ofScan(scan)
+                                ? reader.ofQuery(scan)
                                 : server != null
                                         ? reader.ofServer(server)
                                         : from != null
@@ -349,17 +362,19 @@
                     tallies.add(entry);
                 }
                 tallies.end();
-                found.sort(Comparator.comparingDouble(tally -> tally.scan().takenMs()));
+                found.sort(
+                        Comparator.comparingDouble(statistics -> statistics.query().receivedMs()));
                 print(reader, found, more[0]);
             }
             return found.isEmpty() ? 1 : 0;
         }
 
-        private void print(TraceReader reader, List<ScanTally> found, long more) {
+        private void print(TraceReader reader, List<QueryStatistics> found, long more) {
             var rows = new ArrayList<List<Object>>();
-            for (ScanTally tally : found) {
-                var taken = tally.scan().taken();
-                String gatherer = reader.head().sources().get(tally.scan().source()).gatherer();
+            for (QueryStatistics statistics : found) {
+                var taken = statistics.query().received();
+                String gatherer =
+                        reader.header().sources().get(statistics.query().source()).gatherer();
                 if (json) {
                     Printed.json(
                             map(
@@ -370,36 +385,36 @@
                                     "type",
                                     taken.queryClass().name(),
                                     "customer",
-                                    tally.customer(),
+                                    statistics.tenant(),
                                     "taken",
-                                    Times.iso(tally.scan().takenMs()),
+                                    Times.iso(statistics.query().receivedMs()),
                                     "outcome",
-                                    tally.outcome(),
+                                    statistics.outcome().storedName(),
                                     "reason",
-                                    tally.reason(),
+                                    statistics.reason(),
                                     "took_ms",
-                                    finite(tally.tookMs()),
+                                    finite(statistics.durationMs()),
                                     "in_target_time",
-                                    tally.inTargetTime(),
+                                    statistics.metLatencyObjective(),
                                     "parts",
-                                    tally.parts(),
+                                    statistics.parts(),
                                     "dispatches",
-                                    tally.dispatches(),
+                                    statistics.attempts(),
                                     "servers",
-                                    tally.servers()));
+                                    statistics.servers()));
                 } else {
                     rows.add(
                             List.of(
                                     taken.id(),
                                     gatherer,
                                     taken.queryClass().name(),
-                                    tally.customer(),
-                                    Times.iso(tally.scan().takenMs()),
-                                    tally.outcome().words(),
-                                    tally.reason().description(),
-                                    tally.tookMs(),
-                                    tally.parts(),
-                                    tally.dispatches()));
+                                    statistics.tenant(),
+                                    Times.iso(statistics.query().receivedMs()),
+                                    statistics.outcome().description(),
+                                    statistics.reason().description(),
+                                    statistics.durationMs(),
+                                    statistics.parts(),
+                                    statistics.attempts()));
                 }
             }
             if (!json && !rows.isEmpty()) {
@@ -446,12 +461,12 @@
         @Override
         public Integer call() throws IOException {
             try (TraceReader reader = open(file)) {
-                var collector = new Story.Collector(scan);
-                TraceReader.Cursor cursor = reader.ofScan(scan);
+                var collector = new QueryExplanation.Collector(scan);
+                TraceReader.Cursor cursor = reader.ofQuery(scan);
                 for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                     collector.add(entry);
                 }
-                List<Story> stories = collector.stories();
+                List<QueryExplanation> stories = collector.stories();
                 if (stories.isEmpty()) {
                     System.err.println("sprucehold: " + reader.name() + " holds no scan " + scan);
                     return 1;
@@ -459,8 +474,9 @@
                 if (stories.size() > 1 && !json) {
                     System.out.println("the id " + scan + " came " + stories.size() + " times\n");
                 }
-                for (Story story : stories) {
-                    Source source = reader.head().sources().get(story.tally().scan().source());
+                for (QueryExplanation explanation : stories) {
+                    Source source =
+                            reader.header().sources().get(explanation.tally().query().source());
                     if (json) {
                         Printed.json(
                                 map(
@@ -469,11 +485,11 @@
                                         "gatherer",
                                         source.gatherer(),
                                         "outcome",
-                                        story.tally().outcome(),
+                                        explanation.tally().outcome(),
                                         "reason",
-                                        story.tally().reason(),
+                                        explanation.tally().reason(),
                                         "lines",
-                                        story.lines().stream()
+                                        explanation.lines().stream()
                                                 .map(
                                                         line ->
                                                                 map(
@@ -486,7 +502,7 @@
                                                                                         ? line.item()
                                                                                                 .event()
                                                                                         : line.item()
-                                                                                                .action())
+                                                                                                .command())
                                                                                 .getClass()
                                                                                 .getSimpleName(),
                                                                         "what",
@@ -494,10 +510,10 @@
                                                                                 ? line.item()
                                                                                         .event()
                                                                                 : line.item()
-                                                                                        .action()))
+                                                                                        .command()))
                                                 .toList()));
                     } else {
-                        Storyteller.tell(story, source).forEach(System.out::println);
+                        QueryExplainer.tell(explanation, source).forEach(System.out::println);
                     }
                 }
                 return 0;
--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -306,9 +306,9 @@
                         .that()
                         .resideInAnyPackage(
                                 "sprucehold.trace.event..",
-                                "sprucehold.trace.book..",
+                                "sprucehold.trace.correlation..",
                                 "sprucehold.tracetools.clock..",
-                                "sprucehold.tracetools.story..")
+                                "sprucehold.tracetools.explanation..")
                         .or()
                         .haveNameMatching("sprucehold\\.trace\\.record\\.(Thinning|FileDuty)")
                         .should()
--- a/gatherer/src/main/java/sprucehold/command/Recording.java
+++ b/gatherer/src/main/java/sprucehold/command/Recording.java
@@ -6,22 +6,22 @@
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.record.Recorder;
-import sprucehold.trace.record.RecordingGatherer;
-import sprucehold.trace.record.RecordingPlan;
+import sprucehold.trace.record.RecordingPolicy;
+import sprucehold.trace.record.RecordingSettings;
 
 /** A recorder at the module's door; loaded only where an operator has switched it on. */
 final class Recording {
-    private final RecordingPlan plan;
+    private final RecordingSettings plan;
     private final String gatherer;
     private Recorder recorder;
 
-    private Recording(RecordingPlan plan, String gatherer) {
+    private Recording(RecordingSettings plan, String gatherer) {
         this.plan = plan;
         this.gatherer = gatherer;
     }
 
     static Recording read(Path file, String gatherer) throws IOException {
-        return new Recording(RecordingPlan.read(file), gatherer);
+        return new Recording(RecordingSettings.read(file), gatherer);
     }
 
     /** Starts modules whose every call is recorded. */
@@ -37,7 +37,7 @@
                                     0,
                                     deployment,
                                     ClockFit.REFERENCE));
-            return new RecordingGatherer(factory.start(seed, deployment), recorder);
+            return new RecordingPolicy(factory.start(seed, deployment), recorder);
         };
     }
 
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -13,7 +13,7 @@
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Event;
 import sprucehold.policy.QueryScheduler;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.format.TraceReader;
 
 public class RecordingTest {
@@ -46,11 +46,11 @@
                                 files.filter(of -> of.toString().endsWith(".trace"))
                                         .findFirst()
                                         .orElseThrow())) {
-            assertEquals(reader.head().sources().get(0).gatherer(), "g7");
-            assertEquals(reader.head().sources().get(0).seed(), 77);
-            assertEquals(reader.head().sources().get(0).facts(), FACTS);
+            assertEquals(reader.header().sources().get(0).gatherer(), "g7");
+            assertEquals(reader.header().sources().get(0).seed(), 77);
+            assertEquals(reader.header().sources().get(0).deployment(), FACTS);
             TraceReader.Cursor cursor = reader.all();
-            assertEquals(((Moment) cursor.next()).actions().size(), 1);
+            assertEquals(((PolicyCall) cursor.next()).commands().size(), 1);
             assertEquals(cursor.next().nowMs(), 6.0);
         }
     }
--- a/trace/src/main/java/sprucehold/trace/book/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * Which scan an event or action belongs to, told as entries go by: {@link
- * sprucehold.trace.book.ScanBook}. It holds only scans that are open or have a dispatch out, and
- * must never hold more than its bound.
- */
-package sprucehold.trace.book;
--- a/trace/src/main/java/sprucehold/trace/book/BookedScan.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
@@ -1,4 +1,4 @@
-package sprucehold.trace.book;
+package sprucehold.trace.correlation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,28 +9,28 @@
 /**
  * A scan as it is met in a trace. There is one object a scan, so it can be compared by identity.
  */
-public final class BookedScan {
+public final class CorrelatedQuery {
     private final int source;
-    private final Event.QueryReceived taken;
-    private final double takenMs;
-    final Map<String, BookedPart> parts = new HashMap<>();
+    private final Event.QueryReceived received;
+    private final double receivedMs;
+    final Map<String, CorrelatedPart> parts = new HashMap<>();
     boolean ended;
     boolean secondStep;
-    int out;
+    int pendingAttempts;
 
-    BookedScan(int source, Event.QueryReceived taken, double takenMs) {
+    CorrelatedQuery(int source, Event.QueryReceived taken, double takenMs) {
         this.source = source;
-        this.taken = taken;
-        this.takenMs = takenMs;
+        this.received = taken;
+        this.receivedMs = takenMs;
     }
 
     /** One part, and the servers that it was sent to so far. */
-    static final class BookedPart {
-        final BookedScan scan;
+    static final class CorrelatedPart {
+        final CorrelatedQuery query;
         final List<String> servers = new ArrayList<>(1);
 
-        BookedPart(BookedScan scan) {
-            this.scan = scan;
+        CorrelatedPart(CorrelatedQuery query) {
+            this.query = query;
         }
     }
 
@@ -38,13 +38,13 @@
         return source;
     }
 
-    public Event.QueryReceived taken() {
-        return taken;
+    public Event.QueryReceived received() {
+        return received;
     }
 
     /** When it was taken, by its source's clock. */
-    public double takenMs() {
-        return takenMs;
+    public double receivedMs() {
+        return receivedMs;
     }
 
     /** Whether its final answer, or its client's leaving, has been met. */
@@ -53,7 +53,7 @@
     }
 
     /** Dispatches of it that are out. */
-    public int out() {
-        return out;
+    public int pendingAttempts() {
+        return pendingAttempts;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/book/ScanBook.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
@@ -1,4 +1,4 @@
-package sprucehold.trace.book;
+package sprucehold.trace.correlation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,34 +10,34 @@
 import sprucehold.trace.event.Item;
 
 /** Tells, item by item in the order of a source, which scan each belongs to. */
-public final class ScanBook {
+public final class QueryCorrelator {
     /**
      * Scans held at most for each source. Guards against traces with gaps, whose scans never end; a
      * gatherer that holds 1,024 descriptors has far fewer open.
      */
-    private static final int MOST = 100_000;
+    private static final int MAX_OPEN_QUERIES = 100_000;
 
-    private final List<Shelf> shelves = new ArrayList<>();
+    private final List<SourceState> sources = new ArrayList<>();
     private String server;
 
-    private static final class Shelf {
+    private static final class SourceState {
         /** In the order in which they were taken. */
-        final Map<Long, BookedScan> byNumber = new LinkedHashMap<>();
+        final Map<Long, CorrelatedQuery> byNumber = new LinkedHashMap<>();
 
-        final Map<String, BookedScan> byId = new HashMap<>();
-        final Map<String, BookedScan.BookedPart> parts = new HashMap<>();
+        final Map<String, CorrelatedQuery> byId = new HashMap<>();
+        final Map<String, CorrelatedQuery.CorrelatedPart> parts = new HashMap<>();
     }
 
     /** Takes the next item of a source; null where it belongs to no scan that is known. */
-    public BookedScan add(int source, double nowMs, Item item) {
-        while (shelves.size() <= source) {
-            shelves.add(new Shelf());
+    public CorrelatedQuery add(int source, double nowMs, Item item) {
+        while (sources.size() <= source) {
+            sources.add(new SourceState());
         }
         server = null;
-        Shelf shelf = shelves.get(source);
+        SourceState shelf = sources.get(source);
         return item.event() != null
                 ? add(shelf, source, nowMs, item.event())
-                : add(shelf, item.action());
+                : add(shelf, item.command());
     }
 
     /** The shard server that the item last added was about, or null. */
@@ -46,29 +46,29 @@
     }
 
     /** How many scans are held for a source. */
-    public int held(int source) {
-        return source < shelves.size() ? shelves.get(source).byNumber.size() : 0;
+    public int openQueries(int source) {
+        return source < sources.size() ? sources.get(source).byNumber.size() : 0;
     }
 
-    private BookedScan add(Shelf shelf, int source, double nowMs, Event event) {
+    private CorrelatedQuery add(SourceState shelf, int source, double nowMs, Event event) {
         if (event instanceof Event.QueryReceived taken) {
-            if (shelf.byNumber.size() >= MOST) {
+            if (shelf.byNumber.size() >= MAX_OPEN_QUERIES) {
                 remove(shelf, shelf.byNumber.values().iterator().next());
             }
-            var scan = new BookedScan(source, taken, nowMs);
-            shelf.byNumber.put(taken.number(), scan);
-            shelf.byId.put(taken.id(), scan);
-            return scan;
+            var query = new CorrelatedQuery(source, taken, nowMs);
+            shelf.byNumber.put(taken.number(), query);
+            shelf.byId.put(taken.id(), query);
+            return query;
         } else if (event instanceof Event.PartReceived taken) {
-            BookedScan scan = shelf.byNumber.get(taken.queryNumber());
-            if (scan != null) {
-                var part = new BookedScan.BookedPart(scan);
-                scan.parts.put(taken.id(), part);
+            CorrelatedQuery query = shelf.byNumber.get(taken.queryNumber());
+            if (query != null) {
+                var part = new CorrelatedQuery.CorrelatedPart(query);
+                query.parts.put(taken.id(), part);
                 shelf.parts.put(taken.id(), part);
             }
-            return scan;
+            return query;
         } else if (event instanceof Event.AttemptEnded ended) {
-            BookedScan.BookedPart part = shelf.parts.get(ended.partId());
+            CorrelatedQuery.CorrelatedPart part = shelf.parts.get(ended.partId());
             if (part == null) {
                 return null;
             }
@@ -76,8 +76,8 @@
                     ended.attemptNumber() < part.servers.size()
                             ? part.servers.get(ended.attemptNumber())
                             : null;
-            part.scan.out--;
-            return settled(shelf, part.scan);
+            part.query.pendingAttempts--;
+            return settled(shelf, part.query);
         } else if (event instanceof Event.ClientDisconnected left) {
             return ended(shelf, shelf.byId.get(left.queryId()));
         } else if (event instanceof Event.HealthCheckEnded ended) {
@@ -86,18 +86,18 @@
         return null;
     }
 
-    private BookedScan add(Shelf shelf, Command command) {
+    private CorrelatedQuery add(SourceState shelf, Command command) {
         if (command instanceof Command.SendAttempt sendAttempt) {
             server = sendAttempt.server();
-            BookedScan.BookedPart part = shelf.parts.get(sendAttempt.partId());
+            CorrelatedQuery.CorrelatedPart part = shelf.parts.get(sendAttempt.partId());
             if (part == null) {
                 return null;
             }
             part.servers.add(sendAttempt.server());
-            part.scan.out++;
-            return part.scan;
+            part.query.pendingAttempts++;
+            return part.query;
         } else if (command instanceof Command.CancelAttempt cancel) {
-            BookedScan.BookedPart part = shelf.parts.get(cancel.partId());
+            CorrelatedQuery.CorrelatedPart part = shelf.parts.get(cancel.partId());
             if (part == null) {
                 return null;
             }
@@ -105,17 +105,17 @@
                     cancel.attemptNumber() < part.servers.size()
                             ? part.servers.get(cancel.attemptNumber())
                             : null;
-            return part.scan;
+            return part.query;
         } else if (command instanceof Command.AnswerQuery answer) {
-            BookedScan scan = shelf.byId.get(answer.queryId());
-            if (scan != null
+            CorrelatedQuery query = shelf.byId.get(answer.queryId());
+            if (query != null
                     && answer.complete()
-                    && !scan.secondStep
-                    && scan.taken().queryClass().secondStepParts() > 0) {
-                scan.secondStep = true;
-                return scan;
+                    && !query.secondStep
+                    && query.received().queryClass().secondStepParts() > 0) {
+                query.secondStep = true;
+                return query;
             }
-            return ended(shelf, scan);
+            return ended(shelf, query);
         } else if (command instanceof Command.RejectQuery throttle) {
             return ended(shelf, shelf.byId.get(throttle.queryId()));
         } else if (command instanceof Command.FailQuery abandon) {
@@ -126,25 +126,25 @@
         return null;
     }
 
-    private static BookedScan ended(Shelf shelf, BookedScan scan) {
-        if (scan != null) {
-            scan.ended = true;
-            shelf.byId.remove(scan.taken().id(), scan);
-            settled(shelf, scan);
+    private static CorrelatedQuery ended(SourceState shelf, CorrelatedQuery query) {
+        if (query != null) {
+            query.ended = true;
+            shelf.byId.remove(query.received().id(), query);
+            settled(shelf, query);
         }
-        return scan;
+        return query;
     }
 
-    private static BookedScan settled(Shelf shelf, BookedScan scan) {
-        if (scan.ended && scan.out <= 0) {
-            remove(shelf, scan);
+    private static CorrelatedQuery settled(SourceState shelf, CorrelatedQuery query) {
+        if (query.ended && query.pendingAttempts <= 0) {
+            remove(shelf, query);
         }
-        return scan;
+        return query;
     }
 
-    private static void remove(Shelf shelf, BookedScan scan) {
-        shelf.byNumber.remove(scan.taken().number(), scan);
-        shelf.byId.remove(scan.taken().id(), scan);
-        scan.parts.forEach((id, part) -> shelf.parts.remove(id, part));
+    private static void remove(SourceState shelf, CorrelatedQuery query) {
+        shelf.byNumber.remove(query.received().number(), query);
+        shelf.byId.remove(query.received().id(), query);
+        query.parts.forEach((id, part) -> shelf.parts.remove(id, part));
     }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Entry.java
+++ b/trace/src/main/java/sprucehold/trace/event/Entry.java
@@ -4,7 +4,7 @@
  * One entry of a trace. Entries of one source are ordered by {@link #seq}, whatever its clock says;
  * the order of entries of several sources is a matter of how their clocks are judged.
  */
-public sealed interface Entry permits Moment, Gap {
+public sealed interface Entry permits PolicyCall, Gap {
     /** The index of its source in the file's head. */
     int source();
 
--- a/trace/src/main/java/sprucehold/trace/event/Gap.java
+++ b/trace/src/main/java/sprucehold/trace/event/Gap.java
@@ -3,13 +3,13 @@
 /**
  * Calls of the module that were not recorded because the writer had fallen behind.
  *
- * @param moments how many
+ * @param calls how many
  * @param nowMs when the first of them was
  * @param toMs when the last of them was
  */
-public record Gap(int source, long seq, double nowMs, long moments, double toMs) implements Entry {
+public record Gap(int source, long seq, double nowMs, long calls, double toMs) implements Entry {
     @Override
     public Gap withSource(int other) {
-        return new Gap(other, seq, nowMs, moments, toMs);
+        return new Gap(other, seq, nowMs, calls, toMs);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Item.java
+++ b/trace/src/main/java/sprucehold/trace/event/Item.java
@@ -8,9 +8,9 @@
  *
  * @param index its place, from 0, among all events and then all actions of its moment
  */
-public record Item(int index, Event event, Command action) {
+public record Item(int index, Event event, Command command) {
     public Item {
-        if ((event == null) == (action == null)) {
+        if ((event == null) == (command == null)) {
             throw new IllegalArgumentException("an item is an event or an action");
         }
     }
--- a/trace/src/main/java/sprucehold/trace/event/Moment.java
+++ b/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
@@ -8,20 +8,20 @@
 /**
  * One call of the module: what went in and what came out.
  *
- * @param failed the module ended by an exception, so nothing came out
+ * @param policyFailed the module ended by an exception, so nothing came out
  * @param total how many events and actions the call had; more than {@code items} where some were
  *     left out
  * @param items those kept, by rising index
  */
-public record Moment(
-        int source, long seq, double nowMs, boolean failed, int total, List<Item> items)
+public record PolicyCall(
+        int source, long seq, double nowMs, boolean policyFailed, int total, List<Item> items)
         implements Entry {
-    public Moment {
+    public PolicyCall {
         items = List.copyOf(items);
     }
 
     /** A whole moment. */
-    public static Moment of(
+    public static PolicyCall of(
             int source,
             long seq,
             double nowMs,
@@ -31,11 +31,11 @@
         var items = new ArrayList<Item>(events.size() + actions.size());
         events.forEach(event -> items.add(new Item(items.size(), event, null)));
         actions.forEach(command -> items.add(new Item(items.size(), null, command)));
-        return new Moment(source, seq, nowMs, failed, items.size(), items);
+        return new PolicyCall(source, seq, nowMs, failed, items.size(), items);
     }
 
     /** Whether nothing was left out. */
-    public boolean whole() {
+    public boolean isComplete() {
         return items.size() == total;
     }
 
@@ -43,16 +43,16 @@
         return items.stream().map(Item::event).filter(event -> event != null).toList();
     }
 
-    public List<Command> actions() {
-        return items.stream().map(Item::action).filter(command -> command != null).toList();
+    public List<Command> commands() {
+        return items.stream().map(Item::command).filter(command -> command != null).toList();
     }
 
     @Override
-    public Moment withSource(int other) {
-        return new Moment(other, seq, nowMs, failed, total, items);
+    public PolicyCall withSource(int other) {
+        return new PolicyCall(other, seq, nowMs, policyFailed, total, items);
     }
 
-    public Moment withItems(List<Item> kept) {
-        return new Moment(source, seq, nowMs, failed, total, kept);
+    public PolicyCall withItems(List<Item> kept) {
+        return new PolicyCall(source, seq, nowMs, policyFailed, total, kept);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Source.java
+++ b/trace/src/main/java/sprucehold/trace/event/Source.java
@@ -1,5 +1,6 @@
 package sprucehold.trace.event;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import sprucehold.decision.Deployment;
 
 /**
@@ -9,14 +10,14 @@
  * @param build the version that decided
  * @param seed the seed handed to the module
  * @param startedMs its own clock when recording began, Unix milliseconds
- * @param facts what the module was told of the deployment
+ * @param deployment what the module was told of the deployment
  */
 public record Source(
         String gatherer,
         String build,
         long seed,
         double startedMs,
-        Deployment facts,
+        @JsonProperty("facts") Deployment deployment,
         ClockFit clock) {
     /** Tells sources apart: equal for all files of one gatherer's one start. */
     public String id() {
@@ -28,6 +29,6 @@
     }
 
     public Source withClock(ClockFit fit) {
-        return new Source(gatherer, build, seed, startedMs, facts, fit);
+        return new Source(gatherer, build, seed, startedMs, deployment, fit);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Head.java
+++ b/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
@@ -10,7 +10,7 @@
  * @param window the window it was cut to, or null
  * @param lost what can't be told from it any more, a sentence each
  */
-public record Head(
+public record TraceHeader(
         List<Source> sources, int oneIn, boolean anonymised, Window window, List<String> lost) {
     /**
      * Scans taken from {@code fromMs} until before {@code toMs}, by the clock of the file's order.
@@ -21,26 +21,26 @@
         }
     }
 
-    public Head {
+    public TraceHeader {
         sources = List.copyOf(sources);
         lost = lost == null ? List.of() : List.copyOf(lost);
         oneIn = Math.max(1, oneIn);
     }
 
     /** The head of a recording of everything. */
-    public static Head of(Source source) {
-        return new Head(List.of(source), 1, false, null, List.of());
+    public static TraceHeader of(Source source) {
+        return new TraceHeader(List.of(source), 1, false, null, List.of());
     }
 
-    public Head withOneIn(int n) {
-        return new Head(sources, n, anonymised, window, lost);
+    public TraceHeader withOneIn(int n) {
+        return new TraceHeader(sources, n, anonymised, window, lost);
     }
 
-    public Head withSources(List<Source> others) {
-        return new Head(others, oneIn, anonymised, window, lost);
+    public TraceHeader withSources(List<Source> others) {
+        return new TraceHeader(others, oneIn, anonymised, window, lost);
     }
 
-    public Head withWindow(Window other) {
-        return new Head(sources, oneIn, anonymised, other, lost);
+    public TraceHeader withWindow(Window other) {
+        return new TraceHeader(sources, oneIn, anonymised, other, lost);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
@@ -20,7 +20,7 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 
 /** Reads the entries of one block. */
@@ -45,7 +45,7 @@
     private int things;
 
     /** The moment whose items are being read, without them; null before the first. */
-    private Moment open;
+    private PolicyCall open;
 
     private boolean leftOut;
     private List<Item> items = new ArrayList<>();
@@ -107,7 +107,7 @@
             int flags = in.readUInt32();
             leftOut = (flags & RecordKind.LEFT_OUT) != 0;
             open =
-                    new Moment(
+                    new PolicyCall(
                             source,
                             seqBefore,
                             now,
@@ -135,7 +135,7 @@
     private Event event(int kind) throws IOException {
         return switch (kind) {
             case RecordKind.SCAN_TAKEN -> {
-                var deployment = sources.get(open.source()).facts();
+                var deployment = sources.get(open.source()).deployment();
                 String id = name();
                 long number = in.readUInt64();
                 int type = in.readUInt32();
@@ -143,13 +143,14 @@
                 double left = number();
                 QueryClass of =
                         type == deployment.queryClasses().size()
-                                ? HeadJson.read(in.readStringRequireUtf8(), QueryClass.class)
+                                ? TraceHeaderJson.read(in.readStringRequireUtf8(), QueryClass.class)
                                 : deployment.queryClasses().get(type);
                 Tenant by =
                         customer == 0
                                 ? null
                                 : customer == deployment.tenants().size() + 1
-                                        ? HeadJson.read(in.readStringRequireUtf8(), Tenant.class)
+                                        ? TraceHeaderJson.read(
+                                                in.readStringRequireUtf8(), Tenant.class)
                                         : deployment.tenants().get(customer - 1);
                 yield new Event.QueryReceived(id, number, of, by, left);
             }
@@ -184,7 +185,8 @@
                     new Event.HealthCheckEnded(
                             name(), OUTCOMES.required(in.readUInt32()), number(), load());
             case RecordKind.FACTS_CHANGED ->
-                    new Event.DeploymentChanged(HeadJson.facts(in.readStringRequireUtf8()));
+                    new Event.DeploymentChanged(
+                            TraceHeaderJson.deployment(in.readStringRequireUtf8()));
             case RecordKind.OTHERS_TOLD -> new Event.ClusterViewChanged(others());
             default -> new Event.WakeUp();
         };
--- a/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
@@ -18,7 +18,7 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 
 /** Writes entries into one block after the other; each block stands by itself. */
@@ -41,7 +41,7 @@
                         .map(
                                 source -> {
                                     var index = new HashMap<String, Integer>();
-                                    source.facts()
+                                    source.deployment()
                                             .queryClasses()
                                             .forEach(type -> index.put(type.name(), index.size()));
                                     return (Map<String, Integer>) index;
@@ -52,7 +52,7 @@
                         .map(
                                 source -> {
                                     var index = new HashMap<String, Integer>();
-                                    source.facts()
+                                    source.deployment()
                                             .tenants()
                                             .forEach(
                                                     tenant ->
@@ -88,25 +88,22 @@
         seqBefore = seq;
         timeBefore = time;
         if (entry instanceof Gap gap) {
-            to.writeUInt64NoTag(gap.moments());
+            to.writeUInt64NoTag(gap.calls());
             to.writeDoubleNoTag(gap.toMs());
             end(RecordKind.GAP);
             return;
         }
-        Moment moment = (Moment) entry;
+        PolicyCall call = (PolicyCall) entry;
         to.writeUInt32NoTag(
-                (moment.failed() ? RecordKind.FAILED : 0)
-                        | (moment.whole() ? 0 : RecordKind.LEFT_OUT));
-        to.writeUInt32NoTag(moment.total());
+                (call.policyFailed() ? RecordKind.FAILED : 0)
+                        | (call.isComplete() ? 0 : RecordKind.LEFT_OUT));
+        to.writeUInt32NoTag(call.total());
         end(RecordKind.MOMENT);
-        for (Item item : moment.items()) {
-            if (!moment.whole()) {
+        for (Item item : call.items()) {
+            if (!call.isComplete()) {
                 to.writeUInt32NoTag(item.index());
             }
-            end(
-                    item.event() != null
-                            ? event(moment.source(), item.event())
-                            : action(item.action()));
+            end(item.event() != null ? event(call.source(), item.event()) : action(item.command()));
         }
     }
 
@@ -122,7 +119,7 @@
         if (event instanceof Event.QueryReceived taken) {
             name(taken.id());
             to.writeUInt64NoTag(taken.number());
-            Deployment deployment = sources.get(source).facts();
+            Deployment deployment = sources.get(source).deployment();
             int type =
                     index(
                             types.get(source),
@@ -141,10 +138,10 @@
             to.writeUInt32NoTag(customer + 1);
             number(taken.timeLeftMs());
             if (type == deployment.queryClasses().size()) {
-                to.writeStringNoTag(HeadJson.text(taken.queryClass()));
+                to.writeStringNoTag(TraceHeaderJson.text(taken.queryClass()));
             }
             if (customer == deployment.tenants().size()) {
-                to.writeStringNoTag(HeadJson.text(taken.tenant()));
+                to.writeStringNoTag(TraceHeaderJson.text(taken.tenant()));
             }
             return RecordKind.SCAN_TAKEN;
         } else if (event instanceof Event.PartReceived taken) {
@@ -184,7 +181,7 @@
             return RecordKind.PROBE_ENDED;
         }
         if (event instanceof Event.DeploymentChanged changed) {
-            to.writeStringNoTag(HeadJson.text(changed.deployment()));
+            to.writeStringNoTag(TraceHeaderJson.text(changed.deployment()));
             return RecordKind.FACTS_CHANGED;
         } else if (event instanceof Event.ClusterViewChanged told) {
             others(told.view());
--- a/trace/src/main/java/sprucehold/trace/format/Run.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 
 /** The index of some blocks, as read. */
-final class Run {
-    final List<RunBuilder.Block> blocks = new ArrayList<>();
+final class BlockIndex {
+    final List<BlockIndexBuilder.Block> blocks = new ArrayList<>();
     private long[] hashes;
     private int[] blockOf;
     private final Map<String, int[]> servers = new HashMap<>();
 
-    private Run() {}
+    private BlockIndex() {}
 
     /**
      * @param before no block may end beyond it: an index only speaks of what stands before it
      */
-    static Run read(byte[] raw, long before) throws IOException {
-        var run = new Run();
+    static BlockIndex read(byte[] raw, long before) throws IOException {
+        var run = new BlockIndex();
         var in = CodedInputStream.newInstance(raw);
         int blocks = in.readUInt32();
         long end = 0;
@@ -32,7 +32,7 @@
                 throw new IOException("block " + i + " of the run isn't before it");
             }
             run.blocks.add(
-                    new RunBuilder.Block(
+                    new BlockIndexBuilder.Block(
                             end + gap,
                             length,
                             in.readUInt32(),
@@ -79,7 +79,7 @@
     }
 
     /** Adds the numbers of blocks that hold something of the scan. */
-    void ofScan(long hash, BitSet found) {
+    void ofQuery(long hash, BitSet found) {
         int low = 0;
         int high = hashes.length;
         while (low < high) {
--- a/trace/src/main/java/sprucehold/trace/format/RunBuilder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
@@ -14,7 +14,7 @@
  * Collects the index of some blocks; a file's index is a row of such runs, so that a writer never
  * holds all of it.
  */
-final class RunBuilder {
+final class BlockIndexBuilder {
     /**
      * Scans of some ten thousand records: half a megabyte to build, and few enough runs for a
      * lookup.
--- a/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
@@ -5,21 +5,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.event.TraceHeader;
 
 /** What the index of a file's blocks has to be, made anew from what they hold. */
 final class RewrittenIndex {
-    private final ScanBook book = new ScanBook();
+    private final QueryCorrelator correlator = new QueryCorrelator();
     private final long[] seqBefore;
-    private RunBuilder run = new RunBuilder();
+    private BlockIndexBuilder run = new BlockIndexBuilder();
 
-    RewrittenIndex(Head head) {
-        seqBefore = new long[head.sources().size()];
+    RewrittenIndex(TraceHeader header) {
+        seqBefore = new long[header.sources().size()];
         java.util.Arrays.fill(seqBefore, Long.MIN_VALUE);
     }
 
@@ -45,15 +45,15 @@
             seqBefore[entry.source()] = entry.seq();
             earliest = earliest <= entry.nowMs() ? earliest : entry.nowMs();
             latest = latest >= entry.nowMs() ? latest : entry.nowMs();
-            if (entry instanceof Moment moment) {
-                records += moment.items().size();
-                for (Item item : moment.items()) {
-                    BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-                    if (scan != null) {
-                        scans.computeIfAbsent(scan.taken().id(), Layout::hash);
+            if (entry instanceof PolicyCall call) {
+                records += call.items().size();
+                for (Item item : call.items()) {
+                    CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+                    if (query != null) {
+                        scans.computeIfAbsent(query.received().id(), Layout::hash);
                     }
-                    if (book.server() != null) {
-                        servers.add(book.server());
+                    if (correlator.server() != null) {
+                        servers.add(correlator.server());
                     }
                 }
             } else {
@@ -65,7 +65,7 @@
             throw new IOException("byte " + at + ": the block's times aren't those of its entries");
         }
         run.block(
-                new RunBuilder.Block(
+                new BlockIndexBuilder.Block(
                         at, frame.length(), frame.entries(), frame.records(), earliest, latest),
                 scans.values().stream().mapToLong(hash -> hash).toArray(),
                 servers);
@@ -75,7 +75,7 @@
     /** The run of the blocks since the one before. */
     byte[] run() throws IOException {
         byte[] raw = run.raw();
-        run = new RunBuilder();
+        run = new BlockIndexBuilder();
         return raw;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/HeadJson.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
@@ -5,36 +5,36 @@
 import java.io.IOException;
 import sprucehold.decision.Deployment;
 import sprucehold.storage.StoredJson;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 /** The head as JSON: fields are the records' own; unknown ones are skipped. */
-final class HeadJson {
+final class TraceHeaderJson {
     private static final ObjectMapper MAPPER =
             StoredJson.mapperBuilder()
                     .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                     .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                     .build();
 
-    private HeadJson() {}
+    private TraceHeaderJson() {}
 
-    static byte[] write(Head head) throws IOException {
-        return MAPPER.writeValueAsBytes(head);
+    static byte[] write(TraceHeader header) throws IOException {
+        return MAPPER.writeValueAsBytes(header);
     }
 
-    static Head read(byte[] json) throws IOException {
-        Head head = MAPPER.readValue(json, Head.class);
-        for (var source : head.sources()) {
+    static TraceHeader read(byte[] json) throws IOException {
+        TraceHeader header = MAPPER.readValue(json, TraceHeader.class);
+        for (var source : header.sources()) {
             if (source == null
                     || source.gatherer() == null
                     || source.clock() == null
-                    || !whole(source.facts())) {
+                    || !isComplete(source.deployment())) {
                 throw new IOException("a source without its facts");
             }
         }
-        return head;
+        return header;
     }
 
-    private static boolean whole(Deployment deployment) {
+    private static boolean isComplete(Deployment deployment) {
         return deployment != null
                 && deployment.queryClasses() != null
                 && deployment.tenants() != null
@@ -57,9 +57,9 @@
         return fact;
     }
 
-    static Deployment facts(String json) throws IOException {
+    static Deployment deployment(String json) throws IOException {
         Deployment deployment = read(json, Deployment.class);
-        if (!whole(deployment)) {
+        if (!isComplete(deployment)) {
             throw new IOException("facts that aren't whole");
         }
         return deployment;
--- a/trace/src/main/java/sprucehold/trace/format/TraceReader.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceReader.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Queue;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 /**
  * Reads one trace file, in memory for two blocks. A file that was cut off is read up to its last
@@ -26,7 +26,7 @@
     private final String name;
     private final FileChannel channel;
     private final long length;
-    private final Head head;
+    private final TraceHeader header;
     private final long firstFrame;
 
     /** The runs' places; null where the file has no sound end. */
@@ -37,9 +37,9 @@
     private long gaps;
 
     /** Which blocks of a file to read. */
-    public enum Only {
+    public enum Selection {
         ALL,
-        SCAN,
+        QUERY,
         SERVER,
         TIME
     }
@@ -84,8 +84,8 @@
                 throw malformed(all.length - 4, "the head's checksum doesn't match");
             }
             try {
-                head =
-                        HeadJson.read(
+                header =
+                        TraceHeaderJson.read(
                                 Arrays.copyOfRange(all, Layout.PREAMBLE_BYTES, all.length - 4));
             } catch (IOException | RuntimeException e) {
                 throw malformed(Layout.PREAMBLE_BYTES, "the head isn't one: " + firstLine(e));
@@ -105,8 +105,8 @@
         return new TraceReader(file);
     }
 
-    public Head head() {
-        return head;
+    public TraceHeader header() {
+        return header;
     }
 
     /** The file's name, without its folder. */
@@ -239,7 +239,7 @@
     private List<Entry> entries(Frame frame, long at) throws IOException {
         List<Entry> entries;
         try {
-            entries = BlockDecoder.decode(head.sources(), raw(frame, at));
+            entries = BlockDecoder.decode(header.sources(), raw(frame, at));
         } catch (MalformedTraceException e) {
             throw e;
         } catch (IOException e) {
@@ -264,7 +264,7 @@
 
     /** All entries in the order of the file. */
     public Cursor all() {
-        return runs == null ? new Cursor(null) : new Cursor(new Blocks(Only.ALL, null, 0, 0));
+        return runs == null ? new Cursor(null) : new Cursor(new Blocks(Selection.ALL, null, 0, 0));
     }
 
     /** All entries of one source; those of others take no memory. */
@@ -280,13 +280,13 @@
     }
 
     /** The entries of all blocks that hold something of the scan, and perhaps of others. */
-    public Cursor ofScan(String id) {
-        return runs == null ? all() : new Cursor(new Blocks(Only.SCAN, id, 0, 0));
+    public Cursor ofQuery(String id) {
+        return runs == null ? all() : new Cursor(new Blocks(Selection.QUERY, id, 0, 0));
     }
 
     /** The entries of all blocks that speak of the shard server, and perhaps of others. */
     public Cursor ofServer(String server) {
-        return runs == null ? all() : new Cursor(new Blocks(Only.SERVER, server, 0, 0));
+        return runs == null ? all() : new Cursor(new Blocks(Selection.SERVER, server, 0, 0));
     }
 
     /**
@@ -294,21 +294,21 @@
      * others.
      */
     public Cursor between(double fromMs, double toMs) {
-        return runs == null ? all() : new Cursor(new Blocks(Only.TIME, null, fromMs, toMs));
+        return runs == null ? all() : new Cursor(new Blocks(Selection.TIME, null, fromMs, toMs));
     }
 
     /** Walks through the index, one run at a time. */
     private final class Blocks {
-        private final Only only;
+        private final Selection only;
         private final String name;
         private final double fromMs;
         private final double toMs;
         private final Iterator<Long> runsLeft = runs.iterator();
-        private Run run;
+        private BlockIndex run;
         private BitSet found = new BitSet();
         private int next = -1;
 
-        Blocks(Only only, String name, double fromMs, double toMs) {
+        Blocks(Selection only, String name, double fromMs, double toMs) {
             this.only = only;
             this.name = name;
             this.fromMs = fromMs;
@@ -324,7 +324,7 @@
                 }
                 long at = runsLeft.next();
                 try {
-                    run = Run.read(raw(at, Layout.RUN, length), at);
+                    run = BlockIndex.read(raw(at, Layout.RUN, length), at);
                 } catch (MalformedTraceException e) {
                     throw e;
                 } catch (IOException e) {
@@ -333,7 +333,7 @@
                 found = new BitSet(run.blocks.size());
                 switch (only) {
                     case ALL -> found.set(0, run.blocks.size());
-                    case SCAN -> run.ofScan(Layout.hash(name), found);
+                    case QUERY -> run.ofQuery(Layout.hash(name), found);
                     case SERVER -> run.ofServer(name, found);
                     case TIME -> run.between(fromMs, toMs, found);
                 }
@@ -447,23 +447,24 @@
     }
 
     /** What {@link #verify} found. */
-    public record Verdict(boolean sound, String what, long blocks, long entries, long records) {}
+    public record Verification(
+            boolean sound, String what, long blocks, long entries, long records) {}
 
     /**
      * Reads every byte: frames, checksums, order within sources, and whether the index tells just
      * what is there.
      */
-    public Verdict verify() {
+    public Verification verify() {
         long blocks = 0;
         long entries = 0;
         long seen = 0;
         if (damage != null) {
-            return new Verdict(false, damage, 0, 0, 0);
+            return new Verification(false, damage, 0, 0, 0);
         }
         try {
             long at = firstFrame;
             long end = length - Layout.FOOTER_BYTES;
-            var expected = new RewrittenIndex(head);
+            var expected = new RewrittenIndex(header);
             var runsMet = new ArrayList<Long>();
             boolean directory = false;
             while (at < end) {
@@ -500,9 +501,9 @@
             if (!runsMet.equals(runs) || seen != records) {
                 throw malformed(end, "the directory doesn't tell what the file holds");
             }
-            return new Verdict(true, "sound", blocks, entries, seen);
+            return new Verification(true, "sound", blocks, entries, seen);
         } catch (IOException e) {
-            return new Verdict(false, firstLine(e), blocks, entries, seen);
+            return new Verification(false, firstLine(e), blocks, entries, seen);
         }
     }
 
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -11,7 +11,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 /** Gives a file that was cut off its index back. */
 public final class TraceRepair {
@@ -42,21 +42,21 @@
             while (look.next() != null) {
                 continue;
             }
-            var lost = new ArrayList<>(reader.head().lost());
+            var lost = new ArrayList<>(reader.header().lost());
             look.skipped().forEach(what -> lost.add("a damaged block was left out: " + what));
-            Head head =
-                    new Head(
-                            reader.head().sources(),
-                            reader.head().oneIn(),
-                            reader.head().anonymised(),
-                            reader.head().window(),
+            TraceHeader header =
+                    new TraceHeader(
+                            reader.header().sources(),
+                            reader.header().oneIn(),
+                            reader.header().anonymised(),
+                            reader.header().window(),
                             lost);
             TraceReader.Cursor cursor = reader.withoutIndex();
             long entries = 0;
             try {
                 var writer =
                         new TraceWriter(
-                                new BufferedOutputStream(Files.newOutputStream(beside)), head);
+                                new BufferedOutputStream(Files.newOutputStream(beside)), header);
                 try (writer) {
                     for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                         writer.add(entry);
--- a/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
@@ -14,13 +14,13 @@
 import java.util.TreeSet;
 import java.util.zip.CRC32C;
 import java.util.zip.Deflater;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.event.TraceHeader;
 
 /**
  * Writes one trace file from its first byte to its last, in memory that doesn't grow with it.
@@ -33,10 +33,10 @@
     private final OutputStream out;
     private final Deflater deflater;
     private final BlockEncoder encoder;
-    private final ScanBook book = new ScanBook();
+    private final QueryCorrelator correlator = new QueryCorrelator();
     private final Map<String, Long> scans = new HashMap<>();
     private final TreeSet<String> servers = new TreeSet<>();
-    private RunBuilder run = new RunBuilder();
+    private BlockIndexBuilder run = new BlockIndexBuilder();
     private final List<Long> runs = new ArrayList<>();
     private long position;
     private int entries;
@@ -53,19 +53,19 @@
      * Writes the head at once; deflates blocks at the JDK's fastest level, as a recorder shares its
      * gatherer's core.
      */
-    public TraceWriter(OutputStream out, Head head) throws IOException {
-        this(out, head, true);
+    public TraceWriter(OutputStream out, TraceHeader header) throws IOException {
+        this(out, header, true);
     }
 
     /**
      * @param deflate whether blocks are deflated; otherwise the same entries bring the same bytes
      *     on every JDK
      */
-    public TraceWriter(OutputStream out, Head head, boolean deflate) throws IOException {
+    public TraceWriter(OutputStream out, TraceHeader header, boolean deflate) throws IOException {
         this.out = out;
         this.deflater = deflate ? new Deflater(Deflater.BEST_SPEED, true) : null;
-        this.encoder = new BlockEncoder(head.sources());
-        byte[] json = HeadJson.write(head);
+        this.encoder = new BlockEncoder(header.sources());
+        byte[] json = TraceHeaderJson.write(header);
         if (json.length > Layout.MOST_HEAD_BYTES) {
             throw new IOException(
                     "a head of " + json.length + " bytes, at most " + Layout.MOST_HEAD_BYTES);
@@ -92,15 +92,15 @@
         if (entry instanceof Gap) {
             records++;
             gaps++;
-        } else if (entry instanceof Moment moment) {
-            records += moment.items().size();
-            for (Item item : moment.items()) {
-                BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-                if (scan != null) {
-                    scans.computeIfAbsent(scan.taken().id(), Layout::hash);
+        } else if (entry instanceof PolicyCall call) {
+            records += call.items().size();
+            for (Item item : call.items()) {
+                CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+                if (query != null) {
+                    scans.computeIfAbsent(query.received().id(), Layout::hash);
                 }
-                if (book.server() != null) {
-                    servers.add(book.server());
+                if (correlator.server() != null) {
+                    servers.add(correlator.server());
                 }
             }
         }
@@ -136,7 +136,8 @@
         }
         byte[] frame = Frame.write(Layout.BLOCK, raw, entries, records, earliest, latest, deflater);
         run.block(
-                new RunBuilder.Block(position, frame.length, entries, records, earliest, latest),
+                new BlockIndexBuilder.Block(
+                        position, frame.length, entries, records, earliest, latest),
                 scans.values().stream().mapToLong(hash -> hash).toArray(),
                 servers);
         write(frame);
@@ -161,7 +162,7 @@
         runs.add(position);
         allScans += run.scans();
         write(Frame.write(Layout.RUN, run.raw(), 0, 0, Double.NaN, Double.NaN, deflater));
-        run = new RunBuilder();
+        run = new BlockIndexBuilder();
     }
 
     /** Ends the file by its index and footer, and closes the stream. */
--- a/trace/src/main/java/sprucehold/trace/record/Thinning.java
+++ b/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import sprucehold.decision.Command;
 import sprucehold.decision.Event;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 
 /**
  * Keeps every scan that ended badly or late whole, and one in n of the others. Entries go in and
  * come out in the same order; an entry waits until all its scans have ended. Pure: no files, clocks
  * or threads.
  */
-public final class Thinning {
+public final class QuerySampler {
     /**
      * Entries that may wait. Guards against scans that never end, as after a gap; at a thousand
      * calls a second it is longer than any query timeout. What is pushed out undecided is kept.
@@ -27,42 +27,42 @@
     private static final int MOST_WAITING = 20_000;
 
     private final int oneIn;
-    private final ScanBook book = new ScanBook();
+    private final QueryCorrelator correlator = new QueryCorrelator();
     private final ArrayDeque<Held> held = new ArrayDeque<>();
-    private final Map<BookedScan, Fate> fates = new HashMap<>();
+    private final Map<CorrelatedQuery, Decision> decisions = new HashMap<>();
 
-    private static final class Fate {
+    private static final class Decision {
         boolean known;
         boolean kept;
         int mentions;
     }
 
-    private record Held(Entry entry, List<BookedScan> scans) {}
+    private record Held(Entry entry, List<CorrelatedQuery> queries) {}
 
     /**
      * @param oneIn 1 or more; of the scans that ended well and in time, one in so many is kept
      */
-    public Thinning(int oneIn) {
+    public QuerySampler(int oneIn) {
         this.oneIn = oneIn;
     }
 
     /** Takes the next entry, and returns those that are decided by now. */
     public List<Entry> add(Entry entry) {
-        if (!(entry instanceof Moment moment)) {
+        if (!(entry instanceof PolicyCall call)) {
             held.add(new Held(entry, List.of()));
             return release(false);
         }
-        var scans = new ArrayList<BookedScan>(moment.items().size());
-        for (Item item : moment.items()) {
-            BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-            scans.add(scan);
-            if (scan != null) {
-                Fate fate = fates.computeIfAbsent(scan, none -> new Fate());
+        var scans = new ArrayList<CorrelatedQuery>(call.items().size());
+        for (Item item : call.items()) {
+            CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+            scans.add(query);
+            if (query != null) {
+                Decision fate = decisions.computeIfAbsent(query, none -> new Decision());
                 fate.mentions++;
-                decide(fate, scan, item, moment.nowMs());
+                decide(fate, query, item, call.nowMs());
             }
         }
-        held.add(new Held(moment, scans));
+        held.add(new Held(call, scans));
         return release(false);
     }
 
@@ -71,16 +71,18 @@
         return release(true);
     }
 
-    private void decide(Fate fate, BookedScan scan, Item item, double nowMs) {
-        if (fate.known || !scan.ended()) {
+    private void decide(Decision fate, CorrelatedQuery query, Item item, double nowMs) {
+        if (fate.known || !query.ended()) {
             return;
         }
         fate.known = true;
         boolean well =
-                item.action() instanceof Command.AnswerQuery answer
+                item.command() instanceof Command.AnswerQuery answer
                         && answer.complete()
-                        && nowMs <= scan.takenMs() + scan.taken().queryClass().latencyObjectiveMs();
-        fate.kept = !well || Math.floorMod(scan.taken().id().hashCode(), oneIn) == 0;
+                        && nowMs
+                                <= query.receivedMs()
+                                        + query.received().queryClass().latencyObjectiveMs();
+        fate.kept = !well || Math.floorMod(query.received().id().hashCode(), oneIn) == 0;
     }
 
     private List<Entry> release(boolean all) {
@@ -91,11 +93,14 @@
             if (kept != null) {
                 released.add(kept);
             }
-            for (BookedScan scan : first.scans) {
-                Fate fate = scan == null ? null : fates.get(scan);
+            for (CorrelatedQuery query : first.queries) {
+                Decision fate = query == null ? null : decisions.get(query);
                 // A late end of a dispatch may still come where one is out.
-                if (fate != null && --fate.mentions == 0 && scan.ended() && scan.out() <= 0) {
-                    fates.remove(scan);
+                if (fate != null
+                        && --fate.mentions == 0
+                        && query.ended()
+                        && query.pendingAttempts() <= 0) {
+                    decisions.remove(query);
                 }
             }
         }
@@ -103,33 +108,34 @@
     }
 
     private boolean decided(Held entry) {
-        return entry.scans.stream().allMatch(scan -> scan == null || fates.get(scan).known);
+        return entry.queries.stream()
+                .allMatch(query -> query == null || decisions.get(query).known);
     }
 
     private Entry kept(Held one) {
         if (one.entry instanceof Gap) {
             return one.entry;
         }
-        Moment moment = (Moment) one.entry;
+        PolicyCall call = (PolicyCall) one.entry;
         var items = new ArrayList<Item>();
-        for (int i = 0; i < moment.items().size(); i++) {
-            Item item = moment.items().get(i);
-            BookedScan scan = one.scans.get(i);
-            Fate fate = scan == null ? null : fates.get(scan);
+        for (int i = 0; i < call.items().size(); i++) {
+            Item item = call.items().get(i);
+            CorrelatedQuery query = one.queries.get(i);
+            Decision fate = query == null ? null : decisions.get(query);
             // What merely passes the time is most of a quiet file, and tells nothing without the
             // rest.
             boolean time =
                     item.event() instanceof Event.WakeUp
-                            || item.action() instanceof Command.ScheduleWakeUp;
+                            || item.command() instanceof Command.ScheduleWakeUp;
             if (!time && (fate == null || !fate.known || fate.kept)) {
                 items.add(item);
             }
         }
-        return items.isEmpty() && !moment.failed() ? null : moment.withItems(items);
+        return items.isEmpty() && !call.policyFailed() ? null : call.withItems(items);
     }
 
     /** How many entries wait, and how many scans are remembered. */
     int waiting() {
-        return held.size() + fates.size();
+        return held.size() + decisions.size();
     }
 }
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -20,9 +20,9 @@
 import sprucehold.decision.Event;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceWriter;
 
 /**
@@ -45,7 +45,7 @@
     /** The end of a process waits so long for the disk, and no longer. */
     private static final long END_MS = 2000;
 
-    private final RecordingPlan plan;
+    private final RecordingSettings plan;
     private final Source unbegun;
     private final OpenFile openFile;
     private final ArrayBlockingQueue<Entry> queue;
@@ -68,8 +68,8 @@
     private double lostToMs;
 
     // Of the writer's thread alone.
-    private final FileDuty duty;
-    private final Thinning thinning;
+    private final RotationPolicy duty;
+    private final QuerySampler thinning;
     private TraceWriter writer;
     private OutputStream stream;
 
@@ -87,7 +87,7 @@
     /**
      * @param source whose moments these are; its start is the time of the first of them
      */
-    public Recorder(RecordingPlan plan, Source source) {
+    public Recorder(RecordingSettings plan, Source source) {
         this(
                 plan,
                 source,
@@ -96,13 +96,13 @@
                                 file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
-    Recorder(RecordingPlan plan, Source source, OpenFile openFile) {
+    Recorder(RecordingSettings plan, Source source, OpenFile openFile) {
         this.plan = plan;
         this.unbegun = source;
         this.openFile = openFile;
         this.queue = new ArrayBlockingQueue<>(Math.max(16, plan.waitingRecords() / 2));
-        this.duty = new FileDuty(plan.fileBytes(), plan.fileMs());
-        this.thinning = plan.oneIn() > 1 ? new Thinning(plan.oneIn()) : null;
+        this.duty = new RotationPolicy(plan.fileBytes(), plan.fileMs());
+        this.thinning = plan.oneIn() > 1 ? new QuerySampler(plan.oneIn()) : null;
         this.thread = new Thread(this::run, "recorder");
         thread.setDaemon(true);
         thread.setPriority(Thread.MIN_PRIORITY);
@@ -116,7 +116,7 @@
     }
 
     /** Takes one call of the module. */
-    void took(double nowMs, List<Event> events, List<Command> actions, boolean failed) {
+    void record(double nowMs, List<Event> events, List<Command> actions, boolean failed) {
         if (!began) {
             began = true;
             startedMs = nowMs;
@@ -140,7 +140,7 @@
         }
         waiting.addAndGet(records);
         handedOver.incrementAndGet();
-        queue.add(Moment.of(0, number, nowMs, events, actions, failed));
+        queue.add(PolicyCall.of(0, number, nowMs, events, actions, failed));
     }
 
     /** Whether all that was taken has been dealt with. */
@@ -154,8 +154,8 @@
             while (!closing || !queue.isEmpty()) {
                 Entry entry = queue.poll(FLUSH_MS / 4, TimeUnit.MILLISECONDS);
                 if (entry != null) {
-                    if (entry instanceof Moment moment) {
-                        waiting.addAndGet(-moment.items().size());
+                    if (entry instanceof PolicyCall call) {
+                        waiting.addAndGet(-call.items().size());
                     }
                     for (Entry kept : thinning == null ? List.of(entry) : thinning.add(entry)) {
                         write(kept);
@@ -181,14 +181,14 @@
 
     private void write(Entry entry) {
         latestMs = entry.nowMs();
-        FileDuty.Step step =
+        RotationPolicy.Step step =
                 duty.next(entry.nowMs(), writer == null ? 0 : writer.position() - headBytes);
-        if (step == FileDuty.Step.DROP) {
+        if (step == RotationPolicy.Step.DROP) {
             drop(entry);
             return;
         }
         try {
-            if (step == FileDuty.Step.BEGIN) {
+            if (step == RotationPolicy.Step.BEGIN) {
                 begin(entry);
             }
             Gap gap = duty.takeGap();
@@ -211,7 +211,7 @@
 
     private void drop(Entry entry) {
         if (entry instanceof Gap gap) {
-            duty.dropped(gap.seq(), gap.nowMs(), gap.moments(), gap.toMs());
+            duty.dropped(gap.seq(), gap.nowMs(), gap.calls(), gap.toMs());
         } else {
             duty.dropped(entry.seq(), entry.nowMs(), 1, entry.nowMs());
         }
@@ -229,13 +229,13 @@
                         unbegun.build(),
                         unbegun.seed(),
                         startedMs,
-                        unbegun.facts(),
+                        unbegun.deployment(),
                         unbegun.clock());
         String name = "%s-%013.0f-%012d%s".formatted(prefix(), startedMs, first.seq(), SUFFIX);
         Path file = plan.folder().resolve(name);
         OutputStream out = new BufferedOutputStream(openFile.open(file), 1 << 14);
         try {
-            writer = new TraceWriter(out, Head.of(source).withOneIn(plan.oneIn()));
+            writer = new TraceWriter(out, TraceHeader.of(source).withOneIn(plan.oneIn()));
         } catch (IOException e) {
             closeQuietly(out);
             throw e;
@@ -260,7 +260,7 @@
                 Files.newDirectoryStream(plan.folder(), prefix() + "-*" + SUFFIX)) {
             files.forEach(path -> names.add(path.getFileName().toString()));
         }
-        for (String surplus : FileDuty.surplus(names, plan.keepFiles())) {
+        for (String surplus : RotationPolicy.surplus(names, plan.keepFiles())) {
             Files.deleteIfExists(plan.folder().resolve(surplus));
         }
     }
--- a/trace/src/main/java/sprucehold/trace/record/RecordingGatherer.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
@@ -6,11 +6,11 @@
 import sprucehold.decision.Event;
 
 /** A module with a recorder at its door; it decides just what the module decides. */
-public final class RecordingGatherer implements DecisionPolicy {
+public final class RecordingPolicy implements DecisionPolicy {
     private final DecisionPolicy policy;
     private final Recorder recorder;
 
-    public RecordingGatherer(DecisionPolicy policy, Recorder recorder) {
+    public RecordingPolicy(DecisionPolicy policy, Recorder recorder) {
         this.policy = policy;
         this.recorder = recorder;
     }
@@ -21,10 +21,10 @@
         try {
             actions = policy.decide(nowMs, events);
         } catch (RuntimeException | StackOverflowError e) {
-            recorder.took(nowMs, events, List.of(), true);
+            recorder.record(nowMs, events, List.of(), true);
             throw e;
         }
-        recorder.took(nowMs, events, actions, false);
+        recorder.record(nowMs, events, actions, false);
         return actions;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/record/RecordingPlan.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
@@ -27,13 +27,13 @@
  * @param waitingRecords events and actions that may wait for the writer
  * @param oneIn of the scans that ended well and in time, one in so many is kept; 1 keeps everything
  */
-public record RecordingPlan(
+public record RecordingSettings(
         Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
 
     /**
-     * @throws MalformedPlanException with all that is wrong with the file, in one line
+     * @throws InvalidSettingsException with all that is wrong with the file, in one line
      */
-    public static RecordingPlan read(Path file) throws IOException {
+    public static RecordingSettings read(Path file) throws IOException {
         JsonNode node;
         try {
             node =
@@ -43,7 +43,7 @@
                             .build()
                             .readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            throw new MalformedPlanException(
+            throw new InvalidSettingsException(
                     file
                             + ", line "
                             + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
@@ -52,7 +52,7 @@
         }
         Set<ValidationMessage> faults = schema().validate(node);
         if (!faults.isEmpty()) {
-            throw new MalformedPlanException(
+            throw new InvalidSettingsException(
                     file
                             + ": "
                             + faults.stream()
@@ -61,7 +61,7 @@
                                     .collect(Collectors.joining("; ")));
         }
         Path folder = Path.of(node.get("folder").asText());
-        return new RecordingPlan(
+        return new RecordingSettings(
                 folder.isAbsolute() ? folder : file.toAbsolutePath().resolveSibling(folder),
                 node.path("fileMb").asLong(64) << 20,
                 node.path("fileMinutes").asDouble(60) * 60_000,
@@ -71,16 +71,17 @@
     }
 
     private static JsonSchema schema() throws IOException {
-        try (InputStream in = RecordingPlan.class.getResourceAsStream("/recording.schema.json")) {
+        try (InputStream in =
+                RecordingSettings.class.getResourceAsStream("/recording.schema.json")) {
             return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in);
         }
     }
 
     /** The file doesn't say what has to be known. */
-    public static final class MalformedPlanException extends IOException {
+    public static final class InvalidSettingsException extends IOException {
         private static final long serialVersionUID = 1L;
 
-        MalformedPlanException(String message) {
+        InvalidSettingsException(String message) {
             super(message);
         }
     }
--- a/trace/src/main/java/sprucehold/trace/record/FileDuty.java
+++ b/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
@@ -7,7 +7,7 @@
  * What the writer has to do next: which file to write to, when to begin another, what to do about a
  * disk that fails. Pure: it is told what happened and says what to do.
  */
-public final class FileDuty {
+public final class RotationPolicy {
     /**
      * How long a disk that failed is left alone: one that is full is cleared by hand at best, and
      * each try costs the gatherer's core.
@@ -35,7 +35,7 @@
         DROP
     }
 
-    public FileDuty(long fileBytes, double fileMs) {
+    public RotationPolicy(long fileBytes, double fileMs) {
         this.fileBytes = fileBytes;
         this.fileMs = fileMs;
     }
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -18,10 +18,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 public class DamagedFileTest {
-    private static final Head HEAD = Head.of(Samples.source("g0"));
+    private static final TraceHeader HEAD = TraceHeader.of(Samples.source("g0"));
 
     @DataProvider
     Object[][] forms() {
@@ -76,7 +76,7 @@
             Files.write(file, flipped);
             try (TraceReader reader = TraceReader.open(file)) {
                 if (reader.verify().sound()) {
-                    assertEquals(reader.head(), HEAD, "bit " + bit);
+                    assertEquals(reader.header(), HEAD, "bit " + bit);
                     assertEquals(Samples.all(reader.all()), entries, "bit " + bit);
                 }
             } catch (MalformedTraceException e) {
@@ -109,8 +109,8 @@
                     kept.size() == entries.size() - 7 && entries.containsAll(kept),
                     kept.size() + " kept");
             assertTrue(
-                    reader.head().lost().get(0).contains("damaged block"),
-                    reader.head().lost().toString());
+                    reader.header().lost().get(0).contains("damaged block"),
+                    reader.header().lost().toString());
         }
     }
 
@@ -227,7 +227,7 @@
             do {
                 entry = cursor.next();
             } while (entry != null);
-            TraceReader.Verdict verdict = reader.verify();
+            TraceReader.Verification verdict = reader.verify();
             assertFalse(verdict.sound(), what);
             said = verdict.what();
         } catch (MalformedTraceException e) {
@@ -265,7 +265,7 @@
         whole[at] = (byte) value;
         Path file = Samples.file(whole);
         try (TraceReader reader = TraceReader.open(file)) {
-            throw new AssertionError("read " + reader.head());
+            throw new AssertionError("read " + reader.header());
         } catch (MalformedTraceException e) {
             assertTrue(
                     e.getMessage().contains(said) && e.getMessage().lines().count() == 1,
--- a/trace/src/test/java/sprucehold/trace/format/GoldenFile.java
+++ b/trace/src/test/java/sprucehold/trace/format/GoldenFile.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 /**
  * Writes the golden file anew: only for a new version of the format, under its own name. Run with
@@ -15,6 +15,6 @@
     public static void main(String[] args) throws IOException {
         Files.write(
                 Path.of(args[0]),
-                Samples.bytes(Head.of(Samples.source("g0")), Samples.entries(1, 20), false));
+                Samples.bytes(TraceHeader.of(Samples.source("g0")), Samples.entries(1, 20), false));
     }
 }
--- a/trace/src/test/java/sprucehold/trace/format/Samples.java
+++ b/trace/src/test/java/sprucehold/trace/format/Samples.java
@@ -23,10 +23,10 @@
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 
 /** Heads and entries of every kind, from a seed. */
 public final class Samples {
@@ -97,7 +97,7 @@
                             new Command.CheckHealth("s-1"),
                             new Command.SubscribeToEndpoints(Reason.ENDPOINTS_UNAVAILABLE),
                             new Command.LogMessage("näher"));
-            entries.add(Moment.of(0, seq++, now, taken, sent, false));
+            entries.add(PolicyCall.of(0, seq++, now, taken, sent, false));
             if (i % 11 == 5) {
                 entries.add(new Gap(0, seq, now + 1, 3, now + 2));
                 seq += 3;
@@ -130,8 +130,8 @@
                         case 2 -> new Command.FailQuery(id, Reason.DEADLINE);
                         default -> new Command.AnswerQuery(id, false, Reason.LATENCY_OBJECTIVE);
                     };
-            Moment moment =
-                    Moment.of(
+            PolicyCall call =
+                    PolicyCall.of(
                             0,
                             seq++,
                             now + 40.125,
@@ -143,12 +143,11 @@
             // Some were cut, and some calls failed.
             entries.add(
                     i % 13 == 7
-                            ? moment.withItems(
-                                    List.of(moment.items().get(1), moment.items().get(7)))
-                            : moment);
+                            ? call.withItems(List.of(call.items().get(1), call.items().get(7)))
+                            : call);
             if (i % 19 == 3) {
                 entries.add(
-                        Moment.of(
+                        PolicyCall.of(
                                 0,
                                 seq++,
                                 now + 41,
@@ -178,7 +177,7 @@
                                         7),
                                 Map.of("s-3", 0.7, "s-1", 1.0)))) {
             entries.add(
-                    Moment.of(
+                    PolicyCall.of(
                             0,
                             entries.size() + 100,
                             now++,
@@ -191,9 +190,10 @@
         return entries;
     }
 
-    static byte[] bytes(Head head, List<Entry> entries, boolean deflate) throws IOException {
+    static byte[] bytes(TraceHeader header, List<Entry> entries, boolean deflate)
+            throws IOException {
         var out = new ByteArrayOutputStream();
-        try (var writer = new TraceWriter(out, head, deflate)) {
+        try (var writer = new TraceWriter(out, header, deflate)) {
             for (Entry entry : entries) {
                 writer.add(entry);
                 // Small blocks, so that a small file has several.
@@ -226,7 +226,7 @@
         return entries;
     }
 
-    static boolean mentions(Moment moment, String text) {
-        return moment.items().stream().map(Item::toString).anyMatch(item -> item.contains(text));
+    static boolean mentions(PolicyCall call, String text) {
+        return call.items().stream().map(Item::toString).anyMatch(item -> item.contains(text));
     }
 }
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -21,12 +21,12 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.event.TraceHeader;
 
 public class TraceFileTest {
-    private static final Head HEAD = Head.of(Samples.source("g0"));
+    private static final TraceHeader HEAD = TraceHeader.of(Samples.source("g0"));
 
     @DataProvider
     Object[][] sizes() {
@@ -41,9 +41,9 @@
         Path file = Samples.file(Samples.bytes(HEAD, entries, deflate));
         try (TraceReader reader = TraceReader.open(file)) {
             assertNull(reader.damage());
-            assertEquals(reader.head(), HEAD);
+            assertEquals(reader.header(), HEAD);
             assertEquals(Samples.all(reader.all()), entries);
-            TraceReader.Verdict verdict = reader.verify();
+            TraceReader.Verification verdict = reader.verify();
             assertTrue(verdict.sound(), verdict.what());
             assertEquals(verdict.records(), reader.records());
             assertEquals(verdict.entries(), entries.size());
@@ -56,12 +56,12 @@
         Path file = Samples.file(Samples.bytes(HEAD, entries, true));
         try (TraceReader reader = TraceReader.open(file)) {
             for (int i = 0; i < entries.size(); i += 37) {
-                if (!(entries.get(i) instanceof Moment moment)
-                        || !(moment.items().get(0).event() instanceof Event.QueryReceived taken)) {
+                if (!(entries.get(i) instanceof PolicyCall call)
+                        || !(call.items().get(0).event() instanceof Event.QueryReceived taken)) {
                     continue;
                 }
                 assertEquals(
-                        of(Samples.all(reader.ofScan(taken.id())), taken.id()),
+                        of(Samples.all(reader.ofQuery(taken.id())), taken.id()),
                         of(entries, taken.id()));
             }
             // Called off by number alone, so the index has to know where the dispatch went.
@@ -75,13 +75,13 @@
                     !wanted.isEmpty()
                             && Samples.all(reader.between(from, from + 5000)).containsAll(wanted));
             assertTrue(Samples.all(reader.between(from, from + 5000)).size() < entries.size() / 2);
-            assertTrue(Samples.all(reader.ofScan("no such")).isEmpty());
+            assertTrue(Samples.all(reader.ofQuery("no such")).isEmpty());
         }
     }
 
     private static List<Entry> of(List<Entry> entries, String id) {
         return entries.stream()
-                .filter(e -> e instanceof Moment moment && Samples.mentions(moment, id))
+                .filter(e -> e instanceof PolicyCall call && Samples.mentions(call, id))
                 .toList();
     }
 
@@ -92,11 +92,11 @@
             Event taken =
                     new Event.QueryReceived(
                             i % 20 == 0 ? "again" : "other-" + i, i + 1, Samples.TYPE, null, 100);
-            again.add(Moment.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
+            again.add(PolicyCall.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
         }
         try (TraceReader reader =
                 TraceReader.open(Samples.file(Samples.bytes(HEAD, again, true)))) {
-            assertEquals(of(Samples.all(reader.ofScan("again")), "again").size(), 3);
+            assertEquals(of(Samples.all(reader.ofQuery("again")), "again").size(), 3);
         }
     }
 
@@ -128,7 +128,7 @@
         out.flush();
         List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
         assertEquals(
-                ((Moment) read.get(0)).items(),
+                ((PolicyCall) read.get(0)).items(),
                 List.of(
                         new Item(
                                 0,
@@ -157,7 +157,7 @@
         assertEquals(
                 read,
                 List.of(
-                        new Moment(
+                        new PolicyCall(
                                 0,
                                 0,
                                 0,
@@ -179,18 +179,19 @@
     @Test
     public void fileOfManyRunsIsFoundInAndVerified() throws IOException {
         // Over twice as many scans as a run holds.
-        int scans = 2 * RunBuilder.MOST_SCANS + 5000;
+        int scans = 2 * BlockIndexBuilder.MOST_SCANS + 5000;
         var bytes = new ByteArrayOutputStream();
         try (var writer = new TraceWriter(bytes, HEAD)) {
             for (int i = 0; i < scans; i++) {
                 Event taken = new Event.QueryReceived("scan-" + i, i + 1, Samples.TYPE, null, 100);
-                writer.add(Moment.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
+                writer.add(
+                        PolicyCall.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
             }
         }
         try (TraceReader reader = TraceReader.open(Samples.file(bytes.toByteArray()))) {
-            for (int i : new int[] {0, RunBuilder.MOST_SCANS + 3, scans - 1}) {
+            for (int i : new int[] {0, BlockIndexBuilder.MOST_SCANS + 3, scans - 1}) {
                 assertEquals(
-                        of(Samples.all(reader.ofScan("scan-" + i)), "id=scan-" + i + ",").size(),
+                        of(Samples.all(reader.ofQuery("scan-" + i)), "id=scan-" + i + ",").size(),
                         1);
             }
             assertTrue(reader.verify().sound());
@@ -235,14 +236,14 @@
                         f.endpointSubscription());
         List<Entry> entries =
                 List.of(
-                        Moment.of(
+                        PolicyCall.of(
                                 0,
                                 0,
                                 5,
                                 List.of(new Event.DeploymentChanged(deployment)),
                                 List.of(),
                                 false),
-                        Moment.of(
+                        PolicyCall.of(
                                 0,
                                 1,
                                 6,
--- a/trace/src/test/java/sprucehold/trace/record/ThinningTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/QuerySamplerTest.java
@@ -16,17 +16,17 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.format.Samples;
 
-public class ThinningTest {
+public class QuerySamplerTest {
     private long seq;
 
-    private Moment moment(double now, List<Event> events, List<Command> actions) {
-        return Moment.of(0, seq++, now, events, actions, false);
+    private PolicyCall moment(double now, List<Event> events, List<Command> actions) {
+        return PolicyCall.of(0, seq++, now, events, actions, false);
     }
 
-    private Moment taken(String id, long number, double now) {
+    private PolicyCall taken(String id, long number, double now) {
         return moment(
                 now,
                 List.of(
@@ -37,7 +37,7 @@
                         new Command.ScheduleWakeUp(3)));
     }
 
-    private Moment ended(String id, double now, Command end) {
+    private PolicyCall ended(String id, double now, Command end) {
         return moment(
                 now,
                 List.of(
@@ -61,21 +61,21 @@
     @Test(dataProvider = "endings")
     public void scanThatEndedBadlyOrLateIsKeptWhole(Command end, int after, boolean kept) {
         // So many that the one scan is never among the one in n by chance.
-        var thinning = new Thinning(Integer.MAX_VALUE);
+        var thinning = new QuerySampler(Integer.MAX_VALUE);
         var out = new ArrayList<Entry>();
         out.addAll(thinning.add(taken("s", 1, 0)));
         assertTrue(out.isEmpty());
         out.addAll(thinning.add(ended("s", after, end)));
         out.addAll(thinning.end());
         List<Item> items =
-                out.stream().flatMap(entry -> ((Moment) entry).items().stream()).toList();
+                out.stream().flatMap(entry -> ((PolicyCall) entry).items().stream()).toList();
         assertEquals(items.size(), kept ? 5 : 0, items.toString());
         assertEquals(thinning.waiting(), 0);
     }
 
     @Test
     public void oneInNOfTheOthersIsKeptWholeAndInOrder() {
-        var thinning = new Thinning(10);
+        var thinning = new QuerySampler(10);
         var out = new ArrayList<Entry>();
         for (int i = 0; i < 2000; i++) {
             out.addAll(thinning.add(taken("scan-" + i, i + 1, i)));
@@ -96,10 +96,10 @@
         for (Entry entry : out) {
             assertTrue(entry.seq() > last);
             last = entry.seq();
-            for (Item item : ((Moment) entry).items()) {
+            for (Item item : ((PolicyCall) entry).items()) {
                 if (item.event() instanceof Event.QueryReceived taken) {
                     begun.add(taken.id());
-                } else if (item.action() instanceof Command.AnswerQuery answer) {
+                } else if (item.command() instanceof Command.AnswerQuery answer) {
                     done.add(answer.queryId());
                 }
             }
@@ -111,19 +111,19 @@
 
     @Test
     public void gapStaysWhereItStood() {
-        var thinning = new Thinning(3);
+        var thinning = new QuerySampler(3);
         thinning.add(taken("s", 1, 0));
         thinning.add(new Gap(0, seq++, 1, 1, 1));
         List<Entry> out =
                 thinning.add(ended("s", 5000, new Command.AnswerQuery("s", true, Reason.COMPLETE)));
         assertEquals(
                 out.stream().map(Entry::getClass).toList(),
-                List.of(Moment.class, Gap.class, Moment.class));
+                List.of(PolicyCall.class, Gap.class, PolicyCall.class));
     }
 
     @Test
     public void scansThatNeverEndAreHeldOnlySoLong() {
-        var thinning = new Thinning(1000);
+        var thinning = new QuerySampler(1000);
         int released = 0;
         for (int i = 0; i < 60_000; i++) {
             released += thinning.add(taken("scan-" + i, i + 1, i)).size();
--- a/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
@@ -28,7 +28,7 @@
 import sprucehold.decision.Reason;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.format.Samples;
 import sprucehold.trace.format.TraceReader;
 
@@ -72,13 +72,13 @@
         Files.delete(folder);
     }
 
-    private RecordingPlan plan(long fileBytes, int keep, int waiting, int oneIn) {
-        return new RecordingPlan(folder, fileBytes, 3_600_000, keep, waiting, oneIn);
+    private RecordingSettings plan(long fileBytes, int keep, int waiting, int oneIn) {
+        return new RecordingSettings(folder, fileBytes, 3_600_000, keep, waiting, oneIn);
     }
 
     private static void scan(Recorder recorder, int number, double now) {
         String id = "scan-" + number;
-        recorder.took(
+        recorder.record(
                 now,
                 List.of(new Event.QueryReceived(id, number, Samples.TYPE, null, 400)),
                 List.of(new Command.AnswerQuery(id, true, Reason.COMPLETE)),
@@ -105,7 +105,7 @@
         long calls = 0;
         for (Entry entry : entries) {
             assertTrue(entry.seq() >= next, "call " + entry.seq() + " after " + next);
-            long of = entry instanceof Gap gap ? gap.moments() : 1;
+            long of = entry instanceof Gap gap ? gap.calls() : 1;
             next = entry.seq() + of;
             calls += of;
         }
@@ -183,7 +183,7 @@
         long lost =
                 entries.stream()
                         .filter(Gap.class::isInstance)
-                        .mapToLong(gap -> ((Gap) gap).moments())
+                        .mapToLong(gap -> ((Gap) gap).calls())
                         .sum();
         assertTrue(lost >= 4000, lost + " lost");
     }
@@ -249,10 +249,10 @@
 
     @Test
     public void folderThatIsGoneIsOneWarningAndServingGoesOn() throws IOException {
-        var gone = new RecordingPlan(folder.resolve("none"), 1 << 20, 1000, 5, 10_000, 1);
+        var gone = new RecordingSettings(folder.resolve("none"), 1 << 20, 1000, 5, 10_000, 1);
         DecisionPolicy module = (now, events) -> List.of(new Command.ScheduleWakeUp(1));
         try (var recorder = new Recorder(gone, Samples.source("g0"))) {
-            var recording = new RecordingGatherer(module, recorder);
+            var recording = new RecordingPolicy(module, recorder);
             for (int i = 0; i < 100; i++) {
                 assertEquals(
                         recording.decide(Samples.BEGIN + i, List.of()),
@@ -272,11 +272,11 @@
             assertThrows(
                     IllegalStateException.class,
                     () ->
-                            new RecordingGatherer(module, recorder)
+                            new RecordingPolicy(module, recorder)
                                     .decide(Samples.BEGIN, List.of(new Event.WakeUp())));
         }
-        Moment only = (Moment) all().get(0);
-        assertTrue(only.failed() && only.events().size() == 1 && only.actions().isEmpty());
+        PolicyCall only = (PolicyCall) all().get(0);
+        assertTrue(only.policyFailed() && only.events().size() == 1 && only.commands().isEmpty());
     }
 
     /** Records without end, to be killed; the first argument is the folder. */
@@ -286,7 +286,7 @@
         public static void main(String[] args) {
             var recorder =
                     new Recorder(
-                            new RecordingPlan(
+                            new RecordingSettings(
                                     Path.of(args[0]), 1 << 24, 3_600_000, 1000, 100_000, 1),
                             Samples.source("g0"));
             for (int i = 0; true; i++) {
@@ -358,9 +358,9 @@
         for (String[] plan : plans) {
             Files.writeString(file, plan[0]);
             try {
-                RecordingPlan.read(file);
+                RecordingSettings.read(file);
                 throw new AssertionError("read " + plan[0]);
-            } catch (RecordingPlan.MalformedPlanException e) {
+            } catch (RecordingSettings.InvalidSettingsException e) {
                 assertEquals(e.getMessage().lines().count(), 1);
                 for (int i = 1; i < plan.length; i++) {
                     assertTrue(e.getMessage().contains(plan[i]), e.getMessage());
@@ -368,7 +368,7 @@
             }
         }
         Files.writeString(file, "{\"folder\": \"here\", \"oneIn\": 7}");
-        RecordingPlan plan = RecordingPlan.read(file);
+        RecordingSettings plan = RecordingSettings.read(file);
         assertEquals(plan.folder(), folder.resolve("here").toAbsolutePath());
         assertEquals(plan.oneIn(), 7);
         assertFalse(plan.fileBytes() <= 0);
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -15,14 +15,14 @@
 import sprucehold.decision.Event;
 import sprucehold.decision.SkippedReplica;
 import sprucehold.decision.Tenant;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
@@ -68,8 +68,8 @@
                             + " ms, clients' patience to 100 ms, weights to equal ones");
 
     private final Pseudonyms pseudonyms;
-    private final EvenShares shares = new EvenShares();
-    private final Map<EvenShares.Cell, Integer> scansOf = new HashMap<>();
+    private final PseudonymQuota shares = new PseudonymQuota();
+    private final Map<PseudonymQuota.Cell, Integer> scansOf = new HashMap<>();
     private final Map<String, Tenant> named = new LinkedHashMap<>();
     private Tenant pool;
     private Source source;
@@ -90,7 +90,7 @@
     public record Written(long scans, long leftOut, int named, long pooled) {}
 
     /** One scan with all that befell it, times since it was taken. */
-    private record Whole(BookedScan scan, List<Line> lines, String origin) {}
+    private record Whole(CorrelatedQuery scan, List<Line> lines, String origin) {}
 
     private record Line(double afterMs, Item item) {}
 
@@ -105,22 +105,22 @@
         return anonymiser.write(reader, to, progress);
     }
 
-    private static EvenShares.Cell cell(Source source, BookedScan scan) {
-        long stretch = (long) Math.floor(source.clock().corrected(scan.takenMs()) / STRETCH_MS);
-        return new EvenShares.Cell(stretch, scan.taken().queryClass().name());
+    private static PseudonymQuota.Cell cell(Source source, CorrelatedQuery query) {
+        long stretch = (long) Math.floor(source.clock().corrected(query.receivedMs()) / STRETCH_MS);
+        return new PseudonymQuota.Cell(stretch, query.received().queryClass().name());
     }
 
     private void count(TraceReader reader, LongConsumer progress) throws IOException {
-        var book = new ScanBook();
+        var correlator = new QueryCorrelator();
         long read = 0;
         TraceReader.Cursor cursor = reader.all();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-            if (entry instanceof Moment moment) {
-                for (Item item : moment.items()) {
-                    BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
+            if (entry instanceof PolicyCall call) {
+                for (Item item : call.items()) {
+                    CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
                     if (item.event() instanceof Event.QueryReceived taken) {
-                        EvenShares.Cell cell =
-                                cell(reader.head().sources().get(moment.source()), scan);
+                        PseudonymQuota.Cell cell =
+                                cell(reader.header().sources().get(call.source()), query);
                         scansOf.merge(cell, 1, Integer::sum);
                         if (taken.tenant() != null) {
                             shares.count(taken.tenant().name(), cell);
@@ -136,8 +136,8 @@
     }
 
     private Written write(TraceReader reader, Path to, LongConsumer progress) throws IOException {
-        Source first = reader.head().sources().get(0);
-        Deployment before = first.facts();
+        Source first = reader.header().sources().get(0);
+        Deployment before = first.deployment();
         // In the order of their pseudonyms, all with the same rate: places and rates would tell.
         var byPseudonym = new TreeMap<String, String>();
         shares.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
@@ -167,34 +167,35 @@
         // clocks.
         source = new Source("anonymised", first.build(), 0, began, deployment, ClockFit.REFERENCE);
         var lost = new ArrayList<>(LOST);
-        var head = new Head(List.of(source), reader.head().oneIn(), true, null, lost);
+        var header = new TraceHeader(List.of(source), reader.header().oneIn(), true, null, lost);
 
         long written = 0;
         long leftOut = 0;
         long pooled = 0;
-        var book = new ScanBook();
-        var open = new LinkedHashMap<BookedScan, Whole>();
+        var correlator = new QueryCorrelator();
+        var open = new LinkedHashMap<CorrelatedQuery, Whole>();
         var stretches = new TreeMap<Long, List<Whole>>();
         long writtenTo = Long.MIN_VALUE;
-        try (var writer = new TraceWriter(TraceRepair.create(to), head)) {
+        try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
             long read = 0;
             TraceReader.Cursor cursor = reader.all();
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-                if (entry instanceof Moment moment) {
-                    Source of = reader.head().sources().get(moment.source());
-                    for (Item item : moment.items()) {
-                        BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-                        if (scan == null) {
+                if (entry instanceof PolicyCall call) {
+                    Source of = reader.header().sources().get(call.source());
+                    for (Item item : call.items()) {
+                        CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+                        if (query == null) {
                             continue;
                         }
                         Whole whole =
                                 open.computeIfAbsent(
-                                        scan, none -> new Whole(scan, new ArrayList<>(), of.id()));
+                                        query,
+                                        none -> new Whole(query, new ArrayList<>(), of.id()));
                         whole.lines.add(
-                                new Line(Math.max(0, moment.nowMs() - scan.takenMs()), item));
-                        if (scan.ended() && scan.out() <= 0) {
-                            open.remove(scan);
-                            long stretch = cell(of, scan).stretch();
+                                new Line(Math.max(0, call.nowMs() - query.receivedMs()), item));
+                        if (query.ended() && query.pendingAttempts() <= 0) {
+                            open.remove(query);
+                            long stretch = cell(of, query).stretch();
                             if (stretch > writtenTo) {
                                 stretches
                                         .computeIfAbsent(stretch, at -> new ArrayList<>())
@@ -207,7 +208,7 @@
                 }
                 // A stretch is written once nobody can still be waiting for a scan of it.
                 double at =
-                        reader.head()
+                        reader.header()
                                 .sources()
                                 .get(entry.source())
                                 .clock()
@@ -246,15 +247,15 @@
             ranked.add(
                     new Ranked(
                             pseudonyms.number(
-                                    "rank", whole.origin + "|" + whole.scan.taken().number()),
+                                    "rank", whole.origin + "|" + whole.scan.received().number()),
                             whole));
         }
         ranked.sort(Comparator.comparingLong(Ranked::rank));
-        Map<EvenShares.Cell, Integer> left = new HashMap<>();
-        Map<EvenShares.Cell, Integer> all = new HashMap<>();
+        Map<PseudonymQuota.Cell, Integer> left = new HashMap<>();
+        Map<PseudonymQuota.Cell, Integer> all = new HashMap<>();
         for (Ranked one : ranked) {
             all.merge(
-                    cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan),
+                    cell(reader.header().sources().get(one.whole.scan.source()), one.whole.scan),
                     1,
                     Integer::sum);
         }
@@ -264,9 +265,9 @@
         var chosen = new ArrayList<Map.Entry<Whole, Tenant>>();
         var rest = new ArrayList<Whole>();
         for (Ranked one : ranked) {
-            EvenShares.Cell cell =
-                    cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan);
-            var tenant = one.whole.scan.taken().tenant();
+            PseudonymQuota.Cell cell =
+                    cell(reader.header().sources().get(one.whole.scan.source()), one.whole.scan);
+            var tenant = one.whole.scan.received().tenant();
             boolean fits = left.get(cell) >= shares.shown(cell) * named.size();
             if (tenant != null
                     && named.containsKey(tenant.name())
@@ -282,14 +283,14 @@
                 one ->
                         left.merge(
                                 cell(
-                                        reader.head().sources().get(one.getKey().scan.source()),
+                                        reader.header().sources().get(one.getKey().scan.source()),
                                         one.getKey().scan),
                                 -1,
                                 Integer::sum));
         long pooled = 0;
         for (Whole whole : rest) {
-            EvenShares.Cell cell =
-                    cell(reader.head().sources().get(whole.scan.source()), whole.scan);
+            PseudonymQuota.Cell cell =
+                    cell(reader.header().sources().get(whole.scan.source()), whole.scan);
             if (left.merge(cell, -1, Integer::sum) >= 0) {
                 chosen.add(Map.entry(whole, pool));
                 pooled++;
@@ -302,31 +303,32 @@
                                         "place",
                                         one.getKey().origin
                                                 + "|"
-                                                + one.getKey().scan.taken().number())));
-        var moments = new ArrayList<Moment>();
+                                                + one.getKey().scan.received().number())));
+        var moments = new ArrayList<PolicyCall>();
         for (int i = 0; i < chosen.size(); i++) {
             double at = (stretch + (double) i / chosen.size()) * STRETCH_MS;
             moments.addAll(moments(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
         }
-        moments.sort(Comparator.comparingDouble(Moment::nowMs).thenComparingLong(Moment::seq));
-        for (Moment moment : moments) {
-            writer.add(new Moment(0, seq++, moment.nowMs(), false, moment.total(), moment.items()));
+        moments.sort(
+                Comparator.comparingDouble(PolicyCall::nowMs).thenComparingLong(PolicyCall::seq));
+        for (PolicyCall call : moments) {
+            writer.add(new PolicyCall(0, seq++, call.nowMs(), false, call.total(), call.items()));
         }
         return new long[] {chosen.size(), scans.size() - chosen.size(), pooled};
     }
 
-    private List<Moment> moments(Whole whole, Tenant tenant, double at) {
+    private List<PolicyCall> moments(Whole whole, Tenant tenant, double at) {
         String id =
                 pseudonyms.name(
                         "scan",
                         whole.origin
                                 + "|"
-                                + whole.scan.taken().number()
+                                + whole.scan.received().number()
                                 + "|"
-                                + whole.scan.taken().id());
+                                + whole.scan.received().id());
         long own = ++number;
         Map<String, String> parts = new HashMap<>();
-        var moments = new ArrayList<Moment>();
+        var moments = new ArrayList<PolicyCall>();
         var items = new ArrayList<Item>();
         double before = 0;
         long order = own << 20;
@@ -353,8 +355,8 @@
         return moments;
     }
 
-    private static Moment moment(long order, double at, List<Item> items) {
-        return new Moment(0, order, at, false, items.size(), items);
+    private static PolicyCall moment(long order, double at, List<Item> items) {
+        return new PolicyCall(0, order, at, false, items.size(), items);
     }
 
     private Item item(
@@ -400,7 +402,7 @@
         } else if (event != null) {
             return null;
         }
-        Command command = item.action();
+        Command command = item.command();
         if (command instanceof Command.SendAttempt sendAttempt) {
             var passed =
                     sendAttempt.skipped().stream()
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/EvenShares.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
@@ -14,7 +14,7 @@
  * counts nor rhythms nor the mix of table types tells one pseudonym from another. Customers too
  * rare for that are pooled, and so are the scans over the count. Pure.
  */
-final class EvenShares {
+final class PseudonymQuota {
     /** A stretch of time and a table type. */
     record Cell(long stretch, String tableType) {}
 
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
@@ -36,7 +36,7 @@
      * @return for each source its fit: the reference's is {@link ClockFit#REFERENCE}, that of a
      *     source that shares nothing with any other {@link ClockFit#UNKNOWN}
      */
-    public static List<ClockFit> fit(List<String> ids, List<Sightings> sightings) {
+    public static List<ClockFit> fit(List<String> ids, List<EndpointSightings> sightings) {
         int n = ids.size();
         Integer[] order = new Integer[n];
         Arrays.setAll(order, i -> i);
@@ -93,7 +93,7 @@
     }
 
     /** The clock of {@code of} against that of {@code to}. */
-    private static ClockFit line(Sightings to, Sightings of) {
+    private static ClockFit line(EndpointSightings to, EndpointSightings of) {
         var pairs = new ArrayList<Pair>();
         to.seen()
                 .forEach(
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/Sightings.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/EndpointSightings.java
@@ -7,14 +7,14 @@
 import sprucehold.decision.Event;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 
 /**
  * When one source first heard of each change of the list, by its own clock. A change is a server's
  * name, its start and its mode; one that comes up again, as a server that drains and returns, is
  * told apart by its turn.
  */
-public final class Sightings {
+public final class EndpointSightings {
     /** Changes kept at most: a line through ten thousand points is as good as through more. */
     private static final int MOST = 10_000;
 
@@ -23,13 +23,13 @@
     private final Map<String, String> lastOf = new HashMap<>();
 
     public void add(Entry entry) {
-        if (!(entry instanceof Moment moment)) {
+        if (!(entry instanceof PolicyCall call)) {
             return;
         }
-        for (Item item : moment.items()) {
+        for (Item item : call.items()) {
             if (item.event() instanceof Event.EndpointsUpdated list) {
                 for (Endpoint server : list.endpoints()) {
-                    see(server, list.complete(), moment.nowMs());
+                    see(server, list.complete(), call.nowMs());
                 }
             }
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/WholeScans.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
@@ -2,22 +2,22 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 
 /** What of each entry belongs to a window. Pure. */
-final class WholeScans {
+final class QueryWindow {
     private final List<Source> sources;
-    private final Head.Window window;
-    private final ScanBook book = new ScanBook();
+    private final TraceHeader.Window window;
+    private final QueryCorrelator correlator = new QueryCorrelator();
 
-    WholeScans(List<Source> sources, Head.Window window) {
+    QueryWindow(List<Source> sources, TraceHeader.Window window) {
         this.sources = sources;
         this.window = window;
     }
@@ -29,21 +29,21 @@
             double to = corrected(gap, gap.toMs());
             return from < window.toMs() && to >= window.fromMs() ? gap : null;
         }
-        Moment moment = (Moment) entry;
-        boolean here = window.holds(corrected(moment, moment.nowMs()));
-        if (moment.items().isEmpty()) {
-            return here ? moment : null;
+        PolicyCall call = (PolicyCall) entry;
+        boolean here = window.holds(corrected(call, call.nowMs()));
+        if (call.items().isEmpty()) {
+            return here ? call : null;
         }
-        var kept = new ArrayList<Item>(moment.items().size());
-        for (Item item : moment.items()) {
-            BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
+        var kept = new ArrayList<Item>(call.items().size());
+        for (Item item : call.items()) {
+            CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
             // What belongs to no scan, or to one taken before the file began, belongs where it
             // happened.
-            if (scan == null ? here : window.holds(corrected(moment, scan.takenMs()))) {
+            if (query == null ? here : window.holds(corrected(call, query.receivedMs()))) {
                 kept.add(item);
             }
         }
-        return kept.isEmpty() ? null : moment.withItems(kept);
+        return kept.isEmpty() ? null : call.withItems(kept);
     }
 
     private double corrected(Entry entry, double ms) {
--- a/tracetools/src/main/java/sprucehold/tracetools/story/Storyteller.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -1,4 +1,4 @@
-package sprucehold.tracetools.story;
+package sprucehold.tracetools.explanation;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,16 +16,16 @@
 import sprucehold.trace.event.Source;
 
 /** Tells a scan's story in plain words, and draws its parts on a time line. */
-public final class Storyteller {
+public final class QueryExplainer {
     private static final int LINE_WIDTH = 60;
 
-    private Storyteller() {}
+    private QueryExplainer() {}
 
     /** The story, a line each. */
-    public static List<String> tell(Story story, Source source) {
+    public static List<String> tell(QueryExplanation explanation, Source source) {
         var lines = new ArrayList<String>();
-        ScanTally tally = story.tally();
-        Event.QueryReceived taken = tally.scan().taken();
+        QueryStatistics statistics = explanation.tally();
+        Event.QueryReceived taken = statistics.query().received();
         QueryClass type = taken.queryClass();
         lines.add(
                 "scan "
@@ -39,10 +39,10 @@
                         + ", taken by gatherer "
                         + source.gatherer()
                         + " at "
-                        + Times.iso(tally.scan().takenMs()));
+                        + Times.iso(statistics.query().receivedMs()));
         lines.add(
                 "  "
-                        + tally.parts()
+                        + statistics.parts()
                         + " parts; "
                         + repeat(type)
                         + "; target time "
@@ -53,54 +53,54 @@
                         + percent(type.completeCoverage())
                         + ", answered at all from "
                         + percent(type.minimumCoverage()));
-        lines.add("  " + verdict(tally));
+        lines.add("  " + verdict(statistics));
         lines.add("");
-        for (Story.Line line : story.lines()) {
+        for (QueryExplanation.Line line : explanation.lines()) {
             String words = words(line);
             if (words != null) {
                 lines.add(
                         String.format(
                                 Locale.ROOT,
                                 "  %+10.1f ms  %s",
-                                line.nowMs() - tally.scan().takenMs(),
+                                line.nowMs() - statistics.query().receivedMs(),
                                 words));
             }
         }
-        for (Gap gap : story.gaps()) {
+        for (Gap gap : explanation.gaps()) {
             lines.add(
                     "  here "
-                            + gap.moments()
+                            + gap.calls()
                             + " calls of the module were not recorded, from "
                             + Times.iso(gap.nowMs())
                             + " to "
                             + Times.iso(gap.toMs()));
         }
         lines.add("");
-        lines.addAll(timeLine(story));
+        lines.addAll(timeLine(explanation));
         return lines;
     }
 
-    private static String verdict(ScanTally tally) {
-        if (tally.outcome() == ScanTally.Outcome.OPEN) {
+    private static String verdict(QueryStatistics statistics) {
+        if (statistics.outcome() == QueryStatistics.Outcome.OPEN) {
             return "it has no end in this file";
         }
-        return tally.outcome().words()
+        return statistics.outcome().description()
                 + " after "
-                + ms(tally.tookMs())
-                + (tally.inTargetTime()
+                + ms(statistics.durationMs())
+                + (statistics.metLatencyObjective()
                         ? ", in its target time"
-                        : tally.outcome() == ScanTally.Outcome.WHOLE
-                                        || tally.outcome() == ScanTally.Outcome.PART
+                        : statistics.outcome() == QueryStatistics.Outcome.COMPLETE
+                                        || statistics.outcome() == QueryStatistics.Outcome.PARTIAL
                                 ? ", past its target time"
                                 : "")
                 + ", because "
-                + tally.reason().description()
+                + statistics.reason().description()
                 + "; "
-                + tally.dispatches()
+                + statistics.attempts()
                 + " dispatches, "
-                + tally.furtherTries()
+                + statistics.retries()
                 + " further tries, "
-                + tally.copies()
+                + statistics.hedges()
                 + " second copies";
     }
 
@@ -112,9 +112,9 @@
         };
     }
 
-    private static String words(Story.Line line) {
+    private static String words(QueryExplanation.Line line) {
         Event event = line.item().event();
-        Command command = line.item().action();
+        Command command = line.item().command();
         if (event instanceof Event.QueryReceived) {
             return "taken";
         } else if (event instanceof Event.PartReceived part) {
@@ -139,7 +139,7 @@
         } else if (command instanceof Command.SendAttempt sendAttempt) {
             String passed =
                     sendAttempt.skipped().stream()
-                            .map(Storyteller::words)
+                            .map(QueryExplainer::words)
                             .collect(Collectors.joining("; "));
             return "part "
                     + sendAttempt.partId()
@@ -194,21 +194,25 @@
         };
     }
 
-    private static List<String> timeLine(Story story) {
-        var bars = new LinkedBars(story);
+    private static List<String> timeLine(QueryExplanation explanation) {
+        var bars = new LinkedBars(explanation);
         return bars.lines();
     }
 
     /** One bar a dispatch, from its sending to its end. */
     private static final class LinkedBars {
-        private final Story story;
+        private final QueryExplanation explanation;
         private final double begun;
         private final double span;
 
-        LinkedBars(Story story) {
-            this.story = story;
-            this.begun = story.tally().scan().takenMs();
-            double last = story.lines().stream().mapToDouble(Story.Line::nowMs).max().orElse(begun);
+        LinkedBars(QueryExplanation explanation) {
+            this.explanation = explanation;
+            this.begun = explanation.tally().query().receivedMs();
+            double last =
+                    explanation.lines().stream()
+                            .mapToDouble(QueryExplanation.Line::nowMs)
+                            .max()
+                            .orElse(begun);
             this.span = Math.max(1, last - begun);
         }
 
@@ -217,8 +221,8 @@
             Map<String, Integer> sent = new HashMap<>();
             Map<String, String> bars = new LinkedHashMap<>();
             Map<String, String> label = new HashMap<>();
-            for (Story.Line line : story.lines()) {
-                if (line.item().action() instanceof Command.SendAttempt sendAttempt) {
+            for (QueryExplanation.Line line : explanation.lines()) {
+                if (line.item().command() instanceof Command.SendAttempt sendAttempt) {
                     int number = sent.merge(sendAttempt.partId(), 1, Integer::sum) - 1;
                     String key = sendAttempt.partId() + "#" + number;
                     sentAt.put(key, line.nowMs());
--- /dev/null
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
@@ -0,0 +1,65 @@
+package sprucehold.tracetools.explanation;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
+import sprucehold.trace.event.Entry;
+import sprucehold.trace.event.Gap;
+import sprucehold.trace.event.Item;
+import sprucehold.trace.event.PolicyCall;
+
+/**
+ * All that a trace holds of one scan, in order.
+ *
+ * @param lines what happened and was done
+ * @param gaps gaps of its gatherer that fall into its time
+ */
+public record QueryExplanation(QueryStatistics tally, List<Line> lines, List<Gap> gaps) {
+    /** One event or action, and when, by the gatherer's clock. */
+    public record Line(long seq, double nowMs, Item item) {}
+
+    /** Collects the stories of all scans of one id: an id may come again. */
+    public static final class Collector {
+        private final String id;
+        private final QueryCorrelator correlator = new QueryCorrelator();
+        private final Map<CorrelatedQuery, QueryExplanation> stories = new LinkedHashMap<>();
+
+        public Collector(String id) {
+            this.id = id;
+        }
+
+        public void add(Entry entry) {
+            if (entry instanceof Gap gap) {
+                stories.values().stream()
+                        .filter(
+                                explanation ->
+                                        explanation.tally.query().source() == gap.source()
+                                                && !explanation.tally.query().ended())
+                        .forEach(explanation -> explanation.gaps.add(gap));
+            } else if (entry instanceof PolicyCall call) {
+                for (Item item : call.items()) {
+                    CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+                    if (query != null && query.received().id().equals(id)) {
+                        QueryExplanation explanation =
+                                stories.computeIfAbsent(
+                                        query,
+                                        none ->
+                                                new QueryExplanation(
+                                                        new QueryStatistics(query),
+                                                        new ArrayList<>(),
+                                                        new ArrayList<>()));
+                        explanation.tally.add(call.nowMs(), item);
+                        explanation.lines.add(new Line(call.seq(), call.nowMs(), item));
+                    }
+                }
+            }
+        }
+
+        public List<QueryExplanation> stories() {
+            return List.copyOf(stories.values());
+        }
+    }
+}
--- a/tracetools/src/main/java/sprucehold/tracetools/story/Times.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/Times.java
@@ -1,4 +1,4 @@
-package sprucehold.tracetools.story;
+package sprucehold.tracetools.explanation;
 
 import java.time.DateTimeException;
 import java.time.Instant;
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -13,11 +13,11 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.format.TraceReader;
-import sprucehold.tracetools.story.ScanTallies;
-import sprucehold.tracetools.story.ScanTally;
+import sprucehold.tracetools.explanation.QueryStatistics;
+import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 
 /** Writes a trace as text: every record as a JSON line, or every scan as a row. */
 public final class TraceExport {
@@ -36,7 +36,7 @@
         long lines = 0;
         TraceReader.Cursor cursor = reader.all();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-            Source source = reader.head().sources().get(entry.source());
+            Source source = reader.header().sources().get(entry.source());
             if (entry instanceof Gap gap) {
                 line(
                         to,
@@ -44,13 +44,13 @@
                         entry,
                         "Gap",
                         MAPPER.createObjectNode()
-                                .put("moments", gap.moments())
+                                .put("moments", gap.calls())
                                 .put("toMs", gap.toMs()));
                 lines++;
                 continue;
             }
-            for (Item item : ((Moment) entry).items()) {
-                Object what = item.event() != null ? item.event() : item.action();
+            for (Item item : ((PolicyCall) entry).items()) {
+                Object what = item.event() != null ? item.event() : item.command();
                 ObjectNode fields = MAPPER.valueToTree(what);
                 if (what instanceof Event.QueryReceived taken) {
                     fields.put("type", taken.queryClass().name());
@@ -101,10 +101,10 @@
         long[] rows = {0};
         var failed = new IOException[1];
         var tallies =
-                new ScanTallies(
-                        tally -> {
+                new QueryStatisticsCollector(
+                        statistics -> {
                             try {
-                                row(printer, reader, tally);
+                                row(printer, reader, statistics);
                                 rows[0]++;
                             } catch (IOException e) {
                                 failed[0] = e;
@@ -124,23 +124,23 @@
         return rows[0];
     }
 
-    private static void row(CSVPrinter printer, TraceReader reader, ScanTally tally)
+    private static void row(CSVPrinter printer, TraceReader reader, QueryStatistics statistics)
             throws IOException {
-        var taken = tally.scan().taken();
+        var taken = statistics.query().received();
         printer.printRecord(
-                reader.head().sources().get(tally.scan().source()).gatherer(),
+                reader.header().sources().get(statistics.query().source()).gatherer(),
                 taken.id(),
                 taken.queryClass().name(),
-                tally.customer(),
-                tally.scan().takenMs(),
-                tally.outcome(),
-                tally.reason().storedName(),
-                Double.isNaN(tally.tookMs()) ? "" : tally.tookMs(),
-                tally.inTargetTime(),
-                tally.parts(),
-                tally.dispatches(),
-                tally.furtherTries(),
-                tally.copies(),
-                String.join(" ", tally.servers()));
+                statistics.tenant(),
+                statistics.query().receivedMs(),
+                statistics.outcome().storedName(),
+                statistics.reason().storedName(),
+                Double.isNaN(statistics.durationMs()) ? "" : statistics.durationMs(),
+                statistics.metLatencyObjective(),
+                statistics.parts(),
+                statistics.attempts(),
+                statistics.retries(),
+                statistics.hedges(),
+                String.join(" ", statistics.servers()));
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
@@ -8,7 +8,7 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.format.TraceReader;
 
 /** One source's entries by rising number, put together from all inputs that hold some of them. */
@@ -66,11 +66,11 @@
         if (one instanceof Gap && other instanceof Gap) {
             return one;
         }
-        if (!(one instanceof Moment a)
-                || !(other instanceof Moment b)
+        if (!(one instanceof PolicyCall a)
+                || !(other instanceof PolicyCall b)
                 || a.total() != b.total()
                 || Double.compare(a.nowMs(), b.nowMs()) != 0
-                || a.failed() != b.failed()) {
+                || a.policyFailed() != b.policyFailed()) {
             throw new IOException(
                     of
                             + " and "
@@ -79,7 +79,7 @@
                             + one.seq()
                             + " of the same source");
         }
-        if (a.whole()) {
+        if (a.isComplete()) {
             return a;
         }
         var items = new TreeMap<Integer, Item>();
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
@@ -11,13 +11,13 @@
 import java.util.function.LongConsumer;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
 import sprucehold.tracetools.clock.ClockEstimate;
-import sprucehold.tracetools.clock.Sightings;
+import sprucehold.tracetools.clock.EndpointSightings;
 
 /** Merges files: twice through the inputs, once for the clocks and once for the entries. */
 public final class TraceMerge {
@@ -61,22 +61,22 @@
     private static Merged mergeOpen(List<TraceReader> readers, Path to, LongConsumer progress)
             throws IOException {
         var sources = new TreeMap<String, Source>();
-        boolean anonymised = readers.get(0).head().anonymised();
+        boolean anonymised = readers.get(0).header().anonymised();
         int oneIn = 1;
         var lost = new TreeSet<String>();
         for (TraceReader reader : readers) {
-            if (reader.head().anonymised() != anonymised) {
+            if (reader.header().anonymised() != anonymised) {
                 throw new IOException("files with and without identities can't be merged");
             }
-            oneIn = Math.max(oneIn, reader.head().oneIn());
-            lost.addAll(reader.head().lost());
-            for (Source source : reader.head().sources()) {
+            oneIn = Math.max(oneIn, reader.header().oneIn());
+            lost.addAll(reader.header().lost());
+            for (Source source : reader.header().sources()) {
                 sources.merge(source.id(), source, (a, b) -> betterKnown(a, b));
             }
         }
         List<String> ids = List.copyOf(sources.keySet());
         List<Source> fitted = fit(readers, ids, List.copyOf(sources.values()), progress);
-        var head = new Head(fitted, oneIn, anonymised, hull(readers), List.copyOf(lost));
+        var header = new TraceHeader(fitted, oneIn, anonymised, hull(readers), List.copyOf(lost));
 
         record Next(double key, int source, Entry entry) {}
         var next =
@@ -93,7 +93,7 @@
             }
         }
         long written = 0;
-        try (var writer = new TraceWriter(TraceRepair.create(to), head)) {
+        try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
             while (!next.isEmpty()) {
                 Next least = next.poll();
                 writer.add(least.entry);
@@ -123,7 +123,7 @@
         for (int i = 0; i < ids.size(); i++) {
             var stream = new SourceStream(i);
             for (TraceReader reader : readers) {
-                List<Source> there = reader.head().sources();
+                List<Source> there = reader.header().sources();
                 for (int j = 0; j < there.size(); j++) {
                     if (there.get(j).id().equals(ids.get(i))) {
                         stream.add(reader, j);
@@ -144,10 +144,10 @@
         if (ids.size() == 1) {
             return List.of(sources.get(0).withClock(ClockFit.REFERENCE));
         }
-        var sightings = new ArrayList<Sightings>();
+        var sightings = new ArrayList<EndpointSightings>();
         long read = 0;
         for (SourceStream stream : streams(readers, ids)) {
-            var of = new Sightings();
+            var of = new EndpointSightings();
             for (Entry entry = stream.next(); entry != null; entry = stream.next()) {
                 of.add(entry);
                 if (++read % 65_536 == 0) {
@@ -176,22 +176,22 @@
     /**
      * The window that cut pieces make up together, or null where one wasn't cut or there is a hole.
      */
-    private static Head.Window hull(List<TraceReader> readers) {
-        List<Head.Window> windows = new ArrayList<>();
+    private static TraceHeader.Window hull(List<TraceReader> readers) {
+        List<TraceHeader.Window> windows = new ArrayList<>();
         for (TraceReader reader : readers) {
-            if (reader.head().window() == null) {
+            if (reader.header().window() == null) {
                 return null;
             }
-            windows.add(reader.head().window());
+            windows.add(reader.header().window());
         }
-        windows.sort(Comparator.comparingDouble(Head.Window::fromMs));
+        windows.sort(Comparator.comparingDouble(TraceHeader.Window::fromMs));
         double end = windows.get(0).toMs();
-        for (Head.Window window : windows) {
+        for (TraceHeader.Window window : windows) {
             if (window.fromMs() > end) {
                 return null;
             }
             end = Math.max(end, window.toMs());
         }
-        return new Head.Window(windows.get(0).fromMs(), end);
+        return new TraceHeader.Window(windows.get(0).fromMs(), end);
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -7,10 +7,10 @@
 import java.util.Objects;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.format.TraceReader;
-import sprucehold.tracetools.story.Times;
+import sprucehold.tracetools.explanation.Times;
 
 /** Where two traces of the same day part. */
 public final class TraceDiff {
@@ -43,11 +43,14 @@
      */
     public static List<Parting> diff(TraceReader a, TraceReader b) throws IOException {
         var partings = new ArrayList<Parting>();
-        for (int i = 0; i < a.head().sources().size(); i++) {
-            Source source = a.head().sources().get(i);
+        for (int i = 0; i < a.header().sources().size(); i++) {
+            Source source = a.header().sources().get(i);
             int other = -1;
-            for (int j = 0; j < b.head().sources().size(); j++) {
-                other = b.head().sources().get(j).gatherer().equals(source.gatherer()) ? j : other;
+            for (int j = 0; j < b.header().sources().size(); j++) {
+                other =
+                        b.header().sources().get(j).gatherer().equals(source.gatherer())
+                                ? j
+                                : other;
             }
             if (other < 0) {
                 partings.add(
@@ -63,8 +66,8 @@
                 partings.add(parting);
             }
         }
-        for (Source source : b.head().sources()) {
-            if (a.head().sources().stream()
+        for (Source source : b.header().sources()) {
+            if (a.header().sources().stream()
                     .noneMatch(of -> of.gatherer().equals(source.gatherer()))) {
                 partings.add(
                         new Parting(
@@ -105,7 +108,7 @@
         if (one.withSource(0).equals(other.withSource(0))) {
             return null;
         }
-        if (!(one instanceof Moment a) || !(other instanceof Moment b)) {
+        if (!(one instanceof PolicyCall a) || !(other instanceof PolicyCall b)) {
             return "the first has " + one + ", the second " + other;
         }
         // What went in parts before what came out does: the first that differs is the cause.
@@ -130,6 +133,6 @@
     private static String words(Item item) {
         return item == null
                 ? "nothing more"
-                : item.event() != null ? "event " + item.event() : "action " + item.action();
+                : item.event() != null ? "event " + item.event() : "action " + item.command();
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -11,9 +11,9 @@
 import sprucehold.decision.Event;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 
 /** Runs a module on the events of a trace, and compares what it does. */
@@ -48,21 +48,21 @@
         record Piece(TraceReader reader, int source, Source of, long firstSeq) {}
         var pieces = new ArrayList<Piece>();
         for (TraceReader reader : readers) {
-            Head head = reader.head();
-            if (head.oneIn() > 1) {
+            TraceHeader header = reader.header();
+            if (header.oneIn() > 1) {
                 throw new CannotReplayException(
                         reader.name()
                                 + " keeps one in "
-                                + head.oneIn()
+                                + header.oneIn()
                                 + " scans that ended well, and what was left out can't be decided again");
-            } else if (head.anonymised()) {
+            } else if (header.anonymised()) {
                 throw new CannotReplayException(
                         reader.name() + " is anonymised, and holds no events as they were");
             }
-            for (int i = 0; i < head.sources().size(); i++) {
+            for (int i = 0; i < header.sources().size(); i++) {
                 Entry first = reader.allOf(i).next();
                 if (first != null) {
-                    pieces.add(new Piece(reader, i, head.sources().get(i), first.seq()));
+                    pieces.add(new Piece(reader, i, header.sources().get(i), first.seq()));
                 }
             }
         }
@@ -77,20 +77,20 @@
         for (Piece piece : pieces) {
             if (!piece.of.id().equals(current)) {
                 current = piece.of.id();
-                module = factory.start(piece.of.seed(), piece.of.facts());
+                module = factory.start(piece.of.seed(), piece.of.deployment());
                 seq = 0;
             }
             TraceReader.Cursor cursor = piece.reader.allOf(piece.source);
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                 check(piece.reader, piece.of, entry, seq);
                 seq = entry.seq() + 1;
-                Moment moment = (Moment) entry;
-                String difference = decide(module, moment, piece.of);
+                PolicyCall call = (PolicyCall) entry;
+                String difference = decide(module, call, piece.of);
                 moments++;
                 if (difference != null) {
                     return new Verdict(moments, agreed, difference);
                 }
-                agreed += moment.actions().size();
+                agreed += call.commands().size();
                 if (moments % 65_536 == 0) {
                     progress.accept(moments);
                 }
@@ -105,7 +105,7 @@
             throw new CannotReplayException(
                     reader.name()
                             + ": "
-                            + gap.moments()
+                            + gap.calls()
                             + " calls of gatherer "
                             + source.gatherer()
                             + " from call "
@@ -124,7 +124,7 @@
                             + " was expected"
                             + (expected == 0 ? ": give the files before it as well" : ""));
         }
-        if (!((Moment) entry).whole()) {
+        if (!((PolicyCall) entry).isComplete()) {
             throw new CannotReplayException(
                     reader.name()
                             + ": of call "
@@ -132,24 +132,24 @@
                             + " of gatherer "
                             + source.gatherer()
                             + " only "
-                            + ((Moment) entry).items().size()
+                            + ((PolicyCall) entry).items().size()
                             + " of "
-                            + ((Moment) entry).total()
+                            + ((PolicyCall) entry).total()
                             + " events and actions are there: it was cut");
         }
     }
 
-    private static String decide(DecisionPolicy module, Moment moment, Source source) {
-        List<Event> events = moment.events();
-        List<Command> recorded = moment.actions();
+    private static String decide(DecisionPolicy module, PolicyCall call, Source source) {
+        List<Event> events = call.events();
+        List<Command> recorded = call.commands();
         List<Command> now;
-        String where = "gatherer " + source.gatherer() + ", call " + moment.seq();
+        String where = "gatherer " + source.gatherer() + ", call " + call.seq();
         try {
-            now = module.decide(moment.nowMs(), events);
+            now = module.decide(call.nowMs(), events);
         } catch (RuntimeException | StackOverflowError e) {
-            return moment.failed() ? null : where + ": this build fails with " + e;
+            return call.policyFailed() ? null : where + ": this build fails with " + e;
         }
-        if (moment.failed()) {
+        if (call.policyFailed()) {
             return where + ": the recorded module failed, this build doesn't";
         }
         for (int i = 0; i < Math.max(recorded.size(), now.size()); i++) {
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ScanGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
@@ -3,14 +3,15 @@
 import java.util.EnumMap;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import sprucehold.tracetools.story.ScanTally;
+import sprucehold.tracetools.explanation.QueryStatistics;
 
 /** Figures of some scans. */
-public final class ScanGroup {
+public final class QueryGroup {
     /** Two digits: a time is told to within a hundredth. */
     private final Histogram took = new Histogram(2);
 
-    private final Map<ScanTally.Outcome, Long> outcomes = new EnumMap<>(ScanTally.Outcome.class);
+    private final Map<QueryStatistics.Outcome, Long> outcomes =
+            new EnumMap<>(QueryStatistics.Outcome.class);
     private long scans;
     private long inTargetTime;
     private long dispatches;
@@ -19,24 +20,25 @@
     private double benefit;
     private double benefitAsked;
 
-    void add(ScanTally tally) {
+    void add(QueryStatistics statistics) {
         scans++;
-        outcomes.merge(tally.outcome(), 1L, Long::sum);
-        inTargetTime += tally.inTargetTime() ? 1 : 0;
-        dispatches += tally.dispatches();
-        furtherTries += tally.furtherTries();
-        copies += tally.copies();
-        var type = tally.scan().taken().queryClass();
+        outcomes.merge(statistics.outcome(), 1L, Long::sum);
+        inTargetTime += statistics.metLatencyObjective() ? 1 : 0;
+        dispatches += statistics.attempts();
+        furtherTries += statistics.retries();
+        copies += statistics.hedges();
+        var type = statistics.query().received().queryClass();
         boolean completed =
-                tally.outcome() == ScanTally.Outcome.WHOLE
-                        || tally.outcome() == ScanTally.Outcome.PART;
+                statistics.outcome() == QueryStatistics.Outcome.COMPLETE
+                        || statistics.outcome() == QueryStatistics.Outcome.PARTIAL;
         benefitAsked += type.priorityWeight();
         benefit +=
                 !completed
                         ? 0
-                        : type.priorityWeight() * (tally.inTargetTime() ? 1 : type.lateWeight());
+                        : type.priorityWeight()
+                                * (statistics.metLatencyObjective() ? 1 : type.lateWeight());
         if (completed) {
-            took.recordValue(Math.max(0, Math.round(tally.tookMs() * 1000)));
+            took.recordValue(Math.max(0, Math.round(statistics.durationMs() * 1000)));
         }
     }
 
@@ -44,7 +46,7 @@
         return scans;
     }
 
-    public long of(ScanTally.Outcome outcome) {
+    public long of(QueryStatistics.Outcome outcome) {
         return outcomes.getOrDefault(outcome, 0L);
     }
 
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
@@ -20,7 +20,7 @@
 import org.jfree.svg.SVGGraphics2D;
 import sprucehold.decision.AttemptOutcome;
 import sprucehold.decision.Reason;
-import sprucehold.tracetools.story.ScanTally;
+import sprucehold.tracetools.explanation.QueryStatistics;
 
 /** A summary as one HTML page with its charts inside: it opens with no network. */
 public final class SummaryPage {
@@ -82,7 +82,10 @@
                         (how, why) ->
                                 why.forEach(
                                         (reason, count) ->
-                                                row(how.words(), reason.description(), count)));
+                                                row(
+                                                        how.description(),
+                                                        reason.description(),
+                                                        count)));
         html.append("</table>\n");
         chart(reasons());
         html.append("<h2>Shard servers</h2>\n<table><tr><th>server</th><th>dispatches</th>");
@@ -118,7 +121,7 @@
         html.append("</table>\n</body></html>\n");
     }
 
-    private void scans(Map<String, ScanGroup> groups) {
+    private void scans(Map<String, QueryGroup> groups) {
         html.append(
                 "<table><tr><th></th><th>scans</th><th>whole</th><th>in part</th><th>throttled</th><th>abandoned"
                         + "</th><th>client left</th><th>in target time</th><th>service</th><th>dispatches</th><th>copies</th>"
@@ -128,11 +131,11 @@
                         row(
                                 name,
                                 group.scans(),
-                                group.of(ScanTally.Outcome.WHOLE),
-                                group.of(ScanTally.Outcome.PART),
-                                group.of(ScanTally.Outcome.THROTTLED),
-                                group.of(ScanTally.Outcome.ABANDONED),
-                                group.of(ScanTally.Outcome.CLIENT_LEFT),
+                                group.of(QueryStatistics.Outcome.COMPLETE),
+                                group.of(QueryStatistics.Outcome.PARTIAL),
+                                group.of(QueryStatistics.Outcome.REJECTED),
+                                group.of(QueryStatistics.Outcome.FAILED),
+                                group.of(QueryStatistics.Outcome.CLIENT_DISCONNECTED),
                                 group.inTargetTime(),
                                 String.format(Locale.ROOT, "%.3f", group.service()),
                                 group.dispatches(),
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -9,14 +9,14 @@
 import sprucehold.decision.Command;
 import sprucehold.decision.Event;
 import sprucehold.decision.Reason;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.format.TraceReader;
-import sprucehold.tracetools.story.ScanTallies;
-import sprucehold.tracetools.story.ScanTally;
+import sprucehold.tracetools.explanation.QueryStatistics;
+import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 
 /** Figures of one or several traces, by table type, customer, shard server, reason and time. */
 public final class TraceSummary {
@@ -31,14 +31,14 @@
     /** Stretches of time on a chart; when there are more, two become one. */
     private static final int MOST_STRETCHES = 240;
 
-    private final ScanGroup all = new ScanGroup();
-    private final Map<String, ScanGroup> byType = new TreeMap<>();
-    private final Map<String, ScanGroup> byCustomer = new TreeMap<>();
-    private final Map<String, ScanGroup> byGatherer = new TreeMap<>();
+    private final QueryGroup all = new QueryGroup();
+    private final Map<String, QueryGroup> byType = new TreeMap<>();
+    private final Map<String, QueryGroup> byCustomer = new TreeMap<>();
+    private final Map<String, QueryGroup> byGatherer = new TreeMap<>();
     private final Map<String, ServerGroup> byServer = new TreeMap<>();
     private final Map<Reason, Long> reasons = new EnumMap<>(Reason.class);
-    private final Map<ScanTally.Outcome, Map<Reason, Long>> outcomes =
-            new EnumMap<>(ScanTally.Outcome.class);
+    private final Map<QueryStatistics.Outcome, Map<Reason, Long>> outcomes =
+            new EnumMap<>(QueryStatistics.Outcome.class);
     private TreeMap<Long, long[]> stretches = new TreeMap<>();
     private double stretchMs = 1000;
     private long gaps;
@@ -47,20 +47,20 @@
 
     /** Counts all of a file. */
     public void add(TraceReader reader, LongConsumer progress) throws IOException {
-        var book = new ScanBook();
-        var tallies = new ScanTallies(tally -> add(tally, reader));
+        var correlator = new QueryCorrelator();
+        var tallies = new QueryStatisticsCollector(statistics -> add(statistics, reader));
         TraceReader.Cursor cursor = reader.all();
         long read = 0;
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             tallies.add(entry);
             if (entry instanceof Gap gap) {
                 gaps++;
-                notRecorded += gap.moments();
-            } else if (entry instanceof Moment moment) {
-                for (Item item : moment.items()) {
+                notRecorded += gap.calls();
+            } else if (entry instanceof PolicyCall call) {
+                for (Item item : call.items()) {
                     records++;
-                    book.add(moment.source(), moment.nowMs(), item);
-                    add(item, book.server());
+                    correlator.add(call.source(), call.nowMs(), item);
+                    add(item, correlator.server());
                 }
             }
             if (++read % 65_536 == 0) {
@@ -71,10 +71,10 @@
     }
 
     private void add(Item item, String server) {
-        if (item.action() != null) {
-            reasons.merge(item.action().reason(), 1L, Long::sum);
+        if (item.command() != null) {
+            reasons.merge(item.command().reason(), 1L, Long::sum);
         }
-        if (item.action() instanceof Command.SendAttempt sendAttempt) {
+        if (item.command() instanceof Command.SendAttempt sendAttempt) {
             of(byServer, sendAttempt.server(), ServerGroup::new).dispatched();
             sendAttempt
                     .skipped()
@@ -87,26 +87,27 @@
         }
     }
 
-    private void add(ScanTally tally, TraceReader reader) {
-        var source = reader.head().sources().get(tally.scan().source());
-        all.add(tally);
-        byType.computeIfAbsent(tally.scan().taken().queryClass().name(), name -> new ScanGroup())
-                .add(tally);
-        of(byCustomer, tally.customer(), ScanGroup::new).add(tally);
-        of(byGatherer, source.gatherer(), ScanGroup::new).add(tally);
-        outcomes.computeIfAbsent(tally.outcome(), how -> new EnumMap<>(Reason.class))
-                .merge(tally.reason(), 1L, Long::sum);
+    private void add(QueryStatistics statistics, TraceReader reader) {
+        var source = reader.header().sources().get(statistics.query().source());
+        all.add(statistics);
+        byType.computeIfAbsent(
+                        statistics.query().received().queryClass().name(), name -> new QueryGroup())
+                .add(statistics);
+        of(byCustomer, statistics.tenant(), QueryGroup::new).add(statistics);
+        of(byGatherer, source.gatherer(), QueryGroup::new).add(statistics);
+        outcomes.computeIfAbsent(statistics.outcome(), how -> new EnumMap<>(Reason.class))
+                .merge(statistics.reason(), 1L, Long::sum);
         long[] counts =
                 stretches.computeIfAbsent(
                         (long)
                                 Math.floor(
-                                        source.clock().corrected(tally.scan().takenMs())
+                                        source.clock().corrected(statistics.query().receivedMs())
                                                 / stretchMs),
                         at -> new long[4]);
         counts[0]++;
-        counts[1] += tally.inTargetTime() ? 1 : 0;
-        counts[2] += tally.outcome() == ScanTally.Outcome.THROTTLED ? 1 : 0;
-        counts[3] += tally.outcome() == ScanTally.Outcome.ABANDONED ? 1 : 0;
+        counts[1] += statistics.metLatencyObjective() ? 1 : 0;
+        counts[2] += statistics.outcome() == QueryStatistics.Outcome.REJECTED ? 1 : 0;
+        counts[3] += statistics.outcome() == QueryStatistics.Outcome.FAILED ? 1 : 0;
         while (stretches.size() > MOST_STRETCHES) {
             stretchMs *= 2;
             var wider = new TreeMap<Long, long[]>();
@@ -131,19 +132,19 @@
                 groups.size() >= MOST_NAMES ? OTHERS : name, none -> fresh.get());
     }
 
-    public ScanGroup all() {
+    public QueryGroup all() {
         return all;
     }
 
-    public Map<String, ScanGroup> byType() {
+    public Map<String, QueryGroup> byType() {
         return byType;
     }
 
-    public Map<String, ScanGroup> byCustomer() {
+    public Map<String, QueryGroup> byCustomer() {
         return byCustomer;
     }
 
-    public Map<String, ScanGroup> byGatherer() {
+    public Map<String, QueryGroup> byGatherer() {
         return byGatherer;
     }
 
@@ -157,7 +158,7 @@
     }
 
     /** How many scans ended how, and why. */
-    public Map<ScanTally.Outcome, Map<Reason, Long>> outcomes() {
+    public Map<QueryStatistics.Outcome, Map<Reason, Long>> outcomes() {
         return outcomes;
     }
 
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/DayPlan.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
@@ -1,4 +1,4 @@
-package sprucehold.tracetools.synth;
+package sprucehold.tracetools.synthetic;
 
 /**
  * What a synthetic day is to be.
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -1,4 +1,4 @@
-package sprucehold.tracetools.synth;
+package sprucehold.tracetools.synthetic;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -38,7 +38,7 @@
 import sprucehold.decision.Tenant;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 
 /** One synthetic day, played to its end. */
@@ -174,7 +174,7 @@
         public List<Command> decide(double nowMs, List<Event> events) {
             List<Command> actions = module.decide(nowMs, events);
             try {
-                sink.add(Moment.of(0, seq++, nowMs, events, actions, false));
+                sink.add(PolicyCall.of(0, seq++, nowMs, events, actions, false));
             } catch (IOException e) {
                 failed = failed == null ? e : failed;
             }
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -23,20 +23,20 @@
 import sprucehold.decision.Event;
 import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.anonymise.Anonymiser;
 import sprucehold.tracetools.merge.TraceMerge;
 import sprucehold.tracetools.summary.TraceSummary;
-import sprucehold.tracetools.synth.DayPlan;
+import sprucehold.tracetools.synthetic.DayPlan;
 
 public class AnonymiserTest {
     private static final String KEY = "a key of some letters";
     private Path folder;
     private Path file;
-    private Head head;
+    private TraceHeader header;
     private List<Entry> entries;
 
     @BeforeClass
@@ -46,7 +46,7 @@
         TraceMerge.merge(
                 Days.play(folder, new DayPlan(3000, 21, 2, 1, 10, 4, 12, 12)), file, count -> {});
         try (TraceReader reader = TraceReader.open(file)) {
-            head = reader.head();
+            header = reader.header();
             entries = Days.all(reader.all());
         }
     }
@@ -67,7 +67,7 @@
         Map<String, double[]> profiles = new TreeMap<>();
         double begin = of.stream().mapToDouble(Entry::nowMs).min().orElse(0);
         for (Entry entry : of) {
-            for (Item item : entry instanceof Moment moment ? moment.items() : List.<Item>of()) {
+            for (Item item : entry instanceof PolicyCall call ? call.items() : List.<Item>of()) {
                 if (item.event() instanceof Event.QueryReceived taken && taken.tenant() != null) {
                     double[] profile =
                             profiles.computeIfAbsent(taken.tenant().name(), name -> new double[28]);
@@ -201,15 +201,17 @@
     public void nothingOfWhatNamesSomebodyIsLeft() throws IOException {
         Path to = anonymise(KEY, "clean");
         Set<String> names = new HashSet<>();
-        head.sources()
+        header.sources()
                 .forEach(
                         source -> {
                             names.add(source.gatherer() + "\"");
                             names.add(Long.toString(source.seed()));
-                            source.facts().tenants().stream().map(Tenant::name).forEach(names::add);
+                            source.deployment().tenants().stream()
+                                    .map(Tenant::name)
+                                    .forEach(names::add);
                         });
         for (Entry entry : entries) {
-            for (Item item : ((Moment) entry).items()) {
+            for (Item item : ((PolicyCall) entry).items()) {
                 if (item.event() instanceof Event.QueryReceived taken) {
                     names.add(taken.id());
                 } else if (item.event() instanceof Event.EndpointsUpdated list) {
@@ -232,7 +234,7 @@
         try (TraceReader reader = TraceReader.open(to);
                 TraceReader original = TraceReader.open(file)) {
             assertTrue(reader.verify().sound(), reader.verify().what());
-            assertTrue(reader.head().anonymised() && !reader.head().lost().isEmpty());
+            assertTrue(reader.header().anonymised() && !reader.header().lost().isEmpty());
             var after = new TraceSummary();
             after.add(reader, count -> {});
             var before = new TraceSummary();
@@ -241,8 +243,9 @@
             assertEquals(after.all().service(), before.all().service(), 0.01);
             assertEquals(after.all().percentileMs(50), before.all().percentileMs(50), 6);
             Event.QueryReceived first =
-                    (Event.QueryReceived) ((Moment) Days.read(to).get(0)).items().get(0).event();
-            assertFalse(Days.all(reader.ofScan(first.id())).isEmpty());
+                    (Event.QueryReceived)
+                            ((PolicyCall) Days.read(to).get(0)).items().get(0).event();
+            assertFalse(Days.all(reader.ofQuery(first.id())).isEmpty());
         }
     }
 
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/Days.java
@@ -8,12 +8,12 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
-import sprucehold.tracetools.synth.DayPlan;
-import sprucehold.tracetools.synth.SyntheticDay;
+import sprucehold.tracetools.synthetic.DayPlan;
+import sprucehold.tracetools.synthetic.SyntheticDay;
 
 /** Synthetic days in files of their own. */
 final class Days {
@@ -36,7 +36,7 @@
         for (var source : day.sources()) {
             Path file = folder.resolve(source.gatherer() + ".trace");
             files.add(file);
-            writers.add(new TraceWriter(TraceRepair.create(file), Head.of(source)));
+            writers.add(new TraceWriter(TraceRepair.create(file), TraceHeader.of(source)));
         }
         day.play(
                 writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
@@ -70,8 +70,8 @@
         return entries;
     }
 
-    static Path write(Path file, Head head, List<Entry> entries) throws IOException {
-        try (var writer = new TraceWriter(TraceRepair.create(file), head)) {
+    static Path write(Path file, TraceHeader header, List<Entry> entries) throws IOException {
+        try (var writer = new TraceWriter(TraceRepair.create(file), header)) {
             for (Entry entry : entries) {
                 writer.add(entry);
             }
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -20,19 +20,19 @@
 import sprucehold.decision.Event;
 import sprucehold.decision.Reason;
 import sprucehold.policy.QueryScheduler;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.cut.TraceCut;
 import sprucehold.tracetools.merge.TraceMerge;
-import sprucehold.tracetools.synth.SyntheticDay;
+import sprucehold.tracetools.synthetic.SyntheticDay;
 
 public class MergeAndCutTest {
     private Path folder;
@@ -59,7 +59,7 @@
                 Path piece = folder.resolve("piece-" + i + ".trace");
                 TraceCut.cut(
                         reader,
-                        new Head.Window(
+                        new TraceHeader.Window(
                                 from + (to - from) * i / pieces,
                                 from + (to - from) * (i + 1) / pieces),
                         piece,
@@ -100,7 +100,7 @@
                                         .add(entry.withSource(0)));
         try (TraceReader reader = TraceReader.open(merged)) {
             for (int i = 0; i < 3; i++) {
-                String gatherer = reader.head().sources().get(i).gatherer();
+                String gatherer = reader.header().sources().get(i).gatherer();
                 assertEquals(bySource.get(i), Days.read(folder.resolve(gatherer + ".trace")));
             }
         }
@@ -127,7 +127,7 @@
                         Days.all(reader.all()).stream()
                                         .anyMatch(
                                                 entry ->
-                                                        reader.head()
+                                                        reader.header()
                                                                         .sources()
                                                                         .get(entry.source())
                                                                         .clock()
@@ -146,14 +146,18 @@
         try (TraceReader reader = TraceReader.open(merged)) {
             for (Entry entry : Days.all(reader.all())) {
                 boolean taken =
-                        entry instanceof Moment moment
-                                && moment.items().stream()
+                        entry instanceof PolicyCall call
+                                && call.items().stream()
                                         .anyMatch(
                                                 item ->
                                                         item.event()
                                                                 instanceof Event.QueryReceived);
                 double at =
-                        reader.head().sources().get(entry.source()).clock().corrected(entry.nowMs())
+                        reader.header()
+                                        .sources()
+                                        .get(entry.source())
+                                        .clock()
+                                        .corrected(entry.nowMs())
                                 + 2;
                 if (taken
                         && edges.size() < 12
@@ -166,19 +170,19 @@
     }
 
     private static Map<String, Integer> itemsByScan(Path file) throws IOException {
-        var book = new ScanBook();
+        var correlator = new QueryCorrelator();
         Map<String, Integer> items = new HashMap<>();
         for (Entry entry : Days.read(file)) {
-            if (entry instanceof Moment moment) {
-                for (Item item : moment.items()) {
-                    BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-                    if (scan != null) {
+            if (entry instanceof PolicyCall call) {
+                for (Item item : call.items()) {
+                    CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+                    if (query != null) {
                         items.merge(
-                                scan.taken().id()
+                                query.received().id()
                                         + "#"
-                                        + scan.taken().number()
+                                        + query.received().number()
                                         + "@"
-                                        + scan.source(),
+                                        + query.source(),
                                 1,
                                 Integer::sum);
                     }
@@ -243,10 +247,10 @@
                             false,
                             List.of(new Endpoint("s-" + i, 0, "a", 0, Endpoint.State.DRAINING)));
             at0.add(
-                    Moment.of(
+                    PolicyCall.of(
                             0, at0.size(), t + 100_000 * i + 30, List.of(list), List.of(), false));
             at1.add(
-                    Moment.of(
+                    PolicyCall.of(
                             0,
                             at1.size(),
                             t + 100_000 * i + 50 - 4000,
@@ -271,11 +275,11 @@
                 merge(
                         "asked-again",
                         List.of(
-                                Days.write(folder.resolve("a1.trace"), Head.of(g1), at1),
-                                Days.write(folder.resolve("a0.trace"), Head.of(g0), at0)));
+                                Days.write(folder.resolve("a1.trace"), TraceHeader.of(g1), at1),
+                                Days.write(folder.resolve("a0.trace"), TraceHeader.of(g0), at0)));
         List<String> order = new ArrayList<>();
         for (Entry entry : Days.read(to)) {
-            ((Moment) entry)
+            ((PolicyCall) entry)
                     .items()
                     .forEach(
                             item -> {
@@ -289,25 +293,29 @@
 
     private Source source(String name, double started) throws IOException {
         try (TraceReader reader = TraceReader.open(files.get(0))) {
-            Source of = reader.head().sources().get(0);
+            Source of = reader.header().sources().get(0);
             return new Source(
                     name,
                     "test",
                     1,
                     SyntheticDay.BEGIN_MS + started,
-                    of.facts(),
+                    of.deployment(),
                     ClockFit.REFERENCE);
         }
     }
 
-    private Moment scan(long seq, String id, double now, Command end) throws IOException {
-        return Moment.of(
+    private PolicyCall scan(long seq, String id, double now, Command end) throws IOException {
+        return PolicyCall.of(
                 0,
                 seq,
                 now,
                 List.of(
                         new Event.QueryReceived(
-                                id, seq, source("x", 0).facts().queryClasses().get(0), null, 3000)),
+                                id,
+                                seq,
+                                source("x", 0).deployment().queryClasses().get(0),
+                                null,
+                                3000)),
                 List.of(end),
                 false);
     }
@@ -321,15 +329,15 @@
                     scan(i, "s" + i, now, new Command.AnswerQuery("s" + i, true, Reason.COMPLETE)));
         }
         back.add(new Gap(0, 10, SyntheticDay.BEGIN_MS + 20, 5, SyntheticDay.BEGIN_MS + 30));
-        Path file = Days.write(folder.resolve("back.trace"), Head.of(source("g9", 7)), back);
+        Path file = Days.write(folder.resolve("back.trace"), TraceHeader.of(source("g9", 7)), back);
         List<Entry> out = Days.read(merge("stepped", List.of(files.get(0), file)));
         try (TraceReader reader = TraceReader.open(folder.resolve("stepped.trace"))) {
             assertTrue(reader.verify().sound());
             // They share no news, so nothing is known of how the clocks stand, and that is said.
             assertTrue(
-                    reader.head().sources().stream()
+                    reader.header().sources().stream()
                             .anyMatch(of -> of.clock().equals(ClockFit.UNKNOWN)));
-            int of = reader.head().sources().get(0).gatherer().equals("g9") ? 0 : 1;
+            int of = reader.header().sources().get(0).gatherer().equals("g9") ? 0 : 1;
             assertEquals(
                     out.stream()
                             .filter(entry -> entry.source() == of)
@@ -342,11 +350,12 @@
     @Test
     public void inputsThatTellDifferentThingsOfOneMomentAreRefused() throws IOException {
         List<Entry> entries = Days.read(files.get(0));
-        Moment first = (Moment) entries.get(0);
-        entries.set(0, new Moment(0, 0, first.nowMs() + 1, false, first.total(), first.items()));
+        PolicyCall first = (PolicyCall) entries.get(0);
+        entries.set(
+                0, new PolicyCall(0, 0, first.nowMs() + 1, false, first.total(), first.items()));
         Path other;
         try (TraceReader reader = TraceReader.open(files.get(0))) {
-            other = Days.write(folder.resolve("other.trace"), reader.head(), entries);
+            other = Days.write(folder.resolve("other.trace"), reader.header(), entries);
         }
         assertThrows(IOException.class, () -> merge("refused", List.of(files.get(0), other)));
     }
