--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -16,8 +16,8 @@
 import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Gap;
-import sprucehold.trace.event.Head;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.replay.TraceDiff;
 import sprucehold.tracetools.replay.TraceReplay;
@@ -25,7 +25,7 @@
 public class ReplayAndDiffTest {
     private Path folder;
     private List<Path> files;
-    private Head head;
+    private TraceHeader header;
     private List<Entry> entries;
 
     @BeforeClass
@@ -33,7 +33,7 @@
         folder = Days.folder();
         files = Days.play(folder, Days.usual(800, 5));
         try (TraceReader reader = TraceReader.open(files.get(0))) {
-            head = reader.head();
+            header = reader.header();
             entries = Days.all(reader.all());
         }
     }
@@ -57,8 +57,8 @@
     @Test
     public void filesOfOneSourceInAnyOrderAreOneReplay() throws IOException {
         Path second =
-                Days.write(folder.resolve("2.trace"), head, entries.subList(300, entries.size()));
-        Path first = Days.write(folder.resolve("1.trace"), head, entries.subList(0, 300));
+                Days.write(folder.resolve("2.trace"), header, entries.subList(300, entries.size()));
+        Path first = Days.write(folder.resolve("1.trace"), header, entries.subList(0, 300));
         TraceReplay.Verdict verdict = replay(QueryScheduler::new, second, first);
         assertNull(verdict.difference());
         assertEquals(verdict.moments(), entries.size());
@@ -103,21 +103,21 @@
         var gap = new ArrayList<>(entries);
         gap.set(50, new Gap(0, 50, 1, 1, 1));
         var cut = new ArrayList<>(entries);
-        Moment moment =
-                (Moment)
+        PolicyCall call =
+                (PolicyCall)
                         cut.stream()
-                                .filter(e -> ((Moment) e).items().size() > 3)
+                                .filter(e -> ((PolicyCall) e).items().size() > 3)
                                 .findFirst()
                                 .orElseThrow();
-        cut.set(cut.indexOf(moment), moment.withItems(moment.items().subList(0, 2)));
+        cut.set(cut.indexOf(call), call.withItems(call.items().subList(0, 2)));
         return new Object[][] {
-            {"thinned", head.withOneIn(5), entries, "keeps one in 5"},
-            {"gap", head, gap, "were not recorded"},
-            {"cut", head, cut, "was cut"},
-            {"late", head, entries.subList(10, entries.size()), "files before it"},
+            {"thinned", header.withOneIn(5), entries, "keeps one in 5"},
+            {"gap", header, gap, "were not recorded"},
+            {"cut", header, cut, "was cut"},
+            {"late", header, entries.subList(10, entries.size()), "files before it"},
             {
                 "anonymised",
-                new Head(head.sources(), 1, true, null, List.of()),
+                new TraceHeader(header.sources(), 1, true, null, List.of()),
                 entries,
                 "anonymised"
             },
@@ -126,7 +126,7 @@
 
     @Test(dataProvider = "unplayable")
     public void whatCantBeDecidedAgainIsRefusedInOneLine(
-            String name, Head of, List<Entry> what, String said) throws IOException {
+            String name, TraceHeader of, List<Entry> what, String said) throws IOException {
         Path file = Days.write(folder.resolve(name + ".trace"), of, what);
         try {
             replay(QueryScheduler::new, file);
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -21,14 +21,14 @@
 import sprucehold.decision.Reason;
 import sprucehold.decision.Tenant;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
+import sprucehold.tracetools.explanation.QueryExplainer;
+import sprucehold.tracetools.explanation.QueryExplanation;
+import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.export.TraceExport;
-import sprucehold.tracetools.story.ScanTally;
-import sprucehold.tracetools.story.Story;
-import sprucehold.tracetools.story.Storyteller;
 import sprucehold.tracetools.summary.SummaryPage;
 import sprucehold.tracetools.summary.TraceSummary;
 
@@ -68,11 +68,11 @@
             dispatches += Integer.parseInt(row.get("dispatches"));
             inTime += Boolean.parseBoolean(row.get("in_target_time")) ? 1 : 0;
         }
-        for (ScanTally.Outcome outcome : ScanTally.Outcome.values()) {
+        for (QueryStatistics.Outcome outcome : QueryStatistics.Outcome.values()) {
             assertEquals(
-                    (long) outcomes.getOrDefault(outcome.name(), 0),
+                    (long) outcomes.getOrDefault(outcome.storedName(), 0),
                     summary.all().of(outcome),
-                    outcome.name());
+                    outcome.storedName());
         }
         assertEquals(dispatches, summary.all().dispatches());
         assertEquals(inTime, summary.all().inTargetTime());
@@ -96,9 +96,9 @@
     public void hostileNamesStayText() throws IOException {
         Source source;
         try (TraceReader reader = TraceReader.open(file)) {
-            source = reader.head().sources().get(0);
+            source = reader.header().sources().get(0);
         }
-        Deployment f = source.facts();
+        Deployment f = source.deployment();
         var evil = new Tenant("<script>alert(1)</script>", 1);
         var deployment =
                 new Deployment(
@@ -115,7 +115,7 @@
                         f.endpointSubscription());
         List<Entry> entries =
                 List.of(
-                        Moment.of(
+                        PolicyCall.of(
                                 0,
                                 0,
                                 1,
@@ -127,7 +127,7 @@
         Path path =
                 Days.write(
                         Days.folder().resolve("evil.trace"),
-                        Head.of(new Source("g", "b", 1, 1, deployment, source.clock())),
+                        TraceHeader.of(new Source("g", "b", 1, 1, deployment, source.clock())),
                         entries);
         var of = new TraceSummary();
         try (TraceReader reader = TraceReader.open(path)) {
@@ -141,23 +141,23 @@
         try (TraceReader reader = TraceReader.open(file)) {
             String id = null;
             for (Entry entry : Days.all(reader.all())) {
-                for (Command command : ((Moment) entry).actions()) {
+                for (Command command : ((PolicyCall) entry).commands()) {
                     if (command instanceof Command.SendAttempt sendAttempt
                             && sendAttempt.reason() == Reason.HEDGE) {
                         id = sendAttempt.partId().substring(0, 16);
                     }
                 }
             }
-            var collector = new Story.Collector(id);
-            for (Entry entry : Days.all(reader.ofScan(id))) {
+            var collector = new QueryExplanation.Collector(id);
+            for (Entry entry : Days.all(reader.ofQuery(id))) {
                 collector.add(entry);
             }
             assertEquals(collector.stories().size(), 1);
             String told =
                     String.join(
                             "\n",
-                            Storyteller.tell(
-                                    collector.stories().get(0), reader.head().sources().get(0)));
+                            QueryExplainer.tell(
+                                    collector.stories().get(0), reader.header().sources().get(0)));
             assertTrue(
                     told.contains(Reason.HEDGE.description())
                             && told.contains(Reason.FIRST_ROUND.description())
