--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -25,6 +25,7 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.event.TraceHeader;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
@@ -89,7 +90,7 @@
     public long decode() throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
             long count = 0;
-            TraceReader.Cursor cursor = reader.all();
+            TraceCursor cursor = reader.all();
             while (cursor.next() != null) {
                 count++;
             }
--- a/cli/src/main/java/sprucehold/cli/TraceLook.java
+++ b/cli/src/main/java/sprucehold/cli/TraceLook.java
@@ -14,8 +14,10 @@
 import picocli.CommandLine.Parameters;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
+import sprucehold.trace.format.TraceVerification;
 import sprucehold.tracetools.clock.ClockEstimate;
 import sprucehold.tracetools.explanation.QueryExplainer;
 import sprucehold.tracetools.explanation.QueryExplanation;
@@ -173,7 +175,7 @@
         @Override
         public Integer call() throws IOException {
             try (TraceReader reader = TraceReader.open(file)) {
-                TraceReader.Verification verdict = reader.verify();
+                TraceVerification verdict = reader.verify();
                 if (json) {
                     Printed.json(
                             map(
@@ -349,7 +351,7 @@
                                     }
                                 });
                 // A scan may end long after the window, so only its beginning bounds what is read.
-                TraceReader.Cursor cursor =
+                TraceCursor cursor =
                         scan != null
                                 ? reader.ofQuery(scan)
                                 : server != null
@@ -462,7 +464,7 @@
         public Integer call() throws IOException {
             try (TraceReader reader = open(file)) {
                 var collector = new QueryExplanation.Collector(scan);
-                TraceReader.Cursor cursor = reader.ofQuery(scan);
+                TraceCursor cursor = reader.ofQuery(scan);
                 for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                     collector.add(entry);
                 }
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -14,6 +14,7 @@
 import sprucehold.decision.Event;
 import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
 public class RecordingTest {
@@ -49,7 +50,7 @@
             assertEquals(reader.header().sources().get(0).gatherer(), "g7");
             assertEquals(reader.header().sources().get(0).seed(), 77);
             assertEquals(reader.header().sources().get(0).deployment(), FACTS);
-            TraceReader.Cursor cursor = reader.all();
+            TraceCursor cursor = reader.all();
             assertEquals(((PolicyCall) cursor.next()).commands().size(), 1);
             assertEquals(cursor.next().nowMs(), 6.0);
         }
--- /dev/null
+++ b/trace/src/main/java/sprucehold/trace/format/TraceFile.java
@@ -0,0 +1,210 @@
+package sprucehold.trace.format;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.nio.channels.FileChannel;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.Arrays;
+import java.util.List;
+import sprucehold.trace.event.Entry;
+import sprucehold.trace.event.TraceHeader;
+
+/**
+ * The bytes of one trace file: its header, and frames by their place. Every length and checksum is
+ * held against the file before anything rests on it.
+ */
+final class TraceFile implements Closeable {
+    private static final int MAJOR_VERSION_AT = 8;
+    private static final int HEADER_LENGTH_AT = 12;
+    private static final int CRC_BYTES = 4;
+
+    private final String name;
+    private final FileChannel channel;
+    private final long length;
+    private final TraceHeader header;
+    private final long firstFrame;
+
+    /**
+     * Opens a file and reads its header.
+     *
+     * @throws MalformedTraceException where not even a header can be read
+     */
+    TraceFile(Path file) throws IOException {
+        name = file.getFileName().toString();
+        channel = FileChannel.open(file, StandardOpenOption.READ);
+        try {
+            length = channel.size();
+            int headerLength = readPreamble();
+            firstFrame = Layout.PREAMBLE_BYTES + headerLength + CRC_BYTES;
+            header = readHeader();
+        } catch (IOException | RuntimeException e) {
+            channel.close();
+            throw e;
+        }
+    }
+
+    /** Returns the length of the header's JSON in bytes. */
+    private int readPreamble() throws IOException {
+        ByteBuffer preamble =
+                ByteBuffer.wrap(read(0, Layout.PREAMBLE_BYTES, "a trace file's first bytes"))
+                        .order(ByteOrder.LITTLE_ENDIAN);
+        byte[] magic = new byte[Layout.MAGIC.length];
+        preamble.get(magic);
+        if (!Arrays.equals(magic, Layout.MAGIC)) {
+            throw malformed(0, "this is no trace file");
+        }
+        int major = preamble.getShort();
+        if (major != Layout.MAJOR) {
+            throw malformed(
+                    MAJOR_VERSION_AT,
+                    "version "
+                            + major
+                            + " of the format; this build reads version "
+                            + Layout.MAJOR);
+        }
+        preamble.getShort();
+        int headerLength = preamble.getInt();
+        if (headerLength < 0
+                || headerLength > Layout.MOST_HEAD_BYTES
+                || headerLength + (long) CRC_BYTES > length - Layout.PREAMBLE_BYTES) {
+            throw malformed(
+                    HEADER_LENGTH_AT,
+                    "a head of "
+                            + Integer.toUnsignedString(headerLength)
+                            + " bytes in a file of "
+                            + length);
+        }
+        return headerLength;
+    }
+
+    private TraceHeader readHeader() throws IOException {
+        byte[] all = read(0, (int) firstFrame, "the head");
+        int crcAt = all.length - CRC_BYTES;
+        int crc = ByteBuffer.wrap(all).order(ByteOrder.LITTLE_ENDIAN).getInt(crcAt);
+        if (crc != TraceWriter.crc(all, crcAt)) {
+            throw malformed(crcAt, "the head's checksum doesn't match");
+        }
+        try {
+            return TraceHeaderJson.read(Arrays.copyOfRange(all, Layout.PREAMBLE_BYTES, crcAt));
+        } catch (IOException | RuntimeException e) {
+            throw malformed(Layout.PREAMBLE_BYTES, "the head isn't one: " + firstLine(e));
+        }
+    }
+
+    /** The file's name, without its folder. */
+    String name() {
+        return name;
+    }
+
+    /** The file's length in bytes when it was opened. */
+    long length() {
+        return length;
+    }
+
+    TraceHeader header() {
+        return header;
+    }
+
+    /** Where the first frame begins. */
+    long firstFrame() {
+        return firstFrame;
+    }
+
+    /**
+     * Reads bytes.
+     *
+     * @param what they are, for the message where they aren't there
+     */
+    byte[] read(long at, int count, String what) throws IOException {
+        if (count > length - at) {
+            throw malformed(
+                    length, what + " would take " + count + " bytes from byte " + at + " on");
+        }
+        ByteBuffer bytes = ByteBuffer.allocate(count);
+        while (bytes.hasRemaining()) {
+            if (channel.read(bytes, at + bytes.position()) < 0) {
+                throw malformed(at + bytes.position(), what + " ends too soon");
+            }
+        }
+        return bytes.array();
+    }
+
+    /** Reads the frame at a place, which has to end before another place. */
+    Frame frame(long at, long before) throws IOException {
+        if (at + Layout.FRAME_BYTES > before) {
+            throw malformed(at, "no room for a frame before byte " + before);
+        }
+        Frame frame = Frame.read(ByteBuffer.wrap(read(at, Layout.FRAME_BYTES, "a frame")));
+        if (frame == null) {
+            throw malformed(at, "a frame was expected");
+        }
+        if (at + frame.length() > before) {
+            throw malformed(
+                    at,
+                    "a frame of " + frame.length() + " bytes doesn't end before byte " + before);
+        }
+        return frame;
+    }
+
+    /** The content of a frame, inflated, after its checksum was checked. */
+    byte[] content(Frame frame, long at) throws IOException {
+        byte[] all = read(at, frame.length(), "a frame");
+        if (!frame.matches(all)) {
+            throw malformed(at, "the checksum of the frame doesn't match");
+        }
+        byte[] raw = frame.raw(all);
+        if (raw == null) {
+            throw malformed(
+                    at,
+                    "the frame doesn't inflate to the " + frame.rawLength() + " bytes it tells of");
+        }
+        return raw;
+    }
+
+    /**
+     * The content of the frame at a place, which has to be of a kind and end before another place.
+     */
+    byte[] content(long at, int kind, long before) throws IOException {
+        Frame frame = frame(at, before);
+        if (frame.kind() != kind) {
+            throw malformed(
+                    at, "a frame of kind " + kind + " was expected, not of kind " + frame.kind());
+        }
+        return content(frame, at);
+    }
+
+    /** The entries of a block. */
+    List<Entry> entries(Frame frame, long at) throws IOException {
+        List<Entry> entries;
+        try {
+            entries = BlockDecoder.decode(header.sources(), content(frame, at));
+        } catch (MalformedTraceException e) {
+            throw e;
+        } catch (IOException e) {
+            throw malformed(at, "the block can't be read: " + firstLine(e));
+        }
+        if (entries.size() != frame.entries()) {
+            throw malformed(
+                    at,
+                    "a block of " + entries.size() + " entries that tells of " + frame.entries());
+        }
+        return entries;
+    }
+
+    MalformedTraceException malformed(long at, String what) {
+        return new MalformedTraceException(name, at, what);
+    }
+
+    static String firstLine(Throwable e) {
+        String message = e.getMessage() == null ? e.toString() : e.getMessage();
+        return message.lines().findFirst().orElse("");
+    }
+
+    @Override
+    public void close() throws IOException {
+        channel.close();
+    }
+}
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -38,7 +38,7 @@
             }
             Path beside = file.resolveSibling(file.getFileName() + ".repaired");
             // Frame by frame even where there is an index: it may tell of blocks that are damaged.
-            TraceReader.Cursor look = reader.withoutIndex();
+            TraceCursor look = reader.withoutIndex();
             while (look.next() != null) {
                 continue;
             }
@@ -51,7 +51,7 @@
                             reader.header().anonymised(),
                             reader.header().window(),
                             lost);
-            TraceReader.Cursor cursor = reader.withoutIndex();
+            TraceCursor cursor = reader.withoutIndex();
             long entries = 0;
             try {
                 var writer =
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -222,12 +222,12 @@
         long before = allocated();
         String said;
         try (TraceReader reader = TraceReader.open(file)) {
-            TraceReader.Cursor cursor = reader.all();
+            TraceCursor cursor = reader.all();
             Entry entry;
             do {
                 entry = cursor.next();
             } while (entry != null);
-            TraceReader.Verification verdict = reader.verify();
+            TraceVerification verdict = reader.verify();
             assertFalse(verdict.sound(), what);
             said = verdict.what();
         } catch (MalformedTraceException e) {
--- a/trace/src/test/java/sprucehold/trace/format/Samples.java
+++ b/trace/src/test/java/sprucehold/trace/format/Samples.java
@@ -218,7 +218,7 @@
         }
     }
 
-    static List<Entry> all(TraceReader.Cursor cursor) throws IOException {
+    static List<Entry> all(TraceCursor cursor) throws IOException {
         var entries = new ArrayList<Entry>();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             entries.add(entry);
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -43,7 +43,7 @@
             assertNull(reader.damage());
             assertEquals(reader.header(), HEAD);
             assertEquals(Samples.all(reader.all()), entries);
-            TraceReader.Verification verdict = reader.verify();
+            TraceVerification verdict = reader.verify();
             assertTrue(verdict.sound(), verdict.what());
             assertEquals(verdict.records(), reader.records());
             assertEquals(verdict.entries(), entries.size());
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -23,6 +23,7 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.event.TraceHeader;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
@@ -113,7 +114,7 @@
     private void count(TraceReader reader, LongConsumer progress) throws IOException {
         var correlator = new QueryCorrelator();
         long read = 0;
-        TraceReader.Cursor cursor = reader.all();
+        TraceCursor cursor = reader.all();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             if (entry instanceof PolicyCall call) {
                 for (Item item : call.items()) {
@@ -178,7 +179,7 @@
         long writtenTo = Long.MIN_VALUE;
         try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
             long read = 0;
-            TraceReader.Cursor cursor = reader.all();
+            TraceCursor cursor = reader.all();
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                 if (entry instanceof PolicyCall call) {
                     Source of = reader.header().sources().get(call.source());
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
@@ -7,6 +7,7 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.event.TraceHeader;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
@@ -40,7 +41,7 @@
         long read = 0;
         try (var writer =
                 new TraceWriter(TraceRepair.create(to), reader.header().withWindow(both))) {
-            TraceReader.Cursor cursor =
+            TraceCursor cursor =
                     reader.between(window.fromMs() - 2 * off - 1, Double.POSITIVE_INFINITY);
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                 Entry kept = whole.of(entry);
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -15,6 +15,7 @@
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
@@ -34,7 +35,7 @@
     /** Every event, action and gap, a JSON line each; returns how many. */
     public static long jsonLines(TraceReader reader, Writer to) throws IOException {
         long lines = 0;
-        TraceReader.Cursor cursor = reader.all();
+        TraceCursor cursor = reader.all();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             Source source = reader.header().sources().get(entry.source());
             if (entry instanceof Gap gap) {
@@ -110,7 +111,7 @@
                                 failed[0] = e;
                             }
                         });
-        TraceReader.Cursor cursor = reader.all();
+        TraceCursor cursor = reader.all();
         for (Entry entry = cursor.next();
                 entry != null && failed[0] == null;
                 entry = cursor.next()) {
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
@@ -9,6 +9,7 @@
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
 /** One source's entries by rising number, put together from all inputs that hold some of them. */
@@ -18,10 +19,10 @@
 
     private static final class Input {
         final String name;
-        final TraceReader.Cursor cursor;
+        final TraceCursor cursor;
         Entry head;
 
-        Input(String name, TraceReader.Cursor cursor) throws IOException {
+        Input(String name, TraceCursor cursor) throws IOException {
             this.name = name;
             this.cursor = cursor;
             this.head = cursor.next();
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -9,6 +9,7 @@
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.explanation.Times;
 
@@ -81,8 +82,7 @@
         return partings;
     }
 
-    private static Parting diff(Source source, TraceReader.Cursor a, TraceReader.Cursor b)
-            throws IOException {
+    private static Parting diff(Source source, TraceCursor a, TraceCursor b) throws IOException {
         while (true) {
             Entry one = a.next();
             Entry other = b.next();
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -14,6 +14,7 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.event.TraceHeader;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
 /** Runs a module on the events of a trace, and compares what it does. */
@@ -80,7 +81,7 @@
                 module = factory.start(piece.of.seed(), piece.of.deployment());
                 seq = 0;
             }
-            TraceReader.Cursor cursor = piece.reader.allOf(piece.source);
+            TraceCursor cursor = piece.reader.allOf(piece.source);
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                 check(piece.reader, piece.of, entry, seq);
                 seq = entry.seq() + 1;
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -14,6 +14,7 @@
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.PolicyCall;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
@@ -49,7 +50,7 @@
     public void add(TraceReader reader, LongConsumer progress) throws IOException {
         var correlator = new QueryCorrelator();
         var tallies = new QueryStatisticsCollector(statistics -> add(statistics, reader));
-        TraceReader.Cursor cursor = reader.all();
+        TraceCursor cursor = reader.all();
         long read = 0;
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             tallies.add(entry);
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/Days.java
@@ -9,6 +9,7 @@
 import sprucehold.policy.QueryScheduler;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.TraceHeader;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
@@ -62,7 +63,7 @@
         }
     }
 
-    static List<Entry> all(TraceReader.Cursor cursor) throws IOException {
+    static List<Entry> all(TraceCursor cursor) throws IOException {
         var entries = new ArrayList<Entry>();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             entries.add(entry);
