--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
@@ -129,10 +129,10 @@
         }
     }
 
-    private static String name(SharedLimit bound) {
-        return bound.subject().isEmpty()
-                ? bound.kind().storedName()
-                : bound.kind().storedName() + " " + bound.subject();
+    private static String name(SharedLimit limit) {
+        return limit.subject().isEmpty()
+                ? limit.kind().storedName()
+                : limit.kind().storedName() + " " + limit.subject();
     }
 
     /**
@@ -287,12 +287,12 @@
      * @return null, with nothing sent to be, if they aren't free; an empty leave where the bound
      *     isn't shared
      */
-    public Grant use(double countedMs, double wallMs, SharedLimit bound, int units) {
+    public Grant use(double countedMs, double wallMs, SharedLimit limit, int units) {
         var permits = new ArrayList<Permit>();
         int left = units;
-        String name = name(bound);
-        if (bound.kind() == SharedLimit.Kind.SLOW_START) {
-            Server server = servers.get(bound.subject());
+        String name = name(limit);
+        if (limit.kind() == SharedLimit.Kind.SLOW_START) {
+            Server server = servers.get(limit.subject());
             if (server == null || server.growth == null) {
                 return new Grant(List.of());
             }
@@ -310,10 +310,10 @@
                                 countedMs, wallMs, terms.patienceMs() * (1 - terms.drift())));
                 left -= own;
             }
-        } else if (!terms.shared().contains(bound.kind())
-                || bound.kind() == SharedLimit.Kind.TENANT_QUOTA
+        } else if (!terms.shared().contains(limit.kind())
+                || limit.kind() == SharedLimit.Kind.TENANT_QUOTA
                         && deployment.tenants().stream()
-                                .noneMatch(c -> c.name().equals(bound.subject()))) {
+                                .noneMatch(c -> c.name().equals(limit.subject()))) {
             return new Grant(List.of());
         }
         if (left > 0) {
@@ -417,8 +417,8 @@
         }
         if (terms.shared().contains(SharedLimit.Kind.TENANT_QUOTA)) {
             for (Tenant tenant : deployment.tenants()) {
-                SharedLimit bound = SharedLimit.tenantQuota(tenant.name());
-                room.put(bound, session.free(countedMs, wallMs, name(bound)));
+                SharedLimit limit = SharedLimit.tenantQuota(tenant.name());
+                room.put(limit, session.free(countedMs, wallMs, name(limit)));
             }
         }
         if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
@@ -110,8 +110,8 @@
                             wall(now));
         }
 
-        int room(double now, SharedLimit bound) {
-            return allowances.others(counted(now), wall(now)).allowances().getOrDefault(bound, -1);
+        int room(double now, SharedLimit limit) {
+            return allowances.others(counted(now), wall(now)).allowances().getOrDefault(limit, -1);
         }
     }
 
@@ -267,14 +267,14 @@
                         0,
                         WALL);
         one.allowances.listed(0, WALL, true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
-        for (SharedLimit bound :
+        for (SharedLimit limit :
                 List.of(
                         SharedLimit.RETRIES,
                         SharedLimit.slowStart("s"),
                         SharedLimit.tenantQuota("acme"),
                         SharedLimit.tenantQuota("nobody"))) {
-            Grant leave = one.allowances.use(0, WALL, bound, 1_000_000);
-            assertTrue(leave != null && one.allowances.holds(0, WALL, leave), bound.toString());
+            Grant leave = one.allowances.use(0, WALL, limit, 1_000_000);
+            assertTrue(leave != null && one.allowances.holds(0, WALL, leave), limit.toString());
         }
         assertEquals(one.allowances.others(0, WALL).allowances(), Map.of());
     }
@@ -485,20 +485,20 @@
             if (chance.nextDouble() < (busy ? 0.4 : 0.05)) {
                 one.allowances.taken(counted, "acme", List.of(0));
             }
-            SharedLimit bound =
+            SharedLimit limit =
                     chance.nextDouble() < 0.3
                             ? SharedLimit.RETRIES
                             : SharedLimit.slowStart("s" + chance.nextInt(4));
-            int wanted = bound == SharedLimit.RETRIES ? 1 : 20;
+            int wanted = limit == SharedLimit.RETRIES ? 1 : 20;
             boolean wants =
-                    bound == SharedLimit.RETRIES
+                    limit == SharedLimit.RETRIES
                             ? chance.nextDouble() < (busy ? 0.5 : 0.01)
                             : chance.nextDouble() < (busy ? 0.9 : 0.2);
-            int room = one.allowances.others(counted, wall).allowances().getOrDefault(bound, -1);
+            int room = one.allowances.others(counted, wall).allowances().getOrDefault(limit, -1);
             if (!wants || room < wanted) {
                 return;
             }
-            Grant leave = one.allowances.use(counted, wall, bound, wanted);
+            Grant leave = one.allowances.use(counted, wall, limit, wanted);
             if (leave == null) {
                 broken.add(
                         now
@@ -507,7 +507,7 @@
                                 + " was told of "
                                 + room
                                 + " of "
-                                + bound
+                                + limit
                                 + " and got nothing");
                 return;
             }
@@ -515,7 +515,7 @@
             Runnable write =
                     () -> {
                         if (one.allowances.holds(one.counted(now), one.wall(now), leave)) {
-                            written(one, bound, wanted);
+                            written(one, limit, wanted);
                         }
                     };
             // A stop between decision and write is the case to meet.
@@ -529,19 +529,19 @@
             }
         }
 
-        void written(One one, SharedLimit bound, int wanted) {
-            if (bound == SharedLimit.RETRIES) {
+        void written(One one, SharedLimit limit, int wanted) {
+            if (limit == SharedLimit.RETRIES) {
                 furtherSent++;
                 furtherByBusy += one.name.equals("a-0") ? 1 : 0;
                 count(further, at -> 12, "further");
             } else {
                 coldSent++;
                 units = wanted;
-                double started = startedAt.get(bound.subject());
+                double started = startedAt.get(limit.subject());
                 count(
-                        cold.computeIfAbsent(bound.subject(), none -> new ArrayDeque<>()),
+                        cold.computeIfAbsent(limit.subject(), none -> new ArrayDeque<>()),
                         at -> allowed(at - started),
-                        bound.subject());
+                        limit.subject());
             }
         }
 
--- a/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
@@ -324,21 +324,21 @@
                                 .toList();
                 reply(openQuery, new Answer.Completed(answer.complete(), values), answer.reason());
             }
-        } else if (command instanceof Command.RejectQuery throttle) {
+        } else if (command instanceof Command.RejectQuery rejection) {
             reply(
-                    openQueriesById.get(throttle.queryId()),
-                    new Answer.Rejected(throttle.retryAfterMs()),
-                    throttle.reason());
-        } else if (command instanceof Command.FailQuery abandon) {
-            reply(openQueriesById.get(abandon.queryId()), new Answer.Failed(), abandon.reason());
-        } else if (command instanceof Command.ScheduleWakeUp wake) {
-            wakeAt = Math.min(wakeAt, now + wake.delayMs());
+                    openQueriesById.get(rejection.queryId()),
+                    new Answer.Rejected(rejection.retryAfterMs()),
+                    rejection.reason());
+        } else if (command instanceof Command.FailQuery failure) {
+            reply(openQueriesById.get(failure.queryId()), new Answer.Failed(), failure.reason());
+        } else if (command instanceof Command.ScheduleWakeUp wakeUp) {
+            wakeAt = Math.min(wakeAt, now + wakeUp.delayMs());
         } else if (command instanceof Command.CheckHealth wanted) {
             probe.add(servers.get(wanted.server()));
         } else if (command instanceof Command.SubscribeToEndpoints) {
             askList = true;
-        } else if (command instanceof Command.ConsumeAllowance use) {
-            (use.limit().kind() == SharedLimit.Kind.TENANT_QUOTA ? uses : forNext).add(use);
+        } else if (command instanceof Command.ConsumeAllowance consumed) {
+            (consumed.limit().kind() == SharedLimit.Kind.TENANT_QUOTA ? uses : forNext).add(consumed);
         } else if (command instanceof Command.LogMessage note) {
             notes.add(note.text());
         }
--- a/core/src/main/java/sprucehold/policy/QueryScheduler.java
+++ b/core/src/main/java/sprucehold/policy/QueryScheduler.java
@@ -878,9 +878,9 @@
     }
 
     /** Takes so much of a bound that is shared, whether or not so much is left. */
-    private void take(SharedLimit bound, int units) {
-        if (units > 0 && room.computeIfPresent(bound, (of, left) -> left - units) != null) {
-            todo.add(new Command.ConsumeAllowance(bound, units));
+    private void take(SharedLimit limit, int units) {
+        if (units > 0 && room.computeIfPresent(limit, (of, left) -> left - units) != null) {
+            todo.add(new Command.ConsumeAllowance(limit, units));
         }
     }
 
--- a/core/src/test/java/sprucehold/policy/Play.java
+++ b/core/src/test/java/sprucehold/policy/Play.java
@@ -74,8 +74,8 @@
     List<Command> tell(Event... events) {
         List<Command> actions = brain.decide(now, List.of(events));
         for (Command command : actions) {
-            if (command instanceof Command.ScheduleWakeUp wake) {
-                wakeAt = Math.min(wakeAt, now + wake.delayMs());
+            if (command instanceof Command.ScheduleWakeUp wakeUp) {
+                wakeAt = Math.min(wakeAt, now + wakeUp.delayMs());
             }
         }
         done.addAll(actions);
--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -278,9 +278,9 @@
     }
 
     @Override
-    public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
-        believed.computeIfPresent(use.limit(), (bound, units) -> units - use.units());
-        Grant leave = allowances.use(clock.countedMs(), clock.wallMs(), use.limit(), use.units());
+    public BooleanSupplier use(double nowMs, Command.ConsumeAllowance consumed) {
+        believed.computeIfPresent(consumed.limit(), (limit, units) -> units - consumed.units());
+        Grant leave = allowances.use(clock.countedMs(), clock.wallMs(), consumed.limit(), consumed.units());
         return leave == null
                 ? null
                 : () -> allowances.holds(clock.countedMs(), clock.wallMs(), leave);
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -433,9 +433,9 @@
                 () ->
                         commands.consumed()
                                 .forEach(
-                                        use ->
+                                        consumed ->
                                                 neighbours.forEach(
-                                                        one -> one.use(clock.now(), use))));
+                                                        one -> one.use(clock.now(), consumed))));
         commands.replies().forEach(reply -> guarded(() -> reply(reply)));
         guarded(() -> shards.probe(commands.healthChecks()));
         commands.logMessages().forEach(LOG::info);
@@ -470,8 +470,8 @@
         var send = new ArrayList<Attempt>();
         for (Attempt attempt : dispatches) {
             var leaves = new ArrayList<BooleanSupplier>();
-            for (Command.ConsumeAllowance use : attempt.consumed()) {
-                neighbours.forEach(one -> leaves.add(one.use(clock.now(), use)));
+            for (Command.ConsumeAllowance consumed : attempt.consumed()) {
+                neighbours.forEach(one -> leaves.add(one.use(clock.now(), consumed)));
             }
             if (leaves.contains(null)) {
                 report(
--- a/gatherer/src/main/java/sprucehold/node/NodeExtension.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -50,7 +50,7 @@
      * @return whether what they are taken for may be written, to be asked right before that; null
      *     if they are not to be had
      */
-    BooleanSupplier use(double nowMs, Command.ConsumeAllowance use);
+    BooleanSupplier use(double nowMs, Command.ConsumeAllowance consumed);
 
     /** What operators may see of it, as a JSON object. */
     JsonNode status();
--- a/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
@@ -41,16 +41,16 @@
             open(json, "Assemble");
             json.writeStringField("id", answer.queryId());
             json.writeBooleanField("complete", answer.complete());
-        } else if (command instanceof Command.RejectQuery throttle) {
+        } else if (command instanceof Command.RejectQuery rejection) {
             open(json, "Busy");
-            json.writeStringField("id", throttle.queryId());
-            json.writeNumberField("comeBackMs", throttle.retryAfterMs());
-        } else if (command instanceof Command.FailQuery abandon) {
+            json.writeStringField("id", rejection.queryId());
+            json.writeNumberField("comeBackMs", rejection.retryAfterMs());
+        } else if (command instanceof Command.FailQuery failure) {
             open(json, "GiveUp");
-            json.writeStringField("id", abandon.queryId());
-        } else if (command instanceof Command.ScheduleWakeUp wake) {
+            json.writeStringField("id", failure.queryId());
+        } else if (command instanceof Command.ScheduleWakeUp wakeUp) {
             open(json, "Timer");
-            json.writeNumberField("offsetMs", wake.delayMs());
+            json.writeNumberField("offsetMs", wakeUp.delayMs());
             json.writeStringField("ref", "wake");
         } else if (command instanceof Command.CheckHealth probe) {
             open(json, "Ping");
--- a/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
@@ -327,8 +327,8 @@
         }
 
         @Override
-        public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
-            units -= use.units();
+        public BooleanSupplier use(double nowMs, Command.ConsumeAllowance consumed) {
+            units -= consumed.units();
             return units < 0 ? null : () -> !withdrawn;
         }
 
--- a/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
@@ -7,7 +7,7 @@
 import sprucehold.decision.Event;
 
 /**
- * A scan as it is met in a trace. There is one object a scan, so it can be compared by identity.
+ * A query as it is met in a trace. There is one object a query, so it can be compared by identity.
  */
 public final class CorrelatedQuery {
     private final int source;
@@ -52,7 +52,7 @@
         return ended;
     }
 
-    /** Dispatches of it that are out. */
+    /** Attempts of it that are out. */
     public int pendingAttempts() {
         return pendingAttempts;
     }
--- a/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
@@ -9,11 +9,11 @@
 import sprucehold.decision.Event;
 import sprucehold.trace.event.Item;
 
-/** Tells, item by item in the order of a source, which scan each belongs to. */
+/** Tells, item by item in the order of a source, which query each belongs to. */
 public final class QueryCorrelator {
     /**
-     * Scans held at most for each source. Guards against traces with gaps, whose scans never end; a
-     * gatherer that holds 1,024 descriptors has far fewer open.
+     * Queries held at most for each source. Guards against traces with gaps, whose queries never
+     * end; a gatherer that holds 1,024 descriptors has far fewer open.
      */
     private static final int MAX_OPEN_QUERIES = 100_000;
 
@@ -28,7 +28,7 @@
         final Map<String, CorrelatedQuery.CorrelatedPart> parts = new HashMap<>();
     }
 
-    /** Takes the next item of a source; null where it belongs to no scan that is known. */
+    /** Takes the next item of a source; null where it belongs to no query that is known. */
     public CorrelatedQuery add(int source, double nowMs, Item item) {
         while (sources.size() <= source) {
             sources.add(new SourceState());
@@ -45,7 +45,7 @@
         return server;
     }
 
-    /** How many scans are held for a source. */
+    /** How many queries are held for a source. */
     public int openQueries(int source) {
         return source < sources.size() ? sources.get(source).byNumber.size() : 0;
     }
@@ -116,10 +116,10 @@
                 return query;
             }
             return ended(shelf, query);
-        } else if (command instanceof Command.RejectQuery throttle) {
-            return ended(shelf, shelf.byId.get(throttle.queryId()));
-        } else if (command instanceof Command.FailQuery abandon) {
-            return ended(shelf, shelf.byId.get(abandon.queryId()));
+        } else if (command instanceof Command.RejectQuery rejection) {
+            return ended(shelf, shelf.byId.get(rejection.queryId()));
+        } else if (command instanceof Command.FailQuery failure) {
+            return ended(shelf, shelf.byId.get(failure.queryId()));
         } else if (command instanceof Command.CheckHealth probe) {
             server = probe.server();
         }
--- a/trace/src/main/java/sprucehold/trace/event/Entry.java
+++ b/trace/src/main/java/sprucehold/trace/event/Entry.java
@@ -9,7 +9,7 @@
     int source();
 
     /**
-     * The number, from 0, of the call of the module since the source started; of a gap, that of the
+     * The number, from 0, of the call of the policy since the source started; of a gap, that of the
      * first call lost.
      */
     long seq();
--- a/trace/src/main/java/sprucehold/trace/event/Gap.java
+++ b/trace/src/main/java/sprucehold/trace/event/Gap.java
@@ -1,7 +1,7 @@
 package sprucehold.trace.event;
 
 /**
- * Calls of the module that were not recorded because the writer had fallen behind.
+ * Calls of the policy that were not recorded because the writer had fallen behind.
  *
  * @param calls how many
  * @param nowMs when the first of them was
--- a/trace/src/main/java/sprucehold/trace/event/Item.java
+++ b/trace/src/main/java/sprucehold/trace/event/Item.java
@@ -4,9 +4,9 @@
 import sprucehold.decision.Event;
 
 /**
- * One event that went in, or one action that came out: exactly one of the two is not null.
+ * One event that went in, or one command that came out: exactly one of the two is not null.
  *
- * @param index its place, from 0, among all events and then all actions of its moment
+ * @param index its place, from 0, among all events and then all commands of its moment
  */
 public record Item(int index, Event event, Command command) {
     public Item {
--- a/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
+++ b/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
@@ -6,10 +6,10 @@
 import sprucehold.decision.Event;
 
 /**
- * One call of the module: what went in and what came out.
+ * One call of the policy: what went in and what came out.
  *
- * @param policyFailed the module ended by an exception, so nothing came out
- * @param total how many events and actions the call had; more than {@code items} where some were
+ * @param policyFailed the policy ended by an exception, so nothing came out
+ * @param total how many events and commands the call had; more than {@code items} where some were
  *     left out
  * @param items those kept, by rising index
  */
--- a/trace/src/main/java/sprucehold/trace/event/Source.java
+++ b/trace/src/main/java/sprucehold/trace/event/Source.java
@@ -8,9 +8,9 @@
  *
  * @param gatherer its name
  * @param build the version that decided
- * @param seed the seed handed to the module
+ * @param seed the seed handed to the policy
  * @param startedMs its own clock when recording began, Unix milliseconds
- * @param deployment what the module was told of the deployment
+ * @param deployment what the policy was told of the deployment
  */
 public record Source(
         String gatherer,
--- a/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
+++ b/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
@@ -5,7 +5,7 @@
 /**
  * What a file says of itself.
  *
- * @param oneIn 1 where every scan is kept; n where only one in n of those that ended well is
+ * @param oneIn 1 where every query is kept; n where only one in n of those that ended well is
  * @param anonymised whether identities were taken out
  * @param window the window it was cut to, or null
  * @param lost what can't be told from it any more, a sentence each
@@ -13,7 +13,8 @@
 public record TraceHeader(
         List<Source> sources, int oneIn, boolean anonymised, Window window, List<String> lost) {
     /**
-     * Scans taken from {@code fromMs} until before {@code toMs}, by the clock of the file's order.
+     * Queries taken from {@code fromMs} until before {@code toMs}, by the clock of the file's
+     * order.
      */
     public record Window(double fromMs, double toMs) {
         public boolean holds(double ms) {
@@ -36,8 +37,8 @@
         return new TraceHeader(sources, n, anonymised, window, lost);
     }
 
-    public TraceHeader withSources(List<Source> others) {
-        return new TraceHeader(others, oneIn, anonymised, window, lost);
+    public TraceHeader withSources(List<Source> replacement) {
+        return new TraceHeader(replacement, oneIn, anonymised, window, lost);
     }
 
     public TraceHeader withWindow(Window other) {
--- a/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
@@ -41,7 +41,7 @@
     private final List<Entry> entries = new ArrayList<>();
     private long seqBefore;
     private long timeBefore;
-    private long letters;
+    private long nameChars;
     private int things;
 
     /** The moment whose items are being read, without them; null before the first. */
@@ -91,7 +91,7 @@
 
     private void record(int kind) throws IOException {
         count(1);
-        if (kind == RecordKind.MOMENT || kind == RecordKind.GAP) {
+        if (kind == RecordKind.POLICY_CALL || kind == RecordKind.GAP) {
             close();
             int source = in.readUInt32();
             if (source < 0 || source >= sources.size()) {
@@ -116,9 +116,9 @@
                             List.of());
             return;
         }
-        if (kind < RecordKind.SCAN_TAKEN
-                || kind > RecordKind.USE
-                || kind > RecordKind.OTHERS_TOLD && kind < RecordKind.DISPATCH) {
+        if (kind < RecordKind.QUERY_RECEIVED
+                || kind > RecordKind.CONSUME_ALLOWANCE
+                || kind > RecordKind.CLUSTER_VIEW_CHANGED && kind < RecordKind.SEND_ATTEMPT) {
             return;
         }
         if (open == null) {
@@ -126,45 +126,45 @@
         }
         int index = leftOut ? in.readUInt32() : items.size();
         Item item =
-                kind < RecordKind.DISPATCH
+                kind < RecordKind.SEND_ATTEMPT
                         ? new Item(index, event(kind), null)
-                        : new Item(index, null, action(kind));
+                        : new Item(index, null, command(kind));
         items.add(item);
     }
 
     private Event event(int kind) throws IOException {
         return switch (kind) {
-            case RecordKind.SCAN_TAKEN -> {
+            case RecordKind.QUERY_RECEIVED -> {
                 var deployment = sources.get(open.source()).deployment();
                 String id = name();
                 long number = in.readUInt64();
                 int type = in.readUInt32();
-                int customer = in.readUInt32();
+                int tenant = in.readUInt32();
                 double left = number();
                 QueryClass of =
                         type == deployment.queryClasses().size()
                                 ? TraceHeaderJson.read(in.readStringRequireUtf8(), QueryClass.class)
                                 : deployment.queryClasses().get(type);
                 Tenant by =
-                        customer == 0
+                        tenant == 0
                                 ? null
-                                : customer == deployment.tenants().size() + 1
+                                : tenant == deployment.tenants().size() + 1
                                         ? TraceHeaderJson.read(
                                                 in.readStringRequireUtf8(), Tenant.class)
-                                        : deployment.tenants().get(customer - 1);
+                                        : deployment.tenants().get(tenant - 1);
                 yield new Event.QueryReceived(id, number, of, by, left);
             }
-            case RecordKind.PART_TAKEN ->
+            case RecordKind.PART_RECEIVED ->
                     new Event.PartReceived(name(), in.readUInt64(), in.readSInt32(), number());
-            case RecordKind.DISPATCH_ENDED ->
+            case RecordKind.ATTEMPT_ENDED ->
                     new Event.AttemptEnded(
                             name(),
                             in.readUInt32(),
                             OUTCOMES.required(in.readUInt32()),
                             number(),
                             load());
-            case RecordKind.CLIENT_LEFT -> new Event.ClientDisconnected(name());
-            case RecordKind.LIST_RECEIVED -> {
+            case RecordKind.CLIENT_DISCONNECTED -> new Event.ClientDisconnected(name());
+            case RecordKind.ENDPOINTS_UPDATED -> {
                 boolean complete = in.readBool();
                 int count = in.readUInt32();
                 count(count);
@@ -180,21 +180,21 @@
                 }
                 yield new Event.EndpointsUpdated(complete, List.copyOf(servers));
             }
-            case RecordKind.LIST_UNAVAILABLE -> new Event.EndpointsUnavailable();
-            case RecordKind.PROBE_ENDED ->
+            case RecordKind.ENDPOINTS_UNAVAILABLE -> new Event.EndpointsUnavailable();
+            case RecordKind.HEALTH_CHECK_ENDED ->
                     new Event.HealthCheckEnded(
                             name(), OUTCOMES.required(in.readUInt32()), number(), load());
-            case RecordKind.FACTS_CHANGED ->
+            case RecordKind.DEPLOYMENT_CHANGED ->
                     new Event.DeploymentChanged(
                             TraceHeaderJson.deployment(in.readStringRequireUtf8()));
-            case RecordKind.OTHERS_TOLD -> new Event.ClusterViewChanged(others());
+            case RecordKind.CLUSTER_VIEW_CHANGED -> new Event.ClusterViewChanged(clusterView());
             default -> new Event.WakeUp();
         };
     }
 
-    private Command action(int kind) throws IOException {
+    private Command command(int kind) throws IOException {
         return switch (kind) {
-            case RecordKind.DISPATCH -> {
+            case RecordKind.SEND_ATTEMPT -> {
                 String part = name();
                 String server = name();
                 double timeout = number();
@@ -211,48 +211,50 @@
                 yield new Command.SendAttempt(
                         part, server, timeout, reason, position, List.copyOf(passed));
             }
-            case RecordKind.CANCEL -> new Command.CancelAttempt(name(), in.readUInt32(), reason());
-            case RecordKind.ANSWER -> new Command.AnswerQuery(name(), in.readBool(), reason());
-            case RecordKind.THROTTLE -> new Command.RejectQuery(name(), number(), reason());
-            case RecordKind.ABANDON -> new Command.FailQuery(name(), reason());
-            case RecordKind.WAKE -> new Command.ScheduleWakeUp(number());
-            case RecordKind.PROBE -> new Command.CheckHealth(name());
-            case RecordKind.FOLLOW_LIST -> new Command.SubscribeToEndpoints(reason());
-            case RecordKind.USE -> {
-                SharedLimit bound = bound();
+            case RecordKind.CANCEL_ATTEMPT ->
+                    new Command.CancelAttempt(name(), in.readUInt32(), reason());
+            case RecordKind.ANSWER_QUERY ->
+                    new Command.AnswerQuery(name(), in.readBool(), reason());
+            case RecordKind.REJECT_QUERY -> new Command.RejectQuery(name(), number(), reason());
+            case RecordKind.FAIL_QUERY -> new Command.FailQuery(name(), reason());
+            case RecordKind.SCHEDULE_WAKE_UP -> new Command.ScheduleWakeUp(number());
+            case RecordKind.CHECK_HEALTH -> new Command.CheckHealth(name());
+            case RecordKind.SUBSCRIBE_TO_ENDPOINTS -> new Command.SubscribeToEndpoints(reason());
+            case RecordKind.CONSUME_ALLOWANCE -> {
+                SharedLimit limit = sharedLimit();
                 int units = in.readUInt32();
-                yield bound == null
+                yield limit == null
                         ? new Command.LogMessage(
                                 units + " units of a bound that this build can't name")
-                        : new Command.ConsumeAllowance(bound, units);
+                        : new Command.ConsumeAllowance(limit, units);
             }
             default -> new Command.LogMessage(in.readStringRequireUtf8());
         };
     }
 
-    private ClusterView others() throws IOException {
+    private ClusterView clusterView() throws IOException {
         int gatherers = in.readUInt32();
         int bounds = in.readUInt32();
         count(bounds);
-        var room = new HashMap<SharedLimit, Integer>();
+        var allowances = new HashMap<SharedLimit, Integer>();
         for (int i = 0; i < bounds; i++) {
-            SharedLimit bound = bound();
+            SharedLimit limit = sharedLimit();
             int units = in.readUInt32();
-            if (bound != null) {
-                room.put(bound, units);
+            if (limit != null) {
+                allowances.put(limit, units);
             }
         }
         int servers = in.readUInt32();
         count(servers);
-        var trouble = new HashMap<String, Double>();
+        var failureScores = new HashMap<String, Double>();
         for (int i = 0; i < servers; i++) {
-            trouble.put(name(), number());
+            failureScores.put(name(), number());
         }
-        return new ClusterView(gatherers, room, trouble);
+        return new ClusterView(gatherers, allowances, failureScores);
     }
 
     /** Null for one of a kind that a newer minor version has added. */
-    private SharedLimit bound() throws IOException {
+    private SharedLimit sharedLimit() throws IOException {
         Optional<SharedLimit.Kind> kind = LIMITS.known(in.readUInt32());
         String subject = name();
         return kind.map(known -> new SharedLimit(known, subject)).orElse(null);
@@ -283,9 +285,9 @@
         names.add(name);
         // A name may begin with one that began with another: few bytes could else stand for any
         // number of letters.
-        letters += name.length();
-        if (letters > Layout.MOST_RAW_BYTES) {
-            throw new IOException("names of over " + Layout.MOST_RAW_BYTES + " letters");
+        nameChars += name.length();
+        if (nameChars > Layout.MAX_RAW_BYTES) {
+            throw new IOException("names of over " + Layout.MAX_RAW_BYTES + " characters");
         }
         return name;
     }
@@ -293,8 +295,8 @@
     /** Counts what takes memory: a few bytes that deflate from nearly none must not fill it. */
     private void count(int more) throws IOException {
         things += more;
-        if (more < 0 || things > Layout.MOST_RECORDS) {
-            throw new IOException("over " + Layout.MOST_RECORDS + " records");
+        if (more < 0 || things > Layout.MAX_RECORDS) {
+            throw new IOException("over " + Layout.MAX_RECORDS + " records");
         }
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
@@ -24,19 +24,19 @@
 /** Writes entries into one block after the other; each block stands by itself. */
 final class BlockEncoder {
     private final List<Source> sources;
-    private final List<Map<String, Integer>> types;
-    private final List<Map<String, Integer>> customers;
-    private final ByteArrayOutputStream block = new ByteArrayOutputStream(1 << 17);
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream(1 << 10);
-    private final CodedOutputStream out = CodedOutputStream.newInstance(block, 1 << 12);
-    private final CodedOutputStream to = CodedOutputStream.newInstance(body, 1 << 12);
+    private final List<Map<String, Integer>> classIndexes;
+    private final List<Map<String, Integer>> tenantIndexes;
+    private final ByteArrayOutputStream blockBytes = new ByteArrayOutputStream(1 << 17);
+    private final ByteArrayOutputStream bodyBytes = new ByteArrayOutputStream(1 << 10);
+    private final CodedOutputStream block = CodedOutputStream.newInstance(blockBytes, 1 << 12);
+    private final CodedOutputStream body = CodedOutputStream.newInstance(bodyBytes, 1 << 12);
     private final Map<String, Integer> names = new HashMap<>();
     private long seqBefore;
     private long timeBefore;
 
     BlockEncoder(List<Source> sources) {
         this.sources = sources;
-        types =
+        classIndexes =
                 sources.stream()
                         .map(
                                 source -> {
@@ -47,7 +47,7 @@
                                     return (Map<String, Integer>) index;
                                 })
                         .toList();
-        customers =
+        tenantIndexes =
                 sources.stream()
                         .map(
                                 source -> {
@@ -64,15 +64,15 @@
 
     /** Bytes in the block so far. */
     int size() throws IOException {
-        out.flush();
-        return block.size();
+        block.flush();
+        return blockBytes.size();
     }
 
     /** The block's raw bytes; the next one begins. */
     byte[] take() throws IOException {
-        out.flush();
-        byte[] raw = block.toByteArray();
-        block.reset();
+        block.flush();
+        byte[] raw = blockBytes.toByteArray();
+        blockBytes.reset();
         names.clear();
         seqBefore = 0;
         timeBefore = 0;
@@ -82,198 +82,201 @@
     void add(Entry entry) throws IOException {
         long seq = entry.seq();
         long time = Double.doubleToRawLongBits(entry.nowMs());
-        to.writeUInt32NoTag(entry.source());
-        to.writeSInt64NoTag(seq - seqBefore);
-        to.writeSInt64NoTag(time - timeBefore);
+        body.writeUInt32NoTag(entry.source());
+        body.writeSInt64NoTag(seq - seqBefore);
+        body.writeSInt64NoTag(time - timeBefore);
         seqBefore = seq;
         timeBefore = time;
         if (entry instanceof Gap gap) {
-            to.writeUInt64NoTag(gap.calls());
-            to.writeDoubleNoTag(gap.toMs());
+            body.writeUInt64NoTag(gap.calls());
+            body.writeDoubleNoTag(gap.toMs());
             end(RecordKind.GAP);
             return;
         }
         PolicyCall call = (PolicyCall) entry;
-        to.writeUInt32NoTag(
+        body.writeUInt32NoTag(
                 (call.policyFailed() ? RecordKind.FAILED : 0)
                         | (call.isComplete() ? 0 : RecordKind.LEFT_OUT));
-        to.writeUInt32NoTag(call.total());
-        end(RecordKind.MOMENT);
+        body.writeUInt32NoTag(call.total());
+        end(RecordKind.POLICY_CALL);
         for (Item item : call.items()) {
             if (!call.isComplete()) {
-                to.writeUInt32NoTag(item.index());
+                body.writeUInt32NoTag(item.index());
             }
-            end(item.event() != null ? event(call.source(), item.event()) : action(item.command()));
+            end(
+                    item.event() != null
+                            ? event(call.source(), item.event())
+                            : command(item.command()));
         }
     }
 
     private void end(int kind) throws IOException {
-        to.flush();
-        out.writeUInt32NoTag(kind);
-        out.writeUInt32NoTag(body.size());
-        out.writeRawBytes(body.toByteArray());
-        body.reset();
+        body.flush();
+        block.writeUInt32NoTag(kind);
+        block.writeUInt32NoTag(bodyBytes.size());
+        block.writeRawBytes(bodyBytes.toByteArray());
+        bodyBytes.reset();
     }
 
     private int event(int source, Event event) throws IOException {
         if (event instanceof Event.QueryReceived taken) {
             name(taken.id());
-            to.writeUInt64NoTag(taken.number());
+            body.writeUInt64NoTag(taken.number());
             Deployment deployment = sources.get(source).deployment();
             int type =
                     index(
-                            types.get(source),
+                            classIndexes.get(source),
                             deployment.queryClasses(),
                             taken.queryClass(),
                             taken.queryClass().name());
-            int customer =
+            int tenant =
                     taken.tenant() == null
                             ? -1
                             : index(
-                                    customers.get(source),
+                                    tenantIndexes.get(source),
                                     deployment.tenants(),
                                     taken.tenant(),
                                     taken.tenant().name());
-            to.writeUInt32NoTag(type);
-            to.writeUInt32NoTag(customer + 1);
+            body.writeUInt32NoTag(type);
+            body.writeUInt32NoTag(tenant + 1);
             number(taken.timeLeftMs());
             if (type == deployment.queryClasses().size()) {
-                to.writeStringNoTag(TraceHeaderJson.text(taken.queryClass()));
+                body.writeStringNoTag(TraceHeaderJson.text(taken.queryClass()));
             }
-            if (customer == deployment.tenants().size()) {
-                to.writeStringNoTag(TraceHeaderJson.text(taken.tenant()));
+            if (tenant == deployment.tenants().size()) {
+                body.writeStringNoTag(TraceHeaderJson.text(taken.tenant()));
             }
-            return RecordKind.SCAN_TAKEN;
+            return RecordKind.QUERY_RECEIVED;
         } else if (event instanceof Event.PartReceived taken) {
             name(taken.id());
-            to.writeUInt64NoTag(taken.queryNumber());
-            to.writeSInt32NoTag(taken.shard());
+            body.writeUInt64NoTag(taken.queryNumber());
+            body.writeSInt32NoTag(taken.shard());
             number(taken.weight());
-            return RecordKind.PART_TAKEN;
+            return RecordKind.PART_RECEIVED;
         } else if (event instanceof Event.AttemptEnded ended) {
             name(ended.partId());
-            to.writeUInt32NoTag(ended.attemptNumber());
-            to.writeUInt32NoTag(ended.outcome().storedNumber());
+            body.writeUInt32NoTag(ended.attemptNumber());
+            body.writeUInt32NoTag(ended.outcome().storedNumber());
             number(ended.durationMs());
             load(ended.load());
-            return RecordKind.DISPATCH_ENDED;
+            return RecordKind.ATTEMPT_ENDED;
         } else if (event instanceof Event.ClientDisconnected left) {
             name(left.queryId());
-            return RecordKind.CLIENT_LEFT;
+            return RecordKind.CLIENT_DISCONNECTED;
         } else if (event instanceof Event.EndpointsUpdated list) {
-            to.writeBoolNoTag(list.complete());
-            to.writeUInt32NoTag(list.endpoints().size());
+            body.writeBoolNoTag(list.complete());
+            body.writeUInt32NoTag(list.endpoints().size());
             for (Endpoint server : list.endpoints()) {
                 name(server.server());
-                to.writeSInt32NoTag(server.replicaGroup());
+                body.writeSInt32NoTag(server.replicaGroup());
                 name(server.zone());
                 number(server.startedAtMs());
-                to.writeUInt32NoTag(server.state().storedNumber());
+                body.writeUInt32NoTag(server.state().storedNumber());
             }
-            return RecordKind.LIST_RECEIVED;
+            return RecordKind.ENDPOINTS_UPDATED;
         } else if (event instanceof Event.EndpointsUnavailable) {
-            return RecordKind.LIST_UNAVAILABLE;
+            return RecordKind.ENDPOINTS_UNAVAILABLE;
         } else if (event instanceof Event.HealthCheckEnded ended) {
             name(ended.server());
-            to.writeUInt32NoTag(ended.outcome().storedNumber());
+            body.writeUInt32NoTag(ended.outcome().storedNumber());
             number(ended.durationMs());
             load(ended.load());
-            return RecordKind.PROBE_ENDED;
+            return RecordKind.HEALTH_CHECK_ENDED;
         }
         if (event instanceof Event.DeploymentChanged changed) {
-            to.writeStringNoTag(TraceHeaderJson.text(changed.deployment()));
-            return RecordKind.FACTS_CHANGED;
+            body.writeStringNoTag(TraceHeaderJson.text(changed.deployment()));
+            return RecordKind.DEPLOYMENT_CHANGED;
         } else if (event instanceof Event.ClusterViewChanged told) {
-            others(told.view());
-            return RecordKind.OTHERS_TOLD;
+            clusterView(told.view());
+            return RecordKind.CLUSTER_VIEW_CHANGED;
         }
-        return RecordKind.WOKEN;
+        return RecordKind.WAKE_UP;
     }
 
-    private int action(Command command) throws IOException {
+    private int command(Command command) throws IOException {
         if (command instanceof Command.SendAttempt sendAttempt) {
             name(sendAttempt.partId());
             name(sendAttempt.server());
             number(sendAttempt.timeoutMs());
-            to.writeUInt32NoTag(sendAttempt.reason().storedNumber());
-            to.writeUInt32NoTag(sendAttempt.position());
-            to.writeUInt32NoTag(sendAttempt.skipped().size());
+            body.writeUInt32NoTag(sendAttempt.reason().storedNumber());
+            body.writeUInt32NoTag(sendAttempt.position());
+            body.writeUInt32NoTag(sendAttempt.skipped().size());
             for (SkippedReplica passed : sendAttempt.skipped()) {
                 name(passed.server());
-                to.writeUInt32NoTag(passed.cause().storedNumber());
+                body.writeUInt32NoTag(passed.cause().storedNumber());
             }
-            return RecordKind.DISPATCH;
+            return RecordKind.SEND_ATTEMPT;
         } else if (command instanceof Command.CancelAttempt cancel) {
             name(cancel.partId());
-            to.writeUInt32NoTag(cancel.attemptNumber());
-            to.writeUInt32NoTag(cancel.reason().storedNumber());
-            return RecordKind.CANCEL;
+            body.writeUInt32NoTag(cancel.attemptNumber());
+            body.writeUInt32NoTag(cancel.reason().storedNumber());
+            return RecordKind.CANCEL_ATTEMPT;
         } else if (command instanceof Command.AnswerQuery answer) {
             name(answer.queryId());
-            to.writeBoolNoTag(answer.complete());
-            to.writeUInt32NoTag(answer.reason().storedNumber());
-            return RecordKind.ANSWER;
-        } else if (command instanceof Command.RejectQuery throttle) {
-            name(throttle.queryId());
-            number(throttle.retryAfterMs());
-            to.writeUInt32NoTag(throttle.reason().storedNumber());
-            return RecordKind.THROTTLE;
-        } else if (command instanceof Command.FailQuery abandon) {
-            name(abandon.queryId());
-            to.writeUInt32NoTag(abandon.reason().storedNumber());
-            return RecordKind.ABANDON;
-        } else if (command instanceof Command.ScheduleWakeUp wake) {
-            number(wake.delayMs());
-            return RecordKind.WAKE;
+            body.writeBoolNoTag(answer.complete());
+            body.writeUInt32NoTag(answer.reason().storedNumber());
+            return RecordKind.ANSWER_QUERY;
+        } else if (command instanceof Command.RejectQuery rejection) {
+            name(rejection.queryId());
+            number(rejection.retryAfterMs());
+            body.writeUInt32NoTag(rejection.reason().storedNumber());
+            return RecordKind.REJECT_QUERY;
+        } else if (command instanceof Command.FailQuery failure) {
+            name(failure.queryId());
+            body.writeUInt32NoTag(failure.reason().storedNumber());
+            return RecordKind.FAIL_QUERY;
+        } else if (command instanceof Command.ScheduleWakeUp wakeUp) {
+            number(wakeUp.delayMs());
+            return RecordKind.SCHEDULE_WAKE_UP;
         } else if (command instanceof Command.CheckHealth probe) {
             name(probe.server());
-            return RecordKind.PROBE;
+            return RecordKind.CHECK_HEALTH;
         } else if (command instanceof Command.SubscribeToEndpoints follow) {
-            to.writeUInt32NoTag(follow.reason().storedNumber());
-            return RecordKind.FOLLOW_LIST;
+            body.writeUInt32NoTag(follow.reason().storedNumber());
+            return RecordKind.SUBSCRIBE_TO_ENDPOINTS;
         }
-        if (command instanceof Command.ConsumeAllowance use) {
-            bound(use.limit());
-            to.writeUInt32NoTag(use.units());
-            return RecordKind.USE;
+        if (command instanceof Command.ConsumeAllowance consumed) {
+            sharedLimit(consumed.limit());
+            body.writeUInt32NoTag(consumed.units());
+            return RecordKind.CONSUME_ALLOWANCE;
         }
-        to.writeStringNoTag(((Command.LogMessage) command).text());
-        return RecordKind.NOTE;
+        body.writeStringNoTag(((Command.LogMessage) command).text());
+        return RecordKind.LOG_MESSAGE;
     }
 
     /** In the order of their names, so that equal values are equal bytes. */
-    private void others(ClusterView clusterView) throws IOException {
-        to.writeUInt32NoTag(clusterView.gatherers());
-        to.writeUInt32NoTag(clusterView.allowances().size());
-        for (SharedLimit bound :
+    private void clusterView(ClusterView clusterView) throws IOException {
+        body.writeUInt32NoTag(clusterView.gatherers());
+        body.writeUInt32NoTag(clusterView.allowances().size());
+        for (SharedLimit limit :
                 clusterView.allowances().keySet().stream()
                         .sorted(
                                 Comparator.comparing(SharedLimit::kind)
                                         .thenComparing(SharedLimit::subject))
                         .toList()) {
-            bound(bound);
-            to.writeUInt32NoTag(clusterView.allowances().get(bound));
+            sharedLimit(limit);
+            body.writeUInt32NoTag(clusterView.allowances().get(limit));
         }
-        to.writeUInt32NoTag(clusterView.failureScores().size());
+        body.writeUInt32NoTag(clusterView.failureScores().size());
         for (String server : clusterView.failureScores().keySet().stream().sorted().toList()) {
             name(server);
             number(clusterView.failureScores().get(server));
         }
     }
 
-    private void bound(SharedLimit bound) throws IOException {
-        to.writeUInt32NoTag(bound.kind().storedNumber());
-        name(bound.subject());
+    private void sharedLimit(SharedLimit limit) throws IOException {
+        body.writeUInt32NoTag(limit.kind().storedNumber());
+        name(limit.subject());
     }
 
-    /** The index of a fact among the head's; one beyond the last where it came by a change. */
+    /** The index of a fact among the header's; one beyond the last where it came by a change. */
     private static <F> int index(Map<String, Integer> index, List<F> facts, F fact, String name) {
         Integer at = index.get(name);
         return at != null && facts.get(at).equals(fact) ? at : facts.size();
     }
 
     private void load(LoadReport load) throws IOException {
-        to.writeBoolNoTag(load != null);
+        body.writeBoolNoTag(load != null);
         if (load != null) {
             number(load.held());
             number(load.queued());
@@ -282,29 +285,29 @@
     }
 
     private void number(double value) throws IOException {
-        to.writeUInt64NoTag(Long.reverseBytes(Double.doubleToRawLongBits(value)));
+        body.writeUInt64NoTag(Long.reverseBytes(Double.doubleToRawLongBits(value)));
     }
 
     /**
-     * Ids of parts begin with their scan's, so a new name may be one that is known and a few
+     * Ids of parts begin with their query's, so a new name may be one that is known and a few
      * letters more.
      */
     private void name(String name) throws IOException {
         Integer known = names.get(name);
         if (known != null) {
-            to.writeUInt32NoTag(known + 2);
+            body.writeUInt32NoTag(known + 2);
             return;
         }
         names.put(name, names.size());
         int cut = Math.max(name.lastIndexOf('.'), name.lastIndexOf('/'));
         Integer prefix = cut <= 0 ? null : names.get(name.substring(0, cut));
         if (prefix == null) {
-            to.writeUInt32NoTag(0);
-            to.writeStringNoTag(name);
+            body.writeUInt32NoTag(0);
+            body.writeStringNoTag(name);
         } else {
-            to.writeUInt32NoTag(1);
-            to.writeUInt32NoTag(prefix);
-            to.writeStringNoTag(name.substring(cut));
+            body.writeUInt32NoTag(1);
+            body.writeUInt32NoTag(prefix);
+            body.writeStringNoTag(name.substring(cut));
         }
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
@@ -41,19 +41,19 @@
                             in.readDouble()));
             end += gap + length;
         }
-        int scans = in.readUInt32();
-        if (scans < 0 || 10L * scans > raw.length) {
-            throw new IOException(scans + " scans in a run of " + raw.length + " bytes");
+        int queries = in.readUInt32();
+        if (queries < 0 || 10L * queries > raw.length) {
+            throw new IOException(queries + " queries in an index of " + raw.length + " bytes");
         }
-        run.hashes = new long[scans];
-        run.blockOf = new int[scans];
-        for (int i = 0; i < scans; i++) {
+        run.hashes = new long[queries];
+        run.blockOf = new int[queries];
+        for (int i = 0; i < queries; i++) {
             run.hashes[i] = in.readFixed64();
         }
-        for (int i = 0; i < scans; i++) {
+        for (int i = 0; i < queries; i++) {
             run.blockOf[i] = in.readRawByte() & 0xff | (in.readRawByte() & 0xff) << 8;
             if (run.blockOf[i] >= blocks) {
-                throw new IOException("a scan in block " + run.blockOf[i] + " of " + blocks);
+                throw new IOException("a query in block " + run.blockOf[i] + " of " + blocks);
             }
         }
         int servers = in.readUInt32();
@@ -78,7 +78,7 @@
         return run;
     }
 
-    /** Adds the numbers of blocks that hold something of the scan. */
+    /** Adds the numbers of blocks that hold something of the query. */
     void ofQuery(long hash, BitSet found) {
         int low = 0;
         int high = hashes.length;
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
@@ -16,7 +16,7 @@
  */
 final class BlockIndexBuilder {
     /**
-     * Scans of some ten thousand records: half a megabyte to build, and few enough runs for a
+     * Queries of some ten thousand records: half a megabyte to build, and few enough runs for a
      * lookup.
      */
     static final int MOST_SCANS = 32_768;
@@ -33,10 +33,10 @@
     /** One block as the run lists it. */
     record Block(long at, int length, int entries, int records, double earliest, double latest) {}
 
-    void block(Block block, long[] scans, Iterable<String> serversOfIt) {
+    void block(Block block, long[] queryHashes, Iterable<String> serversOfIt) {
         int number = blocks.size();
         blocks.add(block);
-        for (long hash : scans) {
+        for (long hash : queryHashes) {
             if (count == hashes.length) {
                 hashes = Arrays.copyOf(hashes, 2 * count);
                 blockOf = Arrays.copyOf(blockOf, 2 * count);
@@ -56,7 +56,7 @@
         return count >= MOST_SCANS || blocks.size() >= MOST_BLOCKS;
     }
 
-    int scans() {
+    int queries() {
         return count;
     }
 
--- a/trace/src/main/java/sprucehold/trace/format/BlockSelection.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockSelection.java
@@ -61,7 +61,7 @@
 
     private BlockIndex read(long at) throws IOException {
         try {
-            return BlockIndex.read(file.content(at, Layout.RUN, file.length()), at);
+            return BlockIndex.read(file.content(at, Layout.INDEX, file.length()), at);
         } catch (MalformedTraceException e) {
             throw e;
         } catch (IOException e) {
--- a/trace/src/main/java/sprucehold/trace/format/Frame.java
+++ b/trace/src/main/java/sprucehold/trace/format/Frame.java
@@ -32,14 +32,14 @@
         byte[] stored = raw;
         int method = Layout.STORED;
         if (deflater != null && raw.length > 0) {
-            byte[] room = new byte[raw.length];
+            byte[] buffer = new byte[raw.length];
             deflater.reset();
             deflater.setInput(raw);
             deflater.finish();
-            int length = deflater.deflate(room);
+            int length = deflater.deflate(buffer);
             // What can't be shortened stays as it is.
             if (deflater.finished() && length < raw.length) {
-                stored = Arrays.copyOf(room, length);
+                stored = Arrays.copyOf(buffer, length);
                 method = Layout.DEFLATED;
             }
         }
@@ -93,12 +93,12 @@
                 Arrays.equals(marker, Layout.FRAME_MARKER)
                         && zero == 0
                         && frame.rawLength >= 0
-                        && frame.rawLength <= Layout.MOST_RAW_BYTES
+                        && frame.rawLength <= Layout.MAX_RAW_BYTES
                         && frame.storedLength >= 0
-                        && frame.storedLength <= Layout.MOST_STORED_BYTES
+                        && frame.storedLength <= Layout.MAX_STORED_BYTES
                         && frame.entries >= 0
                         && frame.records >= 0
-                        && frame.records <= Layout.MOST_RECORDS;
+                        && frame.records <= Layout.MAX_RECORDS;
         return good ? frame : null;
     }
 
@@ -139,11 +139,11 @@
                 }
                 length += more;
             }
-            boolean whole =
+            boolean complete =
                     length == rawLength
                             && (inflater.finished()
                                     || inflater.inflate(new byte[1]) == 0 && inflater.finished());
-            return whole && inflater.getRemaining() == 0 ? raw : null;
+            return complete && inflater.getRemaining() == 0 ? raw : null;
         } catch (DataFormatException e) {
             return null;
         } finally {
--- a/trace/src/main/java/sprucehold/trace/format/Layout.java
+++ b/trace/src/main/java/sprucehold/trace/format/Layout.java
@@ -17,34 +17,34 @@
     static final int FOOTER_BYTES = 40;
 
     /** A hundred thousand shard servers with their facts take less. */
-    static final int MOST_HEAD_BYTES = 16 << 20;
+    static final int MAX_HEADER_BYTES = 16 << 20;
 
     /**
      * A list of a hundred thousand servers is one record of some 4 MB; a reader holds two blocks at
      * most.
      */
-    static final int MOST_RAW_BYTES = 8 << 20;
+    static final int MAX_RAW_BYTES = 8 << 20;
 
     /** Deflate adds five bytes to 16 KiB that it can't shorten. */
-    static final int MOST_STORED_BYTES = MOST_RAW_BYTES + (64 << 10);
+    static final int MAX_STORED_BYTES = MAX_RAW_BYTES + (64 << 10);
 
     /** A writer ends a block at 64 KiB; one moment on top of that may be a list of all servers. */
-    static final int MOST_RECORDS = 1 << 18;
+    static final int MAX_RECORDS = 1 << 18;
 
     static final int BLOCK = 1;
-    static final int RUN = 2;
+    static final int INDEX = 2;
     static final int DIRECTORY = 3;
     static final int STORED = 0;
     static final int DEFLATED = 1;
 
     private Layout() {}
 
-    /** What a scan's id is looked up by. */
-    static long hash(String scanId) {
+    /** What a query's id is looked up by. */
+    static long hash(String queryId) {
         try {
             byte[] digest =
                     MessageDigest.getInstance("SHA-256")
-                            .digest(scanId.getBytes(StandardCharsets.UTF_8));
+                            .digest(queryId.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every JDK has SHA-256", e);
--- a/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
@@ -16,7 +16,7 @@
 final class RewrittenIndex {
     private final QueryCorrelator correlator = new QueryCorrelator();
     private final long[] seqBefore;
-    private BlockIndexBuilder run = new BlockIndexBuilder();
+    private BlockIndexBuilder index = new BlockIndexBuilder();
 
     RewrittenIndex(TraceHeader header) {
         seqBefore = new long[header.sources().size()];
@@ -28,7 +28,7 @@
         long records = 0;
         double earliest = Double.NaN;
         double latest = Double.NaN;
-        Map<String, Long> scans = new HashMap<>();
+        Map<String, Long> queryHashes = new HashMap<>();
         var servers = new TreeSet<String>();
         for (Entry entry : entries) {
             if (entry.seq() <= seqBefore[entry.source()]) {
@@ -50,7 +50,7 @@
                 for (Item item : call.items()) {
                     CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
                     if (query != null) {
-                        scans.computeIfAbsent(query.received().id(), Layout::hash);
+                        queryHashes.computeIfAbsent(query.received().id(), Layout::hash);
                     }
                     if (correlator.server() != null) {
                         servers.add(correlator.server());
@@ -64,18 +64,18 @@
                 || Double.compare(latest, frame.latest()) != 0) {
             throw new IOException("byte " + at + ": the block's times aren't those of its entries");
         }
-        run.block(
+        index.block(
                 new BlockIndexBuilder.Block(
                         at, frame.length(), frame.entries(), frame.records(), earliest, latest),
-                scans.values().stream().mapToLong(hash -> hash).toArray(),
+                queryHashes.values().stream().mapToLong(hash -> hash).toArray(),
                 servers);
         return records;
     }
 
     /** The run of the blocks since the one before. */
-    byte[] run() throws IOException {
-        byte[] raw = run.raw();
-        run = new BlockIndexBuilder();
+    byte[] index() throws IOException {
+        byte[] raw = index.raw();
+        index = new BlockIndexBuilder();
         return raw;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/TraceFile.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceFile.java
@@ -68,7 +68,7 @@
         preamble.getShort();
         int headerLength = preamble.getInt();
         if (headerLength < 0
-                || headerLength > Layout.MOST_HEAD_BYTES
+                || headerLength > Layout.MAX_HEADER_BYTES
                 || headerLength + (long) CRC_BYTES > length - Layout.PREAMBLE_BYTES) {
             throw malformed(
                     HEADER_LENGTH_AT,
--- a/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
@@ -28,7 +28,7 @@
                     || source.gatherer() == null
                     || source.clock() == null
                     || !isComplete(source.deployment())) {
-                throw new IOException("a source without its facts");
+                throw new IOException("a source without its deployment");
             }
         }
         return header;
@@ -60,7 +60,7 @@
     static Deployment deployment(String json) throws IOException {
         Deployment deployment = read(json, Deployment.class);
         if (!isComplete(deployment)) {
-            throw new IOException("facts that aren't whole");
+            throw new IOException("a deployment that lacks a part");
         }
         return deployment;
     }
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -29,14 +29,14 @@
      * Writes all whole blocks and their index beside the file, and puts that in its place at once.
      * What the file loses is what nobody could read.
      *
-     * @throws MalformedTraceException where not even the head can be read
+     * @throws MalformedTraceException where not even the header can be read
      */
     public static Repaired repair(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
             if (reader.verify().sound()) {
                 return new Repaired(false, 0, 0, null);
             }
-            Path beside = file.resolveSibling(file.getFileName() + ".repaired");
+            Path repaired = file.resolveSibling(file.getFileName() + ".repaired");
             // Frame by frame even where there is an index: it may tell of blocks that are damaged.
             TraceCursor look = reader.withoutIndex();
             while (look.next() != null) {
@@ -56,19 +56,19 @@
             try {
                 var writer =
                         new TraceWriter(
-                                new BufferedOutputStream(Files.newOutputStream(beside)), header);
+                                new BufferedOutputStream(Files.newOutputStream(repaired)), header);
                 try (writer) {
                     for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                         writer.add(entry);
                         entries++;
                     }
                 }
-                try (FileChannel written = FileChannel.open(beside, StandardOpenOption.WRITE)) {
+                try (FileChannel written = FileChannel.open(repaired, StandardOpenOption.WRITE)) {
                     written.force(true);
                 }
-                move(beside, file);
+                move(repaired, file);
             } finally {
-                Files.deleteIfExists(beside);
+                Files.deleteIfExists(repaired);
             }
             String why =
                     reader.damage() != null
--- a/trace/src/main/java/sprucehold/trace/format/TraceVerification.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceVerification.java
@@ -70,9 +70,9 @@
             byte[] content = file.content(frame, at);
             if (frame.kind() == Layout.BLOCK) {
                 checkBlock(frame, at);
-            } else if (frame.kind() == Layout.RUN) {
+            } else if (frame.kind() == Layout.INDEX) {
                 indexesMet.add(at);
-                if (!Arrays.equals(content, expected.run())) {
+                if (!Arrays.equals(content, expected.index())) {
                     throw file.malformed(
                             at, "the index doesn't tell what the blocks before it hold");
                 }
--- a/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
@@ -34,7 +34,7 @@
     private final Deflater deflater;
     private final BlockEncoder encoder;
     private final QueryCorrelator correlator = new QueryCorrelator();
-    private final Map<String, Long> scans = new HashMap<>();
+    private final Map<String, Long> queryHashes = new HashMap<>();
     private final TreeSet<String> servers = new TreeSet<>();
     private BlockIndexBuilder run = new BlockIndexBuilder();
     private final List<Long> runs = new ArrayList<>();
@@ -45,13 +45,13 @@
     private double latest = Double.NaN;
     private long allEntries;
     private long allRecords;
-    private long allScans;
+    private long totalQueries;
     private long gaps;
     private boolean closed;
 
     /**
-     * Writes the head at once; deflates blocks at the JDK's fastest level, as a recorder shares its
-     * gatherer's core.
+     * Writes the header at once; deflates blocks at the JDK's fastest level, as a recorder shares
+     * its gatherer's core.
      */
     public TraceWriter(OutputStream out, TraceHeader header) throws IOException {
         this(out, header, true);
@@ -66,9 +66,9 @@
         this.deflater = deflate ? new Deflater(Deflater.BEST_SPEED, true) : null;
         this.encoder = new BlockEncoder(header.sources());
         byte[] json = TraceHeaderJson.write(header);
-        if (json.length > Layout.MOST_HEAD_BYTES) {
+        if (json.length > Layout.MAX_HEADER_BYTES) {
             throw new IOException(
-                    "a head of " + json.length + " bytes, at most " + Layout.MOST_HEAD_BYTES);
+                    "a head of " + json.length + " bytes, at most " + Layout.MAX_HEADER_BYTES);
         }
         ByteBuffer bytes =
                 ByteBuffer.allocate(Layout.PREAMBLE_BYTES + json.length + 4)
@@ -97,7 +97,7 @@
             for (Item item : call.items()) {
                 CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
                 if (query != null) {
-                    scans.computeIfAbsent(query.received().id(), Layout::hash);
+                    queryHashes.computeIfAbsent(query.received().id(), Layout::hash);
                 }
                 if (correlator.server() != null) {
                     servers.add(correlator.server());
@@ -130,7 +130,7 @@
             return;
         }
         byte[] raw = encoder.take();
-        if (raw.length > Layout.MOST_RAW_BYTES || records > Layout.MOST_RECORDS) {
+        if (raw.length > Layout.MAX_RAW_BYTES || records > Layout.MAX_RECORDS) {
             throw new IOException(
                     "one entry of " + raw.length + " bytes and " + records + " records");
         }
@@ -138,7 +138,7 @@
         run.block(
                 new BlockIndexBuilder.Block(
                         position, frame.length, entries, records, earliest, latest),
-                scans.values().stream().mapToLong(hash -> hash).toArray(),
+                queryHashes.values().stream().mapToLong(hash -> hash).toArray(),
                 servers);
         write(frame);
         allEntries += entries;
@@ -147,7 +147,7 @@
         records = 0;
         earliest = Double.NaN;
         latest = Double.NaN;
-        scans.clear();
+        queryHashes.clear();
         servers.clear();
         if (run.full()) {
             endRun();
@@ -160,8 +160,8 @@
             return;
         }
         runs.add(position);
-        allScans += run.scans();
-        write(Frame.write(Layout.RUN, run.raw(), 0, 0, Double.NaN, Double.NaN, deflater));
+        totalQueries += run.queries();
+        write(Frame.write(Layout.INDEX, run.raw(), 0, 0, Double.NaN, Double.NaN, deflater));
         run = new BlockIndexBuilder();
     }
 
@@ -186,7 +186,7 @@
             }
             raw.writeUInt64NoTag(allRecords);
             raw.writeUInt64NoTag(allEntries);
-            raw.writeUInt64NoTag(allScans);
+            raw.writeUInt64NoTag(totalQueries);
             raw.writeUInt64NoTag(gaps);
             raw.flush();
             write(
@@ -207,7 +207,7 @@
             footer.putInt(crc(footer.array(), footer.position())).put(Layout.MAGIC);
             write(footer.array());
         } finally {
-            abandon();
+            discard();
         }
     }
 
@@ -215,7 +215,7 @@
      * Lets go of what is held outside the heap, without another byte written; the stream stays
      * open.
      */
-    public void abandon() {
+    public void discard() {
         closed = true;
         if (deflater != null) {
             deflater.end();
--- a/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
+++ b/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
@@ -15,14 +15,14 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * Keeps every scan that ended badly or late whole, and one in n of the others. Entries go in and
- * come out in the same order; an entry waits until all its scans have ended. Pure: no files, clocks
- * or threads.
+ * Keeps every query that ended badly or late whole, and one in n of the others. Entries go in and
+ * come out in the same order; an entry waits until all its queries have ended. Pure: no files,
+ * clocks or threads.
  */
 public final class QuerySampler {
     /**
-     * Entries that may wait. Guards against scans that never end, as after a gap; at a thousand
-     * calls a second it is longer than any query timeout. What is pushed out undecided is kept.
+     * Entries that may wait. Guards against queries that never end, as after a gap; at a thousand
+     * calls a second it is longer than any deadline. What is pushed out undecided is kept.
      */
     private static final int MOST_WAITING = 20_000;
 
@@ -40,7 +40,7 @@
     private record Held(Entry entry, List<CorrelatedQuery> queries) {}
 
     /**
-     * @param oneIn 1 or more; of the scans that ended well and in time, one in so many is kept
+     * @param oneIn 1 or more; of the queries that ended well and in time, one in so many is kept
      */
     public QuerySampler(int oneIn) {
         this.oneIn = oneIn;
@@ -52,21 +52,21 @@
             held.add(new Held(entry, List.of()));
             return release(false);
         }
-        var scans = new ArrayList<CorrelatedQuery>(call.items().size());
+        var queries = new ArrayList<CorrelatedQuery>(call.items().size());
         for (Item item : call.items()) {
             CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
-            scans.add(query);
+            queries.add(query);
             if (query != null) {
                 Decision fate = decisions.computeIfAbsent(query, none -> new Decision());
                 fate.mentions++;
                 decide(fate, query, item, call.nowMs());
             }
         }
-        held.add(new Held(call, scans));
+        held.add(new Held(call, queries));
         return release(false);
     }
 
-    /** Returns all that waits; scans that have not ended are kept. */
+    /** Returns all that waits; queries that have not ended are kept. */
     public List<Entry> end() {
         return release(true);
     }
@@ -95,7 +95,7 @@
             }
             for (CorrelatedQuery query : first.queries) {
                 Decision fate = query == null ? null : decisions.get(query);
-                // A late end of a dispatch may still come where one is out.
+                // A late end of an attempt may still come where one is out.
                 if (fate != null
                         && --fate.mentions == 0
                         && query.ended()
@@ -134,7 +134,7 @@
         return items.isEmpty() && !call.policyFailed() ? null : call.withItems(items);
     }
 
-    /** How many entries wait, and how many scans are remembered. */
+    /** How many entries wait, and how many queries are remembered. */
     int waiting() {
         return held.size() + decisions.size();
     }
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -85,7 +85,7 @@
     }
 
     /**
-     * @param source whose moments these are; its start is the time of the first of them
+     * @param source whose policy calls these are; its start is the time of the first of them
      */
     public Recorder(RecordingSettings plan, Source source) {
         this(
@@ -111,11 +111,11 @@
                 "recording to "
                         + plan.folder()
                         + (plan.oneIn() > 1
-                                ? ", one in " + plan.oneIn() + " of the scans that end well"
+                                ? ", one in " + plan.oneIn() + " of the queries that end well"
                                 : ""));
     }
 
-    /** Takes one call of the module. */
+    /** Takes one call of the policy. */
     void record(double nowMs, List<Event> events, List<Command> actions, boolean failed) {
         if (!began) {
             began = true;
@@ -295,7 +295,7 @@
 
     private void abandonFile() {
         if (writer != null) {
-            writer.abandon();
+            writer.discard();
             closeQuietly(stream);
             writer = null;
         }
--- a/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
@@ -5,7 +5,7 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Event;
 
-/** A module with a recorder at its door; it decides just what the module decides. */
+/** A module with a recorder at its door; it decides just what the policy decides. */
 public final class RecordingPolicy implements DecisionPolicy {
     private final DecisionPolicy policy;
     private final Recorder recorder;
--- a/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
@@ -24,8 +24,9 @@
  * @param fileBytes a file is ended beyond so many bytes
  * @param fileMs a file is ended after so many milliseconds
  * @param keepFiles the newest files of this gatherer that are kept
- * @param waitingRecords events and actions that may wait for the writer
- * @param oneIn of the scans that ended well and in time, one in so many is kept; 1 keeps everything
+ * @param waitingRecords events and commands that may wait for the writer
+ * @param oneIn of the queries that ended well and in time, one in so many is kept; 1 keeps
+ *     everything
  */
 public record RecordingSettings(
         Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
--- a/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
@@ -71,7 +71,7 @@
         return first;
     }
 
-    /** So many calls of the module, from that one on, are lost. */
+    /** So many calls of the policy, from that one on, are lost. */
     public void dropped(long seq, double nowMs, long moments, double toMs) {
         if (dropped == 0) {
             droppedFrom = seq;
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -122,7 +122,7 @@
         out.write(plain, 0, headEnds(plain));
         var deflater = new Deflater(9, true);
         out.write(Frame.write(Layout.BLOCK, blockRaw, 1, records, 0, 0, deflater));
-        out.write(Frame.write(Layout.RUN, runRaw, 0, 0, Double.NaN, Double.NaN, deflater));
+        out.write(Frame.write(Layout.INDEX, runRaw, 0, 0, Double.NaN, Double.NaN, deflater));
         long directory = out.size();
         out.write(
                 Frame.write(
@@ -165,11 +165,11 @@
 
     /** Eight MiB that deflate from a few KiB to four million records. */
     private static byte[] bomb() throws IOException {
-        byte[] raw = new byte[Layout.MOST_RAW_BYTES - 16];
+        byte[] raw = new byte[Layout.MAX_RAW_BYTES - 16];
         byte[] moment = varints(1, 5, 0, 0, 0, 0, 1);
         System.arraycopy(moment, 0, raw, 0, moment.length);
         for (int i = moment.length; i < raw.length - 1; i += 2) {
-            raw[i] = RecordKind.WOKEN;
+            raw[i] = RecordKind.WAKE_UP;
         }
         return raw;
     }
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -120,11 +120,11 @@
     public void boundsOfAKindThatIsNotKnownHideNothingElse() throws IOException {
         var raw = new ByteArrayOutputStream();
         var out = CodedOutputStream.newInstance(raw);
-        record(out, RecordKind.MOMENT, 0, 0, 0, 0, 3, 0);
+        record(out, RecordKind.POLICY_CALL, 0, 0, 0, 0, 3, 0);
         // Five gatherers, one bound of kind 99 without a name and nine units, no trouble.
-        record(out, RecordKind.OTHERS_TOLD, 5, 1, 99, 0, 0, 9, 0);
-        record(out, RecordKind.USE, 99, 2, 4);
-        record(out, RecordKind.WOKEN);
+        record(out, RecordKind.CLUSTER_VIEW_CHANGED, 5, 1, 99, 0, 0, 9, 0);
+        record(out, RecordKind.CONSUME_ALLOWANCE, 99, 2, 4);
+        record(out, RecordKind.WAKE_UP);
         out.flush();
         List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
         assertEquals(
@@ -147,11 +147,11 @@
     public void unknownRecordsAndFieldsOfANewerMinorVersionAreSkipped() throws IOException {
         var raw = new ByteArrayOutputStream();
         var out = CodedOutputStream.newInstance(raw);
-        record(out, RecordKind.MOMENT, 0, 0, 0, 0, 2, 77, 78);
+        record(out, RecordKind.POLICY_CALL, 0, 0, 0, 0, 2, 77, 78);
         record(out, 99, 1, 2, 3);
-        record(out, RecordKind.WOKEN, 5);
+        record(out, RecordKind.WAKE_UP, 5);
         record(out, 60, 1);
-        record(out, RecordKind.WOKEN);
+        record(out, RecordKind.WAKE_UP);
         out.flush();
         List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
         assertEquals(
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -30,7 +30,7 @@
 
 /**
  * Writes a file anew so that it names and gives away nobody. Twice through the input: once to
- * count, once to write; it holds the scans of one stretch of time.
+ * count, once to write; it holds the queries of one stretch of time.
  */
 public final class Anonymiser {
     /** An hour: rhythms of shops lie in hours, so nothing finer may show. */
@@ -40,15 +40,15 @@
     private static final int LEAST_NAMED = 5;
 
     /**
-     * Counts of scans of a cell are cut down to whole tens: a single shop's comings and goings
+     * Counts of queries of a cell are cut down to whole tens: a single shop's comings and goings
      * don't show.
      */
     private static final int GRAIN = 10;
 
-    /** Durations within a scan are told to so many milliseconds. */
+    /** Durations within a query are told to so many milliseconds. */
     private static final double STEP_MS = 5;
 
-    /** Longer than any client waits; a scan that takes longer is left out. */
+    /** Longer than any client waits; a query that takes longer is left out. */
     private static final double LONGEST_SCAN_MS = 900_000;
 
     private static final String POOL = "others";
@@ -83,14 +83,14 @@
     }
 
     /**
-     * @param scans scans written
-     * @param leftOut scans left out
-     * @param named customers with a pseudonym of their own
-     * @param pooled scans that show the pool
+     * @param queries queries written
+     * @param leftOut queries left out
+     * @param named tenants with a pseudonym of their own
+     * @param pooled queries that show the pool
      */
     public record Written(long scans, long leftOut, int named, long pooled) {}
 
-    /** One scan with all that befell it, times since it was taken. */
+    /** One query with all that befell it, times since it was taken. */
     private record Whole(CorrelatedQuery scan, List<Line> lines, String origin) {}
 
     private record Line(double afterMs, Item item) {}
@@ -207,7 +207,7 @@
                         }
                     }
                 }
-                // A stretch is written once nobody can still be waiting for a scan of it.
+                // A stretch is written once nobody can still be waiting for a query of it.
                 double at =
                         reader.header()
                                 .sources()
@@ -238,7 +238,7 @@
         return new Written(written, leftOut, named.size(), pooled);
     }
 
-    /** Writes one stretch's scans; returns how many were written, left out, and pooled. */
+    /** Writes one stretch's queries; returns how many were written, left out, and pooled. */
     private long[] write(TraceWriter writer, long stretch, List<Whole> scans, TraceReader reader)
             throws IOException {
         // An order that says nothing of who came when, and the same for the same key.
@@ -434,13 +434,13 @@
         } else if (command instanceof Command.AnswerQuery answer) {
             return new Item(
                     index, null, new Command.AnswerQuery(id, answer.complete(), answer.reason()));
-        } else if (command instanceof Command.RejectQuery throttle) {
+        } else if (command instanceof Command.RejectQuery rejection) {
             return new Item(
                     index,
                     null,
-                    new Command.RejectQuery(id, throttle.retryAfterMs(), throttle.reason()));
-        } else if (command instanceof Command.FailQuery abandon) {
-            return new Item(index, null, new Command.FailQuery(id, abandon.reason()));
+                    new Command.RejectQuery(id, rejection.retryAfterMs(), rejection.reason()));
+        } else if (command instanceof Command.FailQuery failure) {
+            return new Item(index, null, new Command.FailQuery(id, failure.reason()));
         }
         return null;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
@@ -9,31 +9,31 @@
 import java.util.TreeSet;
 
 /**
- * Decides which customers get a pseudonym of their own, and how many of their scans show it: in
- * each cell - a stretch of time and a table type - as many as of every other pseudonym. So neither
- * counts nor rhythms nor the mix of table types tells one pseudonym from another. Customers too
- * rare for that are pooled, and so are the scans over the count. Pure.
+ * Decides which tenants get a pseudonym of their own, and how many of their queries show it: in
+ * each cell - a stretch of time and a query class - as many as of every other pseudonym. So neither
+ * counts nor rhythms nor the mix of query classes tells one pseudonym from another. Customers too
+ * rare for that are pooled, and so are the queries over the count. Pure.
  */
 final class PseudonymQuota {
-    /** A stretch of time and a table type. */
+    /** A stretch of time and a query class. */
     record Cell(long stretch, String tableType) {}
 
     private final Map<String, Map<Cell, Integer>> counts = new TreeMap<>();
     private final Map<Cell, Integer> shown = new HashMap<>();
     private final TreeSet<String> named = new TreeSet<>();
 
-    /** Counts a scan of a customer; to be called for all before {@link #settle}. */
+    /** Counts a query of a tenant; to be called for all before {@link #settle}. */
     void count(String customer, Cell cell) {
         counts.computeIfAbsent(customer, name -> new HashMap<>()).merge(cell, 1, Integer::sum);
     }
 
     /**
-     * Chooses the customers so that most scans keep a pseudonym: with the customers by size, the k
+     * Chooses the tenants so that most queries keep a pseudonym: with the tenants by size, the k
      * largest keep in each cell the least count of any of them; the k that keeps most in all is
      * taken.
      *
      * @param least pseudonyms at least, so that guessing one is no better than one in so many;
-     *     fewer customers than that get none
+     *     fewer tenants than that get none
      */
     void settle(int least) {
         List<String> bySize = new ArrayList<>(counts.keySet());
@@ -72,7 +72,7 @@
         return named;
     }
 
-    /** How many scans of each named customer show its pseudonym in the cell. */
+    /** How many queries of each named tenant show its pseudonym in the cell. */
     int shown(Cell cell) {
         return shown.getOrDefault(cell, 0);
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
@@ -37,7 +37,7 @@
         var kept = new ArrayList<Item>(call.items().size());
         for (Item item : call.items()) {
             CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
-            // What belongs to no scan, or to one taken before the file began, belongs where it
+            // What belongs to no query, or to one taken before the file began, belongs where it
             // happened.
             if (query == null ? here : window.holds(corrected(call, query.receivedMs()))) {
                 kept.add(item);
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
@@ -31,7 +31,7 @@
                                 Math.max(before.fromMs(), window.fromMs()),
                                 Math.min(before.toMs(), window.toMs()));
         var whole = new QueryWindow(reader.header().sources(), both);
-        // Scans of the window begin in blocks that reach into it, by whichever clock is furthest
+        // Queries of the window begin in blocks that reach into it, by whichever clock is furthest
         // off.
         double off = 0;
         for (Source source : reader.header().sources()) {
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -15,7 +15,7 @@
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Source;
 
-/** Tells a scan's story in plain words, and draws its parts on a time line. */
+/** Tells a query's story in plain words, and draws its parts on a time line. */
 public final class QueryExplainer {
     private static final int LINE_WIDTH = 60;
 
@@ -164,14 +164,14 @@
                     + (answer.complete() ? "whole" : "in part")
                     + ", because "
                     + answer.reason().description();
-        } else if (command instanceof Command.RejectQuery throttle) {
+        } else if (command instanceof Command.RejectQuery rejection) {
             return "throttled, because "
-                    + throttle.reason().description()
-                    + (throttle.retryAfterMs() > 0
-                            ? "; come back in " + ms(throttle.retryAfterMs())
+                    + rejection.reason().description()
+                    + (rejection.retryAfterMs() > 0
+                            ? "; come back in " + ms(rejection.retryAfterMs())
                             : "");
-        } else if (command instanceof Command.FailQuery abandon) {
-            return "abandoned, because " + abandon.reason().description();
+        } else if (command instanceof Command.FailQuery failure) {
+            return "abandoned, because " + failure.reason().description();
         }
         return null;
     }
@@ -199,7 +199,7 @@
         return bars.lines();
     }
 
-    /** One bar a dispatch, from its sending to its end. */
+    /** One bar an attempt, from its sending to its end. */
     private static final class LinkedBars {
         private final QueryExplanation explanation;
         private final double begun;
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
@@ -12,16 +12,16 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * All that a trace holds of one scan, in order.
+ * All that a trace holds of one query, in order.
  *
  * @param lines what happened and was done
  * @param gaps gaps of its gatherer that fall into its time
  */
 public record QueryExplanation(QueryStatistics tally, List<Line> lines, List<Gap> gaps) {
-    /** One event or action, and when, by the gatherer's clock. */
+    /** One event or command, and when, by the gatherer's clock. */
     public record Line(long seq, double nowMs, Item item) {}
 
-    /** Collects the stories of all scans of one id: an id may come again. */
+    /** Collects the stories of all queries of one id: an id may come again. */
     public static final class Collector {
         private final String id;
         private final QueryCorrelator correlator = new QueryCorrelator();
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatistics.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatistics.java
@@ -12,7 +12,7 @@
 import sprucehold.trace.correlation.CorrelatedQuery;
 import sprucehold.trace.event.Item;
 
-/** What befell one scan, counted. */
+/** What befell one query, counted. */
 public final class QueryStatistics {
     private final CorrelatedQuery query;
     private Outcome outcome = Outcome.OPEN;
@@ -89,10 +89,10 @@
                     .forEach(passed -> skippedReplicas.merge(passed.cause(), 1, Integer::sum));
         } else if (command instanceof Command.AnswerQuery answer && query.ended()) {
             end(answer.complete() ? Outcome.COMPLETE : Outcome.PARTIAL, answer.reason(), nowMs);
-        } else if (command instanceof Command.RejectQuery throttle) {
-            end(Outcome.REJECTED, throttle.reason(), nowMs);
-        } else if (command instanceof Command.FailQuery abandon) {
-            end(Outcome.FAILED, abandon.reason(), nowMs);
+        } else if (command instanceof Command.RejectQuery rejection) {
+            end(Outcome.REJECTED, rejection.reason(), nowMs);
+        } else if (command instanceof Command.FailQuery failure) {
+            end(Outcome.FAILED, failure.reason(), nowMs);
         }
         if (command != null) {
             reasons.merge(command.reason(), 1, Integer::sum);
@@ -128,7 +128,7 @@
         return endedMs - query.receivedMs();
     }
 
-    /** Whether it was completed within its target time. */
+    /** Whether it was completed within its latency objective. */
     public boolean metLatencyObjective() {
         return (outcome == Outcome.COMPLETE || outcome == Outcome.PARTIAL)
                 && durationMs() <= query.received().queryClass().latencyObjectiveMs();
@@ -154,22 +154,22 @@
         return servers;
     }
 
-    /** How many of its dispatches ended how. */
+    /** How many of its attempts ended how. */
     public Map<AttemptOutcome, Integer> outcomes() {
         return outcomes;
     }
 
-    /** How many of its actions were wanted why. */
+    /** How many of its commands were wanted why. */
     public Map<Reason, Integer> reasons() {
         return reasons;
     }
 
-    /** How often holders were passed over for what. */
+    /** How often replicas were skipped for what. */
     public Map<SkippedReplica.Cause, Integer> skippedReplicas() {
         return skippedReplicas;
     }
 
-    /** Its customer's name, or a dash where there is none. */
+    /** Its tenant's name, or a dash where there is none. */
     public String tenant() {
         return query.received().tenant() == null ? "-" : query.received().tenant().name();
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatisticsCollector.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatisticsCollector.java
@@ -10,9 +10,9 @@
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.PolicyCall;
 
-/** Counts scans as entries go by, and hands each on once nothing more can come of it. */
+/** Counts queries as entries go by, and hands each on once nothing more can come of it. */
 public final class QueryStatisticsCollector {
-    /** As many as the books hold: beyond that a scan that never ends is handed on as open. */
+    /** As many as the books hold: beyond that a query that never ends is handed on as open. */
     private static final int MOST = 100_000;
 
     private final QueryCorrelator correlator = new QueryCorrelator();
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Hands on the scans that have not ended. */
+    /** Hands on the queries that have not ended. */
     public void end() {
         List.copyOf(open.values()).forEach(done);
         open.clear();
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Scans as stories: {@link sprucehold.tracetools.explanation.ScanTallies} counts what befell each
- * scan, {@link sprucehold.tracetools.explanation.Storyteller} tells one in plain words. Pure: they
- * must never touch a file.
+ * Queries as stories: {@link sprucehold.tracetools.explanation.QueryStatisticsCollector} counts
+ * what befell each query, {@link sprucehold.tracetools.explanation.QueryExplainer} tells one in
+ * plain words. Pure: they must never touch a file.
  */
 package sprucehold.tracetools.explanation;
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -20,7 +20,7 @@
 import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 
-/** Writes a trace as text: every record as a JSON line, or every scan as a row. */
+/** Writes a trace as text: every record as a JSON line, or every query as a row. */
 public final class TraceExport {
     private static final ObjectMapper MAPPER =
             StoredJson.mapperBuilder()
@@ -32,7 +32,7 @@
 
     private TraceExport() {}
 
-    /** Every event, action and gap, a JSON line each; returns how many. */
+    /** Every event, command and gap, a JSON line each; returns how many. */
     public static long jsonLines(TraceReader reader, Writer to) throws IOException {
         long lines = 0;
         TraceCursor cursor = reader.all();
@@ -77,7 +77,7 @@
         to.write('\n');
     }
 
-    /** Every scan, a row each; returns how many. */
+    /** Every query, a row each; returns how many. */
     public static long csv(TraceReader reader, Writer to) throws IOException {
         CSVFormat format =
                 CSVFormat.RFC4180
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -22,8 +22,8 @@
     private TraceReplay() {}
 
     /**
-     * @param agreed actions that were the same, up to the call with the first that differs
-     * @param difference the first action that differs, in words; null where all agree
+     * @param agreed commands that were the same, up to the call with the first that differs
+     * @param difference the first command that differs, in words; null where all agree
      */
     public record Verdict(long moments, long agreed, String difference) {}
 
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 import sprucehold.tracetools.explanation.QueryStatistics;
 
-/** Figures of some scans. */
+/** Figures of some queries. */
 public final class QueryGroup {
     /** Two digits: a time is told to within a hundredth. */
     private final Histogram took = new Histogram(2);
@@ -75,7 +75,7 @@
     }
 
     /**
-     * A percentile, from 0 to 100, of the times of completed scans, in milliseconds; NaN where
+     * A percentile, from 0 to 100, of the times of completed queries, in milliseconds; NaN where
      * there are none.
      */
     public double percentileMs(double percentile) {
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
@@ -37,7 +37,7 @@
         return endings.getOrDefault(outcome, 0L);
     }
 
-    /** How often it was passed over for what. */
+    /** How often it was skipped for what. */
     public Map<SkippedReplica.Cause, Long> passedOver() {
         return passedOver;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -19,10 +19,10 @@
 import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 
-/** Figures of one or several traces, by table type, customer, shard server, reason and time. */
+/** Figures of one or several traces, by query class, tenant, shard server, reason and time. */
 public final class TraceSummary {
     /**
-     * Beyond so many customers or servers, new ones are counted together: a histogram takes some
+     * Beyond so many tenants or servers, new ones are counted together: a histogram takes some
      * kilobytes.
      */
     private static final int MOST_NAMES = 500;
@@ -153,19 +153,19 @@
         return byServer;
     }
 
-    /** How many actions were wanted why. */
+    /** How many commands were wanted why. */
     public Map<Reason, Long> reasons() {
         return reasons;
     }
 
-    /** How many scans ended how, and why. */
+    /** How many queries ended how, and why. */
     public Map<QueryStatistics.Outcome, Map<Reason, Long>> outcomes() {
         return outcomes;
     }
 
     /**
-     * By stretch of {@link #stretchMs}, numbered from 1970: scans, in target time, throttled,
-     * abandoned.
+     * By stretch of {@link #stretchMs}, numbered from 1970: queries, in latency objective,
+     * rejected, failed.
      */
     public TreeMap<Long, long[]> stretches() {
         return stretches;
@@ -179,12 +179,12 @@
         return gaps;
     }
 
-    /** Calls of the module that gaps stand for. */
+    /** Calls of the policy that gaps stand for. */
     public long notRecorded() {
         return notRecorded;
     }
 
-    /** Events and actions counted. */
+    /** Events and commands counted. */
     public long records() {
         return records;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
@@ -3,13 +3,13 @@
 /**
  * What a synthetic day is to be.
  *
- * @param scans scans that clients begin; those asked again come on top
+ * @param queries queries that clients begin; those asked again come on top
  * @param seed decides everything
  * @param gatherers how many, 1 or more
  * @param skewS gatherers' clocks differ by up to so many seconds
  * @param driftPpm and run faster or slower by up to so many millionths
  * @param hours how long the day is
- * @param customers how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
+ * @param tenants how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
  *     own
  * @param troubles how many troubles befall shard servers
  */
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -59,7 +59,7 @@
     /** A server turns away what would wait longer. */
     private static final double MOST_WAIT_MS = 1500;
 
-    /** The busiest hour has four times the scans of the quietest. */
+    /** The busiest hour has four times the queries of the quietest. */
     private static final double WAVE = 0.6;
 
     private static final List<QueryClass> TYPES =
@@ -208,7 +208,7 @@
         }
     }
 
-    /** A dispatch on its way. */
+    /** A attempt on its way. */
     private final class Out {
         final Seat seat;
         final Attempt attempt;
@@ -243,7 +243,7 @@
     }
 
     /**
-     * @param factory starts the module that decides
+     * @param factory starts the policy that decides
      */
     public SyntheticDay(DayPlan plan, DecisionPolicy.Factory factory) {
         this.plan = plan;
@@ -306,7 +306,7 @@
      * Plays the day.
      *
      * @param sinks one for each gatherer
-     * @param progress is told how many scans were begun, now and then
+     * @param progress is told how many queries were begun, now and then
      */
     public void play(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
         for (Seat seat : seats) {
@@ -363,7 +363,7 @@
 
     private Client client(double hour) {
         int customer = whichCustomer.sample() - 1;
-        // Each customer has hours of its own: outside of them another of the same share asks as a
+        // Each tenant has hours of its own: outside of them another of the same share asks as a
         // rule.
         if (Math.abs(Math.IEEEremainder(hour - phases[customer], 1)) > 0.3
                 && chance.nextDouble() < 0.8) {
