--- a/cli/src/main/java/sprucehold/cli/TraceChange.java
+++ b/cli/src/main/java/sprucehold/cli/TraceChange.java
@@ -202,7 +202,7 @@
                         Printed.json(
                                 TraceLook.map(
                                         "scans",
-                                        written.scans(),
+                                        written.queries(),
                                         "left_out",
                                         written.leftOut(),
                                         "named",
@@ -217,7 +217,7 @@
                             Locale.ROOT,
                             "%d scans written, %d left out; %d customers keep a pseudonym, %d "
                                     + "scans are pooled%nlost for analysis:%n",
-                            written.scans(),
+                            written.queries(),
                             written.leftOut(),
                             written.named(),
                             written.pooled());
--- a/cli/src/main/java/sprucehold/cli/TraceLook.java
+++ b/cli/src/main/java/sprucehold/cli/TraceLook.java
@@ -468,7 +468,7 @@
                 for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                     collector.add(entry);
                 }
-                List<QueryExplanation> stories = collector.stories();
+                List<QueryExplanation> stories = collector.explanations();
                 if (stories.isEmpty()) {
                     System.err.println("sprucehold: " + reader.name() + " holds no scan " + scan);
                     return 1;
@@ -478,7 +478,9 @@
                 }
                 for (QueryExplanation explanation : stories) {
                     Source source =
-                            reader.header().sources().get(explanation.tally().query().source());
+                            reader.header()
+                                    .sources()
+                                    .get(explanation.statistics().query().source());
                     if (json) {
                         Printed.json(
                                 map(
@@ -487,9 +489,9 @@
                                         "gatherer",
                                         source.gatherer(),
                                         "outcome",
-                                        explanation.tally().outcome(),
+                                        explanation.statistics().outcome(),
                                         "reason",
-                                        explanation.tally().reason(),
+                                        explanation.statistics().reason(),
                                         "lines",
                                         explanation.lines().stream()
                                                 .map(
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -37,19 +37,19 @@
     public static final double STRETCH_MS = 3_600_000;
 
     /** With fewer pseudonyms a guess would be right too often. */
-    private static final int LEAST_NAMED = 5;
+    private static final int MIN_PSEUDONYMS = 5;
 
     /**
      * Counts of queries of a cell are cut down to whole tens: a single shop's comings and goings
      * don't show.
      */
-    private static final int GRAIN = 10;
+    private static final int COUNT_STEP = 10;
 
     /** Durations within a query are told to so many milliseconds. */
-    private static final double STEP_MS = 5;
+    private static final double DURATION_STEP_MS = 5;
 
     /** Longer than any client waits; a query that takes longer is left out. */
-    private static final double LONGEST_SCAN_MS = 900_000;
+    private static final double LONGEST_QUERY_MS = 900_000;
 
     private static final String POOL = "others";
 
@@ -65,12 +65,12 @@
                     "segments: the parts of a scan are numbered from 0",
                     "ids, load reports, the operators' notes, probes, and news of the list",
                     "durations are rounded to "
-                            + (int) STEP_MS
+                            + (int) DURATION_STEP_MS
                             + " ms, clients' patience to 100 ms, weights to equal ones");
 
     private final Pseudonyms pseudonyms;
-    private final PseudonymQuota shares = new PseudonymQuota();
-    private final Map<PseudonymQuota.Cell, Integer> scansOf = new HashMap<>();
+    private final PseudonymQuota quota = new PseudonymQuota();
+    private final Map<PseudonymQuota.Cell, Integer> queriesByCell = new HashMap<>();
     private final Map<String, Tenant> named = new LinkedHashMap<>();
     private Tenant pool;
     private Source source;
@@ -88,12 +88,12 @@
      * @param named tenants with a pseudonym of their own
      * @param pooled queries that show the pool
      */
-    public record Written(long scans, long leftOut, int named, long pooled) {}
+    public record Written(long queries, long leftOut, int named, long pooled) {}
 
     /** One query with all that befell it, times since it was taken. */
-    private record Whole(CorrelatedQuery scan, List<Line> lines, String origin) {}
+    private record RecordedQuery(CorrelatedQuery query, List<RecordedItem> items, String origin) {}
 
-    private record Line(double afterMs, Item item) {}
+    private record RecordedItem(double afterMs, Item item) {}
 
     /**
      * @param key whoever has it can make the pseudonyms again
@@ -122,9 +122,9 @@
                     if (item.event() instanceof Event.QueryReceived taken) {
                         PseudonymQuota.Cell cell =
                                 cell(reader.header().sources().get(call.source()), query);
-                        scansOf.merge(cell, 1, Integer::sum);
+                        queriesByCell.merge(cell, 1, Integer::sum);
                         if (taken.tenant() != null) {
-                            shares.count(taken.tenant().name(), cell);
+                            quota.count(taken.tenant().name(), cell);
                         }
                     }
                 }
@@ -133,7 +133,7 @@
                 progress.accept(read);
             }
         }
-        shares.settle(LEAST_NAMED);
+        quota.settle(MIN_PSEUDONYMS);
     }
 
     private Written write(TraceReader reader, Path to, LongConsumer progress) throws IOException {
@@ -141,7 +141,7 @@
         Deployment before = first.deployment();
         // In the order of their pseudonyms, all with the same rate: places and rates would tell.
         var byPseudonym = new TreeMap<String, String>();
-        shares.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
+        quota.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
         byPseudonym.forEach((pseudonym, name) -> named.put(name, new Tenant(pseudonym, 1)));
         pool = new Tenant(POOL, 1);
         var customers = new ArrayList<>(named.values());
@@ -160,7 +160,7 @@
                         before.retryBudget(),
                         before.endpointSubscription());
         double began =
-                scansOf.keySet().stream()
+                queriesByCell.keySet().stream()
                         .mapToDouble(cell -> cell.stretch() * STRETCH_MS)
                         .min()
                         .orElse(0);
@@ -174,8 +174,8 @@
         long leftOut = 0;
         long pooled = 0;
         var correlator = new QueryCorrelator();
-        var open = new LinkedHashMap<CorrelatedQuery, Whole>();
-        var stretches = new TreeMap<Long, List<Whole>>();
+        var open = new LinkedHashMap<CorrelatedQuery, RecordedQuery>();
+        var stretches = new TreeMap<Long, List<RecordedQuery>>();
         long writtenTo = Long.MIN_VALUE;
         try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
             long read = 0;
@@ -188,19 +188,22 @@
                         if (query == null) {
                             continue;
                         }
-                        Whole whole =
+                        RecordedQuery recorded =
                                 open.computeIfAbsent(
                                         query,
-                                        none -> new Whole(query, new ArrayList<>(), of.id()));
-                        whole.lines.add(
-                                new Line(Math.max(0, call.nowMs() - query.receivedMs()), item));
+                                        none ->
+                                                new RecordedQuery(
+                                                        query, new ArrayList<>(), of.id()));
+                        recorded.items.add(
+                                new RecordedItem(
+                                        Math.max(0, call.nowMs() - query.receivedMs()), item));
                         if (query.ended() && query.pendingAttempts() <= 0) {
                             open.remove(query);
                             long stretch = cell(of, query).stretch();
                             if (stretch > writtenTo) {
                                 stretches
                                         .computeIfAbsent(stretch, at -> new ArrayList<>())
-                                        .add(whole);
+                                        .add(recorded);
                             } else {
                                 leftOut++;
                             }
@@ -215,7 +218,7 @@
                                 .clock()
                                 .corrected(entry.nowMs());
                 while (!stretches.isEmpty()
-                        && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_SCAN_MS) {
+                        && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_QUERY_MS) {
                     writtenTo = stretches.firstKey();
                     long[] counts = write(writer, writtenTo, stretches.remove(writtenTo), reader);
                     written += counts[0];
@@ -239,42 +242,44 @@
     }
 
     /** Writes one stretch's queries; returns how many were written, left out, and pooled. */
-    private long[] write(TraceWriter writer, long stretch, List<Whole> scans, TraceReader reader)
+    private long[] write(
+            TraceWriter writer, long stretch, List<RecordedQuery> scans, TraceReader reader)
             throws IOException {
         // An order that says nothing of who came when, and the same for the same key.
-        record Ranked(long rank, Whole whole) {}
+        record Ranked(long rank, RecordedQuery whole) {}
         var ranked = new ArrayList<Ranked>();
-        for (Whole whole : scans) {
+        for (RecordedQuery recorded : scans) {
             ranked.add(
                     new Ranked(
                             pseudonyms.number(
-                                    "rank", whole.origin + "|" + whole.scan.received().number()),
-                            whole));
+                                    "rank",
+                                    recorded.origin + "|" + recorded.query.received().number()),
+                            recorded));
         }
         ranked.sort(Comparator.comparingLong(Ranked::rank));
         Map<PseudonymQuota.Cell, Integer> left = new HashMap<>();
         Map<PseudonymQuota.Cell, Integer> all = new HashMap<>();
         for (Ranked one : ranked) {
             all.merge(
-                    cell(reader.header().sources().get(one.whole.scan.source()), one.whole.scan),
+                    cell(reader.header().sources().get(one.whole.query.source()), one.whole.query),
                     1,
                     Integer::sum);
         }
-        all.forEach((cell, count) -> left.put(cell, count / GRAIN * GRAIN));
+        all.forEach((cell, count) -> left.put(cell, count / COUNT_STEP * COUNT_STEP));
         // Shown pseudonyms first, so that the grain never takes one of theirs and not another's.
         Map<String, Integer> shown = new HashMap<>();
-        var chosen = new ArrayList<Map.Entry<Whole, Tenant>>();
-        var rest = new ArrayList<Whole>();
+        var chosen = new ArrayList<Map.Entry<RecordedQuery, Tenant>>();
+        var rest = new ArrayList<RecordedQuery>();
         for (Ranked one : ranked) {
             PseudonymQuota.Cell cell =
-                    cell(reader.header().sources().get(one.whole.scan.source()), one.whole.scan);
-            var tenant = one.whole.scan.received().tenant();
-            boolean fits = left.get(cell) >= shares.shown(cell) * named.size();
+                    cell(reader.header().sources().get(one.whole.query.source()), one.whole.query);
+            var tenant = one.whole.query.received().tenant();
+            boolean fits = left.get(cell) >= quota.shown(cell) * named.size();
             if (tenant != null
                     && named.containsKey(tenant.name())
                     && fits
                     && shown.merge(tenant.name() + "|" + cell, 1, Integer::sum)
-                            <= shares.shown(cell)) {
+                            <= quota.shown(cell)) {
                 chosen.add(Map.entry(one.whole, named.get(tenant.name())));
             } else {
                 rest.add(one.whole);
@@ -284,16 +289,16 @@
                 one ->
                         left.merge(
                                 cell(
-                                        reader.header().sources().get(one.getKey().scan.source()),
-                                        one.getKey().scan),
+                                        reader.header().sources().get(one.getKey().query.source()),
+                                        one.getKey().query),
                                 -1,
                                 Integer::sum));
         long pooled = 0;
-        for (Whole whole : rest) {
+        for (RecordedQuery recorded : rest) {
             PseudonymQuota.Cell cell =
-                    cell(reader.header().sources().get(whole.scan.source()), whole.scan);
+                    cell(reader.header().sources().get(recorded.query.source()), recorded.query);
             if (left.merge(cell, -1, Integer::sum) >= 0) {
-                chosen.add(Map.entry(whole, pool));
+                chosen.add(Map.entry(recorded, pool));
                 pooled++;
             }
         }
@@ -304,11 +309,11 @@
                                         "place",
                                         one.getKey().origin
                                                 + "|"
-                                                + one.getKey().scan.received().number())));
+                                                + one.getKey().query.received().number())));
         var moments = new ArrayList<PolicyCall>();
         for (int i = 0; i < chosen.size(); i++) {
             double at = (stretch + (double) i / chosen.size()) * STRETCH_MS;
-            moments.addAll(moments(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
+            moments.addAll(calls(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
         }
         moments.sort(
                 Comparator.comparingDouble(PolicyCall::nowMs).thenComparingLong(PolicyCall::seq));
@@ -318,15 +323,15 @@
         return new long[] {chosen.size(), scans.size() - chosen.size(), pooled};
     }
 
-    private List<PolicyCall> moments(Whole whole, Tenant tenant, double at) {
+    private List<PolicyCall> calls(RecordedQuery recorded, Tenant tenant, double at) {
         String id =
                 pseudonyms.name(
                         "scan",
-                        whole.origin
+                        recorded.origin
                                 + "|"
-                                + whole.scan.received().number()
+                                + recorded.query.received().number()
                                 + "|"
-                                + whole.scan.received().id());
+                                + recorded.query.received().id());
         long own = ++number;
         Map<String, String> parts = new HashMap<>();
         var moments = new ArrayList<PolicyCall>();
@@ -335,13 +340,13 @@
         long order = own << 20;
         int partCount =
                 (int)
-                        whole.lines.stream()
+                        recorded.items.stream()
                                 .filter(line -> line.item.event() instanceof Event.PartReceived)
                                 .count();
-        for (Line line : whole.lines) {
-            double after = Math.rint(line.afterMs / STEP_MS) * STEP_MS;
+        for (RecordedItem line : recorded.items) {
+            double after = Math.rint(line.afterMs / DURATION_STEP_MS) * DURATION_STEP_MS;
             if (after != before && !items.isEmpty()) {
-                moments.add(moment(order++, at + before, items));
+                moments.add(call(order++, at + before, items));
                 items = new ArrayList<>();
             }
             before = Math.max(before, after);
@@ -351,12 +356,12 @@
             }
         }
         if (!items.isEmpty()) {
-            moments.add(moment(order, at + before, items));
+            moments.add(call(order, at + before, items));
         }
         return moments;
     }
 
-    private static PolicyCall moment(long order, double at, List<Item> items) {
+    private static PolicyCall call(long order, double at, List<Item> items) {
         return new PolicyCall(0, order, at, false, items.size(), items);
     }
 
@@ -394,7 +399,8 @@
                                     parts.get(ended.partId()),
                                     ended.attemptNumber(),
                                     ended.outcome(),
-                                    Math.rint(ended.durationMs() / STEP_MS) * STEP_MS,
+                                    Math.rint(ended.durationMs() / DURATION_STEP_MS)
+                                            * DURATION_STEP_MS,
                                     null),
                             null)
                     : null;
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
@@ -16,7 +16,7 @@
  */
 final class PseudonymQuota {
     /** A stretch of time and a query class. */
-    record Cell(long stretch, String tableType) {}
+    record Cell(long stretch, String queryClass) {}
 
     private final Map<String, Map<Cell, Integer>> counts = new TreeMap<>();
     private final Map<Cell, Integer> shown = new HashMap<>();
@@ -77,7 +77,7 @@
         return shown.getOrDefault(cell, 0);
     }
 
-    int customers() {
+    int tenants() {
         return counts.size();
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -15,7 +15,7 @@
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Source;
 
-/** Tells a query's story in plain words, and draws its parts on a time line. */
+/** Explains a query in plain words, and draws its parts on a time line. */
 public final class QueryExplainer {
     private static final int LINE_WIDTH = 60;
 
@@ -24,7 +24,7 @@
     /** The story, a line each. */
     public static List<String> tell(QueryExplanation explanation, Source source) {
         var lines = new ArrayList<String>();
-        QueryStatistics statistics = explanation.tally();
+        QueryStatistics statistics = explanation.statistics();
         Event.QueryReceived taken = statistics.query().received();
         QueryClass type = taken.queryClass();
         lines.add(
@@ -56,7 +56,7 @@
         lines.add("  " + verdict(statistics));
         lines.add("");
         for (QueryExplanation.Line line : explanation.lines()) {
-            String words = words(line);
+            String words = describe(line);
             if (words != null) {
                 lines.add(
                         String.format(
@@ -112,7 +112,7 @@
         };
     }
 
-    private static String words(QueryExplanation.Line line) {
+    private static String describe(QueryExplanation.Line line) {
         Event event = line.item().event();
         Command command = line.item().command();
         if (event instanceof Event.QueryReceived) {
@@ -131,7 +131,7 @@
                     + ", dispatch "
                     + ended.attemptNumber()
                     + ": "
-                    + words(ended.outcome())
+                    + describe(ended.outcome())
                     + " after "
                     + ms(ended.durationMs());
         } else if (event instanceof Event.ClientDisconnected) {
@@ -139,7 +139,7 @@
         } else if (command instanceof Command.SendAttempt sendAttempt) {
             String passed =
                     sendAttempt.skipped().stream()
-                            .map(QueryExplainer::words)
+                            .map(QueryExplainer::describe)
                             .collect(Collectors.joining("; "));
             return "part "
                     + sendAttempt.partId()
@@ -176,12 +176,12 @@
         return null;
     }
 
-    private static String words(SkippedReplica passed) {
+    private static String describe(SkippedReplica passed) {
         return passed.server() + " (" + passed.cause().description() + ")";
     }
 
     /** An ending in words. */
-    public static String words(AttemptOutcome outcome) {
+    public static String describe(AttemptOutcome outcome) {
         return switch (outcome) {
             case COMPLETED -> "completed";
             case ERROR -> "an error, it may have run";
@@ -207,7 +207,7 @@
 
         LinkedBars(QueryExplanation explanation) {
             this.explanation = explanation;
-            this.begun = explanation.tally().query().receivedMs();
+            this.begun = explanation.statistics().query().receivedMs();
             double last =
                     explanation.lines().stream()
                             .mapToDouble(QueryExplanation.Line::nowMs)
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
@@ -17,15 +17,15 @@
  * @param lines what happened and was done
  * @param gaps gaps of its gatherer that fall into its time
  */
-public record QueryExplanation(QueryStatistics tally, List<Line> lines, List<Gap> gaps) {
+public record QueryExplanation(QueryStatistics statistics, List<Line> lines, List<Gap> gaps) {
     /** One event or command, and when, by the gatherer's clock. */
     public record Line(long seq, double nowMs, Item item) {}
 
-    /** Collects the stories of all queries of one id: an id may come again. */
+    /** Collects the explanations of all queries of one id: an id may come again. */
     public static final class Collector {
         private final String id;
         private final QueryCorrelator correlator = new QueryCorrelator();
-        private final Map<CorrelatedQuery, QueryExplanation> stories = new LinkedHashMap<>();
+        private final Map<CorrelatedQuery, QueryExplanation> explanations = new LinkedHashMap<>();
 
         public Collector(String id) {
             this.id = id;
@@ -33,33 +33,33 @@
 
         public void add(Entry entry) {
             if (entry instanceof Gap gap) {
-                stories.values().stream()
+                explanations.values().stream()
                         .filter(
                                 explanation ->
-                                        explanation.tally.query().source() == gap.source()
-                                                && !explanation.tally.query().ended())
+                                        explanation.statistics.query().source() == gap.source()
+                                                && !explanation.statistics.query().ended())
                         .forEach(explanation -> explanation.gaps.add(gap));
             } else if (entry instanceof PolicyCall call) {
                 for (Item item : call.items()) {
                     CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
                     if (query != null && query.received().id().equals(id)) {
                         QueryExplanation explanation =
-                                stories.computeIfAbsent(
+                                explanations.computeIfAbsent(
                                         query,
                                         none ->
                                                 new QueryExplanation(
                                                         new QueryStatistics(query),
                                                         new ArrayList<>(),
                                                         new ArrayList<>()));
-                        explanation.tally.add(call.nowMs(), item);
+                        explanation.statistics.add(call.nowMs(), item);
                         explanation.lines.add(new Line(call.seq(), call.nowMs(), item));
                     }
                 }
             }
         }
 
-        public List<QueryExplanation> stories() {
-            return List.copyOf(stories.values());
+        public List<QueryExplanation> explanations() {
+            return List.copyOf(explanations.values());
         }
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -116,7 +116,7 @@
             Item was = i < a.items().size() ? a.items().get(i) : null;
             Item is = i < b.items().size() ? b.items().get(i) : null;
             if (!Objects.equals(was, is)) {
-                return words(was) + " in the first, " + words(is) + " in the second";
+                return describe(was) + " in the first, " + describe(is) + " in the second";
             }
         }
         return "call "
@@ -130,7 +130,7 @@
                 + " in the second";
     }
 
-    private static String words(Item item) {
+    private static String describe(Item item) {
         return item == null
                 ? "nothing more"
                 : item.event() != null ? "event " + item.event() : "action " + item.command();
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
@@ -11,23 +11,23 @@
  * @param hours how long the day is
  * @param tenants how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
  *     own
- * @param troubles how many troubles befall shard servers
+ * @param faults how many faults are injected into shard servers
  */
 public record DayPlan(
-        int scans,
+        int queries,
         long seed,
         int gatherers,
         double skewS,
         double driftPpm,
         double hours,
-        int customers,
-        int troubles) {
+        int tenants,
+        int faults) {
     public DayPlan {
-        if (scans < 0
+        if (queries < 0
                 || gatherers < 1
                 || !(hours > 0)
-                || customers < 1
-                || troubles < 0
+                || tenants < 1
+                || faults < 0
                 || !(skewS >= 0)
                 || !(driftPpm >= 0)) {
             throw new IllegalArgumentException(
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -46,23 +46,23 @@
     /** Midnight of 2026-01-01 UTC: a day of no particular meaning. */
     public static final double BEGIN_MS = 1_767_225_600_000.0;
 
-    private static final int CELLS = 6;
-    private static final int HOLDERS = 3;
-    private static final int SEGMENTS = 48;
-    private static final int CORES = 4;
+    private static final int REPLICA_GROUPS = 6;
+    private static final int REPLICAS_PER_GROUP = 3;
+    private static final int SHARDS = 48;
+    private static final int CORES_PER_SERVER = 4;
 
     /** Of one part at a server of usual speed: its median, and the spread of its logarithm. */
-    private static final double WORK_MS = 40;
+    private static final double MEDIAN_WORK_MS = 40;
 
     private static final double WORK_SPREAD = 0.7;
 
     /** A server turns away what would wait longer. */
-    private static final double MOST_WAIT_MS = 1500;
+    private static final double MAX_QUEUE_MS = 1500;
 
     /** The busiest hour has four times the queries of the quietest. */
-    private static final double WAVE = 0.6;
+    private static final double DAILY_AMPLITUDE = 0.6;
 
-    private static final List<QueryClass> TYPES =
+    private static final List<QueryClass> QUERY_CLASSES =
             List.of(
                     new QueryClass(
                             "offers",
@@ -104,27 +104,29 @@
                             1,
                             1,
                             0));
-    private static final double[] TYPE_SHARES = {0.4, 0.35, 0.15, 0.1};
+    private static final double[] CLASS_SHARES = {0.4, 0.35, 0.15, 0.1};
 
     private final DayPlan plan;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final SharedStateContinuousSampler work;
     private final SharedStateContinuousSampler exponential;
-    private final SharedStateDiscreteSampler whichCustomer;
+    private final SharedStateDiscreteSampler tenantSampler;
     private final double[] phases;
     private final Deployment deployment;
-    private final List<Seat> seats = new ArrayList<>();
-    private final List<Server> servers = new ArrayList<>();
-    private final Map<String, Server> serversByName = new HashMap<>();
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::turn));
+    private final List<SimulatedGatherer> gatherers = new ArrayList<>();
+    private final List<SimulatedServer> servers = new ArrayList<>();
+    private final Map<String, SimulatedServer> serversByName = new HashMap<>();
+    private final PriorityQueue<ScheduledTask> schedule =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(ScheduledTask::at)
+                            .thenComparingLong(ScheduledTask::turn));
     private final double length;
-    private long turns;
+    private long scheduled;
     private double now = BEGIN_MS;
-    private int begun;
-    private IOException failed;
+    private int queriesBegun;
+    private IOException failure;
 
-    private record Due(double at, long turn, Runnable task) {}
+    private record ScheduledTask(double at, long turn, Runnable task) {}
 
     /** Takes the entries of one gatherer, in order. */
     public interface Sink {
@@ -132,108 +134,109 @@
     }
 
     /** One gatherer, its clock, and where its entries go. */
-    private final class Seat implements DecisionPolicy {
+    private final class SimulatedGatherer implements DecisionPolicy {
         final int number;
         final double skew;
         final double drift;
         final Source source;
-        final DecisionPolicy module;
+        final DecisionPolicy policy;
         final QueryCoordinator coordinator;
-        final Map<Query, Client> clients = new HashMap<>();
-        final Map<Attempt, Out> out = new HashMap<>();
+        final Map<Query, SimulatedClient> clients = new HashMap<>();
+        final Map<Attempt, InFlightAttempt> inFlight = new HashMap<>();
         Sink sink;
         long seq;
         double tickAt = Double.POSITIVE_INFINITY;
 
-        Seat(int number, DecisionPolicy.Factory factory) {
+        SimulatedGatherer(int number, DecisionPolicy.Factory factory) {
             this.number = number;
-            skew = number == 0 ? 0 : 1000 * plan.skewS() * (2 * chance.nextDouble() - 1);
-            drift = number == 0 ? 0 : 1e-6 * plan.driftPpm() * (2 * chance.nextDouble() - 1);
-            long seed = chance.nextLong();
+            skew = number == 0 ? 0 : 1000 * plan.skewS() * (2 * random.nextDouble() - 1);
+            drift = number == 0 ? 0 : 1e-6 * plan.driftPpm() * (2 * random.nextDouble() - 1);
+            long seed = random.nextLong();
             source =
                     new Source(
                             "g" + number,
                             "synthetic",
                             seed,
-                            own(BEGIN_MS),
+                            localTime(BEGIN_MS),
                             deployment,
                             ClockFit.REFERENCE);
-            module = factory.start(seed, deployment);
+            policy = factory.start(seed, deployment);
             coordinator = new QueryCoordinator(this, deployment);
         }
 
-        double own(double trueMs) {
+        double localTime(double trueMs) {
             return trueMs + skew + drift * (trueMs - BEGIN_MS);
         }
 
-        double toTrue(double ownMs) {
+        double trueTime(double ownMs) {
             return (ownMs - skew + drift * BEGIN_MS) / (1 + drift);
         }
 
         @Override
         public List<Command> decide(double nowMs, List<Event> events) {
-            List<Command> actions = module.decide(nowMs, events);
+            List<Command> actions = policy.decide(nowMs, events);
             try {
                 sink.add(PolicyCall.of(0, seq++, nowMs, events, actions, false));
             } catch (IOException e) {
-                failed = failed == null ? e : failed;
+                failure = failure == null ? e : failure;
             }
             return actions;
         }
     }
 
-    private record Client(QueryClass type, int customer, double patience, int tries) {}
+    private record SimulatedClient(
+            QueryClass queryClass, int tenant, double patienceMs, int tries) {}
 
-    private static final class Server {
+    private static final class SimulatedServer {
         final String name;
-        final int cell;
+        final int replicaGroup;
         final String zone;
-        final double[] freeAt = new double[CORES];
+        final double[] freeAt = new double[CORES_PER_SERVER];
         double startedAt;
         boolean up = true;
         EndpointUpdate.State state = EndpointUpdate.State.RUNNING;
         double slowness = 1;
-        double faulty;
+        double errorRate;
         boolean silent;
-        final Set<Out> out = new LinkedHashSet<>();
+        final Set<InFlightAttempt> inFlight = new LinkedHashSet<>();
 
-        Server(String name, int cell, String zone) {
+        SimulatedServer(String name, int cell, String zone) {
             this.name = name;
-            this.cell = cell;
+            this.replicaGroup = cell;
             this.zone = zone;
         }
 
-        EndpointUpdate news() {
-            return new EndpointUpdate(name, "127.0.0.1:1", cell, zone, startedAt, state);
+        EndpointUpdate update() {
+            return new EndpointUpdate(name, "127.0.0.1:1", replicaGroup, zone, startedAt, state);
         }
     }
 
     /** A attempt on its way. */
-    private final class Out {
-        final Seat seat;
+    private final class InFlightAttempt {
+        final SimulatedGatherer gatherer;
         final Attempt attempt;
-        final Server server;
+        final SimulatedServer server;
         boolean over;
 
-        Out(Seat seat, Attempt attempt, Server server) {
-            this.seat = seat;
+        InFlightAttempt(SimulatedGatherer gatherer, Attempt attempt, SimulatedServer server) {
+            this.gatherer = gatherer;
             this.attempt = attempt;
             this.server = server;
         }
 
         void end(double afterMs, Supplier<AttemptResult> outcome) {
-            at(
+            schedule(
                     now + afterMs,
                     () -> {
                         if (!over) {
                             over = true;
-                            server.out.remove(this);
-                            seat.out.remove(attempt);
+                            server.inFlight.remove(this);
+                            gatherer.inFlight.remove(attempt);
                             call(
-                                    seat,
+                                    gatherer,
                                     () ->
-                                            seat.coordinator.observe(
-                                                    seat.own(now),
+                                            gatherer.coordinator.observe(
+                                                    gatherer.localTime(now),
                                                     List.of(
                                                             new Observation.AttemptEnded(
                                                                     attempt, outcome.get()))));
@@ -248,19 +251,19 @@
     public SyntheticDay(DayPlan plan, DecisionPolicy.Factory factory) {
         this.plan = plan;
         this.length = plan.hours() * 3_600_000;
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed());
         this.work =
                 LogNormalSampler.of(
-                        ZigguratSampler.NormalizedGaussian.of(chance),
-                        Math.log(WORK_MS),
+                        ZigguratSampler.NormalizedGaussian.of(random),
+                        Math.log(MEDIAN_WORK_MS),
                         WORK_SPREAD);
-        this.exponential = ZigguratSampler.Exponential.of(chance);
-        this.whichCustomer = RejectionInversionZipfSampler.of(chance, plan.customers(), 0.8);
-        this.phases = new double[plan.customers()];
+        this.exponential = ZigguratSampler.Exponential.of(random);
+        this.tenantSampler = RejectionInversionZipfSampler.of(random, plan.tenants(), 0.8);
+        this.phases = new double[plan.tenants()];
         var customers = new ArrayList<Tenant>();
-        double perSecond = plan.scans() / (length / 1000);
+        double perSecond = plan.queries() / (length / 1000);
         for (int i = 0; i < phases.length; i++) {
-            phases[i] = chance.nextDouble();
+            phases[i] = random.nextDouble();
             customers.add(
                     new Tenant(
                             String.format(Locale.ROOT, "customer-%03d", i),
@@ -272,34 +275,35 @@
                         "a",
                         5,
                         0.2,
-                        TYPES,
+                        QUERY_CLASSES,
                         customers,
-                        new Deployment.ShardLayout(CELLS, 1, 1),
+                        new Deployment.ShardLayout(REPLICA_GROUPS, 1, 1),
                         new Deployment.Limits(4, 2000, true, true, 1000),
                         new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
                         Deployment.RetryBudget.NONE,
                         new Deployment.EndpointSubscription(false, 10_000));
-        for (int cell = 0; cell < CELLS; cell++) {
-            for (int i = 0; i < HOLDERS; i++) {
+        for (int cell = 0; cell < REPLICA_GROUPS; cell++) {
+            for (int i = 0; i < REPLICAS_PER_GROUP; i++) {
                 var server =
-                        new Server("s-" + cell + "-" + i, cell, "ab".substring(i % 2, i % 2 + 1));
+                        new SimulatedServer(
+                                "s-" + cell + "-" + i, cell, "ab".substring(i % 2, i % 2 + 1));
                 servers.add(server);
                 serversByName.put(server.name, server);
             }
         }
         for (int i = 0; i < plan.gatherers(); i++) {
-            seats.add(new Seat(i, factory));
+            gatherers.add(new SimulatedGatherer(i, factory));
         }
     }
 
     /** Whose entries go to which sink. */
     public List<Source> sources() {
-        return seats.stream().map(seat -> seat.source).toList();
+        return gatherers.stream().map(gatherer -> gatherer.source).toList();
     }
 
     /** How far a gatherer's clock is ahead of true time at a true time, in milliseconds. */
     public double aheadMs(int gatherer, double trueMs) {
-        return seats.get(gatherer).own(trueMs) - trueMs;
+        return gatherers.get(gatherer).localTime(trueMs) - trueMs;
     }
 
     /**
@@ -309,171 +313,179 @@
      * @param progress is told how many queries were begun, now and then
      */
     public void play(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
-        for (Seat seat : seats) {
-            seat.sink = sinks.get(seat.number);
-            List<EndpointUpdate> all = servers.stream().map(Server::news).toList();
+        for (SimulatedGatherer gatherer : gatherers) {
+            gatherer.sink = sinks.get(gatherer.number);
+            List<EndpointUpdate> all = servers.stream().map(SimulatedServer::update).toList();
             call(
-                    seat,
+                    gatherer,
                     () ->
-                            seat.coordinator.observe(
-                                    seat.own(now),
+                            gatherer.coordinator.observe(
+                                    gatherer.localTime(now),
                                     List.of(new Observation.EndpointsUpdated(true, all))));
         }
-        for (int i = 0; i < plan.troubles(); i++) {
-            at(BEGIN_MS + length * (i + chance.nextDouble()) / plan.troubles(), this::trouble);
+        for (int i = 0; i < plan.faults(); i++) {
+            schedule(
+                    BEGIN_MS + length * (i + random.nextDouble()) / plan.faults(),
+                    this::injectFault);
         }
         arrival();
-        while (!due.isEmpty() && failed == null) {
-            Due next = due.poll();
+        while (!schedule.isEmpty() && failure == null) {
+            ScheduledTask next = schedule.poll();
             now = Math.max(now, next.at);
             next.task.run();
-            if (begun > 0 && begun % 4096 == 0) {
-                progress.accept(begun);
+            if (queriesBegun > 0 && queriesBegun % 4096 == 0) {
+                progress.accept(queriesBegun);
             }
         }
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
     }
 
-    private void at(double time, Runnable task) {
-        due.add(new Due(time, turns++, task));
+    private void schedule(double time, Runnable task) {
+        schedule.add(new ScheduledTask(time, scheduled++, task));
     }
 
     // ---- Clients ----
 
     private void arrival() {
-        if (begun >= plan.scans()) {
+        if (queriesBegun >= plan.queries()) {
             return;
         }
         // Thinned from the rate of the busiest hour, which is the mean's 1 + WAVE times.
-        double gap = exponential.sample() * length / Math.max(1, plan.scans()) / (1 + WAVE);
-        at(
+        double gap =
+                exponential.sample() * length / Math.max(1, plan.queries()) / (1 + DAILY_AMPLITUDE);
+        schedule(
                 now + gap,
                 () -> {
                     double hour = (now - BEGIN_MS) / length;
-                    double wave = 1 + WAVE * Math.sin(2 * Math.PI * (hour - 0.25));
-                    if (chance.nextDouble() * (1 + WAVE) < wave) {
-                        begun++;
-                        ask(client(hour), seats.get(chance.nextInt(seats.size())));
+                    double wave = 1 + DAILY_AMPLITUDE * Math.sin(2 * Math.PI * (hour - 0.25));
+                    if (random.nextDouble() * (1 + DAILY_AMPLITUDE) < wave) {
+                        queriesBegun++;
+                        sendQuery(client(hour), gatherers.get(random.nextInt(gatherers.size())));
                     }
                     arrival();
                 });
     }
 
-    private Client client(double hour) {
-        int customer = whichCustomer.sample() - 1;
+    private SimulatedClient client(double hour) {
+        int customer = tenantSampler.sample() - 1;
         // Each tenant has hours of its own: outside of them another of the same share asks as a
         // rule.
         if (Math.abs(Math.IEEEremainder(hour - phases[customer], 1)) > 0.3
-                && chance.nextDouble() < 0.8) {
-            customer = whichCustomer.sample() - 1;
+                && random.nextDouble() < 0.8) {
+            customer = tenantSampler.sample() - 1;
         }
-        double which = chance.nextDouble();
+        double which = random.nextDouble();
         int type = 0;
-        while (type < TYPES.size() - 1 && which >= TYPE_SHARES[type]) {
-            which -= TYPE_SHARES[type++];
+        while (type < QUERY_CLASSES.size() - 1 && which >= CLASS_SHARES[type]) {
+            which -= CLASS_SHARES[type++];
         }
         double patience =
-                chance.nextInt(12) == 0
-                        ? 150 + 400 * chance.nextDouble()
-                        : 2000 + 2000 * chance.nextDouble();
-        return new Client(TYPES.get(type), customer, Math.rint(patience), 0);
+                random.nextInt(12) == 0
+                        ? 150 + 400 * random.nextDouble()
+                        : 2000 + 2000 * random.nextDouble();
+        return new SimulatedClient(QUERY_CLASSES.get(type), customer, Math.rint(patience), 0);
     }
 
-    private void ask(Client client, Seat seat) {
-        int count = Math.min(SEGMENTS, 1 + Math.min(11, (int) (exponential.sample() * 3)));
-        int first = chance.nextInt(SEGMENTS);
+    private void sendQuery(SimulatedClient client, SimulatedGatherer gatherer) {
+        int count = Math.min(SHARDS, 1 + Math.min(11, (int) (exponential.sample() * 3)));
+        int first = random.nextInt(SHARDS);
         var parts = new ArrayList<Query.Part>();
         for (int i = 0; i < count; i++) {
-            parts.add(new Query.Part((first + i) % SEGMENTS, 1.0 / count));
+            parts.add(new Query.Part((first + i) % SHARDS, 1.0 / count));
         }
         var query =
                 new Query(
-                        String.format(Locale.ROOT, "%016x", chance.nextLong()),
-                        client.type.name(),
-                        deployment.tenants().get(client.customer).name(),
-                        client.patience,
+                        String.format(Locale.ROOT, "%016x", random.nextLong()),
+                        client.queryClass.name(),
+                        deployment.tenants().get(client.tenant).name(),
+                        client.patienceMs,
                         parts,
                         new byte[0]);
-        seat.clients.put(query, client);
-        if (chance.nextInt(50) == 0) {
-            at(
-                    now + client.patience * chance.nextDouble(),
+        gatherer.clients.put(query, client);
+        if (random.nextInt(50) == 0) {
+            schedule(
+                    now + client.patienceMs * random.nextDouble(),
                     () -> {
-                        if (seat.clients.remove(query) != null) {
+                        if (gatherer.clients.remove(query) != null) {
                             call(
-                                    seat,
+                                    gatherer,
                                     () ->
-                                            seat.coordinator.observe(
-                                                    seat.own(now),
+                                            gatherer.coordinator.observe(
+                                                    gatherer.localTime(now),
                                                     List.of(
                                                             new Observation.ClientDisconnected(
                                                                     query))));
                         }
                     });
         }
-        call(seat, () -> seat.coordinator.submit(seat.own(now), query));
+        call(gatherer, () -> gatherer.coordinator.submit(gatherer.localTime(now), query));
     }
 
-    private void answered(Seat seat, Commands.Reply reply) {
-        Client client = seat.clients.remove(reply.query());
+    private void answered(SimulatedGatherer gatherer, Commands.Reply reply) {
+        SimulatedClient client = gatherer.clients.remove(reply.query());
         if (client == null || reply.answer() instanceof Answer.Completed || client.tries >= 2) {
             return;
         }
         boolean harmless =
                 reply.answer() instanceof Answer.Rejected
-                        || client.type.idempotence() == QueryClass.Idempotence.IDEMPOTENT;
+                        || client.queryClass.idempotence() == QueryClass.Idempotence.IDEMPOTENT;
         if (harmless) {
             double wait =
                     reply.answer() instanceof Answer.Rejected throttled
                             ? throttled.retryAfterMs()
                             : 200;
-            Client again =
-                    new Client(client.type, client.customer, client.patience, client.tries + 1);
-            at(
-                    now + wait * (1 + chance.nextDouble()),
-                    () -> ask(again, seats.get(chance.nextInt(seats.size()))));
+            SimulatedClient again =
+                    new SimulatedClient(
+                            client.queryClass, client.tenant, client.patienceMs, client.tries + 1);
+            schedule(
+                    now + wait * (1 + random.nextDouble()),
+                    () -> sendQuery(again, gatherers.get(random.nextInt(gatherers.size()))));
         }
     }
 
     // ---- Gatherers ----
 
-    private void call(Seat seat, Supplier<Commands> call) {
+    private void call(SimulatedGatherer gatherer, Supplier<Commands> call) {
         Commands commands = call.get();
         for (Attempt attempt : commands.cancel()) {
-            Out out = seat.out.get(attempt);
+            InFlightAttempt out = gatherer.inFlight.get(attempt);
             if (out != null) {
                 out.end(0.02, () -> new AttemptResult.Cancelled(WriteProgress.WRITTEN));
             }
         }
-        commands.send().forEach(attempt -> send(seat, attempt));
-        commands.replies().forEach(reply -> answered(seat, reply));
+        commands.send().forEach(attempt -> send(gatherer, attempt));
+        commands.replies().forEach(reply -> answered(gatherer, reply));
         double next = commands.nextTickAtMs();
-        if (next < Double.POSITIVE_INFINITY && next != seat.tickAt) {
-            seat.tickAt = next;
+        if (next < Double.POSITIVE_INFINITY && next != gatherer.tickAt) {
+            gatherer.tickAt = next;
             // A timer wakes late by up to a tick, never early.
-            at(
-                    Math.max(now, seat.toTrue(next)) + 0.01 + chance.nextDouble(),
+            schedule(
+                    Math.max(now, gatherer.trueTime(next)) + 0.01 + random.nextDouble(),
                     () -> {
-                        if (seat.tickAt == next) {
-                            seat.tickAt = Double.POSITIVE_INFINITY;
-                            call(seat, () -> seat.coordinator.tick(Math.max(next, seat.own(now))));
+                        if (gatherer.tickAt == next) {
+                            gatherer.tickAt = Double.POSITIVE_INFINITY;
+                            call(
+                                    gatherer,
+                                    () ->
+                                            gatherer.coordinator.tick(
+                                                    Math.max(next, gatherer.localTime(now))));
                         }
                     });
         } else if (next == Double.POSITIVE_INFINITY) {
-            seat.tickAt = next;
+            gatherer.tickAt = next;
         }
     }
 
     // ---- Shard servers ----
 
-    private void send(Seat seat, Attempt attempt) {
+    private void send(SimulatedGatherer gatherer, Attempt attempt) {
         ShardServer named = attempt.server();
-        Server server = serversByName.get(named.name());
-        var out = new Out(seat, attempt, server);
-        seat.out.put(attempt, out);
-        server.out.add(out);
+        SimulatedServer server = serversByName.get(named.name());
+        var out = new InFlightAttempt(gatherer, attempt, server);
+        gatherer.inFlight.put(attempt, out);
+        server.inFlight.add(out);
         double way = 0.4 + 0.4 * exponential.sample();
         if (!server.up) {
             out.end(way, () -> new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
@@ -482,11 +494,11 @@
             return;
         }
         int core = 0;
-        for (int i = 1; i < CORES; i++) {
+        for (int i = 1; i < CORES_PER_SERVER; i++) {
             core = server.freeAt[i] < server.freeAt[core] ? i : core;
         }
         double starts = Math.max(now + way, server.freeAt[core]);
-        if (starts - now > MOST_WAIT_MS || server.state != EndpointUpdate.State.RUNNING) {
+        if (starts - now > MAX_QUEUE_MS || server.state != EndpointUpdate.State.RUNNING) {
             out.end(2 * way, () -> new AttemptResult.Rejected(null));
             return;
         }
@@ -495,7 +507,7 @@
                 server.startedAt == 0 ? 1 : 1 + 2 * Math.exp(-(now - server.startedAt) / 5000);
         double takes = work.sample() * server.slowness * cold;
         server.freeAt[core] = starts + takes;
-        boolean fails = chance.nextDouble() < server.faulty;
+        boolean fails = random.nextDouble() < server.errorRate;
         double ends = starts + (fails ? Math.min(2, takes) : takes) + way;
         out.end(
                 ends - now,
@@ -505,44 +517,44 @@
                                 : new AttemptResult.Completed(new byte[0], null));
     }
 
-    private void trouble() {
-        Server server = servers.get(chance.nextInt(servers.size()));
+    private void injectFault() {
+        SimulatedServer server = servers.get(random.nextInt(servers.size()));
         if (!server.up || server.state != EndpointUpdate.State.RUNNING) {
             return;
         }
-        double lasts = 10_000 + 40_000 * chance.nextDouble();
-        switch (chance.nextInt(5)) {
+        double lasts = 10_000 + 40_000 * random.nextDouble();
+        switch (random.nextInt(5)) {
             case 0 -> {
-                die(server);
-                at(
-                        now + 2000 + 3000 * chance.nextDouble(),
-                        () -> tell(server, EndpointUpdate.State.GONE));
-                at(now + 5000 + lasts, () -> comeBack(server));
+                crash(server);
+                schedule(
+                        now + 2000 + 3000 * random.nextDouble(),
+                        () -> publish(server, EndpointUpdate.State.GONE));
+                schedule(now + 5000 + lasts, () -> restart(server));
             }
             case 1 -> {
-                tell(server, EndpointUpdate.State.DRAINING);
-                at(now + 5000, () -> die(server));
-                at(now + 5100, () -> tell(server, EndpointUpdate.State.GONE));
-                at(now + 6000 + lasts, () -> comeBack(server));
+                publish(server, EndpointUpdate.State.DRAINING);
+                schedule(now + 5000, () -> crash(server));
+                schedule(now + 5100, () -> publish(server, EndpointUpdate.State.GONE));
+                schedule(now + 6000 + lasts, () -> restart(server));
             }
             case 2 -> {
-                server.slowness = 4 + 6 * chance.nextDouble();
-                at(now + lasts, () -> server.slowness = 1);
+                server.slowness = 4 + 6 * random.nextDouble();
+                schedule(now + lasts, () -> server.slowness = 1);
             }
             case 3 -> {
-                server.faulty = 0.2 + 0.6 * chance.nextDouble();
-                at(now + lasts, () -> server.faulty = 0);
+                server.errorRate = 0.2 + 0.6 * random.nextDouble();
+                schedule(now + lasts, () -> server.errorRate = 0);
             }
             default -> {
                 server.silent = true;
-                at(now + lasts, () -> server.silent = false);
+                schedule(now + lasts, () -> server.silent = false);
             }
         }
     }
 
-    private void die(Server server) {
+    private void crash(SimulatedServer server) {
         server.up = false;
-        List.copyOf(server.out)
+        List.copyOf(server.inFlight)
                 .forEach(
                         out ->
                                 out.end(
@@ -552,27 +564,27 @@
                                                         WriteProgress.WRITTEN)));
     }
 
-    private void comeBack(Server server) {
+    private void restart(SimulatedServer server) {
         server.up = true;
         server.silent = false;
         server.startedAt = Math.rint(now);
         Arrays.fill(server.freeAt, now);
-        tell(server, EndpointUpdate.State.RUNNING);
+        publish(server, EndpointUpdate.State.RUNNING);
     }
 
     /** Each gatherer hears of it in its own time: some 50 ms after the quickest. */
-    private void tell(Server server, EndpointUpdate.State state) {
+    private void publish(SimulatedServer server, EndpointUpdate.State state) {
         server.state = state;
-        EndpointUpdate news = server.news();
-        for (Seat seat : seats) {
-            at(
+        EndpointUpdate news = server.update();
+        for (SimulatedGatherer gatherer : gatherers) {
+            schedule(
                     now + 20 + 30 * exponential.sample(),
                     () ->
                             call(
-                                    seat,
+                                    gatherer,
                                     () ->
-                                            seat.coordinator.observe(
-                                                    seat.own(now),
+                                            gatherer.coordinator.observe(
+                                                    gatherer.localTime(now),
                                                     List.of(
                                                             new Observation.EndpointsUpdated(
                                                                     false, List.of(news))))));
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -152,12 +152,13 @@
             for (Entry entry : Days.all(reader.ofQuery(id))) {
                 collector.add(entry);
             }
-            assertEquals(collector.stories().size(), 1);
+            assertEquals(collector.explanations().size(), 1);
             String told =
                     String.join(
                             "\n",
                             QueryExplainer.tell(
-                                    collector.stories().get(0), reader.header().sources().get(0)));
+                                    collector.explanations().get(0),
+                                    reader.header().sources().get(0)));
             assertTrue(
                     told.contains(Reason.HEDGE.description())
                             && told.contains(Reason.FIRST_ROUND.description())
