--- a/cli/src/main/java/sprucehold/cli/TraceChange.java
+++ b/cli/src/main/java/sprucehold/cli/TraceChange.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.anonymise.Anonymiser;
 import sprucehold.tracetools.clock.ClockEstimate;
 import sprucehold.tracetools.cut.TraceCut;
+import sprucehold.tracetools.explanation.Times;
 import sprucehold.tracetools.export.TraceExport;
 import sprucehold.tracetools.merge.TraceMerge;
-import sprucehold.tracetools.story.Times;
 
 /** Commands that make a file of others. */
 final class TraceChange {
@@ -70,7 +70,7 @@
 
         @Override
         public Integer call() throws IOException {
-            var window = new Head.Window(Times.parse(from), Times.parse(to));
+            var window = new TraceHeader.Window(Times.parse(from), Times.parse(to));
             if (!(window.fromMs() < window.toMs())) {
                 throw new IOException("--from " + from + " isn't before --to " + to);
             }
@@ -202,7 +202,7 @@
                         Printed.json(
                                 TraceLook.map(
                                         "scans",
-                                        written.scans(),
+                                        written.queries(),
                                         "left_out",
                                         written.leftOut(),
                                         "named",
@@ -210,18 +210,18 @@
                                         "pooled",
                                         written.pooled(),
                                         "lost",
-                                        done.head().lost()));
+                                        done.header().lost()));
                         return 0;
                     }
                     System.out.printf(
                             Locale.ROOT,
                             "%d scans written, %d left out; %d customers keep a pseudonym, %d "
                                     + "scans are pooled%nlost for analysis:%n",
-                            written.scans(),
+                            written.queries(),
                             written.leftOut(),
                             written.named(),
                             written.pooled());
-                    done.head().lost().forEach(lost -> System.out.println("  " + lost));
+                    done.header().lost().forEach(lost -> System.out.println("  " + lost));
                 }
             }
             return 0;
--- a/trace/src/main/java/sprucehold/trace/format/Run.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
@@ -9,19 +9,19 @@
 import java.util.Map;
 
 /** The index of some blocks, as read. */
-final class Run {
-    final List<RunBuilder.Block> blocks = new ArrayList<>();
+final class BlockIndex {
+    final List<BlockIndexBuilder.Block> blocks = new ArrayList<>();
     private long[] hashes;
     private int[] blockOf;
     private final Map<String, int[]> servers = new HashMap<>();
 
-    private Run() {}
+    private BlockIndex() {}
 
     /**
      * @param before no block may end beyond it: an index only speaks of what stands before it
      */
-    static Run read(byte[] raw, long before) throws IOException {
-        var run = new Run();
+    static BlockIndex read(byte[] raw, long before) throws IOException {
+        var run = new BlockIndex();
         var in = CodedInputStream.newInstance(raw);
         int blocks = in.readUInt32();
         long end = 0;
@@ -32,7 +32,7 @@
                 throw new IOException("block " + i + " of the run isn't before it");
             }
             run.blocks.add(
-                    new RunBuilder.Block(
+                    new BlockIndexBuilder.Block(
                             end + gap,
                             length,
                             in.readUInt32(),
@@ -41,19 +41,19 @@
                             in.readDouble()));
             end += gap + length;
         }
-        int scans = in.readUInt32();
-        if (scans < 0 || 10L * scans > raw.length) {
-            throw new IOException(scans + " scans in a run of " + raw.length + " bytes");
+        int queries = in.readUInt32();
+        if (queries < 0 || 10L * queries > raw.length) {
+            throw new IOException(queries + " queries in an index of " + raw.length + " bytes");
         }
-        run.hashes = new long[scans];
-        run.blockOf = new int[scans];
-        for (int i = 0; i < scans; i++) {
+        run.hashes = new long[queries];
+        run.blockOf = new int[queries];
+        for (int i = 0; i < queries; i++) {
             run.hashes[i] = in.readFixed64();
         }
-        for (int i = 0; i < scans; i++) {
+        for (int i = 0; i < queries; i++) {
             run.blockOf[i] = in.readRawByte() & 0xff | (in.readRawByte() & 0xff) << 8;
             if (run.blockOf[i] >= blocks) {
-                throw new IOException("a scan in block " + run.blockOf[i] + " of " + blocks);
+                throw new IOException("a query in block " + run.blockOf[i] + " of " + blocks);
             }
         }
         int servers = in.readUInt32();
@@ -78,8 +78,8 @@
         return run;
     }
 
-    /** Adds the numbers of blocks that hold something of the scan. */
-    void ofScan(long hash, BitSet found) {
+    /** Adds the numbers of blocks that hold something of the query. */
+    void ofQuery(long hash, BitSet found) {
         int low = 0;
         int high = hashes.length;
         while (low < high) {
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -11,7 +11,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 /** Gives a file that was cut off its index back. */
 public final class TraceRepair {
@@ -29,46 +29,46 @@
      * Writes all whole blocks and their index beside the file, and puts that in its place at once.
      * What the file loses is what nobody could read.
      *
-     * @throws MalformedTraceException where not even the head can be read
+     * @throws MalformedTraceException where not even the header can be read
      */
     public static Repaired repair(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
             if (reader.verify().sound()) {
                 return new Repaired(false, 0, 0, null);
             }
-            Path beside = file.resolveSibling(file.getFileName() + ".repaired");
+            Path repaired = file.resolveSibling(file.getFileName() + ".repaired");
             // Frame by frame even where there is an index: it may tell of blocks that are damaged.
-            TraceReader.Cursor look = reader.withoutIndex();
+            TraceCursor look = reader.withoutIndex();
             while (look.next() != null) {
                 continue;
             }
-            var lost = new ArrayList<>(reader.head().lost());
+            var lost = new ArrayList<>(reader.header().lost());
             look.skipped().forEach(what -> lost.add("a damaged block was left out: " + what));
-            Head head =
-                    new Head(
-                            reader.head().sources(),
-                            reader.head().oneIn(),
-                            reader.head().anonymised(),
-                            reader.head().window(),
+            TraceHeader header =
+                    new TraceHeader(
+                            reader.header().sources(),
+                            reader.header().oneIn(),
+                            reader.header().anonymised(),
+                            reader.header().window(),
                             lost);
-            TraceReader.Cursor cursor = reader.withoutIndex();
+            TraceCursor cursor = reader.withoutIndex();
             long entries = 0;
             try {
                 var writer =
                         new TraceWriter(
-                                new BufferedOutputStream(Files.newOutputStream(beside)), head);
+                                new BufferedOutputStream(Files.newOutputStream(repaired)), header);
                 try (writer) {
                     for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                         writer.add(entry);
                         entries++;
                     }
                 }
-                try (FileChannel written = FileChannel.open(beside, StandardOpenOption.WRITE)) {
+                try (FileChannel written = FileChannel.open(repaired, StandardOpenOption.WRITE)) {
                     written.force(true);
                 }
-                move(beside, file);
+                move(repaired, file);
             } finally {
-                Files.deleteIfExists(beside);
+                Files.deleteIfExists(repaired);
             }
             String why =
                     reader.damage() != null
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -18,10 +18,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
+import sprucehold.trace.event.TraceHeader;
 
 public class DamagedFileTest {
-    private static final Head HEAD = Head.of(Samples.source("g0"));
+    private static final TraceHeader HEAD = TraceHeader.of(Samples.source("g0"));
 
     @DataProvider
     Object[][] forms() {
@@ -76,7 +76,7 @@
             Files.write(file, flipped);
             try (TraceReader reader = TraceReader.open(file)) {
                 if (reader.verify().sound()) {
-                    assertEquals(reader.head(), HEAD, "bit " + bit);
+                    assertEquals(reader.header(), HEAD, "bit " + bit);
                     assertEquals(Samples.all(reader.all()), entries, "bit " + bit);
                 }
             } catch (MalformedTraceException e) {
@@ -109,8 +109,8 @@
                     kept.size() == entries.size() - 7 && entries.containsAll(kept),
                     kept.size() + " kept");
             assertTrue(
-                    reader.head().lost().get(0).contains("damaged block"),
-                    reader.head().lost().toString());
+                    reader.header().lost().get(0).contains("damaged block"),
+                    reader.header().lost().toString());
         }
     }
 
@@ -122,7 +122,7 @@
         out.write(plain, 0, headEnds(plain));
         var deflater = new Deflater(9, true);
         out.write(Frame.write(Layout.BLOCK, blockRaw, 1, records, 0, 0, deflater));
-        out.write(Frame.write(Layout.RUN, runRaw, 0, 0, Double.NaN, Double.NaN, deflater));
+        out.write(Frame.write(Layout.INDEX, runRaw, 0, 0, Double.NaN, Double.NaN, deflater));
         long directory = out.size();
         out.write(
                 Frame.write(
@@ -165,11 +165,11 @@
 
     /** Eight MiB that deflate from a few KiB to four million records. */
     private static byte[] bomb() throws IOException {
-        byte[] raw = new byte[Layout.MOST_RAW_BYTES - 16];
+        byte[] raw = new byte[Layout.MAX_RAW_BYTES - 16];
         byte[] moment = varints(1, 5, 0, 0, 0, 0, 1);
         System.arraycopy(moment, 0, raw, 0, moment.length);
         for (int i = moment.length; i < raw.length - 1; i += 2) {
-            raw[i] = RecordKind.WOKEN;
+            raw[i] = RecordKind.WAKE_UP;
         }
         return raw;
     }
@@ -222,12 +222,12 @@
         long before = allocated();
         String said;
         try (TraceReader reader = TraceReader.open(file)) {
-            TraceReader.Cursor cursor = reader.all();
+            TraceCursor cursor = reader.all();
             Entry entry;
             do {
                 entry = cursor.next();
             } while (entry != null);
-            TraceReader.Verdict verdict = reader.verify();
+            TraceVerification verdict = reader.verify();
             assertFalse(verdict.sound(), what);
             said = verdict.what();
         } catch (MalformedTraceException e) {
@@ -265,7 +265,7 @@
         whole[at] = (byte) value;
         Path file = Samples.file(whole);
         try (TraceReader reader = TraceReader.open(file)) {
-            throw new AssertionError("read " + reader.head());
+            throw new AssertionError("read " + reader.header());
         } catch (MalformedTraceException e) {
             assertTrue(
                     e.getMessage().contains(said) && e.getMessage().lines().count() == 1,
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -15,40 +15,41 @@
 import sprucehold.decision.Event;
 import sprucehold.decision.SkippedReplica;
 import sprucehold.decision.Tenant;
-import sprucehold.trace.book.BookedScan;
-import sprucehold.trace.book.ScanBook;
+import sprucehold.trace.correlation.CorrelatedQuery;
+import sprucehold.trace.correlation.QueryCorrelator;
 import sprucehold.trace.event.ClockFit;
 import sprucehold.trace.event.Entry;
-import sprucehold.trace.event.Head;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.event.TraceHeader;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 import sprucehold.trace.format.TraceRepair;
 import sprucehold.trace.format.TraceWriter;
 
 /**
  * Writes a file anew so that it names and gives away nobody. Twice through the input: once to
- * count, once to write; it holds the scans of one stretch of time.
+ * count, once to write; it holds the queries of one stretch of time.
  */
 public final class Anonymiser {
     /** An hour: rhythms of shops lie in hours, so nothing finer may show. */
     public static final double STRETCH_MS = 3_600_000;
 
     /** With fewer pseudonyms a guess would be right too often. */
-    private static final int LEAST_NAMED = 5;
+    private static final int MIN_PSEUDONYMS = 5;
 
     /**
-     * Counts of scans of a cell are cut down to whole tens: a single shop's comings and goings
+     * Counts of queries of a cell are cut down to whole tens: a single shop's comings and goings
      * don't show.
      */
-    private static final int GRAIN = 10;
+    private static final int COUNT_STEP = 10;
 
-    /** Durations within a scan are told to so many milliseconds. */
-    private static final double STEP_MS = 5;
+    /** Durations within a query are told to so many milliseconds. */
+    private static final double DURATION_STEP_MS = 5;
 
-    /** Longer than any client waits; a scan that takes longer is left out. */
-    private static final double LONGEST_SCAN_MS = 900_000;
+    /** Longer than any client waits; a query that takes longer is left out. */
+    private static final double LONGEST_QUERY_MS = 900_000;
 
     private static final String POOL = "others";
 
@@ -64,12 +65,12 @@
                     "segments: the parts of a scan are numbered from 0",
                     "ids, load reports, the operators' notes, probes, and news of the list",
                     "durations are rounded to "
-                            + (int) STEP_MS
+                            + (int) DURATION_STEP_MS
                             + " ms, clients' patience to 100 ms, weights to equal ones");
 
     private final Pseudonyms pseudonyms;
-    private final EvenShares shares = new EvenShares();
-    private final Map<EvenShares.Cell, Integer> scansOf = new HashMap<>();
+    private final PseudonymQuota quota = new PseudonymQuota();
+    private final Map<PseudonymQuota.Cell, Integer> queriesByCell = new HashMap<>();
     private final Map<String, Tenant> named = new LinkedHashMap<>();
     private Tenant pool;
     private Source source;
@@ -82,17 +83,17 @@
     }
 
     /**
-     * @param scans scans written
-     * @param leftOut scans left out
-     * @param named customers with a pseudonym of their own
-     * @param pooled scans that show the pool
+     * @param queries queries written
+     * @param leftOut queries left out
+     * @param named tenants with a pseudonym of their own
+     * @param pooled queries that show the pool
      */
-    public record Written(long scans, long leftOut, int named, long pooled) {}
+    public record Written(long queries, long leftOut, int named, long pooled) {}
 
-    /** One scan with all that befell it, times since it was taken. */
-    private record Whole(BookedScan scan, List<Line> lines, String origin) {}
+    /** One query with all that befell it, times since it was taken. */
+    private record RecordedQuery(CorrelatedQuery query, List<RecordedItem> items, String origin) {}
 
-    private record Line(double afterMs, Item item) {}
+    private record RecordedItem(double afterMs, Item item) {}
 
     /**
      * @param key whoever has it can make the pseudonyms again
@@ -105,25 +106,25 @@
         return anonymiser.write(reader, to, progress);
     }
 
-    private static EvenShares.Cell cell(Source source, BookedScan scan) {
-        long stretch = (long) Math.floor(source.clock().corrected(scan.takenMs()) / STRETCH_MS);
-        return new EvenShares.Cell(stretch, scan.taken().queryClass().name());
+    private static PseudonymQuota.Cell cell(Source source, CorrelatedQuery query) {
+        long stretch = (long) Math.floor(source.clock().corrected(query.receivedMs()) / STRETCH_MS);
+        return new PseudonymQuota.Cell(stretch, query.received().queryClass().name());
     }
 
     private void count(TraceReader reader, LongConsumer progress) throws IOException {
-        var book = new ScanBook();
+        var correlator = new QueryCorrelator();
         long read = 0;
-        TraceReader.Cursor cursor = reader.all();
+        TraceCursor cursor = reader.all();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-            if (entry instanceof Moment moment) {
-                for (Item item : moment.items()) {
-                    BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
+            if (entry instanceof PolicyCall call) {
+                for (Item item : call.items()) {
+                    CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
                     if (item.event() instanceof Event.QueryReceived taken) {
-                        EvenShares.Cell cell =
-                                cell(reader.head().sources().get(moment.source()), scan);
-                        scansOf.merge(cell, 1, Integer::sum);
+                        PseudonymQuota.Cell cell =
+                                cell(reader.header().sources().get(call.source()), query);
+                        queriesByCell.merge(cell, 1, Integer::sum);
                         if (taken.tenant() != null) {
-                            shares.count(taken.tenant().name(), cell);
+                            quota.count(taken.tenant().name(), cell);
                         }
                     }
                 }
@@ -132,15 +133,15 @@
                 progress.accept(read);
             }
         }
-        shares.settle(LEAST_NAMED);
+        quota.settle(MIN_PSEUDONYMS);
     }
 
     private Written write(TraceReader reader, Path to, LongConsumer progress) throws IOException {
-        Source first = reader.head().sources().get(0);
-        Deployment before = first.facts();
+        Source first = reader.header().sources().get(0);
+        Deployment before = first.deployment();
         // In the order of their pseudonyms, all with the same rate: places and rates would tell.
         var byPseudonym = new TreeMap<String, String>();
-        shares.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
+        quota.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
         byPseudonym.forEach((pseudonym, name) -> named.put(name, new Tenant(pseudonym, 1)));
         pool = new Tenant(POOL, 1);
         var customers = new ArrayList<>(named.values());
@@ -159,7 +160,7 @@
                         before.retryBudget(),
                         before.endpointSubscription());
         double began =
-                scansOf.keySet().stream()
+                queriesByCell.keySet().stream()
                         .mapToDouble(cell -> cell.stretch() * STRETCH_MS)
                         .min()
                         .orElse(0);
@@ -167,53 +168,57 @@
         // clocks.
         source = new Source("anonymised", first.build(), 0, began, deployment, ClockFit.REFERENCE);
         var lost = new ArrayList<>(LOST);
-        var head = new Head(List.of(source), reader.head().oneIn(), true, null, lost);
+        var header = new TraceHeader(List.of(source), reader.header().oneIn(), true, null, lost);
 
         long written = 0;
         long leftOut = 0;
         long pooled = 0;
-        var book = new ScanBook();
-        var open = new LinkedHashMap<BookedScan, Whole>();
-        var stretches = new TreeMap<Long, List<Whole>>();
+        var correlator = new QueryCorrelator();
+        var open = new LinkedHashMap<CorrelatedQuery, RecordedQuery>();
+        var stretches = new TreeMap<Long, List<RecordedQuery>>();
         long writtenTo = Long.MIN_VALUE;
-        try (var writer = new TraceWriter(TraceRepair.create(to), head)) {
+        try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
             long read = 0;
-            TraceReader.Cursor cursor = reader.all();
+            TraceCursor cursor = reader.all();
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-                if (entry instanceof Moment moment) {
-                    Source of = reader.head().sources().get(moment.source());
-                    for (Item item : moment.items()) {
-                        BookedScan scan = book.add(moment.source(), moment.nowMs(), item);
-                        if (scan == null) {
+                if (entry instanceof PolicyCall call) {
+                    Source of = reader.header().sources().get(call.source());
+                    for (Item item : call.items()) {
+                        CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
+                        if (query == null) {
                             continue;
                         }
-                        Whole whole =
+                        RecordedQuery recorded =
                                 open.computeIfAbsent(
-                                        scan, none -> new Whole(scan, new ArrayList<>(), of.id()));
-                        whole.lines.add(
-                                new Line(Math.max(0, moment.nowMs() - scan.takenMs()), item));
-                        if (scan.ended() && scan.out() <= 0) {
-                            open.remove(scan);
-                            long stretch = cell(of, scan).stretch();
+                                        query,
+                                        none ->
+                                                new RecordedQuery(
+                                                        query, new ArrayList<>(), of.id()));
+                        recorded.items.add(
+                                new RecordedItem(
+                                        Math.max(0, call.nowMs() - query.receivedMs()), item));
+                        if (query.ended() && query.pendingAttempts() <= 0) {
+                            open.remove(query);
+                            long stretch = cell(of, query).stretch();
                             if (stretch > writtenTo) {
                                 stretches
                                         .computeIfAbsent(stretch, at -> new ArrayList<>())
-                                        .add(whole);
+                                        .add(recorded);
                             } else {
                                 leftOut++;
                             }
                         }
                     }
                 }
-                // A stretch is written once nobody can still be waiting for a scan of it.
+                // A stretch is written once nobody can still be waiting for a query of it.
                 double at =
-                        reader.head()
+                        reader.header()
                                 .sources()
                                 .get(entry.source())
                                 .clock()
                                 .corrected(entry.nowMs());
                 while (!stretches.isEmpty()
-                        && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_SCAN_MS) {
+                        && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_QUERY_MS) {
                     writtenTo = stretches.firstKey();
                     long[] counts = write(writer, writtenTo, stretches.remove(writtenTo), reader);
                     written += counts[0];
@@ -236,43 +241,45 @@
         return new Written(written, leftOut, named.size(), pooled);
     }
 
-    /** Writes one stretch's scans; returns how many were written, left out, and pooled. */
-    private long[] write(TraceWriter writer, long stretch, List<Whole> scans, TraceReader reader)
+    /** Writes one stretch's queries; returns how many were written, left out, and pooled. */
+    private long[] write(
+            TraceWriter writer, long stretch, List<RecordedQuery> scans, TraceReader reader)
             throws IOException {
         // An order that says nothing of who came when, and the same for the same key.
-        record Ranked(long rank, Whole whole) {}
+        record Ranked(long rank, RecordedQuery whole) {}
         var ranked = new ArrayList<Ranked>();
-        for (Whole whole : scans) {
+        for (RecordedQuery recorded : scans) {
             ranked.add(
                     new Ranked(
                             pseudonyms.number(
-                                    "rank", whole.origin + "|" + whole.scan.taken().number()),
-                            whole));
+                                    "rank",
+                                    recorded.origin + "|" + recorded.query.received().number()),
+                            recorded));
         }
         ranked.sort(Comparator.comparingLong(Ranked::rank));
-        Map<EvenShares.Cell, Integer> left = new HashMap<>();
-        Map<EvenShares.Cell, Integer> all = new HashMap<>();
+        Map<PseudonymQuota.Cell, Integer> left = new HashMap<>();
+        Map<PseudonymQuota.Cell, Integer> all = new HashMap<>();
         for (Ranked one : ranked) {
             all.merge(
-                    cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan),
+                    cell(reader.header().sources().get(one.whole.query.source()), one.whole.query),
                     1,
                     Integer::sum);
         }
-        all.forEach((cell, count) -> left.put(cell, count / GRAIN * GRAIN));
+        all.forEach((cell, count) -> left.put(cell, count / COUNT_STEP * COUNT_STEP));
         // Shown pseudonyms first, so that the grain never takes one of theirs and not another's.
         Map<String, Integer> shown = new HashMap<>();
-        var chosen = new ArrayList<Map.Entry<Whole, Tenant>>();
-        var rest = new ArrayList<Whole>();
+        var chosen = new ArrayList<Map.Entry<RecordedQuery, Tenant>>();
+        var rest = new ArrayList<RecordedQuery>();
         for (Ranked one : ranked) {
-            EvenShares.Cell cell =
-                    cell(reader.head().sources().get(one.whole.scan.source()), one.whole.scan);
-            var tenant = one.whole.scan.taken().tenant();
-            boolean fits = left.get(cell) >= shares.shown(cell) * named.size();
+            PseudonymQuota.Cell cell =
+                    cell(reader.header().sources().get(one.whole.query.source()), one.whole.query);
+            var tenant = one.whole.query.received().tenant();
+            boolean fits = left.get(cell) >= quota.shown(cell) * named.size();
             if (tenant != null
                     && named.containsKey(tenant.name())
                     && fits
                     && shown.merge(tenant.name() + "|" + cell, 1, Integer::sum)
-                            <= shares.shown(cell)) {
+                            <= quota.shown(cell)) {
                 chosen.add(Map.entry(one.whole, named.get(tenant.name())));
             } else {
                 rest.add(one.whole);
@@ -282,16 +289,16 @@
                 one ->
                         left.merge(
                                 cell(
-                                        reader.head().sources().get(one.getKey().scan.source()),
-                                        one.getKey().scan),
+                                        reader.header().sources().get(one.getKey().query.source()),
+                                        one.getKey().query),
                                 -1,
                                 Integer::sum));
         long pooled = 0;
-        for (Whole whole : rest) {
-            EvenShares.Cell cell =
-                    cell(reader.head().sources().get(whole.scan.source()), whole.scan);
+        for (RecordedQuery recorded : rest) {
+            PseudonymQuota.Cell cell =
+                    cell(reader.header().sources().get(recorded.query.source()), recorded.query);
             if (left.merge(cell, -1, Integer::sum) >= 0) {
-                chosen.add(Map.entry(whole, pool));
+                chosen.add(Map.entry(recorded, pool));
                 pooled++;
             }
         }
@@ -302,43 +309,44 @@
                                         "place",
                                         one.getKey().origin
                                                 + "|"
-                                                + one.getKey().scan.taken().number())));
-        var moments = new ArrayList<Moment>();
+                                                + one.getKey().query.received().number())));
+        var moments = new ArrayList<PolicyCall>();
         for (int i = 0; i < chosen.size(); i++) {
             double at = (stretch + (double) i / chosen.size()) * STRETCH_MS;
-            moments.addAll(moments(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
+            moments.addAll(calls(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
         }
-        moments.sort(Comparator.comparingDouble(Moment::nowMs).thenComparingLong(Moment::seq));
-        for (Moment moment : moments) {
-            writer.add(new Moment(0, seq++, moment.nowMs(), false, moment.total(), moment.items()));
+        moments.sort(
+                Comparator.comparingDouble(PolicyCall::nowMs).thenComparingLong(PolicyCall::seq));
+        for (PolicyCall call : moments) {
+            writer.add(new PolicyCall(0, seq++, call.nowMs(), false, call.total(), call.items()));
         }
         return new long[] {chosen.size(), scans.size() - chosen.size(), pooled};
     }
 
-    private List<Moment> moments(Whole whole, Tenant tenant, double at) {
+    private List<PolicyCall> calls(RecordedQuery recorded, Tenant tenant, double at) {
         String id =
                 pseudonyms.name(
                         "scan",
-                        whole.origin
+                        recorded.origin
                                 + "|"
-                                + whole.scan.taken().number()
+                                + recorded.query.received().number()
                                 + "|"
-                                + whole.scan.taken().id());
+                                + recorded.query.received().id());
         long own = ++number;
         Map<String, String> parts = new HashMap<>();
-        var moments = new ArrayList<Moment>();
+        var moments = new ArrayList<PolicyCall>();
         var items = new ArrayList<Item>();
         double before = 0;
         long order = own << 20;
         int partCount =
                 (int)
-                        whole.lines.stream()
+                        recorded.items.stream()
                                 .filter(line -> line.item.event() instanceof Event.PartReceived)
                                 .count();
-        for (Line line : whole.lines) {
-            double after = Math.rint(line.afterMs / STEP_MS) * STEP_MS;
+        for (RecordedItem line : recorded.items) {
+            double after = Math.rint(line.afterMs / DURATION_STEP_MS) * DURATION_STEP_MS;
             if (after != before && !items.isEmpty()) {
-                moments.add(moment(order++, at + before, items));
+                moments.add(call(order++, at + before, items));
                 items = new ArrayList<>();
             }
             before = Math.max(before, after);
@@ -348,13 +356,13 @@
             }
         }
         if (!items.isEmpty()) {
-            moments.add(moment(order, at + before, items));
+            moments.add(call(order, at + before, items));
         }
         return moments;
     }
 
-    private static Moment moment(long order, double at, List<Item> items) {
-        return new Moment(0, order, at, false, items.size(), items);
+    private static PolicyCall call(long order, double at, List<Item> items) {
+        return new PolicyCall(0, order, at, false, items.size(), items);
     }
 
     private Item item(
@@ -391,7 +399,8 @@
                                     parts.get(ended.partId()),
                                     ended.attemptNumber(),
                                     ended.outcome(),
-                                    Math.rint(ended.durationMs() / STEP_MS) * STEP_MS,
+                                    Math.rint(ended.durationMs() / DURATION_STEP_MS)
+                                            * DURATION_STEP_MS,
                                     null),
                             null)
                     : null;
@@ -400,7 +409,7 @@
         } else if (event != null) {
             return null;
         }
-        Command command = item.action();
+        Command command = item.command();
         if (command instanceof Command.SendAttempt sendAttempt) {
             var passed =
                     sendAttempt.skipped().stream()
@@ -431,13 +440,13 @@
         } else if (command instanceof Command.AnswerQuery answer) {
             return new Item(
                     index, null, new Command.AnswerQuery(id, answer.complete(), answer.reason()));
-        } else if (command instanceof Command.RejectQuery throttle) {
+        } else if (command instanceof Command.RejectQuery rejection) {
             return new Item(
                     index,
                     null,
-                    new Command.RejectQuery(id, throttle.retryAfterMs(), throttle.reason()));
-        } else if (command instanceof Command.FailQuery abandon) {
-            return new Item(index, null, new Command.FailQuery(id, abandon.reason()));
+                    new Command.RejectQuery(id, rejection.retryAfterMs(), rejection.reason()));
+        } else if (command instanceof Command.FailQuery failure) {
+            return new Item(index, null, new Command.FailQuery(id, failure.reason()));
         }
         return null;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -7,10 +7,11 @@
 import java.util.Objects;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Item;
-import sprucehold.trace.event.Moment;
+import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
+import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
-import sprucehold.tracetools.story.Times;
+import sprucehold.tracetools.explanation.Times;
 
 /** Where two traces of the same day part. */
 public final class TraceDiff {
@@ -43,11 +44,14 @@
      */
     public static List<Parting> diff(TraceReader a, TraceReader b) throws IOException {
         var partings = new ArrayList<Parting>();
-        for (int i = 0; i < a.head().sources().size(); i++) {
-            Source source = a.head().sources().get(i);
+        for (int i = 0; i < a.header().sources().size(); i++) {
+            Source source = a.header().sources().get(i);
             int other = -1;
-            for (int j = 0; j < b.head().sources().size(); j++) {
-                other = b.head().sources().get(j).gatherer().equals(source.gatherer()) ? j : other;
+            for (int j = 0; j < b.header().sources().size(); j++) {
+                other =
+                        b.header().sources().get(j).gatherer().equals(source.gatherer())
+                                ? j
+                                : other;
             }
             if (other < 0) {
                 partings.add(
@@ -63,8 +67,8 @@
                 partings.add(parting);
             }
         }
-        for (Source source : b.head().sources()) {
-            if (a.head().sources().stream()
+        for (Source source : b.header().sources()) {
+            if (a.header().sources().stream()
                     .noneMatch(of -> of.gatherer().equals(source.gatherer()))) {
                 partings.add(
                         new Parting(
@@ -78,8 +82,7 @@
         return partings;
     }
 
-    private static Parting diff(Source source, TraceReader.Cursor a, TraceReader.Cursor b)
-            throws IOException {
+    private static Parting diff(Source source, TraceCursor a, TraceCursor b) throws IOException {
         while (true) {
             Entry one = a.next();
             Entry other = b.next();
@@ -105,7 +108,7 @@
         if (one.withSource(0).equals(other.withSource(0))) {
             return null;
         }
-        if (!(one instanceof Moment a) || !(other instanceof Moment b)) {
+        if (!(one instanceof PolicyCall a) || !(other instanceof PolicyCall b)) {
             return "the first has " + one + ", the second " + other;
         }
         // What went in parts before what came out does: the first that differs is the cause.
@@ -113,7 +116,7 @@
             Item was = i < a.items().size() ? a.items().get(i) : null;
             Item is = i < b.items().size() ? b.items().get(i) : null;
             if (!Objects.equals(was, is)) {
-                return words(was) + " in the first, " + words(is) + " in the second";
+                return describe(was) + " in the first, " + describe(is) + " in the second";
             }
         }
         return "call "
@@ -127,9 +130,9 @@
                 + " in the second";
     }
 
-    private static String words(Item item) {
+    private static String describe(Item item) {
         return item == null
                 ? "nothing more"
-                : item.event() != null ? "event " + item.event() : "action " + item.action();
+                : item.event() != null ? "event " + item.event() : "action " + item.command();
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/DayPlan.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
@@ -1,33 +1,33 @@
-package sprucehold.tracetools.synth;
+package sprucehold.tracetools.synthetic;
 
 /**
  * What a synthetic day is to be.
  *
- * @param scans scans that clients begin; those asked again come on top
+ * @param queries queries that clients begin; those asked again come on top
  * @param seed decides everything
  * @param gatherers how many, 1 or more
  * @param skewS gatherers' clocks differ by up to so many seconds
  * @param driftPpm and run faster or slower by up to so many millionths
  * @param hours how long the day is
- * @param customers how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
+ * @param tenants how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
  *     own
- * @param troubles how many troubles befall shard servers
+ * @param faults how many faults are injected into shard servers
  */
 public record DayPlan(
-        int scans,
+        int queries,
         long seed,
         int gatherers,
         double skewS,
         double driftPpm,
         double hours,
-        int customers,
-        int troubles) {
+        int tenants,
+        int faults) {
     public DayPlan {
-        if (scans < 0
+        if (queries < 0
                 || gatherers < 1
                 || !(hours > 0)
-                || customers < 1
-                || troubles < 0
+                || tenants < 1
+                || faults < 0
                 || !(skewS >= 0)
                 || !(driftPpm >= 0)) {
             throw new IllegalArgumentException(
