--- a/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
@@ -160,7 +160,7 @@
         String found = trace("find DIR/m.trace --most 1 --json").out;
         String id = new ObjectMapper().readTree(found).get("scan").asText();
         Ran words = trace("explain DIR/m.trace --scan " + id);
-        assertTrue(words.exit == 0 && words.out.startsWith("scan " + id + " of "), words.out);
+        assertTrue(words.exit == 0 && words.out.startsWith("query " + id + " of "), words.out);
         assertTrue(
                 trace("explain DIR/m.trace --json --scan " + id)
                         .out
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -28,15 +28,15 @@
         Event.QueryReceived taken = statistics.query().received();
         QueryClass type = taken.queryClass();
         lines.add(
-                "scan "
+                "query "
                         + taken.id()
                         + " of "
                         + type.name()
                         + " for "
                         + (taken.tenant() == null
-                                ? "no known customer"
-                                : "customer " + taken.tenant().name())
-                        + ", taken by gatherer "
+                                ? "no known tenant"
+                                : "tenant " + taken.tenant().name())
+                        + ", received by gatherer "
                         + source.gatherer()
                         + " at "
                         + Times.iso(statistics.query().receivedMs()));
@@ -44,12 +44,12 @@
                 "  "
                         + statistics.parts()
                         + " parts; "
-                        + repeat(type)
-                        + "; target time "
+                        + idempotence(type)
+                        + "; latency objective "
                         + ms(type.latencyObjectiveMs())
                         + ", its client would wait "
                         + ms(taken.timeLeftMs())
-                        + "; whole from "
+                        + "; complete from "
                         + percent(type.completeCoverage())
                         + ", answered at all from "
                         + percent(type.minimumCoverage()));
@@ -70,7 +70,7 @@
             lines.add(
                     "  here "
                             + gap.calls()
-                            + " calls of the module were not recorded, from "
+                            + " calls of the policy were not recorded, from "
                             + Times.iso(gap.nowMs())
                             + " to "
                             + Times.iso(gap.toMs()));
@@ -88,27 +88,28 @@
                 + " after "
                 + ms(statistics.durationMs())
                 + (statistics.metLatencyObjective()
-                        ? ", in its target time"
+                        ? ", within its latency objective"
                         : statistics.outcome() == QueryStatistics.Outcome.COMPLETE
                                         || statistics.outcome() == QueryStatistics.Outcome.PARTIAL
-                                ? ", past its target time"
+                                ? ", past its latency objective"
                                 : "")
                 + ", because "
                 + statistics.reason().description()
                 + "; "
                 + statistics.attempts()
-                + " dispatches, "
+                + " attempts, "
                 + statistics.retries()
-                + " further tries, "
+                + " retries, "
                 + statistics.hedges()
-                + " second copies";
+                + " hedged requests";
     }
 
-    private static String repeat(QueryClass type) {
+    private static String idempotence(QueryClass type) {
         return switch (type.idempotence()) {
-            case IDEMPOTENT -> "replayable";
-            case DEDUPLICATED -> "keyed, repeats dropped for " + ms(type.deduplicationWindowMs());
-            case NON_IDEMPOTENT -> "non-replayable";
+            case IDEMPOTENT -> "idempotent";
+            case DEDUPLICATED ->
+                    "deduplicated, repeats dropped for " + ms(type.deduplicationWindowMs());
+            case NON_IDEMPOTENT -> "non-idempotent";
         };
     }
 
@@ -116,11 +117,11 @@
         Event event = line.item().event();
         Command command = line.item().command();
         if (event instanceof Event.QueryReceived) {
-            return "taken";
+            return "received";
         } else if (event instanceof Event.PartReceived part) {
             return "part "
                     + part.id()
-                    + " for segment "
+                    + " for shard "
                     + part.shard()
                     + ", "
                     + percent(part.weight())
@@ -128,14 +129,14 @@
         } else if (event instanceof Event.AttemptEnded ended) {
             return "part "
                     + ended.partId()
-                    + ", dispatch "
+                    + ", attempt "
                     + ended.attemptNumber()
                     + ": "
                     + describe(ended.outcome())
                     + " after "
                     + ms(ended.durationMs());
         } else if (event instanceof Event.ClientDisconnected) {
-            return "its client left";
+            return "its client disconnected";
         } else if (command instanceof Command.SendAttempt sendAttempt) {
             String passed =
                     sendAttempt.skipped().stream()
@@ -151,27 +152,27 @@
                     + sendAttempt.reason().description()
                     + "; position "
                     + sendAttempt.position()
-                    + (passed.isEmpty() ? "" : "; passed over " + passed);
+                    + (passed.isEmpty() ? "" : "; skipped " + passed);
         } else if (command instanceof Command.CancelAttempt cancel) {
             return "part "
                     + cancel.partId()
-                    + ", dispatch "
+                    + ", attempt "
                     + cancel.attemptNumber()
-                    + " is called off, because "
+                    + " is cancelled, because "
                     + cancel.reason().description();
         } else if (command instanceof Command.AnswerQuery answer) {
             return "answered "
-                    + (answer.complete() ? "whole" : "in part")
+                    + (answer.complete() ? "in whole" : "in part")
                     + ", because "
                     + answer.reason().description();
         } else if (command instanceof Command.RejectQuery rejection) {
-            return "throttled, because "
+            return "rejected, because "
                     + rejection.reason().description()
                     + (rejection.retryAfterMs() > 0
                             ? "; come back in " + ms(rejection.retryAfterMs())
                             : "");
         } else if (command instanceof Command.FailQuery failure) {
-            return "abandoned, because " + failure.reason().description();
+            return "failed, because " + failure.reason().description();
         }
         return null;
     }
@@ -180,16 +181,16 @@
         return passed.server() + " (" + passed.cause().description() + ")";
     }
 
-    /** An ending in words. */
+    /** An outcome in words. */
     public static String describe(AttemptOutcome outcome) {
         return switch (outcome) {
             case COMPLETED -> "completed";
             case ERROR -> "an error, it may have run";
-            case OVERLOADED -> "turned away, it never ran";
+            case OVERLOADED -> "refused, it never ran";
             case TIMED_OUT -> "timed out, it may have run or may yet";
             case UNREACHABLE -> "no connection, it never ran";
-            case RESET -> "its connection broke, it may have run";
-            case CANCELLED -> "called off, it may have run or may yet";
+            case RESET -> "its connection was reset, it may have run";
+            case CANCELLED -> "cancelled, it may have run or may yet";
             case NEVER_SENT -> "never sent";
         };
     }
@@ -251,7 +252,7 @@
                                 + "0 ms"
                                 + " ".repeat(LINE_WIDTH - 12)
                                 + String.format(Locale.ROOT, "%8.0f ms", span)
-                                + "   + completed, x failed, o never ran, c called off, t timed out, > out");
+                                + "   + completed, x failed, o never ran, c cancelled, t timed out, > pending");
             }
             return lines;
         }
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -162,8 +162,8 @@
             assertTrue(
                     told.contains(Reason.HEDGE.description())
                             && told.contains(Reason.FIRST_ROUND.description())
-                            && told.contains("passed over")
-                            && told.contains(" is called off"),
+                            && told.contains("skipped")
+                            && told.contains(" is cancelled"),
                     told);
         }
     }
