--- /dev/null
+++ b/core/src/main/java/sprucehold/policy/AttemptRules.java
@@ -0,0 +1,63 @@
+package sprucehold.policy;
+
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
+
+/** Whether a part may get another attempt, by its query class, the limits and the retry budget. */
+final class AttemptRules {
+    /** The ends of a deduplication window that aren't used: one tick to send, one to spare. */
+    private static final double DEDUPLICATION_MARGIN_TICKS = 2;
+
+    private final DecisionContext context;
+    private final RetryBudgetWindow retryBudget;
+
+    AttemptRules(DecisionContext context, RetryBudgetWindow retryBudget) {
+        this.context = context;
+        this.retryBudget = retryBudget;
+    }
+
+    boolean mayAttempt(ScheduledPart part) {
+        Deployment.Limits limits = context.deployment().limits();
+        boolean attemptsLeft = part.attempts().size() < limits.attemptsPerPart();
+        if (part.isObsolete() || part.isCompleted() || !attemptsLeft) {
+            return false;
+        }
+        return part.attempts().isEmpty() || mayRetry(part, limits);
+    }
+
+    private boolean mayRetry(ScheduledPart part, Deployment.Limits limits) {
+        boolean pending = part.hasPendingAttempt();
+        if (pending && !limits.hedging()) {
+            return false;
+        }
+        if (isHeldBack(part)) {
+            return false;
+        }
+        if ((part.mayHaveRun() || pending) && !mayRunAgain(part)) {
+            return false;
+        }
+        return retryBudget.allowsRetry();
+    }
+
+    /** Whether its query class allows a part to run again that may have run. */
+    private boolean mayRunAgain(ScheduledPart part) {
+        QueryClass queryClass = part.query().queryClass();
+        return switch (queryClass.idempotence()) {
+            case IDEMPOTENT -> true;
+            case NON_IDEMPOTENT -> false;
+            case DEDUPLICATED ->
+                    context.nowMs()
+                            <= part.attempts().get(0).sentAtMs()
+                                    + queryClass.deduplicationWindowMs()
+                                    - DEDUPLICATION_MARGIN_TICKS * context.deployment().tickMs();
+        };
+    }
+
+    /**
+     * Whether a part whose connection was reset has to wait until another part of its query is
+     * completed. Guards against queries that bring down the servers that run them, one by one.
+     */
+    boolean isHeldBack(ScheduledPart part) {
+        return part.hadConnectionReset() && part.query().completedParts() == 0;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/sprucehold/policy/CommandList.java
@@ -0,0 +1,23 @@
+package sprucehold.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import sprucehold.decision.Command;
+
+/** The commands of the current call, in the order in which they are to be carried out. */
+final class CommandList {
+    private List<Command> commands = new ArrayList<>();
+
+    /** Starts a new list; one handed out before stays as it is. */
+    void beginCall() {
+        commands = new ArrayList<>();
+    }
+
+    void add(Command command) {
+        commands.add(command);
+    }
+
+    List<Command> commands() {
+        return commands;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/sprucehold/policy/LatencyHistogram.java
@@ -0,0 +1,63 @@
+package sprucehold.policy;
+
+/**
+ * A histogram with exponential bins, each {@value #BIN_GROWTH} times as wide as the one before. Old
+ * values fade: all counts are halved whenever their sum reaches the capacity.
+ */
+final class LatencyHistogram {
+    private static final int BINS = 18;
+
+    /** Upper edge of the first bin. */
+    private static final double FIRST_BIN_MS = 10;
+
+    private static final double BIN_GROWTH = 1.6;
+
+    /** The least sum of counts for which a quantile is told. */
+    private static final double MIN_SAMPLES = 12;
+
+    private final double[] counts = new double[BINS];
+    private final int capacity;
+    private double total;
+
+    LatencyHistogram(int capacity) {
+        this.capacity = capacity;
+    }
+
+    void add(double ms) {
+        double bins = Math.log(Math.max(ms, FIRST_BIN_MS) / FIRST_BIN_MS) / Math.log(BIN_GROWTH);
+        counts[Math.min((int) Math.ceil(bins), BINS - 1)]++;
+        total++;
+        if (total >= capacity) {
+            halve();
+        }
+    }
+
+    /** Halves the weight of all values so far. */
+    void halve() {
+        total = 0;
+        for (int bin = 0; bin < BINS; bin++) {
+            counts[bin] /= 2;
+            total += counts[bin];
+        }
+    }
+
+    /**
+     * The upper edge, in milliseconds, of the bin in which a share of the values is reached.
+     *
+     * @param share from 0 to 1
+     * @param unknown the result while there are too few values
+     */
+    double quantile(double share, double unknown) {
+        if (total < MIN_SAMPLES) {
+            return unknown;
+        }
+        double sum = 0;
+        for (int bin = 0; bin < BINS; bin++) {
+            sum += counts[bin];
+            if (sum >= share * total) {
+                return FIRST_BIN_MS * Math.pow(BIN_GROWTH, bin);
+            }
+        }
+        return FIRST_BIN_MS * Math.pow(BIN_GROWTH, BINS - 1);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/sprucehold/policy/ReplicaSelector.java
@@ -0,0 +1,195 @@
+package sprucehold.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Objects;
+import java.util.Random;
+import sprucehold.decision.SkippedReplica;
+
+/**
+ * Selects the replica for a part: the one at its query's position, or the least loaded other if
+ * that one may not be used or is suspect.
+ */
+final class ReplicaSelector {
+    private final DecisionContext context;
+    private final EndpointList endpoints;
+    private final SuspectDetector suspects;
+    private final SlowStart slowStart;
+    private final Random random;
+
+    ReplicaSelector(
+            DecisionContext context,
+            EndpointList endpoints,
+            SuspectDetector suspects,
+            SlowStart slowStart,
+            Random random) {
+        this.context = context;
+        this.endpoints = endpoints;
+        this.suspects = suspects;
+        this.slowStart = slowStart;
+        this.random = random;
+    }
+
+    /** The position whose servers have the least load; one of them at random if several do. */
+    int selectPosition(ScheduledQuery query) {
+        int positions =
+                query.parts().stream()
+                        .mapToInt(part -> endpoints.replicas(part.shard()).size())
+                        .max()
+                        .orElse(0);
+        int best = 0;
+        int equals = 0;
+        double leastLoad = Double.POSITIVE_INFINITY;
+        for (int position = 0; position < positions; position++) {
+            double load = loadAt(query, position);
+            if (load < leastLoad) {
+                leastLoad = load;
+                best = position;
+                equals = 1;
+            } else if (load == leastLoad) {
+                equals++;
+                if (random.nextInt(equals) == 0) {
+                    best = position;
+                }
+            }
+        }
+        return best;
+    }
+
+    private double loadAt(ScheduledQuery query, int position) {
+        return query.parts().stream()
+                .map(part -> select(part, position))
+                .filter(Objects::nonNull)
+                .distinct()
+                .mapToDouble(this::load)
+                .sum();
+    }
+
+    /** The load of the server that a part would go to; infinite if there is none. */
+    double loadOfSelected(ScheduledPart part) {
+        ShardServerState server = select(part);
+        return server == null ? Double.POSITIVE_INFINITY : load(server);
+    }
+
+    /**
+     * This gatherer's attempts pending at a server, counted by call where parts share calls.
+     * Failures count too, as a server that fails fast would look idle.
+     */
+    private double load(ShardServerState server) {
+        List<PartAttempt> pending = server.pendingAttempts();
+        boolean sharedCalls =
+                context.deployment().layout().partsPerCall() > 1 && pending.size() > 1;
+        double calls =
+                sharedCalls
+                        ? pending.stream().mapToDouble(PartAttempt::sentAtMs).distinct().count()
+                        : pending.size();
+        return calls
+                + server.ejection().consecutiveFailures()
+                + (suspects.isImpaired(server) ? 1 : 0);
+    }
+
+    /** The replica for a part at its query's position; null if none may be used. */
+    ShardServerState select(ScheduledPart part) {
+        return select(part, part.query().position());
+    }
+
+    private ShardServerState select(ScheduledPart part, int position) {
+        List<ShardServerState> replicas = endpoints.replicas(part.shard());
+        if (replicas.isEmpty()) {
+            return null;
+        }
+        ShardServerState preferred = replicas.get(position % replicas.size());
+        if (!mayUse(preferred, part)) {
+            return selectLeastLoaded(part);
+        }
+        // Each of many gatherers meets a server too seldom to eject it after failures in a row.
+        if (suspects.isSuspect(preferred)) {
+            ShardServerState other = selectLeastLoaded(part);
+            return other == null || suspects.isSuspect(other) ? preferred : other;
+        }
+        return preferred;
+    }
+
+    /** The least loaded replica that a part wasn't sent to yet; null if none may be used. */
+    ShardServerState selectLeastLoaded(ScheduledPart part) {
+        ShardServerState best = null;
+        ShardServerState lastResort = null;
+        boolean allUnavailable = true;
+        for (ShardServerState server : endpoints.replicas(part.shard())) {
+            allUnavailable &= !server.isRunning() || server.ejection().isEjected(context.nowMs());
+            if (part.wasSentTo(server)) {
+                continue;
+            }
+            if (mayUse(server, part)) {
+                best = lessLoaded(best, server);
+            } else if (server.isRunning()
+                    && hasSlowStartBudget(server, part)
+                    && server.pendingAttempts().isEmpty()) {
+                lastResort = lessLoaded(lastResort, server);
+            }
+        }
+        // Ejection never rules out all replicas of a shard: they get one part at a time.
+        return best == null && allUnavailable ? lastResort : best;
+    }
+
+    private ShardServerState lessLoaded(ShardServerState best, ShardServerState server) {
+        return best == null || load(server) < load(best) ? server : best;
+    }
+
+    private boolean mayUse(ShardServerState server, ScheduledPart part) {
+        return server.isRunning()
+                && !server.ejection().isEjected(context.nowMs())
+                && isBelowConcurrencyLimit(server, part.query())
+                && hasSlowStartBudget(server, part);
+    }
+
+    /** A round is never split by the limit: the query's own attempts don't count. */
+    private static boolean isBelowConcurrencyLimit(ShardServerState server, ScheduledQuery query) {
+        double limit = server.concurrencyLimit().value();
+        double allowed = query.isOverQuota() ? limit / 2 : limit;
+        return server.pendingOfOthers(query) < Math.max(1, allowed);
+    }
+
+    private boolean hasSlowStartBudget(ShardServerState server, ScheduledPart part) {
+        return slowStart.hasBudget(server, part.query().queryClass());
+    }
+
+    /**
+     * The replicas that a part was kept from, and why. Has no effect on decisions: lotteries that
+     * it asks for were drawn at this moment.
+     */
+    List<SkippedReplica> skipped(ScheduledPart part, ShardServerState selected) {
+        List<ShardServerState> replicas = endpoints.replicas(part.shard());
+        int position = part.query().position() % replicas.size();
+        if (part.attempts().isEmpty() && replicas.get(position) == selected) {
+            return List.of();
+        }
+        var skipped = new ArrayList<SkippedReplica>(replicas.size());
+        for (ShardServerState server : replicas) {
+            SkippedReplica.Cause cause = skipCause(server, part);
+            if (server != selected && cause != null) {
+                skipped.add(new SkippedReplica(server.id(), cause));
+            }
+        }
+        return skipped;
+    }
+
+    private SkippedReplica.Cause skipCause(ShardServerState server, ScheduledPart part) {
+        if (!server.isRunning()) {
+            return SkippedReplica.Cause.DRAINING;
+        }
+        if (part.wasSentTo(server)) {
+            return SkippedReplica.Cause.ALREADY_TRIED;
+        }
+        if (server.ejection().isEjected(context.nowMs())) {
+            return SkippedReplica.Cause.EJECTED;
+        }
+        if (!isBelowConcurrencyLimit(server, part.query())) {
+            return SkippedReplica.Cause.AT_CONCURRENCY_LIMIT;
+        }
+        if (!hasSlowStartBudget(server, part)) {
+            return SkippedReplica.Cause.AT_SLOW_START_BUDGET;
+        }
+        return suspects.isSuspect(server) ? SkippedReplica.Cause.SUSPECT : null;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/sprucehold/policy/Round.java
@@ -0,0 +1,61 @@
+package sprucehold.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** The parts of a query that are sent together. */
+final class Round {
+    private final List<ScheduledPart> parts = new ArrayList<>();
+    private int completedInTime;
+    private int cancelled;
+    private boolean over;
+    private boolean timerExpired;
+
+    void add(ScheduledPart part) {
+        part.join(this);
+        parts.add(part);
+    }
+
+    void countCompleted() {
+        completedInTime++;
+    }
+
+    void countCancelled() {
+        cancelled++;
+    }
+
+    void end() {
+        over = true;
+    }
+
+    void expireTimer() {
+        timerExpired = true;
+    }
+
+    List<ScheduledPart> parts() {
+        return parts;
+    }
+
+    /** Parts completed before the timer expired. */
+    int completedInTime() {
+        return completedInTime;
+    }
+
+    /** Parts that count: those cancelled say nothing of the servers. */
+    int counted() {
+        return parts.size() - cancelled;
+    }
+
+    /** Whether the round that follows it has begun. */
+    boolean isOver() {
+        return over;
+    }
+
+    boolean isTimerExpired() {
+        return timerExpired;
+    }
+
+    boolean hasCompletedPart() {
+        return parts.stream().anyMatch(ScheduledPart::isCompleted);
+    }
+}
