--- /dev/null
+++ b/core/src/test/java/sprucehold/policy/ReplicaSelectorTest.java
@@ -0,0 +1,171 @@
+package sprucehold.policy;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+import sprucehold.decision.Endpoint;
+import sprucehold.decision.Event;
+import sprucehold.decision.SharedLimit;
+import sprucehold.decision.SkippedReplica;
+
+/** Which replica a part goes to while servers drain, fail or are far. */
+public class ReplicaSelectorTest {
+    @DataProvider
+    Object[][] departures() {
+        return new Object[][] {
+            {Endpoint.State.DRAINING, true},
+            {Endpoint.State.GONE, true},
+            {Endpoint.State.DRAINING, false},
+        };
+    }
+
+    @Test(dataProvider = "departures")
+    public void drainingOrGoneServerIsSentNothing(Endpoint.State state, boolean comesBack) {
+        var fixture = new SchedulerFixture().start();
+        fixture.decide(
+                new Event.EndpointsUpdated(
+                        false, List.of(SchedulerFixture.endpoint("a", 0, 0, state))));
+        for (int i = 0; i < 20; i++) {
+            fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
+        }
+        assertTrue(
+                fixture.all(Command.SendAttempt.class).stream()
+                        .noneMatch(d -> d.server().equals("a")));
+        if (comesBack) {
+            fixture.decide(
+                    new Event.EndpointsUpdated(
+                            false,
+                            List.of(SchedulerFixture.endpoint("a", 0, 0, Endpoint.State.RUNNING))));
+            for (int i = 0; i < 20; i++) {
+                fixture.receive("t" + i, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
+            }
+            assertFalse(
+                    fixture.all(Command.SendAttempt.class).stream()
+                            .noneMatch(d -> d.server().equals("a")));
+        }
+    }
+
+    @Test
+    public void drainingReplicaIsNamedAsSkipped() {
+        var fixture = new SchedulerFixture().start();
+        fixture.decide(
+                new Event.EndpointsUpdated(
+                        false,
+                        List.of(SchedulerFixture.endpoint("a", 0, 0, Endpoint.State.DRAINING))));
+        fixture.commands.clear();
+        // One of the two positions is taken at random; at one of them shard 0 would be a's.
+        for (int i = 0; i < 8; i++) {
+            fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 1, 4000);
+            fixture.endAttempt("s" + i + "/0", 0, AttemptOutcome.COMPLETED);
+        }
+        List<List<SkippedReplica>> passed =
+                fixture.all(Command.SendAttempt.class).stream()
+                        .map(Command.SendAttempt::skipped)
+                        .filter(list -> !list.isEmpty())
+                        .toList();
+        assertFalse(passed.isEmpty());
+        assertTrue(
+                passed.stream()
+                        .allMatch(
+                                List.of(new SkippedReplica("a", SkippedReplica.Cause.DRAINING))
+                                        ::equals));
+    }
+
+    @DataProvider
+    Object[][] failureScores() {
+        return new Object[][] {
+            // failure scores of a and b, the replicas of shard 0; whether a part goes to a
+            {Map.of(), true},
+            {Map.of("a", 0.5), true},
+            {Map.of("a", 0.6), false},
+            {Map.of("b", 1.0), true},
+            {Map.of("a", 1.0, "b", 1.0), true},
+        };
+    }
+
+    @Test(dataProvider = "failureScores")
+    public void serverThatOtherGatherersSeeFailIsAvoided(Map<String, Double> scores, boolean goes) {
+        boolean went = false;
+        for (int seed = 0; seed < 20; seed++) {
+            var fixture = new SchedulerFixture();
+            fixture.seed = seed * 0x9E3779B97F4A7C15L;
+            fixture.start().decide(SchedulerFixture.clusterView(0, Map.of(), scores));
+            fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
+            assertEquals(
+                    fixture.all(Command.SendAttempt.class).size(),
+                    1,
+                    "the last replicas of a shard are never all avoided");
+            went |= fixture.attemptsTo("a") > 0;
+        }
+        assertEquals(went, goes);
+    }
+
+    @Test
+    public void clusterViewThatSaysNothingReplacesTheOneBefore() {
+        var fixture = new SchedulerFixture().start();
+        fixture.decide(
+                SchedulerFixture.clusterView(9, Map.of(SharedLimit.RETRIES, 0), Map.of("a", 1.0)));
+        fixture.decide(new Event.ClusterViewChanged(ClusterView.NONE));
+        fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
+        fixture.endAttempt("s/0", 0, AttemptOutcome.ERROR);
+        assertEquals(fixture.serversByPart().get("s/0").size(), 2);
+        assertEquals(fixture.all(Command.ConsumeAllowance.class), List.of());
+    }
+
+    @Test
+    public void nonIdempotentPartAvoidsAServerThatHasJustFailed() {
+        for (int i = 0; i < 8; i++) {
+            var fixture = new SchedulerFixture().start();
+            fixture.receive("f", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
+            String failed = fixture.serversByPart().get("f/0").get(0);
+            fixture.endAttempt("f/0", 0, AttemptOutcome.RESET);
+            fixture.endAttempt("f/0", 1, AttemptOutcome.COMPLETED);
+            fixture.receive("s", SchedulerFixture.NON_IDEMPOTENT, 1, 4000);
+            assertFalse(fixture.serversByPart().get("s/0").contains(failed));
+        }
+    }
+
+    @DataProvider
+    Object[][] zones() {
+        return new Object[][] {{true}, {false}};
+    }
+
+    /** Lateness of a zone: a server there is avoided though it has never failed. */
+    @Test(dataProvider = "zones")
+    public void zoneWithMostPartsLateIsAvoided(boolean late) {
+        var fixture = new SchedulerFixture();
+        fixture.now = 100_000;
+        fixture.start();
+        fixture.decide(
+                new Event.EndpointsUpdated(
+                        false, List.of(endpointFarAway("a", 0, 0), endpointFarAway("c", 2, 0))));
+        for (int i = 0; i < 30; i++) {
+            fixture.commands.clear();
+            fixture.receive("s" + i, SchedulerFixture.NON_IDEMPOTENT, 4, 4000);
+            var sent = fixture.serversByPart();
+            sent.forEach(
+                    (part, servers) -> {
+                        if (!late || !"ac".contains(servers.get(0))) {
+                            fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED);
+                        }
+                    });
+            fixture.waitFor(6000);
+            sent.forEach((part, servers) -> fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED));
+        }
+        // Started again, a has no failures of its own any more.
+        fixture.decide(new Event.EndpointsUpdated(false, List.of(endpointFarAway("a", 0, 1))));
+        assertEquals(fixture.sendsToAIn20Queries("t", true), !late);
+    }
+
+    private static Endpoint endpointFarAway(String server, int group, double startedAt) {
+        return new Endpoint(server, group, "far", startedAt, Endpoint.State.RUNNING);
+    }
+}
