--- a/core/src/main/java/sprucehold/policy/AdmissionQueue.java
+++ b/core/src/main/java/sprucehold/policy/AdmissionQueue.java
@@ -48,7 +48,10 @@
         return waiting.isEmpty();
     }
 
-    /** Begins the queries that can, rejects those that have waited too long, and makes room. */
+    /**
+     * Begins the queries that can, rejects those that have waited too long, and evicts if too many
+     * are open.
+     */
     void beginWaiting() {
         double overQuotaPriority = context.deployment().overQuotaPriority();
         waiting.sort(
--- a/core/src/main/java/sprucehold/policy/LatencyHistogram.java
+++ b/core/src/main/java/sprucehold/policy/LatencyHistogram.java
@@ -12,7 +12,7 @@
 
     private static final double BIN_GROWTH = 1.6;
 
-    /** The least sum of counts for which a quantile is told. */
+    /** The least sum of counts for which a quantile is known. */
     private static final double MIN_SAMPLES = 12;
 
     private final double[] counts = new double[BINS];
--- a/core/src/main/java/sprucehold/policy/SlowStart.java
+++ b/core/src/main/java/sprucehold/policy/SlowStart.java
@@ -53,8 +53,8 @@
      * @param startedAtMs when it started; 0 or less if long ago
      */
     static double speedPortion(Deployment.SlowStartRule rule, double startedAtMs, double nowMs) {
-        double warmth = Math.min(1, Math.max(0, nowMs - startedAtMs) / rule.warmAfterMs());
-        return startedAtMs <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmth;
+        double warmUpPortion = Math.min(1, Math.max(0, nowMs - startedAtMs) / rule.warmAfterMs());
+        return startedAtMs <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmUpPortion;
     }
 
     /** Whether a server may be sent a part of this class now. May draw the server's lottery. */
