--- a/core/src/main/java/sprucehold/policy/Admission.java
+++ b/core/src/main/java/sprucehold/policy/Admission.java
@@ -72,7 +72,7 @@
             if (server != null) {
                 wanted.merge(server, 1, Integer::sum);
             } else if (!endpoints.hasRunningReplica(part.shard())) {
-                // Waiting for a server that isn't there would hold up the other parts.
+                // A shard that has no server doesn't hold up the other parts.
                 placeable++;
             }
         }
--- a/core/src/main/java/sprucehold/policy/AttemptRules.java
+++ b/core/src/main/java/sprucehold/policy/AttemptRules.java
@@ -5,7 +5,7 @@
 
 /** Whether a part may get another attempt, by its query class, the limits and the retry budget. */
 final class AttemptRules {
-    /** The ends of a deduplication window that aren't used: one tick to send, one to spare. */
+    /** The end of a deduplication window that isn't used: a repeat must not arrive after it. */
     private static final double DEDUPLICATION_MARGIN_TICKS = 2;
 
     private final DecisionContext context;
--- a/core/src/main/java/sprucehold/policy/RetryBudgetWindow.java
+++ b/core/src/main/java/sprucehold/policy/RetryBudgetWindow.java
@@ -40,7 +40,7 @@
 
     boolean allowsRetry() {
         Deployment.RetryBudget budget = context.deployment().retryBudget();
-        // A tick longer than the window, as an attempt may leave later than it is decided.
+        // A tick longer than the window: calls, which date the attempts, are a tick apart.
         double oldestMs = context.nowMs() - budget.windowMs() - context.deployment().tickMs();
         retriesAtMs.removeIf(timeMs -> timeMs < oldestMs);
         return retriesAtMs.size() + 1 <= budget.fixed() + budget.perRequest() * requestsAtMs.size()
--- a/core/src/main/java/sprucehold/policy/SlowStart.java
+++ b/core/src/main/java/sprucehold/policy/SlowStart.java
@@ -12,7 +12,7 @@
  * for it decides alone.
  */
 final class SlowStart {
-    /** Sends are remembered for longer than the rule's window, as they arrive unevenly. */
+    /** How long what was sent is counted, in windows of the rule. */
     private static final double WINDOW_MARGIN = 1.2;
 
     /** Parts that the rule grants in a window beyond its budget. */
