--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -116,8 +116,8 @@
                 mean(results, EvidenceSimulation.Result::aloneAllMs) / 1000,
                 mean(results, EvidenceSimulation.Result::toldMedianMs) / 1000,
                 mean(results, EvidenceSimulation.Result::toldAllMs) / 1000,
-                mean(results, one -> one.believedForNothing()),
-                mean(results, EvidenceSimulation.Result::lettersPerS));
+                mean(results, one -> one.falselySuspecting()),
+                mean(results, EvidenceSimulation.Result::messagesPerSecond));
     }
 
     private static void members(
@@ -299,7 +299,7 @@
             }
             for (int second = 0; second < 30; second++) {
                 int at = second;
-                series.add(second + 0.5, 100 * mean(results, one -> one.gotBySecond()[at]));
+                series.add(second + 0.5, 100 * mean(results, one -> one.gotBySecond().get(at)));
             }
             all.addSeries(series);
         }
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -165,14 +165,14 @@
             what.put(
                     "further_dispatches",
                     plan.shared().contains(SharedLimit.Kind.RETRIES)
-                            ? plan.further() + " by all in " + plan.furtherWindowMs() + " ms"
+                            ? plan.retriesPerWindow() + " by all in " + plan.retryWindowMs() + " ms"
                             : "each by its own budget");
             what.put(
                     "clocks",
                     "up to "
-                            + plan.driftPpm()
+                            + plan.maxClockDriftPpm()
                             + " ppm off in rate, up to "
-                            + plan.clocksOffMs()
+                            + plan.maxClockOffsetMs()
                             + " ms apart");
             if (json) {
                 Printed.json(what);
--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
@@ -1,13 +1,10 @@
 package sprucehold.cluster.allowance;
 
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.QuotaTerms;
 import sprucehold.cluster.session.CoordinationSession;
 import sprucehold.decision.ClusterView;
 import sprucehold.decision.Deployment;
@@ -16,416 +13,203 @@
 import sprucehold.decision.Tenant;
 
 /**
- * The shared bounds of one gatherer as its decisions see them. A cold server's bound comes up with
- * the news of its start and goes once it is surely warm. All times are a reading of the clock that
- * counts and one of the wall's, in milliseconds.
+ * The shared limits of one gatherer as its decisions see them: what may be consumed of each now,
+ * and the failure scores of shard servers. All times are a reading of the monotonic clock and one
+ * of the wall clock, in milliseconds.
  */
 public final class AllowanceTable {
-    /**
-     * How long a loan lasts: eight looks, so that asking again costs little, and what a dead one
-     * held is back in four seconds.
-     */
-    static final double TERM_MS = 2000;
-
-    /** A customer's share is stated by the second. */
-    private static final double CUSTOMER_WINDOW_MS = 1000;
-
-    /**
-     * Rates of what comes in count half after so long: the demand of the last second or two is what
-     * is to be met.
-     */
-    private static final double RATE_HALF_MS = 1000;
-
-    /** Below so much others' evidence is no reason for a new word. */
-    private static final double LEAST_TROUBLE = 0.25;
-
-    /** A rate that fades. */
-    private static final class Rate {
-        private double sum;
-        private double atMs;
-
-        void add(double nowMs, double what) {
-            sum = sum * Math.pow(0.5, (nowMs - atMs) / RATE_HALF_MS) + what;
-            atMs = nowMs;
-        }
-
-        double perS(double nowMs) {
-            return sum
-                    * Math.pow(0.5, (nowMs - atMs) / RATE_HALF_MS)
-                    * Math.log(2)
-                    * 1000
-                    / RATE_HALF_MS;
-        }
-    }
-
-    private static final class Server {
-        Endpoint endpoint;
+    /** A tenant's quota is stated by the second. */
+    private static final double QUOTA_WINDOW_MS = 1000;
 
-        /** When this life first heard of this start, by the counting clock. */
-        double heardAt;
+    /** Demand is stated as so much of what is seen: it comes unevenly. */
+    private static final double DEMAND_MARGIN = 1.25;
 
-        /** Null while it isn't cold, or that isn't shared. */
-        WarmUpAllowance growth;
-
-        String bound() {
-            return SharedLimit.Kind.SLOW_START.storedName()
-                    + " "
-                    + endpoint.server()
-                    + "@"
-                    + (long) endpoint.startedAtMs();
-        }
-    }
+    /** A lower failure score is not told: others' evidence is too thin. */
+    private static final double MIN_FAILURE_SCORE = 0.25;
 
     private final Deployment deployment;
-    private final AllowanceSettings terms;
+    private final AllowanceSettings settings;
     private final CoordinationSession session;
-    private final Map<String, Server> servers = new TreeMap<>();
-    private final Map<String, Rate> byCustomer = new TreeMap<>();
-    private final Rate[] byCell;
-
-    /** The work of a part, in milliseconds, as the decisions take it. */
-    private double pieceMs;
-
-    private Map<String, Double> trouble = Map.of();
+    private final SlowStartLimits slowStart;
+    private final Map<String, DemandRate> queriesByTenant = new TreeMap<>();
+    private Map<String, Double> failureScores = Map.of();
 
+    /** Opens the limits that don't depend on servers. */
     public AllowanceTable(
             Deployment deployment,
-            AllowanceSettings terms,
+            AllowanceSettings settings,
             CoordinationSession session,
             double countedMs,
             double wallMs) {
         this.deployment = deployment;
-        this.terms = terms;
+        this.settings = settings;
         this.session = session;
-        this.byCell = new Rate[deployment.layout().replicaGroups()];
-        Arrays.setAll(byCell, cell -> new Rate());
-        // As the decisions do, before they have seen any part's time.
-        this.pieceMs =
-                deployment.queryClasses().stream()
-                        .mapToDouble(type -> type.latencyObjectiveMs() / 4)
-                        .min()
-                        .orElse(1);
-        if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
-            begin(
+        this.slowStart = new SlowStartLimits(deployment, settings, session);
+        if (isShared(SharedLimit.Kind.RETRIES)) {
+            open(
                     countedMs,
                     wallMs,
-                    name(SharedLimit.RETRIES),
-                    terms.further(),
-                    terms.furtherWindowMs(),
-                    true);
-        }
-        if (terms.shared().contains(SharedLimit.Kind.TENANT_QUOTA)) {
-            deployment
-                    .tenants()
-                    .forEach(
-                            tenant ->
-                                    begin(
-                                            countedMs,
-                                            wallMs,
-                                            name(SharedLimit.tenantQuota(tenant.name())),
-                                            (int) tenant.queriesPerSecond(),
-                                            CUSTOMER_WINDOW_MS,
-                                            true));
-        }
-    }
-
-    private static String name(SharedLimit bound) {
-        return bound.subject().isEmpty()
-                ? bound.kind().storedName()
-                : bound.kind().storedName() + " " + bound.subject();
-    }
-
-    /**
-     * @param keeps whether a part of the home is never lent, for who comes back or hears nothing to
-     *     go on with at once
-     */
-    private void begin(
-            double countedMs,
-            double wallMs,
-            String bound,
-            int units,
-            double windowMs,
-            boolean keeps) {
-        int home = terms.home(bound, units);
-        session.begin(
-                countedMs,
-                wallMs,
-                bound,
-                new QuotaTerms(
-                        home,
-                        keeps ? home / 4 : 0,
-                        windowMs,
-                        terms.patienceMs(),
-                        TERM_MS,
-                        terms.drift()));
-    }
-
-    // ---- Cold servers ----
-
-    /** News of shard servers, before the decisions hear of them. */
-    public void listed(double countedMs, double wallMs, boolean complete, List<Endpoint> news) {
-        if (complete) {
-            var named = news.stream().map(Endpoint::server).toList();
-            List.copyOf(servers.values()).stream()
-                    .filter(server -> !named.contains(server.endpoint.server()))
-                    .forEach(this::gone);
+                    SharedLimit.RETRIES,
+                    settings.retriesPerWindow(),
+                    settings.retryWindowMs());
         }
-        for (Endpoint endpoint : news) {
-            Server server = servers.get(endpoint.server());
-            if (endpoint.state() == Endpoint.State.GONE) {
-                if (server != null) {
-                    gone(server);
-                }
-                continue;
-            }
-            if (server == null || server.endpoint.startedAtMs() != endpoint.startedAtMs()) {
-                if (server != null) {
-                    gone(server);
-                }
-                server = new Server();
-                server.heardAt = countedMs;
-                servers.put(endpoint.server(), server);
-            }
-            server.endpoint = endpoint;
-            if (server.growth == null
-                    && terms.shared().contains(SharedLimit.Kind.SLOW_START)
-                    && share(countedMs, wallMs, server) < 1) {
-                var rule = deployment.slowStart();
-                server.growth =
-                        new WarmUpAllowance(
-                                (rule.windowMs() + terms.patienceMs()) * (1 + terms.drift()));
-                begin(
+        if (isShared(SharedLimit.Kind.TENANT_QUOTA)) {
+            for (Tenant tenant : deployment.tenants()) {
+                open(
                         countedMs,
                         wallMs,
-                        server.bound(),
-                        units(rule.startShare()),
-                        rule.windowMs(),
-                        false);
+                        SharedLimit.tenantQuota(tenant.name()),
+                        (int) tenant.queriesPerSecond(),
+                        QUOTA_WINDOW_MS);
             }
         }
     }
 
-    private void gone(Server server) {
-        warm(server);
-        servers.remove(server.endpoint.server());
+    private boolean isShared(SharedLimit.Kind kind) {
+        return settings.shared().contains(kind);
     }
 
-    private void warm(Server server) {
-        if (server.growth != null) {
-            server.growth = null;
-            session.end(server.bound());
-        }
+    private void open(
+            double countedMs, double wallMs, SharedLimit limit, int units, double windowMs) {
+        String name = LimitNames.of(limit);
+        session.openLimit(
+                countedMs, wallMs, name, settings.quotaTerms(name, units, windowMs, true));
     }
 
     /**
-     * Milliseconds of work that a cold server may be sent in a window: one core is the least that a
-     * server has.
+     * Takes an endpoint update, before the decisions do.
+     *
+     * @param complete whether servers that aren't in it are gone
      */
-    private int units(double share) {
-        var rule = deployment.slowStart();
-        return (int) (rule.overloadFactor() * share * rule.windowMs());
+    public void endpointsUpdated(
+            double countedMs, double wallMs, boolean complete, List<Endpoint> endpoints) {
+        slowStart.endpointsUpdated(countedMs, wallMs, complete, endpoints);
     }
 
     /**
-     * The share of its work that a server can surely do by now. It started before its start was
-     * heard of; what wall clocks say beyond that counts less by what they may be apart.
+     * A query came in.
+     *
+     * @param tenant null where the query names none
+     * @param shards of its parts
      */
-    private double share(double countedMs, double wallMs, Server server) {
-        double startedAt = server.endpoint.startedAtMs();
-        double age =
-                Math.max(countedMs - server.heardAt, wallMs - startedAt - terms.clocksOffMs())
-                        * (1 - terms.drift());
-        var rule = deployment.slowStart();
-        double warmth = Math.min(1, Math.max(0, age) / rule.warmAfterMs());
-        return startedAt <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmth;
-    }
-
-    /** This gatherer's part of what the bound has grown by. */
-    private int grown(double countedMs, double wallMs, Server server) {
-        int more =
-                units(share(countedMs, wallMs, server))
-                        - units(deployment.slowStart().startShare());
-        return more / terms.fleet().size();
-    }
-
-    // ---- What happens ----
-
-    /** A scan came in. */
-    public void taken(double countedMs, String customer, List<Integer> segments) {
-        if (customer != null) {
-            byCustomer.computeIfAbsent(customer, none -> new Rate()).add(countedMs, 1);
-        }
-        for (int segment : segments) {
-            for (int j = 0; j < deployment.layout().groupsPerShard(); j++) {
-                byCell[Math.floorMod(segment + j, byCell.length)].add(countedMs, 1);
-            }
+    public void queryReceived(double countedMs, String tenant, List<Integer> shards) {
+        if (tenant != null) {
+            queriesByTenant.computeIfAbsent(tenant, none -> new DemandRate()).add(countedMs, 1);
         }
+        slowStart.partsReceived(countedMs, shards);
     }
 
-    /** A dispatch to a server was written. */
-    public void sent(double countedMs, double wallMs, String server) {
-        session.counted(countedMs, wallMs, server, 1);
+    /** An attempt was written to a server. */
+    public void attemptSent(double countedMs, double wallMs, String server) {
+        session.recordSent(countedMs, wallMs, server, 1);
     }
 
-    /** A dispatch to a server ended, well or with what may be the server's fault. */
-    public void ended(double countedMs, double wallMs, String server, boolean well) {
-        Server known = servers.get(server);
-        if (known != null) {
-            session.saw(
-                    countedMs,
-                    wallMs,
-                    server,
-                    known.endpoint.zone(),
-                    known.endpoint.startedAtMs(),
-                    well);
+    /** An attempt ended, completed or with what may be the server's fault. */
+    public void attemptEnded(double countedMs, double wallMs, String server, boolean completed) {
+        Endpoint endpoint = slowStart.endpoint(server);
+        if (endpoint != null) {
+            session.recordAttempt(
+                    countedMs, wallMs, server, endpoint.zone(), endpoint.startedAtMs(), completed);
         }
     }
 
     /**
-     * Takes units of a bound.
+     * Takes units of a limit.
      *
-     * @return null, with nothing sent to be, if they aren't free; an empty leave where the bound
-     *     isn't shared
+     * @return null, with nothing taken, if they aren't free; an empty grant where the limit isn't
+     *     shared
      */
-    public Grant use(double countedMs, double wallMs, SharedLimit bound, int units) {
-        var permits = new ArrayList<Permit>();
-        int left = units;
-        String name = name(bound);
-        if (bound.kind() == SharedLimit.Kind.SLOW_START) {
-            Server server = servers.get(bound.subject());
-            if (server == null || server.growth == null) {
-                return new Grant(List.of());
-            }
-            pieceMs += 0.1 * (units - pieceMs);
-            name = server.bound();
-            int own =
-                    Math.min(left, server.growth.free(countedMs, grown(countedMs, wallMs, server)));
-            if (left - own > session.free(countedMs, wallMs, name)) {
-                return null;
-            }
-            if (own > 0) {
-                server.growth.use(countedMs, own);
-                permits.add(
-                        session.permit(
-                                countedMs, wallMs, terms.patienceMs() * (1 - terms.drift())));
-                left -= own;
-            }
-        } else if (!terms.shared().contains(bound.kind())
-                || bound.kind() == SharedLimit.Kind.TENANT_QUOTA
-                        && deployment.tenants().stream()
-                                .noneMatch(c -> c.name().equals(bound.subject()))) {
-            return new Grant(List.of());
+    public Grant consume(double countedMs, double wallMs, SharedLimit limit, int units) {
+        if (limit.kind() == SharedLimit.Kind.SLOW_START) {
+            return slowStart.consume(countedMs, wallMs, limit.subject(), units);
         }
-        if (left > 0) {
-            Permit permit = session.use(countedMs, wallMs, name, left);
-            if (permit == null) {
-                return null;
-            }
-            permits.add(permit);
+        if (!isShared(limit.kind()) || isUnknownTenant(limit) || units <= 0) {
+            return new Grant(List.of());
         }
-        return new Grant(permits);
+        Permit permit = session.consume(countedMs, wallMs, LimitNames.of(limit), units);
+        return permit == null ? null : new Grant(List.of(permit));
     }
 
-    /** Whether it may be written now; to be asked right before. */
-    public boolean holds(double countedMs, double wallMs, Grant leave) {
-        return leave.permits().stream()
-                .allMatch(permit -> session.holds(countedMs, wallMs, permit));
+    private boolean isUnknownTenant(SharedLimit limit) {
+        return limit.kind() == SharedLimit.Kind.TENANT_QUOTA
+                && deployment.tenants().stream()
+                        .noneMatch(tenant -> tenant.name().equals(limit.subject()));
     }
 
-    // ---- What is told ----
+    /** Whether what it was granted for may be written now; to be asked right before. */
+    public boolean isValid(double countedMs, double wallMs, Grant grant) {
+        return grant.permits().stream()
+                .allMatch(permit -> session.isValid(countedMs, wallMs, permit));
+    }
 
-    /** Looks at what is wanted, and at what others saw; a few times a second. */
+    /** States the demand on each limit and looks at others' observations; a few times a second. */
     public void tick(double countedMs, double wallMs) {
-        var found = new HashMap<String, Double>();
-        for (Server server : servers.values()) {
-            if (server.growth != null && share(countedMs, wallMs, server) >= 1) {
-                warm(server);
-            }
-            if (server.growth != null) {
-                int holders =
-                        (int)
-                                servers.values().stream()
-                                        .filter(
-                                                other ->
-                                                        other.endpoint.replicaGroup()
-                                                                        == server.endpoint
-                                                                                .replicaGroup()
-                                                                && other.endpoint.state()
-                                                                        == Endpoint.State.RUNNING)
-                                        .count();
-                double partsPerS = byCell[server.endpoint.replicaGroup()].perS(countedMs);
-                // One part at the least where any comes in: a segment's last holders are never all
-                // left aside.
-                double parts =
-                        partsPerS < 0.1 || server.endpoint.state() != Endpoint.State.RUNNING
-                                ? 0
-                                : Math.max(
-                                        1,
-                                        partsPerS
-                                                * deployment.slowStart().windowMs()
-                                                / 1000
-                                                / Math.max(1, holders));
-                session.want(
-                        server.bound(), (int) Math.ceil(parts * pieceMs), (int) Math.ceil(pieceMs));
-            }
-            double seen =
-                    session.opinion(
-                                    countedMs,
-                                    wallMs,
-                                    server.endpoint.server(),
-                                    server.endpoint.startedAtMs())
-                            .trouble();
-            if (seen >= LEAST_TROUBLE) {
-                // In tenths: a new word for each thousandth would tell nobody anything.
-                found.put(server.endpoint.server(), Math.round(10 * seen) / 10.0);
-            }
-        }
-        trouble = Map.copyOf(found);
-        byCustomer.forEach(
-                (customer, rate) ->
-                        session.want(
-                                name(SharedLimit.tenantQuota(customer)),
-                                (int)
-                                        Math.ceil(
-                                                1.25
-                                                        * rate.perS(countedMs)
-                                                        * CUSTOMER_WINDOW_MS
-                                                        / 1000),
-                                1));
-        if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
-            CoordinationSession.Held held =
-                    session.held(countedMs, wallMs, name(SharedLimit.RETRIES));
-            // Refusals aren't seen here: who has used up all that it holds is taken to want as much
-            // again.
-            session.want(
-                    name(SharedLimit.RETRIES),
-                    held.free() == 0 ? 2 * held.used() + 1 : (int) Math.ceil(1.25 * held.used()),
-                    1);
+        slowStart.tick(countedMs, wallMs);
+        failureScores = failureScores(countedMs, wallMs);
+        queriesByTenant.forEach(
+                (tenant, rate) -> {
+                    double queries =
+                            DEMAND_MARGIN * rate.perSecond(countedMs) * QUOTA_WINDOW_MS / 1000;
+                    session.setDemand(
+                            LimitNames.of(SharedLimit.tenantQuota(tenant)),
+                            (int) Math.ceil(queries),
+                            1);
+                });
+        if (isShared(SharedLimit.Kind.RETRIES)) {
+            setDemandOfRetries(countedMs, wallMs);
         }
     }
 
-    /** What the decisions are to know now. */
-    public ClusterView others(double countedMs, double wallMs) {
-        var room = new HashMap<SharedLimit, Integer>();
-        for (Server server : servers.values()) {
-            if (server.growth != null) {
-                room.put(
-                        SharedLimit.slowStart(server.endpoint.server()),
-                        session.free(countedMs, wallMs, server.bound())
-                                + server.growth.free(countedMs, grown(countedMs, wallMs, server)));
+    /**
+     * Refused retries aren't seen here: a gatherer that has used up all that it holds is taken to
+     * want as much again.
+     */
+    private void setDemandOfRetries(double countedMs, double wallMs) {
+        String name = LimitNames.of(SharedLimit.RETRIES);
+        CoordinationSession.LimitStatus status = session.limitStatus(countedMs, wallMs, name);
+        int demand =
+                status.free() == 0
+                        ? 2 * status.used() + 1
+                        : (int) Math.ceil(DEMAND_MARGIN * status.used());
+        session.setDemand(name, demand, 1);
+    }
+
+    private Map<String, Double> failureScores(double countedMs, double wallMs) {
+        var scores = new HashMap<String, Double>();
+        for (Endpoint endpoint : slowStart.endpoints()) {
+            double score =
+                    session.assess(countedMs, wallMs, endpoint.server(), endpoint.startedAtMs())
+                            .failureScore();
+            if (score >= MIN_FAILURE_SCORE) {
+                // In tenths: a new view for each thousandth would help no decision.
+                scores.put(endpoint.server(), Math.round(10 * score) / 10.0);
             }
         }
-        if (terms.shared().contains(SharedLimit.Kind.TENANT_QUOTA)) {
+        return Map.copyOf(scores);
+    }
+
+    /** What the decisions are to know now. */
+    public ClusterView clusterView(double countedMs, double wallMs) {
+        var allowances = new HashMap<SharedLimit, Integer>();
+        slowStart
+                .freeUnits(countedMs, wallMs)
+                .forEach((server, units) -> allowances.put(SharedLimit.slowStart(server), units));
+        if (isShared(SharedLimit.Kind.TENANT_QUOTA)) {
             for (Tenant tenant : deployment.tenants()) {
-                SharedLimit bound = SharedLimit.tenantQuota(tenant.name());
-                room.put(bound, session.free(countedMs, wallMs, name(bound)));
+                putFreeUnits(allowances, countedMs, wallMs, SharedLimit.tenantQuota(tenant.name()));
             }
         }
-        if (terms.shared().contains(SharedLimit.Kind.RETRIES)) {
-            room.put(
-                    SharedLimit.RETRIES,
-                    session.free(countedMs, wallMs, name(SharedLimit.RETRIES)));
+        if (isShared(SharedLimit.Kind.RETRIES)) {
+            putFreeUnits(allowances, countedMs, wallMs, SharedLimit.RETRIES);
         }
-        return new ClusterView(session.there() + 1, room, trouble);
+        return new ClusterView(session.aliveCount() + 1, allowances, failureScores);
+    }
+
+    private void putFreeUnits(
+            Map<SharedLimit, Integer> allowances,
+            double countedMs,
+            double wallMs,
+            SharedLimit limit) {
+        allowances.put(limit, session.freeUnits(countedMs, wallMs, LimitNames.of(limit)));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
@@ -4,8 +4,9 @@
 import sprucehold.cluster.quota.Permit;
 
 /**
- * Leave for one dispatch, or one scan: all permits that it rests on have to hold when it is
- * written.
+ * What one attempt, or one query, rests on.
+ *
+ * @param permits all have to be valid when it is written
  */
 public record Grant(List<Permit> permits) {
     public Grant {
--- a/cluster/src/main/java/sprucehold/cluster/allowance/WarmUpAllowance.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/WarmUpAllowance.java
@@ -3,32 +3,32 @@
 import java.util.ArrayDeque;
 
 /**
- * What a bound grows by as a server warms up, this gatherer's equal part of it: its own for good,
- * and never lent. A use counts as long as one of a ledger does, so that any window holds no more
- * uses than there are units at its end.
+ * This gatherer's equal part of the units by which a limit grows while a server warms up: its own,
+ * and never lent. A use counts as long as one of a ledger does, so that no window holds more uses
+ * than there are units at its end.
  */
 final class WarmUpAllowance {
-    private record Used(double countsUntil, int units) {}
+    private record Usage(double countsUntilMs, int units) {}
 
-    private final double countedMs;
-    private final ArrayDeque<Used> used = new ArrayDeque<>();
+    private final double usageCountsMs;
+    private final ArrayDeque<Usage> usages = new ArrayDeque<>();
 
     /**
-     * @param countedMs how long a use counts, by the slow clock
+     * @param usageCountsMs how long a use counts, in milliseconds of the monotonic clock
      */
-    WarmUpAllowance(double countedMs) {
-        this.countedMs = countedMs;
+    WarmUpAllowance(double usageCountsMs) {
+        this.usageCountsMs = usageCountsMs;
     }
 
     /** Units free of so many. */
-    int free(double slowMs, int units) {
-        while (!used.isEmpty() && used.peek().countsUntil <= slowMs) {
-            used.poll();
+    int free(double nowMs, int units) {
+        while (!usages.isEmpty() && usages.peek().countsUntilMs <= nowMs) {
+            usages.poll();
         }
-        return Math.max(0, units - used.stream().mapToInt(Used::units).sum());
+        return Math.max(0, units - usages.stream().mapToInt(Usage::units).sum());
     }
 
-    void use(double slowMs, int units) {
-        used.add(new Used(slowMs + countedMs, units));
+    void consume(double nowMs, int units) {
+        usages.add(new Usage(nowMs + usageCountsMs, units));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
@@ -18,10 +18,10 @@
      * Lives of one gatherer that are told apart; earlier ones are kept as one sum, to which late
      * news add nothing.
      */
-    private static final int LIVES = 4;
+    private static final int MAX_GENERATIONS = 4;
 
     /** Differences between two pieces of news closer than that tell no rate. */
-    private static final double LEAST_SPAN_MS = 200;
+    private static final double MIN_RATE_SPAN_MS = 200;
 
     /** One gatherer's totals of one key. */
     private static final class Line {
@@ -42,8 +42,8 @@
     }
 
     private final String self;
-    private final long life;
-    private final double halfMs;
+    private final long generation;
+    private final double halfLifeMs;
     private final Map<String, Map<String, Line>> byKey = new TreeMap<>();
     private final Map<String, Double> changedMs = new HashMap<>();
 
@@ -52,22 +52,22 @@
      */
     public CounterTable(String self, long life, double halfMs) {
         this.self = self;
-        this.life = life;
-        this.halfMs = halfMs;
+        this.generation = life;
+        this.halfLifeMs = halfMs;
     }
 
     /** Counts up this gatherer's own. */
     public void add(double nowMs, String key, long units) {
-        Long own = line(key, self).byLife.get(life);
-        take(nowMs, new CounterValue(self, life, key, (own == null ? 0 : own) + units));
+        Long own = line(key, self).byLife.get(generation);
+        merge(nowMs, new CounterValue(self, generation, key, (own == null ? 0 : own) + units));
         changedMs.put(key, nowMs);
     }
 
     /** Takes news of another, or what came back of its own. */
-    public void heard(double nowMs, CounterValue count) {
+    public void receive(double nowMs, CounterValue count) {
         // Nobody else counts for this life.
-        if (!count.gatherer().equals(self) || count.life() != life) {
-            take(nowMs, count);
+        if (!count.gatherer().equals(self) || count.generation() != generation) {
+            merge(nowMs, count);
         }
     }
 
@@ -76,19 +76,19 @@
                 .computeIfAbsent(gatherer, none -> new Line());
     }
 
-    private void take(double nowMs, CounterValue count) {
+    private void merge(double nowMs, CounterValue count) {
         Line line = line(count.key(), count.gatherer());
-        if (count.life() <= line.earliest
-                || count.total() <= line.byLife.getOrDefault(count.life(), 0L)) {
+        if (count.generation() <= line.earliest
+                || count.total() <= line.byLife.getOrDefault(count.generation(), 0L)) {
             return;
         }
-        line.byLife.put(count.life(), count.total());
-        while (line.byLife.size() > LIVES) {
+        line.byLife.put(count.generation(), count.total());
+        while (line.byLife.size() > MAX_GENERATIONS) {
             var first = line.byLife.pollFirstEntry();
             line.earlier += first.getValue();
             line.earliest = first.getKey();
         }
-        if (Double.isNaN(line.lastMs) || nowMs - line.lastMs >= LEAST_SPAN_MS) {
+        if (Double.isNaN(line.lastMs) || nowMs - line.lastMs >= MIN_RATE_SPAN_MS) {
             line.before = line.last;
             line.beforeMs = line.lastMs;
             line.lastMs = nowMs;
@@ -113,8 +113,8 @@
                 double rate =
                         1000
                                 * (line.last - line.before)
-                                / Math.max(LEAST_SPAN_MS, line.lastMs - line.beforeMs);
-                sum += rate * Math.pow(0.5, Math.max(0, nowMs - line.lastMs) / halfMs);
+                                / Math.max(MIN_RATE_SPAN_MS, line.lastMs - line.beforeMs);
+                sum += rate * Math.pow(0.5, Math.max(0, nowMs - line.lastMs) / halfLifeMs);
             }
         }
         return sum;
@@ -124,7 +124,7 @@
      * This gatherer's own counts, those first that changed last: what fits into a message goes
      * along.
      */
-    public List<CounterValue> own(int most) {
+    public List<CounterValue> ownCounters(int most) {
         var own = new ArrayList<CounterValue>();
         changedMs.entrySet().stream()
                 .sorted(
@@ -136,9 +136,9 @@
                                 own.add(
                                         new CounterValue(
                                                 self,
-                                                life,
+                                                generation,
                                                 one.getKey(),
-                                                line(one.getKey(), self).byLife.get(life))));
+                                                line(one.getKey(), self).byLife.get(generation))));
         return own;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/counter/CounterValue.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterValue.java
@@ -4,8 +4,8 @@
  * How much one life of a gatherer has counted of one thing.
  *
  * @param gatherer its name
- * @param life grows with each start under this name
+ * @param generation grows with each start under this name
  * @param key what is counted, such as a shard server or a customer
  * @param total units since the life began; it only grows
  */
-public record CounterValue(String gatherer, long life, String key, long total) {}
+public record CounterValue(String gatherer, long generation, String key, long total) {}
--- a/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
@@ -17,25 +17,25 @@
  */
 public final class EvidenceTable {
     /** Sightings fade by half in so long: about what a queue takes to fill or to drain. */
-    static final double HALF_MS = 5000;
+    static final double HALF_LIFE_MS = 5000;
 
     /** Below so much seen a sighting tells nothing: two dispatches may be chance. */
-    private static final double LEAST_SEEN = 2;
+    private static final double MIN_ATTEMPTS = 2;
 
     /** Observers that it takes at the least: one may lie or be cut off, two may share a switch. */
-    static final int LEAST_OBSERVERS = 3;
+    static final int MIN_OBSERVERS = 3;
 
     /**
      * Where an observer sees this share of a site's servers failing, it says nothing of any of
      * them.
      */
-    private static final double OWN_FAULT = 0.5;
+    private static final double OBSERVER_FAULT_SHARE = 0.5;
 
     /** Servers of a site that an observer has to have seen before that can be told. */
-    private static final int LEAST_SERVERS = 3;
+    private static final int MIN_SERVERS_OF_SITE = 3;
 
     /** An observer not heard of for so long has nothing to say any more. */
-    private static final double FORGET_MS = 8 * HALF_MS;
+    private static final double EXPIRY_MS = 8 * HALF_LIFE_MS;
 
     private static final class Own {
         final String server;
@@ -50,7 +50,7 @@
         }
 
         void fade(double nowMs) {
-            double left = Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_MS);
+            double left = Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_LIFE_MS);
             good *= left;
             bad *= left;
             atMs = nowMs;
@@ -59,15 +59,15 @@
 
     private record Heard(Observation sighting, double atMs) {
         double fading(double nowMs) {
-            return Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_MS);
+            return Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_LIFE_MS);
         }
 
         boolean tells(double nowMs) {
-            return (sighting.good() + sighting.bad()) * fading(nowMs) >= LEAST_SEEN;
+            return (sighting.successes() + sighting.failures()) * fading(nowMs) >= MIN_ATTEMPTS;
         }
 
         double share() {
-            return sighting.bad() / (sighting.good() + sighting.bad());
+            return sighting.failures() / (sighting.successes() + sighting.failures());
         }
     }
 
@@ -75,7 +75,7 @@
     private final String site;
     private final Map<String, Own> own = new LinkedHashMap<>();
     private final Map<String, Map<String, Heard>> byObserver = new TreeMap<>();
-    private long number;
+    private long sequenceNumber;
 
     public EvidenceTable(String self, String site) {
         this.self = self;
@@ -83,7 +83,7 @@
     }
 
     /** Notes how a dispatch of this gatherer's ended. */
-    public void saw(
+    public void recordAttempt(
             double nowMs, String server, String serverSite, double startedAtMs, boolean well) {
         Own seen = own.computeIfAbsent(server, Own::new);
         if (seen.startedAtMs != startedAtMs) {
@@ -104,11 +104,11 @@
      * This gatherer's sightings that tell something, the worst first: what fits into a message goes
      * along.
      */
-    public List<Observation> tell(double nowMs, int most) {
+    public List<Observation> observationsToSend(double nowMs, int most) {
         own.values().forEach(seen -> seen.fade(nowMs));
         own.values().removeIf(seen -> seen.good + seen.bad < 0.1);
         return own.values().stream()
-                .filter(seen -> seen.good + seen.bad >= LEAST_SEEN)
+                .filter(seen -> seen.good + seen.bad >= MIN_ATTEMPTS)
                 .sorted((one, other) -> Double.compare(other.bad, one.bad))
                 .limit(most)
                 .map(
@@ -121,7 +121,7 @@
                                         seen.startedAtMs,
                                         seen.good,
                                         seen.bad,
-                                        ++number))
+                                        ++sequenceNumber))
                 .toList();
     }
 
@@ -129,11 +129,11 @@
      * Takes another's sighting; of one observer and server only the latest counts, and nobody tells
      * of this gatherer's own.
      */
-    public void heard(double nowMs, Observation sighting) {
+    public void receive(double nowMs, Observation sighting) {
         boolean sound =
-                sighting.good() >= 0
-                        && sighting.bad() >= 0
-                        && Double.isFinite(sighting.good() + sighting.bad());
+                sighting.successes() >= 0
+                        && sighting.failures() >= 0
+                        && Double.isFinite(sighting.successes() + sighting.failures());
         if (sighting.observer().equals(self) || !sound) {
             return;
         }
@@ -143,15 +143,17 @@
                         sighting.server(),
                         new Heard(sighting, nowMs),
                         (old, latest) ->
-                                latest.sighting.number() > old.sighting.number() ? latest : old);
+                                latest.sighting.sequenceNumber() > old.sighting.sequenceNumber()
+                                        ? latest
+                                        : old);
         byObserver
                 .values()
-                .forEach(seen -> seen.values().removeIf(heard -> nowMs - heard.atMs > FORGET_MS));
+                .forEach(seen -> seen.values().removeIf(heard -> nowMs - heard.atMs > EXPIRY_MS));
         byObserver.values().removeIf(Map::isEmpty);
     }
 
     /** Those who are there; what others told before they went counts no more. */
-    public void there(Collection<String> observers) {
+    public void retainObservers(Collection<String> observers) {
         byObserver.keySet().retainAll(observers);
     }
 
@@ -162,7 +164,7 @@
      *
      * @param startedAtMs when this gatherer's list says that the server started
      */
-    public FailureAssessment of(double nowMs, String server, double startedAtMs) {
+    public FailureAssessment assess(double nowMs, String server, double startedAtMs) {
         var shares = new ArrayList<Double>();
         Set<String> sites = new HashSet<>();
         Set<String> allSites = new HashSet<>(Set.of(site));
@@ -172,12 +174,12 @@
             if (heard != null
                     && heard.sighting.serverStartedAtMs() == startedAtMs
                     && heard.tells(nowMs)
-                    && !ownFault(nowMs, seen, heard.sighting.serverSite())) {
+                    && !isObserverFault(nowMs, seen, heard.sighting.serverSite())) {
                 shares.add(heard.share());
                 sites.add(heard.sighting.observerSite());
             }
         }
-        if (shares.size() < LEAST_OBSERVERS || sites.size() < Math.min(2, allSites.size())) {
+        if (shares.size() < MIN_OBSERVERS || sites.size() < Math.min(2, allSites.size())) {
             return new FailureAssessment(0, shares.size(), sites.size());
         }
         shares.sort(null);
@@ -189,7 +191,8 @@
     /**
      * Whether an observer sees so many servers of a site failing that the way there is at fault.
      */
-    private static boolean ownFault(double nowMs, Map<String, Heard> seen, String serverSite) {
+    private static boolean isObserverFault(
+            double nowMs, Map<String, Heard> seen, String serverSite) {
         List<Heard> there =
                 seen.values().stream()
                         .filter(
@@ -198,6 +201,7 @@
                                                 && heard.tells(nowMs))
                         .toList();
         long failing = there.stream().filter(heard -> heard.share() > 0.5).count();
-        return there.size() >= LEAST_SERVERS && failing >= OWN_FAULT * there.size();
+        return there.size() >= MIN_SERVERS_OF_SITE
+                && failing >= OBSERVER_FAULT_SHARE * there.size();
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/evidence/FailureAssessment.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/FailureAssessment.java
@@ -3,12 +3,12 @@
 /**
  * What others' sightings of a server come to.
  *
- * @param trouble from 0, nothing is known against it, to 1, all who may be believed saw only
+ * @param failureScore from 0, nothing is known against it, to 1, all who may be believed saw only
  *     failures
  * @param observers how many independent ones it rests on
  * @param sites how many sites they stand in
  */
-public record FailureAssessment(double trouble, int observers, int sites) {
+public record FailureAssessment(double failureScore, int observers, int sites) {
     /** Nothing is known. */
     public static final FailureAssessment NONE = new FailureAssessment(0, 0, 0);
 }
--- a/cluster/src/main/java/sprucehold/cluster/evidence/Observation.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/Observation.java
@@ -9,9 +9,9 @@
  * @param serverSite where the server stands
  * @param serverStartedAtMs Unix time in milliseconds at which the server started, as the observer's
  *     list had it: what was seen of another life of the server tells nothing of this one
- * @param good dispatches that ended well, fading
- * @param bad dispatches that failed or were late, fading
- * @param number grows with each sighting of one observer: of two the later counts
+ * @param successes dispatches that ended well, fading
+ * @param failures dispatches that failed or were late, fading
+ * @param sequenceNumber grows with each sighting of one observer: of two the later counts
  */
 public record Observation(
         String observer,
@@ -19,6 +19,6 @@
         String server,
         String serverSite,
         double serverStartedAtMs,
-        double good,
-        double bad,
-        long number) {}
+        double successes,
+        double failures,
+        long sequenceNumber) {}
--- /dev/null
+++ b/cluster/src/main/java/sprucehold/cluster/membership/FailureProbes.java
@@ -0,0 +1,154 @@
+package sprucehold.cluster.membership;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.function.Consumer;
+
+/**
+ * SWIM's failure detection (Das, Gupta, Motivala 2002): each period one other member is pinged, in
+ * randomised round robin; one that doesn't answer is pinged through others before it counts as
+ * failed.
+ */
+final class FailureProbes {
+    /** A round trip takes less within an installation unless something is wrong. */
+    private static final double DIRECT_TIMEOUT_MS = 300;
+
+    /** A probe made for another member is forgotten after so many periods. */
+    private static final double FORWARDED_PERIODS = 3;
+
+    private static final class Probe {
+        final String target;
+        final double sentAtMs;
+        boolean indirectSent;
+
+        Probe(String target, double sentAtMs) {
+            this.target = target;
+            this.sentAtMs = sentAtMs;
+        }
+    }
+
+    /** An indirect probe made for another member, which gave its own number to it. */
+    private record Forwarded(String requester, long sequenceNumber, double sentAtMs) {}
+
+    private final double periodMs;
+    private final int indirectProbes;
+    private final MemberList members;
+    private final Dissemination dissemination;
+    private final LocalHealth health;
+    private final Random random;
+    private final Map<Long, Probe> pending = new LinkedHashMap<>();
+    private final Map<Long, Forwarded> forwarded = new LinkedHashMap<>();
+    private final Deque<String> round = new ArrayDeque<>();
+
+    /**
+     * @param periodMs SWIM's protocol period
+     * @param indirectProbes SWIM's k: members asked to probe one that doesn't answer
+     */
+    FailureProbes(
+            double periodMs,
+            int indirectProbes,
+            MemberList members,
+            Dissemination dissemination,
+            LocalHealth health,
+            Random random) {
+        this.periodMs = periodMs;
+        this.indirectProbes = indirectProbes;
+        this.members = members;
+        this.dissemination = dissemination;
+        this.health = health;
+        this.random = random;
+    }
+
+    /** Forgets probes that were sent before this process was held up. */
+    void clear() {
+        pending.clear();
+    }
+
+    /**
+     * Probes the next member of the round.
+     *
+     * @return false if no other member is active
+     */
+    boolean probeNext(double nowMs, List<FailureDetector.Outgoing> out) {
+        while (!round.isEmpty() && !members.isActive(round.peek())) {
+            round.poll();
+        }
+        if (round.isEmpty()) {
+            List<String> next = new ArrayList<>(members.active());
+            Collections.shuffle(next, random);
+            round.addAll(next);
+        }
+        String target = round.poll();
+        if (target == null) {
+            return false;
+        }
+        long sequenceNumber = dissemination.nextSequenceNumber();
+        pending.put(sequenceNumber, new Probe(target, nowMs));
+        out.add(dissemination.ping(target, sequenceNumber));
+        return true;
+    }
+
+    /**
+     * Looks at the probes that are not answered yet.
+     *
+     * @param failed takes each member whose probe has failed
+     */
+    void checkPending(double nowMs, List<FailureDetector.Outgoing> out, Consumer<String> failed) {
+        for (Map.Entry<Long, Probe> entry : List.copyOf(pending.entrySet())) {
+            Probe probe = entry.getValue();
+            double ageMs = nowMs - probe.sentAtMs;
+            if (!probe.indirectSent && ageMs >= health.stretched(DIRECT_TIMEOUT_MS)) {
+                probe.indirectSent = true;
+                requestIndirect(entry.getKey(), probe.target, out);
+            }
+            if (ageMs >= health.stretched(periodMs)) {
+                pending.remove(entry.getKey());
+                health.probeFailed();
+                failed.accept(probe.target);
+            }
+        }
+        forwarded.values().removeIf(probe -> nowMs - probe.sentAtMs > FORWARDED_PERIODS * periodMs);
+    }
+
+    private void requestIndirect(
+            long sequenceNumber, String target, List<FailureDetector.Outgoing> out) {
+        List<String> helpers = new ArrayList<>(members.active());
+        helpers.remove(target);
+        Collections.shuffle(helpers, random);
+        for (String helper : helpers.subList(0, Math.min(indirectProbes, helpers.size()))) {
+            out.add(
+                    new FailureDetector.Outgoing(
+                            helper,
+                            new MemberMessage.PingRequest(
+                                    sequenceNumber, target, dissemination.updatesFor(helper))));
+        }
+    }
+
+    /** Probes a member for another one. */
+    void probeFor(
+            String requester,
+            MemberMessage.PingRequest request,
+            double nowMs,
+            List<FailureDetector.Outgoing> out) {
+        long sequenceNumber = dissemination.nextSequenceNumber();
+        forwarded.put(sequenceNumber, new Forwarded(requester, request.sequenceNumber(), nowMs));
+        out.add(dissemination.ping(request.target(), sequenceNumber));
+    }
+
+    /** Takes the answer to a probe, its own or one made for another member. */
+    void answered(long sequenceNumber, List<FailureDetector.Outgoing> out) {
+        if (pending.remove(sequenceNumber) != null) {
+            health.probeAnswered();
+        }
+        Forwarded probe = forwarded.remove(sequenceNumber);
+        if (probe != null) {
+            out.add(dissemination.ack(probe.requester, probe.sequenceNumber));
+        }
+    }
+}
--- a/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
@@ -5,105 +5,114 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * News that go along with messages, those least often sent first, each so often that most likely
- * all have heard it. Of trouble before all else: while a whole fleet starts, who has come is told
- * by tables anyway, and a suspicion that waits behind a thousand arrivals is refuted too late.
+ * Updates that ride on messages, the least often sent first (SWIM; Das, Gupta, Motivala 2002), each
+ * until most likely all members have received it. Suspicions and refutations go before arrivals:
+ * while a whole fleet starts, arrivals are spread by table exchange anyway, and a suspicion that
+ * waits behind a thousand of them is refuted too late.
  */
 final class GossipQueue {
     /**
-     * Times the binary logarithm of the size: suspicions and refutations must reach all, over a
-     * network that loses some.
+     * Sends of an urgent update, times the binary logarithm of the number of members: it must reach
+     * all over a network that loses messages.
      */
     private static final int URGENT_SENDS = 3;
 
-    private static final int USUAL_SENDS = 1;
+    /** The same of an arrival. */
+    private static final int ARRIVAL_SENDS = 1;
 
-    /**
-     * Of a message's pieces, so many are left to who has come, so that trouble without end doesn't
-     * hide that.
-     */
-    private static final int LEFT_FOR_USUAL = 2;
+    /** Places of a message left to arrivals, so that failures without end don't hide them. */
+    private static final int PLACES_FOR_ARRIVALS = 2;
 
-    private static final class Rumour {
+    private static final class Queued {
         final MemberUpdate update;
-        int sent;
+        int sends;
 
-        Rumour(MemberUpdate update) {
+        Queued(MemberUpdate update) {
             this.update = update;
         }
 
-        /** An arrival: neither blamed nor the answer to a blame. */
-        boolean usual() {
+        /** Neither a suspicion nor the answer to one. */
+        boolean isArrival() {
             return update.state() == MemberUpdate.State.ALIVE && update.incarnation() == 0;
         }
+
+        int maxSends(double logOfMembers) {
+            int factor = isArrival() ? ARRIVAL_SENDS : URGENT_SENDS;
+            return (int) Math.ceil(factor * logOfMembers);
+        }
     }
 
-    private final Map<String, Rumour> byName = new HashMap<>();
-    private final TreeMap<Integer, LinkedHashSet<Rumour>> urgent = new TreeMap<>();
-    private final TreeMap<Integer, LinkedHashSet<Rumour>> usual = new TreeMap<>();
+    private final Map<String, Queued> byName = new HashMap<>();
+
+    /** By number of sends, the fewest first. */
+    private final Map<Integer, Set<Queued>> urgent = new TreeMap<>();
+
+    /** By number of sends, the fewest first. */
+    private final Map<Integer, Set<Queued>> arrivals = new TreeMap<>();
 
-    private TreeMap<Integer, LinkedHashSet<Rumour>> of(Rumour rumour) {
-        return rumour.usual() ? usual : urgent;
+    private Map<Integer, Set<Queued>> queueOf(Queued queued) {
+        return queued.isArrival() ? arrivals : urgent;
     }
 
-    private void put(Rumour rumour) {
-        of(rumour).computeIfAbsent(rumour.sent, none -> new LinkedHashSet<>()).add(rumour);
+    private void put(Queued queued) {
+        queueOf(queued).computeIfAbsent(queued.sends, none -> new LinkedHashSet<>()).add(queued);
     }
 
-    private void take(Rumour rumour) {
-        LinkedHashSet<Rumour> alike = of(rumour).get(rumour.sent);
-        alike.remove(rumour);
-        if (alike.isEmpty()) {
-            of(rumour).remove(rumour.sent);
+    private void remove(Queued queued) {
+        Set<Queued> sameSends = queueOf(queued).get(queued.sends);
+        sameSends.remove(queued);
+        if (sameSends.isEmpty()) {
+            queueOf(queued).remove(queued.sends);
         }
     }
 
-    /** Takes news; what was to be told of the same name is told no more. */
+    /** Queues an update in place of an earlier one of the same name. */
     void add(MemberUpdate update) {
-        var rumour = new Rumour(update);
-        Rumour before = byName.put(update.name(), rumour);
+        var queued = new Queued(update);
+        Queued before = byName.put(update.name(), queued);
         if (before != null) {
-            take(before);
+            remove(before);
         }
-        put(rumour);
+        put(queued);
     }
 
     /**
-     * The next to tell, which then count as told once more.
+     * The next updates to send, which then count as sent once more.
      *
-     * @param most how many at most
+     * @param max how many at most
      * @param members how many there are to reach
      */
-    List<MemberUpdate> next(int most, int members) {
-        var next = new ArrayList<Rumour>();
-        first(urgent, usual.isEmpty() ? most : Math.max(1, most - LEFT_FOR_USUAL), next);
-        first(usual, most, next);
-        first(urgent, most, next);
-        double sizes = Math.log(members + 2) / Math.log(2);
-        for (Rumour rumour : next) {
-            take(rumour);
-            rumour.sent++;
-            if (rumour.sent < Math.ceil((rumour.usual() ? USUAL_SENDS : URGENT_SENDS) * sizes)) {
-                put(rumour);
+    List<MemberUpdate> next(int max, int members) {
+        var next = new ArrayList<Queued>();
+        int urgentPlaces = arrivals.isEmpty() ? max : Math.max(1, max - PLACES_FOR_ARRIVALS);
+        fill(next, urgent, urgentPlaces);
+        fill(next, arrivals, max);
+        fill(next, urgent, max);
+        double logOfMembers = Math.log(members + 2) / Math.log(2);
+        for (Queued queued : next) {
+            remove(queued);
+            queued.sends++;
+            if (queued.sends < queued.maxSends(logOfMembers)) {
+                put(queued);
             } else {
-                byName.remove(rumour.update.name());
+                byName.remove(queued.update.name());
             }
         }
-        return next.stream().map(rumour -> rumour.update).toList();
+        return next.stream().map(queued -> queued.update).toList();
     }
 
-    private static void first(
-            TreeMap<Integer, LinkedHashSet<Rumour>> of, int most, List<Rumour> into) {
-        for (LinkedHashSet<Rumour> alike : of.values()) {
-            for (Rumour rumour : alike) {
-                if (into.size() >= most) {
+    private static void fill(List<Queued> next, Map<Integer, Set<Queued>> queue, int max) {
+        for (Set<Queued> sameSends : queue.values()) {
+            for (Queued queued : sameSends) {
+                if (next.size() >= max) {
                     return;
                 }
-                if (!into.contains(rumour)) {
-                    into.add(rumour);
+                if (!next.contains(queued)) {
+                    next.add(queued);
                 }
             }
         }
--- a/cluster/src/main/java/sprucehold/cluster/membership/MemberMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/MemberMessage.java
@@ -2,27 +2,28 @@
 
 import java.util.List;
 
-/** What gatherers say to each other of who is there. Each carries some news along. */
+/** What members send each other about membership. Each message carries some updates. */
 public sealed interface MemberMessage {
-    /** News that go along; a few, so that a message stays within a datagram. */
-    List<MemberUpdate> news();
+    /** Updates that ride on it; a few, so that a message stays within a datagram. */
+    List<MemberUpdate> updates();
 
-    /** Are you there? */
-    record Ping(long number, List<MemberUpdate> news) implements MemberMessage {}
+    /** Asks the receiver for an {@link Ack}. */
+    record Ping(long sequenceNumber, List<MemberUpdate> updates) implements MemberMessage {}
 
-    /** Yes. */
-    record Ack(long number, List<MemberUpdate> news) implements MemberMessage {}
+    /** Answers a ping. */
+    record Ack(long sequenceNumber, List<MemberUpdate> updates) implements MemberMessage {}
 
-    /** Ask another for me, whom I can't hear. */
-    record PingFor(long number, String target, List<MemberUpdate> news) implements MemberMessage {}
+    /** Asks the receiver to ping a target that doesn't answer the sender: an indirect probe. */
+    record PingRequest(long sequenceNumber, String target, List<MemberUpdate> updates)
+            implements MemberMessage {}
 
-    /** Do we believe the same? Whoever believes something else answers with all that it knows. */
-    record Compare(long digest, List<MemberUpdate> news) implements MemberMessage {}
+    /** The sender's digest; a receiver with another one answers with its table. */
+    record CompareDigest(long digest, List<MemberUpdate> updates) implements MemberMessage {}
 
     /**
-     * All that is known; may be longer than a datagram.
+     * All that the sender knows; may be longer than a datagram.
      *
-     * @param back whether what the receiver knows beyond it is wanted in return
+     * @param replyWanted whether the receiver is to send back what it knows beyond it
      */
-    record Table(boolean back, List<MemberUpdate> news) implements MemberMessage {}
+    record MemberTable(boolean replyWanted, List<MemberUpdate> updates) implements MemberMessage {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/membership/MemberUpdate.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/MemberUpdate.java
@@ -1,49 +1,77 @@
 package sprucehold.cluster.membership;
 
 /**
- * What one gatherer says of another, or of itself. Of two pieces of news of one name the greater
- * counts, whoever brought it and in whatever order: the later life; in one life the higher
- * incarnation; in one incarnation the worse state. So news may be lost, doubled and late, and all
- * who have heard the same pieces believe the same.
+ * One gatherer's state as another, or it itself, states it. Of two updates about one name the
+ * greater wins, whoever sent it and in whatever order: first the later generation, then the higher
+ * incarnation, then the worse state. Updates may therefore be lost, repeated and late; all who have
+ * received the same ones hold the same state.
  *
  * @param name of the gatherer
  * @param site it stands in
- * @param life grows with each start under this name
+ * @param generation grows with each start under this name
  * @param incarnation raised by the gatherer itself, and nobody else, to refute a suspicion
  */
-public record MemberUpdate(String name, String site, long life, int incarnation, State state) {
-    /** What a gatherer is held to be, the better first. */
+public record MemberUpdate(
+        String name, String site, long generation, int incarnation, State state) {
+    /** State of a member, the better first: the order decides which update wins. */
     public enum State {
         /** It answers, or nobody has found that it doesn't. */
-        ALIVE,
-        /** Somebody had no answer; it has time to refute that. */
-        SUSPECT,
-        /** It hasn't refuted it in time. It may still be there, cut off. */
-        DEAD,
-        /** It said that it goes. */
-        LEFT;
-
-        /** Whether it is asked and lent to. */
-        public boolean counts() {
+        ALIVE("ALIVE"),
+        /** Some member had no answer from it; it has time to refute that. */
+        SUSPECT("SUSPECT"),
+        /** It didn't refute the suspicion in time. It may still run, cut off from the others. */
+        DEAD("DEAD"),
+        /** It announced that it leaves. */
+        LEFT("LEFT");
+
+        private final String storedName;
+
+        State(String storedName) {
+            this.storedName = storedName;
+        }
+
+        /** The name that peer messages and the status in JSON hold. */
+        public String storedName() {
+            return storedName;
+        }
+
+        /**
+         * The constant of that stored name.
+         *
+         * @throws IllegalArgumentException if none has it
+         */
+        public static State ofStoredName(String name) {
+            for (State state : values()) {
+                if (state.storedName.equals(name)) {
+                    return state;
+                }
+            }
+            throw new IllegalArgumentException("unknown state: " + name);
+        }
+
+        /** Whether a member in this state is probed and asked for leases. */
+        public boolean isActive() {
             return this == ALIVE || this == SUSPECT;
         }
     }
 
-    /** Whether this counts and the other no more. */
-    public boolean beats(MemberUpdate other) {
-        if (life != other.life) {
-            return life > other.life;
+    /** Whether this update wins over the other one of the same name. */
+    public boolean supersedes(MemberUpdate other) {
+        if (generation != other.generation) {
+            return generation > other.generation;
         }
         return incarnation != other.incarnation
                 ? incarnation > other.incarnation
                 : state.compareTo(other.state) > 0;
     }
 
-    MemberUpdate with(State other) {
-        return new MemberUpdate(name, site, life, incarnation, other);
+    MemberUpdate withState(State other) {
+        return new MemberUpdate(name, site, generation, incarnation, other);
     }
 
+    /** This member, alive, with an incarnation above its own and the one given. */
     MemberUpdate refuted(int above) {
-        return new MemberUpdate(name, site, life, Math.max(incarnation, above) + 1, State.ALIVE);
+        return new MemberUpdate(
+                name, site, generation, Math.max(incarnation, above) + 1, State.ALIVE);
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/Lease.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Lease.java
@@ -1,12 +1,11 @@
 package sprucehold.cluster.quota;
 
 /**
- * Units of a lender's home that another may use for a while.
+ * A lender's own units that a borrower may use for a time (Gray and Cheriton 1989).
  *
  * @param lender its name
- * @param epoch which life of the lender granted it: a loan of an earlier life is none that this one
- *     knows of
- * @param number unique within that life
+ * @param epoch of the lender that granted it: a later epoch doesn't know it
+ * @param number unique within that epoch
  * @param units at least one
  */
 public record Lease(String lender, long epoch, long number, int units) {}
--- a/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
@@ -1,14 +1,15 @@
 package sprucehold.cluster.quota;
 
 /**
- * Leave to send what was counted as used.
+ * Permission to send what was counted as used.
  *
- * @param notAfterMs by the fast clock: what isn't sent by then is dropped. Guards against a process
- *     that is paused between decision and send and goes on as if nothing had been
+ * @param notAfterMs the greatest possible time up to which it may be sent: what isn't sent by then
+ *     is dropped. Guards against a process that is paused between decision and send and goes on as
+ *     if nothing had been
  */
 public record Permit(double notAfterMs) {
-    /** Whether it may be sent now; to be asked right before the send, with the clock just read. */
-    public boolean holds(MonotonicLeaseClock clock) {
-        return clock.fastMs() < notAfterMs;
+    /** Whether it may be sent now; to be asked right before, with the clock just read. */
+    public boolean isValid(MonotonicLeaseClock clock) {
+        return clock.atMostMs() < notAfterMs;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
@@ -1,57 +1,40 @@
 package sprucehold.cluster.quota;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.Deque;
 import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
- * One gatherer's units of one bound of the fleet: its home, what of it is lent, what it has
- * borrowed, and what was used of either. Each unit is at any moment usable by one gatherer at the
- * most, and by nobody until the window of its last use is over; so whatever messages are lost,
- * doubled or late, and whoever dies, pauses or comes back, no span of a window sees more uses than
- * the sum of all homes. The proof stands in docs/together.md.
+ * One gatherer's units of one shared limit, lent by time-bound leases (Gray and Cheriton 1989): its
+ * own units, what of them is lent, what it has borrowed, and what was used of either. Each unit is
+ * at any moment usable by one gatherer at the most, and by nobody until the window of its last use
+ * is over; so whatever messages are lost, repeated or late, and whichever process dies, pauses or
+ * comes back, no window sees more uses than the sum of all own units. docs/together.md has the
+ * proof.
  *
- * <p>A life begins as if all had been used and lent the moment before: what an earlier one did is
- * not known. A ledger that a life opens later, for a bound that has come up since, is free of that
- * as far as what an earlier life can have done has lapsed.
+ * <p>An epoch begins as if all units had been used and lent the moment before: what an earlier
+ * epoch did is not known. For a limit that comes up later in an epoch, the time since the epoch's
+ * begin counts: what an earlier one can have done has lapsed by that much.
+ *
+ * <p>Two bounds of elapsed time keep lender and borrower apart: a lender waits by the least time
+ * that can have passed, a borrower stops by the greatest; see {@link MonotonicLeaseClock}.
  */
 public final class QuotaLedger {
-    /** Units used at one moment. */
-    private record Used(double countsUntil, int units) {}
-
-    /** A loan out: until when by the slow clock its units can't be used here. */
-    private record Lent(String to, int units, double outUntil) {}
-
-    /**
-     * A loan held: until when by the fast clock its units may be used, and what was used of them.
-     */
-    private static final class Borrowed {
-        final Lease lease;
-        double usableUntil;
-        final Deque<Used> used = new ArrayDeque<>();
-
-        Borrowed(Lease lease, double usableUntil) {
-            this.lease = lease;
-            this.usableUntil = usableUntil;
-        }
-    }
+    /** Borrower of the units that an earlier epoch may have lent. */
+    private static final String UNKNOWN_BORROWER = "";
 
     private final String name;
     private final long epoch;
     private final QuotaTerms terms;
     private final MonotonicLeaseClock clock;
-    private final Deque<Used> used = new ArrayDeque<>();
-    private final Map<Long, Lent> lent = new LinkedHashMap<>();
-    private final List<Borrowed> borrowed = new ArrayList<>();
-    private long loans;
+    private final UsageWindow ownUsages = new UsageWindow();
+    private final LentUnits lent = new LentUnits();
+    private final List<BorrowedLease> borrowed = new ArrayList<>();
 
     /**
-     * @param epoch differs from that of each earlier life under this name
+     * @param name of the gatherer
+     * @param epoch differs from that of each earlier process under this name
      * @param clock read before each call
      */
     public QuotaLedger(String name, long epoch, QuotaTerms terms, MonotonicLeaseClock clock) {
@@ -59,266 +42,229 @@
     }
 
     /**
-     * @param lifeMs for how long this life has lasted by its slow clock, with no ledger of this
-     *     bound before
+     * @param epochAgeMs for how long this epoch has lasted at least, with no ledger of this limit
+     *     before, in milliseconds
      */
     public QuotaLedger(
-            String name, long epoch, QuotaTerms terms, MonotonicLeaseClock clock, double lifeMs) {
+            String name,
+            long epoch,
+            QuotaTerms terms,
+            MonotonicLeaseClock clock,
+            double epochAgeMs) {
         this.name = name;
         this.epoch = epoch;
         this.terms = terms;
         this.clock = clock;
-        double began = clock.slowMs() - lifeMs;
-        if (terms.kept() > 0) {
-            used.add(new Used(began + terms.countedMs(), terms.kept()));
+        double beganMs = clock.atLeastMs() - epochAgeMs;
+        if (terms.reservedUnits() > 0) {
+            ownUsages.add(beganMs + terms.usageCountsMs(), terms.reservedUnits());
         }
-        if (terms.home() > terms.kept()) {
-            lent.put(
-                    loans++,
-                    new Lent(
-                            "",
-                            terms.home() - terms.kept(),
-                            began + terms.lentMs() + terms.countedMs()));
+        int lendable = terms.ownUnits() - terms.reservedUnits();
+        if (lendable > 0) {
+            lent.add(
+                    UNKNOWN_BORROWER,
+                    lendable,
+                    beganMs + terms.lenderTermMs() + terms.usageCountsMs());
         }
     }
 
-    private void forgetThePast() {
-        double slow = clock.slowMs();
-        forget(used, slow);
-        lent.values().removeIf(loan -> loan.outUntil <= slow);
-        borrowed.removeIf(held -> held.usableUntil <= clock.fastMs());
-        borrowed.forEach(held -> forget(held.used, slow));
-    }
-
-    private static void forget(Deque<Used> used, double slow) {
-        while (!used.isEmpty() && used.peek().countsUntil <= slow) {
-            used.poll();
-        }
+    /** Forgets uses that count no more and leases whose time is over. */
+    private void expire() {
+        double atLeastMs = clock.atLeastMs();
+        ownUsages.expire(atLeastMs);
+        lent.expire(atLeastMs);
+        borrowed.removeIf(held -> held.usableUntilMs() <= clock.atMostMs());
+        borrowed.forEach(held -> held.usages.expire(atLeastMs));
     }
 
-    private static int units(Deque<Used> used) {
-        return used.stream().mapToInt(Used::units).sum();
+    private int freeOwn() {
+        return terms.ownUnits() - ownUsages.units() - lent.units();
     }
 
-    private int freeHome() {
-        return terms.home() - units(used) - lentUnits();
-    }
-
-    private int lentUnits() {
-        return lent.values().stream().mapToInt(loan -> loan.units).sum();
-    }
-
-    private static int free(Borrowed held) {
-        return held.lease.units() - units(held.used);
-    }
-
-    /** Whose it is. */
+    /** The gatherer that it belongs to. */
     public String name() {
         return name;
     }
 
     /** Units that may be used now. */
     public int free() {
-        forgetThePast();
-        return freeHome() + borrowed.stream().mapToInt(QuotaLedger::free).sum();
+        expire();
+        return freeOwn() + borrowed.stream().mapToInt(BorrowedLease::free).sum();
     }
 
-    /** Units of the home that are lent, or that an earlier life may have lent. */
+    /** Own units that are lent, or that an earlier epoch may have lent. */
     public int lent() {
-        forgetThePast();
-        return lentUnits();
+        expire();
+        return lent.units();
     }
 
     /** Units borrowed, used or not. */
     public int borrowed() {
-        forgetThePast();
+        expire();
         return borrowed.stream().mapToInt(held -> held.lease.units()).sum();
     }
 
-    /** Units used that count now, of the home and of what is still borrowed. */
+    /** Units used that count now, own ones and those still borrowed. */
     public int used() {
-        forgetThePast();
-        return units(used) + borrowed.stream().mapToInt(held -> units(held.used)).sum();
+        expire();
+        return ownUsages.units() + borrowed.stream().mapToInt(held -> held.usages.units()).sum();
     }
 
     /**
-     * Uses so many units at once, borrowed ones first, which end by themselves, and of these those
-     * that end soonest.
+     * Uses so many units at once: borrowed ones first, which end by themselves, and of these the
+     * ones that end soonest.
      *
      * @return null, with nothing used, if fewer are free
      */
-    public Permit use(int units) {
+    public Permit consume(int units) {
         if (units > free()) {
             return null;
         }
         int left = units;
-        double notAfter = clock.fastMs() + terms.sendableMs();
-        borrowed.sort(Comparator.comparingDouble(held -> held.usableUntil));
-        for (Borrowed held : borrowed) {
-            int take = Math.min(left, free(held));
-            if (take > 0) {
-                held.used.add(new Used(clock.slowMs() + terms.countedMs(), take));
-                notAfter = Math.min(notAfter, held.usableUntil);
-                left -= take;
+        double countsUntilMs = clock.atLeastMs() + terms.usageCountsMs();
+        double notAfterMs = clock.atMostMs() + terms.permitMs();
+        borrowed.sort(Comparator.comparingDouble(BorrowedLease::usableUntilMs));
+        for (BorrowedLease held : borrowed) {
+            int taken = Math.min(left, held.free());
+            if (taken > 0) {
+                held.usages.add(countsUntilMs, taken);
+                notAfterMs = Math.min(notAfterMs, held.usableUntilMs());
+                left -= taken;
             }
         }
         if (left > 0) {
-            used.add(new Used(clock.slowMs() + terms.countedMs(), left));
+            ownUsages.add(countsUntilMs, left);
         }
-        return new Permit(notAfter);
+        return new Permit(notAfterMs);
     }
 
     /**
-     * Lends units of the home that nobody uses.
+     * Lends own units that are not in use.
      *
-     * @param to who asked
+     * @param to the borrower
      * @param reserve units that stay here beside those never lent
-     * @return the loan, or null if nothing can be lent
+     * @return the lease, or null if nothing can be lent
      */
     public Lease lend(String to, int wanted, int reserve) {
-        forgetThePast();
-        int most = Math.min(terms.home() - terms.kept() - lentUnits(), freeHome() - reserve);
-        int units = Math.min(wanted, most);
+        expire();
+        int lendable = terms.ownUnits() - terms.reservedUnits() - lent.units();
+        int units = Math.min(wanted, Math.min(lendable, freeOwn() - reserve));
         if (units <= 0) {
             return null;
         }
-        var lease = new Lease(name, epoch, loans++, units);
-        lent.put(
-                lease.number(),
-                new Lent(to, units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
-        return lease;
+        return new Lease(name, epoch, lent.add(to, units, outUntilMs()), units);
+    }
+
+    /** When the units of a lease that begins now are usable here again. */
+    private double outUntilMs() {
+        return clock.atLeastMs() + terms.lenderTermMs() + terms.usageCountsMs();
+    }
+
+    private boolean isOut(Lease lease, String borrower) {
+        return lease.lender().equals(name)
+                && lease.epoch() == epoch
+                && lent.isOut(lease.number(), borrower);
     }
 
     /**
-     * A borrower has given a loan back, of which no use counts any more; doubled, unknown or
-     * another's news changes nothing.
+     * A borrower has returned a lease, of which no use counts any more; a repeated message, an
+     * unknown lease or one of another borrower changes nothing.
      */
-    public void returned(String from, Lease lease) {
-        Lent out = lent.get(lease.number());
-        if (out != null
-                && out.to.equals(from)
-                && lease.lender().equals(name)
-                && lease.epoch() == epoch) {
+    public void acceptReturn(String from, Lease lease) {
+        if (isOut(lease, from)) {
             lent.remove(lease.number());
         }
     }
 
     /**
-     * Has a loan that is out last a term from now.
+     * Has a lease that is out last a term from now.
      *
      * @return false if it isn't out to that borrower any more
      */
     public boolean renew(String to, Lease lease) {
-        forgetThePast();
-        Lent out = lent.get(lease.number());
-        if (out == null
-                || !out.to.equals(to)
-                || !lease.lender().equals(name)
-                || lease.epoch() != epoch) {
+        expire();
+        if (!isOut(lease, to)) {
             return false;
         }
-        lent.put(
-                lease.number(),
-                new Lent(to, out.units, clock.slowMs() + terms.lentMs() + terms.countedMs()));
+        lent.extend(lease.number(), outUntilMs());
         return true;
     }
 
     /**
-     * A loan that is held lasts longer, from when that was asked; one that is held no more is not
-     * taken up again.
+     * A lease that is held lasts longer; one that is held no more is not taken up again.
+     *
+     * @param requestedAtMs the greatest possible time at which the renewal was asked for
      */
-    public void renewed(Lease lease, double askedAtFast) {
-        forgetThePast();
+    public void extend(Lease lease, double requestedAtMs) {
+        expire();
         borrowed.stream()
                 .filter(held -> held.lease.equals(lease))
-                .forEach(
-                        held ->
-                                held.usableUntil =
-                                        Math.max(
-                                                held.usableUntil,
-                                                askedAtFast + terms.borrowedMs()));
+                .forEach(held -> held.extend(requestedAtMs + terms.borrowerTermMs()));
     }
 
-    /** Loans held that are over in less than so many milliseconds. */
-    public List<Lease> endingWithin(double ms) {
-        forgetThePast();
+    /** Leases held that are over in less than so many milliseconds. */
+    public List<Lease> expiringWithin(double ms) {
+        expire();
         return borrowed.stream()
-                .filter(held -> held.usableUntil - clock.fastMs() < ms)
+                .filter(held -> held.usableUntilMs() - clock.atMostMs() < ms)
                 .map(held -> held.lease)
                 .toList();
     }
 
     /**
-     * Takes a loan that was asked for.
+     * Takes a lease that was asked for.
      *
-     * @param askedAtFast the fast clock when it was asked for; it was granted later
+     * @param requestedAtMs the greatest possible time at which it was asked for; it was granted
+     *     later
      * @return false if its time is over already, or it holds nothing
      */
-    public boolean take(Lease lease, double askedAtFast) {
-        double until = askedAtFast + terms.borrowedMs();
-        if (until <= clock.fastMs() || lease.units() <= 0) {
+    public boolean accept(Lease lease, double requestedAtMs) {
+        double untilMs = requestedAtMs + terms.borrowerTermMs();
+        if (untilMs <= clock.atMostMs() || lease.units() <= 0) {
             return false;
         }
-        borrowed.add(new Borrowed(lease, until));
+        borrowed.add(new BorrowedLease(lease, untilMs));
         return true;
     }
 
     /**
-     * Gives up loans of which no use counts any more, up to so many units; they can be told to
-     * their lenders, who may use the units at once.
+     * Gives up leases of which no use counts any more, up to so many units; once their lenders are
+     * told, these may use the units at once.
      */
-    public List<Lease> giveBack(int most) {
-        forgetThePast();
-        var back = new ArrayList<Lease>();
-        int left = most;
-        for (Iterator<Borrowed> all = borrowed.iterator(); all.hasNext(); ) {
-            Borrowed held = all.next();
-            if (held.used.isEmpty() && held.lease.units() <= left) {
+    public List<Lease> releaseUnused(int maxUnits) {
+        expire();
+        var released = new ArrayList<Lease>();
+        int left = maxUnits;
+        for (Iterator<BorrowedLease> all = borrowed.iterator(); all.hasNext(); ) {
+            BorrowedLease held = all.next();
+            if (held.usages.isEmpty() && held.lease.units() <= left) {
                 left -= held.lease.units();
-                back.add(held.lease);
+                released.add(held.lease);
                 all.remove();
             }
         }
-        return back;
+        return released;
     }
 
-    /** What is held, lent and used, with what is left of each time in milliseconds. */
+    /** What is used, lent and held, with what is left of each time in milliseconds. */
     @Override
     public String toString() {
-        forgetThePast();
+        expire();
         var text = new StringBuilder(name).append(" uses");
-        used.forEach(
-                one ->
-                        text.append(' ')
-                                .append(one.units)
-                                .append('<')
-                                .append(left(one.countsUntil - clock.slowMs())));
+        ownUsages.forEach(
+                (units, untilMs) -> append(text, " ", units, untilMs - clock.atLeastMs()));
         text.append(" lends");
-        lent.values()
-                .forEach(
-                        one ->
-                                text.append(' ')
-                                        .append(one.units)
-                                        .append('<')
-                                        .append(left(one.outUntil - clock.slowMs())));
+        lent.forEach((units, untilMs) -> append(text, " ", units, untilMs - clock.atLeastMs()));
         text.append(" holds");
-        borrowed.forEach(
-                held -> {
-                    text.append(' ')
-                            .append(held.lease.units())
-                            .append('<')
-                            .append(left(held.usableUntil - clock.fastMs()));
-                    held.used.forEach(
-                            one ->
-                                    text.append(" used ")
-                                            .append(one.units)
-                                            .append('<')
-                                            .append(left(one.countsUntil - clock.slowMs())));
-                });
+        for (BorrowedLease held : borrowed) {
+            append(text, " ", held.lease.units(), held.usableUntilMs() - clock.atMostMs());
+            held.usages.forEach(
+                    (units, untilMs) -> append(text, " used ", units, untilMs - clock.atLeastMs()));
+        }
         return text.toString();
     }
 
-    private static long left(double ms) {
-        return Math.round(ms);
+    private static void append(StringBuilder text, String separator, int units, double leftMs) {
+        text.append(separator).append(units).append('<').append(Math.round(leftMs));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaMessage.java
@@ -1,27 +1,32 @@
 package sprucehold.cluster.quota;
 
-/** What gatherers say to each other of shares. Each may be lost, doubled, late or out of order. */
+/**
+ * What gatherers send each other about one shared limit. Each message may be lost, repeated, late
+ * or out of order.
+ */
 public sealed interface QuotaMessage {
     /**
      * Asks for units.
      *
-     * @param request grows with each ask of one life of the asker
-     * @param epoch the asker's life
+     * @param epoch the requester's
+     * @param requestNumber grows with each request of that epoch
      */
-    record Ask(long epoch, long request, int units) implements QuotaMessage {}
+    record LeaseRequest(long epoch, long requestNumber, int units) implements QuotaMessage {}
 
-    /** Answers an ask with a loan. */
-    record Grant(long askerEpoch, long request, Lease loan) implements QuotaMessage {}
+    /** Answers a request with a lease. */
+    record LeaseGrant(long requesterEpoch, long requestNumber, Lease lease)
+            implements QuotaMessage {}
 
-    /** Answers an ask: nothing can be lent now. */
-    record Nothing(long askerEpoch, long request) implements QuotaMessage {}
+    /** Answers a request: nothing can be lent, or the lease isn't renewed. */
+    record LeaseRefusal(long requesterEpoch, long requestNumber) implements QuotaMessage {}
 
-    /** Asks for a loan that is held to last longer. */
-    record Renew(long epoch, long request, Lease loan) implements QuotaMessage {}
+    /** Asks for a lease that is held to last longer. */
+    record RenewalRequest(long epoch, long requestNumber, Lease lease) implements QuotaMessage {}
 
-    /** Answers that: it lasts a term from when that was asked. */
-    record Renewed(long askerEpoch, long request, Lease loan) implements QuotaMessage {}
+    /** Answers that: the lease lasts a term from when the renewal was asked for. */
+    record RenewalGrant(long requesterEpoch, long requestNumber, Lease lease)
+            implements QuotaMessage {}
 
-    /** Gives a loan back before its time. */
-    record Return(Lease loan) implements QuotaMessage {}
+    /** Returns a lease before its time. */
+    record LeaseReturn(Lease lease) implements QuotaMessage {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/session/ClusterMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/ClusterMessage.java
@@ -6,18 +6,22 @@
 import sprucehold.cluster.membership.MemberMessage;
 import sprucehold.cluster.quota.QuotaMessage;
 
-/** What one gatherer says to another at once; each fits into a datagram. */
+/** A message between two gatherers; each but a member table fits into a datagram. */
 public sealed interface ClusterMessage {
-    /** Of who is there. */
-    record OfMembers(MemberMessage message) implements ClusterMessage {}
+    /** About membership. */
+    record MembershipPart(MemberMessage message) implements ClusterMessage {}
 
-    /** Of the shares of bounds, each by its name. */
-    record OfShares(List<OfShare> shares) implements ClusterMessage {}
+    /** About shared limits. */
+    record QuotaPart(List<LimitMessage> messages) implements ClusterMessage {}
 
-    /** Of the shares of one bound. */
-    record OfShare(String bound, QuotaMessage message) {}
+    /**
+     * About one shared limit.
+     *
+     * @param limit its name, the same at all gatherers
+     */
+    record LimitMessage(String limit, QuotaMessage message) {}
 
-    /** Of what the sender itself has counted and seen. */
-    record OfNews(List<CounterValue> counts, List<Observation> sightings)
+    /** What the sender itself has counted and observed. */
+    record ObservationPart(List<CounterValue> counters, List<Observation> observations)
             implements ClusterMessage {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/session/CoordinationSession.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/CoordinationSession.java
@@ -1,10 +1,6 @@
 package sprucehold.cluster.session;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Collections;
-import java.util.Deque;
-import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -19,185 +15,89 @@
 import sprucehold.cluster.quota.LeaseExchange;
 import sprucehold.cluster.quota.MonotonicLeaseClock;
 import sprucehold.cluster.quota.Permit;
-import sprucehold.cluster.quota.QuotaLedger;
-import sprucehold.cluster.quota.QuotaMessage;
 import sprucehold.cluster.quota.QuotaTerms;
 
-/** One gatherer among others: who is there, what is shared, what was counted and seen. */
+/**
+ * The state machine of one gatherer's coordination with the others: {@link Membership}, shared
+ * limits ({@link SharedLimits}), counters and observations ({@link ObservationBroadcast}). Times
+ * are a reading of the monotonic clock ({@code countedMs}) and one of the wall clock ({@code
+ * wallMs}), in milliseconds.
+ */
 public final class CoordinationSession {
-    /** A letter to another. */
-    public record Out(String to, ClusterMessage letter) {}
+    /** A message to another gatherer. */
+    public record Outgoing(String to, ClusterMessage message) {}
 
     /**
-     * What stands with one bound.
+     * Units of one shared limit at this gatherer.
      *
-     * @param home units that are this gatherer's own
-     * @param free units that may be used now
+     * @param ownUnits its own
+     * @param lent of these
+     * @param borrowed from others, used or not
+     * @param used that count now
+     * @param free that may be used now
      */
-    public record Held(int home, int lent, int borrowed, int used, int free) {}
+    public record LimitStatus(int ownUnits, int lent, int borrowed, int used, int free) {}
 
-    /** What one gatherer knows, for operators. */
+    /**
+     * What one gatherer knows, for operators.
+     *
+     * @param members itself first
+     * @param limits by name
+     * @param superseded whether another process of its name has started later
+     * @param isolated whether no other gatherer answers
+     * @param localHealth from 0, healthy, to 8
+     * @param droppedMessages since the start, as too many had left
+     */
     public record Status(
             List<MemberUpdate> members,
-            Map<String, Held> bounds,
+            Map<String, LimitStatus> limits,
             boolean superseded,
-            boolean cutOff,
-            int health,
-            long dropped) {}
-
-    /**
-     * Its own counts and sightings go to so many others a second, in turn, each round in another
-     * order.
-     */
-    private static final int NEWS_TO = 8;
-
-    /**
-     * And to so many while it has seen a server fail: a hundred others hear of that in four
-     * seconds, before it has faded.
-     */
-    private static final int TROUBLE_TO = 25;
-
-    private static final double NEWS_MS = 1000;
-    private static final int COUNTS = 6;
-    private static final int SIGHTINGS = 4;
-
-    /**
-     * Messages on shares in a letter: some 100 bytes each with the name of their bound keep it
-     * within a datagram.
-     */
-    private static final int SHARES = 10;
-
-    /** One bound, as this gatherer holds its part of it. */
-    private static final class Holding {
-        final QuotaTerms terms;
-        final QuotaLedger ledger;
-        final LeaseExchange exchange;
-
-        /** Nobody uses or lends it any more; kept until what is out of it has lapsed. */
-        boolean ending;
-
-        Holding(QuotaTerms terms, QuotaLedger ledger, LeaseExchange exchange) {
-            this.terms = terms;
-            this.ledger = ledger;
-            this.exchange = exchange;
-        }
-    }
+            boolean isolated,
+            int localHealth,
+            long droppedMessages) {}
 
+    private final MonotonicLeaseClock clock = new MonotonicLeaseClock();
     private final Membership membership;
-    private final Map<String, Holding> holdings = new TreeMap<>();
-    private final CounterTable counts;
+    private final SharedLimits limits;
+    private final CounterTable counters;
     private final EvidenceTable evidence;
-    private final MonotonicLeaseClock clock = new MonotonicLeaseClock();
-    private final Random chance;
-    private final double lettersPerS;
-    private final String name;
+    private final ObservationBroadcast broadcast;
+    private final MessageBudget budget;
+    private Set<String> alive = Set.of();
     private boolean wasSuperseded;
-    private Set<String> there = Set.of();
-    private final Deque<String> round = new ArrayDeque<>();
-    private double room;
-    private double roomAt;
-    private double sharesAt = Double.NEGATIVE_INFINITY;
-
-    /** Which life shares are held in, and since when by the slow clock. */
-    private long life;
-
-    private double lifeAt;
-    private double newsAt;
-    private long dropped;
+    private double limitsTickedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param life by the wall clock at the start, in milliseconds
+     * @param generation by the wall clock at the start, in milliseconds
      * @param others names that may be there, and the site of each
+     * @param seed of all random numbers
      */
     public CoordinationSession(
-            SessionSettings terms,
+            SessionSettings settings,
             String name,
             String site,
-            long life,
+            long generation,
             Map<String, String> others,
             long seed,
             double countedMs,
             double wallMs) {
-        this.chance = new Random(seed);
-        this.lettersPerS = terms.lettersPerS();
-        this.room = lettersPerS;
+        var random = new Random(seed);
         clock.read(countedMs, wallMs);
-        this.membership = new Membership(name, site, life, others, new Random(chance.nextLong()));
-        this.counts = new CounterTable(name, life, terms.countHalfMs());
+        this.budget = new MessageBudget(settings.messagesPerSecond());
+        this.membership =
+                new Membership(name, site, generation, others, new Random(random.nextLong()));
+        this.counters = new CounterTable(name, generation, settings.rateHalfLifeMs());
         this.evidence = new EvidenceTable(name, site);
-        this.name = name;
-        this.life = life;
-        this.lifeAt = clock.slowMs();
-        new TreeMap<>(terms.bounds()).forEach(this::hold);
+        this.broadcast = new ObservationBroadcast(counters, evidence, random);
+        this.limits = new SharedLimits(name, generation, clock, random);
+        new TreeMap<>(settings.limits()).forEach(limits::open);
     }
 
-    private void hold(String bound, QuotaTerms terms) {
-        var ledger = new QuotaLedger(name, life, terms, clock, clock.slowMs() - lifeAt);
-        holdings.put(
-                bound,
-                new Holding(
-                        terms,
-                        ledger,
-                        new LeaseExchange(
-                                bound,
-                                terms,
-                                ledger,
-                                clock,
-                                life,
-                                there,
-                                new Random(chance.nextLong()))));
-    }
-
-    /** Shares as of a new life: as if all had been used and lent the moment before. */
-    private void beginShares(long newLife) {
-        life = newLife;
-        lifeAt = clock.slowMs();
-        holdings.values().removeIf(holding -> holding.ending);
-        new TreeMap<>(holdings).forEach((bound, holding) -> hold(bound, holding.terms));
-    }
-
-    /**
-     * A bound has come up. One that ended a moment ago goes on as it was, with what is out of it.
-     */
-    public void begin(double countedMs, double wallMs, String bound, QuotaTerms terms) {
-        read(countedMs, wallMs);
-        Holding before = holdings.get(bound);
-        if (before == null) {
-            hold(bound, terms);
-        } else {
-            before.ending = false;
-        }
-    }
-
-    /** A bound has no meaning any more. */
-    public void end(String bound) {
-        Holding holding = holdings.get(bound);
-        if (holding != null) {
-            holding.ending = true;
-        }
-    }
-
-    /**
-     * States how many units of a bound are wanted in a window; see {@link LeaseExchange#want}.
-     * Nothing where it isn't held.
-     */
-    public void want(String bound, int units, int atOnce) {
-        Holding holding = held(bound);
-        if (holding != null) {
-            holding.exchange.want(units, atOnce);
-        }
-    }
-
-    /** Units of a bound that may be used now; 0 where it isn't held or mustn't be used. */
-    public int free(double countedMs, double wallMs, String bound) {
-        read(countedMs, wallMs);
-        Holding holding = held(bound);
-        return holding == null || membership.superseded() ? 0 : holding.ledger.free();
-    }
-
-    private Holding held(String bound) {
-        Holding holding = holdings.get(bound);
-        return holding == null || holding.ending ? null : holding;
+    private double read(double countedMs, double wallMs) {
+        clock.read(countedMs, wallMs);
+        double nowMs = clock.atLeastMs();
+        budget.refill(nowMs);
+        return nowMs;
     }
 
     /** How often {@link #tick} is to be called, in milliseconds. */
@@ -205,301 +105,199 @@
         return membership.tickMs();
     }
 
-    private double read(double countedMs, double wallMs) {
-        clock.read(countedMs, wallMs);
-        double now = clock.slowMs();
-        room = Math.min(lettersPerS, room + (now - roomAt) / 1000 * lettersPerS);
-        roomAt = now;
-        return now;
-    }
-
     /** Lets time pass. */
-    public List<Out> tick(double countedMs, double wallMs) {
-        double now = read(countedMs, wallMs);
-        var out = new ArrayList<Out>();
-        ofMembers(membership.tick(now), out);
-        if (now - sharesAt >= LeaseExchange.TICK_MS && !membership.superseded()) {
-            sharesAt = now;
-            shares(out);
-        }
-        if (now - newsAt >= NEWS_MS) {
-            newsAt = now;
-            news(now, out);
+    public List<Outgoing> tick(double countedMs, double wallMs) {
+        double nowMs = read(countedMs, wallMs);
+        var out = new ArrayList<Outgoing>();
+        membershipChanged(membership.tick(nowMs), out);
+        if (nowMs - limitsTickedAtMs >= LeaseExchange.TICK_MS && !membership.superseded()) {
+            limitsTickedAtMs = nowMs;
+            limits.tick(out);
         }
-        return within(out);
+        broadcast.tick(nowMs, alive, out);
+        return budget.admit(out);
     }
 
-    /**
-     * All bounds ask the same few, those who lent before first, so that what is asked of one goes
-     * in one letter.
-     */
-    private void shares(List<Out> out) {
-        holdings.values()
-                .removeIf(
-                        holding ->
-                                holding.ending
-                                        && holding.ledger.lent() == 0
-                                        && holding.ledger.used() == 0);
-        var whom = new LinkedHashSet<String>();
-        holdings.values()
-                .forEach(
-                        holding ->
-                                holding.exchange.lenders().stream()
-                                        .limit(Math.max(0, LeaseExchange.ASKS / 2 - whom.size()))
-                                        .forEach(whom::add));
-        List<String> all = List.copyOf(there);
-        for (int tries = 0;
-                whom.size() < Math.min(LeaseExchange.ASKS, all.size())
-                        && tries < 4 * LeaseExchange.ASKS;
-                tries++) {
-            whom.add(all.get(chance.nextInt(all.size())));
+    /** Takes a message from another gatherer, and returns the answers to it. */
+    public List<Outgoing> receive(
+            double countedMs, double wallMs, String from, ClusterMessage message) {
+        double nowMs = read(countedMs, wallMs);
+        var out = new ArrayList<Outgoing>();
+        if (message instanceof ClusterMessage.MembershipPart part) {
+            membershipChanged(membership.receive(nowMs, from, part.message()), out);
+        } else if (message instanceof ClusterMessage.QuotaPart quota) {
+            if (!membership.superseded()) {
+                limits.receive(from, quota, out);
+            }
+        } else if (message instanceof ClusterMessage.ObservationPart part) {
+            receiveObservations(nowMs, from, part);
         }
-        var to = new TreeMap<String, List<ClusterMessage.OfShare>>();
-        holdings.forEach(
-                (bound, holding) -> {
-                    if (!holding.ending) {
-                        holding.exchange
-                                .tick(whom)
-                                .forEach(
-                                        one ->
-                                                to.computeIfAbsent(
-                                                                one.to(), none -> new ArrayList<>())
-                                                        .add(
-                                                                new ClusterMessage.OfShare(
-                                                                        bound, one.message())));
-                    }
-                });
-        to.forEach((one, shares) -> ofShares(one, shares, out));
+        return budget.admit(out);
     }
 
-    private static void ofShares(String to, List<ClusterMessage.OfShare> shares, List<Out> out) {
-        for (int from = 0; from < shares.size(); from += SHARES) {
-            out.add(
-                    new Out(
-                            to,
-                            new ClusterMessage.OfShares(
-                                    List.copyOf(
-                                            shares.subList(
-                                                    from,
-                                                    Math.min(shares.size(), from + SHARES))))));
-        }
+    /** Each gatherer speaks for itself alone. */
+    private void receiveObservations(
+            double nowMs, String from, ClusterMessage.ObservationPart part) {
+        part.counters().stream()
+                .filter(counter -> counter.gatherer().equals(from))
+                .forEach(counter -> counters.receive(nowMs, counter));
+        part.observations().stream()
+                .filter(observation -> observation.observer().equals(from))
+                .forEach(observation -> evidence.receive(nowMs, observation));
     }
 
-    /**
-     * Each tells the others itself. To pass on what a third has seen would be quicker, and one liar
-     * could speak for many.
-     */
-    private void news(double now, List<Out> out) {
-        var letter = new ClusterMessage.OfNews(counts.own(COUNTS), evidence.tell(now, SIGHTINGS));
-        if (letter.counts().isEmpty() && letter.sightings().isEmpty()) {
-            return;
-        }
-        boolean trouble = letter.sightings().stream().anyMatch(one -> one.bad() > one.good());
-        for (int left = Math.min(trouble ? TROUBLE_TO : NEWS_TO, there.size()); left > 0; left--) {
-            if (round.isEmpty()) {
-                List<String> next = new ArrayList<>(there);
-                Collections.shuffle(next, chance);
-                round.addAll(next);
-            }
-            String one = round.poll();
-            if (there.contains(one)) {
-                out.add(new Out(one, letter));
-            }
-        }
+    /** Announces that it leaves. */
+    public List<Outgoing> leave(double countedMs, double wallMs) {
+        read(countedMs, wallMs);
+        var out = new ArrayList<Outgoing>();
+        membershipChanged(membership.leave(), out);
+        return budget.admit(out);
     }
 
-    private void ofMembers(List<FailureDetector.Out> messages, List<Out> out) {
-        messages.forEach(
-                one -> out.add(new Out(one.to(), new ClusterMessage.OfMembers(one.message()))));
-        Set<String> now = membership.there();
-        if (!now.equals(there)) {
-            there = now;
-            holdings.values().forEach(holding -> holding.exchange.heard(now));
-            evidence.there(now);
+    private void membershipChanged(List<FailureDetector.Outgoing> messages, List<Outgoing> out) {
+        for (FailureDetector.Outgoing each : messages) {
+            out.add(new Outgoing(each.to(), new ClusterMessage.MembershipPart(each.message())));
+        }
+        Set<String> now = membership.alive();
+        if (!now.equals(alive)) {
+            alive = now;
+            limits.setPeers(now);
+            evidence.retainObservers(now);
         }
         if (wasSuperseded && !membership.superseded()) {
-            // The other of this name had the same home, and what it used and lent until just now
-            // isn't known here.
-            beginShares(membership.view().get(0).life());
+            // The other process of this name had the same own units, and what it used and lent
+            // until just now isn't known here.
+            limits.beginEpoch(membership.members().get(0).generation());
         }
         wasSuperseded = membership.superseded();
     }
 
     /**
-     * What of it may leave now: probes and their answers first, as all else rests on them; then
-     * what frees units.
+     * Opens a shared limit. One that was closed a moment ago goes on as it was, with what is out of
+     * it.
      */
-    private List<Out> within(List<Out> out) {
-        out.sort((one, other) -> Integer.compare(rank(one.letter), rank(other.letter)));
-        int most = (int) Math.min(out.size(), Math.floor(room));
-        room -= most;
-        dropped += out.size() - most;
-        return List.copyOf(out.subList(0, most));
+    public void openLimit(double countedMs, double wallMs, String limit, QuotaTerms terms) {
+        read(countedMs, wallMs);
+        limits.open(limit, terms);
     }
 
-    private static int rank(ClusterMessage message) {
-        if (message instanceof ClusterMessage.OfMembers) {
-            return 0;
-        }
-        return message instanceof ClusterMessage.OfShares shares
-                        && shares.shares().stream()
-                                .anyMatch(one -> !(one.message() instanceof QuotaMessage.Ask))
-                ? 1
-                : 2;
+    /** Closes a shared limit: nothing of it is used or lent any more. */
+    public void closeLimit(String limit) {
+        limits.close(limit);
     }
 
-    /** Takes a letter from another. */
-    public List<Out> received(
-            double countedMs, double wallMs, String from, ClusterMessage message) {
-        double now = read(countedMs, wallMs);
-        var out = new ArrayList<Out>();
-        if (message instanceof ClusterMessage.OfMembers members) {
-            ofMembers(membership.received(now, from, members.message()), out);
-        } else if (message instanceof ClusterMessage.OfShares shares) {
-            var answers = new ArrayList<ClusterMessage.OfShare>();
-            for (ClusterMessage.OfShare one : shares.shares()) {
-                // What is ending lends nothing, but what comes back to it frees it sooner.
-                Holding holding =
-                        one.message() instanceof QuotaMessage.Ask
-                                ? held(one.bound())
-                                : holdings.get(one.bound());
-                if (holding != null && !membership.superseded()) {
-                    holding.exchange
-                            .received(from, one.message())
-                            .forEach(
-                                    answer ->
-                                            answers.add(
-                                                    new ClusterMessage.OfShare(
-                                                            one.bound(), answer.message())));
-                }
-            }
-            ofShares(from, answers, out);
-        } else if (message instanceof ClusterMessage.OfNews news) {
-            // Each speaks for itself alone.
-            news.counts().stream()
-                    .filter(count -> count.gatherer().equals(from))
-                    .forEach(count -> counts.heard(now, count));
-            news.sightings().stream()
-                    .filter(one -> one.observer().equals(from))
-                    .forEach(one -> evidence.heard(now, one));
-        }
-        return within(out);
+    /**
+     * States how many units of a limit are wanted in a window; see {@link LeaseExchange#setDemand}.
+     * Nothing where it isn't open.
+     */
+    public void setDemand(String limit, int units, int usefulUnits) {
+        limits.setDemand(limit, units, usefulUnits);
     }
 
-    /** Says that it goes. */
-    public List<Out> leave(double countedMs, double wallMs) {
+    /** Units of a limit that may be used now; 0 where it isn't open or mustn't be used. */
+    public int freeUnits(double countedMs, double wallMs, String limit) {
         read(countedMs, wallMs);
-        var out = new ArrayList<Out>();
-        ofMembers(membership.leave(), out);
-        return within(out);
+        return membership.superseded() ? 0 : limits.free(limit);
     }
 
     /**
-     * Uses units of a bound, if they are free and this process is the only one of its name as far
+     * Uses units of a limit, if they are free and this process is the only one of its name as far
      * as it has heard.
      *
      * @return null if they may not be used
-     * @throws IllegalArgumentException if no bound has that name
+     * @throws IllegalArgumentException if no limit of that name is open
      */
-    public Permit use(double countedMs, double wallMs, String bound, int units) {
+    public Permit consume(double countedMs, double wallMs, String limit, int units) {
         read(countedMs, wallMs);
-        Holding holding = held(bound);
-        if (holding == null) {
+        if (!limits.isOpen(limit)) {
             throw new IllegalArgumentException(
-                    "no bound is called "
-                            + bound
+                    "no shared limit is called "
+                            + limit
                             + "; one of "
-                            + holdings.keySet()
+                            + limits.names()
                             + " was expected");
         }
-        return membership.superseded() ? null : holding.exchange.use(units);
+        return membership.superseded() ? null : limits.consume(limit, units);
+    }
+
+    /**
+     * A permit for units that nobody else can use and that this gatherer has counted itself.
+     *
+     * @param validMs for so long
+     */
+    public Permit permit(double countedMs, double wallMs, double validMs) {
+        read(countedMs, wallMs);
+        return new Permit(clock.atMostMs() + validMs);
+    }
+
+    /** Whether a permit still holds; to be asked right before what it is for is sent. */
+    public boolean isValid(double countedMs, double wallMs, Permit permit) {
+        read(countedMs, wallMs);
+        return permit.isValid(clock) && !membership.superseded();
     }
 
-    /** Leave to send for so long what this gatherer has counted itself, and nobody else can use. */
-    public Permit permit(double countedMs, double wallMs, double forMs) {
+    /** Units of one limit; null where it isn't open. */
+    public LimitStatus limitStatus(double countedMs, double wallMs, String limit) {
         read(countedMs, wallMs);
-        return new Permit(clock.fastMs() + forMs);
+        return limits.status(limit);
     }
 
-    /** Another process of this name has started later; this one shares nothing. */
+    /** Whether another process of this name has started later; this one shares nothing then. */
     public boolean superseded() {
         return membership.superseded();
     }
 
-    /** No other answers. */
-    public boolean cutOff() {
-        return membership.cutOff();
+    /** Whether no other gatherer answers. */
+    public boolean isolated() {
+        return membership.isolated();
     }
 
     /** What others have become since this was last asked. */
-    public List<MemberUpdate> changes() {
-        return membership.changes();
+    public List<MemberUpdate> takeChanges() {
+        return membership.takeChanges();
     }
 
     /** How many others are held to be there. */
-    public int there() {
-        return there.size();
-    }
-
-    /** Whether a permit still holds; to be asked right before what it is for is sent. */
-    public boolean holds(double countedMs, double wallMs, Permit permit) {
-        read(countedMs, wallMs);
-        return permit.holds(clock) && !membership.superseded();
+    public int aliveCount() {
+        return alive.size();
     }
 
     /** Counts what this gatherer has sent. */
-    public void counted(double countedMs, double wallMs, String key, long units) {
-        counts.add(read(countedMs, wallMs), key, units);
+    public void recordSent(double countedMs, double wallMs, String key, long units) {
+        counters.add(read(countedMs, wallMs), key, units);
     }
 
     /** Units a second that others send of a key. */
     public double othersPerSecond(double countedMs, double wallMs, String key) {
-        return counts.othersPerSecond(read(countedMs, wallMs), key);
+        return counters.othersPerSecond(read(countedMs, wallMs), key);
     }
 
-    /** Notes how a dispatch of this gatherer's ended. */
-    public void saw(
+    /** Notes how an attempt of this gatherer's ended. */
+    public void recordAttempt(
             double countedMs,
             double wallMs,
             String server,
             String serverSite,
             double startedAtMs,
-            boolean well) {
-        evidence.saw(read(countedMs, wallMs), server, serverSite, startedAtMs, well);
+            boolean completed) {
+        evidence.recordAttempt(read(countedMs, wallMs), server, serverSite, startedAtMs, completed);
     }
 
-    /** What others saw of a server. */
-    public FailureAssessment opinion(
+    /** What others observed of a server. */
+    public FailureAssessment assess(
             double countedMs, double wallMs, String server, double startedAtMs) {
-        return evidence.of(read(countedMs, wallMs), server, startedAtMs);
-    }
-
-    /** What stands with one bound; null where it isn't held. */
-    public Held held(double countedMs, double wallMs, String bound) {
-        read(countedMs, wallMs);
-        Holding holding = held(bound);
-        return holding == null ? null : held(holding);
-    }
-
-    private static Held held(Holding holding) {
-        return new Held(
-                holding.terms.home(),
-                holding.ledger.lent(),
-                holding.ledger.borrowed(),
-                holding.ledger.used(),
-                holding.ledger.free());
+        return evidence.assess(read(countedMs, wallMs), server, startedAtMs);
     }
 
+    /** What it knows, for operators. */
     public Status status(double countedMs, double wallMs) {
         read(countedMs, wallMs);
-        var held = new TreeMap<String, Held>();
-        holdings.forEach((bound, holding) -> held.put(bound, held(holding)));
         return new Status(
-                membership.view(),
-                held,
+                membership.members(),
+                limits.statuses(),
                 membership.superseded(),
-                membership.cutOff(),
-                membership.health(),
-                dropped);
+                membership.isolated(),
+                membership.localHealth(),
+                budget.dropped());
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/session/SessionSettings.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SessionSettings.java
@@ -4,26 +4,29 @@
 import sprucehold.cluster.quota.QuotaTerms;
 
 /**
- * What is agreed before anybody talks.
+ * What a session is told at its start.
  *
- * @param bounds what is shared, by the name of each bound
- * @param lettersPerS so many letters leave a gatherer in a second at the most, whatever comes in;
- *     what is beyond is dropped, as the network may do anyway
- * @param countHalfMs how long until a rate heard from another counts half, in milliseconds
+ * @param limits shared limits, by the name of each
+ * @param messagesPerSecond so many messages leave a gatherer in a second at the most, whatever
+ *     comes in; what is beyond is dropped, as the network may do anyway
+ * @param rateHalfLifeMs how long until a rate heard from another counts half, in milliseconds
  */
 public record SessionSettings(
-        Map<String, QuotaTerms> bounds, double lettersPerS, double countHalfMs) {
+        Map<String, QuotaTerms> limits, double messagesPerSecond, double rateHalfLifeMs) {
+    private static final double MIN_MESSAGES_PER_SECOND = 10;
+
     /**
      * @throws IllegalArgumentException if a figure is outside its range, with its name
      */
     public SessionSettings {
-        if (!(lettersPerS >= 10) || !(countHalfMs > 0)) {
+        if (!(messagesPerSecond >= MIN_MESSAGES_PER_SECOND) || !(rateHalfLifeMs > 0)) {
             throw new IllegalArgumentException(
-                    "lettersPerS and countHalfMs: at least 10 and more than 0 were expected, not "
-                            + lettersPerS
+                    "messagesPerSecond and rateHalfLifeMs: at least 10 and more than 0 were"
+                            + " expected, not "
+                            + messagesPerSecond
                             + " and "
-                            + countHalfMs);
+                            + rateHalfLifeMs);
         }
-        bounds = Map.copyOf(bounds);
+        limits = Map.copyOf(limits);
     }
 }
--- /dev/null
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EventQueue.java
@@ -0,0 +1,36 @@
+package sprucehold.cluster.simulation;
+
+import java.util.Comparator;
+import java.util.PriorityQueue;
+
+/**
+ * The events of a simulation in the order of their time, and of two at one time in the order in
+ * which they were scheduled. Times are milliseconds of simulated time.
+ */
+final class EventQueue {
+    private record Event(double atMs, long order, Runnable action) {}
+
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
+    private double nowMs;
+    private long scheduled;
+
+    /** The time of the event that is running. */
+    double nowMs() {
+        return nowMs;
+    }
+
+    void schedule(double atMs, Runnable action) {
+        events.add(new Event(atMs, scheduled++, action));
+    }
+
+    /** Runs all events up to that time, those included that they schedule. */
+    void runUntil(double endMs) {
+        while (!events.isEmpty() && events.peek().atMs <= endMs) {
+            Event event = events.poll();
+            nowMs = event.atMs;
+            event.action.run();
+        }
+    }
+}
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -2,10 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.TreeMap;
 import sprucehold.cluster.membership.MemberMessage;
@@ -19,7 +17,6 @@
  * alone and by the others.
  */
 public final class EvidenceSimulation {
-    private static final String FAILING = "s-0";
     private static final int SOUND = 5;
     private static final double WALL = 1.7e12;
 
@@ -27,16 +24,21 @@
     private static final double FAILS_AT_MS = 3000;
 
     /** What the decisions take for trouble. */
-    private static final double TROUBLE = 0.5;
+    private static final double FAILURE_SCORE_LIMIT = 0.5;
 
     /**
      * What is played.
      *
-     * @param perS dispatches a second of each gatherer to each shard server
-     * @param liar whether the first gatherer sees all servers fail, and none does
+     * @param attemptsPerSecond dispatches a second of each gatherer to each shard server
+     * @param lyingObserver whether the first gatherer sees all servers fail, and none does
      */
     public record Setting(
-            int members, int sites, double perS, double lengthMs, Network network, boolean liar) {}
+            int members,
+            int sites,
+            double attemptsPerSecond,
+            double lengthMs,
+            Network network,
+            boolean lyingObserver) {}
 
     /**
      * What came of it; NaN where not all ever knew.
@@ -45,40 +47,34 @@
      *     {@code aloneAllMs} of the last one
      * @param toldMedianMs until it holds by the others that the server has trouble; {@code
      *     toldAllMs} of the last one
-     * @param believedForNothing gatherers that held a sound server to be in trouble at some moment
-     * @param lettersPerS a gatherer and second
+     * @param falselySuspecting gatherers that held a sound server to be in trouble at some moment
+     * @param messagesPerSecond a gatherer and second
      */
     public record Result(
             double aloneMedianMs,
             double aloneAllMs,
             double toldMedianMs,
             double toldAllMs,
-            int believedForNothing,
-            double lettersPerS) {}
-
-    private record Happening(double atMs, long turn, Runnable what) {}
+            int falselySuspecting,
+            double messagesPerSecond) {}
 
     private final Setting setting;
-    private final Random chance;
-    private final List<CoordinationSession> talks = new ArrayList<>();
-    private final PriorityQueue<Happening> next =
-            new PriorityQueue<>(
-                    Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
+    private final Random random;
+    private final List<CoordinationSession> sessions = new ArrayList<>();
+    private final EventQueue events = new EventQueue();
     private final int[] failures;
     private final double[] aloneAt;
     private final double[] toldAt;
-    private final boolean[] fooled;
-    private double now;
-    private long turns;
-    private long letters;
+    private final boolean[] falselySuspecting;
+    private long messages;
 
     private EvidenceSimulation(Setting setting, long seed) {
         this.setting = setting;
-        this.chance = new Random(seed);
+        this.random = new Random(seed);
         this.failures = new int[setting.members];
         this.aloneAt = nan();
         this.toldAt = nan();
-        this.fooled = new boolean[setting.members];
+        this.falselySuspecting = new boolean[setting.members];
     }
 
     private double[] nan() {
@@ -96,10 +92,6 @@
         return "g" + member;
     }
 
-    private void at(double when, Runnable what) {
-        next.add(new Happening(when, turns++, what));
-    }
-
     private Result play() {
         var sites = new TreeMap<String, String>();
         var all = new ArrayList<MemberUpdate>();
@@ -117,28 +109,24 @@
                             sites.get(name(i)),
                             1,
                             sites,
-                            chance.nextLong(),
+                            random.nextLong(),
                             0,
                             WALL);
-            talks.add(session);
-            session.received(
+            sessions.add(session);
+            session.receive(
                     0,
                     WALL,
                     name((i + 1) % setting.members),
-                    new ClusterMessage.OfMembers(new MemberMessage.Table(false, all)));
+                    new ClusterMessage.MembershipPart(new MemberMessage.MemberTable(false, all)));
             int member = i;
-            at(chance.nextDouble() * session.tickMs(), () -> tick(member));
+            events.schedule(random.nextDouble() * session.tickMs(), () -> tick(member));
             for (int server = 0; server <= SOUND; server++) {
                 dispatch(member, server);
             }
         }
-        while (!next.isEmpty() && next.peek().atMs <= setting.lengthMs) {
-            Happening one = next.poll();
-            now = one.atMs;
-            one.what.run();
-        }
+        events.runUntil(setting.lengthMs);
         int believed = 0;
-        for (boolean one : fooled) {
+        for (boolean one : falselySuspecting) {
             believed += one ? 1 : 0;
         }
         return new Result(
@@ -147,54 +135,67 @@
                 median(toldAt),
                 last(toldAt),
                 believed,
-                letters / (double) setting.members / setting.lengthMs * 1000);
+                messages / (double) setting.members / setting.lengthMs * 1000);
     }
 
     private void dispatch(int member, int server) {
-        at(
-                now - Math.log(1 - chance.nextDouble()) * 1000 / setting.perS,
+        events.schedule(
+                events.nowMs()
+                        - Math.log(1 - random.nextDouble()) * 1000 / setting.attemptsPerSecond,
                 () -> {
-                    boolean fails =
-                            server == 0 && now >= FAILS_AT_MS && !setting.liar
-                                    || setting.liar && member == 0;
-                    talks.get(member).saw(now, WALL + now, "s-" + server, "site-0", 0, !fails);
+                    boolean fails = isFailing(member, server);
+                    sessions.get(member)
+                            .recordAttempt(
+                                    events.nowMs(),
+                                    WALL + events.nowMs(),
+                                    "s-" + server,
+                                    "site-0",
+                                    0,
+                                    !fails);
                     if (fails && server == 0 && ++failures[member] == 2) {
-                        aloneAt[member] = now - FAILS_AT_MS;
+                        aloneAt[member] = events.nowMs() - FAILS_AT_MS;
                     }
                     dispatch(member, server);
                 });
     }
 
+    /** Whether a member sees a server fail: the first one does, or the lying member sees all. */
+    private boolean isFailing(int member, int server) {
+        return setting.lyingObserver ? member == 0 : server == 0 && events.nowMs() >= FAILS_AT_MS;
+    }
+
     private void tick(int member) {
-        CoordinationSession session = talks.get(member);
-        send(member, session.tick(now, WALL + now));
+        CoordinationSession session = sessions.get(member);
+        send(member, session.tick(events.nowMs(), WALL + events.nowMs()));
         for (int server = 0; server <= SOUND; server++) {
             boolean trouble =
-                    session.opinion(now, WALL + now, "s-" + server, 0).trouble() > TROUBLE;
-            if (trouble && server == 0 && !setting.liar && Double.isNaN(toldAt[member])) {
-                toldAt[member] = now - FAILS_AT_MS;
+                    session.assess(events.nowMs(), WALL + events.nowMs(), "s-" + server, 0)
+                                    .failureScore()
+                            > FAILURE_SCORE_LIMIT;
+            if (trouble && server == 0 && !setting.lyingObserver && Double.isNaN(toldAt[member])) {
+                toldAt[member] = events.nowMs() - FAILS_AT_MS;
             }
-            fooled[member] |= trouble && (server > 0 || setting.liar);
+            falselySuspecting[member] |= trouble && (server > 0 || setting.lyingObserver);
         }
-        at(now + session.tickMs(), () -> tick(member));
+        events.schedule(events.nowMs() + session.tickMs(), () -> tick(member));
     }
 
-    private void send(int from, List<CoordinationSession.Out> out) {
-        for (CoordinationSession.Out one : out) {
-            letters++;
-            if (!setting.network.loses(chance)) {
+    private void send(int from, List<CoordinationSession.Outgoing> out) {
+        for (CoordinationSession.Outgoing one : out) {
+            messages++;
+            if (!setting.network.loses(random)) {
                 int to = Integer.parseInt(one.to().substring(1));
-                at(
-                        now + setting.network.way(chance),
+                events.schedule(
+                        events.nowMs() + setting.network.way(random),
                         () ->
                                 send(
                                         to,
-                                        talks.get(to)
-                                                .received(
-                                                        now,
-                                                        WALL + now,
+                                        sessions.get(to)
+                                                .receive(
+                                                        events.nowMs(),
+                                                        WALL + events.nowMs(),
                                                         name(from),
-                                                        one.letter())));
+                                                        one.message())));
             }
         }
     }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
@@ -30,23 +30,23 @@
     }
 
     @Override
-    public List<Out> tick(double nowMs) {
+    public List<Outgoing> tick(double nowMs) {
         now = nowMs;
-        var out = new ArrayList<Out>();
+        var out = new ArrayList<Outgoing>();
         heardAt.keySet()
-                .forEach(one -> out.add(new Out(one, new MemberMessage.Ping(0, List.of()))));
+                .forEach(one -> out.add(new Outgoing(one, new MemberMessage.Ping(0, List.of()))));
         return out;
     }
 
     @Override
-    public List<Out> received(double nowMs, String from, MemberMessage message) {
+    public List<Outgoing> receive(double nowMs, String from, MemberMessage message) {
         now = nowMs;
         heardAt.put(from, nowMs);
         return List.of();
     }
 
     @Override
-    public Set<String> there() {
+    public Set<String> alive() {
         var there = new TreeSet<String>();
         heardAt.forEach(
                 (name, at) -> {
--- a/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
@@ -1,11 +1,9 @@
 package sprucehold.cluster.simulation;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -29,11 +27,11 @@
     /**
      * What is played.
      *
-     * @param troubles {@link SimulatedFault.Kind#DEAD} is a death that is to be known, all others
-     *     are none
+     * @param faults {@link SimulatedFault.Kind#DEAD} is a death that is to be known, all others are
+     *     none
      */
     public record Setting(
-            int members, double lengthMs, Network network, List<SimulatedFault> troubles) {}
+            int members, double lengthMs, Network network, List<SimulatedFault> faults) {}
 
     /**
      * What came of it.
@@ -48,14 +46,10 @@
     public record Result(
             double firstMs, double allMs, long falselyDead, long wrongAtEnd, double messages) {}
 
-    private record Happening(double atMs, long turn, Runnable what) {}
-
     private final Setting setting;
     private final Way way;
-    private final Random chance;
-    private final PriorityQueue<Happening> next =
-            new PriorityQueue<>(
-                    Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
+    private final Random random;
+    private final EventQueue events = new EventQueue();
     private final List<FailureDetector> members = new ArrayList<>();
     private final List<List<Runnable>> later = new ArrayList<>();
     private final List<Set<String>> believed = new ArrayList<>();
@@ -67,15 +61,13 @@
     private final double lookMs;
 
     private final double[] lookedAt;
-    private double now;
-    private long turns;
     private long messages;
     private long falselyDead;
 
     private MembershipSimulation(Setting setting, Way way, long seed) {
         this.setting = setting;
         this.way = way;
-        this.chance = new Random(seed);
+        this.random = new Random(seed);
         this.lookMs = setting.members > 200 ? 1000 : 200;
         this.lookedAt = new double[setting.members];
     }
@@ -92,7 +84,7 @@
     private FailureDetector detector(int member) {
         List<String> all =
                 IntStream.range(0, setting.members).mapToObj(MembershipSimulation::name).toList();
-        var own = new Random(chance.nextLong());
+        var own = new Random(random.nextLong());
         return switch (way) {
             case HEARTBEATS_TO_ALL -> new HeartbeatsToAll(name(member), all);
             case PHI_GOSSIP -> new PhiGossip(name(member), all, own);
@@ -101,18 +93,18 @@
                 all.forEach(one -> seeds.put(one, "a"));
                 // As after a start long ago: all know of all.
                 yield new Membership(
-                        name(member), "a", 1 + (long) now, seeds, own, way == Way.SWIM);
+                        name(member), "a", 1 + (long) events.nowMs(), seeds, own, way == Way.SWIM);
             }
         };
     }
 
-    private void at(double when, Runnable what) {
-        next.add(new Happening(when, turns++, what));
-    }
-
     private boolean is(SimulatedFault.Kind kind, int member) {
-        return setting.troubles.stream()
-                .anyMatch(one -> one.kind() == kind && one.of().contains(member) && one.at(now));
+        return setting.faults.stream()
+                .anyMatch(
+                        one ->
+                                one.kind() == kind
+                                        && one.members().contains(member)
+                                        && one.isActiveAt(events.nowMs()));
     }
 
     private void act(int member, Runnable what) {
@@ -120,8 +112,8 @@
             later.get(member).add(what);
         } else if (!is(SimulatedFault.Kind.DEAD, member)) {
             what.run();
-            if (now - lookedAt[member] >= lookMs) {
-                lookedAt[member] = now;
+            if (events.nowMs() - lookedAt[member] >= lookMs) {
+                lookedAt[member] = events.nowMs();
                 believe(member);
             }
         }
@@ -133,21 +125,21 @@
             members.add(detector(i));
             later.add(new ArrayList<>());
             believed.add(Set.of());
-            at(chance.nextDouble() * members.get(i).tickMs(), () -> tick(member));
+            events.schedule(random.nextDouble() * members.get(i).tickMs(), () -> tick(member));
         }
-        for (SimulatedFault trouble : setting.troubles) {
-            for (int member : trouble.of()) {
-                if (trouble.kind() == SimulatedFault.Kind.PAUSED) {
-                    at(
-                            trouble.toMs(),
+        for (SimulatedFault fault : setting.faults) {
+            for (int member : fault.members()) {
+                if (fault.kind() == SimulatedFault.Kind.PAUSED) {
+                    events.schedule(
+                            fault.toMs(),
                             () -> {
                                 List<Runnable> late = List.copyOf(later.get(member));
                                 later.get(member).clear();
                                 late.forEach(what -> act(member, what));
                             });
-                } else if (trouble.kind() == SimulatedFault.Kind.DEAD) {
-                    at(
-                            trouble.toMs(),
+                } else if (fault.kind() == SimulatedFault.Kind.DEAD) {
+                    events.schedule(
+                            fault.toMs(),
                             () -> {
                                 members.set(member, detector(member));
                                 believed.set(member, Set.of());
@@ -155,40 +147,42 @@
                 }
             }
         }
-        while (!next.isEmpty() && next.peek().atMs <= setting.lengthMs) {
-            Happening one = next.poll();
-            now = one.atMs;
-            one.what.run();
-        }
+        events.runUntil(setting.lengthMs);
         return result();
     }
 
     private void tick(int member) {
-        act(member, () -> members.get(member).tick(now).forEach(out -> send(member, out)));
-        at(now + members.get(member).tickMs(), () -> tick(member));
+        act(
+                member,
+                () -> members.get(member).tick(events.nowMs()).forEach(out -> send(member, out)));
+        events.schedule(events.nowMs() + members.get(member).tickMs(), () -> tick(member));
     }
 
-    private void send(int from, FailureDetector.Out out) {
+    private void send(int from, FailureDetector.Outgoing out) {
         messages++;
         int to = Integer.parseInt(out.to().substring(1));
-        for (int copies = setting.network.doubles(chance) ? 2 : 1; copies > 0; copies--) {
-            boolean lost = setting.network.loses(chance);
-            double left = now;
-            double way = setting.network.way(chance);
+        for (int copies = setting.network.doubles(random) ? 2 : 1; copies > 0; copies--) {
+            boolean lost = setting.network.loses(random);
+            double left = events.nowMs();
+            double way = setting.network.way(random);
             if (!lost) {
-                at(
-                        now + way,
+                events.schedule(
+                        events.nowMs() + way,
                         () -> {
-                            if (setting.troubles.stream()
+                            if (setting.faults.stream()
                                     .noneMatch(
                                             one ->
                                                     one.cuts(from, to, left)
-                                                            || one.cuts(from, to, now))) {
+                                                            || one.cuts(
+                                                                    from, to, events.nowMs()))) {
                                 act(
                                         to,
                                         () ->
                                                 members.get(to)
-                                                        .received(now, name(from), out.message())
+                                                        .receive(
+                                                                events.nowMs(),
+                                                                name(from),
+                                                                out.message())
                                                         .forEach(more -> send(to, more)));
                             }
                         });
@@ -198,13 +192,13 @@
 
     /** Notes whom a member holds to be there no more. */
     private void believe(int member) {
-        Set<String> there = members.get(member).there();
+        Set<String> there = members.get(member).alive();
         for (String gone : believed.get(member)) {
             if (!there.contains(gone)) {
                 int other = Integer.parseInt(gone.substring(1));
                 if (is(SimulatedFault.Kind.DEAD, other)) {
                     knownBy.computeIfAbsent(other, none -> new TreeMap<>())
-                            .merge(now, 1, Integer::sum);
+                            .merge(events.nowMs(), 1, Integer::sum);
                 } else if (!excused(member) && !excused(other)) {
                     falselyDead++;
                 }
@@ -218,30 +212,30 @@
      * of it.
      */
     private boolean excused(int member) {
-        return setting.troubles.stream()
+        return setting.faults.stream()
                 .anyMatch(
                         one ->
-                                now >= one.fromMs()
-                                        && now < one.toMs() + 60_000
-                                        && (one.of().contains(member)
+                                events.nowMs() >= one.fromMs()
+                                        && events.nowMs() < one.toMs() + 60_000
+                                        && (one.members().contains(member)
                                                 || one.kind() == SimulatedFault.Kind.CUT_OFF));
     }
 
     private Result result() {
         var first = new ArrayList<Double>();
         var all = new ArrayList<Double>();
-        for (SimulatedFault trouble : setting.troubles) {
-            if (trouble.kind() != SimulatedFault.Kind.DEAD) {
+        for (SimulatedFault fault : setting.faults) {
+            if (fault.kind() != SimulatedFault.Kind.DEAD) {
                 continue;
             }
-            for (int dead : trouble.of()) {
+            for (int dead : fault.members()) {
                 TreeMap<Double, Integer> by = knownBy.getOrDefault(dead, new TreeMap<>());
-                first.add(by.isEmpty() ? Double.NaN : by.firstKey() - trouble.fromMs());
-                int up = setting.members - trouble.of().size();
+                first.add(by.isEmpty() ? Double.NaN : by.firstKey() - fault.fromMs());
+                int up = setting.members - fault.members().size();
                 all.add(
                         by.values().stream().mapToInt(count -> count).sum() < up
                                 ? Double.NaN
-                                : by.lastKey() - trouble.fromMs());
+                                : by.lastKey() - fault.fromMs());
             }
         }
         long wrong = 0;
@@ -250,7 +244,7 @@
                 if (i != j
                         && !is(SimulatedFault.Kind.DEAD, i)
                         && !is(SimulatedFault.Kind.DEAD, j)
-                        && !members.get(i).there().contains(name(j))) {
+                        && !members.get(i).alive().contains(name(j))) {
                     wrong++;
                 }
             }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/Network.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/Network.java
@@ -13,17 +13,17 @@
     /** A way within one installation, and no faults. */
     public static final Network SOUND = new Network(0.5, 0, 0);
 
-    boolean loses(Random chance) {
-        return chance.nextDouble() < lose;
+    boolean loses(Random random) {
+        return random.nextDouble() < lose;
     }
 
-    boolean doubles(Random chance) {
-        return chance.nextDouble() < twice;
+    boolean doubles(Random random) {
+        return random.nextDouble() < twice;
     }
 
     /** A time on the way, in milliseconds: log-normal with half a spread, and a tail. */
-    double way(Random chance) {
-        double way = wayMs * Math.exp(0.5 * chance.nextGaussian());
-        return chance.nextDouble() < 0.01 ? 20 * way : way;
+    double way(Random random) {
+        double way = wayMs * Math.exp(0.5 * random.nextGaussian());
+        return random.nextDouble() < 0.01 ? 20 * way : way;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -37,13 +37,13 @@
     }
 
     private final String name;
-    private final Random chance;
+    private final Random random;
     private final TreeMap<String, Beats> all = new TreeMap<>();
     private double now;
 
-    PhiGossip(String name, Collection<String> all, Random chance) {
+    PhiGossip(String name, Collection<String> all, Random random) {
         this.name = name;
-        this.chance = chance;
+        this.random = random;
         all.forEach(one -> this.all.put(one, new Beats()));
     }
 
@@ -53,13 +53,13 @@
     }
 
     @Override
-    public List<Out> tick(double nowMs) {
+    public List<Outgoing> tick(double nowMs) {
         now = nowMs;
         all.get(name).count++;
-        var out = new ArrayList<Out>();
-        List<String> others = new ArrayList<>(there());
+        var out = new ArrayList<Outgoing>();
+        List<String> others = new ArrayList<>(alive());
         for (int i = 0; i < Math.min(FANOUT, others.size()); i++) {
-            String to = others.get(chance.nextInt(others.size()));
+            String to = others.get(random.nextInt(others.size()));
             var piece = new ArrayList<MemberUpdate>();
             for (var one : all.entrySet()) {
                 if (one.getValue().count > 0) {
@@ -72,21 +72,23 @@
                                     MemberUpdate.State.ALIVE));
                 }
                 if (piece.size() == PIECE) {
-                    out.add(new Out(to, new MemberMessage.Table(false, List.copyOf(piece))));
+                    out.add(
+                            new Outgoing(
+                                    to, new MemberMessage.MemberTable(false, List.copyOf(piece))));
                     piece.clear();
                 }
             }
             if (!piece.isEmpty()) {
-                out.add(new Out(to, new MemberMessage.Table(false, List.copyOf(piece))));
+                out.add(new Outgoing(to, new MemberMessage.MemberTable(false, List.copyOf(piece))));
             }
         }
         return out;
     }
 
     @Override
-    public List<Out> received(double nowMs, String from, MemberMessage message) {
+    public List<Outgoing> receive(double nowMs, String from, MemberMessage message) {
         now = nowMs;
-        for (MemberUpdate update : message.news()) {
+        for (MemberUpdate update : message.updates()) {
             Beats beats = all.get(update.name());
             if (update.incarnation() > beats.count) {
                 double took = now - beats.atMs;
@@ -104,7 +106,7 @@
     }
 
     @Override
-    public Set<String> there() {
+    public Set<String> alive() {
         var there = new TreeSet<String>();
         all.forEach(
                 (one, beats) -> {
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -2,10 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Comparator;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.function.ToDoubleBiFunction;
 import java.util.stream.IntStream;
@@ -22,19 +19,19 @@
     /**
      * What is played.
      *
-     * @param bound units in any window over the whole fleet
+     * @param limit units in any window over the whole fleet
      * @param demand uses wanted a second, by member and time in milliseconds
      * @param drift clocks run fast or slow by up to this share, each by its own
      */
     public record Setting(
             int members,
-            int bound,
+            int limit,
             double windowMs,
             double termMs,
             double drift,
             double lengthMs,
             Network network,
-            List<SimulatedFault> troubles,
+            List<SimulatedFault> faults,
             ToDoubleBiFunction<Integer, Double> demand) {}
 
     /**
@@ -52,18 +49,17 @@
             int mostInWindow,
             long messages,
             long dropped,
-            double[] gotBySecond) {
+            List<Double> gotBySecond) {
+        /** The share of wanted uses that were granted. */
         public double share() {
             return wanted == 0 ? 1 : (double) got / wanted;
         }
     }
 
-    private record Happening(double atMs, long turn, Runnable what) {}
-
     private final class Member {
         final int number;
-        final double rate;
-        long life;
+        final double clockRate;
+        long epoch;
         MonotonicLeaseClock clock;
         QuotaLedger ledger;
         LeaseExchange exchange;
@@ -73,30 +69,30 @@
 
         Member(int number) {
             this.number = number;
-            this.rate = 1 + setting.drift * (2 * chance.nextDouble() - 1);
+            this.clockRate = 1 + setting.drift * (2 * random.nextDouble() - 1);
             begin();
         }
 
         void begin() {
-            life++;
+            epoch++;
             clock = new MonotonicLeaseClock();
             read();
             var terms =
-                    division.terms(
+                    strategy.terms(
                             number,
                             setting.members,
-                            setting.bound,
+                            setting.limit,
                             setting.windowMs,
                             setting.termMs,
                             setting.drift);
-            ledger = new QuotaLedger(name(number), life, terms, clock);
+            ledger = new QuotaLedger(name(number), epoch, terms, clock);
             List<String> others =
-                    division == QuotaStrategy.LENT
+                    strategy == QuotaStrategy.LENT
                             ? IntStream.range(0, setting.members)
                                     .filter(one -> one != number)
                                     .mapToObj(QuotaSimulation::name)
                                     .toList()
-                            : division == QuotaStrategy.COORDINATED && number != 0
+                            : strategy == QuotaStrategy.COORDINATED && number != 0
                                     ? List.of(name(0))
                                     : List.of();
             exchange =
@@ -105,19 +101,22 @@
                             terms,
                             ledger,
                             clock,
-                            life,
+                            epoch,
                             others,
-                            new Random(chance.nextLong()));
+                            new Random(random.nextLong()));
         }
 
         void read() {
-            clock.read(now * rate, now * rate);
+            clock.read(events.nowMs() * clockRate, events.nowMs() * clockRate);
         }
 
         boolean is(SimulatedFault.Kind kind) {
-            return setting.troubles.stream()
+            return setting.faults.stream()
                     .anyMatch(
-                            one -> one.kind() == kind && one.of().contains(number) && one.at(now));
+                            one ->
+                                    one.kind() == kind
+                                            && one.members().contains(number)
+                                            && one.isActiveAt(events.nowMs()));
         }
 
         /** Does it now, or after a pause; the dead do nothing. */
@@ -131,15 +130,11 @@
     }
 
     private final Setting setting;
-    private final QuotaStrategy division;
-    private final Random chance;
+    private final QuotaStrategy strategy;
+    private final Random random;
     private final List<Member> members = new ArrayList<>();
-    private final PriorityQueue<Happening> next =
-            new PriorityQueue<>(
-                    Comparator.comparingDouble(Happening::atMs).thenComparingLong(Happening::turn));
+    private final EventQueue events = new EventQueue();
     private final ArrayDeque<Double> sent = new ArrayDeque<>();
-    private double now;
-    private long turns;
     private long messages;
     private long wanted;
     private long got;
@@ -148,42 +143,38 @@
     private final long[] wantedBySecond;
     private final long[] gotBySecond;
 
-    private QuotaSimulation(Setting setting, QuotaStrategy division, long seed) {
+    private QuotaSimulation(Setting setting, QuotaStrategy strategy, long seed) {
         this.setting = setting;
-        this.division = division;
-        this.chance = new Random(seed);
+        this.strategy = strategy;
+        this.random = new Random(seed);
         int seconds = (int) Math.ceil(setting.lengthMs / 1000);
         this.wantedBySecond = new long[seconds];
         this.gotBySecond = new long[seconds];
     }
 
     /** Plays it; the same to the last use for the same seed. */
-    public static Result play(Setting setting, QuotaStrategy division, long seed) {
-        return new QuotaSimulation(setting, division, seed).play();
+    public static Result play(Setting setting, QuotaStrategy strategy, long seed) {
+        return new QuotaSimulation(setting, strategy, seed).play();
     }
 
     private static String name(int member) {
         return "g" + member;
     }
 
-    private void at(double when, Runnable what) {
-        next.add(new Happening(when, turns++, what));
-    }
-
     private Result play() {
         for (int i = 0; i < setting.members; i++) {
             var member = new Member(i);
             members.add(member);
             // Looks are spread, as processes start at different moments.
-            at(chance.nextDouble() * LeaseExchange.TICK_MS, () -> tick(member));
-            at(0, () -> want(member));
+            events.schedule(random.nextDouble() * LeaseExchange.TICK_MS, () -> tick(member));
+            events.schedule(0, () -> want(member));
         }
-        for (SimulatedFault trouble : setting.troubles) {
-            if (trouble.kind() == SimulatedFault.Kind.PAUSED) {
-                at(
-                        trouble.toMs(),
+        for (SimulatedFault fault : setting.faults) {
+            if (fault.kind() == SimulatedFault.Kind.PAUSED) {
+                events.schedule(
+                        fault.toMs(),
                         () ->
-                                trouble.of()
+                                fault.members()
                                         .forEach(
                                                 one -> {
                                                     List<Runnable> late =
@@ -191,62 +182,61 @@
                                                     members.get(one).later.clear();
                                                     late.forEach(members.get(one)::act);
                                                 }));
-            } else if (trouble.kind() == SimulatedFault.Kind.DEAD) {
-                at(trouble.toMs(), () -> trouble.of().forEach(one -> members.get(one).begin()));
+            } else if (fault.kind() == SimulatedFault.Kind.DEAD) {
+                events.schedule(
+                        fault.toMs(),
+                        () -> fault.members().forEach(one -> members.get(one).begin()));
             }
         }
-        while (!next.isEmpty() && next.peek().atMs <= setting.lengthMs) {
-            Happening one = next.poll();
-            now = one.atMs;
-            one.what.run();
-        }
-        double[] shares =
-                IntStream.range(0, wantedBySecond.length)
-                        .mapToDouble(
-                                second ->
-                                        wantedBySecond[second] == 0
-                                                ? Double.NaN
-                                                : (double) gotBySecond[second]
-                                                        / wantedBySecond[second])
-                        .toArray();
+        events.runUntil(setting.lengthMs);
+        List<Double> shares =
+                IntStream.range(0, wantedBySecond.length).mapToObj(this::gotShare).toList();
         return new Result(wanted, got, mostInWindow, messages, dropped, shares);
     }
 
+    private double gotShare(int second) {
+        return wantedBySecond[second] == 0
+                ? Double.NaN
+                : (double) gotBySecond[second] / wantedBySecond[second];
+    }
+
     private void tick(Member member) {
         member.act(
                 () -> {
                     member.read();
                     member.exchange.tick().forEach(out -> send(member, out));
                 });
-        at(now + LeaseExchange.TICK_MS, () -> tick(member));
+        events.schedule(events.nowMs() + LeaseExchange.TICK_MS, () -> tick(member));
     }
 
-    private void send(Member from, LeaseExchange.Out out) {
+    private void send(Member from, LeaseExchange.Outgoing out) {
         messages++;
         int to = Integer.parseInt(out.to().substring(1));
-        int copies = setting.network.doubles(chance) ? 2 : 1;
+        int copies = setting.network.doubles(random) ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            boolean lost = setting.network.loses(chance);
-            double way = setting.network.way(chance);
-            double left = now;
+            boolean lost = setting.network.loses(random);
+            double way = setting.network.way(random);
+            double left = events.nowMs();
             if (!lost) {
-                at(
-                        now + way,
+                events.schedule(
+                        events.nowMs() + way,
                         () -> {
                             boolean cut =
-                                    setting.troubles.stream()
+                                    setting.faults.stream()
                                             .anyMatch(
                                                     one ->
                                                             one.cuts(from.number, to, left)
                                                                     || one.cuts(
-                                                                            from.number, to, now));
+                                                                            from.number,
+                                                                            to,
+                                                                            events.nowMs()));
                             Member target = members.get(to);
                             if (!cut) {
                                 target.act(
                                         () -> {
                                             target.read();
                                             target.exchange
-                                                    .received(name(from.number), out.message())
+                                                    .receive(name(from.number), out.message())
                                                     .forEach(more -> send(target, more));
                                         });
                             }
@@ -257,15 +247,15 @@
 
     /** One use is wanted, and the next drawn: arrivals by chance at the rate of this moment. */
     private void want(Member member) {
-        double perSecond = setting.demand.applyAsDouble(member.number, now);
+        double perSecond = setting.demand.applyAsDouble(member.number, events.nowMs());
         // Looked at again within a tenth of a second, as rates change.
-        double wait = perSecond <= 0 ? 100 : -Math.log(1 - chance.nextDouble()) * 1000 / perSecond;
+        double wait = perSecond <= 0 ? 100 : -Math.log(1 - random.nextDouble()) * 1000 / perSecond;
         if (wait > 100) {
-            at(now + 100, () -> want(member));
+            events.schedule(events.nowMs() + 100, () -> want(member));
             return;
         }
-        at(
-                now + wait,
+        events.schedule(
+                events.nowMs() + wait,
                 () -> {
                     if (!member.is(SimulatedFault.Kind.DEAD)
                             && !member.is(SimulatedFault.Kind.PAUSED)) {
@@ -279,22 +269,22 @@
         count(wantedBySecond);
         wanted++;
         member.read();
-        if (division == QuotaStrategy.ALL_KNOWING) {
-            if (inWindow() < setting.bound) {
+        if (strategy == QuotaStrategy.ALL_KNOWING) {
+            if (inWindow() < setting.limit) {
                 used();
             }
             return;
         }
-        Permit permit = member.exchange.use(1);
+        Permit permit = member.exchange.consume(1);
         if (permit != null) {
             // Written a little later, or long after where the process is stopped in between.
-            at(
-                    now + chance.nextDouble(),
+            events.schedule(
+                    events.nowMs() + random.nextDouble(),
                     () ->
                             member.act(
                                     () -> {
                                         member.read();
-                                        if (permit.holds(member.clock)) {
+                                        if (permit.isValid(member.clock)) {
                                             used();
                                         } else {
                                             dropped++;
@@ -304,7 +294,7 @@
     }
 
     private int inWindow() {
-        while (!sent.isEmpty() && sent.peek() <= now - setting.windowMs) {
+        while (!sent.isEmpty() && sent.peek() <= events.nowMs() - setting.windowMs) {
             sent.poll();
         }
         return sent.size();
@@ -313,12 +303,12 @@
     private void used() {
         got++;
         count(gotBySecond);
-        sent.add(now);
+        sent.add(events.nowMs());
         mostInWindow = Math.max(mostInWindow, inWindow());
     }
 
     private void count(long[] bySecond) {
-        int second = (int) (now / 1000);
+        int second = (int) (events.nowMs() / 1000);
         if (second < bySecond.length) {
             bySecond[second]++;
         }
@@ -331,7 +321,7 @@
     public static ToDoubleBiFunction<Integer, Double> busyFew(
             int members, int busy, double busyPerS, double idlePerS, double everyMs) {
         return (member, now) ->
-                Math.floorMod(member - (int) (now / everyMs) * busy, members) < busy
+                Math.floorMod(member - ((int) (now / everyMs)) * busy, members) < busy
                         ? busyPerS
                         : idlePerS;
     }
@@ -340,8 +330,9 @@
      * The mean over seconds from {@code from} to before {@code to}, of those in which anything was
      * wanted.
      */
-    public static double mean(double[] bySecond, int from, int to) {
-        return Arrays.stream(bySecond, from, Math.min(to, bySecond.length))
+    public static double mean(List<Double> bySecond, int from, int to) {
+        return bySecond.subList(from, Math.min(to, bySecond.size())).stream()
+                .mapToDouble(share -> share)
                 .filter(share -> !Double.isNaN(share))
                 .average()
                 .orElse(1);
--- a/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
@@ -5,11 +5,11 @@
 /**
  * Something that befalls members for a time.
  *
- * @param of members by number
+ * @param members members by number
  * @param fromMs when it begins, in milliseconds of simulated time
  * @param toMs when it is over
  */
-public record SimulatedFault(Kind kind, Set<Integer> of, double fromMs, double toMs) {
+public record SimulatedFault(Kind kind, Set<Integer> members, double fromMs, double toMs) {
     /** What may befall them. */
     public enum Kind {
         /** They and the others hear nothing of each other. */
@@ -26,18 +26,18 @@
         ALONE
     }
 
-    boolean at(double nowMs) {
+    boolean isActiveAt(double nowMs) {
         return nowMs >= fromMs && nowMs < toMs;
     }
 
     /** Whether it keeps a message from getting through. */
     boolean cuts(int from, int to, double nowMs) {
-        return at(nowMs)
+        return isActiveAt(nowMs)
                 && switch (kind) {
-                    case CUT_OFF -> of.contains(from) != of.contains(to);
-                    case DEAF -> of.contains(to);
-                    case MUTE -> of.contains(from);
-                    case ALONE -> of.contains(from) || of.contains(to);
+                    case CUT_OFF -> members.contains(from) != members.contains(to);
+                    case DEAF -> members.contains(to);
+                    case MUTE -> members.contains(from);
+                    case ALONE -> members.contains(from) || members.contains(to);
                     case PAUSED, DEAD -> false;
                 };
     }
--- a/cluster/src/main/java/sprucehold/cluster/wire/Received.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Received.java
@@ -2,21 +2,30 @@
 
 import sprucehold.cluster.session.ClusterMessage;
 
-/** What a datagram turned out to be. */
+/** What bytes that came turned out to be. */
 public sealed interface Received {
     /**
-     * A letter to this gatherer.
+     * A message to this gatherer.
      *
-     * @param reads the highest version that the sender can read
+     * @param from the sender's name, as it states it
+     * @param highestVersion the highest version that the sender can read
      */
-    record Read(String from, int reads, ClusterMessage letter) implements Received {}
+    record Decoded(String from, int highestVersion, ClusterMessage message) implements Received {}
 
     /** Of a version that can't be read here: its sender should be told, once. */
-    record Unknown(int version) implements Received {}
+    record UnknownVersion(int version) implements Received {}
 
-    /** This gatherer's own letters can't be read by whoever sent it. @param why for a log */
-    record Refused(String why) implements Received {}
+    /**
+     * The sender can't read this gatherer's messages.
+     *
+     * @param reason for a log
+     */
+    record VersionRefused(String reason) implements Received {}
 
-    /** Not a whole letter to this gatherer; nothing is to be done. @param why for a log */
-    record Foreign(String why) implements Received {}
+    /**
+     * No intact message to this gatherer; it is ignored.
+     *
+     * @param reason for a log
+     */
+    record Foreign(String reason) implements Received {}
 }
--- a/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
@@ -62,15 +62,15 @@
             }
         }
 
-        private void deliver(String from, List<CoordinationSession.Out> out) {
-            for (CoordinationSession.Out one : out) {
-                byte[] bytes = codecs.get(from).write(one.to(), one.letter(), 1);
+        private void deliver(String from, List<CoordinationSession.Outgoing> out) {
+            for (CoordinationSession.Outgoing one : out) {
+                byte[] bytes = codecs.get(from).write(one.to(), one.message(), 1);
                 if (!deaf.contains(one.to())
-                        && codecs.get(one.to()).read(bytes) instanceof Received.Read read) {
+                        && codecs.get(one.to()).read(bytes) instanceof Received.Decoded read) {
                     deliver(
                             one.to(),
                             talks.get(one.to())
-                                    .received(now, WALL + now, read.from(), read.letter()));
+                                    .receive(now, WALL + now, read.from(), read.message()));
                 }
             }
         }
@@ -78,7 +78,7 @@
         int uses(String name, int wanted) {
             int got = 0;
             for (int i = 0; i < wanted; i++) {
-                got += talks.get(name).use(now, WALL + now, "further", 1) == null ? 0 : 1;
+                got += talks.get(name).consume(now, WALL + now, "further", 1) == null ? 0 : 1;
             }
             return got;
         }
@@ -109,12 +109,13 @@
                             name ->
                                     room.talks
                                             .get(name)
-                                            .saw(room.now, WALL + room.now, "s", "z", 5, false));
-            room.talks.get("b").counted(room.now, WALL + room.now, "s", 10);
+                                            .recordAttempt(
+                                                    room.now, WALL + room.now, "s", "z", 5, false));
+            room.talks.get("b").recordSent(room.now, WALL + room.now, "s", 10);
             room.passes(1000);
         }
         assertEquals(
-                a.opinion(room.now, WALL + room.now, "s", 5).observers(),
+                a.assess(room.now, WALL + room.now, "s", 5).observers(),
                 2,
                 "the other two have told what they saw");
         assertTrue(a.othersPerSecond(room.now, WALL + room.now, "s") > 5);
@@ -130,7 +131,11 @@
             room.uses("a", 30);
             room.passes(1050);
             if (second >= 4) {
-                held += room.talks.get("a").held(room.now, WALL + room.now, "further").borrowed();
+                held +=
+                        room.talks
+                                .get("a")
+                                .limitStatus(room.now, WALL + room.now, "further")
+                                .borrowed();
             }
         }
         assertTrue(held >= 16 * 6, "borrowed over sixteen seconds: " + held);
@@ -160,36 +165,36 @@
     public void whoIsSupersededUsesNothing() {
         CoordinationSession session = talk("a", 7);
         session.tick(10_000, WALL + 10_000);
-        Permit permit = session.use(10_000, WALL + 10_000, "further", 1);
+        Permit permit = session.consume(10_000, WALL + 10_000, "further", 1);
         assertNotNull(permit);
-        session.received(
+        session.receive(
                 10_001,
                 WALL + 10_001,
                 "b",
-                new ClusterMessage.OfMembers(
-                        new MemberMessage.Table(
+                new ClusterMessage.MembershipPart(
+                        new MemberMessage.MemberTable(
                                 false,
                                 List.of(
                                         new MemberUpdate(
                                                 "a", "x", 9, 0, MemberUpdate.State.ALIVE)))));
-        assertNull(session.use(10_002, WALL + 10_002, "further", 1));
+        assertNull(session.consume(10_002, WALL + 10_002, "further", 1));
         assertFalse(
-                session.holds(10_002, WALL + 10_002, permit),
+                session.isValid(10_002, WALL + 10_002, permit),
                 "what it had counted is not sent either");
-        session.received(
+        session.receive(
                 10_003,
                 WALL + 10_003,
                 "b",
-                new ClusterMessage.OfMembers(
-                        new MemberMessage.Table(
+                new ClusterMessage.MembershipPart(
+                        new MemberMessage.MemberTable(
                                 false,
                                 List.of(
                                         new MemberUpdate(
                                                 "a", "x", 9, 0, MemberUpdate.State.DEAD)))));
         assertNull(
-                session.use(10_004, WALL + 10_004, "further", 1),
+                session.consume(10_004, WALL + 10_004, "further", 1),
                 "the other may have used and lent all until just now");
-        assertNotNull(session.use(14_000, WALL + 14_000, "further", 10));
+        assertNotNull(session.consume(14_000, WALL + 14_000, "further", 10));
     }
 
     @Test
@@ -198,16 +203,16 @@
         int answers = 0;
         for (int i = 0; i < 10_000; i++) {
             answers +=
-                    session.received(
+                    session.receive(
                                     i / 10.0,
                                     WALL + i / 10.0,
                                     "b",
-                                    new ClusterMessage.OfMembers(
+                                    new ClusterMessage.MembershipPart(
                                             new MemberMessage.Ping(i, List.of())))
                             .size();
         }
         assertTrue(answers <= 60 + 60 + 1, "one second's, and one saved up: " + answers);
-        assertTrue(session.status(1000, WALL + 1000).dropped() > 9000);
+        assertTrue(session.status(1000, WALL + 1000).droppedMessages() > 9000);
     }
 
     @Test
@@ -216,16 +221,16 @@
         var counts = List.of(new CounterValue("c", 1, "s", 1_000_000));
         for (String liar : List.of("b")) {
             for (String observer : List.of("c", "d", "e")) {
-                session.received(
+                session.receive(
                         10,
                         WALL,
                         liar,
-                        new ClusterMessage.OfNews(
+                        new ClusterMessage.ObservationPart(
                                 counts,
                                 List.of(new Observation(observer, "y", "s", "z", 5, 0, 99, 1))));
             }
         }
-        assertEquals(session.opinion(10, WALL, "s", 5).observers(), 0);
+        assertEquals(session.assess(10, WALL, "s", 5).observers(), 0);
         assertEquals(session.othersPerSecond(10, WALL, "s"), 0.0);
     }
 
@@ -239,12 +244,12 @@
         sites.keySet()
                 .forEach(
                         name ->
-                                session.received(
+                                session.receive(
                                         0,
                                         WALL,
                                         "g1",
-                                        new ClusterMessage.OfMembers(
-                                                new MemberMessage.Table(
+                                        new ClusterMessage.MembershipPart(
+                                                new MemberMessage.MemberTable(
                                                         false,
                                                         List.of(
                                                                 new MemberUpdate(
@@ -256,9 +261,9 @@
                                                                                 .ALIVE))))));
         var heard = new TreeMap<String, Integer>();
         for (double now = 0; now <= 3000; now += 200) {
-            session.saw(now, WALL + now, "s", "z", 5, false);
-            for (CoordinationSession.Out out : session.tick(now, WALL + now)) {
-                if (out.letter() instanceof ClusterMessage.OfNews) {
+            session.recordAttempt(now, WALL + now, "s", "z", 5, false);
+            for (CoordinationSession.Outgoing out : session.tick(now, WALL + now)) {
+                if (out.message() instanceof ClusterMessage.ObservationPart) {
                     heard.merge(out.to(), 1, Integer::sum);
                 }
             }
@@ -271,8 +276,8 @@
         String message =
                 expectThrows(
                                 IllegalArgumentException.class,
-                                () -> talk("a", 7).use(0, WALL, "probes", 1))
+                                () -> talk("a", 7).consume(0, WALL, "probes", 1))
                         .getMessage();
-        assertEquals(message, "no bound is called probes; one of [further] was expected");
+        assertEquals(message, "no shared limit is called probes; one of [further] was expected");
     }
 }
--- a/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
@@ -36,7 +36,7 @@
             Collections.shuffle(order, new Random(seed));
             var counts = new CounterTable("a", 7, 5000);
             counts.add(0, "s", 10);
-            order.forEach(one -> counts.heard(1, one));
+            order.forEach(one -> counts.receive(1, one));
             assertEquals(counts.total("s"), 10 + 9 + 3 + 4);
             assertEquals(counts.total("t"), 2);
         }
@@ -46,25 +46,25 @@
     public void aRestartTakesNothingBackAndNobodyCountsForAnother() {
         var counts = new CounterTable("a", 7, 5000);
         counts.add(0, "s", 10);
-        counts.heard(1, new CounterValue("a", 7, "s", 1000));
-        counts.heard(1, new CounterValue("a", 6, "s", 4));
+        counts.receive(1, new CounterValue("a", 7, "s", 1000));
+        counts.receive(1, new CounterValue("a", 6, "s", 4));
         assertEquals(
                 counts.total("s"), 14, "its own is its own, and an earlier life's is remembered");
         for (int life = 1; life <= 20; life++) {
-            counts.heard(life, new CounterValue("b", life, "s", 1));
+            counts.receive(life, new CounterValue("b", life, "s", 1));
         }
         assertEquals(counts.total("s"), 14 + 20);
-        counts.heard(30, new CounterValue("b", 3, "s", 500));
+        counts.receive(30, new CounterValue("b", 3, "s", 500));
         assertEquals(counts.total("s"), 34, "late news of a life long gone add nothing");
-        assertEquals(counts.own(5), List.of(new CounterValue("a", 7, "s", 10)));
+        assertEquals(counts.ownCounters(5), List.of(new CounterValue("a", 7, "s", 10)));
     }
 
     @Test
     public void aRateFadesByTheStatedLaw() {
         var counts = new CounterTable("a", 7, 5000);
-        counts.heard(1000, new CounterValue("b", 1, "s", 100));
+        counts.receive(1000, new CounterValue("b", 1, "s", 100));
         assertEquals(counts.othersPerSecond(1000, "s"), 0.0, "one piece of news tells no rate");
-        counts.heard(2000, new CounterValue("b", 1, "s", 150));
+        counts.receive(2000, new CounterValue("b", 1, "s", 150));
         assertEquals(counts.othersPerSecond(2000, "s"), 50, 1e-9);
         assertEquals(counts.othersPerSecond(7000, "s"), 25, 1e-9);
         counts.add(2000, "s", 1000);
@@ -99,8 +99,8 @@
     private static Consumer<EvidenceTable> of(String... sightings) {
         return evidence -> {
             for (String one : sightings) {
-                String[] words = one.split(":");
-                evidence.heard(
+                String[] words = one.split(":", -1);
+                evidence.receive(
                         0,
                         sighting(
                                 words[0],
@@ -117,7 +117,7 @@
             String what, Consumer<EvidenceTable> told, double trouble) {
         var evidence = new EvidenceTable("a", "y");
         told.accept(evidence);
-        assertEquals(evidence.of(0, "s", 50).trouble(), trouble, what);
+        assertEquals(evidence.assess(0, "s", 50).failureScore(), trouble, what);
     }
 
     @Test
@@ -125,12 +125,12 @@
         var evidence = new EvidenceTable("a", "y");
         for (String observer : List.of("b", "c", "d")) {
             for (String server : List.of("s", "t", "u")) {
-                evidence.heard(
+                evidence.receive(
                         0, sighting(observer, observer.equals("b") ? "y" : "z", server, 0, 9));
             }
         }
         assertEquals(
-                evidence.of(0, "s", 50),
+                evidence.assess(0, "s", 50),
                 FailureAssessment.NONE,
                 "three who are all cut off from x prove nothing of its servers");
     }
@@ -139,31 +139,34 @@
     public void evidenceFadesAndSaysNothingOfAnotherLife() {
         var evidence = new EvidenceTable("a", "y");
         of("b:y:0:9", "c:z:0:9", "d:z:0:9").accept(evidence);
-        assertEquals(evidence.of(0, "s", 50).trouble(), 1.0);
-        assertEquals(evidence.of(0, "s", 51).trouble(), 0.0, "the server has started since");
+        assertEquals(evidence.assess(0, "s", 50).failureScore(), 1.0);
         assertEquals(
-                evidence.of(12_000, "s", 50).trouble(),
+                evidence.assess(0, "s", 51).failureScore(), 0.0, "the server has started since");
+        assertEquals(
+                evidence.assess(12_000, "s", 50).failureScore(),
                 0.0,
                 "nine seen fade under two in eleven seconds");
-        evidence.there(List.of("b", "c"));
-        assertEquals(evidence.of(0, "s", 50).trouble(), 0.0, "one of three is gone");
+        evidence.retainObservers(List.of("b", "c"));
+        assertEquals(evidence.assess(0, "s", 50).failureScore(), 0.0, "one of three is gone");
     }
 
     @Test
     public void ownSightingsAreToldTheWorstFirstAndBeginAnewWithAServer() {
         var evidence = new EvidenceTable("a", "y");
         for (int i = 0; i < 4; i++) {
-            evidence.saw(i, "s", "x", 50, true);
-            evidence.saw(i, "t", "x", 50, false);
+            evidence.recordAttempt(i, "s", "x", 50, true);
+            evidence.recordAttempt(i, "t", "x", 50, false);
         }
-        evidence.saw(4, "u", "x", 50, false);
-        List<Observation> told = evidence.tell(4, 5);
+        evidence.recordAttempt(4, "u", "x", 50, false);
+        List<Observation> told = evidence.observationsToSend(4, 5);
         assertEquals(
                 told.stream().map(Observation::server).toList(),
                 List.of("t", "s"),
                 "one dispatch tells nothing");
-        assertTrue(told.get(0).bad() > 3.9 && told.get(0).good() == 0, told.toString());
-        evidence.saw(5, "t", "x", 99, true);
-        assertEquals(evidence.tell(5, 5).stream().map(Observation::server).toList(), List.of("s"));
+        assertTrue(told.get(0).failures() > 3.9 && told.get(0).successes() == 0, told.toString());
+        evidence.recordAttempt(5, "t", "x", 99, true);
+        assertEquals(
+                evidence.observationsToSend(5, 5).stream().map(Observation::server).toList(),
+                List.of("s"));
     }
 }
--- a/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
@@ -34,14 +34,14 @@
     }
 
     private static MemberUpdate of(Membership member, String name) {
-        return member.view().stream()
+        return member.members().stream()
                 .filter(one -> one.name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
     private static void tell(Membership member, MemberUpdate... news) {
-        member.received(0, "c", new MemberMessage.Table(false, List.of(news)));
+        member.receive(0, "c", new MemberMessage.MemberTable(false, List.of(news)));
     }
 
     @Test
@@ -119,7 +119,7 @@
             String what, MemberUpdate heard, MemberUpdate then, boolean superseded) {
         var member = member("a", 7);
         tell(member, heard);
-        assertEquals(member.view().get(0), then, what);
+        assertEquals(member.members().get(0), then, what);
         assertEquals(member.superseded(), superseded, what);
     }
 
@@ -127,14 +127,14 @@
     public void whoIsSupersededAnswersForNobodyUntilTheOtherIsGone() {
         var member = member("a", 7);
         tell(member, news("a", 9, 0, MemberUpdate.State.ALIVE));
-        List<FailureDetector.Out> out =
-                member.received(10, "b", new MemberMessage.Ping(1, List.of()));
+        List<FailureDetector.Outgoing> out =
+                member.receive(10, "b", new MemberMessage.Ping(1, List.of()));
         assertTrue(
                 out.stream().noneMatch(one -> one.message() instanceof MemberMessage.Ack),
                 out.toString());
         tell(member, news("a", 9, 0, MemberUpdate.State.DEAD));
         assertFalse(member.superseded());
-        out = member.received(10, "b", new MemberMessage.Ping(2, List.of()));
+        out = member.receive(10, "b", new MemberMessage.Ping(2, List.of()));
         assertTrue(
                 out.stream().anyMatch(one -> one.message() instanceof MemberMessage.Ack),
                 out.toString());
@@ -152,11 +152,11 @@
         }
         // Stopped for ten seconds, with a probe out.
         member.tick(11_000);
-        assertEquals(member.health(), 8);
-        assertEquals(member.there(), Set.of("b", "c"));
+        assertEquals(member.localHealth(), 8);
+        assertEquals(member.alive(), Set.of("b", "c"));
         assertTrue(
-                member.view().stream().allMatch(one -> one.state() == MemberUpdate.State.ALIVE),
-                member.view().toString());
+                member.members().stream().allMatch(one -> one.state() == MemberUpdate.State.ALIVE),
+                member.members().toString());
     }
 
     @Test
@@ -168,15 +168,15 @@
         for (double now = 0; now <= 600_000; now += 200) {
             member.tick(now);
         }
-        assertTrue(member.cutOff());
+        assertTrue(member.isolated());
         long blamed =
-                member.view().stream()
+                member.members().stream()
                         .filter(one -> one.state() != MemberUpdate.State.ALIVE)
                         .count();
-        assertTrue(blamed <= 2, member.view().toString());
+        assertTrue(blamed <= 2, member.members().toString());
         assertTrue(
-                member.view().stream().noneMatch(one -> one.state() == MemberUpdate.State.DEAD),
-                member.view().toString());
+                member.members().stream().noneMatch(one -> one.state() == MemberUpdate.State.DEAD),
+                member.members().toString());
     }
 
     @Test
@@ -186,8 +186,8 @@
             tell(member, news("g" + i, 1, 0, MemberUpdate.State.ALIVE));
         }
         for (double now = 0; now <= 60_000; now += 200) {
-            for (FailureDetector.Out out : member.tick(now)) {
-                assertTrue(out.message().news().size() <= 12, out.toString());
+            for (FailureDetector.Outgoing out : member.tick(now)) {
+                assertTrue(out.message().updates().size() <= 12, out.toString());
             }
         }
     }
--- a/cluster/src/test/java/sprucehold/cluster/QuotaLedgerExplorerTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/QuotaLedgerExplorerTest.java
@@ -90,13 +90,13 @@
 
     private static final class ExchangedClock extends MonotonicLeaseClock {
         @Override
-        public double slowMs() {
-            return super.fastMs();
+        public double atLeastMs() {
+            return super.atMostMs();
         }
 
         @Override
-        public double fastMs() {
-            return super.slowMs();
+        public double atMostMs() {
+            return super.atLeastMs();
         }
     }
 
@@ -215,7 +215,7 @@
                 if (returns < most.returns && member.ledger.borrowed() > 0) {
                     steps.add("return " + i);
                 }
-                if (renews < most.renews && !member.ledger.endingWithin(1e9).isEmpty()) {
+                if (renews < most.renews && !member.ledger.expiringWithin(1e9).isEmpty()) {
                     steps.add("renew " + i);
                 }
                 if (crashes < most.crashes && i == 0) {
@@ -263,30 +263,30 @@
                 case "ask" -> {
                     Member asker = members.get(of);
                     asker.request = asks++;
-                    asker.askedAt = asker.clock.fastMs();
+                    asker.askedAt = asker.clock.atMostMs();
                     under.add(new Message(of, 0, "ask", asker.request, null));
                 }
                 case "renew" -> {
                     renews++;
                     Member member = members.get(of);
-                    member.renewing = member.ledger.endingWithin(1e9).get(0);
-                    member.renewAskedAt = member.clock.fastMs();
+                    member.renewing = member.ledger.expiringWithin(1e9).get(0);
+                    member.renewAskedAt = member.clock.atMostMs();
                     if (mutation == Mutation.RENEWED_BY_ITSELF) {
-                        member.ledger.renewed(member.renewing, member.renewAskedAt);
+                        member.ledger.extend(member.renewing, member.renewAskedAt);
                     }
                     under.add(new Message(of, 0, "renew", 0, member.renewing));
                 }
                 case "use" -> {
                     uses++;
-                    members.get(of).pending = members.get(of).ledger.use(1);
+                    members.get(of).pending = members.get(of).ledger.consume(1);
                 }
                 case "send" -> send(members.get(of));
                 case "return" -> {
                     returns++;
                     Member member = members.get(of);
-                    List<Lease> back = member.ledger.giveBack(1);
+                    List<Lease> back = member.ledger.releaseUnused(1);
                     if (mutation == Mutation.USED_AFTER_RETURN) {
-                        back.forEach(lease -> member.ledger.take(lease, member.clock.fastMs()));
+                        back.forEach(lease -> member.ledger.accept(lease, member.clock.atMostMs()));
                     }
                     back.forEach(lease -> under.add(new Message(of, 0, "return", 0, lease)));
                 }
@@ -305,7 +305,7 @@
 
         private void send(Member member) {
             boolean holds =
-                    member.pending.holds(member.clock) || mutation == Mutation.PERMIT_IGNORED;
+                    member.pending.isValid(member.clock) || mutation == Mutation.PERMIT_IGNORED;
             member.pending = null;
             if (holds) {
                 sent.add(now);
@@ -330,10 +330,10 @@
                 case "grant" -> {
                     if (to.request == message.request
                             || mutation == Mutation.DOUBLED_GRANT_TAKEN_TWICE) {
-                        to.ledger.take(
+                        to.ledger.accept(
                                 message.loan,
                                 mutation == Mutation.TERM_FROM_RECEIPT
-                                        ? to.clock.fastMs()
+                                        ? to.clock.atMostMs()
                                         : to.askedAt);
                         to.request = -1;
                     }
@@ -347,11 +347,11 @@
                 case "renewed" -> {
                     double from =
                             mutation == Mutation.RENEWED_FROM_RECEIPT
-                                    ? to.clock.fastMs()
+                                    ? to.clock.atMostMs()
                                     : to.renewAskedAt;
-                    to.ledger.renewed(message.loan, from);
+                    to.ledger.extend(message.loan, from);
                     if (mutation == Mutation.RENEWED_AFTER_RETURN && to.ledger.borrowed() == 0) {
-                        to.ledger.take(message.loan, from);
+                        to.ledger.accept(message.loan, from);
                     }
                 }
                 case "return" -> {
@@ -359,7 +359,7 @@
                     if (mutation == Mutation.EPOCH_IGNORED) {
                         lease = new Lease(lease.lender(), to.epoch, lease.number(), lease.units());
                     }
-                    to.ledger.returned("" + message.from, lease);
+                    to.ledger.acceptReturn("" + message.from, lease);
                 }
                 default -> throw new IllegalArgumentException(message.what);
             }
@@ -377,7 +377,7 @@
                                                 Locale.ROOT,
                                                 " sends<%.0f",
                                                 member.pending.notAfterMs()
-                                                        - member.clock.fastMs()))
+                                                        - member.clock.atMostMs()))
                         .append(
                                 member.request < 0
                                         ? ""
@@ -385,7 +385,7 @@
                                                 Locale.ROOT,
                                                 " asked %d %.0f",
                                                 member.request,
-                                                member.clock.fastMs() - member.askedAt))
+                                                member.clock.atMostMs() - member.askedAt))
                         .append(" e")
                         .append(member.epoch)
                         .append(
@@ -394,7 +394,7 @@
                                         : String.format(
                                                 Locale.ROOT,
                                                 " renews %.0f",
-                                                member.clock.fastMs() - member.renewAskedAt))
+                                                member.clock.atMostMs() - member.renewAskedAt))
                         .append(';');
             }
             under.stream().map(Message::toString).sorted().forEach(key::append);
@@ -523,9 +523,9 @@
         var ledger = new QuotaLedger("a", 1, new QuotaTerms(2, 0, 1000, 20, 2000, 0), clock);
         clock.read(1e5, 1e5);
         Lease lease = ledger.lend("b", 2, 0);
-        ledger.returned("c", lease);
+        ledger.acceptReturn("c", lease);
         assertEquals(ledger.free(), 0);
-        ledger.returned("b", lease);
+        ledger.acceptReturn("b", lease);
         assertEquals(ledger.free(), 2);
     }
 }
