--- /dev/null
+++ b/change/src/test/java/sprucehold/change/StoredFormsTest.java
@@ -0,0 +1,60 @@
+package sprucehold.change;
+
+import static org.testng.Assert.assertEquals;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.util.List;
+import java.util.TreeMap;
+import org.testng.annotations.Test;
+import sprucehold.change.document.DocumentDifference;
+import sprucehold.change.document.ValidationError;
+import sprucehold.change.rollout.RolloutState;
+import sprucehold.change.rollout.RolloutState.Phase;
+import sprucehold.change.rollout.RolloutState.Standing;
+
+/** JSON that files and the command line hold, as earlier builds write it. */
+public class StoredFormsTest {
+    private static final ObjectMapper MAPPER = new ObjectMapper();
+
+    private static RolloutState everyState(Phase phase) {
+        var standing = new TreeMap<String, Standing>();
+        for (Standing one : Standing.values()) {
+            standing.put("g" + one.ordinal(), one);
+        }
+        return new RolloutState(
+                "r1", List.of(List.of("g0"), List.of("g1", "g2")), 1, standing, phase, "fell");
+    }
+
+    @Test
+    public void rolloutStateOfAnEarlierBuildIsReadAndWrittenByteForByte() throws Exception {
+        String[] phases = {"ROLLING", "TAKING_BACK", "DONE", "HALTED"};
+        assertEquals(Phase.values().length, phases.length);
+        for (Phase phase : Phase.values()) {
+            String stored =
+                    "{\"id\":\"r1\",\"waves\":[[\"g0\"],[\"g1\",\"g2\"]],\"wave\":1,\"standing\":{"
+                            + "\"g0\":\"UNTOUCHED\",\"g1\":\"ASKED\",\"g2\":\"WATCHED\",\"g3\":\"CONFIRMED\","
+                            + "\"g4\":\"TURNED_DOWN\",\"g5\":\"UNDONE\",\"g6\":\"TAKING_BACK\",\"g7\":\"TAKEN_BACK\"},"
+                            + "\"phase\":\""
+                            + phases[phase.ordinal()]
+                            + "\",\"why\":\"fell\"}";
+            assertEquals(MAPPER.writeValueAsString(everyState(phase)), stored);
+            assertEquals(MAPPER.readValue(stored, RolloutState.class), everyState(phase));
+        }
+    }
+
+    @Test
+    public void differenceIsPrintedWithTheKeysOfEarlierBuilds() throws Exception {
+        assertEquals(
+                MAPPER.writeValueAsString(
+                        DocumentDifference.between(Documents.usual(), Documents.number(-40))),
+                "{\"words\":[{\"path\":\"/limits/maxOpen\",\"words\":\"what may be open at once falls"
+                        + " from 200 to 160\",\"risk\":\"MIDDLE\"}],\"risk\":\"MIDDLE\"}");
+    }
+
+    @Test
+    public void validationErrorIsPrintedWithTheKeysOfEarlierBuilds() throws Exception {
+        assertEquals(
+                MAPPER.writeValueAsString(new ValidationError("/limits", "wrong", "mend it")),
+                "{\"path\":\"/limits\",\"what\":\"wrong\",\"mend\":\"mend it\"}");
+    }
+}
