--- a/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
@@ -103,10 +103,10 @@
                     watch == null
                             ? new HealthWatch(before, (t + 1000) * 1000, WATCH_S * 1000, 100)
                             : watch;
-            HealthWatch.Word word = watch.add(slot);
-            if (word instanceof HealthWatch.Word.Fell) {
+            HealthWatch.Verdict word = watch.add(slot);
+            if (word instanceof HealthWatch.Verdict.Degraded) {
                 return t;
-            } else if (word instanceof HealthWatch.Word.Held) {
+            } else if (word instanceof HealthWatch.Verdict.Healthy) {
                 return -1;
             }
         }
--- a/change/src/main/java/sprucehold/change/document/ConfigurationDocument.java
+++ b/change/src/main/java/sprucehold/change/document/ConfigurationDocument.java
@@ -10,70 +10,74 @@
 import sprucehold.decision.Tenant;
 
 /**
- * All that may be changed of a gatherer while it serves. What a deployment is built on - its
- * gatherers, zones, cells - is not among it.
+ * A snapshot of all that may change while a gatherer serves. What a deployment is built on (its
+ * gatherers, zones and replica groups) is not part of it. {@link DocumentReader} has its JSON.
  *
- * @param types the table types
- * @param customers the customers and what lies within their shares
- * @param limits what a gatherer may do
- * @param budget further dispatches, {@link Deployment.RetryBudget#NONE} where none is stated
- * @param coldRule how cold servers fall over
- * @param serversOut shard servers that the operator has taken out
- * @param discovery where the list is asked for, HOST:PORT; empty for where the start said
- * @param recording the recording's file; empty for none
- * @param logLevel a level of java.util.logging
+ * @param queryClasses the query classes that are served
+ * @param tenants the tenants and their quotas
+ * @param limits the limits of one gatherer
+ * @param retryBudget the budget of retries, {@link Deployment.RetryBudget#NONE} if unlimited
+ * @param slowStart how warming servers are treated
+ * @param drainedServers names of shard servers that operators have drained
+ * @param discovery HOST:PORT of discovery; empty for the address given at start
+ * @param recording the settings file of the recording; empty for none
+ * @param logLevel the name of a {@link java.util.logging.Level}
  */
 public record ConfigurationDocument(
-        List<Type> types,
-        List<Tenant> customers,
+        List<QueryClassSettings> queryClasses,
+        List<Tenant> tenants,
         Deployment.Limits limits,
-        Deployment.RetryBudget budget,
-        Deployment.SlowStartRule coldRule,
-        SortedSet<String> serversOut,
+        Deployment.RetryBudget retryBudget,
+        Deployment.SlowStartRule slowStart,
+        SortedSet<String> drainedServers,
         String discovery,
         String recording,
         String logLevel) {
 
     /**
-     * A table type, and the longest that its clients may wait.
+     * A query class and the deadline of its queries.
      *
-     * @param queryTimeoutMs in milliseconds; above the target time
+     * @param queryClass what the decisions know of the class
+     * @param deadlineMs the longest time that its clients may wait, in milliseconds; above the
+     *     latency objective
      */
-    public record Type(QueryClass facts, double queryTimeoutMs) {
+    public record QueryClassSettings(QueryClass queryClass, double deadlineMs) {
+        /** The name of the query class. */
         public String name() {
-            return facts.name();
+            return queryClass.name();
         }
     }
 
+    /** Copies its collections. */
     public ConfigurationDocument {
-        types = List.copyOf(types);
-        customers = List.copyOf(customers);
-        serversOut = Collections.unmodifiableSortedSet(new TreeSet<>(serversOut));
+        queryClasses = List.copyOf(queryClasses);
+        tenants = List.copyOf(tenants);
+        drainedServers = Collections.unmodifiableSortedSet(new TreeSet<>(drainedServers));
     }
 
-    public Optional<Type> type(String name) {
-        return types.stream().filter(type -> type.name().equals(name)).findFirst();
+    /** The query class of this name, if it is served. */
+    public Optional<QueryClassSettings> queryClass(String name) {
+        return queryClasses.stream().filter(settings -> settings.name().equals(name)).findFirst();
     }
 
-    public Optional<Tenant> customer(String name) {
-        return customers.stream().filter(tenant -> tenant.name().equals(name)).findFirst();
+    /** The tenant of this name, if it has a quota. */
+    public Optional<Tenant> tenant(String name) {
+        return tenants.stream().filter(tenant -> tenant.name().equals(name)).findFirst();
     }
 
-    /**
-     * The facts that the module is to decide by, with everything that can't be changed as it was.
-     */
-    public Deployment onto(Deployment before) {
+    /** The deployment with this document's values; what no document can change stays. */
+    public Deployment applyTo(Deployment before) {
         return new Deployment(
                 before.gatherers(),
                 before.zone(),
                 before.tickMs(),
                 before.overQuotaPriority(),
-                types.stream().map(Type::facts).toList(),
-                customers,
+                queryClasses.stream().map(QueryClassSettings::queryClass).toList(),
+                tenants,
                 before.layout(),
                 limits,
-                coldRule,
-                budget,
+                slowStart,
+                retryBudget,
                 before.endpointSubscription());
     }
 }
--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -1,239 +1,249 @@
 package sprucehold.change.document;
 
-import com.fasterxml.jackson.core.JsonFactoryBuilder;
-import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.StreamReadConstraints;
-import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.networknt.schema.JsonSchema;
-import com.networknt.schema.JsonSchemaFactory;
-import com.networknt.schema.SpecVersion;
-import com.networknt.schema.ValidationMessage;
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.SortedSet;
 import java.util.TreeSet;
+import sprucehold.change.document.ConfigurationDocument.QueryClassSettings;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.StoredEnum;
 import sprucehold.decision.Tenant;
 
-/** Reads and writes documents as JSON of the form {@code deploy/change.schema.json}. */
+/**
+ * The edge to JSON: reads and writes documents of the form {@code deploy/change.schema.json}. Key
+ * names are used nowhere else but in paths of errors and changes.
+ *
+ * <table>
+ * <caption>JSON keys and what they are here</caption>
+ * <tr><th>JSON</th><th>here</th></tr>
+ * <tr><td>tableTypes[]</td><td>{@link ConfigurationDocument#queryClasses()}</td></tr>
+ * <tr><td>- name</td><td>{@link QueryClass#name()}</td></tr>
+ * <tr><td>- repeat: replayable, keyed, non-replayable</td><td>{@link
+ *     QueryClass#idempotence()}</td></tr>
+ * <tr><td>- targetMs</td><td>{@link QueryClass#latencyObjectiveMs()}</td></tr>
+ * <tr><td>- queryTimeoutMs</td><td>{@link QueryClassSettings#deadlineMs()}</td></tr>
+ * <tr><td>- benefit</td><td>{@link QueryClass#priorityWeight()}</td></tr>
+ * <tr><td>- lateShare</td><td>{@link QueryClass#lateWeight()}</td></tr>
+ * <tr><td>- keyedWindowMs</td><td>{@link QueryClass#deduplicationWindowMs()}</td></tr>
+ * <tr><td>- wholeFrom</td><td>{@link QueryClass#completeCoverage()}</td></tr>
+ * <tr><td>- leastShare</td><td>{@link QueryClass#minimumCoverage()}</td></tr>
+ * <tr><td>- secondStepParts</td><td>{@link QueryClass#secondStepParts()}</td></tr>
+ * <tr><td>customers[]</td><td>{@link ConfigurationDocument#tenants()}</td></tr>
+ * <tr><td>- name, scansPerSecond</td><td>{@link Tenant}</td></tr>
+ * <tr><td>limits</td><td>{@link Deployment.Limits}</td></tr>
+ * <tr><td>- dispatchesPerPart</td><td>{@link Deployment.Limits#attemptsPerPart()}</td></tr>
+ * <tr><td>- maxOpen</td><td>{@link Deployment.Limits#maxOpen()}</td></tr>
+ * <tr><td>- secondCopies</td><td>{@link Deployment.Limits#hedging()}</td></tr>
+ * <tr><td>- cancel</td><td>{@link Deployment.Limits#cancellation()}</td></tr>
+ * <tr><td>- maxComeBackMs</td><td>{@link Deployment.Limits#maxRetryAfterMs()}</td></tr>
+ * <tr><td>dispatchBudget</td><td>{@link Deployment.RetryBudget}; left out for none</td></tr>
+ * <tr><td>- free, perTaken, windowMs</td><td>fixed, perRequest, windowMs</td></tr>
+ * <tr><td>coldRule</td><td>{@link Deployment.SlowStartRule}</td></tr>
+ * <tr><td>- startShare, warmAfterMs, multiple, windowMs</td><td>startShare, warmAfterMs,
+ *     overloadFactor, windowMs</td></tr>
+ * <tr><td>serversOut[]</td><td>{@link ConfigurationDocument#drainedServers()}</td></tr>
+ * <tr><td>discovery, recording, logLevel</td><td>of the same names</td></tr>
+ * </table>
+ */
 public final class DocumentReader {
-    /**
-     * A thousand table types and customers take a tenth of it; a larger one is a mistake or an
-     * attack.
-     */
-    public static final int MOST_BYTES = 1 << 20;
-
-    /** The form goes four deep; beyond that nobody means it. */
-    private static final int MOST_DEEP = 16;
-
-    private static final ObjectMapper MAPPER =
-            JsonMapper.builder(
-                            new JsonFactoryBuilder()
-                                    .streamReadConstraints(
-                                            StreamReadConstraints.builder()
-                                                    .maxNestingDepth(MOST_DEEP)
-                                                    .maxStringLength(10_000)
-                                                    .maxNumberLength(40)
-                                                    .build())
-                                    .build())
-                    .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
-                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-                    .build();
-    private static final JsonSchema SCHEMA = schema();
+    /** Longest document that is read, in bytes. */
+    public static final int MAX_BYTES = DocumentSchema.MAX_BYTES;
 
     private DocumentReader() {}
 
-    private static JsonSchema schema() {
-        try (InputStream in = DocumentReader.class.getResourceAsStream("/change.schema.json")) {
-            return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in);
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
+    /** A document, or all errors of its form. */
+    public sealed interface ReadResult {
+        /**
+         * The form is sound; the values may still contradict each other.
+         *
+         * @param document what was read
+         */
+        record Valid(ConfigurationDocument document) implements ReadResult {}
+
+        /**
+         * The form is not sound.
+         *
+         * @param errors all errors, ordered by path
+         */
+        record Invalid(List<ValidationError> errors) implements ReadResult {}
+    }
+
+    /** Reads bytes that may be anything. */
+    public static ReadResult read(byte[] json) {
+        DocumentSchema.Parsed parsed = DocumentSchema.parse(json);
+        if (parsed instanceof DocumentSchema.Parsed.Invalid invalid) {
+            return new ReadResult.Invalid(invalid.errors());
         }
+        return new ReadResult.Valid(toDocument(((DocumentSchema.Parsed.Conforming) parsed).node()));
     }
 
-    /** A document, or all that is wrong with its form. */
-    public sealed interface Read {
-        record Good(ConfigurationDocument document) implements Read {}
+    private static ConfigurationDocument toDocument(JsonNode node) {
+        return new ConfigurationDocument(
+                toQueryClasses(node.get("tableTypes")),
+                toTenants(node.path("customers")),
+                toLimits(node.get("limits")),
+                toRetryBudget(node.path("dispatchBudget")),
+                toSlowStart(node.get("coldRule")),
+                toServerNames(node.path("serversOut")),
+                node.path("discovery").asText(""),
+                node.path("recording").asText(""),
+                node.path("logLevel").asText("INFO"));
+    }
 
-        record Bad(List<ValidationError> faults) implements Read {}
+    private static List<QueryClassSettings> toQueryClasses(JsonNode nodes) {
+        var queryClasses = new ArrayList<QueryClassSettings>();
+        for (JsonNode node : nodes) {
+            queryClasses.add(
+                    new QueryClassSettings(
+                            toQueryClass(node), node.get("queryTimeoutMs").doubleValue()));
+        }
+        return queryClasses;
     }
 
-    /** Reads bytes that may be anything. */
-    public static Read read(byte[] json) {
-        if (json.length > MOST_BYTES) {
-            return bad("", json.length + " bytes", "at most " + MOST_BYTES + " are read");
+    private static QueryClass toQueryClass(JsonNode node) {
+        return new QueryClass(
+                node.get("name").asText(),
+                toIdempotence(node.get("repeat").asText()),
+                node.get("targetMs").doubleValue(),
+                node.path("benefit").asDouble(1),
+                node.path("lateShare").asDouble(0),
+                node.path("keyedWindowMs").asDouble(0),
+                node.path("wholeFrom").asDouble(1),
+                node.path("leastShare").asDouble(1),
+                node.path("secondStepParts").asInt(0));
+    }
+
+    private static QueryClass.Idempotence toIdempotence(String documentName) {
+        String storedName = documentName.toUpperCase(Locale.ROOT).replace('-', '_');
+        return StoredEnum.ofName(QueryClass.Idempotence.class, storedName).orElseThrow();
+    }
+
+    /** The name of an idempotence in documents. */
+    static String documentName(QueryClass.Idempotence idempotence) {
+        return idempotence.storedName().toLowerCase(Locale.ROOT).replace('_', '-');
+    }
+
+    private static List<Tenant> toTenants(JsonNode nodes) {
+        var tenants = new ArrayList<Tenant>();
+        for (JsonNode node : nodes) {
+            tenants.add(
+                    new Tenant(
+                            node.get("name").asText(), node.get("scansPerSecond").doubleValue()));
+        }
+        return tenants;
+    }
+
+    private static Deployment.Limits toLimits(JsonNode node) {
+        return new Deployment.Limits(
+                node.get("dispatchesPerPart").intValue(),
+                node.get("maxOpen").intValue(),
+                node.path("secondCopies").booleanValue(),
+                node.path("cancel").booleanValue(),
+                node.path("maxComeBackMs").doubleValue());
+    }
+
+    private static Deployment.RetryBudget toRetryBudget(JsonNode node) {
+        if (!node.isObject()) {
+            return Deployment.RetryBudget.NONE;
         }
-        JsonNode node;
+        return new Deployment.RetryBudget(
+                node.get("free").doubleValue(),
+                node.get("perTaken").doubleValue(),
+                node.get("windowMs").doubleValue());
+    }
+
+    private static Deployment.SlowStartRule toSlowStart(JsonNode node) {
+        return new Deployment.SlowStartRule(
+                node.get("startShare").doubleValue(),
+                node.get("warmAfterMs").doubleValue(),
+                node.get("multiple").doubleValue(),
+                node.get("windowMs").doubleValue());
+    }
+
+    private static SortedSet<String> toServerNames(JsonNode nodes) {
+        var names = new TreeSet<String>();
+        nodes.forEach(name -> names.add(name.asText()));
+        return names;
+    }
+
+    /** The document as JSON; equal documents yield the same bytes. */
+    public static byte[] write(ConfigurationDocument document) {
+        ObjectNode node = DocumentSchema.STRICT_MAPPER.createObjectNode();
+        putQueryClasses(node, document);
+        putTenants(node, document);
+        putLimits(node, document.limits());
+        putRetryBudget(node, document.retryBudget());
+        putSlowStart(node, document.slowStart());
+        ArrayNode drained = node.putArray("serversOut");
+        document.drainedServers().forEach(drained::add);
+        node.put("discovery", document.discovery())
+                .put("recording", document.recording())
+                .put("logLevel", document.logLevel());
         try {
-            node = MAPPER.readTree(json);
+            return DocumentSchema.STRICT_MAPPER
+                    .writerWithDefaultPrettyPrinter()
+                    .writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            return bad(
-                    "",
-                    "line " + line + " is no JSON that can be taken: " + e.getOriginalMessage(),
-                    "mend that line");
-        } catch (IOException e) {
-            return bad("", e.getMessage(), "send it again");
-        }
-        if (node == null || !node.isObject()) {
-            return bad("", "it is no JSON object", "begin it with {");
-        }
-        var faults = new TreeSet<ValidationError>();
-        for (ValidationMessage message : SCHEMA.validate(node)) {
-            String pointer =
-                    message.getInstanceLocation()
-                            .toString()
-                            .replace('$', ' ')
-                            .trim()
-                            .replace('.', '/')
-                            .replace("[", "/")
-                            .replace("]", "");
-            faults.add(
-                    new ValidationError(
-                            pointer,
-                            message.getMessage().replaceFirst("^[^:]*: ", ""),
-                            "see change.schema.json"));
-        }
-        return faults.isEmpty() ? new Read.Good(document(node)) : new Read.Bad(List.copyOf(faults));
-    }
-
-    private static Read bad(String path, String what, String mend) {
-        return new Read.Bad(List.of(new ValidationError(path, what, mend)));
-    }
-
-    private static ConfigurationDocument document(JsonNode node) {
-        var types = new ArrayList<ConfigurationDocument.Type>();
-        for (JsonNode type : node.get("tableTypes")) {
-            QueryClass.Idempotence repeat =
-                    StoredEnum.ofName(
-                                    QueryClass.Idempotence.class,
-                                    type.get("repeat")
-                                            .asText()
-                                            .toUpperCase(Locale.ROOT)
-                                            .replace('-', '_'))
-                            .orElseThrow();
-            types.add(
-                    new ConfigurationDocument.Type(
-                            new QueryClass(
-                                    type.get("name").asText(),
-                                    repeat,
-                                    type.get("targetMs").doubleValue(),
-                                    type.path("benefit").asDouble(1),
-                                    type.path("lateShare").asDouble(0),
-                                    type.path("keyedWindowMs").asDouble(0),
-                                    type.path("wholeFrom").asDouble(1),
-                                    type.path("leastShare").asDouble(1),
-                                    type.path("secondStepParts").asInt(0)),
-                            type.get("queryTimeoutMs").doubleValue()));
+            throw new IllegalStateException("a document has no JSON form", e);
         }
-        var customers = new ArrayList<Tenant>();
-        for (JsonNode customer : node.path("customers")) {
-            customers.add(
-                    new Tenant(
-                            customer.get("name").asText(),
-                            customer.get("scansPerSecond").doubleValue()));
+    }
+
+    private static void putQueryClasses(ObjectNode node, ConfigurationDocument document) {
+        ArrayNode nodes = node.putArray("tableTypes");
+        for (QueryClassSettings settings : document.queryClasses()) {
+            QueryClass queryClass = settings.queryClass();
+            nodes.addObject()
+                    .put("name", queryClass.name())
+                    .put("repeat", documentName(queryClass.idempotence()))
+                    .put("targetMs", queryClass.latencyObjectiveMs())
+                    .put("queryTimeoutMs", settings.deadlineMs())
+                    .put("benefit", queryClass.priorityWeight())
+                    .put("lateShare", queryClass.lateWeight())
+                    .put("keyedWindowMs", queryClass.deduplicationWindowMs())
+                    .put("wholeFrom", queryClass.completeCoverage())
+                    .put("leastShare", queryClass.minimumCoverage())
+                    .put("secondStepParts", queryClass.secondStepParts());
         }
-        JsonNode limits = node.get("limits");
-        JsonNode budget = node.path("dispatchBudget");
-        JsonNode cold = node.get("coldRule");
-        var out = new TreeSet<String>();
-        node.path("serversOut").forEach(server -> out.add(server.asText()));
-        return new ConfigurationDocument(
-                types,
-                customers,
-                new Deployment.Limits(
-                        limits.get("dispatchesPerPart").intValue(),
-                        limits.get("maxOpen").intValue(),
-                        limits.path("secondCopies").booleanValue(),
-                        limits.path("cancel").booleanValue(),
-                        limits.path("maxComeBackMs").doubleValue()),
-                budget.isObject()
-                        ? new Deployment.RetryBudget(
-                                budget.get("free").doubleValue(),
-                                budget.get("perTaken").doubleValue(),
-                                budget.get("windowMs").doubleValue())
-                        : Deployment.RetryBudget.NONE,
-                new Deployment.SlowStartRule(
-                        cold.get("startShare").doubleValue(),
-                        cold.get("warmAfterMs").doubleValue(),
-                        cold.get("multiple").doubleValue(),
-                        cold.get("windowMs").doubleValue()),
-                out,
-                node.path("discovery").asText(""),
-                node.path("recording").asText(""),
-                node.path("logLevel").asText("INFO"));
     }
 
-    /** The document as JSON: the same document brings the same bytes. */
-    public static byte[] write(ConfigurationDocument document) {
-        ObjectNode node = MAPPER.createObjectNode();
-        ArrayNode types = node.putArray("tableTypes");
-        for (ConfigurationDocument.Type type : document.types()) {
-            QueryClass facts = type.facts();
-            types.addObject()
-                    .put("name", facts.name())
-                    .put(
-                            "repeat",
-                            facts.idempotence()
-                                    .storedName()
-                                    .toLowerCase(Locale.ROOT)
-                                    .replace('_', '-'))
-                    .put("targetMs", facts.latencyObjectiveMs())
-                    .put("queryTimeoutMs", type.queryTimeoutMs())
-                    .put("benefit", facts.priorityWeight())
-                    .put("lateShare", facts.lateWeight())
-                    .put("keyedWindowMs", facts.deduplicationWindowMs())
-                    .put("wholeFrom", facts.completeCoverage())
-                    .put("leastShare", facts.minimumCoverage())
-                    .put("secondStepParts", facts.secondStepParts());
+    private static void putTenants(ObjectNode node, ConfigurationDocument document) {
+        ArrayNode nodes = node.putArray("customers");
+        for (Tenant tenant : document.tenants()) {
+            nodes.addObject()
+                    .put("name", tenant.name())
+                    .put("scansPerSecond", tenant.queriesPerSecond());
         }
-        ArrayNode customers = node.putArray("customers");
-        document.customers()
-                .forEach(
-                        tenant ->
-                                customers
-                                        .addObject()
-                                        .put("name", tenant.name())
-                                        .put("scansPerSecond", tenant.queriesPerSecond()));
-        Deployment.Limits limits = document.limits();
+    }
+
+    private static void putLimits(ObjectNode node, Deployment.Limits limits) {
         node.putObject("limits")
                 .put("dispatchesPerPart", limits.attemptsPerPart())
                 .put("maxOpen", limits.maxOpen())
                 .put("secondCopies", limits.hedging())
                 .put("cancel", limits.cancellation())
                 .put("maxComeBackMs", limits.maxRetryAfterMs());
-        if (!document.budget().equals(Deployment.RetryBudget.NONE)) {
+    }
+
+    private static void putRetryBudget(ObjectNode node, Deployment.RetryBudget budget) {
+        if (!budget.equals(Deployment.RetryBudget.NONE)) {
             node.putObject("dispatchBudget")
-                    .put("free", document.budget().fixed())
-                    .put("perTaken", document.budget().perRequest())
-                    .put("windowMs", document.budget().windowMs());
+                    .put("free", budget.fixed())
+                    .put("perTaken", budget.perRequest())
+                    .put("windowMs", budget.windowMs());
         }
-        Deployment.SlowStartRule cold = document.coldRule();
+    }
+
+    private static void putSlowStart(ObjectNode node, Deployment.SlowStartRule slowStart) {
         node.putObject("coldRule")
-                .put("startShare", cold.startShare())
-                .put("warmAfterMs", cold.warmAfterMs())
-                .put("multiple", cold.overloadFactor())
-                .put("windowMs", cold.windowMs());
-        ArrayNode out = node.putArray("serversOut");
-        document.serversOut().forEach(out::add);
-        node.put("discovery", document.discovery())
-                .put("recording", document.recording())
-                .put("logLevel", document.logLevel());
-        try {
-            return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsBytes(node);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a document has no JSON form", e);
-        }
+                .put("startShare", slowStart.startShare())
+                .put("warmAfterMs", slowStart.warmAfterMs())
+                .put("multiple", slowStart.overloadFactor())
+                .put("windowMs", slowStart.windowMs());
     }
 }
--- a/change/src/main/java/sprucehold/change/document/RunningState.java
+++ b/change/src/main/java/sprucehold/change/document/RunningState.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * What runs at the moment a change is checked.
+ * What runs at the moment a document is validated.
  *
- * @param openByType scans open, by table type
- * @param openByCustomer scans open, by customer
- * @param open scans and parts held
- * @param holders the running servers of each segment, as the list has them
+ * @param openQueriesByClass number of open queries, by query class
+ * @param openQueriesByTenant number of open queries, by tenant
+ * @param openItems number of open queries and parts
+ * @param replicasByShard names of the running servers of each shard, as discovery lists them
  */
 public record RunningState(
-        Map<String, Integer> openByType,
-        Map<String, Integer> openByCustomer,
-        int open,
-        Map<Integer, Set<String>> holders) {
-    /** Nothing at all, as before the start. */
-    public static final RunningState NOTHING = new RunningState(Map.of(), Map.of(), 0, Map.of());
+        Map<String, Integer> openQueriesByClass,
+        Map<String, Integer> openQueriesByTenant,
+        int openItems,
+        Map<Integer, Set<String>> replicasByShard) {
+    /** No query and no server, as before the start. */
+    public static final RunningState IDLE = new RunningState(Map.of(), Map.of(), 0, Map.of());
 }
--- a/change/src/main/java/sprucehold/change/document/SemanticValidator.java
+++ b/change/src/main/java/sprucehold/change/document/SemanticValidator.java
@@ -7,61 +7,73 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import sprucehold.change.document.ConfigurationDocument.QueryClassSettings;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
 /**
- * Whether a document of sound form means something that can be served. Every fault is told, not the
- * first alone.
+ * Checks what the JSON schema can't: whether the values of a document fit each other and what runs.
+ * All errors are reported, not only the first; their paths and terms are the document's.
  */
 public final class SemanticValidator {
     /**
-     * A budget that lets each scan be tried more than this often again is no limit; a server that
-     * is down would be asked by all at once. Three is what one part may be sent beyond its first
-     * under the usual limit of four dispatches.
+     * Largest retry budget for each query; three retries are what one part may be sent under the
+     * usual limit of four attempts, so a larger budget would limit nothing.
      */
-    private static final double MOST_PER_TAKEN = 3;
+    private static final double MAX_RETRIES_PER_QUERY = 3;
+
+    /** Shards without a replica that an error names; of further ones it gives the number. */
+    private static final int MAX_SHARDS_NAMED = 8;
 
     private final ConfigurationDocument document;
-    private final TreeSet<ValidationError> faults = new TreeSet<>();
+    private final TreeSet<ValidationError> errors = new TreeSet<>();
 
     private SemanticValidator(ConfigurationDocument document) {
         this.document = document;
     }
 
-    /** All that contradicts itself in the document. */
-    public static List<ValidationError> alone(ConfigurationDocument document) {
-        var check = new SemanticValidator(document);
-        check.types();
-        check.customers();
-        check.limits();
-        return List.copyOf(check.faults);
+    /** All contradictions within a document, ordered by path. */
+    public static List<ValidationError> validate(ConfigurationDocument document) {
+        var validator = new SemanticValidator(document);
+        validator.checkWithin();
+        return List.copyOf(validator.errors);
     }
 
     /**
-     * All that is wrong with the document where this runs, and what is wrong with it anyway.
+     * All contradictions within a document, and with what runs, ordered by path.
      *
-     * @param before the document that is live
+     * @param live the document that is live
+     * @param running what runs now
      */
-    public static List<ValidationError> against(
-            ConfigurationDocument document, ConfigurationDocument before, RunningState running) {
-        var check = new SemanticValidator(document);
-        check.faults.addAll(alone(document));
-        check.running(before, running);
-        return List.copyOf(check.faults);
+    public static List<ValidationError> validateAgainst(
+            ConfigurationDocument document, ConfigurationDocument live, RunningState running) {
+        var validator = new SemanticValidator(document);
+        validator.checkWithin();
+        validator.checkOpenQueries(live, running);
+        validator.checkOpenItems(running);
+        validator.checkReplicas(running);
+        return List.copyOf(validator.errors);
+    }
+
+    private void checkWithin() {
+        checkQueryClasses();
+        checkTenants();
+        checkLimits();
+        checkRetryBudget();
+        checkSlowStart();
     }
 
-    private void fault(String path, String what, String mend) {
-        faults.add(new ValidationError(path, what, mend));
+    private void report(String path, String problem, String remedy) {
+        errors.add(new ValidationError(path, problem, remedy));
     }
 
-    private void names(String path, Collection<String> names) {
+    private void checkUnique(String path, Collection<String> names) {
         Set<String> seen = new HashSet<>();
         int index = 0;
         for (String name : names) {
             if (!seen.add(name)) {
-                fault(
+                report(
                         path + "/" + index + "/name",
                         "'" + name + "' stands twice",
                         "leave one of them out");
@@ -70,134 +82,166 @@
         }
     }
 
-    private void types() {
-        names(
+    private void checkQueryClasses() {
+        checkUnique(
                 "/tableTypes",
-                document.types().stream().map(ConfigurationDocument.Type::name).toList());
-        for (int i = 0; i < document.types().size(); i++) {
-            String at = "/tableTypes/" + i;
-            QueryClass type = document.types().get(i).facts();
-            double timeout = document.types().get(i).queryTimeoutMs();
-            if (type.latencyObjectiveMs() >= timeout) {
-                fault(
-                        at + "/targetMs",
-                        "the target time of "
-                                + type.latencyObjectiveMs()
-                                + " ms isn't under the query timeout of "
-                                + timeout
-                                + " ms",
-                        "lower the one or raise the other");
-            }
-            if (type.minimumCoverage() > type.completeCoverage()) {
-                fault(
-                        at + "/leastShare",
-                        "the least share "
-                                + type.minimumCoverage()
-                                + " lies above "
-                                + type.completeCoverage()
-                                + ", from which an answer is whole",
-                        "no answer would ever be given in part: lower it");
-            }
-            if (type.completeCoverage() <= 0) {
-                fault(at + "/wholeFrom", "an answer of nothing would be whole", "set it above 0");
-            }
-            boolean keyed = type.idempotence() == QueryClass.Idempotence.DEDUPLICATED;
-            if (keyed && type.deduplicationWindowMs() <= 0) {
-                fault(
-                        at + "/keyedWindowMs",
-                        "a keyed type without a window could never be sent again",
-                        "state its window, or call it non-replayable");
-            } else if (!keyed && type.deduplicationWindowMs() > 0) {
-                fault(
-                        at + "/keyedWindowMs",
-                        "a window of a type that isn't keyed means nothing",
-                        "leave it out, or call the type keyed");
-            }
+                document.queryClasses().stream().map(QueryClassSettings::name).toList());
+        int index = 0;
+        for (QueryClassSettings settings : document.queryClasses()) {
+            String path = "/tableTypes/" + index;
+            checkTimes(path, settings);
+            checkCoverage(path, settings.queryClass());
+            checkDeduplication(path, settings.queryClass());
+            index++;
         }
     }
 
-    private void customers() {
-        names("/customers", document.customers().stream().map(Tenant::name).toList());
+    private void checkTimes(String path, QueryClassSettings settings) {
+        double objectiveMs = settings.queryClass().latencyObjectiveMs();
+        if (objectiveMs >= settings.deadlineMs()) {
+            report(
+                    path + "/targetMs",
+                    "the target time of "
+                            + objectiveMs
+                            + " ms isn't under the query timeout of "
+                            + settings.deadlineMs()
+                            + " ms",
+                    "lower the one or raise the other");
+        }
+    }
+
+    private void checkCoverage(String path, QueryClass queryClass) {
+        if (queryClass.minimumCoverage() > queryClass.completeCoverage()) {
+            report(
+                    path + "/leastShare",
+                    "the least share "
+                            + queryClass.minimumCoverage()
+                            + " lies above "
+                            + queryClass.completeCoverage()
+                            + ", from which an answer is whole",
+                    "no answer would ever be given in part: lower it");
+        }
+        if (queryClass.completeCoverage() <= 0) {
+            report(path + "/wholeFrom", "an answer of nothing would be whole", "set it above 0");
+        }
     }
 
-    private void limits() {
+    private void checkDeduplication(String path, QueryClass queryClass) {
+        boolean deduplicated = queryClass.idempotence() == QueryClass.Idempotence.DEDUPLICATED;
+        boolean hasWindow = queryClass.deduplicationWindowMs() > 0;
+        if (deduplicated && !hasWindow) {
+            report(
+                    path + "/keyedWindowMs",
+                    "a keyed type without a window could never be sent again",
+                    "state its window, or call it non-replayable");
+        } else if (!deduplicated && hasWindow) {
+            report(
+                    path + "/keyedWindowMs",
+                    "a window of a type that isn't keyed means nothing",
+                    "leave it out, or call the type keyed");
+        }
+    }
+
+    private void checkTenants() {
+        checkUnique("/customers", document.tenants().stream().map(Tenant::name).toList());
+    }
+
+    private void checkLimits() {
         Deployment.Limits limits = document.limits();
         if (limits.hedging() && limits.attemptsPerPart() < 2) {
-            fault(
+            report(
                     "/limits/secondCopies",
                     "copies are allowed, but a part may be sent once only",
                     "allow two dispatches, or no copies");
         }
-        Deployment.RetryBudget budget = document.budget();
-        if (budget.perRequest() > MOST_PER_TAKEN) {
-            fault(
+    }
+
+    private void checkRetryBudget() {
+        Deployment.RetryBudget budget = document.retryBudget();
+        int attemptsPerPart = document.limits().attemptsPerPart();
+        if (budget.perRequest() > MAX_RETRIES_PER_QUERY) {
+            report(
                     "/dispatchBudget/perTaken",
                     budget.perRequest() + " further dispatches for each scan are no limit",
-                    "at most " + MOST_PER_TAKEN + ", or leave the budget out");
+                    "at most " + MAX_RETRIES_PER_QUERY + ", or leave the budget out");
         }
-        if (!budget.equals(Deployment.RetryBudget.NONE)
-                && budget.fixed() == 0
-                && budget.perRequest() == 0
-                && limits.attemptsPerPart() > 1) {
-            fault(
+        boolean empty =
+                !budget.equals(Deployment.RetryBudget.NONE)
+                        && budget.fixed() == 0
+                        && budget.perRequest() == 0;
+        if (empty && attemptsPerPart > 1) {
+            report(
                     "/dispatchBudget",
                     "nothing may ever be sent again, though limits allow "
-                            + limits.attemptsPerPart()
+                            + attemptsPerPart
                             + " dispatches",
                     "allow one of the two");
         }
-        Deployment.SlowStartRule cold = document.coldRule();
-        if (cold.startShare() < 1 && cold.warmAfterMs() == 0) {
-            fault(
+    }
+
+    private void checkSlowStart() {
+        Deployment.SlowStartRule slowStart = document.slowStart();
+        if (slowStart.startShare() < 1 && slowStart.warmAfterMs() == 0) {
+            report(
                     "/coldRule/warmAfterMs",
                     "a server that begins cold is never warm",
                     "state when it is warm");
         }
     }
 
-    private void running(ConfigurationDocument before, RunningState running) {
-        for (Map.Entry<String, Integer> open : running.openByType().entrySet()) {
-            if (open.getValue() > 0
-                    && document.type(open.getKey()).isEmpty()
-                    && before.type(open.getKey()).isPresent()) {
-                fault(
+    private void checkOpenQueries(ConfigurationDocument live, RunningState running) {
+        for (Map.Entry<String, Integer> open : running.openQueriesByClass().entrySet()) {
+            String name = open.getKey();
+            boolean removed =
+                    document.queryClass(name).isEmpty() && live.queryClass(name).isPresent();
+            if (open.getValue() > 0 && removed) {
+                report(
                         "/tableTypes",
                         "'"
-                                + open.getKey()
+                                + name
                                 + "' is left out while "
                                 + open.getValue()
                                 + " scans of it are open",
                         "leave it in until they have ended, clients sent elsewhere first");
             }
         }
-        if (document.limits().maxOpen() < running.open()) {
-            fault(
+    }
+
+    private void checkOpenItems(RunningState running) {
+        if (document.limits().maxOpen() < running.openItems()) {
+            report(
                     "/limits/maxOpen",
                     "at most "
                             + document.limits().maxOpen()
                             + " may be open, and "
-                            + running.open()
+                            + running.openItems()
                             + " are",
                     "lower it in steps, or when fewer are open");
         }
-        var bare = new ArrayList<Integer>();
-        running.holders()
+    }
+
+    private void checkReplicas(RunningState running) {
+        var uncovered = new ArrayList<Integer>();
+        running.replicasByShard()
                 .forEach(
-                        (segment, holders) -> {
-                            if (!holders.isEmpty() && document.serversOut().containsAll(holders)) {
-                                bare.add(segment);
+                        (shard, replicas) -> {
+                            if (!replicas.isEmpty()
+                                    && document.drainedServers().containsAll(replicas)) {
+                                uncovered.add(shard);
                             }
                         });
-        if (!bare.isEmpty()) {
-            bare.sort(null);
-            fault(
-                    "/serversOut",
-                    "segments "
-                            + (bare.size() > 8
-                                    ? bare.subList(0, 8) + " and " + (bare.size() - 8) + " more"
-                                    : bare)
-                            + " would have no holder left",
-                    "leave one of their servers in");
+        if (uncovered.isEmpty()) {
+            return;
         }
+        uncovered.sort(null);
+        int further = uncovered.size() - MAX_SHARDS_NAMED;
+        String named =
+                further > 0
+                        ? uncovered.subList(0, MAX_SHARDS_NAMED) + " and " + further + " more"
+                        : uncovered.toString();
+        report(
+                "/serversOut",
+                "segments " + named + " would have no holder left",
+                "leave one of their servers in");
     }
 }
--- a/change/src/main/java/sprucehold/change/document/package-info.java
+++ b/change/src/main/java/sprucehold/change/document/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What an operator may change of a running gatherer, as one document: read with every fault told at
- * once ({@link sprucehold.change.document.DocumentReader}), checked for its meaning ({@link
- * sprucehold.change.document.MeaningCheck}), and compared in words ({@link
- * sprucehold.change.document.Difference}). Pure: it must never touch a file, a clock or a thread.
+ * What operators may change of a running gatherer, as one document: read with all errors reported
+ * at once ({@link sprucehold.change.document.DocumentReader}), validated ({@link
+ * sprucehold.change.document.SemanticValidator}) and compared ({@link
+ * sprucehold.change.document.DocumentDifference}). Pure: it must never use a file, a clock or a
+ * thread.
  */
 package sprucehold.change.document;
--- a/change/src/main/java/sprucehold/change/journal/package-info.java
+++ b/change/src/main/java/sprucehold/change/journal/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The journal of versions on disk: {@link sprucehold.change.journal.JournalFile}. An entry is on
- * the disk before the step it tells of is taken; a line that was cut off is none.
+ * The write-ahead journal of versions on disk: {@link sprucehold.change.journal.JournalFile}. An
+ * entry is on the disk before the transition that it records takes effect; a line that was cut off
+ * counts as not written.
  */
 package sprucehold.change.journal;
--- a/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
+++ b/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
@@ -12,92 +12,98 @@
 import sprucehold.decision.Event;
 
 /**
- * Stands between the list and the module. News of discovery pass through it, and come out with the
- * operator's word on each server joined: taken out by the operator is draining for the module,
- * whatever discovery says; draining or gone by discovery stays so, whatever the operator says. A
- * server that the operator gives back counts as freshly started, so that the cold budget holds for
- * it.
+ * Applies operators' overrides to the endpoint list on its way from discovery to the policy. A
+ * server that operators drained is draining, whatever discovery says; one that is draining or gone
+ * by discovery stays so, whatever operators say. A server that operators return counts as freshly
+ * started, so that slow start applies to it.
  */
 public final class EndpointOverrides {
-    private final Map<String, Endpoint> told = new HashMap<>();
-    private final Map<String, Double> givenBackAt = new HashMap<>();
-    private Set<String> out = Set.of();
+    private final Map<String, Endpoint> discovered = new HashMap<>();
+    private final Map<String, Double> returnedAtMs = new HashMap<>();
+    private Set<String> drained = Set.of();
 
-    /** News from discovery, as the module is to have them. */
-    public Event.EndpointsUpdated told(Event.EndpointsUpdated news) {
-        if (news.complete()) {
-            var named = new HashSet<String>();
-            news.endpoints().forEach(server -> named.add(server.server()));
-            told.keySet().retainAll(named);
-            // Who left the list for good is known as fresh by its own start when it comes back.
-            givenBackAt.keySet().retainAll(named);
+    /** Takes an endpoint update of discovery and returns it with the overrides applied. */
+    public Event.EndpointsUpdated applyTo(Event.EndpointsUpdated update) {
+        if (update.complete()) {
+            forgetAllBut(update.endpoints());
         }
-        var joined = new ArrayList<Endpoint>(news.endpoints().size());
-        for (Endpoint server : news.endpoints()) {
-            if (server.state() == Endpoint.State.GONE) {
-                told.remove(server.server());
-                givenBackAt.remove(server.server());
+        var overridden = new ArrayList<Endpoint>(update.endpoints().size());
+        for (Endpoint endpoint : update.endpoints()) {
+            if (endpoint.state() == Endpoint.State.GONE) {
+                discovered.remove(endpoint.server());
+                returnedAtMs.remove(endpoint.server());
             } else {
-                told.put(server.server(), server);
+                discovered.put(endpoint.server(), endpoint);
             }
-            joined.add(joined(server));
+            overridden.add(override(endpoint));
         }
-        return new Event.EndpointsUpdated(news.complete(), List.copyOf(joined));
+        return new Event.EndpointsUpdated(update.complete(), List.copyOf(overridden));
+    }
+
+    private void forgetAllBut(List<Endpoint> endpoints) {
+        var listed = new HashSet<String>();
+        endpoints.forEach(endpoint -> listed.add(endpoint.server()));
+        discovered.keySet().retainAll(listed);
+        // A server that comes back to the list later is fresh by its own start time.
+        returnedAtMs.keySet().retainAll(listed);
     }
 
     /**
-     * The operator's word, from now on.
+     * Replaces the set of drained servers.
      *
-     * @param servers those taken out; all others are in
-     * @param nowMs Unix time, by the clock that starts are told in
-     * @return news for the module: of each listed server whose joined word changed; empty where
-     *     none did
+     * @param servers all servers that operators drain from now on
+     * @param nowMs Unix time in milliseconds, by the clock of the servers' start times
+     * @return the endpoints whose override changed, for the policy; empty if none did
      */
-    public List<Endpoint> takenOut(SortedSet<String> servers, double nowMs) {
+    public List<Endpoint> setDrained(SortedSet<String> servers, double nowMs) {
         var changed = new TreeSet<String>(servers);
-        changed.addAll(out);
-        changed.removeIf(server -> servers.contains(server) == out.contains(server));
+        changed.addAll(drained);
+        changed.removeIf(server -> servers.contains(server) == drained.contains(server));
         for (String server : changed) {
-            if (!servers.contains(server) && told.containsKey(server)) {
-                givenBackAt.put(server, nowMs);
+            if (!servers.contains(server) && discovered.containsKey(server)) {
+                returnedAtMs.put(server, nowMs);
             }
         }
-        out = Set.copyOf(servers);
+        drained = Set.copyOf(servers);
         return changed.stream()
-                .filter(told::containsKey)
-                .map(server -> joined(told.get(server)))
+                .filter(discovered::containsKey)
+                .map(server -> override(discovered.get(server)))
                 .toList();
     }
 
-    private Endpoint joined(Endpoint server) {
-        Endpoint.State mode =
-                server.state() == Endpoint.State.RUNNING && out.contains(server.server())
-                        ? Endpoint.State.DRAINING
-                        : server.state();
-        double started =
-                Math.max(server.startedAtMs(), givenBackAt.getOrDefault(server.server(), 0.0));
-        return new Endpoint(server.server(), server.replicaGroup(), server.zone(), started, mode);
+    private Endpoint override(Endpoint endpoint) {
+        boolean drainedByOperators =
+                endpoint.state() == Endpoint.State.RUNNING && drained.contains(endpoint.server());
+        double startedAtMs =
+                Math.max(endpoint.startedAtMs(), returnedAtMs.getOrDefault(endpoint.server(), 0.0));
+        return new Endpoint(
+                endpoint.server(),
+                endpoint.replicaGroup(),
+                endpoint.zone(),
+                startedAtMs,
+                drainedByOperators ? Endpoint.State.DRAINING : endpoint.state());
     }
 
-    /** Servers that discovery calls running, by cell, whatever the operator says. */
-    public Map<Integer, Set<String>> byCell() {
-        Map<Integer, Set<String>> byCell = new HashMap<>();
-        told.values().stream()
-                .filter(server -> server.state() == Endpoint.State.RUNNING)
-                .forEach(
-                        server ->
-                                byCell.computeIfAbsent(
-                                                server.replicaGroup(), none -> new HashSet<>())
-                                        .add(server.server()));
-        return byCell;
+    /** Servers that discovery reports as running, by replica group, overrides left out. */
+    public Map<Integer, Set<String>> runningByReplicaGroup() {
+        Map<Integer, Set<String>> servers = new HashMap<>();
+        for (Endpoint endpoint : discovered.values()) {
+            if (endpoint.state() == Endpoint.State.RUNNING) {
+                servers.computeIfAbsent(endpoint.replicaGroup(), none -> new HashSet<>())
+                        .add(endpoint.server());
+            }
+        }
+        return servers;
     }
 
-    /** Listed servers that may be sent to, by the joined word. */
-    public SortedSet<String> running() {
-        var running = new TreeSet<String>();
-        told.values().stream()
-                .filter(server -> joined(server).state() == Endpoint.State.RUNNING)
-                .forEach(server -> running.add(server.server()));
-        return running;
+    /** Listed servers that may be sent attempts, overrides applied. */
+    public SortedSet<String> routableServers() {
+        var servers = new TreeSet<String>();
+        for (Endpoint endpoint : discovered.values()) {
+            if (override(endpoint).state() == Endpoint.State.RUNNING) {
+                servers.add(endpoint.server());
+            }
+        }
+        return servers;
     }
 }
--- a/change/src/main/java/sprucehold/change/rollout/Rollout.java
+++ b/change/src/main/java/sprucehold/change/rollout/Rollout.java
@@ -6,210 +6,210 @@
 import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import sprucehold.change.rollout.RolloutState.GathererState;
 import sprucehold.change.rollout.RolloutState.Phase;
-import sprucehold.change.rollout.RolloutState.Standing;
 
 /**
- * Brings a change to many gatherers, wave by wave: the next wave begins when all of the one before
- * have confirmed it. One that turns it down or undoes it halts the rollout, and whoever has taken
- * it is asked to go back. A gatherer that does not answer is asked again, and holds its wave up; it
- * is never passed over, and never counted as what it isn't known to be. Asking twice is harmless:
- * proposals carry the rollout's id.
+ * The state machine of a rollout, a staged (canary) deployment: a wave begins when every gatherer
+ * of the wave before has confirmed the change. A gatherer that rejects it or rolls it back halts
+ * the rollout, and each gatherer that accepted it is asked to revert. A gatherer that doesn't
+ * answer is asked again and holds up its wave; it is never skipped, and never counted as anything
+ * it isn't known to be. Requests are idempotent, as proposals carry the rollout's id.
  */
 public final class Rollout {
-    /** Asked again so often; a gatherer that restarts is back within it, at one ask a second. */
-    private static final int MOST_ASKS = 60;
+    /** Unanswered requests to one gatherer before it is given up; a restart takes less. */
+    private static final int MAX_REQUESTS = 60;
 
-    private static final double ASK_EVERY_MS = 1000;
+    private static final double REQUEST_INTERVAL_MS = 1000;
 
+    private final Map<String, Integer> unansweredRequests = new HashMap<>();
     private RolloutState state;
-    private final Map<String, Integer> asks = new HashMap<>();
-    private double nextAskMs = Double.NEGATIVE_INFINITY;
-    private List<RolloutAction> todo = new ArrayList<>();
-
-    /** What a rollout wants done. */
-    public sealed interface RolloutAction {
-        /** The state is to be kept before what follows is done. */
-        record Keep(RolloutState state) implements RolloutAction {}
-
-        /** The change is proposed to the gatherer, or proposed again by the same id. */
-        record Propose(String gatherer, String id) implements RolloutAction {}
-
-        /** The gatherer is asked where the change stands. */
-        record Ask(String gatherer, String id) implements RolloutAction {}
-
-        /** The gatherer is to go back to what it served before. */
-        record TakeBack(String gatherer, String id) implements RolloutAction {}
-
-        /** A line for the operator. */
-        record Tell(String line) implements RolloutAction {}
-    }
+    private double nextRequestMs = Double.NEGATIVE_INFINITY;
+    private List<RolloutAction> actions = new ArrayList<>();
 
     /**
-     * @param state a new one, or one that was kept when the tool died
+     * @param state a new one, or the one saved by a process that ended before the rollout did
      */
     public Rollout(RolloutState state) {
         this.state = state;
     }
 
+    /** The state now. */
     public RolloutState state() {
         return state;
     }
 
     /** Whether nothing more is to be done. */
-    public boolean over() {
+    public boolean finished() {
         return state.phase() == Phase.DONE || state.phase() == Phase.HALTED;
     }
 
-    /** Lets time pass; to be called about once a second. */
+    /**
+     * Lets time pass; to be called about once a second.
+     *
+     * @param nowMs the time now in milliseconds, by any clock
+     * @return what is to be done, in order
+     */
     public List<RolloutAction> tick(double nowMs) {
-        todo = new ArrayList<>();
-        if (!over() && nowMs >= nextAskMs) {
-            nextAskMs = nowMs + ASK_EVERY_MS;
-            ask();
+        actions = new ArrayList<>();
+        if (!finished() && nowMs >= nextRequestMs) {
+            nextRequestMs = nowMs + REQUEST_INTERVAL_MS;
+            request();
         }
-        return todo;
+        return actions;
     }
 
     /**
-     * A gatherer told where the change stands with it.
+     * Takes a gatherer's answer.
      *
-     * @param now never {@link Standing#UNTOUCHED} or {@link Standing#ASKED}: those are the
-     *     rollout's own
-     * @param why its words, for one that turned it down or undid it
+     * @param gatherer its address
+     * @param answered its state; never {@link GathererState#NOT_PROPOSED} or {@link
+     *     GathererState#PROPOSED}, which only the rollout sets
+     * @param reason the gatherer's reason, if it rejected the change or rolled it back
+     * @return what is to be done, in order
      */
-    public List<RolloutAction> answered(String gatherer, Standing now, String why) {
-        todo = new ArrayList<>();
-        Standing before = state.standing().get(gatherer);
-        if (before == null || over()) {
-            return todo;
+    public List<RolloutAction> answered(String gatherer, GathererState answered, String reason) {
+        actions = new ArrayList<>();
+        GathererState before = state.gathererStates().get(gatherer);
+        if (before == null || finished()) {
+            return actions;
         }
-        asks.remove(gatherer);
-        // An answer that was under way when the gatherer was asked back tells of what was.
-        if (before == Standing.TAKING_BACK
-                && (now == Standing.WATCHED || now == Standing.CONFIRMED)) {
-            return todo;
+        unansweredRequests.remove(gatherer);
+        // An answer that crossed the request to revert is out of date.
+        boolean accepted = answered == GathererState.WATCHED || answered == GathererState.CONFIRMED;
+        if (before == GathererState.REVERTING && accepted) {
+            return actions;
         }
-        if (now != before) {
-            set(gatherer, now);
-            if (state.phase() == Phase.ROLLING
-                    && (now == Standing.TURNED_DOWN || now == Standing.UNDONE)) {
-                halt(
-                        gatherer
-                                + (now == Standing.UNDONE ? " undid it: " : " turned it down: ")
-                                + why);
+        if (answered != before) {
+            setGathererState(gatherer, answered);
+            if (state.phase() == Phase.ROLLING && answered == GathererState.REJECTED) {
+                halt(gatherer + " turned it down: " + reason);
+            } else if (state.phase() == Phase.ROLLING && answered == GathererState.ROLLED_BACK) {
+                halt(gatherer + " undid it: " + reason);
             }
         }
         advance();
-        return todo;
-    }
-
-    private void ask() {
-        for (String gatherer : state.standing().keySet()) {
-            switch (state.standing().get(gatherer)) {
-                case UNTOUCHED -> {
-                    if (state.phase() == Phase.ROLLING
-                            && state.waves().get(state.wave()).contains(gatherer)) {
-                        set(gatherer, Standing.ASKED);
-                        todo.add(new RolloutAction.Propose(gatherer, state.id()));
-                    }
-                }
-                case ASKED -> again(gatherer, new RolloutAction.Propose(gatherer, state.id()));
-                case WATCHED -> again(gatherer, new RolloutAction.Ask(gatherer, state.id()));
-                case TAKING_BACK ->
-                        again(gatherer, new RolloutAction.TakeBack(gatherer, state.id()));
+        return actions;
+    }
+
+    private void request() {
+        // Requests may replace the state; each gatherer's is read when its turn comes.
+        for (String gatherer : state.gathererStates().keySet()) {
+            switch (state.gathererStates().get(gatherer)) {
+                case NOT_PROPOSED -> propose(gatherer);
+                case PROPOSED -> repeat(gatherer, new RolloutAction.Propose(gatherer, state.id()));
+                case WATCHED ->
+                        repeat(gatherer, new RolloutAction.QueryStatus(gatherer, state.id()));
+                case REVERTING -> repeat(gatherer, new RolloutAction.Revert(gatherer, state.id()));
                 default -> {}
             }
         }
         advance();
     }
 
-    private void again(String gatherer, RolloutAction action) {
-        if (asks.merge(gatherer, 1, Integer::sum) <= MOST_ASKS) {
-            todo.add(action);
+    private void propose(String gatherer) {
+        if (state.phase() == Phase.ROLLING && currentWave().contains(gatherer)) {
+            setGathererState(gatherer, GathererState.PROPOSED);
+            actions.add(new RolloutAction.Propose(gatherer, state.id()));
+        }
+    }
+
+    private void repeat(String gatherer, RolloutAction action) {
+        if (unansweredRequests.merge(gatherer, 1, Integer::sum) <= MAX_REQUESTS) {
+            actions.add(action);
         } else if (state.phase() == Phase.ROLLING) {
             halt(gatherer + " does not answer");
         } else {
-            end(Phase.HALTED);
+            finish(Phase.HALTED);
         }
     }
 
-    private void set(String gatherer, Standing now) {
-        var standing = new TreeMap<>(state.standing());
-        standing.put(gatherer, now);
-        keep(state.wave(), standing, state.phase(), state.why());
-    }
-
-    private void keep(int wave, SortedMap<String, Standing> standing, Phase phase, String why) {
-        state = new RolloutState(state.id(), state.waves(), wave, standing, phase, why);
-        // Only the last state of a step need be kept, and before anything is done on it.
-        todo.removeIf(RolloutAction.Keep.class::isInstance);
-        todo.add(0, new RolloutAction.Keep(state));
-    }
-
-    private void halt(String why) {
-        var standing = new TreeMap<>(state.standing());
-        standing.replaceAll(
-                (gatherer, now) ->
-                        now == Standing.WATCHED
-                                        || now == Standing.CONFIRMED
-                                        || now == Standing.ASKED
-                                ? Standing.TAKING_BACK
-                                : now);
-        keep(state.wave(), standing, Phase.TAKING_BACK, why);
-        asks.clear();
-        todo.removeIf(RolloutAction.Propose.class::isInstance);
-        todo.add(new RolloutAction.Tell("halted: " + why));
-        state.standing()
-                .forEach(
-                        (gatherer, now) -> {
-                            if (now == Standing.TAKING_BACK) {
-                                todo.add(new RolloutAction.TakeBack(gatherer, state.id()));
-                            }
-                        });
+    private List<String> currentWave() {
+        return state.waves().get(state.wave());
+    }
+
+    private void setGathererState(String gatherer, GathererState gathererState) {
+        var gathererStates = new TreeMap<>(state.gathererStates());
+        gathererStates.put(gatherer, gathererState);
+        setState(state.wave(), gathererStates, state.phase(), state.reason());
+    }
+
+    private void setState(
+            int wave, SortedMap<String, GathererState> gathererStates, Phase phase, String reason) {
+        state = new RolloutState(state.id(), state.waves(), wave, gathererStates, phase, reason);
+        // Only the latest state has to be saved, and before any action that rests on it.
+        actions.removeIf(RolloutAction.SaveState.class::isInstance);
+        actions.add(0, new RolloutAction.SaveState(state));
+    }
+
+    private void halt(String reason) {
+        var gathererStates = new TreeMap<>(state.gathererStates());
+        gathererStates.replaceAll(
+                (gatherer, before) -> mayHaveAccepted(before) ? GathererState.REVERTING : before);
+        setState(state.wave(), gathererStates, Phase.REVERTING, reason);
+        unansweredRequests.clear();
+        actions.removeIf(RolloutAction.Propose.class::isInstance);
+        actions.add(new RolloutAction.Report("halted: " + reason));
+        for (String gatherer : reverting()) {
+            actions.add(new RolloutAction.Revert(gatherer, state.id()));
+        }
+    }
+
+    private static boolean mayHaveAccepted(GathererState gathererState) {
+        return gathererState == GathererState.WATCHED
+                || gathererState == GathererState.CONFIRMED
+                || gathererState == GathererState.PROPOSED;
+    }
+
+    /** Gatherers that were asked to revert and have not answered, in order. */
+    private List<String> reverting() {
+        return state.gathererStates().entrySet().stream()
+                .filter(entry -> entry.getValue() == GathererState.REVERTING)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     private void advance() {
-        if (state.phase() == Phase.TAKING_BACK
-                && state.standing().values().stream()
-                        .noneMatch(now -> now == Standing.TAKING_BACK)) {
-            end(Phase.HALTED);
-        } else if (state.phase() == Phase.ROLLING
-                && state.waves().get(state.wave()).stream()
-                        .allMatch(
-                                gatherer -> state.standing().get(gatherer) == Standing.CONFIRMED)) {
-            if (state.wave() == state.waves().size() - 1) {
-                end(Phase.DONE);
+        if (state.phase() == Phase.REVERTING && reverting().isEmpty()) {
+            finish(Phase.HALTED);
+        } else if (state.phase() == Phase.ROLLING && waveIsConfirmed()) {
+            int waves = state.waves().size();
+            if (state.wave() == waves - 1) {
+                finish(Phase.DONE);
             } else {
-                todo.add(
-                        new RolloutAction.Tell(
-                                "wave "
-                                        + (state.wave() + 1)
-                                        + " of "
-                                        + state.waves().size()
-                                        + " is confirmed"));
-                keep(state.wave() + 1, state.standing(), Phase.ROLLING, "");
+                int number = state.wave() + 1;
+                actions.add(
+                        new RolloutAction.Report(
+                                "wave " + number + " of " + waves + " is confirmed"));
+                setState(state.wave() + 1, state.gathererStates(), Phase.ROLLING, "");
             }
         }
     }
 
-    private void end(Phase phase) {
-        keep(state.wave(), state.standing(), phase, state.why());
-        var unknown =
-                state.standing().entrySet().stream()
-                        .filter(of -> of.getValue() == Standing.TAKING_BACK)
-                        .map(Map.Entry::getKey)
-                        .toList();
-        todo.add(
-                new RolloutAction.Tell(
-                        phase == Phase.DONE
-                                ? "all " + state.standing().size() + " gatherers have confirmed it"
-                                : "ended: "
-                                        + state.why()
-                                        + (unknown.isEmpty()
-                                                ? "; all others serve " + "what they served before"
-                                                : "; not known of "
-                                                        + String.join(", ", unknown)
-                                                        + ", which have to be looked at")));
+    private boolean waveIsConfirmed() {
+        return currentWave().stream()
+                .allMatch(
+                        gatherer ->
+                                state.gathererStates().get(gatherer) == GathererState.CONFIRMED);
+    }
+
+    private void finish(Phase phase) {
+        setState(state.wave(), state.gathererStates(), phase, state.reason());
+        actions.add(new RolloutAction.Report(phase == Phase.DONE ? doneReport() : haltedReport()));
+    }
+
+    private String doneReport() {
+        return "all " + state.gathererStates().size() + " gatherers have confirmed it";
+    }
+
+    private String haltedReport() {
+        List<String> unknown = reverting();
+        return "ended: "
+                + state.reason()
+                + (unknown.isEmpty()
+                        ? "; all others serve what they served before"
+                        : "; not known of "
+                                + String.join(", ", unknown)
+                                + ", which have to be looked at");
     }
 }
--- a/change/src/main/java/sprucehold/change/rollout/package-info.java
+++ b/change/src/main/java/sprucehold/change/rollout/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One change over many gatherers, in waves: {@link sprucehold.change.rollout.Rollout}, events in,
- * actions out, its whole state a value that can be kept and taken up again. Pure.
+ * One change brought to many gatherers in waves: {@link sprucehold.change.rollout.Rollout}, answers
+ * in, actions out. Its whole state is a value that is saved and resumed from. Pure.
  */
 package sprucehold.change.rollout;
--- a/change/src/main/java/sprucehold/change/version/Version.java
+++ b/change/src/main/java/sprucehold/change/version/Version.java
@@ -3,12 +3,13 @@
 import sprucehold.change.document.ConfigurationDocument;
 
 /**
- * One version.
+ * One version of the configuration.
  *
- * @param number rises by one with each version accepted, undoings among them
- * @param madeFrom the number of the version it was made from
- * @param by who asked for it
- * @param undoes the version that it takes back, 0 for none
+ * @param number rises by one with each accepted version, rollbacks included
+ * @param basedOn the number of the version that it was made from
+ * @param document the configuration
+ * @param author who asked for it; {@code watch} and {@code restart} for rollbacks without a request
+ * @param rollsBack the number of the version that it rolls back, 0 for none
  */
 public record Version(
-        long number, long madeFrom, ConfigurationDocument document, String by, long undoes) {}
+        long number, long basedOn, ConfigurationDocument document, String author, long rollsBack) {}
--- a/change/src/main/java/sprucehold/change/version/VersionEvent.java
+++ b/change/src/main/java/sprucehold/change/version/VersionEvent.java
@@ -4,38 +4,60 @@
 import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.RunningState;
 
-/** Something that happened to the line of versions. */
+/** Something that the version history reacts to. */
 public sealed interface VersionEvent {
     /**
      * An operator proposes a document.
      *
-     * @param id the proposal's own id: the same one again is the same proposal
-     * @param madeFrom the version it was made from
+     * @param proposalId the proposal's id; the same id again is the same proposal
+     * @param author who proposes it
+     * @param basedOn the number of the version that it was made from
+     * @param document the proposed document
      * @param running what runs now
      */
     record Proposed(
-            String id,
-            String by,
-            long madeFrom,
+            String proposalId,
+            String author,
+            long basedOn,
             ConfigurationDocument document,
             RunningState running)
             implements VersionEvent {}
 
-    /** The module is between two moments: what is staged may be applied. */
+    /** The policy is between two decisions: a staged version may be applied. */
     record BetweenDecisions() implements VersionEvent {}
 
-    /** The watch has found that service fell, or that it did not for as long as it looks. */
-    record Judged(long version, boolean harm, String grounds) implements VersionEvent {}
+    /**
+     * The health watch has decided.
+     *
+     * @param version the version that it watched
+     * @param degraded whether service degraded; otherwise it held throughout the watch
+     * @param evidence what the decision rests on, one sentence
+     */
+    record WatchDecided(long version, boolean degraded, String evidence) implements VersionEvent {}
 
-    /** An operator takes the watched version for good. */
-    record ConfirmRequested(long version, String by) implements VersionEvent {}
+    /**
+     * An operator confirms the watched version.
+     *
+     * @param version its number
+     * @param author who asks
+     */
+    record ConfirmRequested(long version, String author) implements VersionEvent {}
 
-    /** An operator wants the live version taken back. */
-    record RollbackRequested(long version, String by) implements VersionEvent {}
+    /**
+     * An operator wants the watched version rolled back, or the staged one withdrawn.
+     *
+     * @param version its number
+     * @param author who asks
+     */
+    record RollbackRequested(long version, String author) implements VersionEvent {}
 
-    /** The process ends in good order. */
+    /** The process ends in order. */
     record ShuttingDown() implements VersionEvent {}
 
-    /** The process has started, and this is what its journal holds, in order. */
+    /**
+     * The process has started.
+     *
+     * @param journal the journal's entries, in order
+     */
     record Started(List<JournalEntry> journal) implements VersionEvent {}
 }
--- a/change/src/main/java/sprucehold/change/version/VersionHistory.java
+++ b/change/src/main/java/sprucehold/change/version/VersionHistory.java
@@ -1,372 +1,303 @@
 package sprucehold.change.version;
 
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.DocumentDifference;
-import sprucehold.change.document.SemanticValidator;
 import sprucehold.change.document.ValidationError;
 
 /**
- * The line of versions of one gatherer. A proposal is checked whole and staged; it goes live
- * between two moments of the module, is watched, and ends confirmed or undone. An undoing is a
- * version of its own, with the document last confirmed, so that numbers never go back. Every step
- * is written down before it is taken; a process that was killed between any two starts with one
- * whole version.
+ * The state machine of one gatherer's versions: events in, commands out. Every transition is
+ * written to the journal before it takes effect (write-ahead logging), so a process that was killed
+ * between any two commands restarts with one whole version. A rollback is a version of its own with
+ * the document last confirmed, so that numbers never go back.
+ *
+ * <table>
+ * <caption>Transitions; an event that a state does not name changes nothing</caption>
+ * <tr><th>state</th><th>event</th><th>next state</th><th>commands</th></tr>
+ * <tr><td>Confirmed</td><td>Proposed, valid</td><td>Staged</td><td>WriteJournal(Accepted),
+ *     Accepted</td></tr>
+ * <tr><td>any</td><td>Proposed, known or equal to what is live</td><td>the same</td><td>
+ *     AlreadyKnown</td></tr>
+ * <tr><td>any</td><td>Proposed, outdated, invalid or while another is pending</td><td>the same</td>
+ *     <td>Rejected</td></tr>
+ * <tr><td>Staged</td><td>BetweenDecisions</td><td>Watched</td><td>WriteJournal(Live), Apply,
+ *     StartWatch, Log</td></tr>
+ * <tr><td>Staged</td><td>RollbackRequested</td><td>Confirmed</td><td>WriteJournal(Dropped)</td></tr>
+ * <tr><td>Watched</td><td>WatchDecided healthy, ConfirmRequested</td><td>Confirmed</td><td>
+ *     WriteJournal(Confirmed), StopWatch, Log</td></tr>
+ * <tr><td>Watched</td><td>WatchDecided degraded, RollbackRequested</td><td>Confirmed, under a new
+ *     number</td><td>StopWatch, WriteJournal(Dropped), WriteJournal(Accepted),
+ *     WriteJournal(Confirmed), Apply, Log</td></tr>
+ * <tr><td>any</td><td>ShuttingDown</td><td>the same</td><td>WriteJournal(ShutDown)</td></tr>
+ * <tr><td>Confirmed</td><td>Started: nothing unresolved</td><td>Confirmed</td><td>Apply</td></tr>
+ * <tr><td>Confirmed</td><td>Started: killed within a rollback</td><td>Confirmed, under a new number
+ *     </td><td>WriteJournal(Accepted), WriteJournal(Confirmed), Apply</td></tr>
+ * <tr><td>Confirmed</td><td>Started: a version was watched</td><td>Watched</td><td>
+ *     WriteJournal(Retried) after a crash, Apply, StartWatch, Log</td></tr>
+ * <tr><td>Confirmed</td><td>Started: the process died under it repeatedly</td><td>Confirmed, under
+ *     a new number; the other is quarantined</td><td>WriteJournal(Dropped), WriteJournal(Accepted),
+ *     WriteJournal(Confirmed), Apply, Log</td></tr>
+ * </table>
  */
 public final class VersionHistory {
-    /**
-     * A version under which the process died so often without an end in good order is set aside.
-     */
-    private static final int MOST_DEATHS = 2;
-
-    /** Outcomes remembered, for operators who ask; the journal holds all. */
-    private static final int MOST_HISTORY = 1000;
-
-    private static final String ASIDE = "set aside";
+    /** A version under which the process died this often in a row is quarantined. */
+    private static final int MAX_CRASHES = 2;
 
-    private final Map<Long, VersionStatus> history = new LinkedHashMap<>();
-    private final Map<String, Long> numberOfProposal = new HashMap<>();
-    private final Map<Long, Integer> deaths = new HashMap<>();
-    private Version confirmed;
-    private Version live;
-    private Version staged;
-    private boolean watched;
-    private long last;
-    private List<VersionCommand> todo = new ArrayList<>();
+    private final VersionRegistry registry = new VersionRegistry();
+    private VersionState state;
+    private List<VersionCommand> commands = new ArrayList<>();
 
     /**
      * @param first the document that the process was started with; it is version 1 and confirmed
      */
     public VersionHistory(ConfigurationDocument first) {
-        confirmed = new Version(1, 0, first, "start", 0);
-        live = confirmed;
-        last = 1;
-        remember(confirmed, VersionStatus.State.CONFIRMED, "");
+        var version = new Version(registry.nextNumber(), 0, first, "start", 0);
+        state = new VersionState.Confirmed(version);
+        registry.setState(version, VersionStatus.State.CONFIRMED, "");
     }
 
-    /** Takes one event and returns what is to be done, in order. */
-    public List<VersionCommand> on(VersionEvent event) {
-        todo = new ArrayList<>();
+    /** Takes one event and returns the commands to be carried out, in order. */
+    public List<VersionCommand> handle(VersionEvent event) {
+        commands = new ArrayList<>();
         if (event instanceof VersionEvent.Proposed proposed) {
-            proposed(proposed);
+            propose(proposed);
         } else if (event instanceof VersionEvent.BetweenDecisions) {
             goLive();
-        } else if (event instanceof VersionEvent.Judged judged) {
-            judged(judged);
-        } else if (event instanceof VersionEvent.ConfirmRequested asked) {
-            if (watched && live.number() == asked.version()) {
-                confirm("confirmed by " + asked.by());
-            }
-        } else if (event instanceof VersionEvent.RollbackRequested asked) {
-            if (watched && live.number() == asked.version()) {
-                undo("undone by " + asked.by(), asked.by());
-            } else if (staged != null && staged.number() == asked.version()) {
-                drop(staged, "withdrawn by " + asked.by());
-                staged = null;
+        } else if (event instanceof VersionEvent.WatchDecided decided) {
+            endWatch(decided);
+        } else if (event instanceof VersionEvent.ConfirmRequested request) {
+            if (state instanceof VersionState.Watched watched
+                    && watched.live().number() == request.version()) {
+                confirm(watched, "confirmed by " + request.author());
             }
+        } else if (event instanceof VersionEvent.RollbackRequested request) {
+            rollBackOnRequest(request);
         } else if (event instanceof VersionEvent.ShuttingDown) {
-            todo.add(new VersionCommand.Write(new JournalEntry.Ended()));
+            write(new JournalEntry.ShutDown());
         } else if (event instanceof VersionEvent.Started started) {
-            started(started.journal());
+            recover(started.journal());
         }
-        return todo;
+        return commands;
+    }
+
+    private void write(JournalEntry entry) {
+        commands.add(new VersionCommand.WriteJournal(entry));
     }
 
-    // ---- Proposals ----
+    private void log(String message) {
+        commands.add(new VersionCommand.Log(message));
+    }
 
-    private void proposed(VersionEvent.Proposed proposed) {
-        Long known = numberOfProposal.get(proposed.id());
+    private void propose(VersionEvent.Proposed proposed) {
+        Long known = registry.versionOfProposal(proposed.proposalId());
+        Version newest = staged() != null ? staged() : live();
         if (known != null) {
-            todo.add(new VersionCommand.AlreadyKnown(proposed.id(), known));
-            return;
-        }
-        Version newest = staged != null ? staged : live;
-        if (proposed.madeFrom() != newest.number()) {
-            VersionStatus from = history.get(proposed.madeFrom());
-            ValidationError fault =
-                    new ValidationError(
-                            "",
-                            "it was made from version "
-                                    + proposed.madeFrom()
-                                    + ", and the newest is "
-                                    + newest.number(),
-                            "make it anew from version " + newest.number());
-            todo.add(
-                    new VersionCommand.Rejected(
-                            proposed.id(),
-                            List.of(fault),
-                            from == null
-                                    ? null
-                                    : DocumentDifference.between(
-                                            from.version().document(), newest.document())));
-            return;
-        }
-        if (watched || staged != null) {
-            // Two changes at a time: nobody could tell which of them service fell by.
-            ValidationError fault =
-                    new ValidationError(
-                            "",
-                            "version "
-                                    + newest.number()
-                                    + (watched ? " is still watched" : " isn't live yet"),
-                            "wait for its end, confirm it or undo it");
-            todo.add(new VersionCommand.Rejected(proposed.id(), List.of(fault), null));
-            return;
-        }
-        if (proposed.document().equals(live.document())) {
-            numberOfProposal.put(proposed.id(), live.number());
-            todo.add(new VersionCommand.AlreadyKnown(proposed.id(), live.number()));
-            return;
-        }
-        List<ValidationError> faults =
-                new ArrayList<>(
-                        SemanticValidator.against(
-                                proposed.document(), live.document(), proposed.running()));
-        for (VersionStatus outcome : history.values()) {
-            if (outcome.how() == VersionStatus.State.SET_ASIDE
-                    && outcome.version().document().equals(proposed.document())) {
-                faults.add(
-                        new ValidationError(
-                                "",
-                                "it is the same as version "
-                                        + outcome.version().number()
-                                        + ", which was set aside: "
-                                        + outcome.why(),
-                                "change what killed the process"));
+            commands.add(new VersionCommand.AlreadyKnown(proposed.proposalId(), known));
+        } else if (proposed.basedOn() != newest.number()) {
+            VersionStatus basis = registry.status(proposed.basedOn());
+            commands.add(
+                    ProposalReview.outdated(
+                            proposed, newest, basis == null ? null : basis.version()));
+        } else if (!(state instanceof VersionState.Confirmed)) {
+            commands.add(ProposalReview.busy(proposed, newest, watched()));
+        } else if (proposed.document().equals(live().document())) {
+            registry.putProposal(proposed.proposalId(), live().number());
+            commands.add(new VersionCommand.AlreadyKnown(proposed.proposalId(), live().number()));
+        } else {
+            List<ValidationError> errors =
+                    ProposalReview.validate(proposed, live(), registry.statuses());
+            if (errors.isEmpty()) {
+                stage(proposed);
+            } else {
+                commands.add(new VersionCommand.Rejected(proposed.proposalId(), errors, null));
             }
         }
-        if (!faults.isEmpty()) {
-            todo.add(new VersionCommand.Rejected(proposed.id(), List.copyOf(faults), null));
-            return;
-        }
-        staged = new Version(++last, live.number(), proposed.document(), proposed.by(), 0);
-        numberOfProposal.put(proposed.id(), staged.number());
-        remember(staged, VersionStatus.State.STAGED, "");
-        todo.add(new VersionCommand.Write(new JournalEntry.Accepted(staged, proposed.id())));
-        todo.add(
+    }
+
+    private void stage(VersionEvent.Proposed proposed) {
+        Version live = live();
+        var staged =
+                new Version(
+                        registry.nextNumber(),
+                        live.number(),
+                        proposed.document(),
+                        proposed.author(),
+                        0);
+        state = new VersionState.Staged(live, staged);
+        registry.putProposal(proposed.proposalId(), staged.number());
+        registry.setState(staged, VersionStatus.State.STAGED, "");
+        write(new JournalEntry.Accepted(staged, proposed.proposalId()));
+        commands.add(
                 new VersionCommand.Accepted(
-                        proposed.id(),
+                        proposed.proposalId(),
                         staged,
                         DocumentDifference.between(live.document(), staged.document())));
     }
 
-    // ---- Going live, and the end of it ----
-
     private void goLive() {
-        if (staged == null) {
-            return;
+        if (state instanceof VersionState.Staged staged) {
+            Version version = staged.staged();
+            write(new JournalEntry.Live(version.number()));
+            watch(version);
+            log("version " + version.number() + " by " + version.author() + " is live and watched");
         }
-        live = staged;
-        staged = null;
-        watched = true;
-        remember(live, VersionStatus.State.WATCHED, "");
-        todo.add(new VersionCommand.Write(new JournalEntry.Live(live.number())));
-        todo.add(new VersionCommand.Apply(live));
-        todo.add(new VersionCommand.Watch(live.number()));
-        todo.add(
-                new VersionCommand.Log(
-                        "version " + live.number() + " by " + live.by() + " is live and watched"));
     }
 
-    private void judged(VersionEvent.Judged judged) {
-        // The watch's word may cross an operator's, or come of a version that is gone.
-        if (!watched || live.number() != judged.version()) {
-            return;
-        }
-        if (judged.harm()) {
-            undo("service fell: " + judged.grounds(), "watch");
-        } else {
-            confirm("service held: " + judged.grounds());
+    private void watch(Version version) {
+        state = new VersionState.Watched(confirmed(), version);
+        registry.setState(version, VersionStatus.State.WATCHED, "");
+        commands.add(new VersionCommand.Apply(version));
+        commands.add(new VersionCommand.StartWatch(version.number()));
+    }
+
+    private void endWatch(VersionEvent.WatchDecided decided) {
+        // The decision may cross an operator's request, or be of a version that is gone.
+        if (state instanceof VersionState.Watched watched
+                && watched.live().number() == decided.version()) {
+            if (decided.degraded()) {
+                rollBack(watched, "service fell: " + decided.evidence(), "watch");
+            } else {
+                confirm(watched, "service held: " + decided.evidence());
+            }
         }
     }
 
-    private void confirm(String why) {
-        watched = false;
-        remember(confirmed, VersionStatus.State.REPLACED, "by version " + live.number());
-        confirmed = live;
-        remember(live, VersionStatus.State.CONFIRMED, why);
-        todo.add(new VersionCommand.Write(new JournalEntry.Confirmed(live.number())));
-        todo.add(new VersionCommand.StopWatch(live.number()));
-        todo.add(new VersionCommand.Log("version " + live.number() + " is confirmed: " + why));
+    private void confirm(VersionState.Watched watched, String reason) {
+        Version version = watched.live();
+        registry.supersede(watched.confirmed(), version.number());
+        registry.setState(version, VersionStatus.State.CONFIRMED, reason);
+        state = new VersionState.Confirmed(version);
+        write(new JournalEntry.Confirmed(version.number()));
+        commands.add(new VersionCommand.StopWatch(version.number()));
+        log("version " + version.number() + " is confirmed: " + reason);
     }
 
-    /**
-     * Back to the document last confirmed, under a new number; it was confirmed before and isn't
-     * watched.
-     */
-    private void undo(String why, String by) {
-        Version undone = live;
-        watched = false;
-        todo.add(new VersionCommand.StopWatch(undone.number()));
-        drop(undone, why);
-        back(undone.number(), by);
-        todo.add(
-                new VersionCommand.Log(
-                        "version "
-                                + undone.number()
-                                + " is undone, version "
-                                + live.number()
-                                + " is live: "
-                                + why));
+    private void rollBackOnRequest(VersionEvent.RollbackRequested request) {
+        if (state instanceof VersionState.Watched watched
+                && watched.live().number() == request.version()) {
+            rollBack(watched, "undone by " + request.author(), request.author());
+        } else if (state instanceof VersionState.Staged staged
+                && staged.staged().number() == request.version()) {
+            drop(staged.staged(), "withdrawn by " + request.author());
+            state = new VersionState.Confirmed(staged.confirmed());
+        }
     }
 
-    /**
-     * Puts the document last confirmed in force under a new number, as one that was live came after
-     * it.
-     */
-    private void back(long undone, String by) {
-        var back = new Version(++last, undone, confirmed.document(), by, undone);
-        todo.add(new VersionCommand.Write(new JournalEntry.Accepted(back, "undo-" + undone)));
-        todo.add(new VersionCommand.Write(new JournalEntry.Confirmed(back.number())));
-        remember(confirmed, VersionStatus.State.REPLACED, "by version " + back.number());
-        confirmed = back;
-        live = back;
-        remember(back, VersionStatus.State.CONFIRMED, "it undoes version " + undone);
-        todo.add(new VersionCommand.Apply(back));
+    private void rollBack(VersionState.Watched watched, String reason, String author) {
+        Version version = watched.live();
+        commands.add(new VersionCommand.StopWatch(version.number()));
+        drop(version, reason);
+        restoreConfirmed(version.number(), author);
+        log(
+                "version "
+                        + version.number()
+                        + " is undone, version "
+                        + live().number()
+                        + " is live: "
+                        + reason);
     }
 
-    private void drop(Version version, String why) {
-        remember(version, VersionStatus.State.UNDONE, why);
-        todo.add(new VersionCommand.Write(new JournalEntry.Dropped(version.number(), why)));
+    /** Makes the document last confirmed live again, under a new number and unwatched. */
+    private void restoreConfirmed(long rolledBack, String author) {
+        Version former = confirmed();
+        var restored =
+                new Version(
+                        registry.nextNumber(), rolledBack, former.document(), author, rolledBack);
+        // The prefix is part of the journal's stored form.
+        write(new JournalEntry.Accepted(restored, "undo-" + rolledBack));
+        write(new JournalEntry.Confirmed(restored.number()));
+        registry.supersede(former, restored.number());
+        registry.setState(
+                restored, VersionStatus.State.CONFIRMED, "it undoes version " + rolledBack);
+        state = new VersionState.Confirmed(restored);
+        commands.add(new VersionCommand.Apply(restored));
     }
 
-    // ---- Recovery ----
+    private void drop(Version version, String reason) {
+        registry.setState(version, VersionStatus.State.ROLLED_BACK, reason);
+        write(new JournalEntry.Dropped(version.number(), reason));
+    }
 
     /**
-     * Folds the journal. A version accepted and not yet live is forgotten: nobody was promised that
-     * it would go live.
+     * Resumes from the journal. A version accepted and not yet live is dropped: nobody was promised
+     * that it would go live.
      */
-    private void started(List<JournalEntry> journal) {
-        Version unresolved = null;
-        long everLive = 0;
-        var accepted = new HashMap<Long, Version>();
-        for (JournalEntry entry : journal) {
-            if (entry instanceof JournalEntry.Accepted of) {
-                accepted.put(of.version().number(), of.version());
-                numberOfProposal.put(of.id(), of.version().number());
-                last = Math.max(last, of.version().number());
-                remember(of.version(), VersionStatus.State.STAGED, "");
-            } else if (entry instanceof JournalEntry.Live of) {
-                unresolved = accepted.get(of.number());
-                everLive = Math.max(everLive, of.number());
-            } else if (entry instanceof JournalEntry.Retried of) {
-                unresolved = accepted.get(of.number());
-                deaths.merge(of.number(), 1, Integer::sum);
-            } else if (entry instanceof JournalEntry.Confirmed of) {
-                remember(confirmed, VersionStatus.State.REPLACED, "by version " + of.number());
-                confirmed = accepted.getOrDefault(of.number(), confirmed);
-                unresolved = null;
-                remember(confirmed, VersionStatus.State.CONFIRMED, "");
-            } else if (entry instanceof JournalEntry.Dropped of) {
-                unresolved =
-                        unresolved != null && unresolved.number() == of.number()
-                                ? null
-                                : unresolved;
-                if (accepted.containsKey(of.number())) {
-                    boolean aside = of.why().startsWith(ASIDE);
-                    remember(
-                            accepted.get(of.number()),
-                            aside ? VersionStatus.State.SET_ASIDE : VersionStatus.State.UNDONE,
-                            of.why());
-                }
-            } else if (entry instanceof JournalEntry.Ended) {
-                // What was live until an end in good order didn't kill the process; it is watched
-                // anew.
-                if (unresolved != null) {
-                    deaths.remove(unresolved.number());
-                }
-            }
-        }
-        live = confirmed;
-        staged = null;
-        watched = false;
-        if (unresolved != null) {
-            retry(unresolved, journal);
-        } else if (everLive > live.number()) {
-            // Killed in the midst of an undoing: it is brought to its end.
-            back(everLive, "restart");
+    private void recover(List<JournalEntry> journal) {
+        var replay = new JournalReplay(registry, confirmed(), journal);
+        state = new VersionState.Confirmed(replay.confirmed());
+        Version unresolved = replay.unresolved();
+        if (unresolved != null && replay.crashes(unresolved) >= MAX_CRASHES) {
+            quarantine(unresolved, replay.crashes(unresolved));
+        } else if (unresolved != null) {
+            watchAgain(unresolved, replay.endsInOrder());
+        } else if (replay.highestLive() > live().number()) {
+            // Killed in the midst of a rollback, which is completed.
+            restoreConfirmed(replay.highestLive(), "restart");
         } else {
-            todo.add(new VersionCommand.Apply(live));
+            commands.add(new VersionCommand.Apply(live()));
         }
-        for (VersionStatus outcome : List.copyOf(history.values())) {
-            if (outcome.how() == VersionStatus.State.STAGED) {
-                drop(outcome.version(), "the process ended before it went live");
+        for (VersionStatus status : registry.statuses()) {
+            if (status.state() == VersionStatus.State.STAGED) {
+                drop(status.version(), "the process ended before it went live");
             }
         }
     }
 
-    private void retry(Version version, List<JournalEntry> journal) {
-        boolean inOrder =
-                !journal.isEmpty() && journal.get(journal.size() - 1) instanceof JournalEntry.Ended;
-        int died = deaths.getOrDefault(version.number(), 0) + (inOrder ? 0 : 1);
-        if (died >= MOST_DEATHS) {
-            String why = ASIDE + ": the process died under it " + died + " times";
-            remember(version, VersionStatus.State.SET_ASIDE, why);
-            todo.add(new VersionCommand.Write(new JournalEntry.Dropped(version.number(), why)));
-            back(version.number(), "restart");
-            todo.add(
-                    new VersionCommand.Log(
-                            "version "
-                                    + version.number()
-                                    + " is "
-                                    + why
-                                    + "; version "
-                                    + live.number()
-                                    + " is live"));
-            return;
-        }
-        if (!inOrder) {
-            todo.add(new VersionCommand.Write(new JournalEntry.Retried(version.number())));
-            deaths.put(version.number(), died);
-        }
-        live = version;
-        watched = true;
-        remember(live, VersionStatus.State.WATCHED, "");
-        todo.add(new VersionCommand.Apply(live));
-        todo.add(new VersionCommand.Watch(live.number()));
-        todo.add(
-                new VersionCommand.Log(
-                        "version " + live.number() + " is live and watched again after a restart"));
+    private void quarantine(Version version, int crashes) {
+        String reason =
+                JournalReplay.QUARANTINE_REASON
+                        + ": the process died under it "
+                        + crashes
+                        + " times";
+        registry.setState(version, VersionStatus.State.QUARANTINED, reason);
+        write(new JournalEntry.Dropped(version.number(), reason));
+        restoreConfirmed(version.number(), "restart");
+        log(
+                "version "
+                        + version.number()
+                        + " is "
+                        + reason
+                        + "; version "
+                        + live().number()
+                        + " is live");
     }
 
-    private void remember(Version version, VersionStatus.State how, String why) {
-        history.put(version.number(), new VersionStatus(version, how, why));
-        while (history.size() > MOST_HISTORY) {
-            history.remove(history.keySet().iterator().next());
+    private void watchAgain(Version version, boolean endedInOrder) {
+        if (!endedInOrder) {
+            write(new JournalEntry.Retried(version.number()));
         }
+        watch(version);
+        log("version " + version.number() + " is live and watched again after a restart");
     }
 
     /** The version in force. */
     public Version live() {
-        return live;
+        return state.live();
     }
 
-    /** The version that an undoing goes back to. */
+    /** The version that a rollback returns to. */
     public Version confirmed() {
-        return confirmed;
+        return state.confirmed();
     }
 
-    /** The version that goes live next, or null. */
+    /** The version that goes live next, or null if there is none. */
     public Version staged() {
-        return staged;
+        return state instanceof VersionState.Staged staged ? staged.staged() : null;
     }
 
-    /** The version that a proposal became, or null where it was never taken. */
-    public Long numberOf(String proposalId) {
-        return numberOfProposal.get(proposalId);
+    /** The number of the version that a proposal became, or null if none was accepted. */
+    public Long versionOfProposal(String proposalId) {
+        return registry.versionOfProposal(proposalId);
     }
 
     /** Whether the live version is watched and not yet confirmed. */
     public boolean watched() {
-        return watched;
+        return state instanceof VersionState.Watched;
     }
 
-    /** What became of each version, the oldest first. */
-    public List<VersionStatus> history() {
-        return List.copyOf(history.values());
+    /** The status of each version, the oldest first. */
+    public List<VersionStatus> statuses() {
+        return registry.statuses();
     }
 }
--- a/change/src/main/java/sprucehold/change/version/package-info.java
+++ b/change/src/main/java/sprucehold/change/version/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The numbered line of versions and what becomes of each: {@link
- * sprucehold.change.version.VersionLine}, events in, actions out. At any moment one whole version
- * is live. It must never touch a file, a clock or a thread, and never lets a number go back.
+ * The state machine of configuration versions: {@link sprucehold.change.version.VersionHistory},
+ * events in, commands out. At any moment exactly one whole version is live. It must never use a
+ * file, a clock or a thread, and must never let a version's number go back.
  */
 package sprucehold.change.version;
--- a/change/src/main/java/sprucehold/change/watch/Baseline.java
+++ b/change/src/main/java/sprucehold/change/watch/Baseline.java
@@ -3,76 +3,92 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
+import sprucehold.change.watch.TimeWindow.Segment;
+import sprucehold.change.watch.TimeWindow.ServiceLevel;
 
 /**
- * Service of the last minutes, kept all the time so that it is there when a version goes live. What
- * is expected of a stratum is its worst recent stretch rather than its mean: trouble that had begun
- * before must not be held against a change that came during it.
+ * Service of the last minutes, kept at all times so that it is known when a version goes live. What
+ * a watch expects of a segment is its worst recent interval rather than its mean: a fault that
+ * began before a change must not be held against the change.
  */
 public final class Baseline {
-    /** Two minutes: several rounds of any trouble's ups and downs, and still today's traffic. */
-    private static final double KEEP_MS = 120_000;
+    /** Length of the baseline; covers several oscillations of a typical fault. */
+    private static final double LENGTH_MS = 120_000;
 
-    /** Stretches whose worst is taken; shorter ones would make chance look like trouble. */
-    private static final double STRETCH_MS = 10_000;
+    /** Length of the intervals of which the worst counts; in shorter ones chance prevails. */
+    private static final double INTERVAL_MS = 10_000;
 
-    /** With fewer scans a stretch says nothing by itself. */
-    private static final long LEAST_SCANS = 20;
+    /** An interval with fewer queries doesn't count. */
+    private static final long MIN_INTERVAL_QUERIES = 20;
 
-    private final ArrayDeque<TimeWindow> slots = new ArrayDeque<>();
+    /** Shortest time over which the rate of queries is computed. */
+    private static final double MIN_SPAN_MS = 1000;
 
-    /** What a stratum did before: its usual and its worst share, and scans a second. */
-    record Usual(double mean, double worst, double scansPerSecond, long scans) {}
+    private static final double MS_PER_SECOND = 1000;
 
-    public void add(TimeWindow slot) {
-        // A clock that went back leaves nothing to compare with.
-        if (!slots.isEmpty() && slot.endsMs() < slots.peekLast().endsMs()) {
-            slots.clear();
+    private final ArrayDeque<TimeWindow> windows = new ArrayDeque<>();
+
+    /**
+     * Service of one segment within the baseline.
+     *
+     * @param meanLevel the service level over all of it, from 0 to 1
+     * @param worstLevel the service level in its worst interval, from 0 to 1
+     * @param queriesPerSecond the rate of queries
+     * @param queries the number of queries
+     */
+    record Statistics(double meanLevel, double worstLevel, double queriesPerSecond, long queries) {}
+
+    /** Takes the next time window. */
+    public void add(TimeWindow window) {
+        // After a clock that went back nothing can be compared.
+        if (!windows.isEmpty() && window.endsMs() < windows.peekLast().endsMs()) {
+            windows.clear();
         }
-        slots.add(slot);
-        while (slots.peek().endsMs() < slot.endsMs() - KEEP_MS) {
-            slots.poll();
+        windows.add(window);
+        while (windows.peek().endsMs() < window.endsMs() - LENGTH_MS) {
+            windows.poll();
         }
     }
 
-    /** What each stratum did; empty where nothing was seen. */
-    Map<TimeWindow.Segment, Usual> usual() {
-        Map<TimeWindow.Segment, TimeWindow.Service> all = new HashMap<>();
-        Map<TimeWindow.Segment, Map<Long, TimeWindow.Service>> stretches = new HashMap<>();
-        if (slots.isEmpty()) {
+    /** The statistics of each segment; empty if nothing was seen. */
+    Map<Segment, Statistics> statistics() {
+        if (windows.isEmpty()) {
             return Map.of();
         }
-        double last = slots.peekLast().endsMs();
-        double span = Math.max(1000, last - slots.peek().endsMs());
-        for (TimeWindow slot : slots) {
-            // Counted back from the end, so that what came last is a whole stretch.
-            long stretch = (long) ((last - slot.endsMs()) / STRETCH_MS);
-            slot.service()
+        double endMs = windows.peekLast().endsMs();
+        double spanMs = Math.max(MIN_SPAN_MS, endMs - windows.peek().endsMs());
+        Map<Segment, ServiceLevel> totals = new HashMap<>();
+        Map<Segment, Map<Long, ServiceLevel>> intervals = new HashMap<>();
+        for (TimeWindow window : windows) {
+            // Counted back from the end, so that the latest interval is a whole one.
+            long interval = (long) ((endMs - window.endsMs()) / INTERVAL_MS);
+            window.levels()
                     .forEach(
-                            (stratum, service) -> {
-                                all.merge(stratum, service, TimeWindow.Service::plus);
-                                stretches
-                                        .computeIfAbsent(stratum, none -> new HashMap<>())
-                                        .merge(stretch, service, TimeWindow.Service::plus);
+                            (segment, level) -> {
+                                totals.merge(segment, level, ServiceLevel::plus);
+                                intervals
+                                        .computeIfAbsent(segment, none -> new HashMap<>())
+                                        .merge(interval, level, ServiceLevel::plus);
                             });
         }
-        Map<TimeWindow.Segment, Usual> usual = new HashMap<>();
-        all.forEach(
-                (stratum, service) -> {
-                    double worst =
-                            stretches.get(stratum).values().stream()
-                                    .filter(of -> of.scans() >= LEAST_SCANS)
-                                    .mapToDouble(TimeWindow.Service::share)
-                                    .min()
-                                    .orElse(service.share());
-                    usual.put(
-                            stratum,
-                            new Usual(
-                                    service.share(),
-                                    worst,
-                                    service.scans() * 1000 / span,
-                                    service.scans()));
-                });
-        return usual;
+        Map<Segment, Statistics> statistics = new HashMap<>();
+        totals.forEach(
+                (segment, total) ->
+                        statistics.put(
+                                segment,
+                                new Statistics(
+                                        total.fraction(),
+                                        worstLevel(intervals.get(segment), total),
+                                        total.queries() * MS_PER_SECOND / spanMs,
+                                        total.queries())));
+        return statistics;
+    }
+
+    private static double worstLevel(Map<Long, ServiceLevel> intervals, ServiceLevel total) {
+        return intervals.values().stream()
+                .filter(level -> level.queries() >= MIN_INTERVAL_QUERIES)
+                .mapToDouble(ServiceLevel::fraction)
+                .min()
+                .orElse(total.fraction());
     }
 }
--- a/change/src/main/java/sprucehold/change/watch/TimeWindow.java
+++ b/change/src/main/java/sprucehold/change/watch/TimeWindow.java
@@ -4,79 +4,100 @@
 import java.util.Map;
 
 /**
- * What was asked and earned in a short stretch of time, by stratum: all, a table type, a customer.
- * A scan counts in the stretch in which it ended, and one that didn't end in time when its time was
- * over.
+ * Service in a short stretch of time, by segment. A query counts in the window in which it ended;
+ * one that was not answered in time counts when its time was over.
  *
- * @param endsMs when the stretch ended
+ * @param endsMs when the window ended, in milliseconds
+ * @param levels the service level of each segment that had a query
  */
-public record TimeWindow(double endsMs, Map<Segment, Service> service) {
-    /** Whose service it is. */
+public record TimeWindow(double endsMs, Map<Segment, ServiceLevel> levels) {
+    /**
+     * A part of all queries that is watched by itself.
+     *
+     * @param kind what the queries have in common
+     * @param name of the query class or tenant; empty for all
+     */
     public record Segment(Kind kind, String name) {
+        /** All queries. */
         public static final Segment ALL = new Segment(Kind.ALL, "");
 
-        /** What scans are told apart by. */
+        /** What the queries of a segment have in common. */
         public enum Kind {
+            /** Nothing: all queries. */
             ALL,
-            TABLE_TYPE,
-            CUSTOMER
+            /** The query class. */
+            QUERY_CLASS,
+            /** The tenant. */
+            TENANT
         }
 
+        /** In the terms of the journal and of operators' answers, where it is part of reasons. */
         @Override
         public String toString() {
             return switch (kind) {
                 case ALL -> "all scans";
-                case TABLE_TYPE -> "table type '" + name + "'";
-                case CUSTOMER -> "customer '" + name + "'";
+                case QUERY_CLASS -> "table type '" + name + "'";
+                case TENANT -> "customer '" + name + "'";
             };
         }
     }
 
     /**
-     * Benefit asked for, and earned by answers in target time.
+     * The priority weight of a segment's queries, and the part of it that was earned.
      *
-     * @param scans how many
+     * @param queries number of queries
+     * @param offeredWeight the sum of the weights of all queries
+     * @param earnedWeight the sum of the weights of those completed within the latency objective
      */
-    public record Service(long scans, double asked, double earned) {
-        Service plus(Service other) {
-            return new Service(scans + other.scans, asked + other.asked, earned + other.earned);
+    public record ServiceLevel(long queries, double offeredWeight, double earnedWeight) {
+        /** Service of two windows together. */
+        ServiceLevel plus(ServiceLevel other) {
+            return new ServiceLevel(
+                    queries + other.queries,
+                    offeredWeight + other.offeredWeight,
+                    earnedWeight + other.earnedWeight);
         }
 
-        double share() {
-            return asked <= 0 ? 1 : Math.max(0, Math.min(1, earned / asked));
+        /** The earned part of the offered weight, from 0 to 1; 1 if nothing was offered. */
+        double fraction() {
+            return offeredWeight <= 0 ? 1 : Math.max(0, Math.min(1, earnedWeight / offeredWeight));
         }
     }
 
+    /** Copies its map. */
     public TimeWindow {
-        service = Map.copyOf(service);
+        levels = Map.copyOf(levels);
     }
 
-    /** Puts scans together into a slot. */
+    /** Collects the queries of one window after the other. */
     public static final class Builder {
-        private final Map<Segment, Service> service = new HashMap<>();
+        private final Map<Segment, ServiceLevel> levels = new HashMap<>();
 
         /**
-         * Counts one scan.
+         * Counts one query.
          *
-         * @param customer null where there is none
-         * @param benefit what it would have earned in time
-         * @param inTargetTime whether it was answered so
+         * @param queryClass its query class
+         * @param tenant its tenant, or null if it has none
+         * @param weight its priority weight
+         * @param withinObjective whether it was completed within the latency objective
          */
-        public Builder add(String type, String customer, double benefit, boolean inTargetTime) {
-            var one = new Service(1, benefit, inTargetTime ? benefit : 0);
-            service.merge(Segment.ALL, one, Service::plus);
-            service.merge(new Segment(Segment.Kind.TABLE_TYPE, type), one, Service::plus);
-            if (customer != null) {
-                service.merge(new Segment(Segment.Kind.CUSTOMER, customer), one, Service::plus);
+        public Builder add(
+                String queryClass, String tenant, double weight, boolean withinObjective) {
+            var one = new ServiceLevel(1, weight, withinObjective ? weight : 0);
+            levels.merge(Segment.ALL, one, ServiceLevel::plus);
+            levels.merge(
+                    new Segment(Segment.Kind.QUERY_CLASS, queryClass), one, ServiceLevel::plus);
+            if (tenant != null) {
+                levels.merge(new Segment(Segment.Kind.TENANT, tenant), one, ServiceLevel::plus);
             }
             return this;
         }
 
-        /** The slot so far; the next one begins. */
+        /** Ends the window and begins the next. */
         public TimeWindow take(double endsMs) {
-            var slot = new TimeWindow(endsMs, service);
-            service.clear();
-            return slot;
+            var window = new TimeWindow(endsMs, levels);
+            levels.clear();
+            return window;
         }
     }
 }
--- a/change/src/main/java/sprucehold/change/watch/package-info.java
+++ b/change/src/main/java/sprucehold/change/watch/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whether service fell when a version went live: {@link sprucehold.change.watch.ServiceWatch}, a
- * sequential test with a stated rate of false alarms. Pure: slots of service in, a word out.
+ * The watch of service after a version went live: {@link sprucehold.change.watch.HealthWatch}, a
+ * sequential test with a bounded rate of false alarms. Pure: time windows in, a verdict out.
  */
 package sprucehold.change.watch;
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -19,7 +19,7 @@
 import sprucehold.decision.Tenant;
 
 public class DocumentTest {
-    private static DocumentReader.Read read(String json) {
+    private static DocumentReader.ReadResult read(String json) {
         return DocumentReader.read(json.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -27,12 +27,14 @@
     public void documentIsWrittenAndReadAsItWas() {
         ConfigurationDocument document =
                 Documents.with(
-                        Documents.usual().types(),
-                        Documents.usual().customers(),
+                        Documents.usual().queryClasses(),
+                        Documents.usual().tenants(),
                         150,
                         "s-2",
                         "s-1");
-        var read = (DocumentReader.Read.Good) DocumentReader.read(DocumentReader.write(document));
+        var read =
+                (DocumentReader.ReadResult.Valid)
+                        DocumentReader.read(DocumentReader.write(document));
         assertEquals(read.document(), document);
         assertEquals(DocumentReader.write(read.document()), DocumentReader.write(document));
     }
@@ -51,38 +53,38 @@
             {sound.replace("\"targetMs\" : 800.0", "\"targetMs\" : -1"), "tableTypes/0/targetMs"},
             {sound.replace("replayable", "whenever"), "tableTypes/0/repeat"},
             {sound.replace("\"logLevel\"", "\"loglevel\""), "loglevel"},
-            {" ".repeat(DocumentReader.MOST_BYTES + 1), "bytes"},
+            {" ".repeat(DocumentReader.MAX_BYTES + 1), "bytes"},
         };
     }
 
     @Test(dataProvider = "malformed")
     public void whatIsNoDocumentIsToldByItsPlace(String json, String said) {
-        var read = (DocumentReader.Read.Bad) read(json);
+        var read = (DocumentReader.ReadResult.Invalid) read(json);
         assertTrue(
-                read.faults().stream().anyMatch(fault -> fault.toString().contains(said)),
-                read.faults().toString());
-        assertTrue(read.faults().stream().allMatch(fault -> fault.toString().length() < 1000));
+                read.errors().stream().anyMatch(fault -> fault.toString().contains(said)),
+                read.errors().toString());
+        assertTrue(read.errors().stream().allMatch(fault -> fault.toString().length() < 1000));
     }
 
     @Test
     public void everyFaultOfTheFormIsToldAtOnce() {
         String sound = new String(DocumentReader.write(Documents.usual()), StandardCharsets.UTF_8);
         var read =
-                (DocumentReader.Read.Bad)
+                (DocumentReader.ReadResult.Invalid)
                         read(
                                 sound.replace("\"maxOpen\" : 200", "\"maxOpen\" : 0")
                                         .replace("\"startShare\" : 0.2", "\"startShare\" : 7"));
-        assertEquals(read.faults().size(), 2, read.faults().toString());
+        assertEquals(read.errors().size(), 2, read.errors().toString());
     }
 
     @DataProvider
     Object[][] meaningless() {
         QueryClass.Idempotence replayable = QueryClass.Idempotence.IDEMPOTENT;
         var least =
-                new ConfigurationDocument.Type(
+                new ConfigurationDocument.QueryClassSettings(
                         new QueryClass("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
         var keyed =
-                new ConfigurationDocument.Type(
+                new ConfigurationDocument.QueryClassSettings(
                         new QueryClass(
                                 "offers",
                                 QueryClass.Idempotence.DEDUPLICATED,
@@ -119,15 +121,17 @@
 
     @Test(dataProvider = "meaningless")
     public void whatContradictsItselfIsToldByItsPath(
-            List<ConfigurationDocument.Type> types, List<Tenant> customers, String path) {
+            List<ConfigurationDocument.QueryClassSettings> types,
+            List<Tenant> customers,
+            String path) {
         List<ValidationError> faults =
-                SemanticValidator.alone(Documents.with(types, customers, 10));
+                SemanticValidator.validate(Documents.with(types, customers, 10));
         assertEquals(faults.stream().map(ValidationError::path).toList(), List.of(path));
     }
 
     @DataProvider
     Object[][] unfit() {
-        var offersOnly = List.of(Documents.usual().types().get(0));
+        var offersOnly = List.of(Documents.usual().queryClasses().get(0));
         return new Object[][] {
             // document, open by type, open, holders of segment 3, path of the fault (null: none)
             {
@@ -161,7 +165,7 @@
             Set<String> holders,
             String path) {
         List<ValidationError> faults =
-                SemanticValidator.against(
+                SemanticValidator.validateAgainst(
                         document,
                         Documents.usual(),
                         new RunningState(byType, Map.of(), open, Map.of(3, holders)));
@@ -172,8 +176,8 @@
 
     @DataProvider
     Object[][] differences() {
-        var types = Documents.usual().types();
-        var customers = Documents.usual().customers();
+        var types = Documents.usual().queryClasses();
+        var customers = Documents.usual().tenants();
         var freed =
                 List.of(
                         types.get(0),
@@ -223,8 +227,8 @@
         DocumentDifference difference = DocumentDifference.between(Documents.usual(), after);
         assertEquals(difference.risk(), risk);
         assertTrue(
-                difference.words().stream()
-                        .map(DocumentDifference.Meaning::words)
+                difference.changes().stream()
+                        .map(DocumentDifference.Change::description)
                         .reduce("", (a, b) -> a + b)
                         .contains(words),
                 difference.toString());
--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -11,9 +11,9 @@
 final class Documents {
     private Documents() {}
 
-    static ConfigurationDocument.Type type(
+    static ConfigurationDocument.QueryClassSettings type(
             String name, QueryClass.Idempotence repeat, double target, double timeout) {
-        return new ConfigurationDocument.Type(
+        return new ConfigurationDocument.QueryClassSettings(
                 new QueryClass(
                         name,
                         repeat,
@@ -37,7 +37,7 @@
     }
 
     static ConfigurationDocument with(
-            List<ConfigurationDocument.Type> types,
+            List<ConfigurationDocument.QueryClassSettings> types,
             List<Tenant> customers,
             int maxOpen,
             String... out) {
@@ -55,6 +55,6 @@
 
     /** Told apart by how much may be open. */
     static ConfigurationDocument number(int n, String... out) {
-        return with(usual().types(), usual().customers(), 200 + n, out);
+        return with(usual().queryClasses(), usual().tenants(), 200 + n, out);
     }
 }
--- a/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
+++ b/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
@@ -14,6 +14,9 @@
 import sprucehold.decision.Event;
 
 public class EndpointOverridesTest {
+    private static final List<Endpoint.State> STATES =
+            List.of(Endpoint.State.RUNNING, Endpoint.State.DRAINING, Endpoint.State.GONE);
+
     private static Endpoint listing(String server, Endpoint.State mode, double started) {
         return new Endpoint(server, 0, "z", started, mode);
     }
@@ -38,38 +41,38 @@
     @Test(dataProvider = "words")
     public void stricterWordWins(Endpoint.State told, boolean out, Endpoint.State heard) {
         var words = new EndpointOverrides();
-        words.takenOut(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
+        words.setDrained(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
         assertEquals(
-                words.told(news(true, listing("s", told, 0))).endpoints().get(0).state(), heard);
+                words.applyTo(news(true, listing("s", told, 0))).endpoints().get(0).state(), heard);
     }
 
     @Test
     public void serverTakenOutWhileDrainingDrainsOnWhenTheChangeIsUndone() {
         var words = new EndpointOverrides();
-        words.told(news(true, listing("s", Endpoint.State.RUNNING, 0)));
-        words.told(news(false, listing("s", Endpoint.State.DRAINING, 0)));
-        words.takenOut(new TreeSet<>(List.of("s")), 10);
-        List<Endpoint> undone = words.takenOut(new TreeSet<>(), 20);
+        words.applyTo(news(true, listing("s", Endpoint.State.RUNNING, 0)));
+        words.applyTo(news(false, listing("s", Endpoint.State.DRAINING, 0)));
+        words.setDrained(new TreeSet<>(List.of("s")), 10);
+        List<Endpoint> undone = words.setDrained(new TreeSet<>(), 20);
         assertEquals(undone.get(0).state(), Endpoint.State.DRAINING);
-        assertTrue(words.running().isEmpty());
+        assertTrue(words.routableServers().isEmpty());
     }
 
     @Test
     public void serverGivenBackCountsAsFreshlyStarted() {
         var words = new EndpointOverrides();
-        words.told(news(true, listing("s", Endpoint.State.RUNNING, 5)));
-        words.takenOut(new TreeSet<>(List.of("s")), 1000);
-        List<Endpoint> back = words.takenOut(new TreeSet<>(), 2000);
+        words.applyTo(news(true, listing("s", Endpoint.State.RUNNING, 5)));
+        words.setDrained(new TreeSet<>(List.of("s")), 1000);
+        List<Endpoint> back = words.setDrained(new TreeSet<>(), 2000);
         assertEquals(back, List.of(listing("s", Endpoint.State.RUNNING, 2000)));
         // Discovery repeats what it knows, and must not make the server look warm again.
         assertEquals(
-                words.told(news(false, listing("s", Endpoint.State.RUNNING, 5)))
+                words.applyTo(news(false, listing("s", Endpoint.State.RUNNING, 5)))
                         .endpoints()
                         .get(0)
                         .startedAtMs(),
                 2000.0);
         assertEquals(
-                words.told(news(false, listing("s", Endpoint.State.RUNNING, 3000)))
+                words.applyTo(news(false, listing("s", Endpoint.State.RUNNING, 3000)))
                         .endpoints()
                         .get(0)
                         .startedAtMs(),
@@ -88,9 +91,9 @@
                 int server = random.nextInt(2);
                 List<Endpoint> said;
                 if (random.nextBoolean()) {
-                    modes[server] = Endpoint.State.values()[random.nextInt(3)];
+                    modes[server] = STATES.get(random.nextInt(STATES.size()));
                     said =
-                            words.told(news(false, listing("s" + server, modes[server], 0)))
+                            words.applyTo(news(false, listing("s" + server, modes[server], 0)))
                                     .endpoints();
                 } else {
                     out[server] = random.nextBoolean();
@@ -100,7 +103,7 @@
                             set.add("s" + i);
                         }
                     }
-                    said = words.takenOut(set, step);
+                    said = words.setDrained(set, step);
                 }
                 said.forEach(of -> heard.set(of.server().charAt(1) - '0', of.state()));
                 for (int i = 0; i < 2; i++) {
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -41,15 +41,15 @@
         GIVEN_BACK_AS_WARM
     }
 
-    private static final QueryClass ONCE = Documents.usual().types().get(1).facts();
+    private static final QueryClass ONCE = Documents.usual().queryClasses().get(1).queryClass();
     private static final ConfigurationDocument FIRST = Documents.usual();
     private static final ConfigurationDocument SERVER_OUT = Documents.number(1, "s1");
     private static final ConfigurationDocument FREED =
             Documents.with(
                     List.of(
-                            FIRST.types().get(0),
+                            FIRST.queryClasses().get(0),
                             Documents.type("stamps", QueryClass.Idempotence.IDEMPOTENT, 800, 2000)),
-                    FIRST.customers(),
+                    FIRST.tenants(),
                     200);
     private static final ConfigurationDocument SMALLER = Documents.number(-1);
     private static final List<ConfigurationDocument> CHANGES = List.of(SERVER_OUT, FREED, SMALLER);
@@ -91,7 +91,7 @@
                 }
             }
             heard.clear();
-            words.told(new Event.EndpointsUpdated(true, servers))
+            words.applyTo(new Event.EndpointsUpdated(true, servers))
                     .endpoints()
                     .forEach(of -> heard.put(of.server(), of));
         }
@@ -151,12 +151,14 @@
                                             ? history.staged().number()
                                             : history.live().number(),
                                     CHANGES.get(proposed),
-                                    RunningState.NOTHING));
+                                    RunningState.IDLE));
                     proposed++;
                 }
                 case "moment" -> on(new VersionEvent.BetweenDecisions());
-                case "fell" -> on(new VersionEvent.Judged(history.live().number(), true, "fell"));
-                case "held" -> on(new VersionEvent.Judged(history.live().number(), false, "held"));
+                case "fell" ->
+                        on(new VersionEvent.WatchDecided(history.live().number(), true, "fell"));
+                case "held" ->
+                        on(new VersionEvent.WatchDecided(history.live().number(), false, "held"));
                 case "undo" -> {
                     undos++;
                     on(
@@ -168,7 +170,7 @@
                 }
                 case "slow" -> {
                     slowScans++;
-                    slow = inForce.type("stamps").orElseThrow().facts();
+                    slow = inForce.queryClass("stamps").orElseThrow().queryClass();
                 }
                 default -> {
                     String server = step.substring(step.length() - 2);
@@ -179,7 +181,7 @@
                     toldCount++;
                     told.put(server, mode);
                     hear(
-                            words.told(
+                            words.applyTo(
                                             new Event.EndpointsUpdated(
                                                     false,
                                                     List.of(new Endpoint(server, 0, "z", 0, mode))))
@@ -201,41 +203,44 @@
         }
 
         private void on(VersionEvent event) {
-            List<VersionCommand> actions = new ArrayList<>(history.on(event));
+            List<VersionCommand> actions = new ArrayList<>(history.handle(event));
             for (VersionCommand action : actions) {
-                if (action instanceof VersionCommand.Write write) {
+                if (action instanceof VersionCommand.WriteJournal write) {
                     if (mutation != Mutation.CONFIRMED_NOT_WRITTEN
                             || !(write.entry() instanceof JournalEntry.Confirmed)) {
                         journal.add(write.entry());
                     }
                 } else if (action instanceof VersionCommand.Apply apply) {
-                    boolean back = apply.version().undoes() > 0;
+                    boolean back = apply.version().rollsBack() > 0;
                     inForce = apply.version().document();
                     if (slow != null) {
                         slow =
                                 mutation == Mutation.SCAN_TAKES_NEW_TYPE
-                                        ? inForce.type("stamps").orElseThrow().facts()
+                                        ? inForce.queryClass("stamps").orElseThrow().queryClass()
                                         : slow.restrictedBy(
-                                                inForce.types().stream()
-                                                        .map(ConfigurationDocument.Type::facts)
+                                                inForce.queryClasses().stream()
+                                                        .map(
+                                                                ConfigurationDocument
+                                                                                .QueryClassSettings
+                                                                        ::queryClass)
                                                         .toList());
                     }
                     for (String server : out) {
-                        if (!inForce.serversOut().contains(server)) {
+                        if (!inForce.drainedServers().contains(server)) {
                             givenBack.put(server, now);
                         }
                     }
                     out.clear();
-                    out.addAll(inForce.serversOut());
+                    out.addAll(inForce.drainedServers());
                     if (mutation == Mutation.DRAIN_FORGOTTEN_ON_UNDO && back) {
-                        words.told(
+                        words.applyTo(
                                 new Event.EndpointsUpdated(
                                         false,
                                         List.of(
                                                 new Endpoint(
                                                         "s1", 0, "z", 0, Endpoint.State.RUNNING))));
                     }
-                    hear(words.takenOut(inForce.serversOut(), now));
+                    hear(words.setDrained(inForce.drainedServers(), now));
                     if (apply.version().number() < greatest) {
                         broken = "version " + apply.version().number() + " after " + greatest;
                     }
@@ -297,7 +302,7 @@
                                     .filter(
                                             of ->
                                                     !(of instanceof JournalEntry.Accepted a)
-                                                            || a.version().undoes() == 0)
+                                                            || a.version().rollsBack() == 0)
                                     .toList()
                             : List.copyOf(journal);
             long before = greatest;
@@ -337,13 +342,13 @@
                 if (of != null
                         && of.state() == Endpoint.State.RUNNING
                         && (mode != Endpoint.State.RUNNING
-                                || inForce.serversOut().contains(server))) {
+                                || inForce.drainedServers().contains(server))) {
                     broken = server + " may be sent to against a drain";
                 }
                 if (of != null
                         && of.state() == Endpoint.State.DRAINING
                         && mode == Endpoint.State.RUNNING
-                        && !inForce.serversOut().contains(server)) {
+                        && !inForce.drainedServers().contains(server)) {
                     broken = server + " is held out though nobody wants it";
                 }
                 if (of != null
@@ -375,7 +380,7 @@
                 on(new VersionEvent.BetweenDecisions());
             }
             if (history.watched()) {
-                on(new VersionEvent.Judged(history.live().number(), true, "end"));
+                on(new VersionEvent.WatchDecided(history.live().number(), true, "end"));
             }
             if (history.staged() != null || history.watched()) {
                 broken = "a change without an end";
@@ -385,9 +390,9 @@
         String key() {
             return inForce.limits().maxOpen()
                     + "|"
-                    + inForce.serversOut()
+                    + inForce.drainedServers()
                     + "|"
-                    + inForce.types().get(1).facts().idempotence()
+                    + inForce.queryClasses().get(1).queryClass().idempotence()
                     + "|"
                     + history.watched()
                     + "|"
@@ -427,7 +432,7 @@
         for (String step : steps) {
             if (step.equals("slow")) {
                 world.slowTakenUnderOnce =
-                        world.inForce.type("stamps").orElseThrow().facts().equals(ONCE);
+                        world.inForce.queryClass("stamps").orElseThrow().queryClass().equals(ONCE);
             }
             world.step(step);
         }
--- a/change/src/test/java/sprucehold/change/HealthWatchTest.java
+++ b/change/src/test/java/sprucehold/change/HealthWatchTest.java
@@ -27,7 +27,7 @@
     private static final String[] CUSTOMERS = {"acme", "bolt", "cog"};
     private static final double[] RATES = {50, 20, 8};
 
-    private static HealthWatch.Word play(Day day, long seed) {
+    private static HealthWatch.Verdict play(Day day, long seed) {
         var random = new Random(seed);
         var before = new Baseline();
         double t = -120;
@@ -37,13 +37,13 @@
         }
         var watch = new HealthWatch(before, 0, CONFIRM_MS, 100);
         for (t = 0; t < CONFIRM_MS / 1000 + 60; t += SLOT_MS / 1000) {
-            HealthWatch.Word word = watch.add(slot(day, t, random));
-            if (!(word instanceof HealthWatch.Word.Wait)) {
+            HealthWatch.Verdict word = watch.add(slot(day, t, random));
+            if (!(word instanceof HealthWatch.Verdict.Pending)) {
                 at = t;
                 return word;
             }
         }
-        return new HealthWatch.Word.Wait();
+        return new HealthWatch.Verdict.Pending();
     }
 
     private static double at;
@@ -127,9 +127,9 @@
     @Test(dataProvider = "harmless")
     public void changeThatDoesNoHarmIsNeverUndone(String what, Day day) {
         for (long seed = 0; seed < 40; seed++) {
-            HealthWatch.Word word = play(day, seed);
+            HealthWatch.Verdict word = play(day, seed);
             assertTrue(
-                    !(word instanceof HealthWatch.Word.Fell),
+                    !(word instanceof HealthWatch.Verdict.Degraded),
                     what + ", seed " + seed + ": " + word);
         }
     }
@@ -167,9 +167,10 @@
     @Test(dataProvider = "harmful")
     public void harmIsFoundInTime(String what, Day day, double latest) {
         for (long seed = 0; seed < 40; seed++) {
-            HealthWatch.Word word = play(day, seed);
+            HealthWatch.Verdict word = play(day, seed);
             assertTrue(
-                    word instanceof HealthWatch.Word.Fell, what + ", seed " + seed + ": " + word);
+                    word instanceof HealthWatch.Verdict.Degraded,
+                    what + ", seed " + seed + ": " + word);
             assertTrue(at <= latest, what + ", seed " + seed + ": found after " + at + " s");
         }
     }
@@ -185,7 +186,7 @@
             for (int i = 0; i < 400; i++) {
                 test.add(random.nextDouble() < 0.9 ? 1 : 0);
             }
-            alarms += test.under(0.05) ? 1 : 0;
+            alarms += test.meanIsBelowBound(0.05) ? 1 : 0;
         }
         assertTrue(alarms <= 0.05 * plays, alarms + " of " + plays);
         assertTrue(alarms > 0, "a test that never alarms finds nothing either");
@@ -201,11 +202,11 @@
         var watch = new HealthWatch(before, 1_000_000, 5000, 10);
         // An hour ahead at once.
         TimeWindow jumped = slot(day(0.98), 3600, random);
-        assertEquals(watch.add(jumped), new HealthWatch.Word.Wait());
-        HealthWatch.Word word = new HealthWatch.Word.Wait();
-        for (int i = 1; i < 100 && word instanceof HealthWatch.Word.Wait; i++) {
+        assertEquals(watch.add(jumped), new HealthWatch.Verdict.Pending());
+        HealthWatch.Verdict word = new HealthWatch.Verdict.Pending();
+        for (int i = 1; i < 100 && word instanceof HealthWatch.Verdict.Pending; i++) {
             word = watch.add(slot(day(0.98), (i == 50 ? -3600 : 3600) + i * 0.25, random));
         }
-        assertTrue(word instanceof HealthWatch.Word.Held, word.toString());
+        assertTrue(word instanceof HealthWatch.Verdict.Healthy, word.toString());
     }
 }
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -28,7 +28,7 @@
                     new JournalEntry.Accepted(
                             new Version(3, 2, Documents.usual(), "watch", 2), "undo-2"),
                     new JournalEntry.Confirmed(3),
-                    new JournalEntry.Ended());
+                    new JournalEntry.ShutDown());
 
     private static Path written() throws IOException {
         Path file = Files.createTempFile("journal", ".log");
--- a/change/src/test/java/sprucehold/change/RolloutTest.java
+++ b/change/src/test/java/sprucehold/change/RolloutTest.java
@@ -10,9 +10,10 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 import sprucehold.change.rollout.Rollout;
+import sprucehold.change.rollout.RolloutAction;
 import sprucehold.change.rollout.RolloutState;
+import sprucehold.change.rollout.RolloutState.GathererState;
 import sprucehold.change.rollout.RolloutState.Phase;
-import sprucehold.change.rollout.RolloutState.Standing;
 
 public class RolloutTest {
     private static final List<String> FLEET = List.of("a", "b", "c", "d", "e");
@@ -22,49 +23,49 @@
      * get lost.
      */
     private static final class Fleet {
-        final Map<String, Standing> really = new HashMap<>();
+        final Map<String, GathererState> really = new HashMap<>();
         final String odd;
-        final Standing oddEnds;
+        final GathererState oddEnds;
         final Random loss;
 
-        Fleet(String odd, Standing oddEnds, Random loss) {
+        Fleet(String odd, GathererState oddEnds, Random loss) {
             this.odd = odd;
             this.oddEnds = oddEnds;
             this.loss = loss;
         }
 
         /** What comes back, or null where nothing does. */
-        Standing answer(Rollout.RolloutAction action) {
-            if (action instanceof Rollout.RolloutAction.Propose propose) {
+        GathererState answer(RolloutAction action) {
+            if (action instanceof RolloutAction.Propose propose) {
                 return lost() ? null : took(propose.gatherer());
-            } else if (action instanceof Rollout.RolloutAction.Ask ask) {
+            } else if (action instanceof RolloutAction.QueryStatus ask) {
                 if (lost()) {
                     return null;
                 }
-                Standing ends =
+                GathererState ends =
                         ask.gatherer().equals(odd) && oddEnds != null
                                 ? oddEnds
-                                : Standing.CONFIRMED;
+                                : GathererState.CONFIRMED;
                 really.put(ask.gatherer(), ends);
                 return lost() ? null : ends;
-            } else if (action instanceof Rollout.RolloutAction.TakeBack back) {
-                if (back.gatherer().equals(odd) && oddEnds == null || lost()) {
+            } else if (action instanceof RolloutAction.Revert back) {
+                if ((back.gatherer().equals(odd) && oddEnds == null) || lost()) {
                     return null;
                 }
-                really.put(back.gatherer(), Standing.TAKEN_BACK);
-                return lost() ? null : Standing.TAKEN_BACK;
+                really.put(back.gatherer(), GathererState.REVERTED);
+                return lost() ? null : GathererState.REVERTED;
             }
             return null;
         }
 
-        private Standing took(String gatherer) {
+        private GathererState took(String gatherer) {
             if (gatherer.equals(odd) && oddEnds == null) {
                 return null;
             }
-            if (gatherer.equals(odd) && oddEnds == Standing.TURNED_DOWN) {
-                return Standing.TURNED_DOWN;
+            if (gatherer.equals(odd) && oddEnds == GathererState.REJECTED) {
+                return GathererState.REJECTED;
             }
-            really.putIfAbsent(gatherer, Standing.WATCHED);
+            really.putIfAbsent(gatherer, GathererState.WATCHED);
             return lost() ? null : really.get(gatherer);
         }
 
@@ -78,12 +79,12 @@
         var rollout = new Rollout(RolloutState.of("r1", RolloutState.waves(FLEET)));
         RolloutState kept = rollout.state();
         double now = 0;
-        for (int step = 0; step < 20_000 && !rollout.over(); step++) {
+        for (int step = 0; step < 20_000 && !rollout.finished(); step++) {
             var queue = new ArrayDeque<>(rollout.tick(now));
             now += 1000;
             while (!queue.isEmpty()) {
-                Rollout.RolloutAction action = queue.poll();
-                if (action instanceof Rollout.RolloutAction.Keep keep) {
+                RolloutAction action = queue.poll();
+                if (action instanceof RolloutAction.SaveState keep) {
                     kept = keep.state();
                     continue;
                 }
@@ -93,19 +94,19 @@
                     queue.clear();
                     break;
                 }
-                Standing answer = fleet.answer(action);
+                GathererState answer = fleet.answer(action);
                 if (answer != null) {
                     String gatherer =
-                            action instanceof Rollout.RolloutAction.Propose propose
+                            action instanceof RolloutAction.Propose propose
                                     ? propose.gatherer()
-                                    : action instanceof Rollout.RolloutAction.Ask ask
+                                    : action instanceof RolloutAction.QueryStatus ask
                                             ? ask.gatherer()
-                                            : ((Rollout.RolloutAction.TakeBack) action).gatherer();
+                                            : ((RolloutAction.Revert) action).gatherer();
                     queue.addAll(rollout.answered(gatherer, answer, "so it is"));
                 }
             }
         }
-        assertTrue(rollout.over());
+        assertTrue(rollout.finished());
         return rollout.state();
     }
 
@@ -120,56 +121,59 @@
     public void soundChangeReachesAll() {
         RolloutState end = play(new Fleet("none", null, null), null);
         assertEquals(end.phase(), Phase.DONE);
-        assertTrue(end.standing().values().stream().allMatch(Standing.CONFIRMED::equals));
+        assertTrue(
+                end.gathererStates().values().stream().allMatch(GathererState.CONFIRMED::equals));
     }
 
     @Test
     public void changeUndoneByTheFirstReachesNobodyElse() {
-        RolloutState end = play(new Fleet("a", Standing.UNDONE, null), null);
+        RolloutState end = play(new Fleet("a", GathererState.ROLLED_BACK, null), null);
         assertEquals(end.phase(), Phase.HALTED);
-        assertEquals(end.standing().get("a"), Standing.UNDONE);
+        assertEquals(end.gathererStates().get("a"), GathererState.ROLLED_BACK);
         assertTrue(
                 List.of("b", "c", "d", "e").stream()
-                        .allMatch(g -> end.standing().get(g) == Standing.UNTOUCHED));
+                        .allMatch(g -> end.gathererStates().get(g) == GathererState.NOT_PROPOSED));
     }
 
     @Test
     public void changeThatFallsInTheSecondWaveIsTakenBackWhereItWasConfirmed() {
-        var fleet = new Fleet("c", Standing.UNDONE, null);
+        var fleet = new Fleet("c", GathererState.ROLLED_BACK, null);
         RolloutState end = play(fleet, null);
         assertEquals(end.phase(), Phase.HALTED);
-        assertEquals(fleet.really.get("a"), Standing.TAKEN_BACK);
-        assertEquals(end.standing().get("d"), Standing.UNTOUCHED);
+        assertEquals(fleet.really.get("a"), GathererState.REVERTED);
+        assertEquals(end.gathererStates().get("d"), GathererState.NOT_PROPOSED);
     }
 
     @Test
     public void gathererThatNeverAnswersHaltsItAndIsNamedAsNotKnown() {
         RolloutState end = play(new Fleet("b", null, null), null);
         assertEquals(end.phase(), Phase.HALTED);
-        assertEquals(end.standing().get("b"), Standing.TAKING_BACK);
-        assertEquals(end.standing().get("a"), Standing.TAKEN_BACK);
+        assertEquals(end.gathererStates().get("b"), GathererState.REVERTING);
+        assertEquals(end.gathererStates().get("a"), GathererState.REVERTED);
     }
 
     @Test
     public void withAnswersLostAndTheToolDyingEveryGathererEndsInAKnownState() {
         for (int seed = 0; seed < 300; seed++) {
-            Standing[] odd = {Standing.CONFIRMED, Standing.UNDONE, Standing.TURNED_DOWN};
+            GathererState[] odd = {
+                GathererState.CONFIRMED, GathererState.ROLLED_BACK, GathererState.REJECTED
+            };
             var fleet = new Fleet("c", odd[seed % 3], new Random(seed));
             RolloutState end = play(fleet, new Random(seed + 1000));
             for (String gatherer : FLEET) {
-                Standing known = end.standing().get(gatherer);
-                Standing really = fleet.really.get(gatherer);
-                if (known == Standing.CONFIRMED
-                        || known == Standing.TAKEN_BACK
-                        || known == Standing.UNDONE) {
+                GathererState known = end.gathererStates().get(gatherer);
+                GathererState really = fleet.really.get(gatherer);
+                if (known == GathererState.CONFIRMED
+                        || known == GathererState.REVERTED
+                        || known == GathererState.ROLLED_BACK) {
                     assertEquals(really, known, "seed " + seed + ", " + gatherer);
-                } else if (known == Standing.UNTOUCHED) {
+                } else if (known == GathererState.NOT_PROPOSED) {
                     assertEquals(really, null, "seed " + seed + ", " + gatherer);
                 }
             }
             assertEquals(
                     end.phase(),
-                    odd[seed % 3] == Standing.CONFIRMED ? Phase.DONE : Phase.HALTED,
+                    odd[seed % 3] == GathererState.CONFIRMED ? Phase.DONE : Phase.HALTED,
                     "seed " + seed);
         }
     }
--- a/change/src/test/java/sprucehold/change/StoredFormsTest.java
+++ b/change/src/test/java/sprucehold/change/StoredFormsTest.java
@@ -4,38 +4,49 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 import sprucehold.change.document.DocumentDifference;
 import sprucehold.change.document.ValidationError;
 import sprucehold.change.rollout.RolloutState;
+import sprucehold.change.rollout.RolloutState.GathererState;
 import sprucehold.change.rollout.RolloutState.Phase;
-import sprucehold.change.rollout.RolloutState.Standing;
 
 /** JSON that files and the command line hold, as earlier builds write it. */
 public class StoredFormsTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private static RolloutState everyState(Phase phase) {
-        var standing = new TreeMap<String, Standing>();
-        for (Standing one : Standing.values()) {
-            standing.put("g" + one.ordinal(), one);
+        var states = new TreeMap<String, GathererState>();
+        for (GathererState one : GathererState.values()) {
+            states.put("g" + states.size(), one);
         }
         return new RolloutState(
-                "r1", List.of(List.of("g0"), List.of("g1", "g2")), 1, standing, phase, "fell");
+                "r1", List.of(List.of("g0"), List.of("g1", "g2")), 1, states, phase, "fell");
     }
 
     @Test
     public void rolloutStateOfAnEarlierBuildIsReadAndWrittenByteForByte() throws Exception {
-        String[] phases = {"ROLLING", "TAKING_BACK", "DONE", "HALTED"};
-        assertEquals(Phase.values().length, phases.length);
+        Map<Phase, String> phases =
+                Map.of(
+                        Phase.ROLLING,
+                        "ROLLING",
+                        Phase.REVERTING,
+                        "TAKING_BACK",
+                        Phase.DONE,
+                        "DONE",
+                        Phase.HALTED,
+                        "HALTED");
+        assertEquals(phases.keySet(), Set.of(Phase.values()));
         for (Phase phase : Phase.values()) {
             String stored =
                     "{\"id\":\"r1\",\"waves\":[[\"g0\"],[\"g1\",\"g2\"]],\"wave\":1,\"standing\":{"
                             + "\"g0\":\"UNTOUCHED\",\"g1\":\"ASKED\",\"g2\":\"WATCHED\",\"g3\":\"CONFIRMED\","
                             + "\"g4\":\"TURNED_DOWN\",\"g5\":\"UNDONE\",\"g6\":\"TAKING_BACK\",\"g7\":\"TAKEN_BACK\"},"
                             + "\"phase\":\""
-                            + phases[phase.ordinal()]
+                            + phases.get(phase)
                             + "\",\"why\":\"fell\"}";
             assertEquals(MAPPER.writeValueAsString(everyState(phase)), stored);
             assertEquals(MAPPER.readValue(stored, RolloutState.class), everyState(phase));
--- a/change/src/test/java/sprucehold/change/VersionHistoryTest.java
+++ b/change/src/test/java/sprucehold/change/VersionHistoryTest.java
@@ -21,9 +21,9 @@
     private ConfigurationDocument inForce = Documents.usual();
 
     private List<VersionCommand> on(VersionEvent event) {
-        List<VersionCommand> actions = history.on(event);
+        List<VersionCommand> actions = history.handle(event);
         for (VersionCommand action : actions) {
-            if (action instanceof VersionCommand.Write write) {
+            if (action instanceof VersionCommand.WriteJournal write) {
                 journal.add(write.entry());
             } else if (action instanceof VersionCommand.Apply apply) {
                 inForce = apply.version().document();
@@ -33,7 +33,7 @@
     }
 
     private List<VersionCommand> propose(String id, long from, ConfigurationDocument document) {
-        return on(new VersionEvent.Proposed(id, "operator", from, document, RunningState.NOTHING));
+        return on(new VersionEvent.Proposed(id, "operator", from, document, RunningState.IDLE));
     }
 
     private void fresh() {
@@ -60,7 +60,7 @@
         on(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.number(1));
         assertTrue(history.watched());
-        on(new VersionEvent.Judged(2, false, "held"));
+        on(new VersionEvent.WatchDecided(2, false, "held"));
         assertFalse(history.watched());
         assertEquals(history.confirmed().number(), 2);
     }
@@ -70,12 +70,12 @@
         fresh();
         propose("a", 1, Documents.number(1));
         on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.Judged(2, true, "fell"));
+        on(new VersionEvent.WatchDecided(2, true, "fell"));
         assertEquals(inForce, Documents.usual());
         assertEquals(history.live().number(), 3);
-        assertEquals(history.live().undoes(), 2);
+        assertEquals(history.live().rollsBack(), 2);
         // The watch's late word on a version that is gone changes nothing.
-        assertTrue(on(new VersionEvent.Judged(2, true, "fell")).isEmpty());
+        assertTrue(on(new VersionEvent.WatchDecided(2, true, "fell")).isEmpty());
         assertTrue(on(new VersionEvent.ConfirmRequested(2, "late operator")).isEmpty());
         assertEquals(inForce, Documents.usual());
     }
@@ -87,7 +87,7 @@
         List<VersionCommand> second = propose("b", 1, Documents.number(2));
         VersionCommand.Rejected down = of(second, VersionCommand.Rejected.class).get(0);
         assertTrue(
-                down.meanwhile().words().get(0).words().contains("from 200 to 201"),
+                down.changesSince().changes().get(0).description().contains("from 200 to 201"),
                 down.toString());
         on(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.number(1));
@@ -100,7 +100,7 @@
         on(new VersionEvent.BetweenDecisions());
         assertEquals(
                 of(propose("b", 2, Documents.number(2)), VersionCommand.Rejected.class).size(), 1);
-        on(new VersionEvent.Judged(2, false, "held"));
+        on(new VersionEvent.WatchDecided(2, false, "held"));
         assertEquals(
                 of(propose("c", 2, Documents.number(2)), VersionCommand.Accepted.class).size(), 1);
     }
@@ -136,10 +136,10 @@
         fresh();
         propose("a", 1, Documents.number(1));
         on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.Judged(2, false, "held"));
+        on(new VersionEvent.WatchDecided(2, false, "held"));
         propose("b", 2, Documents.number(2));
         on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.Judged(3, true, "fell"));
+        on(new VersionEvent.WatchDecided(3, true, "fell"));
         propose("c", 4, Documents.number(3));
         on(new VersionEvent.BetweenDecisions());
         List<JournalEntry> all = List.copyOf(journal);
@@ -179,8 +179,8 @@
         restart();
         assertEquals(inForce, Documents.usual());
         assertTrue(
-                history.history().stream()
-                        .anyMatch(of -> of.how() == VersionStatus.State.SET_ASIDE));
+                history.statuses().stream()
+                        .anyMatch(of -> of.state() == VersionStatus.State.QUARANTINED));
         restart();
         assertEquals(inForce, Documents.usual(), "and stays so");
         VersionCommand.Rejected down =
@@ -188,7 +188,7 @@
                                 propose("again", history.live().number(), Documents.number(1)),
                                 VersionCommand.Rejected.class)
                         .get(0);
-        assertTrue(down.faults().get(0).what().contains("set aside"), down.toString());
+        assertTrue(down.errors().get(0).problem().contains("set aside"), down.toString());
     }
 
     @Test
@@ -211,6 +211,6 @@
         on(new VersionEvent.RollbackRequested(2, "operator"));
         on(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.usual());
-        assertEquals(history.history().get(1).how(), VersionStatus.State.UNDONE);
+        assertEquals(history.statuses().get(1).state(), VersionStatus.State.ROLLED_BACK);
     }
 }
--- a/cli/src/main/java/sprucehold/cli/ChangeCommand.java
+++ b/cli/src/main/java/sprucehold/cli/ChangeCommand.java
@@ -44,13 +44,14 @@
 
     /** Reads a document; its faults are told, a line each, and null is returned. */
     private static ConfigurationDocument read(Path file, boolean json) throws IOException {
-        DocumentReader.Read read = DocumentReader.read(Files.readAllBytes(file));
+        DocumentReader.ReadResult read = DocumentReader.read(Files.readAllBytes(file));
         List<ValidationError> faults =
-                read instanceof DocumentReader.Read.Bad bad
-                        ? bad.faults()
-                        : SemanticValidator.alone(((DocumentReader.Read.Good) read).document());
+                read instanceof DocumentReader.ReadResult.Invalid bad
+                        ? bad.errors()
+                        : SemanticValidator.validate(
+                                ((DocumentReader.ReadResult.Valid) read).document());
         if (faults.isEmpty()) {
-            return ((DocumentReader.Read.Good) read).document();
+            return ((DocumentReader.ReadResult.Valid) read).document();
         }
         for (ValidationError fault : faults) {
             if (json) {
@@ -68,7 +69,7 @@
             return;
         }
         var rows = new ArrayList<List<Object>>();
-        difference.words().forEach(of -> rows.add(List.of(of.risk(), of.words())));
+        difference.changes().forEach(of -> rows.add(List.of(of.risk(), of.description())));
         if (rows.isEmpty()) {
             System.out.println("nothing changes");
         } else {
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -23,8 +23,9 @@
 import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.DocumentReader;
 import sprucehold.change.rollout.Rollout;
+import sprucehold.change.rollout.RolloutAction;
 import sprucehold.change.rollout.RolloutState;
-import sprucehold.change.rollout.RolloutState.Standing;
+import sprucehold.change.rollout.RolloutState.GathererState;
 
 /** Brings a change to many gatherers, in waves. */
 @Command(
@@ -87,12 +88,12 @@
 
     @Override
     public Integer call() throws IOException {
-        DocumentReader.Read read = DocumentReader.read(Files.readAllBytes(file));
-        if (read instanceof DocumentReader.Read.Bad bad) {
-            bad.faults().forEach(fault -> System.err.println("sprucehold: " + file + ": " + fault));
+        DocumentReader.ReadResult read = DocumentReader.read(Files.readAllBytes(file));
+        if (read instanceof DocumentReader.ReadResult.Invalid bad) {
+            bad.errors().forEach(fault -> System.err.println("sprucehold: " + file + ": " + fault));
             return 1;
         }
-        document = ((DocumentReader.Read.Good) read).document();
+        document = ((DocumentReader.ReadResult.Valid) read).document();
         RolloutState state =
                 Files.exists(stateFile)
                         ? MAPPER.readValue(Files.readAllBytes(stateFile), RolloutState.class)
@@ -101,9 +102,8 @@
             before = (ObjectNode) MAPPER.readTree(Files.readAllBytes(beforeFile()));
         }
         var rollout = new Rollout(state);
-        while (!rollout.over()) {
-            Queue<Rollout.RolloutAction> todo =
-                    new ArrayDeque<>(rollout.tick(System.nanoTime() / 1e6));
+        while (!rollout.finished()) {
+            Queue<RolloutAction> todo = new ArrayDeque<>(rollout.tick(System.nanoTime() / 1e6));
             while (!todo.isEmpty()) {
                 todo.addAll(carryOut(rollout, todo.poll()));
             }
@@ -113,8 +113,10 @@
         if (json) {
             Printed.json(state);
         } else {
-            state.standing()
-                    .forEach((door, standing) -> System.out.println(door + "  " + standing));
+            state.gathererStates()
+                    .forEach(
+                            (door, standing) ->
+                                    System.out.println(door + "  " + standing.storedName()));
         }
         return state.phase() == RolloutState.Phase.DONE ? 0 : 1;
     }
@@ -128,17 +130,16 @@
         }
     }
 
-    private List<Rollout.RolloutAction> carryOut(Rollout rollout, Rollout.RolloutAction action)
-            throws IOException {
-        if (action instanceof Rollout.RolloutAction.Keep keep) {
+    private List<RolloutAction> carryOut(Rollout rollout, RolloutAction action) throws IOException {
+        if (action instanceof RolloutAction.SaveState keep) {
             keep(stateFile, keep.state());
-        } else if (action instanceof Rollout.RolloutAction.Tell tell) {
-            System.err.println(tell.line());
-        } else if (action instanceof Rollout.RolloutAction.Propose propose) {
+        } else if (action instanceof RolloutAction.Report tell) {
+            System.err.println(tell.message());
+        } else if (action instanceof RolloutAction.Propose propose) {
             return propose(rollout, propose.gatherer(), propose.id());
-        } else if (action instanceof Rollout.RolloutAction.Ask ask) {
+        } else if (action instanceof RolloutAction.QueryStatus ask) {
             return ask(rollout, ask.gatherer(), ask.id());
-        } else if (action instanceof Rollout.RolloutAction.TakeBack back) {
+        } else if (action instanceof RolloutAction.Revert back) {
             return takeBack(rollout, back.gatherer(), back.id());
         }
         return List.of();
@@ -162,7 +163,7 @@
         return new AdminCall(at, tokenFile);
     }
 
-    private List<Rollout.RolloutAction> propose(Rollout rollout, String gatherer, String id) {
+    private List<RolloutAction> propose(Rollout rollout, String gatherer, String id) {
         try {
             JsonNode status = door(gatherer).call("GET", "/change/status", null);
             if (!before.has(gatherer)) {
@@ -177,9 +178,9 @@
             body.set("document", MAPPER.readTree(DocumentReader.write(document)));
             JsonNode answer = door(gatherer).call("POST", "/change/propose", body);
             versions.put(gatherer, answer.path("version").longValue());
-            return rollout.answered(gatherer, Standing.WATCHED, "");
+            return rollout.answered(gatherer, GathererState.WATCHED, "");
         } catch (AdminCall.TurnedDownException e) {
-            return rollout.answered(gatherer, Standing.TURNED_DOWN, e.getMessage());
+            return rollout.answered(gatherer, GathererState.REJECTED, e.getMessage());
         } catch (IOException e) {
             return List.of();
         }
@@ -205,18 +206,20 @@
         return versions.get(gatherer);
     }
 
-    private List<Rollout.RolloutAction> ask(Rollout rollout, String gatherer, String id) {
+    private List<RolloutAction> ask(Rollout rollout, String gatherer, String id) {
         try {
             long version = version(gatherer, id);
             for (JsonNode of : door(gatherer).call("GET", "/change/history", null)) {
                 if (of.path("version").longValue() == version) {
                     return switch (of.path("state").asText()) {
                         case "confirmed", "replaced" ->
-                                rollout.answered(gatherer, Standing.CONFIRMED, "");
+                                rollout.answered(gatherer, GathererState.CONFIRMED, "");
                         case "undone", "set_aside" ->
                                 rollout.answered(
-                                        gatherer, Standing.UNDONE, of.path("why").asText());
-                        default -> rollout.answered(gatherer, Standing.WATCHED, "");
+                                        gatherer,
+                                        GathererState.ROLLED_BACK,
+                                        of.path("why").asText());
+                        default -> rollout.answered(gatherer, GathererState.WATCHED, "");
                     };
                 }
             }
@@ -238,7 +241,7 @@
         }
     }
 
-    private List<Rollout.RolloutAction> takeBack(Rollout rollout, String gatherer, String id) {
+    private List<RolloutAction> takeBack(Rollout rollout, String gatherer, String id) {
         try {
             JsonNode status = door(gatherer).call("GET", "/change/status", null);
             long version = version(gatherer, id);
@@ -268,7 +271,7 @@
             }
             // Neither live nor ever there: it serves something else by now, which is not this
             // rollout's to take back.
-            return rollout.answered(gatherer, Standing.TAKEN_BACK, "");
+            return rollout.answered(gatherer, GathererState.REVERTED, "");
         } catch (IOException e) {
             return List.of();
         }
--- a/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
@@ -17,7 +17,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -40,7 +39,7 @@
     private final List<FakeDoor> doors = new ArrayList<>();
 
     private static ConfigurationDocument document(int maxOpen) {
-        return ((DocumentReader.Read.Good)
+        return ((DocumentReader.ReadResult.Valid)
                         DocumentReader.read(DOCUMENT.formatted(maxOpen).getBytes()))
                 .document();
     }
@@ -80,22 +79,22 @@
                 answer = MAPPER.readTree(DocumentReader.write(history.live().document()));
             } else if (path.equals("/change/history")) {
                 if (history.watched() && ++looks >= 2) {
-                    history.on(
-                            new VersionEvent.Judged(history.live().number(), harmed, "so it was"));
+                    history.handle(
+                            new VersionEvent.WatchDecided(
+                                    history.live().number(), harmed, "so it was"));
                 }
                 ArrayNode all = MAPPER.createArrayNode();
-                history.history()
+                history.statuses()
                         .forEach(
                                 of ->
                                         all.addObject()
                                                 .put("version", of.version().number())
-                                                .put(
-                                                        "state",
-                                                        of.how().name().toLowerCase(Locale.ROOT))
-                                                .put("why", of.why()));
+                                                .put("state", of.state().storedName())
+                                                .put("why", of.reason()));
                 answer = all;
             } else if (path.startsWith("/change/proposal/")) {
-                Long version = history.numberOf(path.substring("/change/proposal/".length()));
+                Long version =
+                        history.versionOfProposal(path.substring("/change/proposal/".length()));
                 status = version == null ? 404 : 200;
                 node.put(
                         version == null ? "error" : "version",
@@ -106,18 +105,18 @@
             } else if (path.equals("/change/propose")) {
                 JsonNode asked = MAPPER.readTree(body);
                 ConfigurationDocument wanted =
-                        ((DocumentReader.Read.Good)
+                        ((DocumentReader.ReadResult.Valid)
                                         DocumentReader.read(
                                                 MAPPER.writeValueAsBytes(asked.get("document"))))
                                 .document();
                 for (VersionCommand action :
-                        history.on(
+                        history.handle(
                                 new VersionEvent.Proposed(
                                         asked.get("id").asText(),
                                         "o",
                                         asked.get("madeFrom").asLong(),
                                         wanted,
-                                        RunningState.NOTHING))) {
+                                        RunningState.IDLE))) {
                     if (action instanceof VersionCommand.Accepted accepted) {
                         node.put("version", accepted.version().number());
                     } else if (action instanceof VersionCommand.AlreadyKnown there) {
@@ -127,13 +126,13 @@
                         node.put("error", "turned down");
                     }
                 }
-                history.on(new VersionEvent.BetweenDecisions());
+                history.handle(new VersionEvent.BetweenDecisions());
             } else if (path.equals("/change/confirm")) {
-                history.on(
+                history.handle(
                         new VersionEvent.ConfirmRequested(
                                 MAPPER.readTree(body).get("version").asLong(), "o"));
             } else if (path.equals("/change/undo")) {
-                history.on(
+                history.handle(
                         new VersionEvent.RollbackRequested(
                                 MAPPER.readTree(body).get("version").asLong(), "o"));
             } else {
@@ -213,8 +212,8 @@
         // known.
         doors.get(0)
                 .history
-                .on(new VersionEvent.Proposed("r-7", "o", 1, document(90), RunningState.NOTHING));
-        doors.get(0).history.on(new VersionEvent.BetweenDecisions());
+                .handle(new VersionEvent.Proposed("r-7", "o", 1, document(90), RunningState.IDLE));
+        doors.get(0).history.handle(new VersionEvent.BetweenDecisions());
         Files.writeString(
                 folder.resolve("state"),
                 "{\"id\":\"r-7\",\"waves\":[[\""
--- a/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
@@ -13,11 +13,16 @@
  * @param host where it listens
  * @param token what callers have to show
  * @param journal the journal of versions, or null where no folder lasts
- * @param watchMs how long service has to hold before a version is confirmed
- * @param leastScans and how many scans have to be seen
+ * @param watchDurationMs how long service has to hold before a version is confirmed
+ * @param minimumQueries and how many scans have to be seen
  */
 public record AdminConfig(
-        String host, int port, String token, Path journal, double watchMs, long leastScans) {
+        String host,
+        int port,
+        String token,
+        Path journal,
+        double watchDurationMs,
+        long minimumQueries) {
     private static final String SCHEMA = "door.schema.json";
 
     /** A shorter one could be tried out. */
--- a/gatherer/src/main/java/sprucehold/admin/AdminServer.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminServer.java
@@ -45,7 +45,7 @@
     private static final int MOST_CONNECTIONS = 16;
 
     /** A proposal's document and what stands round it. */
-    private static final int MOST_BYTES = DocumentReader.MOST_BYTES + 4096;
+    private static final int MOST_BYTES = DocumentReader.MAX_BYTES + 4096;
 
     /** Who sends nothing, or reads nothing, for so long is closed. */
     private static final int IDLE_S = 10;
@@ -159,16 +159,18 @@
         switch (request.path()) {
             case "/change/status" -> answer(request, 200, status());
             case "/change/document" ->
-                    answer(request, 200, DocumentReader.write(desk.line().live().document()));
+                    answer(request, 200, DocumentReader.write(desk.history().live().document()));
             case "/change/history" -> {
                 ArrayNode versions = MAPPER.createArrayNode();
-                desk.line().history().forEach(outcome -> versions.add(outcome(outcome)));
+                desk.history().statuses().forEach(outcome -> versions.add(outcome(outcome)));
                 answer(request, 200, bytes(versions));
             }
             default -> {
                 Long version =
                         request.path().startsWith(PROPOSAL)
-                                ? desk.line().numberOf(request.path().substring(PROPOSAL.length()))
+                                ? desk.history()
+                                        .versionOfProposal(
+                                                request.path().substring(PROPOSAL.length()))
                                 : null;
                 answer(
                         request,
@@ -181,7 +183,7 @@
     }
 
     private byte[] status() {
-        VersionHistory history = desk.line();
+        VersionHistory history = desk.history();
         ObjectNode node = MAPPER.createObjectNode();
         node.put("live", history.live().number())
                 .put("watched", history.watched())
@@ -196,11 +198,11 @@
         Version version = outcome.version();
         return MAPPER.createObjectNode()
                 .put("version", version.number())
-                .put("madeFrom", version.madeFrom())
-                .put("by", version.by())
-                .put("undoes", version.undoes())
-                .put("state", outcome.how().name().toLowerCase(Locale.ROOT))
-                .put("why", outcome.why());
+                .put("madeFrom", version.basedOn())
+                .put("by", version.author())
+                .put("undoes", version.rollsBack())
+                .put("state", outcome.state().storedName())
+                .put("why", outcome.reason());
     }
 
     private void post(HttpServerRequest request, byte[] body) {
@@ -226,17 +228,17 @@
                 }
                 long version = node.get("version").longValue();
                 boolean due =
-                        desk.line().watched() && desk.line().live().number() == version
+                        desk.history().watched() && desk.history().live().number() == version
                                 || request.path().endsWith("undo")
-                                        && desk.line().staged() != null
-                                        && desk.line().staged().number() == version;
+                                        && desk.history().staged() != null
+                                        && desk.history().staged().number() == version;
                 if (!due) {
                     answer(
                             request,
                             409,
                             error("version " + version + " is neither watched nor staged"));
                 } else if (request.path().endsWith("undo")) {
-                    desk.undo(version, by);
+                    desk.rollBack(version, by);
                     answer(request, 200, status());
                 } else {
                     desk.confirm(version, by);
@@ -248,13 +250,13 @@
     }
 
     private void check(HttpServerRequest request, JsonNode document) {
-        DocumentReader.Read read = DocumentReader.read(bytes(document));
-        if (read instanceof DocumentReader.Read.Bad bad) {
-            answer(request, 422, faults(bad.faults(), null));
+        DocumentReader.ReadResult read = DocumentReader.read(bytes(document));
+        if (read instanceof DocumentReader.ReadResult.Invalid bad) {
+            answer(request, 422, faults(bad.errors(), null));
             return;
         }
-        ConfigurationDocument good = ((DocumentReader.Read.Good) read).document();
-        List<ValidationError> faults = SemanticValidator.alone(good);
+        ConfigurationDocument good = ((DocumentReader.ReadResult.Valid) read).document();
+        List<ValidationError> faults = SemanticValidator.validate(good);
         answer(
                 request,
                 faults.isEmpty() ? 200 : 422,
@@ -262,7 +264,7 @@
                         ? bytes(
                                 difference(
                                         DocumentDifference.between(
-                                                desk.line().live().document(), good)))
+                                                desk.history().live().document(), good)))
                         : faults(faults, null));
     }
 
@@ -273,9 +275,9 @@
             answer(request, 400, error("id, by, madeFrom and document were expected"));
             return;
         }
-        DocumentReader.Read read = DocumentReader.read(bytes(node.path("document")));
-        if (read instanceof DocumentReader.Read.Bad bad) {
-            answer(request, 422, faults(bad.faults(), null));
+        DocumentReader.ReadResult read = DocumentReader.read(bytes(node.path("document")));
+        if (read instanceof DocumentReader.ReadResult.Invalid bad) {
+            answer(request, 422, faults(bad.errors(), null));
             return;
         }
         List<VersionCommand> actions =
@@ -283,7 +285,7 @@
                         node.get("id").asText(),
                         by,
                         node.get("madeFrom").longValue(),
-                        ((DocumentReader.Read.Good) read).document());
+                        ((DocumentReader.ReadResult.Valid) read).document());
         for (VersionCommand action : actions) {
             if (action instanceof VersionCommand.Accepted accepted) {
                 ObjectNode answer = difference(accepted.difference());
@@ -298,7 +300,7 @@
                                         .put("version", there.number())
                                         .put("already", true)));
             } else if (action instanceof VersionCommand.Rejected down) {
-                answer(request, 409, faults(down.faults(), down.meanwhile()));
+                answer(request, 409, faults(down.errors(), down.changesSince()));
             }
         }
     }
@@ -308,12 +310,12 @@
         node.put("risk", difference.risk().name().toLowerCase(Locale.ROOT));
         ArrayNode words = node.putArray("changes");
         difference
-                .words()
+                .changes()
                 .forEach(
                         of ->
                                 words.addObject()
                                         .put("path", of.path())
-                                        .put("words", of.words())
+                                        .put("words", of.description())
                                         .put("risk", of.risk().name().toLowerCase(Locale.ROOT)));
         return node;
     }
@@ -325,8 +327,8 @@
                 fault ->
                         all.addObject()
                                 .put("path", fault.path())
-                                .put("what", fault.what())
-                                .put("mend", fault.mend()));
+                                .put("what", fault.problem())
+                                .put("mend", fault.remedy()));
         if (meanwhile != null) {
             node.set("meanwhile", difference(meanwhile));
         }
--- a/gatherer/src/main/java/sprucehold/admin/ConfigurationHandler.java
+++ b/gatherer/src/main/java/sprucehold/admin/ConfigurationHandler.java
@@ -7,7 +7,7 @@
 
 /** Where changes are taken; all calls come on the event loop. */
 public interface ConfigurationHandler {
-    VersionHistory line();
+    VersionHistory history();
 
     /** Takes a proposal; what is returned holds the answer to it. */
     List<VersionCommand> propose(
@@ -17,5 +17,5 @@
     void confirm(long version, String by);
 
     /** Takes a version back; nothing where it is neither watched nor staged. */
-    void undo(long version, String by);
+    void rollBack(long version, String by);
 }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -64,8 +64,8 @@
                         document(config),
                         config.facts().deployment(),
                         journal == null ? ConfigurationChanges.Journal.NONE : this::write,
-                        plan.watchMs(),
-                        plan.leastScans(),
+                        plan.watchDurationMs(),
+                        plan.minimumQueries(),
                         apply);
     }
 
@@ -85,10 +85,10 @@
     /** The facts that the start brought. */
     private static ConfigurationDocument document(NodeConfig config) {
         var deployment = config.facts().deployment();
-        var types = new ArrayList<ConfigurationDocument.Type>();
+        var types = new ArrayList<ConfigurationDocument.QueryClassSettings>();
         for (int i = 0; i < deployment.queryClasses().size(); i++) {
             types.add(
-                    new ConfigurationDocument.Type(
+                    new ConfigurationDocument.QueryClassSettings(
                             deployment.queryClasses().get(i), config.facts().deadlinesMs().get(i)));
         }
         return new ConfigurationDocument(
@@ -116,24 +116,24 @@
     }
 
     /** The decisions behind the operator's word on shard servers. */
-    DecisionPolicy.Factory behindWords(DecisionPolicy.Factory factory) {
-        return changes.behindWords(factory);
+    DecisionPolicy.Factory withOverrides(DecisionPolicy.Factory factory) {
+        return changes.withOverrides(factory);
     }
 
-    boolean isTableType(String name) {
-        return changes.isTableType(name);
+    boolean isQueryClass(String name) {
+        return changes.isQueryClass(name);
     }
 
-    void taken(Query query) {
-        changes.taken(clock.now(), query);
+    void queryReceived(Query query) {
+        changes.queryReceived(clock.now(), query);
     }
 
-    void left(Query query) {
-        changes.left(clock.now(), query);
+    void clientDisconnected(Query query) {
+        changes.clientDisconnected(clock.now(), query);
     }
 
-    void answered(Query query, Answer answer) {
-        changes.answered(clock.now(), query, answer);
+    void queryAnswered(Query query, Answer answer) {
+        changes.queryAnswered(clock.now(), query, answer);
     }
 
     /**
@@ -146,7 +146,7 @@
         changes.started(clock.now(), journal == null ? List.of() : journal.entries());
         slots =
                 vertx.setPeriodic(
-                        ConfigurationChanges.SLOT_MS, id -> changes.slotEnds(clock.now()));
+                        ConfigurationChanges.WINDOW_MS, id -> changes.windowEnded(clock.now()));
         server =
                 new AdminServer(
                         vertx,
@@ -154,8 +154,8 @@
                         views,
                         new ConfigurationHandler() {
                             @Override
-                            public VersionHistory line() {
-                                return changes.line();
+                            public VersionHistory history() {
+                                return changes.history();
                             }
 
                             @Override
@@ -173,7 +173,7 @@
                                                 document,
                                                 held.getAsInt());
                                 // It is called between two moments of the decisions.
-                                context.runOnContext(none -> changes.moment(clock.now()));
+                                context.runOnContext(none -> changes.betweenDecisions(clock.now()));
                                 return answer;
                             }
 
@@ -183,8 +183,8 @@
                             }
 
                             @Override
-                            public void undo(long version, String by) {
-                                changes.undo(clock.now(), version, by);
+                            public void rollBack(long version, String by) {
+                                changes.rollBack(clock.now(), version, by);
                             }
                         });
         return server.listen(plan.host(), plan.port()).onSuccess(listening -> port = listening);
@@ -196,9 +196,9 @@
     }
 
     /** The gatherer has been told to end. */
-    void ending() {
+    void shuttingDown() {
         vertx.cancelTimer(slots);
-        changes.ending(clock.now());
+        changes.shuttingDown(clock.now());
     }
 
     Future<Void> close() {
