--- a/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
@@ -36,7 +36,7 @@
     /**
      * Service is counted in stretches of a quarter of a second: a harm shows within a few of them.
      */
-    static final long SLOT_MS = 250;
+    static final long WINDOW_MS = 250;
 
     private final Deployment first;
     private final VersionHistory history;
@@ -45,8 +45,8 @@
     private final TimeWindow.Builder slot = new TimeWindow.Builder();
     private final Map<Query, Taken> open = new IdentityHashMap<>();
     private final Journal journal;
-    private final double watchMs;
-    private final long leastScans;
+    private final double watchDurationMs;
+    private final long minimumQueries;
     private final Apply apply;
     private HealthWatch watch;
     private long watched;
@@ -67,7 +67,8 @@
         void write(JournalEntry entry);
     }
 
-    private record Taken(double atMs, ConfigurationDocument.Type type, String customer) {}
+    private record Taken(
+            double atMs, ConfigurationDocument.QueryClassSettings type, String customer) {}
 
     /**
      * @param start the document that the start brought
@@ -84,13 +85,13 @@
         this.first = first;
         this.history = new VersionHistory(start);
         this.journal = journal;
-        this.watchMs = watchMs;
-        this.leastScans = leastScans;
+        this.watchDurationMs = watchMs;
+        this.minimumQueries = leastScans;
         this.apply = apply;
     }
 
     /** The module behind the operator's word on shard servers. */
-    DecisionPolicy.Factory behindWords(DecisionPolicy.Factory factory) {
+    DecisionPolicy.Factory withOverrides(DecisionPolicy.Factory factory) {
         return (seed, deployment) -> {
             DecisionPolicy module = factory.start(seed, deployment);
             return (nowMs, events) -> module.decide(nowMs, joined(events));
@@ -107,7 +108,7 @@
         }
         var joined = new ArrayList<Event>(events.size() + 1);
         for (Event event : events) {
-            joined.add(event instanceof Event.EndpointsUpdated list ? words.told(list) : event);
+            joined.add(event instanceof Event.EndpointsUpdated list ? words.applyTo(list) : event);
             if (event instanceof Event.DeploymentChanged && !news.isEmpty()) {
                 joined.add(new Event.EndpointsUpdated(false, news));
                 news = List.of();
@@ -120,7 +121,7 @@
 
     void started(double nowMs, List<JournalEntry> entries) {
         if (!entries.isEmpty()) {
-            carryOut(nowMs, history.on(new VersionEvent.Started(entries)));
+            carryOut(nowMs, history.handle(new VersionEvent.Started(entries)));
         }
     }
 
@@ -133,32 +134,33 @@
             int held) {
         return carryOut(
                 nowMs,
-                history.on(new VersionEvent.Proposed(id, by, madeFrom, document, running(held))));
+                history.handle(
+                        new VersionEvent.Proposed(id, by, madeFrom, document, running(held))));
     }
 
     void confirm(double nowMs, long version, String by) {
-        carryOut(nowMs, history.on(new VersionEvent.ConfirmRequested(version, by)));
+        carryOut(nowMs, history.handle(new VersionEvent.ConfirmRequested(version, by)));
     }
 
-    void undo(double nowMs, long version, String by) {
-        carryOut(nowMs, history.on(new VersionEvent.RollbackRequested(version, by)));
+    void rollBack(double nowMs, long version, String by) {
+        carryOut(nowMs, history.handle(new VersionEvent.RollbackRequested(version, by)));
     }
 
     /** Between two moments of the module. */
-    void moment(double nowMs) {
+    void betweenDecisions(double nowMs) {
         if (history.staged() != null) {
-            carryOut(nowMs, history.on(new VersionEvent.BetweenDecisions()));
+            carryOut(nowMs, history.handle(new VersionEvent.BetweenDecisions()));
         }
     }
 
-    void ending(double nowMs) {
-        carryOut(nowMs, history.on(new VersionEvent.ShuttingDown()));
+    void shuttingDown(double nowMs) {
+        carryOut(nowMs, history.handle(new VersionEvent.ShuttingDown()));
     }
 
-    void taken(double nowMs, Query query) {
+    void queryReceived(double nowMs, Query query) {
         history.live()
                 .document()
-                .type(query.queryClass())
+                .queryClass(query.queryClass())
                 .ifPresent(
                         type ->
                                 open.put(
@@ -168,42 +170,53 @@
                                                 type,
                                                 history.live()
                                                         .document()
-                                                        .customer(query.tenant())
+                                                        .tenant(query.tenant())
                                                         .map(tenant -> tenant.name())
                                                         .orElse(null))));
     }
 
-    void answered(double nowMs, Query query, Answer answer) {
+    void queryAnswered(double nowMs, Query query, Answer answer) {
         Taken taken = open.remove(query);
         if (taken != null) {
             boolean inTime =
                     answer instanceof Answer.Completed
-                            && nowMs - taken.atMs <= taken.type.facts().latencyObjectiveMs();
+                            && nowMs - taken.atMs <= taken.type.queryClass().latencyObjectiveMs();
             slot.add(
-                    taken.type.name(), taken.customer, taken.type.facts().priorityWeight(), inTime);
+                    taken.type.name(),
+                    taken.customer,
+                    taken.type.queryClass().priorityWeight(),
+                    inTime);
         }
     }
 
     /** Who left before its target time tells nothing of service; who left after it was failed. */
-    void left(double nowMs, Query query) {
+    void clientDisconnected(double nowMs, Query query) {
         Taken taken = open.remove(query);
-        if (taken != null && nowMs - taken.atMs > taken.type.facts().latencyObjectiveMs()) {
-            slot.add(taken.type.name(), taken.customer, taken.type.facts().priorityWeight(), false);
+        if (taken != null && nowMs - taken.atMs > taken.type.queryClass().latencyObjectiveMs()) {
+            slot.add(
+                    taken.type.name(),
+                    taken.customer,
+                    taken.type.queryClass().priorityWeight(),
+                    false);
         }
     }
 
     /** The end of a stretch of time. */
-    void slotEnds(double nowMs) {
+    void windowEnded(double nowMs) {
         TimeWindow ended = slot.take(nowMs);
         if (watch == null) {
             before.add(ended);
             return;
         }
-        HealthWatch.Word word = watch.add(ended);
-        if (word instanceof HealthWatch.Word.Fell fell) {
-            carryOut(nowMs, history.on(new VersionEvent.Judged(watched, true, fell.grounds())));
-        } else if (word instanceof HealthWatch.Word.Held held) {
-            carryOut(nowMs, history.on(new VersionEvent.Judged(watched, false, held.grounds())));
+        HealthWatch.Verdict word = watch.add(ended);
+        if (word instanceof HealthWatch.Verdict.Degraded fell) {
+            carryOut(
+                    nowMs,
+                    history.handle(new VersionEvent.WatchDecided(watched, true, fell.evidence())));
+        } else if (word instanceof HealthWatch.Verdict.Healthy held) {
+            carryOut(
+                    nowMs,
+                    history.handle(new VersionEvent.WatchDecided(watched, false, held.evidence())));
         }
     }
 
@@ -211,21 +224,21 @@
 
     private List<VersionCommand> carryOut(double nowMs, List<VersionCommand> actions) {
         for (VersionCommand action : actions) {
-            if (action instanceof VersionCommand.Write write) {
+            if (action instanceof VersionCommand.WriteJournal write) {
                 journal.write(write.entry());
             } else if (action instanceof VersionCommand.Apply version) {
                 ConfigurationDocument document = version.version().document();
-                news = words.takenOut(document.serversOut(), nowMs);
-                apply.apply(document.onto(first));
-            } else if (action instanceof VersionCommand.Watch of) {
+                news = words.setDrained(document.drainedServers(), nowMs);
+                apply.apply(document.applyTo(first));
+            } else if (action instanceof VersionCommand.StartWatch of) {
                 watched = of.number();
-                watch = new HealthWatch(before, nowMs, watchMs, leastScans);
+                watch = new HealthWatch(before, nowMs, watchDurationMs, minimumQueries);
             } else if (action instanceof VersionCommand.StopWatch) {
                 watch = null;
             } else if (action instanceof VersionCommand.Log tell) {
                 LOG.log(
                         Level.INFO,
-                        tell.line(),
+                        tell.message(),
                         new Object[] {
                             Map.of(
                                     "version",
@@ -235,7 +248,7 @@
                                     "confirmed",
                                     history.confirmed().number(),
                                     "by",
-                                    history.live().by())
+                                    history.live().author())
                         });
             }
         }
@@ -255,7 +268,7 @@
                         });
         // A segment's holders are those of some cells in a row, so one segment for each cell tells
         // of all.
-        Map<Integer, Set<String>> byCell = words.byCell();
+        Map<Integer, Set<String>> byCell = words.runningByReplicaGroup();
         Map<Integer, Set<String>> holders = new HashMap<>();
         for (int cell = 0; cell < first.layout().replicaGroups(); cell++) {
             Set<String> of = new HashSet<>();
@@ -268,12 +281,12 @@
         return new RunningState(byType, byCustomer, held, holders);
     }
 
-    VersionHistory line() {
+    VersionHistory history() {
         return history;
     }
 
     /** Whether a table type is served now. */
-    boolean isTableType(String name) {
-        return history.live().document().type(name).isPresent();
+    boolean isQueryClass(String name) {
+        return history.live().document().queryClass(name).isPresent();
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -144,7 +144,7 @@
                         ? null
                         : new ConfigurationAdmin(
                                 vertx, config, plan, journal, clock, this::applied);
-        DecisionPolicy.Factory behind = admin == null ? factory : admin.behindWords(factory);
+        DecisionPolicy.Factory behind = admin == null ? factory : admin.withOverrides(factory);
         this.coordinator =
                 new QueryCoordinator(behind.start(config.seed(), deployment), deployment);
         this.shards =
@@ -229,7 +229,7 @@
 
     @Override
     public boolean isTableType(String name) {
-        return admin == null ? tableTypes.contains(name) : admin.isTableType(name);
+        return admin == null ? tableTypes.contains(name) : admin.isQueryClass(name);
     }
 
     @Override
@@ -254,7 +254,7 @@
         coming.add(query.id());
         neighbours.forEach(one -> one.taken(clock.now(), query));
         if (admin != null) {
-            admin.taken(query);
+            admin.queryReceived(query);
         }
         double takenAt = clock.now();
         soon(
@@ -275,7 +275,7 @@
     public void left(Query query) {
         QueryLog.left(query);
         if (admin != null) {
-            admin.left(query);
+            admin.clientDisconnected(query);
         }
         if (!coming.remove(query.id())) {
             report(new Observation.ClientDisconnected(query));
@@ -456,7 +456,7 @@
 
     private void reply(Commands.Reply reply) {
         if (admin != null) {
-            admin.answered(reply.query(), reply.answer());
+            admin.queryAnswered(reply.query(), reply.answer());
         }
         QueryLog.ended(reply);
         clients.answer(reply.query(), reply.answer());
@@ -540,7 +540,7 @@
         drain = new Drain(how, clock.now());
         phase = Drain.Phase.SERVING_ON;
         if (admin != null) {
-            admin.ending();
+            admin.shuttingDown();
         }
         ended =
                 (listens ? drained() : Future.<Void>succeededFuture())
