--- a/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
@@ -7,14 +7,15 @@
 import sprucehold.settings.SettingsFile;
 
 /**
- * Settings of the HTTP server for operators, from a JSON file of the form {@code
- * deploy/door.schema.json}.
+ * Settings of the admin server, from a JSON file of the form {@code deploy/door.schema.json}.
  *
  * @param host where it listens
+ * @param port where it listens, 0 for any free port
  * @param token what callers have to show
- * @param journal the journal of versions, or null where no folder lasts
- * @param watchDurationMs how long service has to hold before a version is confirmed
- * @param minimumQueries and how many scans have to be seen
+ * @param journal the journal of versions, or null if versions are not to outlive the process
+ * @param watchDurationMs how long service has to hold before a version is confirmed, in
+ *     milliseconds
+ * @param minimumQueries the number of queries that have to be seen before a version is confirmed
  */
 public record AdminConfig(
         String host,
@@ -25,37 +26,45 @@
         long minimumQueries) {
     private static final String SCHEMA = "door.schema.json";
 
-    /** A shorter one could be tried out. */
-    private static final int LEAST_TOKEN_LETTERS = 16;
+    /** A shorter token could be guessed by trying. */
+    private static final int MIN_TOKEN_LENGTH = 16;
+
+    private static final String DEFAULT_ADDRESS = "127.0.0.1:8600";
+    private static final double DEFAULT_WATCH_SECONDS = 120;
+    private static final long DEFAULT_MINIMUM_QUERIES = 100;
+    private static final double MS_PER_SECOND = 1000;
 
     /**
+     * Reads the settings, and the token from the file that they name.
+     *
      * @throws IOException with all that is wrong with the file, in one line
      */
     public static AdminConfig read(Path file) throws IOException {
         JsonNode node = SettingsFile.read(file, SCHEMA);
-        String listen = node.path("listen").asText("127.0.0.1:8600");
+        String listen = node.path("listen").asText(DEFAULT_ADDRESS);
         int colon = listen.lastIndexOf(':');
-        Path tokenFile = beside(file, node.get("tokenFile").asText());
+        Path tokenFile = sibling(file, node.get("tokenFile").asText());
         String token = Files.readString(tokenFile).strip();
-        if (token.length() < LEAST_TOKEN_LETTERS) {
+        if (token.length() < MIN_TOKEN_LENGTH) {
             throw new IOException(
                     tokenFile
                             + ": a token of "
                             + token.length()
                             + " letters; at least "
-                            + LEAST_TOKEN_LETTERS
+                            + MIN_TOKEN_LENGTH
                             + " were expected");
         }
         return new AdminConfig(
                 listen.substring(0, colon),
                 Integer.parseInt(listen.substring(colon + 1)),
                 token,
-                node.has("journal") ? beside(file, node.get("journal").asText()) : null,
-                node.path("watchSeconds").asDouble(120) * 1000,
-                node.path("leastScans").asLong(100));
+                node.has("journal") ? sibling(file, node.get("journal").asText()) : null,
+                node.path("watchSeconds").asDouble(DEFAULT_WATCH_SECONDS) * MS_PER_SECOND,
+                node.path("leastScans").asLong(DEFAULT_MINIMUM_QUERIES));
     }
 
-    private static Path beside(Path file, String named) {
-        return file.toAbsolutePath().resolveSibling(named);
+    /** Names in the file are relative to its folder. */
+    private static Path sibling(Path file, String name) {
+        return file.toAbsolutePath().resolveSibling(name);
     }
 }
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/admin/AdminJson.java
@@ -0,0 +1,140 @@
+package sprucehold.admin;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.json.JsonMapper;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.List;
+import java.util.Locale;
+import sprucehold.change.document.DocumentDifference;
+import sprucehold.change.document.ValidationError;
+import sprucehold.change.version.Version;
+import sprucehold.change.version.VersionCommand;
+import sprucehold.change.version.VersionHistory;
+import sprucehold.change.version.VersionStatus;
+
+/**
+ * The edge to the JSON of operators' requests and answers; documents are mapped by {@link
+ * sprucehold.change.document.DocumentReader}.
+ *
+ * <table>
+ * <caption>JSON keys and what they are here</caption>
+ * <tr><th>JSON</th><th>here</th></tr>
+ * <tr><td>live, watched, confirmed, staged</td><td>{@link VersionHistory}</td></tr>
+ * <tr><td>version, madeFrom, by, undoes</td><td>{@link Version}: number, basedOn, author,
+ *     rollsBack</td></tr>
+ * <tr><td>state, why</td><td>{@link VersionStatus}: state's stored name, reason</td></tr>
+ * <tr><td>already: true</td><td>{@link VersionCommand.AlreadyKnown}</td></tr>
+ * <tr><td>risk, changes[]</td><td>{@link DocumentDifference}</td></tr>
+ * <tr><td>- path, words, risk</td><td>{@link DocumentDifference.Change}: path, description,
+ *     risk</td></tr>
+ * <tr><td>faults[]</td><td>errors of a document or proposal</td></tr>
+ * <tr><td>- path, what, mend</td><td>{@link ValidationError}: path, problem, remedy</td></tr>
+ * <tr><td>meanwhile</td><td>{@link VersionCommand.Rejected#changesSince()}</td></tr>
+ * <tr><td>error</td><td>why a request can't be served, one sentence</td></tr>
+ * </table>
+ */
+final class AdminJson {
+    private static final ObjectMapper MAPPER = JsonMapper.builder().build();
+
+    private AdminJson() {}
+
+    /**
+     * Parses a request's body.
+     *
+     * @throws IOException if it is no JSON
+     */
+    static JsonNode parse(byte[] body) throws IOException {
+        return MAPPER.readTree(body);
+    }
+
+    static byte[] bytes(JsonNode node) {
+        try {
+            return MAPPER.writeValueAsBytes(node);
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException("a tree has no JSON form", e);
+        }
+    }
+
+    static ObjectNode error(String message) {
+        return MAPPER.createObjectNode().put("error", message);
+    }
+
+    static ObjectNode status(VersionHistory history) {
+        ObjectNode node =
+                MAPPER.createObjectNode()
+                        .put("live", history.live().number())
+                        .put("watched", history.watched())
+                        .put("confirmed", history.confirmed().number());
+        if (history.staged() != null) {
+            node.put("staged", history.staged().number());
+        }
+        return node;
+    }
+
+    static ArrayNode statuses(List<VersionStatus> statuses) {
+        ArrayNode nodes = MAPPER.createArrayNode();
+        for (VersionStatus status : statuses) {
+            Version version = status.version();
+            nodes.addObject()
+                    .put("version", version.number())
+                    .put("madeFrom", version.basedOn())
+                    .put("by", version.author())
+                    .put("undoes", version.rollsBack())
+                    .put("state", status.state().storedName())
+                    .put("why", status.reason());
+        }
+        return nodes;
+    }
+
+    static ObjectNode version(long number) {
+        return MAPPER.createObjectNode().put("version", number);
+    }
+
+    static ObjectNode accepted(VersionCommand.Accepted accepted) {
+        return difference(accepted.difference()).put("version", accepted.version().number());
+    }
+
+    static ObjectNode alreadyKnown(VersionCommand.AlreadyKnown known) {
+        return version(known.number()).put("already", true);
+    }
+
+    static ObjectNode rejected(VersionCommand.Rejected rejected) {
+        ObjectNode node = errors(rejected.errors());
+        if (rejected.changesSince() != null) {
+            node.set("meanwhile", difference(rejected.changesSince()));
+        }
+        return node;
+    }
+
+    static ObjectNode difference(DocumentDifference difference) {
+        ObjectNode node = MAPPER.createObjectNode().put("risk", name(difference.risk()));
+        ArrayNode changes = node.putArray("changes");
+        for (DocumentDifference.Change change : difference.changes()) {
+            changes.addObject()
+                    .put("path", change.path())
+                    .put("words", change.description())
+                    .put("risk", name(change.risk()));
+        }
+        return node;
+    }
+
+    private static String name(DocumentDifference.Risk risk) {
+        return risk.name().toLowerCase(Locale.ROOT);
+    }
+
+    static ObjectNode errors(List<ValidationError> errors) {
+        ObjectNode node = MAPPER.createObjectNode();
+        ArrayNode nodes = node.putArray("faults");
+        for (ValidationError error : errors) {
+            nodes.addObject()
+                    .put("path", error.path())
+                    .put("what", error.problem())
+                    .put("mend", error.remedy());
+        }
+        return node;
+    }
+}
--- a/gatherer/src/main/java/sprucehold/admin/ConfigurationHandler.java
+++ b/gatherer/src/main/java/sprucehold/admin/ConfigurationHandler.java
@@ -5,17 +5,29 @@
 import sprucehold.change.version.VersionCommand;
 import sprucehold.change.version.VersionHistory;
 
-/** Where changes are taken; all calls come on the event loop. */
+/** Takes operators' changes; all calls come on the event loop. */
 public interface ConfigurationHandler {
+    /** The versions and their states. */
     VersionHistory history();
 
-    /** Takes a proposal; what is returned holds the answer to it. */
+    /**
+     * Takes a proposal.
+     *
+     * @param id the proposal's id
+     * @param author who proposes it
+     * @param basedOn the number of the version that it was made from
+     * @param document the proposed document
+     * @return the commands that it led to, the answer to the proposal among them
+     */
     List<VersionCommand> propose(
-            String id, String by, long madeFrom, ConfigurationDocument document);
+            String id, String author, long basedOn, ConfigurationDocument document);
 
-    /** Takes the watched version for good; nothing where it isn't that. */
-    void confirm(long version, String by);
+    /** Confirms the watched version; does nothing if that isn't the version named. */
+    void confirm(long version, String author);
 
-    /** Takes a version back; nothing where it is neither watched nor staged. */
-    void rollBack(long version, String by);
+    /**
+     * Rolls back the watched version or withdraws the staged one; does nothing if the version named
+     * is neither.
+     */
+    void rollBack(long version, String author);
 }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -24,75 +24,82 @@
 import sprucehold.coordinator.Answer;
 import sprucehold.coordinator.Query;
 import sprucehold.decision.DecisionPolicy;
+import sprucehold.decision.Deployment;
+import sprucehold.decision.QueryClass;
 
 /**
- * Changes of the facts of a gatherer that serves: the line of versions, its journal on disk, and
- * the admin server through which operators propose, confirm and undo. All of it belongs to the
- * event loop.
+ * The I/O of configuration changes: the journal on disk, the timer of the health watch, and the
+ * admin server through which operators propose, confirm and roll back. Belongs to the event loop.
  */
 final class ConfigurationAdmin {
     private static final Logger LOG = Logger.getLogger(ConfigurationAdmin.class.getName());
 
     private final Vertx vertx;
     private final Context context;
-    private final AdminConfig plan;
+    private final AdminConfig settings;
     private final Clock clock;
     private final JournalFile journal;
     private final ConfigurationChanges changes;
     private AdminServer server;
     private int port;
-    private long slots = -1;
+    private long windowTimer = -1;
 
     /**
-     * @param journal where versions are written down; null where no folder lasts
-     * @param apply puts facts in force between two moments of the decisions
+     * @param config what the process was started with
+     * @param journal where versions are written, or null if they are not to outlive the process
+     * @param apply puts a version in force between two decisions
      */
     ConfigurationAdmin(
             Vertx vertx,
             NodeConfig config,
-            AdminConfig plan,
+            AdminConfig settings,
             JournalFile journal,
             Clock clock,
             ConfigurationChanges.Apply apply) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
-        this.plan = plan;
+        this.settings = settings;
         this.journal = journal;
         this.clock = clock;
         this.changes =
                 new ConfigurationChanges(
-                        document(config),
+                        documentOf(config),
                         config.facts().deployment(),
                         journal == null ? ConfigurationChanges.Journal.NONE : this::write,
-                        plan.watchDurationMs(),
-                        plan.minimumQueries(),
+                        settings.watchDurationMs(),
+                        settings.minimumQueries(),
                         apply);
     }
 
     /**
-     * Opens the journal that a plan names, or returns null where it names none.
+     * Opens the journal that the settings name, or returns null if they name none.
      *
      * @throws IOException if it can't be opened
      */
-    static JournalFile journalOf(AdminConfig plan) throws IOException {
-        JournalFile journal = plan.journal() == null ? null : JournalFile.open(plan.journal());
-        if (journal != null && journal.cutOff() != null) {
+    static JournalFile journalOf(AdminConfig settings) throws IOException {
+        if (settings.journal() == null) {
+            return null;
+        }
+        JournalFile journal = JournalFile.open(settings.journal());
+        if (journal.cutOff() != null) {
             LOG.warning(journal.cutOff());
         }
         return journal;
     }
 
-    /** The facts that the start brought. */
-    private static ConfigurationDocument document(NodeConfig config) {
-        var deployment = config.facts().deployment();
-        var types = new ArrayList<ConfigurationDocument.QueryClassSettings>();
-        for (int i = 0; i < deployment.queryClasses().size(); i++) {
-            types.add(
+    /** The configuration that the process was started with, as a document. */
+    private static ConfigurationDocument documentOf(NodeConfig config) {
+        Deployment deployment = config.facts().deployment();
+        List<QueryClass> queryClasses = deployment.queryClasses();
+        List<Double> deadlinesMs = config.facts().deadlinesMs();
+        var settings = new ArrayList<ConfigurationDocument.QueryClassSettings>();
+        for (int i = 0; i < queryClasses.size(); i++) {
+            settings.add(
                     new ConfigurationDocument.QueryClassSettings(
-                            deployment.queryClasses().get(i), config.facts().deadlinesMs().get(i)));
+                            queryClasses.get(i), deadlinesMs.get(i)));
         }
         return new ConfigurationDocument(
-                types,
+                settings,
                 deployment.tenants(),
                 deployment.limits(),
                 deployment.retryBudget(),
@@ -105,8 +112,8 @@
 
     private void write(JournalEntry entry) {
         try {
-            // The only wait on the event loop: a change is rare, and must be on the disk before it
-            // is in force.
+            // The event loop waits for the disk here and nowhere else: a change is rare, and must
+            // be on the disk before it is in force.
             journal.write(entry);
         } catch (IOException e) {
             LOG.warning(
@@ -115,7 +122,7 @@
         }
     }
 
-    /** The decisions behind the operator's word on shard servers. */
+    /** A factory of policies that see operators' overrides of endpoints. */
     DecisionPolicy.Factory withOverrides(DecisionPolicy.Factory factory) {
         return changes.withOverrides(factory);
     }
@@ -137,57 +144,54 @@
     }
 
     /**
-     * Takes up what the journal holds and opens the admin server; returns its port.
+     * Resumes from the journal and opens the admin server; the result is its port.
      *
-     * @param views what operators may see beside the facts, by name
-     * @param held how many queries and parts are open
+     * @param views what operators can see of the rest of the node, by name
+     * @param openItems the number of queries and parts that are open
      */
-    Future<Integer> open(Map<String, Supplier<JsonNode>> views, IntSupplier held) {
+    Future<Integer> open(Map<String, Supplier<JsonNode>> views, IntSupplier openItems) {
         changes.started(clock.now(), journal == null ? List.of() : journal.entries());
-        slots =
+        windowTimer =
                 vertx.setPeriodic(
                         ConfigurationChanges.WINDOW_MS, id -> changes.windowEnded(clock.now()));
-        server =
-                new AdminServer(
-                        vertx,
-                        plan.token(),
-                        views,
-                        new ConfigurationHandler() {
-                            @Override
-                            public VersionHistory history() {
-                                return changes.history();
-                            }
-
-                            @Override
-                            public List<VersionCommand> propose(
-                                    String id,
-                                    String by,
-                                    long madeFrom,
-                                    ConfigurationDocument document) {
-                                List<VersionCommand> answer =
-                                        changes.propose(
-                                                clock.now(),
-                                                id,
-                                                by,
-                                                madeFrom,
-                                                document,
-                                                held.getAsInt());
-                                // It is called between two moments of the decisions.
-                                context.runOnContext(none -> changes.betweenDecisions(clock.now()));
-                                return answer;
-                            }
-
-                            @Override
-                            public void confirm(long version, String by) {
-                                changes.confirm(clock.now(), version, by);
-                            }
-
-                            @Override
-                            public void rollBack(long version, String by) {
-                                changes.rollBack(clock.now(), version, by);
-                            }
-                        });
-        return server.listen(plan.host(), plan.port()).onSuccess(listening -> port = listening);
+        server = new AdminServer(vertx, settings.token(), views, new Handler(openItems));
+        return server.listen(settings.host(), settings.port())
+                .onSuccess(listening -> port = listening);
+    }
+
+    /** Passes operators' requests on, with the time. */
+    private final class Handler implements ConfigurationHandler {
+        private final IntSupplier openItems;
+
+        Handler(IntSupplier openItems) {
+            this.openItems = openItems;
+        }
+
+        @Override
+        public VersionHistory history() {
+            return changes.history();
+        }
+
+        @Override
+        public List<VersionCommand> propose(
+                String id, String author, long basedOn, ConfigurationDocument document) {
+            List<VersionCommand> commands =
+                    changes.propose(
+                            clock.now(), id, author, basedOn, document, openItems.getAsInt());
+            // Another task of the event loop is never within a decision.
+            context.runOnContext(none -> changes.betweenDecisions(clock.now()));
+            return commands;
+        }
+
+        @Override
+        public void confirm(long version, String author) {
+            changes.confirm(clock.now(), version, author);
+        }
+
+        @Override
+        public void rollBack(long version, String author) {
+            changes.rollBack(clock.now(), version, author);
+        }
     }
 
     /** The port of the admin server, 0 while it isn't open. */
@@ -195,9 +199,9 @@
         return port;
     }
 
-    /** The gatherer has been told to end. */
+    /** The process has been told to end. */
     void shuttingDown() {
-        vertx.cancelTimer(slots);
+        vertx.cancelTimer(windowTimer);
         changes.shuttingDown(clock.now());
     }
 
@@ -208,14 +212,19 @@
         return server.close()
                 .eventually(
                         () -> {
-                            try {
-                                if (journal != null) {
-                                    journal.close();
-                                }
-                            } catch (IOException e) {
-                                LOG.log(Level.FINE, "the journal of versions", e);
-                            }
+                            closeJournal();
                             return Future.succeededFuture();
                         });
     }
+
+    private void closeJournal() {
+        if (journal == null) {
+            return;
+        }
+        try {
+            journal.close();
+        } catch (IOException e) {
+            LOG.log(Level.FINE, "the journal of versions", e);
+        }
+    }
 }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
@@ -1,18 +1,13 @@
 package sprucehold.node;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.RunningState;
-import sprucehold.change.override.EndpointOverrides;
 import sprucehold.change.version.JournalEntry;
+import sprucehold.change.version.Version;
 import sprucehold.change.version.VersionCommand;
 import sprucehold.change.version.VersionEvent;
 import sprucehold.change.version.VersionHistory;
@@ -23,269 +18,194 @@
 import sprucehold.coordinator.Query;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
-import sprucehold.decision.Endpoint;
-import sprucehold.decision.Event;
 
 /**
- * Changes of one gatherer's facts: carries what happens to the line of versions, and what that
- * wants to the gatherer. All of it belongs to the event loop.
+ * Connects one gatherer to its version history: passes on what happens as events, and carries out
+ * the commands. Times are Unix time in milliseconds. Belongs to the event loop.
  */
 final class ConfigurationChanges {
     private static final Logger LOG = Logger.getLogger(ConfigurationChanges.class.getName());
 
-    /**
-     * Service is counted in stretches of a quarter of a second: a harm shows within a few of them.
-     */
+    /** Length of a time window; a harmful change shows within a few of them. */
     static final long WINDOW_MS = 250;
 
-    private final Deployment first;
+    private final Deployment initial;
     private final VersionHistory history;
-    private final EndpointOverrides words = new EndpointOverrides();
-    private final Baseline before = new Baseline();
-    private final TimeWindow.Builder slot = new TimeWindow.Builder();
-    private final Map<Query, Taken> open = new IdentityHashMap<>();
     private final Journal journal;
     private final double watchDurationMs;
     private final long minimumQueries;
     private final Apply apply;
+    private final EndpointOverrideFilter overrides = new EndpointOverrideFilter();
+    private final QueryHealthRecorder queries = new QueryHealthRecorder();
+    private final Baseline baseline = new Baseline();
+
+    /** The watch of the live version, or null if none is watched. */
     private HealthWatch watch;
-    private long watched;
 
-    /** News for the module that go along with the facts that come next. */
-    private List<Endpoint> news = List.of();
+    private long watchedVersion;
 
-    /** Puts facts in force between two moments of the module. */
+    /** Puts a deployment in force between two decisions. */
     interface Apply {
         void apply(Deployment deployment);
     }
 
-    /** Writes an entry down before its step is taken. */
+    /** Writes an entry before its transition takes effect. */
     interface Journal {
-        /** Where no folder lasts. */
+        /** Keeps nothing, for a gatherer whose versions are not to outlive the process. */
         Journal NONE = entry -> {};
 
         void write(JournalEntry entry);
     }
 
-    private record Taken(
-            double atMs, ConfigurationDocument.QueryClassSettings type, String customer) {}
-
     /**
-     * @param start the document that the start brought
-     * @param watchMs how long service has to hold before a version is confirmed
-     * @param leastScans and how many scans have to be seen
+     * @param start the document of the settings that the process was started with
+     * @param initial the deployment that the process was started with
+     * @param journal where versions are written
+     * @param watchDurationMs how long service has to hold before a version is confirmed
+     * @param minimumQueries the number of queries that have to be seen before that
+     * @param apply puts a version in force
      */
     ConfigurationChanges(
             ConfigurationDocument start,
-            Deployment first,
+            Deployment initial,
             Journal journal,
-            double watchMs,
-            long leastScans,
+            double watchDurationMs,
+            long minimumQueries,
             Apply apply) {
-        this.first = first;
+        this.initial = initial;
         this.history = new VersionHistory(start);
         this.journal = journal;
-        this.watchDurationMs = watchMs;
-        this.minimumQueries = leastScans;
+        this.watchDurationMs = watchDurationMs;
+        this.minimumQueries = minimumQueries;
         this.apply = apply;
     }
 
-    /** The module behind the operator's word on shard servers. */
+    /** A factory of policies that see operators' overrides of endpoints. */
     DecisionPolicy.Factory withOverrides(DecisionPolicy.Factory factory) {
-        return (seed, deployment) -> {
-            DecisionPolicy module = factory.start(seed, deployment);
-            return (nowMs, events) -> module.decide(nowMs, joined(events));
-        };
+        return overrides.wrap(factory);
     }
 
-    private List<Event> joined(List<Event> events) {
-        if (events.stream()
-                .noneMatch(
-                        event ->
-                                event instanceof Event.EndpointsUpdated
-                                        || event instanceof Event.DeploymentChanged)) {
-            return events;
-        }
-        var joined = new ArrayList<Event>(events.size() + 1);
-        for (Event event : events) {
-            joined.add(event instanceof Event.EndpointsUpdated list ? words.applyTo(list) : event);
-            if (event instanceof Event.DeploymentChanged && !news.isEmpty()) {
-                joined.add(new Event.EndpointsUpdated(false, news));
-                news = List.of();
-            }
-        }
-        return joined;
-    }
-
-    // ---- What happens ----
-
+    /** Resumes from the journal, if it has entries. */
     void started(double nowMs, List<JournalEntry> entries) {
         if (!entries.isEmpty()) {
-            carryOut(nowMs, history.handle(new VersionEvent.Started(entries)));
+            handle(nowMs, new VersionEvent.Started(entries));
         }
     }
 
+    /**
+     * Takes a proposal.
+     *
+     * @param openItems the number of queries and parts that are open
+     * @return the commands that it led to, the answer to the proposal among them
+     */
     List<VersionCommand> propose(
             double nowMs,
             String id,
-            String by,
-            long madeFrom,
+            String author,
+            long basedOn,
             ConfigurationDocument document,
-            int held) {
-        return carryOut(
-                nowMs,
-                history.handle(
-                        new VersionEvent.Proposed(id, by, madeFrom, document, running(held))));
+            int openItems) {
+        var running =
+                new RunningState(
+                        queries.openQueriesByClass(),
+                        queries.openQueriesByTenant(),
+                        openItems,
+                        overrides.replicasByShard(initial));
+        return handle(nowMs, new VersionEvent.Proposed(id, author, basedOn, document, running));
     }
 
-    void confirm(double nowMs, long version, String by) {
-        carryOut(nowMs, history.handle(new VersionEvent.ConfirmRequested(version, by)));
+    void confirm(double nowMs, long version, String author) {
+        handle(nowMs, new VersionEvent.ConfirmRequested(version, author));
     }
 
-    void rollBack(double nowMs, long version, String by) {
-        carryOut(nowMs, history.handle(new VersionEvent.RollbackRequested(version, by)));
+    void rollBack(double nowMs, long version, String author) {
+        handle(nowMs, new VersionEvent.RollbackRequested(version, author));
     }
 
-    /** Between two moments of the module. */
+    /** The policy is between two decisions: a staged version goes live. */
     void betweenDecisions(double nowMs) {
         if (history.staged() != null) {
-            carryOut(nowMs, history.handle(new VersionEvent.BetweenDecisions()));
+            handle(nowMs, new VersionEvent.BetweenDecisions());
         }
     }
 
     void shuttingDown(double nowMs) {
-        carryOut(nowMs, history.handle(new VersionEvent.ShuttingDown()));
+        handle(nowMs, new VersionEvent.ShuttingDown());
     }
 
     void queryReceived(double nowMs, Query query) {
-        history.live()
-                .document()
-                .queryClass(query.queryClass())
-                .ifPresent(
-                        type ->
-                                open.put(
-                                        query,
-                                        new Taken(
-                                                nowMs,
-                                                type,
-                                                history.live()
-                                                        .document()
-                                                        .tenant(query.tenant())
-                                                        .map(tenant -> tenant.name())
-                                                        .orElse(null))));
+        queries.received(nowMs, query, history.live().document());
     }
 
     void queryAnswered(double nowMs, Query query, Answer answer) {
-        Taken taken = open.remove(query);
-        if (taken != null) {
-            boolean inTime =
-                    answer instanceof Answer.Completed
-                            && nowMs - taken.atMs <= taken.type.queryClass().latencyObjectiveMs();
-            slot.add(
-                    taken.type.name(),
-                    taken.customer,
-                    taken.type.queryClass().priorityWeight(),
-                    inTime);
-        }
+        queries.answered(nowMs, query, answer);
     }
 
-    /** Who left before its target time tells nothing of service; who left after it was failed. */
     void clientDisconnected(double nowMs, Query query) {
-        Taken taken = open.remove(query);
-        if (taken != null && nowMs - taken.atMs > taken.type.queryClass().latencyObjectiveMs()) {
-            slot.add(
-                    taken.type.name(),
-                    taken.customer,
-                    taken.type.queryClass().priorityWeight(),
-                    false);
-        }
+        queries.disconnected(nowMs, query);
     }
 
-    /** The end of a stretch of time. */
+    /** Ends a time window: it extends the baseline, or the watch while there is one. */
     void windowEnded(double nowMs) {
-        TimeWindow ended = slot.take(nowMs);
+        TimeWindow window = queries.endWindow(nowMs);
         if (watch == null) {
-            before.add(ended);
+            baseline.add(window);
             return;
         }
-        HealthWatch.Verdict word = watch.add(ended);
-        if (word instanceof HealthWatch.Verdict.Degraded fell) {
-            carryOut(
-                    nowMs,
-                    history.handle(new VersionEvent.WatchDecided(watched, true, fell.evidence())));
-        } else if (word instanceof HealthWatch.Verdict.Healthy held) {
-            carryOut(
-                    nowMs,
-                    history.handle(new VersionEvent.WatchDecided(watched, false, held.evidence())));
+        HealthWatch.Verdict verdict = watch.add(window);
+        if (verdict instanceof HealthWatch.Verdict.Degraded degraded) {
+            handle(nowMs, new VersionEvent.WatchDecided(watchedVersion, true, degraded.evidence()));
+        } else if (verdict instanceof HealthWatch.Verdict.Healthy healthy) {
+            handle(nowMs, new VersionEvent.WatchDecided(watchedVersion, false, healthy.evidence()));
         }
     }
 
-    // ---- What is to be done ----
-
-    private List<VersionCommand> carryOut(double nowMs, List<VersionCommand> actions) {
-        for (VersionCommand action : actions) {
-            if (action instanceof VersionCommand.WriteJournal write) {
-                journal.write(write.entry());
-            } else if (action instanceof VersionCommand.Apply version) {
-                ConfigurationDocument document = version.version().document();
-                news = words.setDrained(document.drainedServers(), nowMs);
-                apply.apply(document.applyTo(first));
-            } else if (action instanceof VersionCommand.StartWatch of) {
-                watched = of.number();
-                watch = new HealthWatch(before, nowMs, watchDurationMs, minimumQueries);
-            } else if (action instanceof VersionCommand.StopWatch) {
-                watch = null;
-            } else if (action instanceof VersionCommand.Log tell) {
-                LOG.log(
-                        Level.INFO,
-                        tell.message(),
-                        new Object[] {
-                            Map.of(
-                                    "version",
-                                    history.live().number(),
-                                    "watched",
-                                    history.watched(),
-                                    "confirmed",
-                                    history.confirmed().number(),
-                                    "by",
-                                    history.live().author())
-                        });
-            }
+    private List<VersionCommand> handle(double nowMs, VersionEvent event) {
+        List<VersionCommand> commands = history.handle(event);
+        for (VersionCommand command : commands) {
+            carryOut(nowMs, command);
+        }
+        return commands;
+    }
+
+    /** Answers to proposals are left to the caller. */
+    private void carryOut(double nowMs, VersionCommand command) {
+        if (command instanceof VersionCommand.WriteJournal write) {
+            journal.write(write.entry());
+        } else if (command instanceof VersionCommand.Apply applied) {
+            apply(nowMs, applied.version());
+        } else if (command instanceof VersionCommand.StartWatch start) {
+            watchedVersion = start.number();
+            watch = new HealthWatch(baseline, nowMs, watchDurationMs, minimumQueries);
+        } else if (command instanceof VersionCommand.StopWatch) {
+            watch = null;
+        } else if (command instanceof VersionCommand.Log line) {
+            log(line.message());
         }
-        return actions;
     }
 
-    private RunningState running(int held) {
-        Map<String, Integer> byType = new HashMap<>();
-        Map<String, Integer> byCustomer = new HashMap<>();
-        open.values()
-                .forEach(
-                        taken -> {
-                            byType.merge(taken.type.name(), 1, Integer::sum);
-                            if (taken.customer != null) {
-                                byCustomer.merge(taken.customer, 1, Integer::sum);
-                            }
-                        });
-        // A segment's holders are those of some cells in a row, so one segment for each cell tells
-        // of all.
-        Map<Integer, Set<String>> byCell = words.runningByReplicaGroup();
-        Map<Integer, Set<String>> holders = new HashMap<>();
-        for (int cell = 0; cell < first.layout().replicaGroups(); cell++) {
-            Set<String> of = new HashSet<>();
-            for (int j = 0; j < first.layout().groupsPerShard(); j++) {
-                of.addAll(
-                        byCell.getOrDefault((cell + j) % first.layout().replicaGroups(), Set.of()));
-            }
-            holders.put(cell, of);
-        }
-        return new RunningState(byType, byCustomer, held, holders);
+    private void apply(double nowMs, Version version) {
+        ConfigurationDocument document = version.document();
+        overrides.setDrained(document.drainedServers(), nowMs);
+        apply.apply(document.applyTo(initial));
+    }
+
+    private void log(String message) {
+        Map<String, Object> fields =
+                Map.of(
+                        "version", history.live().number(),
+                        "watched", history.watched(),
+                        "confirmed", history.confirmed().number(),
+                        "by", history.live().author());
+        LOG.log(Level.INFO, message, new Object[] {fields});
     }
 
+    /** The versions and their states. */
     VersionHistory history() {
         return history;
     }
 
-    /** Whether a table type is served now. */
+    /** Whether queries of this class are served now. */
     boolean isQueryClass(String name) {
         return history.live().document().queryClass(name).isPresent();
     }
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
@@ -0,0 +1,93 @@
+package sprucehold.node;
+
+import java.util.HashMap;
+import java.util.IdentityHashMap;
+import java.util.Map;
+import sprucehold.change.document.ConfigurationDocument;
+import sprucehold.change.document.ConfigurationDocument.QueryClassSettings;
+import sprucehold.change.watch.TimeWindow;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Query;
+import sprucehold.decision.Tenant;
+
+/** Records for the health watch which queries are open and which are completed in time. */
+final class QueryHealthRecorder {
+    private final Map<Query, OpenQuery> openQueries = new IdentityHashMap<>();
+    private final TimeWindow.Builder window = new TimeWindow.Builder();
+
+    /**
+     * An open query.
+     *
+     * @param receivedMs when it was received
+     * @param settings its query class, as it was then
+     * @param tenant the tenant's name, or null if it has no quota
+     */
+    private record OpenQuery(double receivedMs, QueryClassSettings settings, String tenant) {
+        boolean isWithinObjective(double nowMs) {
+            return nowMs - receivedMs <= settings.queryClass().latencyObjectiveMs();
+        }
+    }
+
+    /** Takes a query; one of a class that is not served isn't recorded. */
+    void received(double nowMs, Query query, ConfigurationDocument live) {
+        live.queryClass(query.queryClass())
+                .ifPresent(
+                        settings ->
+                                openQueries.put(
+                                        query,
+                                        new OpenQuery(nowMs, settings, tenantOf(query, live))));
+    }
+
+    private static String tenantOf(Query query, ConfigurationDocument live) {
+        return live.tenant(query.tenant()).map(Tenant::name).orElse(null);
+    }
+
+    void answered(double nowMs, Query query, Answer answer) {
+        OpenQuery open = openQueries.remove(query);
+        if (open != null) {
+            record(open, answer instanceof Answer.Completed && open.isWithinObjective(nowMs));
+        }
+    }
+
+    /**
+     * Takes a client's disconnection. Within the latency objective it tells nothing of service;
+     * later the query counts as not completed in time.
+     */
+    void disconnected(double nowMs, Query query) {
+        OpenQuery open = openQueries.remove(query);
+        if (open != null && !open.isWithinObjective(nowMs)) {
+            record(open, false);
+        }
+    }
+
+    private void record(OpenQuery open, boolean withinObjective) {
+        window.add(
+                open.settings.name(),
+                open.tenant,
+                open.settings.queryClass().priorityWeight(),
+                withinObjective);
+    }
+
+    /** Ends the time window and begins the next. */
+    TimeWindow endWindow(double nowMs) {
+        return window.take(nowMs);
+    }
+
+    Map<String, Integer> openQueriesByClass() {
+        Map<String, Integer> counts = new HashMap<>();
+        for (OpenQuery open : openQueries.values()) {
+            counts.merge(open.settings.name(), 1, Integer::sum);
+        }
+        return counts;
+    }
+
+    Map<String, Integer> openQueriesByTenant() {
+        Map<String, Integer> counts = new HashMap<>();
+        for (OpenQuery open : openQueries.values()) {
+            if (open.tenant != null) {
+                counts.merge(open.tenant, 1, Integer::sum);
+            }
+        }
+        return counts;
+    }
+}
--- a/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
@@ -12,6 +12,7 @@
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpMethod;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.net.URI;
 import java.net.http.HttpRequest;
@@ -31,7 +32,7 @@
 import sprucehold.policy.QueryScheduler;
 import sprucehold.standin.StandIns;
 
-/** A gatherer among stand-ins, under load, changed through its door. */
+/** A gatherer among stand-ins, under load, changed through its admin server. */
 public class ConfigurationChangesTest {
     private static final String TOKEN = "a token of some letters";
     private static final java.net.http.HttpClient CALLS =
@@ -168,7 +169,7 @@
         while (answered.get() < asked.get() && System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        assertEquals(answered.get(), asked.get(), "each scan has one answer");
+        assertEquals(answered.get(), asked.get(), "each query has one answer");
     }
 
     private HttpResponse<String> call(String method, String path, String token, String body)
@@ -215,7 +216,7 @@
     }
 
     @Test
-    public void harmfulChangeUnderLoadIsUndoneWithinFiveSeconds() throws Exception {
+    public void harmfulChangeUnderLoadIsRolledBackWithinFiveSeconds() throws Exception {
         load();
         while (answered.get() < 400) {
             Thread.onSpinWait();
@@ -279,7 +280,7 @@
     }
 
     @Test(dataProvider = "refused")
-    public void whatCantBeTakenIsRefusedAndChangesNothing(
+    public void invalidRequestIsRefusedAndChangesNothing(
             String method, String path, String token, String body, int status) throws Exception {
         try {
             HttpResponse<String> response = call(method, path, token, body);
@@ -293,10 +294,10 @@
     }
 
     @Test
-    public void doorThatIsFloodedServesOnAndClientsAreServed() throws Exception {
+    public void floodOfAdminConnectionsLeavesServerAndClientsServed() throws Exception {
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 60; i++) {
-            sockets.add(new Socket("127.0.0.1", node.adminPort()));
+            sockets.add(new Socket(InetAddress.getLoopbackAddress(), node.adminPort()));
         }
         load();
         while (answered.get() < 50) {
