--- a/change/src/main/java/sprucehold/change/version/VersionHistory.java
+++ b/change/src/main/java/sprucehold/change/version/VersionHistory.java
@@ -192,7 +192,7 @@
         log(
                 "version "
                         + version.number()
-                        + " is undone, version "
+                        + " is rolled back, version "
                         + live().number()
                         + " is live: "
                         + reason);
@@ -245,19 +245,16 @@
     }
 
     private void quarantine(Version version, int crashes) {
-        String reason =
-                JournalReplay.QUARANTINE_REASON
-                        + ": the process died under it "
-                        + crashes
-                        + " times";
+        String cause = "the process died under it " + crashes + " times";
+        String reason = JournalReplay.QUARANTINE_REASON + ": " + cause;
         registry.setState(version, VersionStatus.State.QUARANTINED, reason);
         write(new JournalEntry.Dropped(version.number(), reason));
         restoreConfirmed(version.number(), "restart");
         log(
                 "version "
                         + version.number()
-                        + " is "
-                        + reason
+                        + " is quarantined: "
+                        + cause
                         + "; version "
                         + live().number()
                         + " is live");
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -58,16 +58,16 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void whatIsNoDocumentIsToldByItsPlace(String json, String said) {
+    public void malformedDocumentIsReportedByItsPlace(String json, String said) {
         var read = (DocumentReader.ReadResult.Invalid) read(json);
         assertTrue(
-                read.errors().stream().anyMatch(fault -> fault.toString().contains(said)),
+                read.errors().stream().anyMatch(error -> error.toString().contains(said)),
                 read.errors().toString());
-        assertTrue(read.errors().stream().allMatch(fault -> fault.toString().length() < 1000));
+        assertTrue(read.errors().stream().allMatch(error -> error.toString().length() < 1000));
     }
 
     @Test
-    public void everyFaultOfTheFormIsToldAtOnce() {
+    public void everyErrorOfTheFormIsReportedAtOnce() {
         String sound = new String(DocumentReader.write(Documents.usual()), StandardCharsets.UTF_8);
         var read =
                 (DocumentReader.ReadResult.Invalid)
@@ -78,12 +78,12 @@
     }
 
     @DataProvider
-    Object[][] meaningless() {
+    Object[][] contradictory() {
         QueryClass.Idempotence replayable = QueryClass.Idempotence.IDEMPOTENT;
         var least =
                 new ConfigurationDocument.QueryClassSettings(
                         new QueryClass("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
-        var keyed =
+        var withoutWindow =
                 new ConfigurationDocument.QueryClassSettings(
                         new QueryClass(
                                 "offers",
@@ -103,7 +103,7 @@
                 "/tableTypes/0/targetMs"
             },
             {List.of(least), List.of(), "/tableTypes/0/leastShare"},
-            {List.of(keyed), List.of(), "/tableTypes/0/keyedWindowMs"},
+            {List.of(withoutWindow), List.of(), "/tableTypes/0/keyedWindowMs"},
             {
                 List.of(
                         Documents.type("a", replayable, 1, 2),
@@ -119,21 +119,21 @@
         };
     }
 
-    @Test(dataProvider = "meaningless")
-    public void whatContradictsItselfIsToldByItsPath(
+    @Test(dataProvider = "contradictory")
+    public void contradictionIsReportedByItsPath(
             List<ConfigurationDocument.QueryClassSettings> types,
-            List<Tenant> customers,
+            List<Tenant> tenants,
             String path) {
-        List<ValidationError> faults =
-                SemanticValidator.validate(Documents.with(types, customers, 10));
-        assertEquals(faults.stream().map(ValidationError::path).toList(), List.of(path));
+        List<ValidationError> errors =
+                SemanticValidator.validate(Documents.with(types, tenants, 10));
+        assertEquals(errors.stream().map(ValidationError::path).toList(), List.of(path));
     }
 
     @DataProvider
     Object[][] unfit() {
         var offersOnly = List.of(Documents.usual().queryClasses().get(0));
         return new Object[][] {
-            // document, open by type, open, holders of segment 3, path of the fault (null: none)
+            // document, open by type, open, replicas of shard 3, path of the error (null: none)
             {
                 Documents.with(offersOnly, List.of(), 200),
                 Map.of("stamps", 2),
@@ -152,32 +152,32 @@
             {Documents.number(-195), Map.of(), 5, Set.of("s-1"), null},
             {Documents.number(0, "s-1", "s-2"), Map.of(), 5, Set.of("s-1", "s-2"), "/serversOut"},
             {Documents.number(0, "s-1"), Map.of(), 5, Set.of("s-1", "s-2"), null},
-            // A segment that has no holder anyway isn't this change's doing.
+            // A shard that has no holder anyway isn't this change's doing.
             {Documents.number(0, "s-1"), Map.of(), 5, Set.of(), null},
         };
     }
 
     @Test(dataProvider = "unfit")
-    public void whatDoesNotFitWhatRunsIsToldByItsPath(
+    public void conflictWithWhatRunsIsReportedByItsPath(
             ConfigurationDocument document,
             Map<String, Integer> byType,
             int open,
-            Set<String> holders,
+            Set<String> replicas,
             String path) {
-        List<ValidationError> faults =
+        List<ValidationError> errors =
                 SemanticValidator.validateAgainst(
                         document,
                         Documents.usual(),
-                        new RunningState(byType, Map.of(), open, Map.of(3, holders)));
+                        new RunningState(byType, Map.of(), open, Map.of(3, replicas)));
         assertEquals(
-                faults.stream().map(ValidationError::path).toList(),
+                errors.stream().map(ValidationError::path).toList(),
                 path == null ? List.of() : List.of(path));
     }
 
     @DataProvider
     Object[][] differences() {
         var types = Documents.usual().queryClasses();
-        var customers = Documents.usual().tenants();
+        var tenants = Documents.usual().tenants();
         var freed =
                 List.of(
                         types.get(0),
@@ -193,22 +193,22 @@
             {Documents.number(-40), DocumentDifference.Risk.MIDDLE, "falls from 200 to 160"},
             {Documents.number(-100), DocumentDifference.Risk.HIGH, "falls from 200 to 100"},
             {
-                Documents.with(freed, customers, 200),
+                Documents.with(freed, tenants, 200),
                 DocumentDifference.Risk.HIGH,
                 "what is out stays non-replayable"
             },
             {
-                Documents.with(halved, customers, 200),
+                Documents.with(halved, tenants, 200),
                 DocumentDifference.Risk.HIGH,
                 "the target time of 'offers' falls"
             },
             {
-                Documents.with(types, List.of(customers.get(0)), 200),
+                Documents.with(types, List.of(tenants.get(0)), 200),
                 DocumentDifference.Risk.HIGH,
                 "'bolt' has no share"
             },
             {
-                Documents.with(types, List.of(new Tenant("acme", 2), customers.get(1)), 200),
+                Documents.with(types, List.of(new Tenant("acme", 2), tenants.get(1)), 200),
                 DocumentDifference.Risk.HIGH,
                 "falls from 20 to 2 scans/s"
             },
@@ -222,15 +222,15 @@
     }
 
     @Test(dataProvider = "differences")
-    public void differenceIsToldInWordsWithItsRisk(
-            ConfigurationDocument after, DocumentDifference.Risk risk, String words) {
+    public void differenceIsDescribedWithItsRisk(
+            ConfigurationDocument after, DocumentDifference.Risk risk, String description) {
         DocumentDifference difference = DocumentDifference.between(Documents.usual(), after);
         assertEquals(difference.risk(), risk);
         assertTrue(
                 difference.changes().stream()
                         .map(DocumentDifference.Change::description)
                         .reduce("", (a, b) -> a + b)
-                        .contains(words),
+                        .contains(description),
                 difference.toString());
     }
 }
--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -12,15 +12,15 @@
     private Documents() {}
 
     static ConfigurationDocument.QueryClassSettings type(
-            String name, QueryClass.Idempotence repeat, double target, double timeout) {
+            String name, QueryClass.Idempotence idempotence, double target, double timeout) {
         return new ConfigurationDocument.QueryClassSettings(
                 new QueryClass(
                         name,
-                        repeat,
+                        idempotence,
                         target,
                         1,
                         0.1,
-                        repeat == QueryClass.Idempotence.DEDUPLICATED ? 3000 : 0,
+                        idempotence == QueryClass.Idempotence.DEDUPLICATED ? 3000 : 0,
                         1,
                         0.5,
                         0),
@@ -38,12 +38,12 @@
 
     static ConfigurationDocument with(
             List<ConfigurationDocument.QueryClassSettings> types,
-            List<Tenant> customers,
+            List<Tenant> tenants,
             int maxOpen,
             String... out) {
         return new ConfigurationDocument(
                 types,
-                customers,
+                tenants,
                 new Deployment.Limits(4, maxOpen, true, true, 1000),
                 new Deployment.RetryBudget(10, 0.2, 10_000),
                 new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
--- a/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
+++ b/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
@@ -17,16 +17,16 @@
     private static final List<Endpoint.State> STATES =
             List.of(Endpoint.State.RUNNING, Endpoint.State.DRAINING, Endpoint.State.GONE);
 
-    private static Endpoint listing(String server, Endpoint.State mode, double started) {
+    private static Endpoint endpoint(String server, Endpoint.State mode, double started) {
         return new Endpoint(server, 0, "z", started, mode);
     }
 
-    private static Event.EndpointsUpdated news(boolean complete, Endpoint... servers) {
+    private static Event.EndpointsUpdated update(boolean complete, Endpoint... servers) {
         return new Event.EndpointsUpdated(complete, List.of(servers));
     }
 
     @DataProvider
-    Object[][] words() {
+    Object[][] overrides() {
         return new Object[][] {
             // discovery's word, whether the operator has it out, what the module hears
             {Endpoint.State.RUNNING, false, Endpoint.State.RUNNING},
@@ -38,41 +38,48 @@
         };
     }
 
-    @Test(dataProvider = "words")
-    public void stricterWordWins(Endpoint.State told, boolean out, Endpoint.State heard) {
-        var words = new EndpointOverrides();
-        words.setDrained(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
+    @Test(dataProvider = "overrides")
+    public void stricterStateHolds(Endpoint.State discovered, boolean out, Endpoint.State seen) {
+        var overrides = new EndpointOverrides();
+        overrides.setDrained(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
         assertEquals(
-                words.applyTo(news(true, listing("s", told, 0))).endpoints().get(0).state(), heard);
+                overrides
+                        .applyTo(update(true, endpoint("s", discovered, 0)))
+                        .endpoints()
+                        .get(0)
+                        .state(),
+                seen);
     }
 
     @Test
-    public void serverTakenOutWhileDrainingDrainsOnWhenTheChangeIsUndone() {
-        var words = new EndpointOverrides();
-        words.applyTo(news(true, listing("s", Endpoint.State.RUNNING, 0)));
-        words.applyTo(news(false, listing("s", Endpoint.State.DRAINING, 0)));
-        words.setDrained(new TreeSet<>(List.of("s")), 10);
-        List<Endpoint> undone = words.setDrained(new TreeSet<>(), 20);
-        assertEquals(undone.get(0).state(), Endpoint.State.DRAINING);
-        assertTrue(words.routableServers().isEmpty());
+    public void serverDrainedByOperatorsWhileDrainingDrainsOnAfterARollback() {
+        var overrides = new EndpointOverrides();
+        overrides.applyTo(update(true, endpoint("s", Endpoint.State.RUNNING, 0)));
+        overrides.applyTo(update(false, endpoint("s", Endpoint.State.DRAINING, 0)));
+        overrides.setDrained(new TreeSet<>(List.of("s")), 10);
+        List<Endpoint> afterRollback = overrides.setDrained(new TreeSet<>(), 20);
+        assertEquals(afterRollback.get(0).state(), Endpoint.State.DRAINING);
+        assertTrue(overrides.routableServers().isEmpty());
     }
 
     @Test
-    public void serverGivenBackCountsAsFreshlyStarted() {
-        var words = new EndpointOverrides();
-        words.applyTo(news(true, listing("s", Endpoint.State.RUNNING, 5)));
-        words.setDrained(new TreeSet<>(List.of("s")), 1000);
-        List<Endpoint> back = words.setDrained(new TreeSet<>(), 2000);
-        assertEquals(back, List.of(listing("s", Endpoint.State.RUNNING, 2000)));
+    public void serverReturnedByOperatorsCountsAsFreshlyStarted() {
+        var overrides = new EndpointOverrides();
+        overrides.applyTo(update(true, endpoint("s", Endpoint.State.RUNNING, 5)));
+        overrides.setDrained(new TreeSet<>(List.of("s")), 1000);
+        List<Endpoint> back = overrides.setDrained(new TreeSet<>(), 2000);
+        assertEquals(back, List.of(endpoint("s", Endpoint.State.RUNNING, 2000)));
         // Discovery repeats what it knows, and must not make the server look warm again.
         assertEquals(
-                words.applyTo(news(false, listing("s", Endpoint.State.RUNNING, 5)))
+                overrides
+                        .applyTo(update(false, endpoint("s", Endpoint.State.RUNNING, 5)))
                         .endpoints()
                         .get(0)
                         .startedAtMs(),
                 2000.0);
         assertEquals(
-                words.applyTo(news(false, listing("s", Endpoint.State.RUNNING, 3000)))
+                overrides
+                        .applyTo(update(false, endpoint("s", Endpoint.State.RUNNING, 3000)))
                         .endpoints()
                         .get(0)
                         .startedAtMs(),
@@ -80,12 +87,12 @@
     }
 
     @Test
-    public void whateverIsSaidInWhateverOrderADrainIsNeverLifted() {
+    public void noOrderOfUpdatesAndOverridesLiftsADrain() {
         var random = new Random(4);
         for (int play = 0; play < 2000; play++) {
-            var words = new EndpointOverrides();
+            var overrides = new EndpointOverrides();
             Endpoint.State[] modes = {Endpoint.State.RUNNING, Endpoint.State.RUNNING};
-            var heard = new ArrayList<>(List.of(Endpoint.State.GONE, Endpoint.State.GONE));
+            var seen = new ArrayList<>(List.of(Endpoint.State.GONE, Endpoint.State.GONE));
             boolean[] out = new boolean[2];
             for (int step = 0; step < 20; step++) {
                 int server = random.nextInt(2);
@@ -93,7 +100,9 @@
                 if (random.nextBoolean()) {
                     modes[server] = STATES.get(random.nextInt(STATES.size()));
                     said =
-                            words.applyTo(news(false, listing("s" + server, modes[server], 0)))
+                            overrides
+                                    .applyTo(
+                                            update(false, endpoint("s" + server, modes[server], 0)))
                                     .endpoints();
                 } else {
                     out[server] = random.nextBoolean();
@@ -103,11 +112,11 @@
                             set.add("s" + i);
                         }
                     }
-                    said = words.setDrained(set, step);
+                    said = overrides.setDrained(set, step);
                 }
-                said.forEach(of -> heard.set(of.server().charAt(1) - '0', of.state()));
+                said.forEach(of -> seen.set(of.server().charAt(1) - '0', of.state()));
                 for (int i = 0; i < 2; i++) {
-                    if (heard.get(i) == Endpoint.State.RUNNING) {
+                    if (seen.get(i) == Endpoint.State.RUNNING) {
                         assertTrue(
                                 modes[i] == Endpoint.State.RUNNING && !out[i],
                                 "play " + play + ", step " + step);
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -24,7 +24,7 @@
 
 /**
  * Visits every state of a bounded world: three changes, two servers, a drain, a return, crashes
- * between any two steps, a slow scan. A state is rebuilt by playing its steps again, as the pure
+ * between any two steps, a slow query. A state is rebuilt by playing its steps again, as the pure
  * parts are deterministic.
  */
 public class ExplorerTest {
@@ -33,15 +33,16 @@
         NONE,
         CONFIRMED_NOT_WRITTEN,
         APPLIED_BEFORE_WRITTEN,
-        DRAIN_FORGOTTEN_ON_UNDO,
-        OPERATORS_WORD_ALONE,
-        SCAN_TAKES_NEW_TYPE,
+        DRAIN_FORGOTTEN_ON_ROLLBACK,
+        OPERATORS_OVERRIDE_ALONE,
+        QUERY_TAKES_NEW_CLASS,
         NUMBERS_FORGOTTEN_ON_RESTART,
         RESTART_TAKES_STAGED,
-        GIVEN_BACK_AS_WARM
+        RETURNED_AS_WARM
     }
 
-    private static final QueryClass ONCE = Documents.usual().queryClasses().get(1).queryClass();
+    private static final QueryClass NON_IDEMPOTENT_CLASS =
+            Documents.usual().queryClasses().get(1).queryClass();
     private static final ConfigurationDocument FIRST = Documents.usual();
     private static final ConfigurationDocument SERVER_OUT = Documents.number(1, "s1");
     private static final ConfigurationDocument FREED =
@@ -58,20 +59,20 @@
     private static final class World {
         final Mutation mutation;
         VersionHistory history = new VersionHistory(FIRST);
-        EndpointOverrides words = new EndpointOverrides();
+        EndpointOverrides overrides = new EndpointOverrides();
         final List<JournalEntry> journal = new ArrayList<>();
         int writtenBefore;
         ConfigurationDocument inForce = FIRST;
-        final TreeMap<String, Endpoint.State> told = new TreeMap<>();
-        final TreeMap<String, Endpoint> heard = new TreeMap<>();
-        final TreeSet<String> out = new TreeSet<>();
-        final TreeMap<String, Double> givenBack = new TreeMap<>();
+        final TreeMap<String, Endpoint.State> discovered = new TreeMap<>();
+        final TreeMap<String, Endpoint> seen = new TreeMap<>();
+        final TreeSet<String> drained = new TreeSet<>();
+        final TreeMap<String, Double> returnedAt = new TreeMap<>();
         QueryClass slow;
         int proposed;
-        int toldCount;
+        int updates;
         int crashes;
-        int undos;
-        int slowScans;
+        int rollbacks;
+        int slowQueries;
         long greatest = 1;
         long confirmedSeen = 1;
         double now = 1;
@@ -85,15 +86,16 @@
         private void list() {
             var servers = new ArrayList<Endpoint>();
             for (String server : List.of("s1", "s2")) {
-                Endpoint.State mode = told.getOrDefault(server, Endpoint.State.RUNNING);
+                Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
                 if (mode != Endpoint.State.GONE) {
                     servers.add(new Endpoint(server, 0, "z", 0, mode));
                 }
             }
-            heard.clear();
-            words.applyTo(new Event.EndpointsUpdated(true, servers))
+            seen.clear();
+            overrides
+                    .applyTo(new Event.EndpointsUpdated(true, servers))
                     .endpoints()
-                    .forEach(of -> heard.put(of.server(), of));
+                    .forEach(of -> seen.put(of.server(), of));
         }
 
         List<String> enabled() {
@@ -108,12 +110,12 @@
                 steps.add("fell");
                 steps.add("held");
             }
-            if (undos < 1 && (history.watched() || history.staged() != null)) {
+            if (rollbacks < 1 && (history.watched() || history.staged() != null)) {
                 steps.add("undo");
             }
-            if (toldCount < 3) {
+            if (updates < 3) {
                 for (String server : List.of("s1", "s2")) {
-                    Endpoint.State mode = told.getOrDefault(server, Endpoint.State.RUNNING);
+                    Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
                     if (mode == Endpoint.State.RUNNING) {
                         steps.add("drain " + server);
                     } else {
@@ -121,7 +123,7 @@
                     }
                 }
             }
-            if (slowScans < 1) {
+            if (slowQueries < 1) {
                 steps.add("slow");
             }
             if (crashes < 2) {
@@ -160,7 +162,7 @@
                 case "held" ->
                         on(new VersionEvent.WatchDecided(history.live().number(), false, "held"));
                 case "undo" -> {
-                    undos++;
+                    rollbacks++;
                     on(
                             new VersionEvent.RollbackRequested(
                                     history.staged() != null
@@ -169,7 +171,7 @@
                                     "o"));
                 }
                 case "slow" -> {
-                    slowScans++;
+                    slowQueries++;
                     slow = inForce.queryClass("stamps").orElseThrow().queryClass();
                 }
                 default -> {
@@ -178,10 +180,11 @@
                             step.startsWith("drain")
                                     ? Endpoint.State.DRAINING
                                     : Endpoint.State.RUNNING;
-                    toldCount++;
-                    told.put(server, mode);
-                    hear(
-                            words.applyTo(
+                    updates++;
+                    discovered.put(server, mode);
+                    see(
+                            overrides
+                                    .applyTo(
                                             new Event.EndpointsUpdated(
                                                     false,
                                                     List.of(new Endpoint(server, 0, "z", 0, mode))))
@@ -191,31 +194,32 @@
             check(step);
         }
 
-        private void hear(List<Endpoint> news) {
-            for (Endpoint of : news) {
+        private void see(List<Endpoint> update) {
+            for (Endpoint of : update) {
                 Endpoint.State mode =
-                        mutation == Mutation.OPERATORS_WORD_ALONE && !out.contains(of.server())
+                        mutation == Mutation.OPERATORS_OVERRIDE_ALONE
+                                        && !drained.contains(of.server())
                                 ? Endpoint.State.RUNNING
                                 : of.state();
-                double started = mutation == Mutation.GIVEN_BACK_AS_WARM ? 0 : of.startedAtMs();
-                heard.put(of.server(), new Endpoint(of.server(), 0, "z", started, mode));
+                double started = mutation == Mutation.RETURNED_AS_WARM ? 0 : of.startedAtMs();
+                seen.put(of.server(), new Endpoint(of.server(), 0, "z", started, mode));
             }
         }
 
         private void on(VersionEvent event) {
-            List<VersionCommand> actions = new ArrayList<>(history.handle(event));
-            for (VersionCommand action : actions) {
-                if (action instanceof VersionCommand.WriteJournal write) {
+            List<VersionCommand> commands = new ArrayList<>(history.handle(event));
+            for (VersionCommand command : commands) {
+                if (command instanceof VersionCommand.WriteJournal write) {
                     if (mutation != Mutation.CONFIRMED_NOT_WRITTEN
                             || !(write.entry() instanceof JournalEntry.Confirmed)) {
                         journal.add(write.entry());
                     }
-                } else if (action instanceof VersionCommand.Apply apply) {
+                } else if (command instanceof VersionCommand.Apply apply) {
                     boolean back = apply.version().rollsBack() > 0;
                     inForce = apply.version().document();
                     if (slow != null) {
                         slow =
-                                mutation == Mutation.SCAN_TAKES_NEW_TYPE
+                                mutation == Mutation.QUERY_TAKES_NEW_CLASS
                                         ? inForce.queryClass("stamps").orElseThrow().queryClass()
                                         : slow.restrictedBy(
                                                 inForce.queryClasses().stream()
@@ -225,22 +229,22 @@
                                                                         ::queryClass)
                                                         .toList());
                     }
-                    for (String server : out) {
+                    for (String server : drained) {
                         if (!inForce.drainedServers().contains(server)) {
-                            givenBack.put(server, now);
+                            returnedAt.put(server, now);
                         }
                     }
-                    out.clear();
-                    out.addAll(inForce.drainedServers());
-                    if (mutation == Mutation.DRAIN_FORGOTTEN_ON_UNDO && back) {
-                        words.applyTo(
+                    drained.clear();
+                    drained.addAll(inForce.drainedServers());
+                    if (mutation == Mutation.DRAIN_FORGOTTEN_ON_ROLLBACK && back) {
+                        overrides.applyTo(
                                 new Event.EndpointsUpdated(
                                         false,
                                         List.of(
                                                 new Endpoint(
                                                         "s1", 0, "z", 0, Endpoint.State.RUNNING))));
                     }
-                    hear(words.setDrained(inForce.drainedServers(), now));
+                    see(overrides.setDrained(inForce.drainedServers(), now));
                     if (apply.version().number() < greatest) {
                         broken = "version " + apply.version().number() + " after " + greatest;
                     }
@@ -261,7 +265,7 @@
             boolean lastStepLost = kept < journal.size();
             journal.subList(kept, journal.size()).clear();
             if (lastStepLost) {
-                // Nobody was told of what the last step had not finished.
+                // Nobody was discovered of what the last step had not finished.
                 confirmedSeen =
                         Math.min(
                                 confirmedSeen,
@@ -290,10 +294,10 @@
                                         .orElse(1));
             }
             slow = null;
-            out.clear();
-            givenBack.clear();
+            drained.clear();
+            returnedAt.clear();
             history = new VersionHistory(FIRST);
-            words = new EndpointOverrides();
+            overrides = new EndpointOverrides();
             list();
             writtenBefore = journal.size();
             List<JournalEntry> read =
@@ -337,8 +341,8 @@
                 broken = "a mixture is in force";
             }
             for (String server : List.of("s1", "s2")) {
-                Endpoint of = heard.get(server);
-                Endpoint.State mode = told.getOrDefault(server, Endpoint.State.RUNNING);
+                Endpoint of = seen.get(server);
+                Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
                 if (of != null
                         && of.state() == Endpoint.State.RUNNING
                         && (mode != Endpoint.State.RUNNING
@@ -353,14 +357,14 @@
                 }
                 if (of != null
                         && of.state() == Endpoint.State.RUNNING
-                        && givenBack.containsKey(server)
-                        && of.startedAtMs() < givenBack.get(server)) {
+                        && returnedAt.containsKey(server)
+                        && of.startedAtMs() < returnedAt.get(server)) {
                     broken = server + " was given back as if warm";
                 }
             }
             if (slow != null
                     && slow.idempotence() != QueryClass.Idempotence.NON_IDEMPOTENT
-                    && slowTakenUnderOnce) {
+                    && slowReceivedAsNonIdempotent) {
                 broken = "a part in flight was freed";
             }
             if (history.staged() != null && history.watched()) {
@@ -371,8 +375,8 @@
             }
         }
 
-        /** Whether the slow scan was taken while its type was non-replayable. */
-        boolean slowTakenUnderOnce;
+        /** Whether the slow query was taken while its type was non-replayable. */
+        boolean slowReceivedAsNonIdempotent;
 
         /** Every change can still come to its end from here. */
         void checkEnds() {
@@ -407,19 +411,19 @@
                     + "|"
                     + writtenBefore
                     + "|"
-                    + told
+                    + discovered
                     + "|"
-                    + heard.values().stream()
+                    + seen.values().stream()
                             .map(of -> of.state() + "" + (of.startedAtMs() > 0))
                             .toList()
                     + "|"
                     + (slow == null ? "" : slow.idempotence())
                     + proposed
-                    + toldCount
+                    + updates
                     + crashes
-                    + undos
-                    + slowScans
-                    + slowTakenUnderOnce
+                    + rollbacks
+                    + slowQueries
+                    + slowReceivedAsNonIdempotent
                     + greatest
                     + confirmedSeen;
         }
@@ -431,8 +435,12 @@
         var world = new World(mutation);
         for (String step : steps) {
             if (step.equals("slow")) {
-                world.slowTakenUnderOnce =
-                        world.inForce.queryClass("stamps").orElseThrow().queryClass().equals(ONCE);
+                world.slowReceivedAsNonIdempotent =
+                        world.inForce
+                                .queryClass("stamps")
+                                .orElseThrow()
+                                .queryClass()
+                                .equals(NON_IDEMPOTENT_CLASS);
             }
             world.step(step);
         }
@@ -494,7 +502,7 @@
     }
 
     @Test(dataProvider = "mutations")
-    public void whatIsPutWrongOnPurposeIsCaught(Mutation mutation) {
+    public void everyMutationIsCaught(Mutation mutation) {
         Explored explored = explore(mutation, 7);
         assertTrue(
                 explored.broken != null,
--- a/change/src/test/java/sprucehold/change/HealthWatchTest.java
+++ b/change/src/test/java/sprucehold/change/HealthWatchTest.java
@@ -12,35 +12,35 @@
 import sprucehold.change.watch.TimeWindow;
 
 public class HealthWatchTest {
-    private static final double SLOT_MS = 250;
+    private static final double WINDOW_MS = 250;
     private static final double CONFIRM_MS = 300_000;
 
-    /** What a day does; times in seconds since the change went live, negative before. */
+    /** What a day does; times in seconds since the change went live, negative baseline. */
     private interface Day {
-        /** Scans a second of a customer. */
-        double rate(double t, String customer);
+        /** Scans a second of a tenant. */
+        double rate(double t, String tenant);
 
-        /** The chance that a scan is answered in target time. */
-        double sound(double t, String customer, String type);
+        /** The chance that a query is answered in target time. */
+        double completed(double t, String tenant, String type);
     }
 
-    private static final String[] CUSTOMERS = {"acme", "bolt", "cog"};
+    private static final String[] TENANTS = {"acme", "bolt", "cog"};
     private static final double[] RATES = {50, 20, 8};
 
     private static HealthWatch.Verdict play(Day day, long seed) {
         var random = new Random(seed);
-        var before = new Baseline();
+        var baseline = new Baseline();
         double t = -120;
         while (t < 0) {
-            before.add(slot(day, t, random));
-            t += SLOT_MS / 1000;
+            baseline.add(window(day, t, random));
+            t += WINDOW_MS / 1000;
         }
-        var watch = new HealthWatch(before, 0, CONFIRM_MS, 100);
-        for (t = 0; t < CONFIRM_MS / 1000 + 60; t += SLOT_MS / 1000) {
-            HealthWatch.Verdict word = watch.add(slot(day, t, random));
-            if (!(word instanceof HealthWatch.Verdict.Pending)) {
+        var watch = new HealthWatch(baseline, 0, CONFIRM_MS, 100);
+        for (t = 0; t < CONFIRM_MS / 1000 + 60; t += WINDOW_MS / 1000) {
+            HealthWatch.Verdict verdict = watch.add(window(day, t, random));
+            if (!(verdict instanceof HealthWatch.Verdict.Pending)) {
                 at = t;
-                return word;
+                return verdict;
             }
         }
         return new HealthWatch.Verdict.Pending();
@@ -48,54 +48,55 @@
 
     private static double at;
 
-    private static TimeWindow slot(Day day, double t, Random random) {
+    private static TimeWindow window(Day day, double t, Random random) {
         var builder = new TimeWindow.Builder();
-        for (int c = 0; c < CUSTOMERS.length; c++) {
-            double expected = day.rate(t, CUSTOMERS[c]) * SLOT_MS / 1000;
-            int scans = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
-            for (int i = 0; i < scans; i++) {
+        for (int c = 0; c < TENANTS.length; c++) {
+            double expected = day.rate(t, TENANTS[c]) * WINDOW_MS / 1000;
+            int queries =
+                    (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
+            for (int i = 0; i < queries; i++) {
                 String type = random.nextInt(4) == 0 ? "stamps" : "offers";
                 builder.add(
                         type,
-                        CUSTOMERS[c],
+                        TENANTS[c],
                         1,
-                        random.nextDouble() < day.sound(t, CUSTOMERS[c], type));
+                        random.nextDouble() < day.completed(t, TENANTS[c], type));
             }
         }
         return builder.take((t + 1000) * 1000);
     }
 
-    private static double usual(String customer) {
-        for (int i = 0; i < CUSTOMERS.length; i++) {
-            if (CUSTOMERS[i].equals(customer)) {
+    private static double usual(String tenant) {
+        for (int i = 0; i < TENANTS.length; i++) {
+            if (TENANTS[i].equals(tenant)) {
                 return RATES[i];
             }
         }
         return 0;
     }
 
-    private static Day day(double sound) {
-        return of((t, customer) -> usual(customer), (t, customer, type) -> sound);
+    private static Day day(double completed) {
+        return of((t, tenant) -> usual(tenant), (t, tenant, type) -> completed);
     }
 
     private interface Rate {
-        double at(double t, String customer);
+        double at(double t, String tenant);
     }
 
-    private interface Sound {
-        double at(double t, String customer, String type);
+    private interface Completed {
+        double at(double t, String tenant, String type);
     }
 
-    private static Day of(Rate rate, Sound sound) {
+    private static Day of(Rate rate, Completed completed) {
         return new Day() {
             @Override
-            public double rate(double t, String customer) {
-                return rate.at(t, customer);
+            public double rate(double t, String tenant) {
+                return rate.at(t, tenant);
             }
 
             @Override
-            public double sound(double t, String customer, String type) {
-                return sound.at(t, customer, type);
+            public double completed(double t, String tenant, String type) {
+                return completed.at(t, tenant, type);
             }
         };
     }
@@ -111,7 +112,7 @@
             },
             {"traffic stops", of((t, c) -> t < 0 ? usual(c) : 0, (t, c, y) -> 0.97)},
             {
-                "one customer floods and fails by it",
+                "one tenant floods and fails by it",
                 of(
                         (t, c) -> usual(c) * (t > 5 && c.equals("bolt") ? 8 : 1),
                         (t, c, y) -> t > 5 && c.equals("bolt") ? 0.3 : 0.98)
@@ -125,12 +126,12 @@
     }
 
     @Test(dataProvider = "harmless")
-    public void changeThatDoesNoHarmIsNeverUndone(String what, Day day) {
+    public void harmlessChangeIsNeverRolledBack(String what, Day day) {
         for (long seed = 0; seed < 40; seed++) {
-            HealthWatch.Verdict word = play(day, seed);
+            HealthWatch.Verdict verdict = play(day, seed);
             assertTrue(
-                    !(word instanceof HealthWatch.Verdict.Degraded),
-                    what + ", seed " + seed + ": " + word);
+                    !(verdict instanceof HealthWatch.Verdict.Degraded),
+                    what + ", seed " + seed + ": " + verdict);
         }
     }
 
@@ -140,12 +141,12 @@
             // what, the day, the latest time at which it is found, in seconds
             {"half of all fails", of((t, c) -> usual(c), (t, c, y) -> t < 0 ? 0.98 : 0.5), 4.0},
             {
-                "the biggest customer is throttled",
+                "the biggest tenant is rejected",
                 of((t, c) -> usual(c), (t, c, y) -> t >= 0 && c.equals("acme") ? 0.15 : 0.98),
                 4.0
             },
             {
-                "one table type comes late",
+                "one query class is late",
                 of((t, c) -> usual(c), (t, c, y) -> t >= 0 && y.equals("stamps") ? 0.3 : 0.98),
                 15.0
             },
@@ -167,10 +168,10 @@
     @Test(dataProvider = "harmful")
     public void harmIsFoundInTime(String what, Day day, double latest) {
         for (long seed = 0; seed < 40; seed++) {
-            HealthWatch.Verdict word = play(day, seed);
+            HealthWatch.Verdict verdict = play(day, seed);
             assertTrue(
-                    word instanceof HealthWatch.Verdict.Degraded,
-                    what + ", seed " + seed + ": " + word);
+                    verdict instanceof HealthWatch.Verdict.Degraded,
+                    what + ", seed " + seed + ": " + verdict);
             assertTrue(at <= latest, what + ", seed " + seed + ": found after " + at + " s");
         }
     }
@@ -195,18 +196,18 @@
     @Test
     public void clockThatStepsNeitherEndsTheWatchNorHoldsItUp() {
         var random = new Random(1);
-        var before = new Baseline();
+        var baseline = new Baseline();
         for (double t = -60; t < 0; t += 0.25) {
-            before.add(slot(day(0.98), t, random));
+            baseline.add(window(day(0.98), t, random));
         }
-        var watch = new HealthWatch(before, 1_000_000, 5000, 10);
+        var watch = new HealthWatch(baseline, 1_000_000, 5000, 10);
         // An hour ahead at once.
-        TimeWindow jumped = slot(day(0.98), 3600, random);
+        TimeWindow jumped = window(day(0.98), 3600, random);
         assertEquals(watch.add(jumped), new HealthWatch.Verdict.Pending());
-        HealthWatch.Verdict word = new HealthWatch.Verdict.Pending();
-        for (int i = 1; i < 100 && word instanceof HealthWatch.Verdict.Pending; i++) {
-            word = watch.add(slot(day(0.98), (i == 50 ? -3600 : 3600) + i * 0.25, random));
+        HealthWatch.Verdict verdict = new HealthWatch.Verdict.Pending();
+        for (int i = 1; i < 100 && verdict instanceof HealthWatch.Verdict.Pending; i++) {
+            verdict = watch.add(window(day(0.98), (i == 50 ? -3600 : 3600) + i * 0.25, random));
         }
-        assertTrue(word instanceof HealthWatch.Verdict.Healthy, word.toString());
+        assertTrue(verdict instanceof HealthWatch.Verdict.Healthy, verdict.toString());
     }
 }
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void whatIsWrittenIsReadAndGoesOn() throws IOException {
+    public void writtenEntriesAreReadAndAppendedTo() throws IOException {
         Path file = written();
         assertEquals(read(file), ENTRIES);
         try (JournalFile journal = JournalFile.open(file)) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void cutOffAtAnyByteItHoldsAllWholeLinesAndIsWrittenOn() throws IOException {
+    public void journalCutOffAtAnyByteHoldsAllWholeLinesAndIsAppendedTo() throws IOException {
         byte[] all = Files.readAllBytes(written());
         Path file = Files.createTempFile("journal", ".log");
         for (int length = 0; length < all.length; length++) {
@@ -109,7 +109,7 @@
     }
 
     @Test
-    public void oneOwnerAtATime() throws IOException {
+    public void secondOwnerIsRefused() throws IOException {
         Path file = written();
         try (JournalFile journal = JournalFile.open(file)) {
             assertNotNull(journal);
--- a/change/src/test/java/sprucehold/change/RolloutTest.java
+++ b/change/src/test/java/sprucehold/change/RolloutTest.java
@@ -126,7 +126,7 @@
     }
 
     @Test
-    public void changeUndoneByTheFirstReachesNobodyElse() {
+    public void changeRolledBackByTheFirstReachesNobodyElse() {
         RolloutState end = play(new Fleet("a", GathererState.ROLLED_BACK, null), null);
         assertEquals(end.phase(), Phase.HALTED);
         assertEquals(end.gathererStates().get("a"), GathererState.ROLLED_BACK);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    public void changeThatFallsInTheSecondWaveIsTakenBackWhereItWasConfirmed() {
+    public void changeRolledBackInTheSecondWaveIsRevertedWhereItWasConfirmed() {
         var fleet = new Fleet("c", GathererState.ROLLED_BACK, null);
         RolloutState end = play(fleet, null);
         assertEquals(end.phase(), Phase.HALTED);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    public void gathererThatNeverAnswersHaltsItAndIsNamedAsNotKnown() {
+    public void gathererThatNeverAnswersHaltsTheRolloutAndIsReported() {
         RolloutState end = play(new Fleet("b", null, null), null);
         assertEquals(end.phase(), Phase.HALTED);
         assertEquals(end.gathererStates().get("b"), GathererState.REVERTING);
--- a/change/src/test/java/sprucehold/change/VersionHistoryTest.java
+++ b/change/src/test/java/sprucehold/change/VersionHistoryTest.java
@@ -20,20 +20,20 @@
     private List<JournalEntry> journal = new ArrayList<>();
     private ConfigurationDocument inForce = Documents.usual();
 
-    private List<VersionCommand> on(VersionEvent event) {
-        List<VersionCommand> actions = history.handle(event);
-        for (VersionCommand action : actions) {
-            if (action instanceof VersionCommand.WriteJournal write) {
+    private List<VersionCommand> handle(VersionEvent event) {
+        List<VersionCommand> commands = history.handle(event);
+        for (VersionCommand command : commands) {
+            if (command instanceof VersionCommand.WriteJournal write) {
                 journal.add(write.entry());
-            } else if (action instanceof VersionCommand.Apply apply) {
+            } else if (command instanceof VersionCommand.Apply apply) {
                 inForce = apply.version().document();
             }
         }
-        return actions;
+        return commands;
     }
 
     private List<VersionCommand> propose(String id, long from, ConfigurationDocument document) {
-        return on(new VersionEvent.Proposed(id, "operator", from, document, RunningState.IDLE));
+        return handle(new VersionEvent.Proposed(id, "operator", from, document, RunningState.IDLE));
     }
 
     private void fresh() {
@@ -43,8 +43,8 @@
     }
 
     private static <A extends VersionCommand> List<A> of(
-            List<VersionCommand> actions, Class<A> kind) {
-        return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
+            List<VersionCommand> commands, Class<A> kind) {
+        return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
     @Test
@@ -56,51 +56,51 @@
                         .version()
                         .number(),
                 2);
-        assertEquals(inForce, Documents.usual(), "not before the moment is over");
-        on(new VersionEvent.BetweenDecisions());
+        assertEquals(inForce, Documents.usual(), "not before the decision is over");
+        handle(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.number(1));
         assertTrue(history.watched());
-        on(new VersionEvent.WatchDecided(2, false, "held"));
+        handle(new VersionEvent.WatchDecided(2, false, "held"));
         assertFalse(history.watched());
         assertEquals(history.confirmed().number(), 2);
     }
 
     @Test
-    public void harmfulChangeIsUndoneUnderANewNumber() {
+    public void harmfulChangeIsRolledBackUnderANewNumber() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.WatchDecided(2, true, "fell"));
+        handle(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.WatchDecided(2, true, "fell"));
         assertEquals(inForce, Documents.usual());
         assertEquals(history.live().number(), 3);
         assertEquals(history.live().rollsBack(), 2);
-        // The watch's late word on a version that is gone changes nothing.
-        assertTrue(on(new VersionEvent.WatchDecided(2, true, "fell")).isEmpty());
-        assertTrue(on(new VersionEvent.ConfirmRequested(2, "late operator")).isEmpty());
+        // The watch's late word handle a version that is gone changes nothing.
+        assertTrue(handle(new VersionEvent.WatchDecided(2, true, "fell")).isEmpty());
+        assertTrue(handle(new VersionEvent.ConfirmRequested(2, "late operator")).isEmpty());
         assertEquals(inForce, Documents.usual());
     }
 
     @Test
-    public void secondOfTwoOperatorsIsTurnedDownAndToldWhatChangedMeanwhile() {
+    public void secondOfTwoOperatorsIsRejectedAndToldWhatChangedSince() {
         fresh();
         propose("a", 1, Documents.number(1));
         List<VersionCommand> second = propose("b", 1, Documents.number(2));
-        VersionCommand.Rejected down = of(second, VersionCommand.Rejected.class).get(0);
+        VersionCommand.Rejected rejected = of(second, VersionCommand.Rejected.class).get(0);
         assertTrue(
-                down.changesSince().changes().get(0).description().contains("from 200 to 201"),
-                down.toString());
-        on(new VersionEvent.BetweenDecisions());
+                rejected.changesSince().changes().get(0).description().contains("from 200 to 201"),
+                rejected.toString());
+        handle(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.number(1));
     }
 
     @Test
-    public void secondChangeDuringTheWatchIsTurnedDown() {
+    public void secondChangeDuringTheWatchIsRejected() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.BetweenDecisions());
         assertEquals(
                 of(propose("b", 2, Documents.number(2)), VersionCommand.Rejected.class).size(), 1);
-        on(new VersionEvent.WatchDecided(2, false, "held"));
+        handle(new VersionEvent.WatchDecided(2, false, "held"));
         assertEquals(
                 of(propose("c", 2, Documents.number(2)), VersionCommand.Accepted.class).size(), 1);
     }
@@ -114,8 +114,8 @@
                         .get(0)
                         .number(),
                 2);
-        on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.ConfirmRequested(2, "operator"));
+        handle(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.ConfirmRequested(2, "operator"));
         restart();
         assertEquals(
                 of(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
@@ -128,20 +128,20 @@
     private void restart() {
         history = new VersionHistory(Documents.usual());
         inForce = null;
-        on(new VersionEvent.Started(List.copyOf(journal)));
+        handle(new VersionEvent.Started(List.copyOf(journal)));
     }
 
     @Test
     public void killedBetweenAnyTwoStepsItStartsWithOneWholeVersion() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.WatchDecided(2, false, "held"));
+        handle(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.WatchDecided(2, false, "held"));
         propose("b", 2, Documents.number(2));
-        on(new VersionEvent.BetweenDecisions());
-        on(new VersionEvent.WatchDecided(3, true, "fell"));
+        handle(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.WatchDecided(3, true, "fell"));
         propose("c", 4, Documents.number(3));
-        on(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.BetweenDecisions());
         List<JournalEntry> all = List.copyOf(journal);
         List<ConfigurationDocument> whole =
                 List.of(
@@ -169,10 +169,10 @@
     }
 
     @Test
-    public void versionThatKilledTheProcessTwiceIsSetAside() {
+    public void versionUnderWhichTheProcessDiedTwiceIsQuarantined() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.BetweenDecisions());
         restart();
         assertEquals(inForce, Documents.number(1), "once may have been chance");
         assertTrue(history.watched());
@@ -183,21 +183,21 @@
                         .anyMatch(of -> of.state() == VersionStatus.State.QUARANTINED));
         restart();
         assertEquals(inForce, Documents.usual(), "and stays so");
-        VersionCommand.Rejected down =
+        VersionCommand.Rejected rejected =
                 of(
                                 propose("again", history.live().number(), Documents.number(1)),
                                 VersionCommand.Rejected.class)
                         .get(0);
-        assertTrue(down.errors().get(0).problem().contains("set aside"), down.toString());
+        assertTrue(rejected.errors().get(0).problem().contains("set aside"), rejected.toString());
     }
 
     @Test
-    public void endInGoodOrderIsNoDeath() {
+    public void shutdownInOrderIsNoCrash() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.BetweenDecisions());
         for (int i = 0; i < 5; i++) {
-            on(new VersionEvent.ShuttingDown());
+            handle(new VersionEvent.ShuttingDown());
             restart();
             assertEquals(inForce, Documents.number(1));
             assertTrue(history.watched());
@@ -205,11 +205,11 @@
     }
 
     @Test
-    public void withdrawnBeforeItIsLiveItNeverGoesLive() {
+    public void versionWithdrawnWhileStagedNeverGoesLive() {
         fresh();
         propose("a", 1, Documents.number(1));
-        on(new VersionEvent.RollbackRequested(2, "operator"));
-        on(new VersionEvent.BetweenDecisions());
+        handle(new VersionEvent.RollbackRequested(2, "operator"));
+        handle(new VersionEvent.BetweenDecisions());
         assertEquals(inForce, Documents.usual());
         assertEquals(history.statuses().get(1).state(), VersionStatus.State.ROLLED_BACK);
     }
