--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Judge.java
@@ -8,9 +8,9 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.rig.script.Script;
 import sprucehold.standin.ledger.Seen;
-import sprucehold.standin.rules.Broken;
 import sprucehold.standin.rules.RuleChecker;
-import sprucehold.standin.rules.Terms;
+import sprucehold.standin.rules.RuleTerms;
+import sprucehold.standin.rules.Violation;
 
 /** Judges a run by its ledgers. Pure: the same ledgers give the same verdict. */
 public final class Judge {
@@ -42,15 +42,15 @@
 
     private Judge() {}
 
-    public static Terms terms(Script script) {
-        return new Terms(
+    public static RuleTerms terms(Script script) {
+        return new RuleTerms(
                 script.tableTypes().stream()
                         .map(Script.Kind::type)
                         .collect(Collectors.toMap(QueryClass::name, type -> type)),
                 script.budget(),
                 script.together() == null || script.together().further() == 0
                         ? null
-                        : new Terms.FleetBudget(
+                        : new RuleTerms.FleetRetryBudget(
                                 script.together().further(), script.together().furtherWindowMs()),
                 SLACK_MS,
                 GRACE_MS,
@@ -73,13 +73,13 @@
         List<Seen> inOrder = seen.stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
         Figures figures = Figures.of(outcomes, self);
         var why = new ArrayList<String>(crashed);
-        for (Broken broken : RuleChecker.check(terms(script), inOrder, overMs)) {
+        for (Violation broken : RuleChecker.check(terms(script), inOrder, overMs)) {
             why.add(
                     broken.rule()
                             + " at "
                             + String.format(
                                     Locale.ROOT, "%.0f ms: ", broken.atMs() - inOrder.get(0).atMs())
-                            + broken.what());
+                            + broken.description());
         }
         if (self.loopLateP99Ms() > LATE_P99_MS || self.loopLateMostMs() > LATE_MOST_MS) {
             why.add(
--- a/standin/src/main/java/sprucehold/standin/StandInDiscovery.java
+++ b/standin/src/main/java/sprucehold/standin/StandInDiscovery.java
@@ -8,17 +8,20 @@
 import io.vertx.core.http.HttpServerRequest;
 import java.util.List;
 
-/** Stands in for discovery with a list that never changes. */
+/** A stand-in for discovery, with an endpoint list that never changes. */
 final class StandInDiscovery {
+    /** The number of the list. */
     private static final int INDEX = 1;
 
+    private static final int NOT_FOUND = 404;
+
     private final Vertx vertx;
-    private final String list;
-    private final String nothingNew = body(List.of()).put("snapshot", false).toString();
+    private final String fullList;
+    private final String noUpdate = body(List.of()).put("snapshot", false).toString();
 
     StandInDiscovery(Vertx vertx, List<ObjectNode> endpoints) {
         this.vertx = vertx;
-        this.list = body(endpoints).toString();
+        this.fullList = body(endpoints).toString();
     }
 
     private static ObjectNode body(List<ObjectNode> endpoints) {
@@ -34,12 +37,12 @@
 
     private void answer(HttpServerRequest request) {
         if (!request.path().equals("/discovery/hosts")) {
-            request.response().setStatusCode(404).end();
+            request.response().setStatusCode(NOT_FOUND).end();
         } else if (!String.valueOf(INDEX).equals(request.getParam("after"))) {
-            request.response().end(list);
+            request.response().end(fullList);
         } else {
-            long wait = Long.parseLong(request.getParam("wait_ms", "1"));
-            vertx.setTimer(Math.max(1, wait), waited -> request.response().end(nothingNew));
+            long waitMs = Long.parseLong(request.getParam("wait_ms", "1"));
+            vertx.setTimer(Math.max(1, waitMs), waited -> request.response().end(noUpdate));
         }
     }
 }
--- a/standin/src/main/java/sprucehold/standin/StandInShardServer.java
+++ b/standin/src/main/java/sprucehold/standin/StandInShardServer.java
@@ -11,22 +11,36 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Stands in for a shard server: every part is a hit at once, and its value names the segment and
- * the text.
+ * A stand-in for a shard server: it answers every attempt at once and in time, with a value of the
+ * shard and the attempt's text.
+ *
+ * <table>
+ * <caption>Frames, by their first letter</caption>
+ * <tr><th>from the gatherer</th><th>answer</th></tr>
+ * <tr><td>A: attempts, a line each (number, shard, time, length of the text) and the text</td><td>E
+ *     for each: its outcome and value</td></tr>
+ * <tr><td>B: cancel an attempt</td><td>none</td></tr>
+ * <tr><td>C: health check</td><td>C</td></tr>
+ * <tr><td>D: load report</td><td>D</td></tr>
+ * <tr><td>any other</td><td>F: error, and the connection is closed</td></tr>
+ * </table>
  */
 final class StandInShardServer {
+    /** Each frame is preceded by its length, little-endian. */
+    private static final int LENGTH_BYTES = 4;
+
     private final Vertx vertx;
 
     StandInShardServer(Vertx vertx) {
         this.vertx = vertx;
     }
 
-    Future<NetServer> listen(SocketAddress at) {
-        return vertx.createNetServer().connectHandler(this::serve).listen(at);
+    Future<NetServer> listen(SocketAddress address) {
+        return vertx.createNetServer().connectHandler(this::serve).listen(address);
     }
 
     private void serve(NetSocket socket) {
-        RecordParser parser = RecordParser.newFixed(4);
+        RecordParser parser = RecordParser.newFixed(LENGTH_BYTES);
         parser.handler(
                 new Handler<>() {
                     private boolean inFrame;
@@ -36,7 +50,7 @@
                         if (inFrame) {
                             answer(socket, bytes);
                         }
-                        parser.fixedSizeMode(inFrame ? 4 : bytes.getIntLE(0));
+                        parser.fixedSizeMode(inFrame ? LENGTH_BYTES : bytes.getIntLE(0));
                         inFrame = !inFrame;
                     }
                 });
@@ -45,7 +59,7 @@
 
     private static void answer(NetSocket socket, Buffer frame) {
         switch (frame.getByte(0)) {
-            case 'A' -> hit(socket, frame);
+            case 'A' -> answerAttempts(socket, frame);
             case 'B' -> {}
             case 'C' -> send(socket, "Chit");
             case 'D' -> send(socket, "D-");
@@ -56,24 +70,21 @@
         }
     }
 
-    private static void hit(NetSocket socket, Buffer frame) {
-        int at = 1;
-        while (at < frame.length()) {
-            int lineEnd = at;
+    private static void answerAttempts(NetSocket socket, Buffer frame) {
+        int lineStart = 1;
+        while (lineStart < frame.length()) {
+            int lineEnd = lineStart;
             while (frame.getByte(lineEnd) != '\n') {
                 lineEnd++;
             }
-            String[] line = frame.getString(at, lineEnd).split(" ");
-            int textEnd = lineEnd + 1 + Integer.parseInt(line[3]);
-            send(
-                    socket,
-                    "E"
-                            + line[0]
-                            + " hit 0 -\n"
-                            + line[1]
-                            + ":"
-                            + frame.getString(lineEnd + 1, textEnd));
-            at = textEnd;
+            String[] fields = frame.getString(lineStart, lineEnd).split(" ", -1);
+            String number = fields[0];
+            String shard = fields[1];
+            int textLength = Integer.parseInt(fields[3]);
+            int textEnd = lineEnd + 1 + textLength;
+            String text = frame.getString(lineEnd + 1, textEnd);
+            send(socket, "E" + number + " hit 0 -\n" + shard + ":" + text);
+            lineStart = textEnd;
         }
     }
 
--- a/standin/src/main/java/sprucehold/standin/StandIns.java
+++ b/standin/src/main/java/sprucehold/standin/StandIns.java
@@ -4,58 +4,56 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
+import io.vertx.core.http.HttpServer;
+import io.vertx.core.net.NetServer;
 import io.vertx.core.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import sprucehold.coordinator.EndpointUpdate;
 
-/**
- * Discovery and shard servers on this machine, for trying a gatherer out; they know no trouble and
- * no load.
- */
+/** Starts discovery and shard servers on this machine, without faults, to try a gatherer with. */
 public final class StandIns {
     private StandIns() {}
 
     /**
-     * Starts a shard server for each of the list, and then discovery with that list.
+     * Starts a shard server for each endpoint, and then discovery with their list.
      *
-     * @param moved whether shard servers take any free port instead of the ones listed
+     * @param host where discovery listens
+     * @param port where discovery listens, 0 for any free port
+     * @param anyPorts whether shard servers take any free port in place of the one listed
      * @return the port of discovery
      */
     public static Future<Integer> start(
-            Vertx vertx, String host, int port, List<EndpointUpdate> servers, boolean moved) {
+            Vertx vertx, String host, int port, List<EndpointUpdate> servers, boolean anyPorts) {
         var endpoints = new ArrayList<ObjectNode>();
         Future<?> started = Future.succeededFuture();
         for (EndpointUpdate server : servers) {
-            int colon = server.address().lastIndexOf(':');
-            String at = server.address().substring(0, colon);
-            int listed = Integer.parseInt(server.address().substring(colon + 1));
             started =
-                    started.compose(
-                                    before ->
-                                            new StandInShardServer(vertx)
-                                                    .listen(
-                                                            SocketAddress.inetSocketAddress(
-                                                                    moved ? 0 : listed, at)))
-                            .map(
-                                    listening ->
-                                            endpoints.add(
-                                                    endpoint(
-                                                            server,
-                                                            at + ":" + listening.actualPort())));
+                    started.compose(before -> startServer(vertx, server, anyPorts))
+                            .map(address -> endpoints.add(endpoint(server, address)));
         }
         return started.compose(all -> new StandInDiscovery(vertx, endpoints).listen(host, port))
-                .map(discovery -> discovery.actualPort());
+                .map(HttpServer::actualPort);
     }
 
-    /** Starts a shard server at any free port of a host, and returns the port. */
+    /** Starts the shard server of an endpoint; the result is its address. */
+    private static Future<String> startServer(Vertx vertx, EndpointUpdate server, boolean anyPort) {
+        int colon = server.address().lastIndexOf(':');
+        String host = server.address().substring(0, colon);
+        int listedPort = Integer.parseInt(server.address().substring(colon + 1));
+        return new StandInShardServer(vertx)
+                .listen(SocketAddress.inetSocketAddress(anyPort ? 0 : listedPort, host))
+                .map(listening -> host + ":" + listening.actualPort());
+    }
+
+    /** Starts a shard server at any free port of a host; the result is the port. */
     public static Future<Integer> shardServerAt(Vertx vertx, String host) {
         return new StandInShardServer(vertx)
                 .listen(SocketAddress.inetSocketAddress(0, host))
-                .map(listening -> listening.actualPort());
+                .map(NetServer::actualPort);
     }
 
-    /** Starts a shard server at the path of a socket. */
+    /** Starts a shard server at a Unix domain socket. */
     public static Future<?> shardServer(Vertx vertx, String path) {
         return new StandInShardServer(vertx).listen(SocketAddress.domainSocketAddress(path));
     }
--- a/standin/src/main/java/sprucehold/standin/ledger/Ledger.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Ledger.java
@@ -4,15 +4,16 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** All that was seen in a run. Safe for threads: clients and servers may write at once. */
+/** All observations of a run. Safe for threads: clients and servers add at the same time. */
 public final class Ledger {
     private final List<Seen> all = new ArrayList<>();
 
+    /** Adds an observation. */
     public synchronized void add(Seen seen) {
         all.add(seen);
     }
 
-    /** All so far, by time; what has the same time stays as it was written. */
+    /** All so far, by time; observations of the same time stay in the order of their adding. */
     public synchronized List<Seen> inOrder() {
         return all.stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
     }
--- a/standin/src/main/java/sprucehold/standin/ledger/package-info.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What clients, shard servers and discovery saw of a run, each for itself: {@link
+ * What clients, shard servers and discovery observed of a run, each for itself: {@link
  * sprucehold.standin.ledger.Seen}. Types and a list of them; nothing here judges. All times are of
  * one clock.
  */
--- a/standin/src/main/java/sprucehold/standin/package-info.java
+++ b/standin/src/main/java/sprucehold/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Stand-ins for discovery and shard servers on this machine; the entry point is {@link
- * sprucehold.standin.StandIns}. They must never be reached by a gatherer in service.
+ * sprucehold.standin.StandIns}. A gatherer in service must never use them.
  */
 package sprucehold.standin;
--- /dev/null
+++ b/standin/src/main/java/sprucehold/standin/rules/FallOverCheck.java
@@ -0,0 +1,23 @@
+package sprucehold.standin.rules;
+
+import sprucehold.standin.ledger.Seen;
+
+/** Checks {@link Rule#COLD}: a warming server never falls over. No slack. */
+final class FallOverCheck implements RuleCheck {
+    private final Violations violations;
+
+    FallOverCheck(Violations violations) {
+        this.violations = violations;
+    }
+
+    @Override
+    public void serverFellOver(Seen.FellOver fellOver) {
+        String senders =
+                fellOver.workByGatherer().isEmpty()
+                        ? ""
+                        : " by the sum of what each sent, in ms of work: "
+                                + fellOver.workByGatherer();
+        violations.report(
+                Rule.COLD, fellOver.atMs(), fellOver.server() + " was pushed over" + senders);
+    }
+}
--- a/standin/src/main/java/sprucehold/standin/rules/Rule.java
+++ b/standin/src/main/java/sprucehold/standin/rules/Rule.java
@@ -1,22 +1,31 @@
 package sprucehold.standin.rules;
 
-/** The six rules. */
+/** The six rules. Verdicts of runs print the names. */
 public enum Rule {
     /**
-     * Each scan taken gets exactly one final answer in its client's time, and no part goes out
-     * after it.
+     * Each query that was received gets exactly one final answer before its deadline, and no part
+     * of it is sent after that. Checked by {@link OneAnswerCheck}.
      */
     ONE_ANSWER,
     /**
-     * No effect twice; a scan is throttled only if none of its non-replayable parts can have run.
+     * No effect happens twice; a query is rejected only if none of its non-idempotent parts can
+     * have run. Checked by {@link NoEffectTwiceCheck}.
      */
     NO_EFFECT_TWICE,
-    /** Nothing new goes to a draining or gone server after the grace. */
+    /**
+     * Nothing new is sent to a draining or gone server after the grace. Checked by {@link
+     * DrainCheck}.
+     */
     DRAINS,
-    /** A cold server is never pushed over. */
+    /**
+     * A warming server is never overloaded until it falls over. Checked by {@link FallOverCheck}.
+     */
     COLD,
-    /** No answer under the least share, whole only if whole, and no value that no server made. */
+    /**
+     * No answer has less than the minimum coverage, is called complete without being so, or holds a
+     * value that no server made. Checked by {@link HonestAnswerCheck}.
+     */
     HONEST,
-    /** Further dispatches stay within their budget. */
+    /** Retries stay within their budgets. Checked by {@link RetryBudgetCheck}. */
     BUDGET
 }
--- a/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
+++ b/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
@@ -15,8 +15,8 @@
 
 /** Runs that keep the rules, and runs that break each on purpose. */
 public class RuleCheckerTest {
-    private static final Terms TERMS =
-            new Terms(
+    private static final RuleTerms TERMS =
+            new RuleTerms(
                     Map.of(
                             "any",
                                     new QueryClass(
@@ -342,10 +342,10 @@
     @Test(dataProvider = "fleets")
     public void furtherDispatchesAreAddedUpOverAllGatherers(double[] at, boolean breaks) {
         var terms =
-                new Terms(
-                        TERMS.types(),
+                new RuleTerms(
+                        TERMS.queryClasses(),
                         Deployment.RetryBudget.NONE,
-                        new Terms.FleetBudget(2, 100),
+                        new RuleTerms.FleetRetryBudget(2, 100),
                         100,
                         50,
                         20,
@@ -363,7 +363,7 @@
         }
         List<Rule> rules =
                 RuleChecker.check(terms, run, 10_000).stream()
-                        .map(Broken::rule)
+                        .map(Violation::rule)
                         .distinct()
                         .toList();
         assertEquals(rules, breaks ? List.of(Rule.BUDGET) : List.of());
@@ -371,8 +371,8 @@
 
     @Test(dataProvider = "runs")
     public void eachBreachIsToldAndNothingElse(String what, List<Seen> run, List<Rule> rules) {
-        List<Broken> broken = RuleChecker.check(TERMS, run, 10_000);
-        assertEquals(broken.stream().map(Broken::rule).toList(), rules, broken.toString());
+        List<Violation> broken = RuleChecker.check(TERMS, run, 10_000);
+        assertEquals(broken.stream().map(Violation::rule).toList(), rules, broken.toString());
     }
 
     @Test
