--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -11,16 +11,16 @@
 final class Documents {
     private Documents() {}
 
-    static ConfigurationDocument.Type type(
-            String name, QueryClass.Idempotence repeat, double target, double timeout) {
-        return new ConfigurationDocument.Type(
+    static ConfigurationDocument.QueryClassSettings type(
+            String name, QueryClass.Idempotence idempotence, double target, double timeout) {
+        return new ConfigurationDocument.QueryClassSettings(
                 new QueryClass(
                         name,
-                        repeat,
+                        idempotence,
                         target,
                         1,
                         0.1,
-                        repeat == QueryClass.Idempotence.DEDUPLICATED ? 3000 : 0,
+                        idempotence == QueryClass.Idempotence.DEDUPLICATED ? 3000 : 0,
                         1,
                         0.5,
                         0),
@@ -37,13 +37,13 @@
     }
 
     static ConfigurationDocument with(
-            List<ConfigurationDocument.Type> types,
-            List<Tenant> customers,
+            List<ConfigurationDocument.QueryClassSettings> types,
+            List<Tenant> tenants,
             int maxOpen,
             String... out) {
         return new ConfigurationDocument(
                 types,
-                customers,
+                tenants,
                 new Deployment.Limits(4, maxOpen, true, true, 1000),
                 new Deployment.RetryBudget(10, 0.2, 10_000),
                 new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
@@ -55,6 +55,6 @@
 
     /** Told apart by how much may be open. */
     static ConfigurationDocument number(int n, String... out) {
-        return with(usual().types(), usual().customers(), 200 + n, out);
+        return with(usual().queryClasses(), usual().tenants(), 200 + n, out);
     }
 }
