--- a/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
+++ b/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
@@ -1,10 +1,14 @@
 package sprucehold.coordinator;
 
 /**
- * What the list tells of one shard server.
+ * What discovery tells of one shard server.
  *
- * @param address host and port as seen from here
- * @param startedAtMs Unix time at which it last started, 0 if long ago
+ * @param name its name, unique in the endpoint list
+ * @param address host and port as seen from this gatherer
+ * @param replicaGroup the replica group that it belongs to, from 0
+ * @param zone the zone that it runs in
+ * @param startedAtMs Unix time in milliseconds at which it last started, 0 if long ago
+ * @param state whether it may be sent to
  */
 public record EndpointUpdate(
         String name,
@@ -14,10 +18,13 @@
         double startedAtMs,
         State state) {
 
-    /** Whether it may be sent to. */
+    /** Whether a shard server may be sent to. */
     public enum State {
+        /** It takes parts. */
         RUNNING,
+        /** It must be sent nothing new. */
         DRAINING,
+        /** It is not there any more. */
         GONE
     }
 }
--- a/core/src/main/java/sprucehold/coordinator/Observation.java
+++ b/core/src/main/java/sprucehold/coordinator/Observation.java
@@ -2,24 +2,42 @@
 
 import java.util.List;
 
-/** Something that went well or badly outside. */
+/** Something that the network code saw. */
 public sealed interface Observation {
-    /** Each dispatch ends exactly once. */
+    /**
+     * An attempt ended; each attempt ends exactly once.
+     *
+     * @param attempt the attempt
+     * @param result how it ended
+     */
     record AttemptEnded(Attempt attempt, AttemptResult result) implements Observation {}
 
-    /** The client has closed its connection before it had the answer. */
+    /**
+     * A client closed its connection before it had its answer.
+     *
+     * @param query what it had asked
+     */
     record ClientDisconnected(Query query) implements Observation {}
 
     /**
-     * News of shard servers. A complete list names all there are; otherwise only changes are named.
+     * Discovery told of shard servers.
+     *
+     * @param complete whether all shard servers are named, or only those that changed
+     * @param updates the shard servers named
      */
     record EndpointsUpdated(boolean complete, List<EndpointUpdate> updates)
             implements Observation {}
 
-    /** A call for the list failed or told nothing that can be used. */
+    /** A call to discovery failed, or told nothing that can be used. */
     record EndpointsUnavailable() implements Observation {}
 
-    /** The end of a probe; {@code result} is never {@link AttemptResult.Cancelled}. */
+    /**
+     * A health check ended.
+     *
+     * @param server the shard server that was checked
+     * @param result how the check ended; never {@link AttemptResult.Cancelled}
+     * @param durationMs how long it took, in milliseconds
+     */
     record HealthCheckEnded(ShardServer server, AttemptResult result, double durationMs)
             implements Observation {}
 }
--- a/core/src/main/java/sprucehold/coordinator/Query.java
+++ b/core/src/main/java/sprucehold/coordinator/Query.java
@@ -4,12 +4,15 @@
 import java.util.Optional;
 
 /**
- * A client's scan as it came.
+ * A client's query as it came.
  *
- * @param tenant the name; one that isn't known counts as none
- * @param timeLeftMs how long the client will wait from now on, in milliseconds
+ * @param id its name, chosen by the client
+ * @param queryClass the name of its class
+ * @param tenant the name of its tenant; one that isn't known counts as none
+ * @param timeLeftMs how long the client still waits, in milliseconds
  * @param idempotencyKey by which shard servers know repeats of the same effect, if the client sent
  *     one
+ * @param parts what it asks of which shard
  * @param body what each part carries
  */
 public record Query(
@@ -19,19 +22,24 @@
         double timeLeftMs,
         Optional<String> idempotencyKey,
         List<Part> parts,
-        byte[] body) {
+        Payload body) {
 
-    /** A scan without an idempotency key. */
+    /** A query without an idempotency key. */
     public Query(
             String id,
-            String tableType,
-            String customer,
+            String queryClass,
+            String tenant,
             double timeLeftMs,
             List<Part> parts,
-            byte[] text) {
-        this(id, tableType, customer, timeLeftMs, Optional.empty(), parts, text);
+            Payload body) {
+        this(id, queryClass, tenant, timeLeftMs, Optional.empty(), parts, body);
     }
 
-    /** A part: its segment and its share of the whole answer. */
+    /**
+     * A part of a query.
+     *
+     * @param shard the shard that it asks
+     * @param weight its share of the whole answer, 0 to 1
+     */
     public record Part(int shard, double weight) {}
 }
--- a/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
@@ -1,81 +1,79 @@
 package sprucehold.coordinator;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Queue;
 import java.util.function.Function;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
-import sprucehold.decision.AttemptOutcome;
 import sprucehold.decision.ClusterView;
 import sprucehold.decision.Command;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
-import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
-import sprucehold.decision.LoadReport;
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Reason;
-import sprucehold.decision.SharedLimit;
 import sprucehold.decision.Tenant;
 
 /**
- * The decisions in blocking style: plain calls that return at once with what to do. It keeps the
- * books between the ids that the decisions name and the objects that the network code holds. Not
- * safe for threads.
+ * The decision policy as plain calls that return at once with what to do.
+ *
+ * <p>The contract:
+ *
+ * <ul>
+ *   <li>Each query submitted gets exactly one {@link Commands.Reply}, unless its client disconnects
+ *       before. It comes within its time left even if the policy fails with an exception.
+ *   <li>Each {@link Attempt} that was returned to be sent ends with exactly one {@link
+ *       Observation.AttemptEnded}; what is observed of it after that is dropped.
+ *   <li>An attempt to cancel still ends by an observation, which tells how far it was written.
+ *   <li>{@link #tick} is called at the time that the last commands named, or soon after; each set
+ *       of commands replaces the time named before.
+ * </ul>
+ *
+ * <p>Times are in milliseconds of the caller's clock. Not safe for threads.
  */
 public final class QueryCoordinator {
     private static final Logger LOG = Logger.getLogger(QueryCoordinator.class.getName());
 
-    private static final Event WOKEN = new Event.WakeUp();
+    private static final Event WAKE_UP = new Event.WakeUp();
+    private static final double NEVER = Double.POSITIVE_INFINITY;
+    private static final double SHORTEST_TICK_MS = 1;
 
     private final DecisionPolicy policy;
-    private int maxOpen;
     private final double tickMs;
+    private int maxOpenItems;
     private Map<String, QueryClass> queryClasses;
     private Map<String, Tenant> tenants;
-    private final Map<String, OpenQuery> openQueriesById = new HashMap<>();
 
-    /** Parts of open scans, and of others while a dispatch is out. */
-    private final Map<String, OpenPart> parts = new HashMap<>();
-
-    private final Map<String, ShardServer> servers = new HashMap<>();
-    private final PriorityQueue<OpenQuery> ends =
-            new PriorityQueue<>(Comparator.comparingDouble(openQuery -> openQuery.endsAt));
-    private final PriorityQueue<Attempt> patience =
-            new PriorityQueue<>(Comparator.comparingDouble(attempt -> attempt.timesOutAt));
+    private final EndpointDirectory endpoints = new EndpointDirectory();
     private final Queue<Event> events = new ArrayDeque<>();
-    private long queriesReceived;
-    private int openParts;
-    private double wakeAt = Double.POSITIVE_INFINITY;
-
-    private double now;
-    private List<Attempt> cancel = new ArrayList<>();
-    private List<Attempt> send = new ArrayList<>();
-    private List<Commands.Reply> replies = new ArrayList<>();
-    private List<ShardServer> probe = new ArrayList<>();
-    private List<String> notes = new ArrayList<>();
-    private List<Command.ConsumeAllowance> uses = new ArrayList<>();
+    private final CommandBuffer commands = new CommandBuffer();
+    private final QueryLifecycle lifecycle = new QueryLifecycle(endpoints, commands, events);
+    private final OpenQueries openQueries = lifecycle.openQueries();
 
-    /** What the next dispatch takes of shared bounds. */
-    private List<Command.ConsumeAllowance> forNext = new ArrayList<>();
-
-    private boolean askList;
+    private long queriesReceived;
+    private double nowMs;
+    private double wakeUpAtMs = NEVER;
 
+    /**
+     * @param policy what decides
+     * @param deployment the deployment that holds at first
+     */
     public QueryCoordinator(DecisionPolicy policy, Deployment deployment) {
         this.policy = policy;
-        this.tickMs = Math.max(1, deployment.tickMs());
-        take(deployment);
+        this.tickMs = Math.max(SHORTEST_TICK_MS, deployment.tickMs());
+        adopt(deployment);
+    }
+
+    private void advanceTo(double newNowMs) {
+        nowMs = newNowMs;
+        lifecycle.advanceTo(newNowMs);
     }
 
-    private void take(Deployment deployment) {
-        maxOpen = deployment.limits().maxOpen();
+    private void adopt(Deployment deployment) {
+        maxOpenItems = deployment.limits().maxOpen();
         queryClasses =
                 deployment.queryClasses().stream()
                         .collect(Collectors.toMap(QueryClass::name, Function.identity()));
@@ -84,213 +82,160 @@
                         .collect(Collectors.toMap(Tenant::name, Function.identity()));
     }
 
-    /** Other facts hold from now on, in one step, for scans picked from now on. */
+    /** Another deployment holds from now on, in one step, for queries submitted from now on. */
     public Commands changeDeployment(double nowMs, Deployment deployment) {
-        now = nowMs;
-        take(deployment);
-        openQueriesById
-                .values()
-                .forEach(
-                        openQuery ->
-                                openQuery.type =
-                                        openQuery.type.restrictedBy(deployment.queryClasses()));
+        advanceTo(nowMs);
+        adopt(deployment);
+        openQueries.restrictClassesBy(deployment.queryClasses());
         events.add(new Event.DeploymentChanged(deployment));
         decide(List.of());
-        return orders();
+        return takeCommands();
     }
 
     /**
-     * What others told holds from now on; the decisions hear of it with whatever they are told
+     * Another view of the cluster holds from now on; the policy is told with whatever it is told
      * next, and before that.
      */
     public void changeClusterView(ClusterView clusterView) {
         events.add(new Event.ClusterViewChanged(clusterView));
     }
 
-    /** Whether a scan of this id is still open, or something of it is still out. */
+    /** Whether a query of this id is still open, or an attempt for one is pending. */
     public boolean isOpen(Query query) {
-        return openQueriesById.containsKey(query.id())
-                || query.parts().stream()
-                        .anyMatch(part -> parts.containsKey(query.id() + "." + part.shard()));
+        return openQueries.isOpen(query);
     }
 
-    /** Scans and parts that count against what may be open. */
+    /** Queries and parts that count against the most that may be open. */
     public int openItems() {
-        return openQueriesById.size() + openParts;
+        return openQueries.items();
     }
 
+    /** Queries that have no final answer yet. */
     public int openQueries() {
-        return openQueriesById.size();
+        return openQueries.size();
     }
 
-    /** How much is in the books, for scans of whatever age. */
+    /** The sizes of all collections together, for tests that look for leaks. */
     int trackedItems() {
-        return openQueriesById.size()
-                + parts.size()
-                + openParts
-                + ends.size()
-                + patience.size()
-                + events.size();
+        return lifecycle.trackedItems() + events.size();
     }
 
     int knownServers() {
-        return servers.size();
+        return endpoints.size();
     }
 
+    /** As {@link #submit(double, Query, double)}, with all the time that the client waits. */
     public Commands submit(double nowMs, Query query) {
         return submit(nowMs, query, Double.POSITIVE_INFINITY);
     }
 
     /**
-     * Takes a scan of a known table type whose id isn't open. It gets exactly one reply, now or
+     * Takes a query of a known query class whose id isn't open. It gets exactly one reply, now or
      * later.
      *
-     * @param mostMs the reply has to come within this time, however long the client would wait
+     * @param maxTimeLeftMs the reply has to come within this time, in milliseconds, however long
+     *     the client would wait
      */
-    public Commands submit(double nowMs, Query query, double mostMs) {
-        now = nowMs;
-        // A type may have gone by a change since the scan was read.
-        if (openQueriesById.size() + openParts >= maxOpen
-                || !queryClasses.containsKey(query.queryClass())) {
-            replies.add(new Commands.Reply(query, new Answer.Rejected(0), Reason.UNSTATED));
-            return orders();
+    public Commands submit(double nowMs, Query query, double maxTimeLeftMs) {
+        advanceTo(nowMs);
+        QueryClass queryClass = queryClasses.get(query.queryClass());
+        // A class may be gone by a change of the deployment since the query was read.
+        if (openQueries.items() >= maxOpenItems || queryClass == null) {
+            commands.reply(new Commands.Reply(query, new Answer.Rejected(0), Reason.UNSTATED));
+            return takeCommands();
         }
-        double timeLeftMs = Math.min(query.timeLeftMs(), mostMs);
-        var openQuery =
-                new OpenQuery(query, queryClasses.get(query.queryClass()), now + timeLeftMs);
-        openQueriesById.put(query.id(), openQuery);
-        ends.add(openQuery);
-        openParts += openQuery.parts.size();
+        double timeLeftMs = Math.min(query.timeLeftMs(), maxTimeLeftMs);
+        var openQuery = new OpenQuery(query, queryClass, nowMs + timeLeftMs);
+        openQueries.add(openQuery);
+        announce(openQuery, timeLeftMs);
+        decide(List.of(openQuery));
+        return takeCommands();
+    }
+
+    private void announce(OpenQuery openQuery, double timeLeftMs) {
+        Query query = openQuery.query;
         long number = ++queriesReceived;
         events.add(
                 new Event.QueryReceived(
                         query.id(),
                         number,
-                        queryClasses.get(query.queryClass()),
+                        openQuery.queryClass(),
                         tenants.get(query.tenant()),
                         timeLeftMs));
         for (int i = 0; i < openQuery.parts.size(); i++) {
             OpenPart part = openQuery.parts.get(i);
-            parts.put(part.id, part);
-            events.add(
-                    new Event.PartReceived(
-                            part.id, number, part.shard, query.parts().get(i).weight()));
+            double weight = query.parts().get(i).weight();
+            events.add(new Event.PartReceived(part.id, number, part.shard, weight));
         }
-        decide(List.of(openQuery));
-        return orders();
     }
 
-    /** Takes what happened at this moment. */
-    public Commands observe(double nowMs, List<Observation> reports) {
-        now = nowMs;
-        var concerned = new ArrayList<OpenQuery>();
-        for (Observation observation : reports) {
-            if (observation instanceof Observation.AttemptEnded ended) {
-                dispatchEnded(ended.attempt(), ended.result());
-                concerned.add(ended.attempt().part.query);
-            } else if (observation instanceof Observation.ClientDisconnected left) {
-                OpenQuery openQuery = openQueriesById.get(left.query().id());
-                if (openQuery != null && openQuery.query == left.query()) {
-                    close(openQuery);
-                    events.add(new Event.ClientDisconnected(openQuery.query.id()));
-                }
-            } else if (observation instanceof Observation.EndpointsUpdated list) {
-                events.add(listReceived(list));
-            } else if (observation instanceof Observation.EndpointsUnavailable) {
-                events.add(new Event.EndpointsUnavailable());
-            } else if (observation instanceof Observation.HealthCheckEnded ended) {
-                events.add(
-                        new Event.HealthCheckEnded(
-                                ended.server().name(),
-                                ending(ended.result(), false),
-                                ended.durationMs(),
-                                load(ended.result())));
-            }
+    /** Takes what the network code saw, in the order given. */
+    public Commands observe(double nowMs, List<Observation> observations) {
+        advanceTo(nowMs);
+        for (Observation observation : observations) {
+            take(observation);
         }
+        List<OpenQuery> concerned =
+                observations.stream()
+                        .filter(Observation.AttemptEnded.class::isInstance)
+                        .map(ended -> ((Observation.AttemptEnded) ended).attempt().part().query)
+                        .toList();
         decide(concerned);
-        return orders();
+        return takeCommands();
     }
 
-    /** Lets time pass; to be called at the time that the last orders named, or soon after. */
+    private void take(Observation observation) {
+        if (observation instanceof Observation.AttemptEnded ended) {
+            lifecycle.attemptEnded(ended.attempt(), ended.result());
+        } else if (observation instanceof Observation.ClientDisconnected disconnected) {
+            lifecycle.clientDisconnected(disconnected.query());
+        } else if (observation instanceof Observation.EndpointsUpdated update) {
+            events.add(endpoints.update(update));
+        } else if (observation instanceof Observation.EndpointsUnavailable) {
+            events.add(new Event.EndpointsUnavailable());
+        } else if (observation instanceof Observation.HealthCheckEnded ended) {
+            events.add(
+                    new Event.HealthCheckEnded(
+                            ended.server().name(),
+                            AttemptOutcomes.of(ended.result(), false),
+                            ended.durationMs(),
+                            ended.result().reportedLoad()));
+        }
+    }
+
+    /** Lets time pass; to be called at the time that the last commands named, or soon after. */
     public Commands tick(double nowMs) {
-        now = nowMs;
-        events.add(WOKEN);
+        advanceTo(nowMs);
+        events.add(WAKE_UP);
         decide(List.of());
-        while (!patience.isEmpty()
-                && (!patience.peek().pending || patience.peek().timesOutAt <= now)) {
-            Attempt attempt = patience.poll();
-            if (attempt.pending && !attempt.timedOut) {
-                attempt.timedOut = true;
-                cancel(attempt);
-            }
-        }
-        // The decisions end each scan before its time is up; only after a panic one may be left
-        // over.
-        while (!ends.isEmpty() && (ends.peek().over || ends.peek().endsAt <= now)) {
-            OpenQuery openQuery = ends.poll();
-            if (!openQuery.over) {
-                LOG.warning("a scan had no answer in time and was abandoned");
-                abandon(openQuery);
-            }
-        }
+        lifecycle.cancelTimedOut();
+        lifecycle.failPastDeadline();
         if (!events.isEmpty()) {
             decide(List.of());
         }
-        return orders();
+        return takeCommands();
     }
 
-    private Commands orders() {
-        while (!ends.isEmpty() && ends.peek().over) {
-            ends.poll();
-        }
-        while (!patience.isEmpty() && !patience.peek().pending) {
-            patience.poll();
-        }
-        double next =
-                Math.min(wakeAt, ends.isEmpty() ? Double.POSITIVE_INFINITY : ends.peek().endsAt);
-        next =
-                Math.min(
-                        next,
-                        patience.isEmpty() ? Double.POSITIVE_INFINITY : patience.peek().timesOutAt);
-        var commands = new Commands(cancel, send, replies, probe, uses, askList, notes, next);
-        cancel = new ArrayList<>();
-        send = new ArrayList<>();
-        replies = new ArrayList<>();
-        probe = new ArrayList<>();
-        notes = new ArrayList<>();
-        uses = new ArrayList<>();
-        askList = false;
-        return commands;
+    private Commands takeCommands() {
+        return commands.take(Math.min(wakeUpAtMs, lifecycle.nextDueAtMs()));
     }
 
     /**
-     * Hands what happened to the decisions and takes what they want, until nothing more has
-     * happened.
+     * Tells the policy what happened and carries out its commands, until nothing more has happened.
+     *
+     * @param concerned the queries that are failed if the policy fails on what it is told first
      */
     private void decide(List<OpenQuery> concerned) {
+        List<OpenQuery> failedWithPolicy = concerned;
         do {
-            // Whatever the call is for: once the time has come, the tick for it may never be asked
-            // for.
-            if (wakeAt <= now) {
-                wakeAt = Double.POSITIVE_INFINITY;
-                if (!events.contains(WOKEN)) {
-                    events.add(WOKEN);
-                }
-            }
+            addWakeUpIfDue();
             List<Event> batch = List.copyOf(events);
             events.clear();
             try {
-                policy.decide(now, batch).forEach(this::act);
+                policy.decide(nowMs, batch).forEach(this::carryOut);
             } catch (RuntimeException | StackOverflowError e) {
-                LOG.log(
-                        Level.SEVERE,
-                        "panic: the decisions failed and the scans concerned are abandoned",
-                        e);
-                concerned.stream().filter(openQuery -> !openQuery.over).forEach(this::abandon);
-                // They may have lost the time at which they wanted to be woken.
-                wakeAt = Math.min(wakeAt, now + tickMs);
-                events.removeIf(event -> !(event instanceof Event.ClientDisconnected));
-                concerned = List.of();
+                policyFailed(e, failedWithPolicy);
+                failedWithPolicy = List.of();
                 if (batch.stream().allMatch(Event.ClientDisconnected.class::isInstance)) {
                     return;
                 }
@@ -298,203 +243,48 @@
         } while (!events.isEmpty());
     }
 
-    private void act(Command command) {
-        if (command instanceof Command.SendAttempt wanted) {
-            send(wanted);
-        } else if (command instanceof Command.CancelAttempt cancel) {
-            OpenPart part = parts.get(cancel.partId());
-            if (part != null && cancel.attemptNumber() < part.attempts.size()) {
-                cancel(part.attempts.get(cancel.attemptNumber()));
-            } else {
-                events.add(
-                        new Event.AttemptEnded(
-                                cancel.partId(),
-                                cancel.attemptNumber(),
-                                AttemptOutcome.NEVER_SENT,
-                                0,
-                                null));
-            }
-        } else if (command instanceof Command.AnswerQuery answer) {
-            OpenQuery openQuery = openQueriesById.get(answer.queryId());
-            if (openQuery != null) {
-                List<Answer.Value> values =
-                        openQuery.parts.stream()
-                                .filter(part -> part.value != null)
-                                .map(part -> new Answer.Value(part.shard, part.value))
-                                .toList();
-                reply(openQuery, new Answer.Completed(answer.complete(), values), answer.reason());
+    /** Whatever a call is for: once the time has come, no tick for it may follow. */
+    private void addWakeUpIfDue() {
+        if (wakeUpAtMs <= nowMs) {
+            wakeUpAtMs = NEVER;
+            if (!events.contains(WAKE_UP)) {
+                events.add(WAKE_UP);
             }
-        } else if (command instanceof Command.RejectQuery throttle) {
-            reply(
-                    openQueriesById.get(throttle.queryId()),
-                    new Answer.Rejected(throttle.retryAfterMs()),
-                    throttle.reason());
-        } else if (command instanceof Command.FailQuery abandon) {
-            reply(openQueriesById.get(abandon.queryId()), new Answer.Failed(), abandon.reason());
-        } else if (command instanceof Command.ScheduleWakeUp wake) {
-            wakeAt = Math.min(wakeAt, now + wake.delayMs());
-        } else if (command instanceof Command.CheckHealth wanted) {
-            probe.add(servers.get(wanted.server()));
-        } else if (command instanceof Command.SubscribeToEndpoints) {
-            askList = true;
-        } else if (command instanceof Command.ConsumeAllowance use) {
-            (use.limit().kind() == SharedLimit.Kind.TENANT_QUOTA ? uses : forNext).add(use);
-        } else if (command instanceof Command.LogMessage note) {
-            notes.add(note.text());
         }
     }
 
-    private void send(Command.SendAttempt wanted) {
-        OpenPart part = parts.get(wanted.partId());
-        List<Command.ConsumeAllowance> takes = List.copyOf(forNext);
-        forNext.clear();
-        if (part == null) {
-            return;
-        }
-        var attempt =
-                new Attempt(
-                        part,
-                        servers.get(wanted.server()),
-                        now,
-                        wanted.timeoutMs(),
-                        takes,
-                        wanted.reason());
-        part.attempts.add(attempt);
-        if (part.query.over || wanted.timeoutMs() <= 0 || attempt.server() == null) {
-            ended(attempt, AttemptOutcome.NEVER_SENT, null);
-        } else {
-            patience.add(attempt);
-            send.add(attempt);
-        }
+    /** The policy may have lost the time at which it wanted to be woken, so it is woken soon. */
+    private void policyFailed(Throwable failure, List<OpenQuery> concerned) {
+        LOG.log(
+                Level.SEVERE,
+                "panic: the decision policy failed and the queries concerned are failed",
+                failure);
+        concerned.stream().filter(openQuery -> !openQuery.isOver()).forEach(lifecycle::fail);
+        wakeUpAtMs = Math.min(wakeUpAtMs, nowMs + tickMs);
+        events.removeIf(event -> !(event instanceof Event.ClientDisconnected));
     }
 
-    private void cancel(Attempt attempt) {
-        if (!attempt.pending) {
-            return;
-        }
-        if (send.remove(attempt)) {
-            ended(attempt, AttemptOutcome.NEVER_SENT, null);
-        } else if (!cancel.contains(attempt)) {
-            cancel.add(attempt);
-        }
-    }
-
-    private void dispatchEnded(Attempt attempt, AttemptResult result) {
-        if (!attempt.pending) {
-            return;
-        }
-        if (result instanceof AttemptResult.Completed completed
-                && !attempt.part.query.over
-                && attempt.part.value == null) {
-            attempt.part.value = completed.value();
-        }
-        ended(attempt, ending(result, attempt.timedOut), load(result));
-    }
-
-    private void ended(Attempt attempt, AttemptOutcome outcome, LoadReport load) {
-        attempt.pending = false;
-        attempt.neverRan = outcome.provesNeverRan();
-        events.add(
-                new Event.AttemptEnded(
-                        attempt.part.id, attempt.number, outcome, now - attempt.sentAt, load));
-        forget(attempt.part);
-    }
-
-    /** What an outcome says of whether the part ran; the rule on effects rests on it. */
-    static AttemptOutcome ending(AttemptResult result, boolean patienceOver) {
-        if (result instanceof AttemptResult.Completed) {
-            return AttemptOutcome.COMPLETED;
-        } else if (result instanceof AttemptResult.Failed) {
-            return AttemptOutcome.ERROR;
-        } else if (result instanceof AttemptResult.Rejected) {
-            return AttemptOutcome.OVERLOADED;
-        } else if (result instanceof AttemptResult.ConnectionLost lost) {
-            return lost.progress() == WriteProgress.WRITTEN
-                    ? AttemptOutcome.RESET
-                    : AttemptOutcome.UNREACHABLE;
-        } else if (((AttemptResult.Cancelled) result).progress() != WriteProgress.WRITTEN) {
-            return AttemptOutcome.NEVER_SENT;
-        }
-        return patienceOver ? AttemptOutcome.TIMED_OUT : AttemptOutcome.CANCELLED;
-    }
-
-    private static LoadReport load(AttemptResult result) {
-        Load load =
-                result instanceof AttemptResult.Completed completed
-                        ? completed.load()
-                        : result instanceof AttemptResult.Failed faulty
-                                ? faulty.load()
-                                : result instanceof AttemptResult.Rejected away
-                                        ? away.load()
-                                        : null;
-        return load == null ? null : new LoadReport(load.held(), load.queued(), load.busy());
-    }
-
-    private void reply(OpenQuery openQuery, Answer answer, Reason reason) {
-        if (openQuery != null) {
-            replies.add(new Commands.Reply(openQuery.query, answer, reason));
-            close(openQuery);
-        }
-    }
-
-    /** Ends a scan that the decisions failed on. */
-    private void abandon(OpenQuery openQuery) {
-        reply(openQuery, new Answer.Failed(), Reason.UNSTATED);
-        openQuery.parts.forEach(part -> List.copyOf(part.attempts).forEach(this::cancel));
-        events.add(new Event.ClientDisconnected(openQuery.query.id()));
-    }
-
-    private void close(OpenQuery openQuery) {
-        openQuery.over = true;
-        openQueriesById.remove(openQuery.query.id());
-        openParts -= openQuery.parts.size();
-        openQuery.parts.forEach(part -> part.value = null);
-        openQuery.parts.forEach(this::forget);
-        for (Attempt attempt : List.copyOf(send)) {
-            if (attempt.part.query == openQuery) {
-                cancel(attempt);
-            }
-        }
-    }
-
-    private void forget(OpenPart part) {
-        if (part.query.over && !part.isPending()) {
-            parts.remove(part.id, part);
-        }
-    }
-
-    private Event.EndpointsUpdated listReceived(Observation.EndpointsUpdated list) {
-        if (list.complete()) {
-            servers.values().forEach(ShardServer::gone);
-        }
-        var held = new HashMap<>(servers);
-        if (list.complete()) {
-            servers.clear();
-        }
-        var listings = new ArrayList<Endpoint>();
-        for (EndpointUpdate news : list.updates()) {
-            ShardServer server = held.computeIfAbsent(news.name(), ShardServer::new);
-            server.update(news.address(), news.state() == EndpointUpdate.State.RUNNING);
-            // Fleets are replaced by servers of new names for good; parts out keep hold of theirs.
-            if (news.state() == EndpointUpdate.State.GONE) {
-                servers.remove(news.name());
-            } else {
-                servers.put(news.name(), server);
-            }
-            Endpoint.State mode =
-                    switch (news.state()) {
-                        case RUNNING -> Endpoint.State.RUNNING;
-                        case DRAINING -> Endpoint.State.DRAINING;
-                        case GONE -> Endpoint.State.GONE;
-                    };
-            listings.add(
-                    new Endpoint(
-                            news.name(),
-                            news.replicaGroup(),
-                            news.zone(),
-                            news.startedAtMs(),
-                            mode));
+    private void carryOut(Command command) {
+        if (command instanceof Command.SendAttempt send) {
+            lifecycle.send(send);
+        } else if (command instanceof Command.CancelAttempt cancel) {
+            lifecycle.cancel(cancel);
+        } else if (command instanceof Command.AnswerQuery answer) {
+            lifecycle.answer(answer);
+        } else if (command instanceof Command.RejectQuery reject) {
+            lifecycle.reject(reject);
+        } else if (command instanceof Command.FailQuery fail) {
+            lifecycle.fail(fail);
+        } else if (command instanceof Command.ScheduleWakeUp wakeUp) {
+            wakeUpAtMs = Math.min(wakeUpAtMs, nowMs + wakeUp.delayMs());
+        } else if (command instanceof Command.CheckHealth check) {
+            commands.checkHealth(endpoints.find(check.server()));
+        } else if (command instanceof Command.SubscribeToEndpoints) {
+            commands.subscribe();
+        } else if (command instanceof Command.ConsumeAllowance allowance) {
+            commands.consume(allowance);
+        } else if (command instanceof Command.LogMessage message) {
+            commands.log(message.text());
         }
-        return new Event.EndpointsUpdated(list.complete(), List.copyOf(listings));
     }
 }
--- /dev/null
+++ b/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
@@ -0,0 +1,201 @@
+package sprucehold.coordinator;
+
+import java.util.List;
+import java.util.Queue;
+import java.util.logging.Logger;
+import sprucehold.decision.AttemptOutcome;
+import sprucehold.decision.Command;
+import sprucehold.decision.Event;
+import sprucehold.decision.LoadReport;
+import sprucehold.decision.Reason;
+
+/**
+ * What happens to queries and attempts from their begin to their end: each end of an attempt
+ * becomes one event for the policy, and each query is closed with its one reply.
+ */
+final class QueryLifecycle {
+    private static final Logger LOG = Logger.getLogger(QueryLifecycle.class.getName());
+
+    private final OpenQueries openQueries = new OpenQueries();
+    private final AttemptTimeouts timeouts = new AttemptTimeouts();
+    private final EndpointDirectory endpoints;
+    private final CommandBuffer commands;
+    private final Queue<Event> events;
+    private double nowMs;
+
+    /**
+     * @param endpoints where attempts can go
+     * @param commands takes what the network code has to do
+     * @param events takes what the policy has to know
+     */
+    QueryLifecycle(EndpointDirectory endpoints, CommandBuffer commands, Queue<Event> events) {
+        this.endpoints = endpoints;
+        this.commands = commands;
+        this.events = events;
+    }
+
+    /** The time from now on, in milliseconds. */
+    void advanceTo(double newNowMs) {
+        nowMs = newNowMs;
+    }
+
+    /** The queries that are open, and their parts. */
+    OpenQueries openQueries() {
+        return openQueries;
+    }
+
+    /** The next time at which a deadline or a timeout is over; infinite if there is none. */
+    double nextDueAtMs() {
+        return Math.min(openQueries.nextDeadlineAtMs(), timeouts.nextAtMs());
+    }
+
+    /** The sizes of all collections together, for tests that look for leaks. */
+    int trackedItems() {
+        return openQueries.trackedItems() + timeouts.size();
+    }
+
+    /** The network code saw the end of an attempt; what comes after the first end is dropped. */
+    void attemptEnded(Attempt attempt, AttemptResult result) {
+        if (!attempt.isPending()) {
+            return;
+        }
+        OpenPart part = attempt.part();
+        if (result instanceof AttemptResult.Completed completed
+                && !part.query.isOver()
+                && part.value == null) {
+            part.value = completed.value();
+        }
+        AttemptOutcome outcome = AttemptOutcomes.of(result, attempt.isTimedOut());
+        end(attempt, outcome, result.reportedLoad());
+    }
+
+    /** A client needs no answer any more. */
+    // By identity: another client may have asked a query that is equal, and still wait.
+    @SuppressWarnings("ReferenceEquality")
+    void clientDisconnected(Query query) {
+        OpenQuery openQuery = openQueries.find(query.id());
+        if (openQuery != null && openQuery.query == query) {
+            close(openQuery);
+            events.add(new Event.ClientDisconnected(query.id()));
+        }
+    }
+
+    /** Cancels attempts whose timeout is over. */
+    void cancelTimedOut() {
+        for (Attempt attempt = timeouts.pollTimedOut(nowMs);
+                attempt != null;
+                attempt = timeouts.pollTimedOut(nowMs)) {
+            attempt.markTimedOut();
+            cancel(attempt);
+        }
+    }
+
+    /** The policy ends each query before its deadline; one may be left over after it has failed. */
+    void failPastDeadline() {
+        for (OpenQuery openQuery = openQueries.pollPastDeadline(nowMs);
+                openQuery != null;
+                openQuery = openQueries.pollPastDeadline(nowMs)) {
+            LOG.warning("query failed: no answer by its deadline");
+            fail(openQuery);
+        }
+    }
+
+    /** Makes an attempt; one that can't be sent ends at once as never sent. */
+    void send(Command.SendAttempt command) {
+        OpenPart part = openQueries.findPart(command.partId());
+        List<Command.ConsumeAllowance> consumed = commands.takeConsumedByNextAttempt();
+        if (part == null) {
+            return;
+        }
+        ShardServer server = endpoints.find(command.server());
+        var attempt = new Attempt(part, server, nowMs, command, consumed);
+        part.attempts.add(attempt);
+        if (part.query.isOver() || command.timeoutMs() <= 0 || server == null) {
+            end(attempt, AttemptOutcome.NEVER_SENT, null);
+        } else {
+            timeouts.add(attempt);
+            commands.send(attempt);
+        }
+    }
+
+    /** Cancels an attempt; one that was never made ends as never sent. */
+    void cancel(Command.CancelAttempt command) {
+        OpenPart part = openQueries.findPart(command.partId());
+        int number = command.attemptNumber();
+        if (part != null && number < part.attempts.size()) {
+            cancel(part.attempts.get(number));
+        } else {
+            events.add(
+                    new Event.AttemptEnded(
+                            command.partId(), number, AttemptOutcome.NEVER_SENT, 0, null));
+        }
+    }
+
+    private void cancel(Attempt attempt) {
+        if (!attempt.isPending()) {
+            return;
+        }
+        if (commands.unsend(attempt)) {
+            end(attempt, AttemptOutcome.NEVER_SENT, null);
+        } else {
+            commands.cancel(attempt);
+        }
+    }
+
+    private void end(Attempt attempt, AttemptOutcome outcome, LoadReport load) {
+        OpenPart part = attempt.part();
+        attempt.end(outcome);
+        events.add(
+                new Event.AttemptEnded(
+                        part.id, attempt.number(), outcome, attempt.ageMs(nowMs), load));
+        openQueries.removeIfDone(part);
+    }
+
+    /** Answers a query from the parts completed so far. */
+    void answer(Command.AnswerQuery command) {
+        OpenQuery openQuery = openQueries.find(command.queryId());
+        if (openQuery == null) {
+            return;
+        }
+        List<Answer.Value> values =
+                openQuery.parts.stream()
+                        .filter(part -> part.value != null)
+                        .map(part -> new Answer.Value(part.shard, part.value))
+                        .toList();
+        reply(openQuery, new Answer.Completed(command.complete(), values), command.reason());
+    }
+
+    /** Rejects a query. */
+    void reject(Command.RejectQuery command) {
+        OpenQuery openQuery = openQueries.find(command.queryId());
+        reply(openQuery, new Answer.Rejected(command.retryAfterMs()), command.reason());
+    }
+
+    /** Fails a query as the policy wants it. */
+    void fail(Command.FailQuery command) {
+        reply(openQueries.find(command.queryId()), new Answer.Failed(), command.reason());
+    }
+
+    private void reply(OpenQuery openQuery, Answer answer, Reason reason) {
+        if (openQuery != null) {
+            commands.reply(new Commands.Reply(openQuery.query, answer, reason));
+            close(openQuery);
+        }
+    }
+
+    /** Fails a query that the policy has failed on. */
+    void fail(OpenQuery openQuery) {
+        reply(openQuery, new Answer.Failed(), Reason.UNSTATED);
+        openQuery.parts.forEach(part -> List.copyOf(part.attempts).forEach(this::cancel));
+        events.add(new Event.ClientDisconnected(openQuery.query.id()));
+    }
+
+    private void close(OpenQuery openQuery) {
+        openQueries.close(openQuery);
+        for (Attempt attempt : commands.unsent()) {
+            if (attempt.part().query == openQuery) {
+                cancel(attempt);
+            }
+        }
+    }
+}
--- a/core/src/main/java/sprucehold/coordinator/ShardServer.java
+++ b/core/src/main/java/sprucehold/coordinator/ShardServer.java
@@ -1,7 +1,8 @@
 package sprucehold.coordinator;
 
 /**
- * A shard server as last told of. There is one object a name, so it can be compared by identity.
+ * A shard server as discovery last told of it. There is one object for a name while the name is
+ * listed, so it can be compared by identity. Not safe for threads.
  */
 public final class ShardServer {
     private final String name;
@@ -17,10 +18,11 @@
         this.running = isRunning;
     }
 
-    void gone() {
+    void markGone() {
         running = false;
     }
 
+    /** Its name in the endpoint list. */
     public String name() {
         return name;
     }
@@ -30,7 +32,7 @@
         return address;
     }
 
-    /** False once the list said that it drains or is gone: nothing new may be written to it. */
+    /** False once discovery told that it drains or is gone: nothing new may be written to it. */
     public boolean running() {
         return running;
     }
--- a/core/src/main/java/sprucehold/coordinator/WriteProgress.java
+++ b/core/src/main/java/sprucehold/coordinator/WriteProgress.java
@@ -1,8 +1,8 @@
 package sprucehold.coordinator;
 
-/** How far a dispatch had come when it ended without an answer. */
+/** How far an attempt had been written when it ended without an answer. */
 public enum WriteProgress {
-    /** Nothing of it was written: there was no connection, or no need any more. */
+    /** Nothing of it was written: no connection came up, or it was no longer needed. */
     NOT_WRITTEN,
     /** The connection broke before the last byte of its frame was written. */
     PARTLY_WRITTEN,
--- a/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -4,7 +4,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,23 +18,19 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
-/** The picker against decisions that are scripted: one list of actions for each call. */
+/** The coordinator with a scripted policy: one list of commands for each call. */
 public class QueryCoordinatorTest {
-    private static final AttemptResult HIT = new AttemptResult.Completed(bytes("v"), null);
+    private static final AttemptResult HIT = new AttemptResult.Completed(Payload.ofText("v"), null);
     private final Queue<List<Command>> script = new ArrayDeque<>();
     private final List<List<Event>> seen = new ArrayList<>();
     private QueryCoordinator coordinator;
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
-    }
-
-    private static Query scan(String id, String customer, int parts) {
+    private static Query query(String id, String tenant, int parts) {
         var list = new ArrayList<Query.Part>();
-        for (int segment = 0; segment < parts; segment++) {
-            list.add(new Query.Part(segment, 1.0 / parts));
+        for (int shard = 0; shard < parts; shard++) {
+            list.add(new Query.Part(shard, 1.0 / parts));
         }
-        return new Query(id, "q", customer, 500, list, bytes("text"));
+        return new Query(id, "q", tenant, 500, list, Payload.ofText("text"));
     }
 
     @BeforeMethod
@@ -47,11 +42,11 @@
                 new QueryCoordinator(
                         (now, events) -> {
                             seen.add(events);
-                            List<Command> actions = script.isEmpty() ? List.of() : script.remove();
-                            if (actions == null || actions.contains(PANIC)) {
+                            List<Command> commands = script.isEmpty() ? List.of() : script.remove();
+                            if (commands == null || commands.contains(PANIC)) {
                                 throw new IllegalStateException("scripted");
                             }
-                            return actions;
+                            return commands;
                         },
                         new Deployment(
                                 1,
@@ -89,7 +84,7 @@
 
     private Attempt sent(String id) {
         script.add(List.of(send(id + ".0")));
-        return coordinator.submit(1, scan(id, null, 1)).send().get(0);
+        return coordinator.submit(1, query(id, null, 1)).send().get(0);
     }
 
     private Commands ended(double now, Attempt attempt, AttemptResult result) {
@@ -97,7 +92,7 @@
     }
 
     @DataProvider
-    Object[][] endings() {
+    Object[][] outcomes() {
         return new Object[][] {
             {HIT, false, AttemptOutcome.COMPLETED},
             {HIT, true, AttemptOutcome.COMPLETED},
@@ -129,16 +124,16 @@
         };
     }
 
-    @Test(dataProvider = "endings")
-    public void endingSaysWhetherThePartMayHaveRun(
-            AttemptResult result, boolean patienceOver, AttemptOutcome outcome) {
-        assertEquals(QueryCoordinator.ending(result, patienceOver), outcome);
+    @Test(dataProvider = "outcomes")
+    public void outcomeSaysWhetherThePartMayHaveRun(
+            AttemptResult result, boolean timedOut, AttemptOutcome outcome) {
+        assertEquals(AttemptOutcomes.of(result, timedOut), outcome);
     }
 
     @Test
-    public void scanAndPartsComeInOneCallAndUnknownCustomersAsNone() {
-        coordinator.submit(1, scan("s", "acme", 2));
-        coordinator.submit(1, scan("t", "nobody", 1));
+    public void queryAndPartsComeInOneCallAndUnknownTenantsAsNone() {
+        coordinator.submit(1, query("s", "acme", 2));
+        coordinator.submit(1, query("t", "nobody", 1));
         assertEquals(seen.get(0).size(), 3);
         assertEquals(((Event.QueryReceived) seen.get(0).get(0)).tenant().name(), "acme");
         assertEquals(((Event.PartReceived) seen.get(0).get(2)).id(), "s.1");
@@ -148,7 +143,7 @@
     @Test
     public void answerHoldsTheValuesThatCame() {
         script.add(List.of(send("s.0"), send("s.1")));
-        Commands commands = coordinator.submit(1, scan("s", null, 2));
+        Commands commands = coordinator.submit(1, query("s", null, 2));
         ended(2, commands.send().get(1), HIT);
         script.add(
                 List.of(new Command.AnswerQuery("s", false), new Command.CancelAttempt("s.0", 0)));
@@ -157,25 +152,25 @@
         assertFalse(answer.complete());
         assertEquals(answer.values().size(), 1);
         assertEquals(answer.values().get(0).shard(), 1);
-        assertFalse(coordinator.isOpen(scan("s", null, 2)));
+        assertFalse(coordinator.isOpen(query("s", null, 2)));
     }
 
     @Test
-    public void scansAreThrottledAtTheDoorOnceAllThatMayBeOpenIs() {
-        coordinator.submit(1, scan("s", null, 4));
-        Commands commands = coordinator.submit(1, scan("t", null, 1));
+    public void queriesAreRejectedOnceAsManyAreOpenAsMayBe() {
+        coordinator.submit(1, query("s", null, 4));
+        Commands commands = coordinator.submit(1, query("t", null, 1));
         assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(0));
         assertEquals(seen.size(), 1);
     }
 
     @Test
-    public void nothingIsSentForAScanAnsweredAtTheSameMoment() {
+    public void nothingIsSentForAQueryAnsweredAtTheSameMoment() {
         script.add(
                 List.of(
                         send("s.0"),
                         new Command.RejectQuery("s", 250),
                         new Command.CancelAttempt("s.0", 0)));
-        Commands commands = coordinator.submit(1, scan("s", null, 1));
+        Commands commands = coordinator.submit(1, query("s", null, 1));
         assertTrue(commands.send().isEmpty());
         assertTrue(commands.cancel().isEmpty());
         assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(250));
@@ -184,29 +179,29 @@
     }
 
     @Test
-    public void callingOffIsToldOnceItIsKnownHowFarTheDispatchHadCome() {
+    public void cancellationIsToldOnceItIsKnownHowFarTheAttemptWasWritten() {
         Attempt attempt = sent("s");
         script.add(List.of(new Command.FailQuery("s"), new Command.CancelAttempt("s.0", 0)));
         assertEquals(coordinator.tick(9).cancel(), List.of(attempt));
         ended(9, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertEquals(((Event.AttemptEnded) seen.get(2).get(0)).outcome(), AttemptOutcome.CANCELLED);
-        // The books are closed: what comes later is dropped.
+        // What comes after its end is dropped.
         assertTrue(ended(10, attempt, HIT).replies().isEmpty());
-        assertFalse(coordinator.isOpen(scan("s", null, 1)));
+        assertFalse(coordinator.isOpen(query("s", null, 1)));
     }
 
     @Test
-    public void idIsOpenWhileADispatchOfItIsOut() {
+    public void idIsOpenWhileAnAttemptIsPending() {
         Attempt attempt = sent("s");
         script.add(List.of(new Command.RejectQuery("s", 0)));
         coordinator.tick(2);
-        assertTrue(coordinator.isOpen(scan("s", null, 1)));
+        assertTrue(coordinator.isOpen(query("s", null, 1)));
         ended(3, attempt, HIT);
-        assertFalse(coordinator.isOpen(scan("s", null, 1)));
+        assertFalse(coordinator.isOpen(query("s", null, 1)));
     }
 
     @Test
-    public void patienceThatIsOverCallsOffAndCountsAsTimeOut() {
+    public void timeoutThatIsOverCancelsAndCountsAsTimedOut() {
         Attempt attempt = sent("s");
         assertEquals(coordinator.tick(400.5).cancel(), List.of());
         assertEquals(coordinator.tick(401).cancel(), List.of(attempt));
@@ -217,17 +212,17 @@
     }
 
     @Test
-    public void clientThatLeftEndsItsOwnScanOnly() {
+    public void clientThatDisconnectedEndsItsOwnQueryOnly() {
         sent("s");
-        coordinator.observe(2, List.of(new Observation.ClientDisconnected(scan("s", null, 1))));
+        coordinator.observe(2, List.of(new Observation.ClientDisconnected(query("s", null, 1))));
         assertEquals(coordinator.openQueries(), 1);
     }
 
     @Test
-    public void panicAbandonsTheScansConcernedAndGoesOn() {
+    public void failureOfThePolicyFailsTheQueriesConcernedAndGoesOn() {
         Attempt other = sent("s");
         script.add(List.of(PANIC));
-        Commands commands = coordinator.submit(2, scan("t", null, 1));
+        Commands commands = coordinator.submit(2, query("t", null, 1));
         assertEquals(commands.replies().get(0).query().id(), "t");
         assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
         assertEquals(((Event.ClientDisconnected) seen.get(2).get(0)).queryId(), "t");
@@ -237,7 +232,7 @@
     }
 
     @Test
-    public void panicOfEveryCallStillEnds() {
+    public void failureOfThePolicyInEveryCallStillEnds() {
         Attempt attempt = sent("s");
         for (int i = 0; i < 10; i++) {
             script.add(List.of(PANIC));
@@ -247,20 +242,20 @@
     }
 
     @Test
-    public void scanThatTheDecisionsForgotIsAbandonedWhenItsTimeIsUp() {
+    public void queryThatThePolicyForgotFailsAtItsDeadline() {
         Attempt attempt = sent("s");
         assertTrue(coordinator.tick(500.5).replies().isEmpty());
         Commands commands = coordinator.tick(501);
         assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
         assertEquals(coordinator.tick(502).replies().size(), 0);
-        assertTrue(attempt.timedOut);
+        assertTrue(attempt.isTimedOut());
     }
 
     @Test
-    public void booksAreEmptyOnceAllHasEnded() {
+    public void nothingIsTrackedOnceAllHasEnded() {
         for (int i = 0; i < 100; i++) {
             script.add(List.of(send("s.0"), send("s.1"), send("s.0")));
-            List<Attempt> out = coordinator.submit(i, scan("s", null, 2)).send();
+            List<Attempt> out = coordinator.submit(i, query("s", null, 2)).send();
             ended(i, out.get(0), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
             script.add(
                     List.of(
@@ -274,7 +269,7 @@
     }
 
     @Test
-    public void serversThatWereReplacedLeaveNothingBehindAndPartsOutAtThemEndAsUsual() {
+    public void serversThatWereReplacedLeaveNothingBehindAndAttemptsThereEndAsUsual() {
         Attempt attempt = sent("s");
         for (int i = 0; i < 100; i++) {
             EndpointUpdate old =
@@ -298,25 +293,25 @@
         assertEquals(coordinator.knownServers(), 1);
         script.add(List.of(new Command.AnswerQuery("s", true)));
         assertEquals(ended(3, attempt, HIT).replies().size(), 1);
-        // Where the decisions still name one of them, nothing goes out.
+        // Where the policy still names one of them, nothing goes out.
         script.add(List.of(send("t.0")));
-        assertTrue(coordinator.submit(4, scan("t", null, 1)).send().isEmpty());
+        assertTrue(coordinator.submit(4, query("t", null, 1)).send().isEmpty());
     }
 
     @Test
-    public void nextTickIsTheEarliestOfWakingPatienceAndTheScansEnd() {
+    public void nextTickIsTheEarliestOfWakeUpTimeoutAndDeadline() {
         script.add(
                 List.of(
                         send("s.0"),
                         new Command.ScheduleWakeUp(50),
                         new Command.ScheduleWakeUp(90)));
-        assertEquals(coordinator.submit(1, scan("s", null, 1)).nextTickAtMs(), 51.0);
+        assertEquals(coordinator.submit(1, query("s", null, 1)).nextTickAtMs(), 51.0);
         assertEquals(coordinator.tick(51).nextTickAtMs(), 401.0);
         assertEquals(coordinator.tick(401).nextTickAtMs(), 501.0);
     }
 
     @Test
-    public void serverIsClosedToNewPartsOnceTheListSaysSo() {
+    public void serverIsClosedToNewPartsOnceDiscoverySaysSo() {
         ShardServer server = sent("s").server();
         assertTrue(server.running());
         for (EndpointUpdate.State state : EndpointUpdate.State.values()) {
@@ -352,7 +347,7 @@
     @Test
     public void whoeverAsksToBeWokenIsToldByAnyCallThatComesThen() {
         script.add(List.of(new Command.ScheduleWakeUp(50)));
-        assertEquals(coordinator.submit(1, scan("s", null, 1)).nextTickAtMs(), 51.0);
+        assertEquals(coordinator.submit(1, query("s", null, 1)).nextTickAtMs(), 51.0);
         seen.clear();
         coordinator.observe(50, List.of());
         assertFalse(seen.get(0).contains(new Event.WakeUp()));
--- a/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
+++ b/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
@@ -7,7 +7,6 @@
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
 import java.math.RoundingMode;
-import java.nio.charset.StandardCharsets;
 import sprucehold.coordinator.Answer;
 
 /** Writes the body of an answer and its advice. */
@@ -25,7 +24,7 @@
             for (Answer.Value value : answer.values()) {
                 json.writeStartObject();
                 json.writeNumberField("bucket", value.shard());
-                json.writeStringField("item", new String(value.bytes(), StandardCharsets.UTF_8));
+                json.writeStringField("item", value.payload().text());
                 json.writeEndObject();
             }
             json.writeEndArray();
--- a/gatherer/src/main/java/sprucehold/clients/QueryReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -16,6 +16,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.regex.Pattern;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 
 /** Reads a client's scan from its headers and body. */
@@ -122,6 +123,6 @@
                 Math.max(0, Double.parseDouble(deadline) - spentMs),
                 key,
                 parts,
-                node.get("body").textValue().getBytes(StandardCharsets.UTF_8));
+                Payload.ofText(node.get("body").textValue()));
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
@@ -17,7 +17,7 @@
     static Buffer call(List<Attempt> dispatches, double nowMs) {
         Buffer rest = Buffer.buffer();
         for (Attempt attempt : dispatches) {
-            byte[] text = attempt.query().body();
+            byte[] text = attempt.query().body().bytes();
             long patience = Math.max(1, (long) attempt.timeLeftMs(nowMs));
             rest.appendString(
                             attempt.partId()
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -17,6 +17,7 @@
 import java.util.logging.Logger;
 import sprucehold.coordinator.Attempt;
 import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 import sprucehold.coordinator.WriteProgress;
 import sprucehold.sockets.UnreadInput;
@@ -355,7 +356,7 @@
             owner.probeEnded(
                     this,
                     probed.sound()
-                            ? new AttemptResult.Completed(new byte[0], probed.load())
+                            ? new AttemptResult.Completed(Payload.EMPTY, probed.load())
                             : new AttemptResult.Failed(probed.load()),
                     took);
         } else if (frame instanceof ShardFrame.Unusable unusable) {
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -4,15 +4,16 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
-import sprucehold.coordinator.Load;
+import sprucehold.coordinator.Payload;
+import sprucehold.decision.LoadReport;
 
 /** What a shard server sends. */
 sealed interface ShardFrame {
     /** The end of a part. */
-    record Ended(String partId, End end, Load load, byte[] value) implements ShardFrame {}
+    record Ended(String partId, End end, LoadReport load, Payload value) implements ShardFrame {}
 
     /** The answer to a probe; {@code load} is null where none came along. */
-    record Probed(boolean sound, Load load) implements ShardFrame {}
+    record Probed(boolean sound, LoadReport load) implements ShardFrame {}
 
     /** A frame of ours could not be used, and the connection is closed. */
     record Unusable(String words) implements ShardFrame {}
@@ -75,7 +76,7 @@
      * A value is text, and no text holds a zero byte; a frame whose length is too large holds those
      * of the next one's length.
      */
-    private static byte[] value(byte[] bytes) throws MalformedException {
+    private static Payload value(byte[] bytes) throws MalformedException {
         try {
             if (StandardCharsets.UTF_8
                             .newDecoder()
@@ -83,7 +84,7 @@
                             .toString()
                             .indexOf(0)
                     < 0) {
-                return bytes;
+                return Payload.owning(bytes);
             }
         } catch (CharacterCodingException e) {
             // As below.
@@ -96,7 +97,7 @@
     }
 
     /** A report such as {@code inflight=7,util=0.61}; what can't be read isn't known. */
-    private static Load load(String report) {
+    private static LoadReport load(String report) {
         double held = Double.NaN;
         double queued = Double.NaN;
         double busy = Double.NaN;
@@ -122,6 +123,6 @@
             }
         }
         boolean nothing = Double.isNaN(held) && Double.isNaN(queued) && Double.isNaN(busy);
-        return nothing ? null : new Load(held, queued, busy);
+        return nothing ? null : new LoadReport(held, queued, busy);
     }
 }
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -29,14 +29,14 @@
 import org.testng.annotations.Test;
 import sprucehold.TestLoop;
 import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 
 /** The HTTP server with a handler that is scripted, asked over plain sockets. */
 public class ClientServerTest {
     private static final String BODY = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
     private static final Answer HIT =
-            new Answer.Completed(
-                    true, List.of(new Answer.Value(0, "v".getBytes(StandardCharsets.UTF_8))));
+            new Answer.Completed(true, List.of(new Answer.Value(0, Payload.ofText("v"))));
 
     /** How many connections clients may hold. */
     private static final int MOST = 6;
--- a/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
@@ -10,6 +10,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 
 public class QueryReaderTest {
@@ -154,7 +155,7 @@
         assertEquals(read("s", "q", "29", body(PART)).timeLeftMs(), 0.0);
         assertEquals(query.parts().stream().map(Query.Part::shard).toList(), List.of(3, 9, 0));
         assertEquals(query.parts().stream().mapToDouble(Query.Part::weight).sum(), 1, 1e-9);
-        assertEquals(new String(query.body(), StandardCharsets.UTF_8), "c4é");
+        assertEquals(query.body().text(), "c4é");
     }
 
     @DataProvider
@@ -171,7 +172,7 @@
 
     @Test
     public void valuesStandInTheAnswerAsTheyCame() {
-        var values = List.of(new Answer.Value(3, "5b\"é".getBytes(StandardCharsets.UTF_8)));
+        var values = List.of(new Answer.Value(3, Payload.ofText("5b\"é")));
         assertEquals(
                 new String(
                         AnswerWriter.body(new Answer.Completed(false, values)),
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -5,20 +5,20 @@
 import static org.testng.Assert.assertTrue;
 
 import io.vertx.core.buffer.Buffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.coordinator.EndpointUpdate;
-import sprucehold.coordinator.Load;
 import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.decision.Command;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Event;
+import sprucehold.decision.LoadReport;
 import sprucehold.decision.QueryClass;
 
 public class FrameTest {
@@ -50,17 +50,17 @@
     Object[][] loads() {
         return new Object[][] {
             {"-", null},
-            {"inflight=7,util=0.61", new Load(7, Double.NaN, 0.61)},
-            {"queue=3", new Load(Double.NaN, 3, Double.NaN)},
+            {"inflight=7,util=0.61", new LoadReport(7, Double.NaN, 0.61)},
+            {"queue=3", new LoadReport(Double.NaN, 3, Double.NaN)},
             {"other=1,queue=x", null},
             {"", null},
-            {"inflight=NaN,util=0.5", new Load(Double.NaN, Double.NaN, 0.5)},
+            {"inflight=NaN,util=0.5", new LoadReport(Double.NaN, Double.NaN, 0.5)},
             {"inflight=-1,queue=Infinity", null},
         };
     }
 
     @Test(dataProvider = "loads")
-    public void loadIsReadAsFarAsItCanBe(String report, Load load) throws Exception {
+    public void loadIsReadAsFarAsItCanBe(String report, LoadReport load) throws Exception {
         var ended =
                 (ShardFrame.Ended)
                         ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
@@ -90,7 +90,7 @@
             assertEquals(frames.size(), 4);
             var ended = (ShardFrame.Ended) frames.get(0);
             assertEquals(ended.partId(), "p.1");
-            assertEquals(new String(ended.value()), "va\nlue");
+            assertEquals(ended.value().text(), "va\nlue");
             assertEquals(frames.get(1), new ShardFrame.Probed(true, null));
             assertEquals(((ShardFrame.Ended) frames.get(2)).end(), ShardFrame.End.FAULT);
             assertEquals(frames.get(3), new ShardFrame.Unusable("no"));
@@ -157,7 +157,7 @@
                         400,
                         Optional.of("key"),
                         List.of(new Query.Part(3, 0.5), new Query.Part(9, 0.5)),
-                        "body".getBytes(StandardCharsets.UTF_8));
+                        Payload.ofText("body"));
         var commands = coordinator.submit(10, query);
         assertEquals(
                 GathererFrame.call(commands.send(), 20),
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -36,6 +36,7 @@
 import sprucehold.coordinator.AttemptResult;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.coordinator.WriteProgress;
@@ -216,7 +217,9 @@
         for (int segment = 0; segment < parts; segment++) {
             list.add(new Query.Part(segment, 1.0 / parts));
         }
-        return coordinator.submit(now, new Query(id, "q", null, 500, list, text.getBytes())).send();
+        return coordinator
+                .submit(now, new Query(id, "q", null, 500, list, Payload.ofText(text)))
+                .send();
     }
 
     private int links() throws Exception {
@@ -303,7 +306,7 @@
                         500,
                         Optional.of("b086b1d5"),
                         List.of(new Query.Part(0, 1)),
-                        "text".getBytes());
+                        Payload.ofText("text"));
         send(coordinator.submit(now, query).send());
         String call = "As.0 0 d=240,k=b086b1d5 4\ntext";
         assertEquals(
@@ -467,7 +470,7 @@
                                         null,
                                         500,
                                         List.of(new Query.Part(0, 1)),
-                                        new byte[4]))
+                                        Payload.owning(new byte[4])))
                         .send();
         loop.act(
                 () -> {
--- a/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synth/SyntheticDay.java
@@ -26,6 +26,7 @@
 import sprucehold.coordinator.Commands;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.coordinator.ShardServer;
@@ -395,7 +396,7 @@
                         deployment.tenants().get(client.customer).name(),
                         client.patience,
                         parts,
-                        new byte[0]);
+                        Payload.EMPTY);
         seat.clients.put(query, client);
         if (chance.nextInt(50) == 0) {
             at(
@@ -502,7 +503,7 @@
                 () ->
                         fails
                                 ? new AttemptResult.Failed(null)
-                                : new AttemptResult.Completed(new byte[0], null));
+                                : new AttemptResult.Completed(Payload.EMPTY, null));
     }
 
     private void trouble() {
