--- a/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
@@ -2,51 +2,20 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Set;
 
 /**
  * Finds what the settings of a deployment lack or contradict before anything is served by them.
- * Only what nobody can serve without is asked for: fields that have a sound default may be absent,
- * but not be of another kind.
+ * Only what nobody can serve without is required: keys that have a sound default may be absent, but
+ * their values not be of another kind. The keys are those of {@link DeploymentSettings}.
  */
 final class DeploymentSettingsValidator {
-    private DeploymentSettingsValidator() {}
+    private static final int LONGEST_VALUE_SHOWN = 80;
 
-    /** Throws at the first field that can't be used, naming it and what was expected. */
-    static void check(JsonNode settings) throws InvalidSettingsException {
-        JsonNode types = settings.path("classes");
-        if (!types.isArray() || types.isEmpty()) {
-            throw expected("classes", types, "a list with at least one table type");
-        }
-        Set<String> names = new HashSet<>();
-        for (int i = 0; i < types.size(); i++) {
-            tableType(types.get(i), "classes[" + i + "].", names);
-        }
-        names.clear();
-        JsonNode customers = settings.path("tenants");
-        if (!customers.isMissingNode() && !customers.isArray()) {
-            throw expected("tenants", customers, "a list");
-        }
-        for (int i = 0; i < customers.size(); i++) {
-            name(customers.get(i), "tenants[" + i + "].", names);
-            number(customers.get(i), "tenants[" + i + "].", "allowancePerS", 0, false, true);
-        }
-        JsonNode family = settings.path("familyInfo");
-        whole(family, "familyInfo.", "ranges", true);
-        whole(family, "familyInfo.", "sets", true);
-        whole(family, "familyInfo.", "width", false);
-        whole(family, "familyInfo.", "bundleMax", false);
-        shares(family, "completeFrom", types.size());
-        shares(family, "leastShare", types.size());
-        JsonNode limits = settings.path("limits");
-        number(limits, "limits.", "dialTimeoutMs", 0, true, true);
-        number(limits, "limits.", "idleCloseMs", 0, true, true);
-        whole(limits, "limits.", "streamsPerConn", false);
-        whole(limits, "limits.", "sendCap", false);
-        whole(limits, "limits.", "maxOpen", false);
-        JsonNode rules = settings.path("safety");
-        for (String field :
-                new String[] {
+    private static final Set<String> SEMANTICS = Set.of("retryable", "dedup", "fragile");
+    private static final List<String> SAFETY_NUMBERS =
+            List.of(
                     "coldFrom",
                     "coldMs",
                     "fallMultiple",
@@ -54,94 +23,170 @@
                     "mustAskInMs",
                     "budgetFree",
                     "extraRatio",
-                    "countedOverMs"
-                }) {
-            number(rules, "safety.", field, 0, false, false);
+                    "countedOverMs");
+
+    private DeploymentSettingsValidator() {}
+
+    /** Throws at the first value that can't be used, naming its key and what was expected. */
+    static void check(JsonNode settings) throws InvalidSettingsException {
+        checkQueryClasses(settings.path("classes"));
+        checkTenants(settings.path("tenants"));
+        checkFamily(settings.path("familyInfo"), settings.path("classes").size());
+        checkLimits(settings.path("limits"));
+        var safety = new Section(settings.path("safety"), "safety.");
+        for (String key : SAFETY_NUMBERS) {
+            safety.optionalNonNegative(key);
         }
-        number(settings, "", "quantumMs", 0, false, false);
-        whole(settings, "", "balancers", false);
+        var top = new Section(settings, "");
+        top.optionalNonNegative("quantumMs");
+        top.optionalCount("balancers");
     }
 
-    private static void tableType(JsonNode type, String at, Set<String> names)
-            throws InvalidSettingsException {
-        name(type, at, names);
-        String semantics = type.path("semantics").asText();
-        if (!Set.of("retryable", "dedup", "fragile").contains(semantics)) {
-            throw expected(at + "semantics", type.path("semantics"), "retryable, dedup or fragile");
-        }
-        number(type, at, "aimMs", 0, true, true);
-        number(type, at, "giveUpMs", 0, true, true);
-        number(type, at, "worth", 0, false, false);
-        number(type, at, "lateValue", 0, false, false);
-        number(type, at, "windowMs", 0, false, semantics.equals("dedup"));
+    private static void checkQueryClasses(JsonNode classes) throws InvalidSettingsException {
+        if (!classes.isArray() || classes.isEmpty()) {
+            throw unusable("classes", classes, "a list with at least one table type");
+        }
+        Set<String> names = new HashSet<>();
+        for (int i = 0; i < classes.size(); i++) {
+            checkQueryClass(new Section(classes.get(i), "classes[" + i + "]."), names);
+        }
     }
 
-    private static void name(JsonNode node, String at, Set<String> names)
+    private static void checkQueryClass(Section queryClass, Set<String> names)
             throws InvalidSettingsException {
-        JsonNode name = node.path("name");
-        if (!name.isTextual() || name.asText().isEmpty()) {
-            throw expected(at + "name", name, "a name");
-        } else if (!names.add(name.asText())) {
-            throw expected(at + "name", name, "another name than those before it");
+        queryClass.uniqueName(names);
+        JsonNode semantics = queryClass.value("semantics");
+        if (!SEMANTICS.contains(semantics.asText())) {
+            throw unusable(queryClass.place("semantics"), semantics, "retryable, dedup or fragile");
+        }
+        queryClass.positive("aimMs");
+        queryClass.positive("giveUpMs");
+        queryClass.optionalNonNegative("worth");
+        queryClass.optionalNonNegative("lateValue");
+        if (semantics.asText().equals("dedup")) {
+            queryClass.nonNegative("windowMs");
+        } else {
+            queryClass.optionalNonNegative("windowMs");
         }
     }
 
-    private static void number(
-            JsonNode node, String at, String field, double least, boolean above, boolean needed)
-            throws InvalidSettingsException {
-        JsonNode value = node.path(field);
-        if (value.isMissingNode() && !needed) {
-            return;
+    private static void checkTenants(JsonNode tenants) throws InvalidSettingsException {
+        if (!tenants.isMissingNode() && !tenants.isArray()) {
+            throw unusable("tenants", tenants, "a list");
         }
-        double number = value.isNumber() ? value.doubleValue() : Double.NaN;
-        if (!(above ? number > least : number >= least)) {
-            throw expected(
-                    at + field,
-                    value,
-                    "a number " + (above ? "above " : "of at least ") + (long) least);
+        Set<String> names = new HashSet<>();
+        for (int i = 0; i < tenants.size(); i++) {
+            var tenant = new Section(tenants.get(i), "tenants[" + i + "].");
+            tenant.uniqueName(names);
+            tenant.nonNegative("allowancePerS");
         }
     }
 
-    private static void whole(JsonNode node, String at, String field, boolean needed)
+    private static void checkFamily(JsonNode node, int queryClasses)
             throws InvalidSettingsException {
-        JsonNode value = node.path(field);
-        if (value.isMissingNode() && !needed) {
-            return;
+        var family = new Section(node, "familyInfo.");
+        family.count("ranges");
+        family.count("sets");
+        family.optionalCount("width");
+        family.optionalCount("bundleMax");
+        family.optionalShares("completeFrom", queryClasses);
+        family.optionalShares("leastShare", queryClasses);
+    }
+
+    private static void checkLimits(JsonNode node) throws InvalidSettingsException {
+        var limits = new Section(node, "limits.");
+        limits.positive("dialTimeoutMs");
+        limits.positive("idleCloseMs");
+        limits.optionalCount("streamsPerConn");
+        limits.optionalCount("sendCap");
+        limits.optionalCount("maxOpen");
+    }
+
+    /**
+     * An object of the settings.
+     *
+     * @param node the object, perhaps missing
+     * @param path where it stands, ending with a dot unless empty
+     */
+    private record Section(JsonNode node, String path) {
+        JsonNode value(String key) {
+            return node.path(key);
         }
-        if (!value.isIntegralNumber() || value.longValue() < 1) {
-            throw expected(at + field, value, "a whole number of at least 1");
+
+        String place(String key) {
+            return path + key;
         }
-    }
 
-    private static void shares(JsonNode family, String field, int types)
-            throws InvalidSettingsException {
-        JsonNode shares = family.path(field);
-        if (shares.isMissingNode()) {
-            return;
-        }
-        if (!shares.isArray() || shares.size() != types) {
-            throw expected(
-                    "familyInfo." + field, shares, "a share for each of " + types + " table types");
-        }
-        for (int i = 0; i < types; i++) {
-            double share = shares.get(i).isNumber() ? shares.get(i).doubleValue() : Double.NaN;
-            if (!(share >= 0 && share <= 1)) {
-                throw expected(
-                        "familyInfo." + field + "[" + i + "]",
-                        shares.get(i),
-                        "a share from 0 to 1");
+        void uniqueName(Set<String> names) throws InvalidSettingsException {
+            JsonNode name = value("name");
+            if (!name.isTextual() || name.asText().isEmpty()) {
+                throw unusable(place("name"), name, "a name");
+            } else if (!names.add(name.asText())) {
+                throw unusable(place("name"), name, "another name than those before it");
             }
         }
+
+        void positive(String key) throws InvalidSettingsException {
+            if (!(numberOrNaN(value(key)) > 0)) {
+                throw unusable(place(key), value(key), "a number above 0");
+            }
+        }
+
+        void nonNegative(String key) throws InvalidSettingsException {
+            if (!(numberOrNaN(value(key)) >= 0)) {
+                throw unusable(place(key), value(key), "a number of at least 0");
+            }
+        }
+
+        void optionalNonNegative(String key) throws InvalidSettingsException {
+            if (!value(key).isMissingNode()) {
+                nonNegative(key);
+            }
+        }
+
+        void count(String key) throws InvalidSettingsException {
+            if (!value(key).isIntegralNumber() || value(key).longValue() < 1) {
+                throw unusable(place(key), value(key), "a whole number of at least 1");
+            }
+        }
+
+        void optionalCount(String key) throws InvalidSettingsException {
+            if (!value(key).isMissingNode()) {
+                count(key);
+            }
+        }
+
+        void optionalShares(String key, int queryClasses) throws InvalidSettingsException {
+            JsonNode shares = value(key);
+            if (shares.isMissingNode()) {
+                return;
+            }
+            if (!shares.isArray() || shares.size() != queryClasses) {
+                throw unusable(
+                        place(key), shares, "a share for each of " + queryClasses + " table types");
+            }
+            for (int i = 0; i < queryClasses; i++) {
+                double share = numberOrNaN(shares.get(i));
+                if (!(share >= 0 && share <= 1)) {
+                    throw unusable(
+                            place(key) + "[" + i + "]", shares.get(i), "a share from 0 to 1");
+                }
+            }
+        }
+    }
+
+    private static double numberOrNaN(JsonNode value) {
+        return value.isNumber() ? value.doubleValue() : Double.NaN;
     }
 
-    private static InvalidSettingsException expected(String place, JsonNode value, String what) {
-        String is = value.isMissingNode() ? "is missing" : "is " + value;
+    private static InvalidSettingsException unusable(
+            String place, JsonNode value, String expected) {
+        String found = value.isMissingNode() ? "is missing" : "is " + value;
+        String shown =
+                found.length() > LONGEST_VALUE_SHOWN
+                        ? found.substring(0, LONGEST_VALUE_SHOWN) + "..."
+                        : found;
         return new InvalidSettingsException(
-                "settings."
-                        + place
-                        + " "
-                        + (is.length() > 80 ? is.substring(0, 80) + "..." : is)
-                        + ", expected "
-                        + what);
+                "settings." + place + " " + shown + ", expected " + expected);
     }
 }
