--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -233,7 +233,9 @@
      * been read.
      */
     boolean sweep() {
-        return doom(fresh, NEW_MS) | doom(kept, crowded() ? KEPT_CROWDED_MS : KEPT_MS);
+        boolean anyNew = doom(fresh, NEW_MS);
+        boolean anyKept = doom(kept, crowded() ? KEPT_CROWDED_MS : KEPT_MS);
+        return anyNew || anyKept;
     }
 
     /**
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -437,7 +437,7 @@
                                                 neighbours.forEach(
                                                         one -> one.use(clock.now(), use))));
         commands.replies().forEach(reply -> guarded(() -> reply(reply)));
-        guarded(() -> shards.probe(commands.healthChecks()));
+        guarded(() -> shards.checkHealth(commands.healthChecks()));
         commands.logMessages().forEach(LOG::info);
         if (commands.subscribe()) {
             guarded(watch::ask);
--- a/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
+++ b/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
@@ -15,7 +15,7 @@
      */
     boolean clientWaits(Query query);
 
-    /** The frame of the attempt is handed to its connection now. */
+    /** The frame of the attempt was handed to its connection just now. */
     void begun(Attempt attempt);
 
     /**
--- a/gatherer/src/main/java/sprucehold/shards/FrameReader.java
+++ b/gatherer/src/main/java/sprucehold/shards/FrameReader.java
@@ -6,24 +6,31 @@
 
 /** Cuts what a shard server sends into frames, wherever it is split. */
 final class FrameReader {
-    /** Twice the longest answer a client may get, so no sound value is longer. */
-    private static final int LONGEST = 128 * 1024;
+    private static final int LENGTH_BYTES = 4;
 
-    private final RecordParser parser = RecordParser.newFixed(4);
+    /** Twice the longest answer that a client may get, so no sound value is longer. */
+    private static final int LONGEST_FRAME_BYTES = 128 * 1024;
+
+    private final RecordParser parser = RecordParser.newFixed(LENGTH_BYTES);
     private final Consumer<ShardFrame> frames;
     private final Consumer<String> malformed;
     private boolean inFrame;
     private boolean broken;
-    private double heardAt;
+    private double receivedAtMs;
 
+    /**
+     * @param frames takes each frame
+     * @param malformed is told once why what comes can't be read; nothing is read after that
+     */
     FrameReader(Consumer<ShardFrame> frames, Consumer<String> malformed) {
         this.frames = frames;
         this.malformed = malformed;
         parser.handler(this::record);
     }
 
-    void handle(Buffer bytes, double now) {
-        heardAt = now;
+    /** Takes bytes as they came. */
+    void handle(Buffer bytes, double nowMs) {
+        receivedAtMs = nowMs;
         if (!broken) {
             parser.handle(bytes);
         }
@@ -32,26 +39,33 @@
     /**
      * Whether a frame has begun and nothing more of it came for so long: its length doesn't fit.
      */
-    boolean stalled(double now, double silenceMs) {
-        return inFrame && !broken && now - heardAt > silenceMs;
+    boolean isStalled(double nowMs, double silenceMs) {
+        return inFrame && !broken && nowMs - receivedAtMs > silenceMs;
     }
 
     private void record(Buffer bytes) {
         if (broken) {
             return;
         }
-        if (!inFrame) {
-            int length = bytes.getIntLE(0);
-            if (length < 1 || length > LONGEST) {
-                fail("a frame of " + length + " bytes");
-                return;
-            }
-            inFrame = true;
-            parser.fixedSizeMode(length);
+        if (inFrame) {
+            frame(bytes);
+        } else {
+            length(bytes.getIntLE(0));
+        }
+    }
+
+    private void length(int length) {
+        if (length < 1 || length > LONGEST_FRAME_BYTES) {
+            fail("a frame of " + length + " bytes");
             return;
         }
+        inFrame = true;
+        parser.fixedSizeMode(length);
+    }
+
+    private void frame(Buffer bytes) {
         inFrame = false;
-        parser.fixedSizeMode(4);
+        parser.fixedSizeMode(LENGTH_BYTES);
         try {
             frames.accept(ShardFrame.decode(bytes));
         } catch (ShardFrame.MalformedException e) {
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -7,12 +7,8 @@
 import io.vertx.core.net.NetSocket;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Queue;
-import java.util.Set;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import sprucehold.coordinator.Attempt;
@@ -23,153 +19,147 @@
 import sprucehold.sockets.UnreadInput;
 import sprucehold.sockets.UnsentOutput;
 
-/** One connection to a shard server, from the dial to its end, and all parts that are out on it. */
+/**
+ * One connection to a shard server, from its dial to its end, with the attempts and health checks
+ * on it. Attempts wait until the connection is up and the system has taken what was written before;
+ * then they are written in a turn of the decisions. Each attempt and each health check ends exactly
+ * once, by {@link Owner}. Runs on one event loop.
+ */
 final class ShardConnection {
     private static final Logger LOG = Logger.getLogger(ShardConnection.class.getName());
 
-    /** What a link tells its owner. */
+    /** What a connection asks and tells its owner. */
     interface Owner {
-        double now();
+        double nowMs();
 
         boolean clientWaits(Query query);
 
         void begun(Attempt attempt);
 
-        void ended(Attempt attempt, AttemptResult result);
+        void attemptEnded(Attempt attempt, AttemptResult result);
 
-        void probeEnded(ShardConnection link, AttemptResult result, double tookMs);
+        void healthCheckEnded(AttemptResult result, double durationMs);
 
-        void up(ShardConnection link);
+        /** The connection has come up. */
+        void connected();
 
         /**
-         * Calls wait on it that can be written now: {@link #writeWaiting} is due in the next turn.
+         * Attempts wait on it that can be written now: {@link #writeWaiting} is due in the next
+         * turn.
          */
-        void turnWanted(ShardConnection link);
-
-        /** The link is over; {@code neverUp} if the dial failed. */
-        void closed(ShardConnection link, boolean neverUp, String why);
-    }
-
-    private static final class Flight {
-        final Attempt attempt;
-        final double writtenAt;
+        void turnWanted(ShardConnection connection);
 
         /**
-         * Succeeds once the last byte of its frame is handed over; fails if that never came to be.
+         * The connection is over.
+         *
+         * @param dialFailed whether it never came up
+         * @param why what ended it; null where that was our own wish
          */
-        Future<Void> write;
-
-        Flight(Attempt attempt, double writtenAt) {
-            this.attempt = attempt;
-            this.writtenAt = writtenAt;
-        }
+        void closed(ShardConnection connection, boolean dialFailed, String why);
     }
 
     private final Owner owner;
     private final String address;
-    private final int mostParts;
+    private final int maxParts;
+    private final boolean loadByHealthCheck;
 
     /**
      * Calls that wait for the connection to come up, or for the system to take what was written
-     * before; each with parts of one scan.
+     * before; each with parts of one query.
      */
-    private final Queue<List<Attempt>> waiting = new ArrayDeque<>();
+    private final Queue<List<Attempt>> waitingCalls = new ArrayDeque<>();
 
-    private final Map<String, Flight> flights = new LinkedHashMap<>();
+    private final InFlightAttempts inFlight = new InFlightAttempts();
+    private final PendingHealthChecks healthChecks = new PendingHealthChecks();
 
-    /**
-     * Parts called off whose answers may still come, the longest-standing first. A server that
-     * stood still for minutes answers all that it held, and that is no noise; so not time bounds
-     * them but their number.
-     */
-    private final Set<String> cancelled = new LinkedHashSet<>();
+    private int waitingParts;
+    private NetSocket socket;
+    private FrameReader reader;
 
-    /** More than a server of the usual size runs and queues, for all gatherers together. */
-    private static final int MOST_CANCELLED = 1024;
+    /** When a frame came last, or the connection came up. */
+    private double heardAtMs;
 
-    /** When each probe that has no answer yet was sent. */
-    private final Queue<Double> probes = new ArrayDeque<>();
+    /** Since when no part is in flight, while none is. */
+    private double idleSinceMs;
 
-    /** Probes that wait for the connection to come up, and whether they ask for the load. */
-    private final List<Boolean> waitingProbes = new ArrayList<>();
+    /** Whether it is silent for so long that the server's machine may have vanished. */
+    private boolean suspect;
 
-    private int waitingParts;
-    private NetSocket socket;
-    private double heardAt;
-    private double idleSince;
-    private boolean doubtful;
-    private boolean over;
-    private boolean spoilt;
-    private FrameReader reader;
+    private boolean closed;
+
+    /** Whether what came can't be read, so that nobody knows which part it was meant for. */
+    private boolean unreadable;
 
-    ShardConnection(Owner owner, String address, int mostParts) {
+    ShardConnection(Owner owner, String address, int maxParts, boolean loadByHealthCheck) {
         this.owner = owner;
         this.address = address;
-        this.mostParts = mostParts;
+        this.maxParts = maxParts;
+        this.loadByHealthCheck = loadByHealthCheck;
     }
 
+    /** Takes the dial over. */
     void dialled(Future<NetSocket> dial) {
         dial.onComplete(this::opened, failure -> close(true, failure.getMessage()));
     }
 
+    /** Host and port that were dialled. */
     String address() {
         return address;
     }
 
     private void opened(NetSocket opened) {
-        if (over) {
+        if (closed) {
             opened.close();
             return;
         }
         socket = opened;
-        heardAt = owner.now();
-        idleSince = heardAt;
+        heardAtMs = owner.nowMs();
+        idleSinceMs = heardAtMs;
         socket.exceptionHandler(
                 failure -> LOG.log(Level.FINE, "connection to " + address, failure));
         socket.closeHandler(none -> close(false, "closed by the other side"));
-        reader = new FrameReader(this::received, this::unreadable);
-        socket.handler(
-                bytes -> {
-                    try {
-                        reader.handle(bytes, owner.now());
-                    } catch (RuntimeException e) {
-                        LOG.log(
-                                Level.SEVERE,
-                                "panic: the connection to the shard server at "
-                                        + address
-                                        + " is closed",
-                                e);
-                        close(false, "panic");
-                    }
-                });
-        owner.up(this);
-        waitingProbes.forEach(this::probe);
-        waitingProbes.clear();
-        wantTurn();
+        reader = new FrameReader(this::received, this::receivedUnreadable);
+        socket.handler(this::receivedBytes);
+        owner.connected();
+        for (int i = healthChecks.takeWaiting(); i > 0; i--) {
+            checkHealth();
+        }
+        requestTurn();
+    }
+
+    private void receivedBytes(Buffer bytes) {
+        try {
+            reader.handle(bytes, owner.nowMs());
+        } catch (RuntimeException e) {
+            LOG.log(
+                    Level.SEVERE,
+                    "panic: the connection to the shard server at " + address + " is closed",
+                    e);
+            close(false, "panic");
+        }
     }
 
-    private void wantTurn() {
-        if (!over && !waiting.isEmpty()) {
+    private void requestTurn() {
+        if (!closed && !waitingCalls.isEmpty()) {
             owner.turnWanted(this);
         }
     }
 
-    /** Whether a call of so many parts can go out on it, now or when it is up. */
-    boolean fits(List<Attempt> call) {
-        boolean blocked = socket != null && (doubtful || socket.writeQueueFull());
-        return !over
+    /** Whether a call can go out on it, now or when it is up. */
+    boolean canTake(List<Attempt> call) {
+        boolean blocked = socket != null && (suspect || socket.writeQueueFull());
+        return !closed
                 && !blocked
-                && flights.size() + waitingParts + call.size() <= mostParts
-                && call.stream()
-                        .noneMatch(
-                                attempt ->
-                                        flights.containsKey(attempt.partId())
-                                                || cancelled.contains(attempt.partId()));
+                && inFlight.size() + waitingParts + call.size() <= maxParts
+                && call.stream().noneMatch(attempt -> inFlight.mayBeAnswered(attempt.partId()));
     }
 
-    /** To be called in a turn of the decisions, as {@link #writeWaiting} is. */
+    /**
+     * Sends attempts of parts of one query. To be called in a turn of the decisions, as {@link
+     * #writeWaiting} is.
+     */
     void send(List<Attempt> call) {
-        waiting.add(new ArrayList<>(call));
+        waitingCalls.add(new ArrayList<>(call));
         waitingParts += call.size();
         writeWaiting();
     }
@@ -177,13 +167,16 @@
     /**
      * Writes what waits, as far as the system takes it. To be called in a turn of the decisions,
      * once they know all that had come when the turn began: what comes up, or is written out, in
-     * the middle of a pass over the sockets knows nothing of a list that tells of a drain and lies
-     * unread on another. Nothing waits in the process behind other frames: it could not be taken
-     * back.
+     * the middle of a pass over the sockets knows nothing of an endpoint update that tells of a
+     * drain and lies unread on another. Nothing waits in the process behind other frames: it could
+     * not be taken back.
      */
     void writeWaiting() {
-        while (socket != null && !over && !waiting.isEmpty() && UnsentOutput.isEmpty(channel())) {
-            List<Attempt> call = waiting.poll();
+        while (socket != null
+                && !closed
+                && !waitingCalls.isEmpty()
+                && UnsentOutput.isEmpty(channel())) {
+            List<Attempt> call = waitingCalls.poll();
             waitingParts -= call.size();
             write(call);
         }
@@ -195,7 +188,7 @@
 
     private Future<Void> put(Buffer frame) {
         Future<Void> write = socket.write(frame);
-        write.onComplete(taken -> wantTurn());
+        write.onComplete(taken -> requestTurn());
         return write;
     }
 
@@ -205,239 +198,229 @@
      * happen twice. One that isn't up yet may still come up.
      */
     boolean isOpenStill() {
-        return socket == null || UnreadInput.readAll(channel()) && !over;
+        return socket == null || UnreadInput.readAll(channel()) && !closed;
     }
 
     /** The one place at which attempts are written; the parts of a call are of one query. */
     private void write(List<Attempt> waited) {
-        double now = owner.now();
-        List<Attempt> call = writable(waited, now);
+        double nowMs = owner.nowMs();
+        List<Attempt> call = writable(waited, nowMs);
         if (call.isEmpty()) {
             return;
         }
-        Buffer frame = GathererFrame.call(call, now);
+        Buffer frame = GathererFrame.attempts(call, nowMs);
         // Last, so that a hold-up in all that comes before it changes nothing.
         if (!owner.clientWaits(call.get(0).query())) {
-            call.forEach(
-                    attempt ->
-                            owner.ended(
-                                    attempt,
-                                    new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN)));
+            call.forEach(this::endUnwrittenAsCancelled);
             return;
         }
         Future<Void> write = put(frame);
-        List<Flight> out = call.stream().map(attempt -> new Flight(attempt, now)).toList();
-        out.forEach(flight -> flights.put(flight.attempt.partId(), flight));
-        out.forEach(flight -> flight.write = write);
+        List<InFlightAttempt> written =
+                call.stream().map(attempt -> new InFlightAttempt(attempt, nowMs, write)).toList();
+        written.forEach(inFlight::add);
         call.forEach(owner::begun);
-        write.onFailure(
-                failure ->
-                        out.forEach(
-                                flight -> {
-                                    if (flights.remove(flight.attempt.partId(), flight)) {
-                                        owner.ended(
-                                                flight.attempt,
-                                                new AttemptResult.ConnectionLost(
-                                                        WriteProgress.PARTLY_WRITTEN));
-                                    }
-                                }));
+        write.onFailure(failure -> written.forEach(this::writeFailed));
     }
 
     /**
      * Those that may still be written: while the call waited the list may have said that its server
      * drains, or its time have run out.
      */
-    private List<Attempt> writable(List<Attempt> waited, double now) {
+    private List<Attempt> writable(List<Attempt> waited, double nowMs) {
         var call = new ArrayList<Attempt>();
         for (Attempt attempt : waited) {
-            if (!attempt.mayBeWritten(now)) {
-                owner.ended(attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
+            if (!attempt.mayBeWritten(nowMs)) {
+                endUnwrittenAsCancelled(attempt);
             } else if (attempt.server().running()) {
                 call.add(attempt);
             } else {
-                owner.ended(attempt, new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
+                endAsLost(attempt, WriteProgress.NOT_WRITTEN);
             }
         }
         return call;
     }
 
+    private void endUnwrittenAsCancelled(Attempt attempt) {
+        owner.attemptEnded(attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
+    }
+
+    private void endAsLost(Attempt attempt, WriteProgress progress) {
+        owner.attemptEnded(attempt, new AttemptResult.ConnectionLost(progress));
+    }
+
+    private void writeFailed(InFlightAttempt written) {
+        if (inFlight.remove(written)) {
+            endAsLost(written.attempt, WriteProgress.PARTLY_WRITTEN);
+        }
+    }
+
     /**
-     * A frame whose last byte was never handed over has not run; that may be known only after the
-     * close.
+     * The connection is over. A frame whose last byte was never handed over has not run; that may
+     * be known only after the close.
      */
-    private void lost(Flight flight) {
-        if (spoilt) {
-            owner.ended(flight.attempt, new AttemptResult.Failed(null));
-            return;
-        }
-        if (flight.write == null) {
-            owner.ended(flight.attempt, new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
+    private void connectionLost(InFlightAttempt written) {
+        if (unreadable) {
+            owner.attemptEnded(written.attempt, new AttemptResult.Failed(null));
             return;
         }
-        flight.write.onComplete(
-                written ->
-                        owner.ended(
-                                flight.attempt,
-                                new AttemptResult.ConnectionLost(
-                                        written.succeeded()
-                                                ? WriteProgress.WRITTEN
-                                                : WriteProgress.PARTLY_WRITTEN)));
+        written.write.onComplete(
+                write ->
+                        endAsLost(
+                                written.attempt,
+                                write.succeeded()
+                                        ? WriteProgress.WRITTEN
+                                        : WriteProgress.PARTLY_WRITTEN));
     }
 
-    /** Gives a part up; false if it isn't on this link. */
+    /** Cancels an attempt; false if it isn't on this connection. */
     boolean cancel(Attempt attempt) {
-        for (List<Attempt> call : waiting) {
+        for (List<Attempt> call : waitingCalls) {
             if (call.remove(attempt)) {
                 waitingParts--;
-                owner.ended(attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
+                endUnwrittenAsCancelled(attempt);
                 return true;
             }
         }
-        Flight flight = flights.get(attempt.partId());
-        if (flight == null || flight.attempt != attempt) {
+        InFlightAttempt written = inFlight.find(attempt.partId());
+        if (written == null || written.attempt != attempt) {
             return false;
         }
-        flights.remove(attempt.partId());
-        cancelled.add(attempt.partId());
-        if (cancelled.size() > MOST_CANCELLED) {
-            cancelled.remove(cancelled.iterator().next());
-        }
-        put(GathererFrame.giveUp(attempt.partId()));
-        idle();
-        owner.ended(attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        inFlight.cancel(attempt.partId());
+        put(GathererFrame.cancellation(attempt.partId()));
+        noteIfIdle();
+        owner.attemptEnded(attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         return true;
     }
 
-    void probe(boolean load) {
+    /** Checks the server's health, now or once the connection is up. */
+    void checkHealth() {
         if (socket == null) {
-            waitingProbes.add(load);
+            healthChecks.await();
             return;
         }
-        probes.add(owner.now());
-        put(load ? GathererFrame.loadProbe() : GathererFrame.probe());
+        healthChecks.written(owner.nowMs());
+        put(loadByHealthCheck ? GathererFrame.healthCheckWithLoad() : GathererFrame.healthCheck());
     }
 
     /**
      * What the server sent can't be read or isn't the answer to anything, so nothing that follows
-     * can be trusted. One of the parts out was meant, or all are answered and it came on top.
+     * can be trusted. One of the parts in flight was meant, or all are answered and it came on top.
      */
-    private void unreadable(String why) {
-        if (!over) {
-            LOG.warning("shard server at " + address + " sent what can't be read: " + why);
-            spoilt = true;
+    private void receivedUnreadable(String why) {
+        if (!closed) {
+            LOG.warning("malformed frame received: shard server at " + address + ", " + why);
+            unreadable = true;
             close(false, why);
         }
     }
 
     private void received(ShardFrame frame) {
-        heardAt = owner.now();
-        doubtful = false;
-        if (over) {
+        heardAtMs = owner.nowMs();
+        suspect = false;
+        if (closed) {
             return;
         }
-        if (frame instanceof ShardFrame.Ended ended) {
-            Flight flight = flights.remove(ended.partId());
-            if (flight == null && !cancelled.remove(ended.partId())) {
-                unreadable("the end of a part that isn't out");
-                return;
-            }
-            idle();
-            if (flight != null) {
-                owner.ended(
-                        flight.attempt,
-                        switch (ended.end()) {
-                            case HIT -> new AttemptResult.Completed(ended.value(), ended.load());
-                            case FAULT -> new AttemptResult.Failed(ended.load());
-                            case OVERLOAD -> new AttemptResult.Rejected(ended.load());
-                        });
-            }
-        } else if (frame instanceof ShardFrame.Probed probed && !probes.isEmpty()) {
-            double took = owner.now() - probes.poll();
-            owner.probeEnded(
-                    this,
-                    probed.sound()
-                            ? new AttemptResult.Completed(Payload.EMPTY, probed.load())
-                            : new AttemptResult.Failed(probed.load()),
-                    took);
-        } else if (frame instanceof ShardFrame.Unusable unusable) {
-            LOG.warning(
-                    "shard server at " + address + " could not use a frame: " + unusable.words());
+        if (frame instanceof ShardFrame.PartEnded ended) {
+            partEnded(ended);
+        } else if (frame instanceof ShardFrame.HealthCheckAnswered answered
+                && !healthChecks.noneWritten()) {
+            healthCheckAnswered(answered);
+        } else if (frame instanceof ShardFrame.FrameRefused refused) {
+            LOG.warning("frame refused: shard server at " + address + ", " + refused.words());
             close(false, "a frame could not be used");
         }
     }
 
-    private void idle() {
-        if (flights.isEmpty()) {
-            idleSince = owner.now();
+    private void partEnded(ShardFrame.PartEnded ended) {
+        InFlightAttempt written = inFlight.remove(ended.partId());
+        if (written == null && !inFlight.removeCancelled(ended.partId())) {
+            receivedUnreadable("the end of a part that isn't out");
+            return;
+        }
+        noteIfIdle();
+        if (written != null) {
+            owner.attemptEnded(written.attempt, ended.result());
+        }
+    }
+
+    private void healthCheckAnswered(ShardFrame.HealthCheckAnswered answered) {
+        double durationMs = healthChecks.answered(owner.nowMs());
+        owner.healthCheckEnded(
+                answered.passed()
+                        ? new AttemptResult.Completed(Payload.EMPTY, answered.load())
+                        : new AttemptResult.Failed(answered.load()),
+                durationMs);
+    }
+
+    private void noteIfIdle() {
+        if (inFlight.isEmpty()) {
+            idleSinceMs = owner.nowMs();
         }
     }
 
     /**
-     * Looks after the link from time to time. One on which a part was written and nothing heard for
-     * as long as a dial may take is doubtful: its machine may have vanished, and a new dial tells.
+     * Looks after the connection from time to time. One on which a part was written and nothing
+     * heard for as long as a dial may take is suspect: its machine may have vanished, and a new
+     * dial tells.
+     *
+     * @param silenceMs how long a dial may take, in milliseconds
+     * @param idleMs how long an idle connection is kept, in milliseconds
      */
     void sweep(double silenceMs, double idleMs) {
         if (socket == null) {
             return;
         }
-        double now = owner.now();
-        if (reader.stalled(now, silenceMs) || unheard(now, silenceMs)) {
+        double nowMs = owner.nowMs();
+        if (reader.isStalled(nowMs, silenceMs) || isSilent(nowMs, silenceMs)) {
             // After a hold-up it may have answered long ago.
             UnreadInput.readAll(channel());
         }
-        if (over) {
+        if (closed) {
             return;
         }
-        if (reader.stalled(now, silenceMs)) {
-            unreadable("a frame that doesn't end");
+        if (reader.isStalled(nowMs, silenceMs)) {
+            receivedUnreadable("a frame that doesn't end");
             return;
         }
-        doubtful |= unheard(now, silenceMs);
-        boolean idle = flights.isEmpty() && probes.isEmpty() && waiting.isEmpty();
-        if (idle && (doubtful || now - idleSince > idleMs)) {
+        suspect |= isSilent(nowMs, silenceMs);
+        boolean idle = inFlight.isEmpty() && healthChecks.noneWritten() && waitingCalls.isEmpty();
+        if (idle && (suspect || nowMs - idleSinceMs > idleMs)) {
             close(false, null);
         }
     }
 
-    /** Whether a part that was written so long ago is the last that there was on the link. */
-    private boolean unheard(double now, double silenceMs) {
-        return flights.values().stream()
-                .anyMatch(
-                        flight ->
-                                flight.writtenAt >= heardAt && now - flight.writtenAt > silenceMs);
+    /** Whether the last that there was on the connection is a part that was written so long ago. */
+    private boolean isSilent(double nowMs, double silenceMs) {
+        return inFlight.anyWrittenSince(heardAtMs, nowMs, silenceMs);
     }
 
-    /** Ends the link: {@code why} is null where that was our own wish. */
-    void close(boolean neverUp, String why) {
-        if (over) {
+    private void close(boolean dialFailed, String why) {
+        if (closed) {
             return;
         }
-        over = true;
+        closed = true;
         if (socket != null) {
             socket.close();
         }
-        owner.closed(this, neverUp, why);
-        List<Attempt> unwritten = waiting.stream().flatMap(List::stream).toList();
-        waiting.clear();
-        List<Flight> written = List.copyOf(flights.values());
-        flights.clear();
-        unwritten.forEach(
-                attempt ->
-                        owner.ended(
-                                attempt,
-                                new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN)));
-        written.forEach(this::lost);
-        waitingProbes.forEach(
-                probe ->
-                        owner.probeEnded(
-                                this,
-                                new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN),
-                                0));
-        probes.forEach(
-                at ->
-                        owner.probeEnded(
-                                this,
-                                new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
-                                owner.now() - at));
+        owner.closed(this, dialFailed, why);
+        List<Attempt> unwritten = waitingCalls.stream().flatMap(List::stream).toList();
+        waitingCalls.clear();
+        List<InFlightAttempt> written = inFlight.removeAll();
+        unwritten.forEach(attempt -> endAsLost(attempt, WriteProgress.NOT_WRITTEN));
+        written.forEach(this::connectionLost);
+        endHealthChecks();
+    }
+
+    private void endHealthChecks() {
+        for (int i = healthChecks.waiting(); i > 0; i--) {
+            healthCheckLost(WriteProgress.NOT_WRITTEN, 0);
+        }
+        for (double writtenAtMs : healthChecks.writtenAtMs()) {
+            healthCheckLost(WriteProgress.WRITTEN, owner.nowMs() - writtenAtMs);
+        }
+    }
+
+    private void healthCheckLost(WriteProgress progress, double durationMs) {
+        owner.healthCheckEnded(new AttemptResult.ConnectionLost(progress), durationMs);
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -4,26 +4,59 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
+import sprucehold.coordinator.AttemptResult;
 import sprucehold.coordinator.Payload;
 import sprucehold.decision.LoadReport;
 
-/** What a shard server sends. */
+/**
+ * The frames that a shard server sends. A frame is the length of what follows (4 bytes, little
+ * endian), a letter and the rest:
+ *
+ * <table>
+ *   <caption>Frames of shard servers</caption>
+ *   <tr><th>letter</th><th>our term</th><th>rest</th></tr>
+ *   <tr><td>{@code E}</td><td>{@link PartEnded}</td>
+ *       <td>a line {@code PART END WORK LOAD}, then the value; WORK is a number that isn't
+ *       used</td></tr>
+ *   <tr><td>{@code C}, {@code D}</td><td>{@link HealthCheckAnswered}</td>
+ *       <td>{@code hit}, {@code fault}, or LOAD</td></tr>
+ *   <tr><td>{@code F}</td><td>{@link FrameRefused}</td><td>words</td></tr>
+ * </table>
+ *
+ * <table>
+ *   <caption>END and LOAD</caption>
+ *   <tr><th>there</th><th>our term</th></tr>
+ *   <tr><td>{@code hit}</td><td>{@link AttemptResult.Completed}</td></tr>
+ *   <tr><td>{@code fault}</td><td>{@link AttemptResult.Failed}</td></tr>
+ *   <tr><td>{@code overload}</td><td>{@link AttemptResult.Rejected}</td></tr>
+ *   <tr><td>LOAD, such as {@code inflight=7,util=0.61}, or {@code -}</td>
+ *       <td>{@link LoadReport}: {@code inflight} is {@code held}, {@code queue} is {@code queued},
+ *       {@code util} is {@code busy}; null where none of them can be read</td></tr>
+ * </table>
+ */
 sealed interface ShardFrame {
-    /** The end of a part. */
-    record Ended(String partId, End end, LoadReport load, Payload value) implements ShardFrame {}
-
-    /** The answer to a probe; {@code load} is null where none came along. */
-    record Probed(boolean sound, LoadReport load) implements ShardFrame {}
+    /**
+     * A part ended at the shard server.
+     *
+     * @param partId the part
+     * @param result how it ended
+     */
+    record PartEnded(String partId, AttemptResult result) implements ShardFrame {}
 
-    /** A frame of ours could not be used, and the connection is closed. */
-    record Unusable(String words) implements ShardFrame {}
+    /**
+     * The answer to a health check.
+     *
+     * @param passed whether the server says that it is well
+     * @param load what it told of its load, or null
+     */
+    record HealthCheckAnswered(boolean passed, LoadReport load) implements ShardFrame {}
 
-    /** How a part ended, by its word on the wire. */
-    enum End {
-        HIT,
-        FAULT,
-        OVERLOAD
-    }
+    /**
+     * The shard server could not use a frame of ours, and closes the connection.
+     *
+     * @param words what it said
+     */
+    record FrameRefused(String words) implements ShardFrame {}
 
     /** The frame can't be read. */
     final class MalformedException extends Exception {
@@ -34,19 +67,26 @@
         }
     }
 
-    /** Reads a frame, its length not included. */
+    /**
+     * Reads a frame, its length not included.
+     *
+     * @throws MalformedException if it has not the form of a frame
+     */
     static ShardFrame decode(Buffer frame) throws MalformedException {
         char letter = (char) frame.getByte(0);
         return switch (letter) {
-            case 'E' -> ended(frame);
-            case 'C' -> probed(frame.getString(1, frame.length()).strip());
-            case 'D' -> probed(frame.getString(1, frame.length()).strip());
-            case 'F' -> new Unusable(frame.getString(1, frame.length()).strip());
+            case 'E' -> partEnded(frame);
+            case 'C', 'D' -> healthCheckAnswered(text(frame));
+            case 'F' -> new FrameRefused(text(frame));
             default -> throw new MalformedException("unknown letter " + (int) letter);
         };
     }
 
-    private static Ended ended(Buffer frame) throws MalformedException {
+    private static String text(Buffer frame) {
+        return frame.getString(1, frame.length()).strip();
+    }
+
+    private static PartEnded partEnded(Buffer frame) throws MalformedException {
         int lineEnd = 1;
         while (lineEnd < frame.length() && frame.getByte(lineEnd) != '\n') {
             lineEnd++;
@@ -58,45 +98,53 @@
         if (fields.length != 4 || fields[0].isEmpty() || !fields[2].matches("-?[0-9.]{1,40}")) {
             throw new MalformedException("a part's line that isn't one");
         }
-        End end =
+        LoadReport load = load(fields[3]);
+        AttemptResult result =
                 switch (fields[1]) {
-                    case "hit" -> End.HIT;
-                    case "fault" -> End.FAULT;
-                    case "overload" -> End.OVERLOAD;
+                    case "hit" -> new AttemptResult.Completed(value(frame, lineEnd + 1), load);
+                    case "fault" -> {
+                        value(frame, lineEnd + 1);
+                        yield new AttemptResult.Failed(load);
+                    }
+                    case "overload" -> {
+                        value(frame, lineEnd + 1);
+                        yield new AttemptResult.Rejected(load);
+                    }
                     default -> throw new MalformedException("a part's unknown end");
                 };
-        return new Ended(
-                fields[0],
-                end,
-                load(fields[3]),
-                value(frame.getBytes(lineEnd + 1, frame.length())));
+        return new PartEnded(fields[0], result);
     }
 
     /**
-     * A value is text, and no text holds a zero byte; a frame whose length is too large holds those
-     * of the next one's length.
+     * The value, checked whatever the end is: a value is text, and no text holds a zero byte, while
+     * a frame whose length is too large holds those of the next one's length.
      */
-    private static Payload value(byte[] bytes) throws MalformedException {
+    private static Payload value(Buffer frame, int from) throws MalformedException {
+        byte[] bytes = frame.getBytes(from, frame.length());
+        if (!isTextWithoutZero(bytes)) {
+            throw new MalformedException("a value that isn't text");
+        }
+        return Payload.owning(bytes);
+    }
+
+    private static boolean isTextWithoutZero(byte[] bytes) {
         try {
-            if (StandardCharsets.UTF_8
+            return StandardCharsets.UTF_8
                             .newDecoder()
                             .decode(ByteBuffer.wrap(bytes))
                             .toString()
                             .indexOf(0)
-                    < 0) {
-                return Payload.owning(bytes);
-            }
+                    < 0;
         } catch (CharacterCodingException e) {
-            // As below.
+            return false;
         }
-        throw new MalformedException("a value that isn't text");
     }
 
-    private static Probed probed(String text) {
-        return new Probed(!text.equals("fault"), text.equals("hit") ? null : load(text));
+    private static HealthCheckAnswered healthCheckAnswered(String text) {
+        LoadReport load = text.equals("hit") ? null : load(text);
+        return new HealthCheckAnswered(!text.equals("fault"), load);
     }
 
-    /** A report such as {@code inflight=7,util=0.61}; what can't be read isn't known. */
     private static LoadReport load(String report) {
         double held = Double.NaN;
         double queued = Double.NaN;
@@ -106,13 +154,8 @@
             if (equals < 0) {
                 continue;
             }
-            double value;
-            try {
-                value = Double.parseDouble(field.substring(equals + 1));
-            } catch (NumberFormatException e) {
-                continue;
-            }
-            if (!(value >= 0 && value < Double.POSITIVE_INFINITY)) {
+            double value = loadValue(field.substring(equals + 1));
+            if (Double.isNaN(value)) {
                 continue;
             }
             switch (field.substring(0, equals)) {
@@ -125,4 +168,14 @@
         boolean nothing = Double.isNaN(held) && Double.isNaN(queued) && Double.isNaN(busy);
         return nothing ? null : new LoadReport(held, queued, busy);
     }
+
+    /** A finite number from 0, or NaN. */
+    private static double loadValue(String text) {
+        try {
+            double value = Double.parseDouble(text);
+            return value >= 0 && value < Double.POSITIVE_INFINITY ? value : Double.NaN;
+        } catch (NumberFormatException e) {
+            return Double.NaN;
+        }
+    }
 }
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -26,25 +26,36 @@
 
 /**
  * The connections to all shard servers: one each, a further one only when that can take no more.
+ * Each attempt sent ends by exactly one {@link Observation.AttemptEnded}, each health check by one
+ * {@link Observation.HealthCheckEnded}. All of it runs on one event loop.
  */
 public final class ShardServers {
     private static final Logger LOG = Logger.getLogger(ShardServers.class.getName());
 
+    /** How many dials' time is left for the way and the sweep before a server closes itself. */
+    private static final int IDLE_RESERVE_DIALS = 2;
+
+    /** Closes an idle connection whatever its age. */
+    private static final double NO_IDLE_TIME_MS = -1;
+
     private final NetClient client;
-    private final ConnectionSettings limits;
-    private final int callParts;
-    private final boolean loadByProbe;
+    private final ConnectionSettings settings;
+    private final int maxPartsPerCall;
+    private final boolean loadByHealthCheck;
     private final DoubleSupplier clock;
-    private final Consumer<Observation> reports;
+    private final Consumer<Observation> observations;
     private final AttemptGate gate;
     private final Map<ShardServer, Peer> peers = new HashMap<>();
 
-    /** Links on which calls wait that can be written in the next turn. */
-    private final Set<ShardConnection> ready = new LinkedHashSet<>();
+    /** Connections on which attempts wait that can be written in the next turn. */
+    private final Set<ShardConnection> writable = new LinkedHashSet<>();
 
+    /** The connections to one shard server. */
     private final class Peer implements ShardConnection.Owner {
         final ShardServer server;
-        final List<ShardConnection> links = new ArrayList<>();
+        final List<ShardConnection> connections = new ArrayList<>();
+
+        /** Whether the last dial failed; told to operators once. */
         boolean unreachable;
 
         Peer(ShardServer server) {
@@ -52,7 +63,7 @@
         }
 
         @Override
-        public double now() {
+        public double nowMs() {
             return clock.getAsDouble();
         }
 
@@ -67,69 +78,83 @@
         }
 
         @Override
-        public void ended(Attempt attempt, AttemptResult result) {
-            reports.accept(new Observation.AttemptEnded(attempt, result));
+        public void attemptEnded(Attempt attempt, AttemptResult result) {
+            observations.accept(new Observation.AttemptEnded(attempt, result));
         }
 
         @Override
-        public void probeEnded(ShardConnection link, AttemptResult result, double tookMs) {
-            reports.accept(new Observation.HealthCheckEnded(server, result, tookMs));
+        public void healthCheckEnded(AttemptResult result, double durationMs) {
+            observations.accept(new Observation.HealthCheckEnded(server, result, durationMs));
         }
 
         @Override
-        public void up(ShardConnection link) {
+        public void connected() {
             if (unreachable) {
                 unreachable = false;
-                LOG.info("shard server " + server + " is reached again");
+                LOG.info("shard server reachable again: " + server);
             }
         }
 
         @Override
-        public void turnWanted(ShardConnection link) {
-            ready.add(link);
+        public void turnWanted(ShardConnection connection) {
+            writable.add(connection);
             gate.turnWanted();
         }
 
         @Override
-        public void closed(ShardConnection link, boolean neverUp, String why) {
-            links.remove(link);
-            if (neverUp && !unreachable) {
+        public void closed(ShardConnection connection, boolean dialFailed, String why) {
+            connections.remove(connection);
+            if (dialFailed && !unreachable) {
                 unreachable = true;
-                LOG.warning("shard server " + server + " can't be reached: " + why);
+                LOG.warning("shard server unreachable: " + server + ", " + why);
             }
         }
 
-        /** A link that can take the call: an open one or a new one. */
-        ShardConnection link(List<Attempt> call) {
-            for (ShardConnection link : List.copyOf(links)) {
-                if (link.address().equals(server.address())
-                        && link.fits(call)
-                        && link.isOpenStill()) {
-                    return link;
+        /** A connection that can take the call: an open one or a new one. */
+        ShardConnection connectionFor(List<Attempt> call) {
+            for (ShardConnection connection : List.copyOf(connections)) {
+                if (connection.address().equals(server.address())
+                        && connection.canTake(call)
+                        && connection.isOpenStill()) {
+                    return connection;
                 }
             }
-            var link = new ShardConnection(this, server.address(), limits.maxPartsInFlight());
-            links.add(link);
-            link.dialled(dial(server.address()));
-            return link;
+            var connection =
+                    new ShardConnection(
+                            this, server.address(), settings.maxPartsInFlight(), loadByHealthCheck);
+            connections.add(connection);
+            connection.dialled(dial(server.address()));
+            return connection;
         }
     }
 
+    /** The parts of one query that go to one shard server at one moment. */
+    private record Destination(ShardServer server, Query query) {}
+
+    /**
+     * @param vertx on whose event loop all is called
+     * @param settings how connections are used
+     * @param maxPartsPerCall the most parts of one query that share a call
+     * @param loadByHealthCheck whether health checks ask for a load report
+     * @param clock the time in milliseconds
+     * @param observations is told how attempts and health checks ended
+     * @param gate is asked right before an attempt is written
+     */
     public ShardServers(
             Vertx vertx,
-            ConnectionSettings limits,
-            int callParts,
-            boolean loadByProbe,
+            ConnectionSettings settings,
+            int maxPartsPerCall,
+            boolean loadByHealthCheck,
             DoubleSupplier clock,
-            Consumer<Observation> reports,
+            Consumer<Observation> observations,
             AttemptGate gate) {
         this.gate = gate;
-        this.limits = limits;
-        this.callParts = callParts;
-        this.loadByProbe = loadByProbe;
+        this.settings = settings;
+        this.maxPartsPerCall = maxPartsPerCall;
+        this.loadByHealthCheck = loadByHealthCheck;
         this.clock = clock;
-        this.reports = reports;
-        int dialMs = Math.max(1, (int) limits.connectTimeoutMs());
+        this.observations = observations;
+        int dialMs = Math.max(1, (int) settings.connectTimeoutMs());
         this.client =
                 vertx.createNetClient(
                         new NetClientOptions().setConnectTimeout(dialMs).setTcpNoDelay(true));
@@ -148,84 +173,88 @@
     }
 
     /**
-     * Links are closed well before the other side may: two dials' time is left for the way and the
-     * sweep.
+     * Looks after all connections. Idle ones are closed well before the other side may; a server
+     * that isn't listed any more gets nothing new, so its idle ones only hold descriptors.
      */
     void sweep(double dialMs) {
+        double keptIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_DIALS * dialMs;
         for (Peer peer : peers.values()) {
-            // What isn't listed any more gets nothing new, so its links only hold descriptors.
-            double idleMs = peer.server.running() ? limits.idleTimeoutMs() - 2 * dialMs : -1;
-            List.copyOf(peer.links).forEach(link -> link.sweep(dialMs, idleMs));
+            double idleMs = peer.server.running() ? keptIdleMs : NO_IDLE_TIME_MS;
+            List.copyOf(peer.connections).forEach(connection -> connection.sweep(dialMs, idleMs));
         }
-        peers.values().removeIf(peer -> peer.links.isEmpty() && !peer.server.running());
+        peers.values().removeIf(peer -> peer.connections.isEmpty() && !peer.server.running());
     }
 
-    /** Sends dispatches ordered at one moment; those of one scan to one server share calls. */
-    public void send(List<Attempt> dispatches) {
-        record Call(ShardServer server, Object scan) {}
-        var calls = new LinkedHashMap<Call, List<Attempt>>();
-        for (Attempt attempt : dispatches) {
-            calls.computeIfAbsent(
-                            new Call(attempt.server(), attempt.query()), key -> new ArrayList<>())
+    /** Sends attempts decided at one moment; those of one query to one server share calls. */
+    public void send(List<Attempt> attempts) {
+        var byDestination = new LinkedHashMap<Destination, List<Attempt>>();
+        for (Attempt attempt : attempts) {
+            byDestination
+                    .computeIfAbsent(
+                            new Destination(attempt.server(), attempt.query()),
+                            key -> new ArrayList<>())
                     .add(attempt);
         }
-        calls.forEach(
-                (key, parts) -> {
-                    int most = Math.min(callParts, limits.maxPartsInFlight());
-                    for (int from = 0; from < parts.size(); from += most) {
-                        List<Attempt> call =
-                                parts.subList(from, Math.min(parts.size(), from + most));
-                        if (!key.server.running()) {
-                            call.forEach(
-                                    attempt ->
-                                            reports.accept(
-                                                    new Observation.AttemptEnded(
-                                                            attempt,
-                                                            new AttemptResult.ConnectionLost(
-                                                                    WriteProgress.NOT_WRITTEN))));
-                        } else {
-                            peers.computeIfAbsent(key.server, Peer::new).link(call).send(call);
-                        }
-                    }
-                });
+        byDestination.forEach(this::sendInCalls);
+    }
+
+    private void sendInCalls(Destination destination, List<Attempt> attempts) {
+        int most = Math.min(maxPartsPerCall, settings.maxPartsInFlight());
+        for (int from = 0; from < attempts.size(); from += most) {
+            List<Attempt> call = attempts.subList(from, Math.min(attempts.size(), from + most));
+            if (destination.server.running()) {
+                peers.computeIfAbsent(destination.server, Peer::new).connectionFor(call).send(call);
+            } else {
+                call.forEach(this::endUnwritten);
+            }
+        }
+    }
+
+    private void endUnwritten(Attempt attempt) {
+        observations.accept(
+                new Observation.AttemptEnded(
+                        attempt, new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN)));
     }
 
     /**
-     * Writes calls that waited for a connection. To be called in a turn, once the decisions know
+     * Writes attempts that waited for a connection. To be called in a turn, once the decisions know
      * all that had come when it began.
      */
     public void writeWaiting() {
-        List<ShardConnection> links = List.copyOf(ready);
-        ready.clear();
-        links.stream().filter(ShardConnection::isOpenStill).forEach(ShardConnection::writeWaiting);
+        List<ShardConnection> connections = List.copyOf(writable);
+        writable.clear();
+        connections.stream()
+                .filter(ShardConnection::isOpenStill)
+                .forEach(ShardConnection::writeWaiting);
     }
 
-    public void cancel(List<Attempt> dispatches) {
-        for (Attempt attempt : dispatches) {
+    /** Cancels attempts. */
+    public void cancel(List<Attempt> attempts) {
+        for (Attempt attempt : attempts) {
             Peer peer = peers.get(attempt.server());
             boolean found =
                     peer != null
-                            && List.copyOf(peer.links).stream()
-                                    .anyMatch(link -> link.cancel(attempt));
+                            && List.copyOf(peer.connections).stream()
+                                    .anyMatch(connection -> connection.cancel(attempt));
             if (!found) {
-                // Only after a panic is one on no link and not reported; nobody knows whether it
-                // was written.
-                reports.accept(
+                // Only after a panic is one on no connection and not observed to have ended; nobody
+                // knows whether it was written.
+                observations.accept(
                         new Observation.AttemptEnded(
                                 attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN)));
             }
         }
     }
 
-    public void probe(List<ShardServer> servers) {
-        servers.forEach(
-                server ->
-                        peers.computeIfAbsent(server, Peer::new)
-                                .link(List.of())
-                                .probe(loadByProbe));
+    /** Checks the health of shard servers. */
+    public void checkHealth(List<ShardServer> servers) {
+        for (ShardServer server : servers) {
+            peers.computeIfAbsent(server, Peer::new).connectionFor(List.of()).checkHealth();
+        }
     }
 
-    public int links() {
-        return peers.values().stream().mapToInt(peer -> peer.links.size()).sum();
+    /** How many connections are open or being dialled. */
+    public int connections() {
+        return peers.values().stream().mapToInt(peer -> peer.connections.size()).sum();
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/package-info.java
+++ b/gatherer/src/main/java/sprucehold/shards/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Frames, and connections to shard servers; the entry point is {@link
- * sprucehold.shards.ShardServers}. It must never send a part again by itself.
+ * Connections to shard servers and the frames on them; the entry point is {@link
+ * sprucehold.shards.ShardServers}. {@code ShardFrame} and {@code GathererFrame} are the only places
+ * that know the frames' form. It must never make an attempt by itself.
  */
 package sprucehold.shards;
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -10,6 +10,7 @@
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucehold.coordinator.AttemptResult;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.coordinator.Observation;
 import sprucehold.coordinator.Payload;
@@ -62,11 +63,13 @@
     @Test(dataProvider = "loads")
     public void loadIsReadAsFarAsItCanBe(String report, LoadReport load) throws Exception {
         var ended =
-                (ShardFrame.Ended)
+                (ShardFrame.PartEnded)
                         ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
-        assertEquals(ended.load(), load);
+        assertEquals(ended.result().reportedLoad(), load);
         assertEquals(
-                ((ShardFrame.Probed) ShardFrame.decode(Buffer.buffer("D" + report))).load(), load);
+                ((ShardFrame.HealthCheckAnswered) ShardFrame.decode(Buffer.buffer("D" + report)))
+                        .load(),
+                load);
     }
 
     @Test
@@ -88,20 +91,22 @@
                 reader.handle(bytes.getBuffer(from, Math.min(bytes.length(), from + cut)), 0);
             }
             assertEquals(frames.size(), 4);
-            var ended = (ShardFrame.Ended) frames.get(0);
+            var ended = (ShardFrame.PartEnded) frames.get(0);
             assertEquals(ended.partId(), "p.1");
-            assertEquals(ended.value().text(), "va\nlue");
-            assertEquals(frames.get(1), new ShardFrame.Probed(true, null));
-            assertEquals(((ShardFrame.Ended) frames.get(2)).end(), ShardFrame.End.FAULT);
-            assertEquals(frames.get(3), new ShardFrame.Unusable("no"));
+            var completed = (AttemptResult.Completed) ended.result();
+            assertEquals(completed.value().text(), "va\nlue");
+            assertEquals(frames.get(1), new ShardFrame.HealthCheckAnswered(true, null));
+            assertEquals(
+                    frames.get(2), new ShardFrame.PartEnded("p.2", new AttemptResult.Failed(null)));
+            assertEquals(frames.get(3), new ShardFrame.FrameRefused("no"));
         }
     }
 
     @Test
     public void framesToShardServersAreThoseOfEarlierBuilds() {
-        assertEquals(GathererFrame.giveUp("q.3"), Buffer.buffer("\4\0\0\0Bq.3"));
-        assertEquals(GathererFrame.probe(), Buffer.buffer("\1\0\0\0C"));
-        assertEquals(GathererFrame.loadProbe(), Buffer.buffer("\1\0\0\0D"));
+        assertEquals(GathererFrame.cancellation("q.3"), Buffer.buffer("\4\0\0\0Bq.3"));
+        assertEquals(GathererFrame.healthCheck(), Buffer.buffer("\1\0\0\0C"));
+        assertEquals(GathererFrame.healthCheckWithLoad(), Buffer.buffer("\1\0\0\0D"));
     }
 
     @Test
@@ -160,7 +165,7 @@
                         Payload.ofText("body"));
         var commands = coordinator.submit(10, query);
         assertEquals(
-                GathererFrame.call(commands.send(), 20),
+                GathererFrame.attempts(commands.send(), 20),
                 Buffer.buffer("\61\0\0\0Aq.3 3 d=240,k=key 4\nbodyq.9 9 d=240,k=key 4\nbody"));
     }
 
@@ -182,9 +187,10 @@
     @Test
     public void framesOfAGathererAreAsTheProtocolSays() {
         assertEquals(
-                GathererFrame.giveUp("s.3"),
+                GathererFrame.cancellation("s.3"),
                 Buffer.buffer(new byte[] {4, 0, 0, 0, 'B', 's', '.', '3'}));
-        assertEquals(GathererFrame.probe(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'C'}));
-        assertEquals(GathererFrame.loadProbe(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'D'}));
+        assertEquals(GathererFrame.healthCheck(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'C'}));
+        assertEquals(
+                GathererFrame.healthCheckWithLoad(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'D'}));
     }
 }
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -212,30 +212,30 @@
                                                 "a", "127.0.0.1:" + port, 0, "z", 0, state)))));
     }
 
-    private List<Attempt> dispatches(String id, int parts, String text) {
+    private List<Attempt> attempts(String id, int parts, String text) {
         var list = new ArrayList<Query.Part>();
-        for (int segment = 0; segment < parts; segment++) {
-            list.add(new Query.Part(segment, 1.0 / parts));
+        for (int shard = 0; shard < parts; shard++) {
+            list.add(new Query.Part(shard, 1.0 / parts));
         }
         return coordinator
                 .submit(now, new Query(id, "q", null, 500, list, Payload.ofText(text)))
                 .send();
     }
 
-    private int links() throws Exception {
-        return loop.call(() -> shards.links());
+    private int connections() throws Exception {
+        return loop.call(() -> shards.connections());
     }
 
     private void sweep(double silenceMs) throws Exception {
         loop.act(() -> shards.sweep(silenceMs));
     }
 
-    private void cancel(List<Attempt> dispatches) throws Exception {
-        loop.act(() -> shards.cancel(dispatches));
+    private void cancel(List<Attempt> attempts) throws Exception {
+        loop.act(() -> shards.cancel(attempts));
     }
 
-    private void send(List<Attempt> dispatches) throws Exception {
-        loop.act(() -> shards.send(dispatches));
+    private void send(List<Attempt> attempts) throws Exception {
+        loop.act(() -> shards.send(attempts));
     }
 
     private AttemptResult outcome(Attempt attempt) throws Exception {
@@ -253,18 +253,18 @@
     Object[][] answers() {
         return new Object[][] {
             {"Es.0 hit 5 -\nvalue", "Completed"},
-            {"Es.0 fault 0 -\n", "Faulty"},
-            {"Es.0 overload 0 -\n", "TurnedAway"},
-            {"Fwhat was that", "Lost[progress=WRITTEN]"},
-            {"Xunknown", "Faulty"},
-            {"Es.0 maybe 0 -\n", "Faulty"},
-            {"Et.0 hit 5 -\nvalue", "Faulty"},
-            {"Es.00 hit 5 -\nvalue", "Faulty"},
-            {"Es.0 hit 0x5 -\nvalue", "Faulty"},
-            {"Es.0 hit 5 -\nval\0ue", "Faulty"},
-            {"Es.0 hit 5 -\nval\u00ffue", "Faulty"},
-            {"close", "Lost[progress=WRITTEN]"},
-            {"half", "Lost[progress=WRITTEN]"},
+            {"Es.0 fault 0 -\n", "Failed"},
+            {"Es.0 overload 0 -\n", "Rejected"},
+            {"Fwhat was that", "ConnectionLost[progress=WRITTEN]"},
+            {"Xunknown", "Failed"},
+            {"Es.0 maybe 0 -\n", "Failed"},
+            {"Et.0 hit 5 -\nvalue", "Failed"},
+            {"Es.00 hit 5 -\nvalue", "Failed"},
+            {"Es.0 hit 0x5 -\nvalue", "Failed"},
+            {"Es.0 hit 5 -\nval\0ue", "Failed"},
+            {"Es.0 hit 5 -\nval\u00ffue", "Failed"},
+            {"close", "ConnectionLost[progress=WRITTEN]"},
+            {"half", "ConnectionLost[progress=WRITTEN]"},
         };
     }
 
@@ -286,7 +286,7 @@
                         answer(socket, frame);
                     }
                 });
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)).toString().startsWith(outcome));
         String call = "As.0 0 d=240 4\ntext";
@@ -315,11 +315,11 @@
     }
 
     /**
-     * As it comes once a sound answer is followed by noise or by a copy of itself: only the link is
-     * lost.
+     * As it comes once a sound answer is followed by noise or by a copy of itself: only the
+     * connection is lost.
      */
     @Test
-    public void whatComesOnTopOfASoundAnswerEndsTheLinkAlone() throws Exception {
+    public void whatComesOnTopOfASoundAnswerEndsTheConnectionAlone() throws Exception {
         start(
                 32,
                 1,
@@ -327,10 +327,10 @@
                     answer(socket, "Es.0 hit 5 -\nvalue");
                     answer(socket, "Es.0 hit 5 -\nvalue");
                 });
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
-        loop.until(() -> shards.links() == 0);
+        loop.until(() -> shards.connections() == 0);
         assertTrue(reports.isEmpty());
     }
 
@@ -344,7 +344,7 @@
                                 Buffer.buffer()
                                         .appendIntLE(99)
                                         .appendString("Es.0 hit 5 -\nvalue")));
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.until(
@@ -354,7 +354,7 @@
                     return !reports.isEmpty();
                 });
         assertEquals(outcome(sent.get(0)), new AttemptResult.Failed(null));
-        assertEquals(links(), 0);
+        assertEquals(connections(), 0);
     }
 
     @Test
@@ -367,11 +367,11 @@
                         answer(socket, "Es.0 hit 5 -\nvalue");
                     }
                 });
-        List<Attempt> sent = dispatches("s", 2, "text");
+        List<Attempt> sent = attempts("s", 2, "text");
         panics = true;
         send(sent);
         assertEquals(outcome(sent.get(1)), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
-        assertEquals(links(), 0);
+        assertEquals(connections(), 0);
     }
 
     /**
@@ -395,7 +395,7 @@
         int port = server.actualPort();
         server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
         untilRefused(port);
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertEquals(
                 outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
@@ -411,7 +411,7 @@
                     socket.pause();
                     vertx.setTimer(100, timer -> socket.close());
                 });
-        List<Attempt> sent = dispatches("s", 1, "x".repeat(BIG));
+        List<Attempt> sent = attempts("s", 1, "x".repeat(BIG));
         send(sent);
         assertEquals(
                 outcome(sent.get(0)),
@@ -429,13 +429,13 @@
                         answer(socket, "Es.1 hit 5 -\nvalue");
                     }
                 });
-        List<Attempt> sent = dispatches("s", 2, "text");
+        List<Attempt> sent = attempts("s", 2, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         cancel(List.of(sent.get(0)));
         assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertTrue(outcome(sent.get(1)) instanceof AttemptResult.Completed);
-        assertEquals(links(), 1);
+        assertEquals(connections(), 1);
     }
 
     /** A server that stood still for minutes answers all that it held; none of that is noise. */
@@ -450,14 +450,14 @@
                         answer(socket, "Et.0 hit 5 -\nvalue");
                     }
                 });
-        List<Attempt> first = dispatches("s", 1, "text");
+        List<Attempt> first = attempts("s", 1, "text");
         send(first);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         cancel(first);
         outcome(first.get(0));
-        // Swept as often as time passes, but never idle for so long that the link is closed.
+        // Swept as often as time passes, but never idle for so long that the connection is closed.
         now = 14_000;
-        List<Attempt> between = dispatches("u", 1, "text");
+        List<Attempt> between = attempts("u", 1, "text");
         send(between);
         now = 90_000;
         List<Attempt> second =
@@ -482,13 +482,13 @@
             ended = (Observation.AttemptEnded) reports.poll(5, TimeUnit.SECONDS);
         } while (ended.attempt() != second.get(0));
         assertTrue(ended.result() instanceof AttemptResult.Completed, ended.toString());
-        assertEquals(links(), 1);
+        assertEquals(connections(), 1);
     }
 
     @Test
     public void partCalledOffBeforeTheConnectionIsUpIsNeverWritten() throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> sent = dispatches("s", 2, "text");
+        List<Attempt> sent = attempts("s", 2, "text");
         loop.act(
                 () -> {
                     shards.send(sent);
@@ -501,12 +501,12 @@
     /**
      * Has what was sent wait for its connection until so much time has passed and this was done.
      */
-    private void sendAndComeUpLate(List<Attempt> dispatches, double at, Runnable meanwhile)
+    private void sendAndComeUpLate(List<Attempt> attempts, double at, Runnable meanwhile)
             throws Exception {
         loop.act(
                 () -> {
                     // Both in one task of the loop, so that the connection comes up after it.
-                    shards.send(dispatches);
+                    shards.send(attempts);
                     now = at;
                     meanwhile.run();
                 });
@@ -521,7 +521,7 @@
     public void serverIsToldHowLongItsAnswerIsStillWaitedForWhenThePartIsWritten(
             double at, String told) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        sendAndComeUpLate(dispatches("s", 1, "text"), at, () -> {});
+        sendAndComeUpLate(attempts("s", 1, "text"), at, () -> {});
         String call = heard.poll(5, TimeUnit.SECONDS);
         assertTrue(call.contains("As.0 0 " + told), call);
     }
@@ -539,7 +539,7 @@
     public void nothingIsWrittenToAConnectionThatComesUpAfterThePartIsOver(
             double at, String happened) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         sendAndComeUpLate(
                 sent,
                 at,
@@ -551,7 +551,7 @@
                                         List.of(
                                                 new Observation.ClientDisconnected(
                                                         sent.get(0).query())));
-                        case "abandoned" -> dispatches("over", 1, "text");
+                        case "abandoned" -> attempts("over", 1, "text");
                         default -> {}
                     }
                 });
@@ -562,7 +562,7 @@
     @DataProvider
     Object[][] repeats() {
         return new Object[][] {
-            // How the part may repeat, how its first dispatch ended, when the connection of the
+            // How the part may repeat, how its first attempt ended, when the connection of the
             // second is up, whether it goes out.
             {
                 QueryClass.Idempotence.DEDUPLICATED,
@@ -615,7 +615,7 @@
             throws Exception {
         repeat = kind;
         start(32, 1, (socket, bytes) -> {});
-        Attempt one = dispatches("s", 1, "text").get(0);
+        Attempt one = attempts("s", 1, "text").get(0);
         if (first != null) {
             coordinator.observe(1, List.of(new Observation.AttemptEnded(one, first)));
         }
@@ -639,7 +639,7 @@
     public void nothingGoesToAServerThatBeganToDrainWhileTheConnectionCameUp(
             EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         loop.act(
                 () -> {
                     shards.send(sent);
@@ -654,7 +654,7 @@
     public void serverThatIsNotWantedAnyMoreKeepsItsConnectionOnlyWhileSomethingIsOut(
             EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         for (int left : new int[] {1, 0}) {
@@ -664,25 +664,25 @@
                         shards.sweep(300);
                         shards.cancel(left == 1 ? sent : List.of());
                     });
-            assertEquals(links(), left);
+            assertEquals(connections(), left);
         }
     }
 
     @Test
     public void furtherConnectionIsOpenedOnlyWhenOneIsFull() throws Exception {
         start(2, 1, (socket, bytes) -> {});
-        send(dispatches("s", 3, "text"));
-        send(dispatches("t", 1, "text"));
+        send(attempts("s", 3, "text"));
+        send(attempts("t", 1, "text"));
         for (int i = 0; i < 2; i++) {
             assertTrue(heard.poll(5, TimeUnit.SECONDS) != null);
         }
-        assertEquals(links(), 2);
+        assertEquals(connections(), 2);
     }
 
     @Test
     public void sameIdGoesOutOnAnotherConnectionWhileItsFirstAnswerMayCome() throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.act(
@@ -690,14 +690,14 @@
                     shards.cancel(sent);
                     shards.send(sent);
                 });
-        assertEquals(links(), 2);
+        assertEquals(connections(), 2);
     }
 
     @Test
     public void partsOfOneScanShareCallsAndOthersNever() throws Exception {
         start(32, 2, (socket, bytes) -> {});
-        var all = new ArrayList<>(dispatches("s", 3, "one"));
-        all.addAll(dispatches("t", 1, "two"));
+        var all = new ArrayList<>(attempts("s", 3, "one"));
+        all.addAll(attempts("t", 1, "two"));
         send(all);
         var bytes = new StringBuilder();
         while (!bytes.toString().contains("two")) {
@@ -711,35 +711,35 @@
     public void silentConnectionGetsNoFurtherPartsAndIsClosedOnceNothingIsOutOnIt()
             throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> first = dispatches("s", 1, "text");
+        List<Attempt> first = attempts("s", 1, "text");
         send(first);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         now = 301;
         loop.act(
                 () -> {
                     shards.sweep(300);
-                    shards.send(dispatches("t", 1, "text"));
+                    shards.send(attempts("t", 1, "text"));
                 });
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("At.0"));
-        assertEquals(links(), 2);
+        assertEquals(connections(), 2);
         loop.act(
                 () -> {
                     shards.cancel(first);
                     shards.sweep(300);
                 });
-        assertEquals(links(), 1);
+        assertEquals(connections(), 1);
     }
 
     @Test
     public void idleConnectionIsClosedBeforeTheServerMay() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         outcome(sent.get(0));
         for (double[] step : new double[][] {{14_400, 1}, {14_401, 0}}) {
             now = step[0];
             sweep(300);
-            assertEquals(links(), (int) step[1]);
+            assertEquals(connections(), (int) step[1]);
         }
     }
 
@@ -749,13 +749,13 @@
         // One that waits for its connection, and then one that finds it up.
         clientWaits = false;
         for (String id : List.of("t", "u")) {
-            List<Attempt> sent = dispatches(id, 1, "text");
+            List<Attempt> sent = attempts(id, 1, "text");
             send(sent);
             assertEquals(
                     outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         }
         clientWaits = true;
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
@@ -785,12 +785,12 @@
         try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             listener.setSoTimeout(10_000);
             list(EndpointUpdate.State.RUNNING, listener.getLocalPort());
-            List<Attempt> first = dispatches("s", 1, "text");
+            List<Attempt> first = attempts("s", 1, "text");
             send(first);
             Socket connection = listener.accept();
             serveOne(connection, "s.0");
             assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
-            List<Attempt> second = dispatches("t", 1, "text");
+            List<Attempt> second = attempts("t", 1, "text");
             Runnable free = loop.hold(() -> shards.send(second));
             connection.close();
             free.run();
@@ -809,7 +809,7 @@
     public void aConnectionThatComesUpIsWrittenToInTheNextTurnOnly() throws Exception {
         holdsTurns = true;
         start(32, 1, (socket, bytes) -> {});
-        List<Attempt> sent = dispatches("s", 1, "text");
+        List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         loop.until(() -> turnsWanted.get() > 0);
         assertEquals(begun, List.of());
@@ -840,8 +840,8 @@
     @Test
     public void noAttemptWaitsInTheProcessBehindWhatTheSystemHasNotTaken() throws Exception {
         List<NetSocket> connections = serveUnread();
-        List<Attempt> big = dispatches("s", 1, "x".repeat(BIG));
-        List<Attempt> small = dispatches("t", 1, "text");
+        List<Attempt> big = attempts("s", 1, "x".repeat(BIG));
+        List<Attempt> small = attempts("t", 1, "text");
         loop.act(
                 () -> {
                     shards.send(big);
@@ -860,13 +860,13 @@
         List<NetSocket> connections = serveUnread();
         loop.act(
                 () -> {
-                    shards.send(dispatches("s", 1, "x".repeat(BIG)));
-                    shards.send(dispatches("t", 1, "text"));
+                    shards.send(attempts("s", 1, "x".repeat(BIG)));
+                    shards.send(attempts("t", 1, "text"));
                 });
         loop.until(() -> !connections.isEmpty() && begun.contains("s.0"));
         connections.get(0).resume();
         loop.until(() -> begun.equals(List.of("s.0", "t.0")));
-        assertEquals(links(), 1);
+        assertEquals(connections(), 1);
     }
 
     /**
@@ -879,11 +879,11 @@
         try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             listener.setSoTimeout(10_000);
             list(EndpointUpdate.State.RUNNING, listener.getLocalPort());
-            List<Attempt> first = dispatches("s", 1, "text");
+            List<Attempt> first = attempts("s", 1, "text");
             send(first);
             try (Socket connection = listener.accept()) {
                 loop.until(() -> begun.contains("s.0"));
-                List<Attempt> second = dispatches("t", 1, "text");
+                List<Attempt> second = attempts("t", 1, "text");
                 Runnable free =
                         loop.hold(
                                 () -> {
@@ -896,7 +896,7 @@
                 assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
                 serveOne(connection, "t.0");
                 assertTrue(outcome(second.get(0)) instanceof AttemptResult.Completed);
-                assertEquals(links(), 1);
+                assertEquals(connections(), 1);
             }
         }
     }
