--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/clients/ChannelCloser.java
@@ -0,0 +1,40 @@
+package sprucehold.clients;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.vertx.core.http.HttpConnection;
+import io.vertx.core.http.impl.HttpServerConnection;
+import sprucehold.sockets.UnreadInput;
+
+/** Closes clients' connections below the HTTP server. */
+final class ChannelCloser implements ClientConnections.Closer<HttpConnection> {
+    /** The channel under a connection. */
+    static Channel channel(HttpConnection connection) {
+        return ((HttpServerConnection) connection).channelHandlerContext().channel();
+    }
+
+    @Override
+    public void readUnread(HttpConnection connection) {
+        UnreadInput.readAll(channel(connection));
+    }
+
+    /**
+     * Not by way of the HTTP server: what isn't read and who waits behind must not hold up the
+     * close.
+     */
+    @Override
+    public void close(HttpConnection connection) {
+        ChannelHandlerContext context = lingeringClose(connection);
+        ((LingeringClose) context.handler()).close(context, context.newPromise());
+    }
+
+    @Override
+    public void closeNow(HttpConnection connection) {
+        ChannelHandlerContext context = lingeringClose(connection);
+        ((LingeringClose) context.handler()).closeNow(context);
+    }
+
+    private static ChannelHandlerContext lingeringClose(HttpConnection connection) {
+        return channel(connection).pipeline().context(LingeringClose.class);
+    }
+}
--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -13,173 +13,186 @@
  * is {@link LingeringClose}'s.
  *
  * <pre>
- *            head of a request            whole request          answer written
- *   NEW  ----------------------------&gt; NEW --------------&gt; BUSY ----------------&gt; KEPT --head--&gt; NEW
- *    |  too old, or too many of them                        |  last answer         |  idle, crowded, or draining
- *    v                                                      v                      v
- *   SHUT &lt;----------------- written, or too old ---------- LAST                   SHUT --gone--&gt; forgotten
+ *              head of a request          whole request         answer written
+ *   AWAITING ---------------------&gt; AWAITING ---------&gt; BUSY ----------------&gt; IDLE --head--&gt; AWAITING
+ *      |  too old, or too many of them                    |  last answer           |  too old, crowded, or draining
+ *      v                                                  v                        v
+ *   CLOSING &lt;------------- written, or too old ----- LAST ANSWER               CLOSING --closed--&gt; forgotten
  * </pre>
  *
- * Nothing is shut by its age before the sockets were read once more ({@link #sweep}, then {@link
- * #settle}): a request that lies whole in the system's buffer has been taken, and its connection
- * isn't idle. Pure: no sockets, no threads.
+ * Nothing is closed by its age before the sockets were read once more ({@link #markOverdue}, then
+ * {@link #closeMarked}): a request that lies whole in the system's buffer has been received, and
+ * its connection isn't idle. Pure: no sockets, no threads. Times are in milliseconds.
+ *
+ * @param <C> stands for a connection
  */
 final class ClientConnections<C> {
     /**
      * Who hasn't sent a whole request after this time is closed, with time to spare to the 3 s of
      * the protocol.
      */
-    static final double NEW_MS = 2500;
+    static final double REQUEST_TIMEOUT_MS = 2500;
 
-    /** A kept connection may be closed after 2 s; with room to spare there is no hurry. */
-    static final double KEPT_MS = 20_000;
+    /**
+     * How long an idle connection is kept. The protocol allows a close after 2 s; with room to
+     * spare there is no hurry.
+     */
+    static final double KEEP_ALIVE_MS = 20_000;
 
-    static final double KEPT_CROWDED_MS = 2000;
+    /** How long an idle connection is kept where there is little room. */
+    static final double KEEP_ALIVE_CROWDED_MS = 2000;
 
     /** Who opens a connection to ask does so at once: some passes over the sockets, and the way. */
-    private static final double ARRIVING_MS = 20;
+    private static final double ARRIVING_AFTER_ACCEPT_MS = 20;
 
     /** What is done to a connection. */
     interface Closer<C> {
         /** Reads what lies unread on it, so that what its client sent before now is told of. */
         void readUnread(C connection);
 
-        /** Ends it so that what was written still arrives; {@link #gone} follows. */
-        void shut(C connection);
+        /**
+         * Ends it so that what was written still arrives; {@link ClientConnections#closed} follows.
+         */
+        void close(C connection);
 
         /** Ends it at once, whatever becomes of what was written. */
-        void cut(C connection);
+        void closeNow(C connection);
     }
 
+    /** What is known of an open connection. */
     private static final class State {
-        double since;
+        /** Since when it awaits a request or is idle. */
+        double sinceMs;
 
         /** What else it sends is not heard: its next answer is its last. */
         boolean unheard;
 
         /** That answer is on the way. */
-        boolean last;
+        boolean lastAnswer;
 
-        /** To be shut unless the next pass over the sockets brings something of it. */
-        boolean doomed;
+        /** To be closed unless the next pass over the sockets brings something of it. */
+        boolean marked;
 
         final ConnectionArrival arrival;
 
         State(ConnectionArrival arrival) {
             this.arrival = arrival;
-            this.since = arrival.openedAt();
+            this.sinceMs = arrival.openedAtMs();
         }
     }
 
-    private final int most;
+    private final int maxConnections;
     private final DoubleSupplier clock;
     private final Closer<C> closer;
-    private final Map<C, State> all = new HashMap<>();
+    private final Map<C, State> open = new HashMap<>();
 
-    /** Longest-standing first. */
-    private final Set<C> fresh = new LinkedHashSet<>();
+    /** No whole request has come, or the last answer is on the way; the longest-standing first. */
+    private final Set<C> awaiting = new LinkedHashSet<>();
 
-    private final Set<C> kept = new LinkedHashSet<>();
+    /** Answered and kept open for a next request, the longest-standing first. */
+    private final Set<C> idle = new LinkedHashSet<>();
 
     /**
-     * Shut and not gone, which takes the other side's close or a bounded time; the longest-standing
+     * Being closed, which takes the other side's close or a bounded time; the longest-standing
      * first.
      */
-    private final Set<C> shut = new LinkedHashSet<>();
+    private final Set<C> closing = new LinkedHashSet<>();
 
     /** Those on which a request has begun to come in and isn't whole. */
-    private final Set<C> begun = new LinkedHashSet<>();
+    private final Set<C> receiving = new LinkedHashSet<>();
 
-    ClientConnections(int most, DoubleSupplier clock, Closer<C> closer) {
-        this.most = most;
+    ClientConnections(int maxConnections, DoubleSupplier clock, Closer<C> closer) {
+        this.maxConnections = maxConnections;
         this.clock = clock;
         this.closer = closer;
     }
 
     /**
-     * Takes a connection in; true if there are too many now and {@link #trim} is due once they have
-     * been read.
+     * Takes a connection in; true if there are too many now and {@link #closeSurplus} is due once
+     * they have been read.
      *
-     * @param connectedSince since when it may have been connected: before it was accepted it waited
-     *     in the backlog
+     * @param connectedSinceMs since when it may have been connected: before it was accepted it
+     *     waited in the backlog
      */
-    boolean opened(C connection, double connectedSince) {
-        all.put(connection, new State(new ConnectionArrival(connectedSince, clock.getAsDouble())));
-        fresh.add(connection);
-        return held() > most;
+    boolean opened(C connection, double connectedSinceMs) {
+        open.put(
+                connection,
+                new State(new ConnectionArrival(connectedSinceMs, clock.getAsDouble())));
+        awaiting.add(connection);
+        return heldConnections() > maxConnections;
     }
 
-    private int held() {
-        return all.size() + shut.size();
+    private int heldConnections() {
+        return open.size() + closing.size();
     }
 
     /**
-     * Closes what is beyond the most: what is shut already, whose other side had its time; the
-     * longest new ones, since who means to ask does so at once and they stand there to say nothing;
-     * then kept ones that may be closed by now.
+     * Closes what is beyond the most: those being closed already, whose other side had its time;
+     * then those that await a request the longest, since who means to ask does so at once; then
+     * idle ones that may be closed by now.
      */
-    void trim() {
-        while (held() > most && !shut.isEmpty()) {
-            C oldest = shut.iterator().next();
-            shut.remove(oldest);
-            closer.cut(oldest);
+    void closeSurplus() {
+        while (heldConnections() > maxConnections && !closing.isEmpty()) {
+            C oldest = closing.iterator().next();
+            closing.remove(oldest);
+            closer.closeNow(oldest);
         }
-        int beyond = held() - most;
-        for (int i = 0; i < beyond && !fresh.isEmpty(); i++) {
-            shutUnlessHeard(fresh.iterator().next(), fresh);
+        int surplus = heldConnections() - maxConnections;
+        for (int i = 0; i < surplus && !awaiting.isEmpty(); i++) {
+            closeUnlessHeard(awaiting.iterator().next(), awaiting);
         }
-        while (all.size() > most
-                && !kept.isEmpty()
-                && idleFor(kept.iterator().next()) >= KEPT_CROWDED_MS) {
-            shutUnlessHeard(kept.iterator().next(), kept);
+        while (open.size() > maxConnections
+                && !idle.isEmpty()
+                && standingMs(idle.iterator().next()) >= KEEP_ALIVE_CROWDED_MS) {
+            closeUnlessHeard(idle.iterator().next(), idle);
         }
     }
 
-    /** Shuts one of these, unless what has come on it up to this moment makes it none of them. */
-    private void shutUnlessHeard(C connection, Set<C> these) {
+    /** Closes one of these, unless what has come on it up to this moment makes it none of them. */
+    private void closeUnlessHeard(C connection, Set<C> these) {
         closer.readUnread(connection);
         if (these.contains(connection)) {
-            shut(connection);
+            close(connection);
         }
     }
 
-    private double idleFor(C connection) {
-        return clock.getAsDouble() - all.get(connection).since;
+    private double standingMs(C connection) {
+        return clock.getAsDouble() - open.get(connection).sinceMs;
     }
 
     /** The head of a request has come; false if nothing more is taken from this connection. */
-    boolean begun(C connection) {
-        State state = all.get(connection);
+    boolean requestBegun(C connection) {
+        State state = open.get(connection);
         if (state == null || state.unheard) {
             return false;
         }
-        if (kept.remove(connection)) {
-            state.since = clock.getAsDouble();
-            state.doomed = false;
-            fresh.add(connection);
+        if (idle.remove(connection)) {
+            state.sinceMs = clock.getAsDouble();
+            state.marked = false;
+            awaiting.add(connection);
         }
-        begun.add(connection);
+        receiving.add(connection);
         return true;
     }
 
     /** A request has come in whole. */
-    void busy(C connection) {
-        State state = all.get(connection);
+    void requestReceived(C connection) {
+        State state = open.get(connection);
         if (state != null) {
-            state.doomed = false;
-            fresh.remove(connection);
-            begun.remove(connection);
+            state.marked = false;
+            awaiting.remove(connection);
+            receiving.remove(connection);
         }
     }
 
     /** The answer is written out. */
     void answered(C connection) {
-        State state = all.get(connection);
-        if (state != null && !state.last) {
-            state.since = clock.getAsDouble();
-            fresh.remove(connection);
-            begun.remove(connection);
-            kept.add(connection);
+        State state = open.get(connection);
+        if (state != null && !state.lastAnswer) {
+            state.sinceMs = clock.getAsDouble();
+            awaiting.remove(connection);
+            receiving.remove(connection);
+            idle.add(connection);
         }
     }
 
@@ -188,35 +201,35 @@
      * last.
      */
     void flooded(C connection) {
-        State state = all.get(connection);
+        State state = open.get(connection);
         if (state != null) {
             state.unheard = true;
-            if (kept.contains(connection)) {
-                shut(connection);
+            if (idle.contains(connection)) {
+                close(connection);
             }
         }
     }
 
-    /** Its last answer is on the way; what else it sends is not heard. */
-    void last(C connection) {
-        State state = all.get(connection);
-        if (state != null && !state.last) {
+    /** Its last answer is being written; what else it sends is not heard. */
+    void lastAnswerBegun(C connection) {
+        State state = open.get(connection);
+        if (state != null && !state.lastAnswer) {
             state.unheard = true;
-            state.last = true;
-            state.since = clock.getAsDouble();
-            kept.remove(connection);
-            fresh.add(connection);
+            state.lastAnswer = true;
+            state.sinceMs = clock.getAsDouble();
+            idle.remove(connection);
+            awaiting.add(connection);
         }
     }
 
     /** When it came. */
     ConnectionArrival arrival(C connection) {
-        return all.get(connection).arrival;
+        return open.get(connection).arrival;
     }
 
     /** Whether its next answer has to be its last. */
     boolean isUnheard(C connection) {
-        State state = all.get(connection);
+        State state = open.get(connection);
         return state == null || state.unheard;
     }
 
@@ -224,85 +237,83 @@
      * Whether so many are held that clients are asked to close after an answer, which loses
      * nothing.
      */
-    boolean crowded() {
-        return held() > most / 2;
+    boolean isCrowded() {
+        return heldConnections() > maxConnections / 2;
     }
 
     /**
-     * Looks for those that stand too long; true if {@link #settle} is due once the sockets have
-     * been read.
+     * Marks those that await a request or are idle for too long; true if {@link #closeMarked} is
+     * due once the sockets have been read.
      */
-    boolean sweep() {
-        boolean anyNew = doom(fresh, NEW_MS);
-        boolean anyKept = doom(kept, crowded() ? KEPT_CROWDED_MS : KEPT_MS);
-        return anyNew || anyKept;
+    boolean markOverdue() {
+        boolean anyAwaiting = mark(awaiting, REQUEST_TIMEOUT_MS);
+        boolean anyIdle = mark(idle, isCrowded() ? KEEP_ALIVE_CROWDED_MS : KEEP_ALIVE_MS);
+        return anyAwaiting || anyIdle;
     }
 
-    /**
-     * Looks for all that are kept; true if {@link #settle} is due once the sockets have been read.
-     */
-    boolean sweepKept() {
-        return doom(kept, 0);
+    /** Marks all idle ones; true if {@link #closeMarked} is due once the sockets have been read. */
+    boolean markIdle() {
+        return mark(idle, 0);
     }
 
-    private boolean doom(Set<C> connections, double ms) {
+    private boolean mark(Set<C> connections, double afterMs) {
         boolean any = false;
         for (C connection : connections) {
-            if (idleFor(connection) < ms) {
+            if (standingMs(connection) < afterMs) {
                 break;
             }
-            all.get(connection).doomed = true;
+            open.get(connection).marked = true;
             any = true;
         }
         return any;
     }
 
-    /** Shuts those that a sweep found and of which nothing has come up to this moment. */
-    void settle() {
-        for (C connection : List.copyOf(all.keySet())) {
-            if (isDoomed(connection)) {
+    /** Closes those that are marked and of which nothing has come up to this moment. */
+    void closeMarked() {
+        for (C connection : List.copyOf(open.keySet())) {
+            if (isMarked(connection)) {
                 closer.readUnread(connection);
             }
-            if (isDoomed(connection)) {
-                shut(connection);
+            if (isMarked(connection)) {
+                close(connection);
             }
         }
     }
 
-    private boolean isDoomed(C connection) {
-        State state = all.get(connection);
-        return state != null && state.doomed;
+    private boolean isMarked(C connection) {
+        State state = open.get(connection);
+        return state != null && state.marked;
     }
 
     /**
      * Ends it: neither answers that aren't read nor requests that wait behind hold up its end for
      * long.
      */
-    void shut(C connection) {
+    void close(C connection) {
         if (forget(connection)) {
-            shut.add(connection);
-            closer.shut(connection);
+            closing.add(connection);
+            closer.close(connection);
         }
     }
 
     /** The HTTP server itself ends it, as its client asked. */
-    void shutting(C connection) {
+    void closingByHttpServer(C connection) {
         if (forget(connection)) {
-            shut.add(connection);
+            closing.add(connection);
         }
     }
 
     /** It is closed. */
-    void gone(C connection) {
+    void closed(C connection) {
         forget(connection);
-        shut.remove(connection);
+        closing.remove(connection);
     }
 
     private boolean forget(C connection) {
-        fresh.remove(connection);
-        kept.remove(connection);
-        begun.remove(connection);
-        return all.remove(connection) != null;
+        awaiting.remove(connection);
+        idle.remove(connection);
+        receiving.remove(connection);
+        return open.remove(connection) != null;
     }
 
     /**
@@ -310,15 +321,18 @@
      * likely on its way.
      */
     int arriving() {
-        int arriving = begun.size();
-        for (C connection : fresh) {
-            arriving += !begun.contains(connection) && idleFor(connection) < ARRIVING_MS ? 1 : 0;
+        int arriving = receiving.size();
+        for (C connection : awaiting) {
+            if (!receiving.contains(connection)
+                    && standingMs(connection) < ARRIVING_AFTER_ACCEPT_MS) {
+                arriving++;
+            }
         }
         return arriving;
     }
 
     /** Those that are open or being closed. */
     int size() {
-        return held();
+        return heldConnections();
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -1,8 +1,5 @@
 package sprucehold.clients;
 
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.FixedRecvByteBufAllocator;
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.vertx.core.Future;
@@ -15,8 +12,6 @@
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
 import io.vertx.core.http.HttpServerRequest;
-import io.vertx.core.http.HttpServerResponse;
-import io.vertx.core.http.impl.HttpServerConnection;
 import io.vertx.core.net.SocketAddress;
 import java.util.IdentityHashMap;
 import java.util.List;
@@ -26,13 +21,31 @@
 import java.util.logging.Logger;
 import sprucehold.coordinator.Answer;
 import sprucehold.coordinator.Query;
-import sprucehold.sockets.AcceptingTransport;
 import sprucehold.sockets.UnreadInput;
 
-/** The HTTP server that clients reach. */
+/**
+ * The HTTP server that clients reach. It reads requests into queries, hands them to a {@link
+ * QueryHandler} and writes their answers; by itself it answers only health checks and what can't be
+ * a query. Runs on one event loop.
+ *
+ * <table>
+ *   <caption>Paths and statuses</caption>
+ *   <tr><th>there</th><th>our term</th></tr>
+ *   <tr><td>{@code GET /up}: 200, 503</td><td>ready, not ready</td></tr>
+ *   <tr><td>{@code POST /CLASS}</td><td>a query of a query class; {@link QueryReader} has its
+ *       headers and body</td></tr>
+ *   <tr><td>200</td><td>{@link Answer.Completed}; {@link AnswerWriter} has its body</td></tr>
+ *   <tr><td>503 {@code throttled}, perhaps with {@code Retry-After}</td>
+ *       <td>{@link Answer.Rejected}</td></tr>
+ *   <tr><td>502 {@code abandoned}</td><td>{@link Answer.Failed}</td></tr>
+ *   <tr><td>400, 404, 405, 413, 414, 431, 501</td><td>no query can be read</td></tr>
+ *   <tr><td>500</td><td>an exception in this program</td></tr>
+ * </table>
+ */
 public final class ClientServer {
     private static final Logger LOG = Logger.getLogger(ClientServer.class.getName());
-    private static final int LONGEST_BODY = 64 * 1024;
+    private static final int LONGEST_BODY_BYTES = 64 * 1024;
+    private static final int LONGEST_LENGTH_DIGITS = 9;
     private static final String TOO_LONG = "a body holds at most 64 KiB";
 
     /**
@@ -40,198 +53,121 @@
      */
     private static final int SWEEP_MS = 250;
 
-    /** How much is read at once: a request of the usual size several times over. */
-    private static final int READ_BYTES = 4096;
-
-    /**
-     * What a connection brings into one pass over the sockets: others are read and decided upon
-     * between two parts of a flood.
-     */
-    private static final int READS_A_PASS = 2;
-
     private final HttpServer server;
     private final QueryHandler handler;
     private final QueryReader reader;
     private final DoubleSupplier clock;
     private final ReadingPasses passes;
-    private final Map<Query, HttpServerRequest> open = new IdentityHashMap<>();
-    private final Vertx vertx;
     private final ClientConnections<HttpConnection> connections;
+    private final ConnectionAdmission admission;
+    private final ResponseWriter responses;
 
-    /** Answers that aren't written out. */
-    private int writing;
+    /** Requests whose queries have no answer yet. Queries are told apart by identity. */
+    private final IdentityHashMap<Query, HttpServerRequest> openRequests = new IdentityHashMap<>();
 
     private boolean draining;
-    private boolean trimming;
-    private boolean settling;
-    private final long lingerMs;
-    private long floods;
-    private long leftUnread;
+    private long clientsFoundGone;
 
-    /** {@code most} is how many connections clients may hold. */
+    /**
+     * @param vertx on whose event loop all is called
+     * @param shards how many shards there are
+     * @param maxConnections how many connections clients may hold
+     * @param handler takes the queries
+     * @param clock the time in milliseconds
+     */
     public ClientServer(
-            Vertx vertx, int segments, int most, QueryHandler handler, DoubleSupplier clock) {
-        this(vertx, segments, most, handler, clock, LingeringClose.LINGER_MS);
+            Vertx vertx,
+            int shards,
+            int maxConnections,
+            QueryHandler handler,
+            DoubleSupplier clock) {
+        this(vertx, shards, maxConnections, handler, clock, LingeringClose.LINGER_MS);
     }
 
     ClientServer(
             Vertx vertx,
-            int segments,
-            int most,
+            int shards,
+            int maxConnections,
             QueryHandler handler,
             DoubleSupplier clock,
             long lingerMs) {
-        this.lingerMs = lingerMs;
-        this.vertx = vertx;
         this.handler = handler;
         this.clock = clock;
         this.passes = new ReadingPasses(clock);
-        this.reader = new QueryReader(segments);
-        this.connections = new ClientConnections<>(most, clock, new ChannelCloser());
+        this.reader = new QueryReader(shards);
+        this.connections = new ClientConnections<>(maxConnections, clock, new ChannelCloser());
+        this.responses = new ResponseWriter(connections);
         var options =
                 new HttpServerOptions()
                         .setTcpNoDelay(true)
                         .setHandle100ContinueAutomatically(true)
                         .setHttp2ClearTextEnabled(false);
+        this.admission =
+                new ConnectionAdmission(vertx, connections, passes, clock, options, lingerMs);
         this.server = vertx.createHttpServer(options);
-        server.connectionHandler(connection -> opened(connection, options));
+        server.connectionHandler(admission::opened);
         server.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
         server.requestHandler(request -> guarded(request, () -> requested(request)));
         server.invalidRequestHandler(this::unreadable);
         vertx.setPeriodic(SWEEP_MS, timer -> sweep());
     }
 
-    private static Channel channel(HttpConnection connection) {
-        return ((HttpServerConnection) connection).channelHandlerContext().channel();
-    }
-
-    private static final class ChannelCloser implements ClientConnections.Closer<HttpConnection> {
-        @Override
-        public void readUnread(HttpConnection connection) {
-            UnreadInput.readAll(channel(connection));
-        }
-
-        @Override
-        public void shut(HttpConnection connection) {
-            // Not by way of the HTTP server: what isn't read and who waits behind must not hold up
-            // the close.
-            ChannelHandlerContext ending = ending(connection);
-            ((LingeringClose) ending.handler()).close(ending, ending.newPromise());
-        }
-
-        @Override
-        public void cut(HttpConnection connection) {
-            ChannelHandlerContext ending = ending(connection);
-            ((LingeringClose) ending.handler()).cut(ending);
-        }
-
-        private static ChannelHandlerContext ending(HttpConnection connection) {
-            return channel(connection).pipeline().context(LingeringClose.class);
-        }
-    }
-
-    private void opened(HttpConnection connection, HttpServerOptions options) {
-        // A size of its own: one that adapts would shrink with each look at a socket that has
-        // nothing.
-        channel(connection)
-                .config()
-                .setRecvByteBufAllocator(
-                        new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_A_PASS));
-        connection.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
-        connection.closeHandler(none -> connections.gone(connection));
-        var closing =
-                new LingeringClose(
-                        lingerMs,
-                        () -> passes.reading(channel(connection).eventLoop()),
-                        () -> flooded(connection),
-                        () -> connections.shutting(connection));
-        channel(connection)
-                .pipeline()
-                .addFirst(closing)
-                .replace("httpDecoder", "httpDecoder", new StrictDecoder(options));
-        double connectedSince =
-                clock.getAsDouble() - AcceptingTransport.backlogSeenEmptyMsAgo(channel(connection));
-        if (connections.opened(connection, connectedSince) && !trimming) {
-            trimming = true;
-            // A pass over the sockets later, so that what they have sent is read: a burst isn't a
-            // flood.
-            vertx.setTimer(
-                    1,
-                    timer -> {
-                        trimming = false;
-                        connections.trim();
-                    });
-        }
-    }
-
-    private void flooded(HttpConnection connection) {
-        floods++;
-        connections.flooded(connection);
-    }
-
     /** How many connections sent more at once than may wait. */
     long floods() {
-        return floods;
+        return admission.floods();
     }
 
     /** Looks after connections that stand too long. */
     void sweep() {
-        settleIf(connections.sweep());
-    }
-
-    /**
-     * Has what a sweep found closed a pass over the sockets later, so that what they have sent is
-     * read.
-     */
-    private void settleIf(boolean due) {
-        if (due && !settling) {
-            settling = true;
-            vertx.setTimer(
-                    1,
-                    timer -> {
-                        settling = false;
-                        connections.settle();
-                    });
-        }
+        admission.closeMarkedIf(connections.markOverdue());
     }
 
+    /** Begins to listen. */
     public Future<HttpServer> listen(SocketAddress at) {
         return server.listen(at);
     }
 
     private void requested(HttpServerRequest request) {
-        if (!connections.begun(request.connection())) {
+        if (!connections.requestBegun(request.connection())) {
             return;
         }
         List<String> encodings = request.headers().getAll(HttpHeaders.TRANSFER_ENCODING);
-        String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
         if (!encodings.isEmpty()
                 && (encodings.size() > 1 || !encodings.get(0).equalsIgnoreCase("chunked"))) {
             // Where its body ends can't be told.
-            last(request, 501, "the only Transfer-Encoding is chunked");
-            return;
-        } else if (length != null
-                && (length.length() > 9 || Integer.parseInt(length) > LONGEST_BODY)) {
-            last(request, 413, TOO_LONG);
-            return;
+            responses.rejectLast(request, 501, "the only Transfer-Encoding is chunked");
+        } else if (isTooLong(request.getHeader(HttpHeaders.CONTENT_LENGTH))) {
+            responses.rejectLast(request, 413, TOO_LONG);
+        } else {
+            receive(request);
         }
-        double cameAt =
-                handler.unreadSince(passes.beganAt(), connections.arrival(request.connection()));
+    }
+
+    private static boolean isTooLong(String length) {
+        return length != null
+                && (length.length() > LONGEST_LENGTH_DIGITS
+                        || Integer.parseInt(length) > LONGEST_BODY_BYTES);
+    }
+
+    /** Collects the body of a request whose head has come. */
+    private void receive(HttpServerRequest request) {
+        double sentAtMs =
+                handler.unreadSince(passes.beganAtMs(), connections.arrival(request.connection()));
         var body = Buffer.buffer();
         request.handler(
                 bytes -> {
-                    if (body.length() + bytes.length() > LONGEST_BODY) {
-                        last(request, 413, TOO_LONG);
+                    if (body.length() + bytes.length() > LONGEST_BODY_BYTES) {
+                        responses.rejectLast(request, 413, TOO_LONG);
                     } else {
                         body.appendBuffer(bytes);
                     }
                 });
-        // Chunks that can't be read; the HTTP server closes the connection next. A client that left
-        // needs no answer.
+        // Chunks that can't be read; the HTTP server closes the connection next. A client that
+        // disconnected needs no answer.
         request.exceptionHandler(
                 failure -> {
                     if (!(failure instanceof HttpClosedException)) {
-                        last(request, 400, "not a body that can be read");
+                        responses.rejectLast(request, 400, "not a body that can be read");
                     }
                 });
         request.endHandler(
@@ -239,8 +175,8 @@
                     if (request.response().ended()) {
                         return;
                     }
-                    connections.busy(request.connection());
-                    guarded(request, () -> route(request, body, cameAt));
+                    connections.requestReceived(request.connection());
+                    guarded(request, () -> route(request, body, sentAtMs));
                 });
     }
 
@@ -253,195 +189,139 @@
             step.run();
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "panic: a request failed and its connection is closed", e);
-            open.entrySet().stream()
-                    .filter(entry -> entry.getValue() == request)
+            openRequests.entrySet().stream()
+                    .filter(entry -> entry.getValue().equals(request))
                     .map(Map.Entry::getKey)
                     .findAny()
-                    .ifPresent(
-                            query -> {
-                                open.remove(query);
-                                handler.left(query);
-                            });
-            last(request, 500, "this request failed");
+                    .ifPresent(this::disconnected);
+            responses.rejectLast(request, 500, "this request failed");
         }
     }
 
-    private void route(HttpServerRequest request, Buffer body, double cameAt) {
+    private void route(HttpServerRequest request, Buffer body, double sentAtMs) {
         String path = request.path() == null ? "" : request.path();
         if (path.equals("/up")) {
-            if (request.method() != HttpMethod.GET && request.method() != HttpMethod.HEAD) {
-                reject(request, 405, "GET only", "GET, HEAD");
-            } else if (handler.ready()) {
-                reject(request, 200, "up", null);
-            } else {
-                reject(request, 503, draining ? "ending" : "no list yet", null);
-            }
+            answerHealthCheck(request);
             return;
         }
-        String tableType = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
-        if (!handler.isTableType(tableType)) {
-            reject(request, 404, "no such table type", null);
-        } else if (request.method() != HttpMethod.POST) {
-            reject(request, 405, "POST only", "POST");
+        String queryClass = path.startsWith("/") ? path.substring(1).split("/", 2)[0] : "";
+        if (!handler.isQueryClass(queryClass)) {
+            responses.end(request, 404, "no such table type");
+        } else if (!request.method().equals(HttpMethod.POST)) {
+            responses.rejectMethod(request, "POST only", "POST");
         } else {
-            take(request, tableType, body, cameAt);
+            receiveQuery(request, queryClass, body, sentAtMs);
         }
     }
 
-    private void take(HttpServerRequest request, String tableType, Buffer body, double cameAt) {
+    private void answerHealthCheck(HttpServerRequest request) {
+        if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.HEAD)) {
+            responses.rejectMethod(request, "GET only", "GET, HEAD");
+        } else if (handler.ready()) {
+            responses.end(request, 200, "up");
+        } else {
+            responses.end(request, 503, draining ? "ending" : "no list yet");
+        }
+    }
+
+    private void receiveQuery(
+            HttpServerRequest request, String queryClass, Buffer body, double sentAtMs) {
         Query query;
         try {
-            query =
-                    reader.read(
-                            tableType,
-                            request.headers(),
-                            body.getBytes(),
-                            clock.getAsDouble() - cameAt);
+            double spentMs = clock.getAsDouble() - sentAtMs;
+            query = reader.read(queryClass, request.headers(), body.getBytes(), spentMs);
         } catch (QueryReader.MalformedException e) {
-            reject(request, 400, e.getMessage(), null);
+            responses.end(request, 400, e.getMessage());
             return;
         }
         if (handler.isOpen(query)) {
-            reject(request, 400, "a scan of this id is open", null);
+            responses.end(request, 400, "a scan of this id is open");
             return;
         }
-        open.put(query, request);
-        request.response().closeHandler(none -> left(query));
-        handler.take(query);
+        openRequests.put(query, request);
+        request.response().closeHandler(none -> disconnected(query));
+        handler.receive(query);
     }
 
-    private void left(Query query) {
-        if (open.remove(query) != null) {
-            handler.left(query);
+    private void disconnected(Query query) {
+        if (openRequests.remove(query) != null) {
+            handler.disconnected(query);
         }
     }
 
     /**
-     * Whether the client of a scan that has no answer still waits, by all that has reached its
+     * Whether the client of a query that has no answer still waits, by all that has reached its
      * connection up to this moment: what lies unread there is read first. One that has closed is
-     * reported as left right now, before its connection's end is told by the loop.
+     * reported as disconnected right now, before its connection's end is told by the loop.
      */
-    public boolean waits(Query query) {
-        HttpServerRequest request = open.get(query);
+    public boolean clientWaits(Query query) {
+        HttpServerRequest request = openRequests.get(query);
         if (request == null) {
             return false;
         }
-        if (UnreadInput.readAll(channel(request.connection()))) {
+        if (UnreadInput.readAll(ChannelCloser.channel(request.connection()))) {
             return true;
         }
-        leftUnread++;
-        left(query);
+        clientsFoundGone++;
+        disconnected(query);
         return false;
     }
 
     /**
-     * How many clients were found to have left right before an attempt for them would have begun.
+     * How many clients were found to have disconnected right before an attempt for them would have
+     * begun.
      */
-    public long leftUnread() {
-        return leftUnread;
+    public long clientsFoundGone() {
+        return clientsFoundGone;
     }
 
-    /** Sends the final answer of a scan; one whose client has left gets none. */
+    /** Sends the final answer of a query; one whose client has disconnected gets none. */
     public void answer(Query query, Answer answer) {
-        HttpServerRequest request = open.remove(query);
-        if (request == null) {
-            return;
-        }
-        HttpServerResponse response = request.response();
-        if (answer instanceof Answer.Completed completed) {
-            response.putHeader("Content-Type", "application/json");
-            end(request, 200, Buffer.buffer(AnswerWriter.body(completed)));
-        } else if (answer instanceof Answer.Rejected throttled) {
-            if (throttled.retryAfterMs() > 0) {
-                response.putHeader("Retry-After", AnswerWriter.seconds(throttled.retryAfterMs()));
-            }
-            end(request, 503, Buffer.buffer("throttled\n"));
-        } else {
-            end(request, 502, Buffer.buffer("abandoned\n"));
+        HttpServerRequest request = openRequests.remove(query);
+        if (request != null) {
+            responses.end(request, answer);
         }
     }
 
     /** What can't be read as a request; nobody knows where a next one would begin. */
     private void unreadable(HttpServerRequest request) {
-        if (connections.begun(request.connection())) {
-            Throwable why = request.decoderResult().cause();
-            last(
-                    request,
-                    why instanceof TooLongHttpLineException
-                            ? 414
-                            : why instanceof TooLongHttpHeaderException ? 431 : 400,
-                    "not a request that can be read");
+        if (connections.requestBegun(request.connection())) {
+            int status = unreadableStatus(request.decoderResult().cause());
+            responses.rejectLast(request, status, "not a request that can be read");
         }
     }
 
-    /** Rejects a request of which more may come, and all else on its connection. */
-    private void last(HttpServerRequest request, int status, String reason) {
-        if (!request.response().ended()) {
-            end(request, status, Buffer.buffer(reason + "\n"), true);
-        }
-    }
-
-    private void reject(HttpServerRequest request, int status, String reason, String allow) {
-        if (allow != null) {
-            request.response().putHeader("Allow", allow);
-        }
-        end(request, status, Buffer.buffer(reason + "\n"));
-    }
-
-    private void end(HttpServerRequest request, int status, Buffer body) {
-        end(
-                request,
-                status,
-                body,
-                draining || connections.crowded() || connections.isUnheard(request.connection()));
-    }
-
-    private void end(HttpServerRequest request, int status, Buffer body, boolean close) {
-        HttpServerResponse response = request.response();
-        if (response.ended() || response.closed()) {
-            return;
-        }
-        HttpConnection connection = request.connection();
-        if (close) {
-            response.putHeader("Connection", "close");
-            connections.last(connection);
+    private static int unreadableStatus(Throwable why) {
+        if (why instanceof TooLongHttpLineException) {
+            return 414;
         }
-        writing++;
-        response.setStatusCode(status)
-                .end(body)
-                .onComplete(
-                        done -> {
-                            writing--;
-                            if (close) {
-                                connections.shut(connection);
-                            } else {
-                                connections.answered(connection);
-                            }
-                        });
+        return why instanceof TooLongHttpHeaderException ? 431 : 400;
     }
 
     /** From now on answers ask clients to go elsewhere. */
     public void drain() {
         draining = true;
+        responses.drain();
     }
 
     /** Closes connections that have no request under way. */
-    public void closeIdle() {
-        settleIf(connections.sweepKept());
+    public void closeIdleConnections() {
+        admission.closeMarkedIf(connections.markIdle());
     }
 
     /** Connections on which a request is most likely coming in, which will want an answer. */
-    public int arriving() {
+    public int arrivingRequests() {
         return connections.arriving();
     }
 
+    /** Connections that are open or being closed. */
     public int connections() {
         return connections.size();
     }
 
     /** Requests that have no answer yet, or one that isn't written out. */
-    public int underWay() {
-        return open.size() + writing;
+    public int pendingAnswers() {
+        return openRequests.size() + responses.writing();
     }
 
     /** Ends the listener and all connections, each so that what was written still arrives. */
--- a/gatherer/src/main/java/sprucehold/clients/LingeringClose.java
+++ b/gatherer/src/main/java/sprucehold/clients/LingeringClose.java
@@ -30,116 +30,122 @@
     static final long LINGER_MS = 500;
 
     /** Four of the longest bodies: who sends more after the end doesn't listen. */
-    private static final int MOST_DROPPED = 256 * 1024;
+    private static final int MAX_DROPPED_BYTES = 256 * 1024;
 
     /**
      * What may wait unread behind a request. Clients ask one thing at a time on a connection, and
      * 16 KiB hold dozens of requests of the usual size; times all connections it stays far below
      * what the process may hold.
      */
-    static final int MOST_HELD = 16 * 1024;
+    static final int MAX_HELD_BYTES = 16 * 1024;
 
     private enum State {
         OPEN,
-        SHUT,
+        /** The output is shut; what comes is dropped. */
+        LINGERING,
         CLOSED
     }
 
-    /** Is told that more was sent at once than may wait, all of which is dropped. */
-    private final Runnable flooded;
-
-    /** Is told when its close begins, whoever asked for it. */
-    private final Runnable shutting;
-
-    /** Is told of each read before anything is made of it. */
-    private final Runnable reading;
+    private final Runnable onFlood;
+    private final Runnable onClosing;
+    private final Runnable onRead;
 
     private final long lingerMs;
     private State state = State.OPEN;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+
+    /** What came and the HTTP server doesn't read yet. */
+    private ByteBuf heldBytes = Unpooled.EMPTY_BUFFER;
+
     private boolean delivering;
-    private boolean flood;
-    private int dropped;
+    private boolean flooding;
+    private int droppedBytes;
 
     /**
-     * @param lingerMs how long it waits for the other side's close
+     * @param lingerMs how long it waits for the other side's close, in milliseconds
+     * @param onRead is told of each read before anything is made of it
+     * @param onFlood is told that more was sent at once than may wait, all of which is dropped
+     * @param onClosing is told when its close begins, whoever asked for it
      */
-    LingeringClose(long lingerMs, Runnable reading, Runnable flooded, Runnable shutting) {
+    LingeringClose(long lingerMs, Runnable onRead, Runnable onFlood, Runnable onClosing) {
         this.lingerMs = lingerMs;
-        this.reading = reading;
-        this.flooded = flooded;
-        this.shutting = shutting;
+        this.onRead = onRead;
+        this.onFlood = onFlood;
+        this.onClosing = onClosing;
     }
 
+    // Netty tells a failed write or close through the channel, whose end is what counts here.
+    @SuppressWarnings("FutureReturnValueIgnored")
     @Override
-    public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
-        ctx.channel().closeFuture().addListener(closed -> promise.trySuccess());
+    public void close(ChannelHandlerContext context, ChannelPromise promise) {
+        context.channel().closeFuture().addListener(closed -> promise.trySuccess());
         if (state != State.OPEN) {
             return;
         }
-        state = State.SHUT;
+        state = State.LINGERING;
         dropHeld();
-        shutting.run();
-        if (!ctx.channel().isActive() || !(ctx.channel() instanceof DuplexChannel)) {
-            cut(ctx);
+        onClosing.run();
+        if (!context.channel().isActive() || !(context.channel() instanceof DuplexChannel)) {
+            closeNow(context);
             return;
         }
-        ctx.writeAndFlush(Unpooled.EMPTY_BUFFER)
+        context.writeAndFlush(Unpooled.EMPTY_BUFFER)
                 .addListener(
                         flushed -> {
                             if (state == State.CLOSED) {
                                 return;
                             }
                             if (flushed.isSuccess()) {
-                                ((DuplexChannel) ctx.channel()).shutdownOutput();
-                                ctx.read();
+                                ((DuplexChannel) context.channel()).shutdownOutput();
+                                context.read();
                             } else {
-                                cut(ctx);
+                                closeNow(context);
                             }
                         });
-        ctx.executor().schedule(() -> cut(ctx), lingerMs, TimeUnit.MILLISECONDS);
-        ctx.read();
+        context.executor().schedule(() -> closeNow(context), lingerMs, TimeUnit.MILLISECONDS);
+        context.read();
     }
 
     /** Closes for good. */
-    void cut(ChannelHandlerContext ctx) {
+    // Netty tells a failed write or close through the channel, whose end is what counts here.
+    @SuppressWarnings("FutureReturnValueIgnored")
+    void closeNow(ChannelHandlerContext context) {
         if (state != State.CLOSED) {
             state = State.CLOSED;
             dropHeld();
-            ctx.close(ctx.newPromise());
+            context.close(context.newPromise());
         }
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext ctx, Object msg) {
-        reading.run();
+    public void channelRead(ChannelHandlerContext context, Object message) {
+        onRead.run();
         if (state != State.OPEN) {
-            dropped += ((ByteBuf) msg).readableBytes();
-            ReferenceCountUtil.release(msg);
-            if (dropped > MOST_DROPPED) {
-                cut(ctx);
+            droppedBytes += ((ByteBuf) message).readableBytes();
+            ReferenceCountUtil.release(message);
+            if (droppedBytes > MAX_DROPPED_BYTES) {
+                closeNow(context);
             }
-        } else if (flood) {
-            ReferenceCountUtil.release(msg);
-        } else if (ctx.channel().config().isAutoRead() && !held.isReadable()) {
-            ctx.fireChannelRead(msg);
+        } else if (flooding) {
+            ReferenceCountUtil.release(message);
+        } else if (context.channel().config().isAutoRead() && !heldBytes.isReadable()) {
+            context.fireChannelRead(message);
         } else {
-            hold((ByteBuf) msg);
+            hold((ByteBuf) message);
         }
     }
 
+    /** Keeps bytes until the HTTP server reads again. */
     private void hold(ByteBuf bytes) {
         try {
-            if (held.readableBytes() + bytes.readableBytes() > MOST_HELD) {
-                flood = true;
+            if (heldBytes.readableBytes() + bytes.readableBytes() > MAX_HELD_BYTES) {
+                flooding = true;
                 dropHeld();
-                flooded.run();
+                onFlood.run();
             } else {
-                held =
-                        held == Unpooled.EMPTY_BUFFER
-                                ? Unpooled.buffer(bytes.readableBytes())
-                                : held;
-                held.writeBytes(bytes);
+                if (!heldBytes.isReadable()) {
+                    heldBytes = Unpooled.buffer(bytes.readableBytes());
+                }
+                heldBytes.writeBytes(bytes);
             }
         } finally {
             bytes.release();
@@ -147,48 +153,48 @@
     }
 
     private void dropHeld() {
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+        heldBytes.release();
+        heldBytes = Unpooled.EMPTY_BUFFER;
     }
 
     @Override
-    public void channelReadComplete(ChannelHandlerContext ctx) {
+    public void channelReadComplete(ChannelHandlerContext context) {
         if (state == State.OPEN) {
-            ctx.fireChannelReadComplete();
+            context.fireChannelReadComplete();
         }
         // Whether or not the HTTP server wants more now, the other side's close has to be seen.
-        if (state != State.CLOSED && !ctx.channel().config().isAutoRead()) {
-            ctx.read();
+        if (state != State.CLOSED && !context.channel().config().isAutoRead()) {
+            context.read();
         }
     }
 
     /** The HTTP server reads again: first what it has been spared. */
     @Override
-    public void read(ChannelHandlerContext ctx) {
-        if (held.isReadable() && !delivering) {
+    public void read(ChannelHandlerContext context) {
+        if (heldBytes.isReadable() && !delivering) {
             delivering = true;
-            ctx.executor()
+            context.executor()
                     .execute(
                             () -> {
                                 delivering = false;
                                 if (state == State.OPEN
-                                        && held.isReadable()
-                                        && ctx.channel().config().isAutoRead()) {
-                                    ByteBuf bytes = held;
-                                    held = Unpooled.EMPTY_BUFFER;
-                                    ctx.fireChannelRead(bytes);
-                                    ctx.fireChannelReadComplete();
+                                        && heldBytes.isReadable()
+                                        && context.channel().config().isAutoRead()) {
+                                    ByteBuf bytes = heldBytes;
+                                    heldBytes = Unpooled.EMPTY_BUFFER;
+                                    context.fireChannelRead(bytes);
+                                    context.fireChannelReadComplete();
                                 }
                             });
         }
-        ctx.read();
+        context.read();
     }
 
     @Override
-    public void channelInactive(ChannelHandlerContext ctx) {
+    public void channelInactive(ChannelHandlerContext context) {
         state = State.CLOSED;
         dropHeld();
-        ctx.fireChannelInactive();
+        context.fireChannelInactive();
     }
 
     /**
@@ -196,11 +202,11 @@
      * read once more, after its answer.
      */
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (state == State.OPEN) {
-            ctx.fireExceptionCaught(cause);
+            context.fireExceptionCaught(cause);
         } else if (cause instanceof IOException) {
-            cut(ctx);
+            closeNow(context);
         }
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
@@ -2,14 +2,15 @@
 
 import sprucehold.coordinator.Query;
 
-/** Where scans are taken. */
+/** Takes the queries that clients ask. */
 public interface QueryHandler {
-    /** Whether scans can be taken: a list is held, and the gatherer isn't ending. */
+    /** Whether queries can be served: an endpoint list is held, and the gatherer isn't draining. */
     boolean ready();
 
-    boolean isTableType(String name);
+    /** Whether a query class of this name is served. */
+    boolean isQueryClass(String name);
 
-    /** Whether a scan of this id is open. */
+    /** Whether a query of this id is open. */
     boolean isOpen(Query query);
 
     /**
@@ -21,11 +22,11 @@
     double unreadSince(double nowMs, ConnectionArrival arrival);
 
     /**
-     * Takes a scan; its answer comes through {@link ClientServer#answer}, perhaps before this
+     * Takes a query; its answer comes through {@link ClientServer#answer}, perhaps before this
      * returns.
      */
-    void take(Query query);
+    void receive(Query query);
 
-    /** The client of a scan has gone. */
-    void left(Query query);
+    /** The client of a query has disconnected before it had its answer. */
+    void disconnected(Query query);
 }
--- a/gatherer/src/main/java/sprucehold/clients/QueryReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -19,18 +19,41 @@
 import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 
-/** Reads a client's scan from its headers and body. */
+/**
+ * Reads a client's query from its headers and body. Nothing is guessed: what two readers might take
+ * differently is no query.
+ *
+ * <table>
+ *   <caption>Headers and keys of a query</caption>
+ *   <tr><th>there</th><th>our term</th></tr>
+ *   <tr><td>path and header {@code X-Class}, which agree</td><td>{@code queryClass}</td></tr>
+ *   <tr><td>header {@code X-Request-Id}</td><td>{@code id}</td></tr>
+ *   <tr><td>header {@code X-Tenant}</td><td>{@code tenant}</td></tr>
+ *   <tr><td>header {@code X-Deadline-Ms}</td><td>{@code timeLeftMs}, less what is spent</td></tr>
+ *   <tr><td>header {@code Idempotency-Key}</td><td>{@code idempotencyKey}</td></tr>
+ *   <tr><td>key {@code buckets[]}</td><td>{@code parts}</td></tr>
+ *   <tr><td>key {@code buckets[].bucket}</td><td>{@code shard} of a part</td></tr>
+ *   <tr><td>key {@code buckets[].part}</td><td>{@code weight} of a part</td></tr>
+ *   <tr><td>key {@code body}</td><td>{@code body}</td></tr>
+ * </table>
+ */
 final class QueryReader {
-    /** Nothing is guessed: what two readers might take differently is no request. */
-    private static final ObjectMapper MAPPER =
+    private static final ObjectMapper JSON =
             JsonMapper.builder()
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .build();
 
+    private static final String REQUEST_ID = "X-Request-Id";
+    private static final String QUERY_CLASS = "X-Class";
+    private static final String TENANT = "X-Tenant";
+    private static final String DEADLINE = "X-Deadline-Ms";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    private static final List<String> ONCE =
-            List.of("X-Request-Id", "X-Class", "X-Tenant", "X-Deadline-Ms", IDEMPOTENCY_KEY);
+    private static final List<String> SINGLE_HEADERS =
+            List.of(REQUEST_ID, QUERY_CLASS, TENANT, DEADLINE, IDEMPOTENCY_KEY);
+
+    /** What the weights may add up to beside 1, since they are rounded on the way. */
+    private static final double WEIGHT_TOLERANCE = 0.01;
 
     /**
      * What fits as a value into the list of a frame's line, where commas and spaces separate: 1 to
@@ -38,9 +61,9 @@
      */
     private static final Pattern LIST_VALUE = Pattern.compile("[!-+\\--~]{1,128}");
 
-    private final int segments;
+    private final int shards;
 
-    /** The request can't be taken for this reason. */
+    /** The request can't be read as a query; the message says why, for its client. */
     static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -49,80 +72,100 @@
         }
     }
 
-    QueryReader(int segments) {
-        this.segments = segments;
+    /**
+     * @param shards how many shards there are
+     */
+    QueryReader(int shards) {
+        this.shards = shards;
     }
 
     /**
-     * {@code spentMs} is how much of the client's time went by since the request began to come in.
+     * Reads a query.
+     *
+     * @param queryClass the query class that the path names
+     * @param headers the headers of the request
+     * @param body the body of the request
+     * @param spentMs how much of the client's time went by since the request began to come in, in
+     *     milliseconds
+     * @throws MalformedException if it isn't a query
      */
-    Query read(String tableType, MultiMap headers, byte[] body, double spentMs)
+    Query read(String queryClass, MultiMap headers, byte[] body, double spentMs)
             throws MalformedException {
-        for (String name : ONCE) {
+        for (String name : SINGLE_HEADERS) {
             if (headers.getAll(name).size() > 1) {
                 throw new MalformedException(name + " must stand once");
             }
         }
-        String id = headers.get("X-Request-Id");
+        String id = headers.get(REQUEST_ID);
         if (id == null || !id.matches("[!-~]{1,128}")) {
-            throw new MalformedException("X-Request-Id must be 1 to 128 visible characters");
+            throw new MalformedException(REQUEST_ID + " must be 1 to 128 visible characters");
         }
-        if (!tableType.equals(headers.get("X-Class"))) {
-            throw new MalformedException("X-Class and path must agree");
+        if (!queryClass.equals(headers.get(QUERY_CLASS))) {
+            throw new MalformedException(QUERY_CLASS + " and path must agree");
         }
-        String deadline = headers.get("X-Deadline-Ms");
+        String deadline = headers.get(DEADLINE);
         if (deadline == null || !deadline.matches("[0-9]{1,9}")) {
-            throw new MalformedException("X-Deadline-Ms must be whole milliseconds");
+            throw new MalformedException(DEADLINE + " must be whole milliseconds");
         }
         Optional<String> key = Optional.ofNullable(headers.get(IDEMPOTENCY_KEY));
         if (key.isPresent() && !LIST_VALUE.matcher(key.get()).matches()) {
             throw new MalformedException(
                     IDEMPOTENCY_KEY + " must be 1 to 128 visible characters without commas");
         }
-        JsonNode node;
+        JsonNode json = json(body);
+        return new Query(
+                id,
+                queryClass,
+                headers.get(TENANT),
+                Math.max(0, Double.parseDouble(deadline) - spentMs),
+                key,
+                parts(json.get("buckets")),
+                Payload.ofText(json.get("body").textValue()));
+    }
+
+    private static JsonNode json(byte[] body) throws MalformedException {
+        JsonNode json;
         try {
-            node =
-                    MAPPER.readTree(
-                            StandardCharsets.UTF_8
-                                    .newDecoder()
-                                    .decode(ByteBuffer.wrap(body))
-                                    .toString());
+            var text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body));
+            json = JSON.readTree(text.toString());
         } catch (JsonProcessingException | CharacterCodingException e) {
             throw new MalformedException("the body is not JSON");
         }
-        JsonNode buckets = node.path("buckets");
-        if (!buckets.isArray() || buckets.isEmpty() || !node.path("body").isTextual()) {
+        JsonNode buckets = json.path("buckets");
+        if (!buckets.isArray() || buckets.isEmpty() || !json.path("body").isTextual()) {
             throw new MalformedException("the body needs buckets and body");
         }
+        return json;
+    }
+
+    private List<Query.Part> parts(JsonNode buckets) throws MalformedException {
+        double totalWeight = totalWeight(buckets);
         var parts = new ArrayList<Query.Part>(buckets.size());
-        double whole = 0;
+        Set<Integer> seen = new HashSet<>();
+        for (JsonNode bucket : buckets) {
+            int shard = bucket.path("bucket").isInt() ? bucket.get("bucket").intValue() : -1;
+            if (shard < 0 || shard >= shards || !seen.add(shard)) {
+                throw new MalformedException(
+                        "each bucket must be one of " + shards + " and stand once");
+            }
+            // Weights that were rounded on the way still make a whole.
+            parts.add(new Query.Part(shard, bucket.get("part").doubleValue() / totalWeight));
+        }
+        return parts;
+    }
+
+    private static double totalWeight(JsonNode buckets) throws MalformedException {
+        double total = 0;
         for (JsonNode bucket : buckets) {
             double weight = bucket.path("part").isNumber() ? bucket.get("part").doubleValue() : -1;
             if (!(weight > 0 && weight <= 1)) {
                 throw new MalformedException("each part must be a share of the whole");
             }
-            whole += weight;
+            total += weight;
         }
-        if (!(Math.abs(whole - 1) < 0.01)) {
+        if (!(Math.abs(total - 1) < WEIGHT_TOLERANCE)) {
             throw new MalformedException("the parts must add up to 1");
         }
-        Set<Integer> seen = new HashSet<>();
-        for (JsonNode bucket : buckets) {
-            int segment = bucket.path("bucket").isInt() ? bucket.get("bucket").intValue() : -1;
-            if (segment < 0 || segment >= segments || !seen.add(segment)) {
-                throw new MalformedException(
-                        "each bucket must be one of " + segments + " and stand once");
-            }
-            // Shares that were rounded on the way still make a whole.
-            parts.add(new Query.Part(segment, bucket.get("part").doubleValue() / whole));
-        }
-        return new Query(
-                id,
-                tableType,
-                headers.get("X-Tenant"),
-                Math.max(0, Double.parseDouble(deadline) - spentMs),
-                key,
-                parts,
-                Payload.ofText(node.get("body").textValue()));
+        return total;
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/ReadingPasses.java
+++ b/gatherer/src/main/java/sprucehold/clients/ReadingPasses.java
@@ -10,22 +10,26 @@
  */
 final class ReadingPasses {
     private final DoubleSupplier clock;
-    private double beganAt = Double.NaN;
+    private double beganAtMs = Double.NaN;
 
     ReadingPasses(DoubleSupplier clock) {
         this.clock = clock;
     }
 
-    /** Something is read. @param loop runs what it is handed once the pass is through */
+    /**
+     * Something is read.
+     *
+     * @param loop runs what it is handed once the pass is through
+     */
     void reading(Executor loop) {
-        if (Double.isNaN(beganAt)) {
-            beganAt = clock.getAsDouble();
-            loop.execute(() -> beganAt = Double.NaN);
+        if (Double.isNaN(beganAtMs)) {
+            beganAtMs = clock.getAsDouble();
+            loop.execute(() -> beganAtMs = Double.NaN);
         }
     }
 
     /** When the pass under way began, in milliseconds; now if none is. */
-    double beganAt() {
-        return Double.isNaN(beganAt) ? clock.getAsDouble() : beganAt;
+    double beganAtMs() {
+        return Double.isNaN(beganAtMs) ? clock.getAsDouble() : beganAtMs;
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/StubClient.java
+++ b/gatherer/src/main/java/sprucehold/clients/StubClient.java
@@ -12,20 +12,26 @@
 import sprucehold.coordinator.Query;
 
 /**
- * What the way of a client's scan through this package runs, without a socket: for a warm-up where
- * none are granted.
+ * Runs the code that a client's query passes in this package, without a socket: for a warm-up where
+ * no sockets are granted.
  */
 public final class StubClient {
     private final EmbeddedChannel decoder =
             new EmbeddedChannel(new StrictDecoder(new HttpServerOptions()));
     private final QueryReader reader;
 
-    /** {@code segments} is how many segments there are. */
-    public StubClient(int segments) {
-        this.reader = new QueryReader(segments);
+    /**
+     * @param shards how many shards there are
+     */
+    public StubClient(int shards) {
+        this.reader = new QueryReader(shards);
     }
 
-    /** Reads a request as one that came whole. */
+    /**
+     * Reads a request as one that came whole.
+     *
+     * @throws IllegalArgumentException if it isn't a query
+     */
     public Query read(String request) {
         decoder.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.UTF_8));
         HttpRequest head = decoder.readInbound();
@@ -43,7 +49,7 @@
                     body.toString(StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8),
                     0);
         } catch (QueryReader.MalformedException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalArgumentException("not a query: " + request, e);
         }
     }
 
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -228,7 +228,7 @@
     }
 
     @Override
-    public boolean isTableType(String name) {
+    public boolean isQueryClass(String name) {
         return admin == null ? tableTypes.contains(name) : admin.isTableType(name);
     }
 
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void take(Query query) {
+    public void receive(Query query) {
         scansTaken++;
         QueryLog.taken(query);
         if (phase == Drain.Phase.TURNING_AWAY || phase == Drain.Phase.OVER) {
@@ -272,7 +272,7 @@
     }
 
     @Override
-    public void left(Query query) {
+    public void disconnected(Query query) {
         QueryLog.left(query);
         if (admin != null) {
             admin.left(query);
@@ -305,7 +305,7 @@
         return new AttemptGate() {
             @Override
             public boolean clientWaits(Query query) {
-                return clients.waits(query);
+                return clients.clientWaits(query);
             }
 
             @Override
@@ -565,7 +565,7 @@
                                                     + " left open, "
                                                     + passes.summary()
                                                     + ", "
-                                                    + clients.leftUnread()
+                                                    + clients.clientsFoundGone()
                                                     + " clients found gone right before an attempt");
                                     return null;
                                 });
@@ -578,11 +578,11 @@
                         clock.now(),
                         new Drain.Owed(
                                 coordinator.openQueries() + coming.size(),
-                                clients.underWay(),
-                                clients.arriving()));
+                                clients.pendingAnswers(),
+                                clients.arrivingRequests()));
         if (phase != Drain.Phase.SERVING_ON) {
             clients.drain();
-            clients.closeIdle();
+            clients.closeIdleConnections();
         }
         return phase == Drain.Phase.OVER
                 ? Future.succeededFuture()
--- a/gatherer/src/main/java/sprucehold/node/SocketPasses.java
+++ b/gatherer/src/main/java/sprucehold/node/SocketPasses.java
@@ -120,9 +120,9 @@
      */
     double unreadSince(double nowMs, ConnectionArrival arrival) {
         double since =
-                polledAfter >= arrival.openedAt()
+                polledAfter >= arrival.openedAtMs()
                         ? polledAfter
-                        : Math.min(polledAfter, arrival.connectedSince());
+                        : Math.min(polledAfter, arrival.connectedSinceMs());
         return nowMs - since <= ON_TIME_MS ? nowMs : since;
     }
 
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -34,18 +34,18 @@
                             public void readUnread(String connection) {
                                 if (connection.equals(unread)) {
                                     unread = null;
-                                    connections.begun(connection);
-                                    connections.busy(connection);
+                                    connections.requestBegun(connection);
+                                    connections.requestReceived(connection);
                                 }
                             }
 
                             @Override
-                            public void shut(String connection) {
+                            public void close(String connection) {
                                 done.add("shut " + connection);
                             }
 
                             @Override
-                            public void cut(String connection) {
+                            public void closeNow(String connection) {
                                 done.add("cut " + connection);
                             }
                         });
@@ -59,19 +59,19 @@
         String c = words.length > 1 ? words[1] : "";
         switch (words[0]) {
             case "open" -> connections.opened(c, now - BACKLOG_MS);
-            case "head" -> connections.begun(c);
-            case "whole" -> connections.busy(c);
+            case "head" -> connections.requestBegun(c);
+            case "whole" -> connections.requestReceived(c);
             case "answered" -> connections.answered(c);
             case "flooded" -> connections.flooded(c);
-            case "last" -> connections.last(c);
-            case "ends" -> connections.shut(c);
-            case "shutting" -> connections.shutting(c);
-            case "gone" -> connections.gone(c);
-            case "trim" -> connections.trim();
+            case "last" -> connections.lastAnswerBegun(c);
+            case "ends" -> connections.close(c);
+            case "shutting" -> connections.closingByHttpServer(c);
+            case "gone" -> connections.closed(c);
+            case "trim" -> connections.closeSurplus();
             case "unread" -> unread = c;
-            case "sweep" -> connections.sweep();
-            case "rests" -> connections.sweepKept();
-            case "settle" -> connections.settle();
+            case "sweep" -> connections.markOverdue();
+            case "rests" -> connections.markIdle();
+            case "settle" -> connections.closeMarked();
             default -> now += Double.parseDouble(words[0]);
         }
     }
@@ -145,7 +145,7 @@
         for (String step : steps.split(", ")) {
             step(step);
         }
-        assertEquals(connections.begun("a"), taken);
+        assertEquals(connections.requestBegun("a"), taken);
         assertEquals(connections.isUnheard("a"), !taken);
     }
 
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -63,8 +63,8 @@
     private volatile double now;
     private volatile Answer atOnce;
     private volatile double heldUpMs;
-    private BlockingQueue<Query> taken;
-    private BlockingQueue<Query> left;
+    private BlockingQueue<Query> received;
+    private BlockingQueue<Query> disconnected;
     private BlockingQueue<ConnectionArrival> arrivals;
     private boolean inPass;
     private int requestsOfPass;
@@ -82,8 +82,8 @@
         heldUpMs = 0;
         inPass = false;
         mostRequestsOfAPass = 0;
-        taken = new LinkedBlockingQueue<>();
-        left = new LinkedBlockingQueue<>();
+        received = new LinkedBlockingQueue<>();
+        disconnected = new LinkedBlockingQueue<>();
         arrivals = new LinkedBlockingQueue<>();
         vertx = Vertx.vertx();
         loop = new TestLoop(vertx);
@@ -95,7 +95,7 @@
                     }
 
                     @Override
-                    public boolean isTableType(String name) {
+                    public boolean isQueryClass(String name) {
                         return name.equals("q");
                     }
 
@@ -112,8 +112,8 @@
                     }
 
                     @Override
-                    public void take(Query query) {
-                        taken.add(query);
+                    public void receive(Query query) {
+                        received.add(query);
                         if (query.id().equals("panic")) {
                             throw new IllegalStateException("scripted");
                         }
@@ -123,8 +123,8 @@
                     }
 
                     @Override
-                    public void left(Query query) {
-                        left.add(query);
+                    public void disconnected(Query query) {
+                        disconnected.add(query);
                     }
                 };
         var listening = new CompletableFuture<HttpServer>();
@@ -221,7 +221,7 @@
      * client has read them.
      */
     private void settled() throws Exception {
-        loop.until(() -> server.underWay() == 0);
+        loop.until(() -> server.pendingAnswers() == 0);
     }
 
     private void answer(Query query, Answer answer) {
@@ -235,7 +235,7 @@
         try (Socket socket = connect(post("/q", "s", BODY))) {
             assertTrue(response(socket).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(taken.remove().timeLeftMs(), 280.0);
+        assertEquals(received.remove().timeLeftMs(), 280.0);
     }
 
     @DataProvider
@@ -258,7 +258,7 @@
             String response = response(socket);
             assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
             assertTrue(response.contains(says), response);
-            assertTrue(taken.isEmpty());
+            assertTrue(received.isEmpty());
         }
     }
 
@@ -303,7 +303,7 @@
             String response = rest(socket);
             assertTrue(response.matches("(?s)HTTP/1.[01] " + status + " .*"), response);
             assertEquals(response.split("HTTP/1", -1).length, 2, response);
-            assertTrue(taken.isEmpty(), String.valueOf(taken));
+            assertTrue(received.isEmpty(), String.valueOf(received));
         }
     }
 
@@ -358,8 +358,9 @@
             assertEquals(socket.getInputStream().read(), -1);
         }
         assertTrue(
-                taken.stream().noneMatch(query -> query.id().equals("t") || query.id().equals("u")),
-                String.valueOf(taken));
+                received.stream()
+                        .noneMatch(query -> query.id().equals("t") || query.id().equals("u")),
+                String.valueOf(received));
     }
 
     @Test
@@ -392,7 +393,7 @@
     }
 
     /**
-     * A request that is whole in the system's buffer has been taken; its connection isn't idle,
+     * A request that is whole in the system's buffer has been received; its connection isn't idle,
      * however long unread.
      */
     @Test(dataProvider = "aged")
@@ -439,13 +440,13 @@
                     post("/q", "behind" + i, BODY.replace("c4", "c4".repeat(1 + longer / 2))));
         }
         Socket socket = connect(requests.toString());
-        Query query = taken.poll(5, TimeUnit.SECONDS);
+        Query query = received.poll(5, TimeUnit.SECONDS);
         assertEquals(query.id(), "s");
         socket.close();
-        assertEquals(left.poll(5, TimeUnit.SECONDS), query);
+        assertEquals(disconnected.poll(5, TimeUnit.SECONDS), query);
         answer(query, HIT);
         accepted(0);
-        assertTrue(taken.isEmpty(), String.valueOf(taken));
+        assertTrue(received.isEmpty(), String.valueOf(received));
     }
 
     @Test
@@ -454,14 +455,14 @@
                 connect(
                         post("/q", "s", BODY)
                                 + post("/q", "t", BODY.replace("c4", "c4".repeat(2_000_000))))) {
-            Query query = taken.poll(5, TimeUnit.SECONDS);
+            Query query = received.poll(5, TimeUnit.SECONDS);
             // Read on until it was too much.
             loop.until(() -> server.floods() > 0);
             answer(query, HIT);
             String rest = rest(socket);
             assertTrue(
                     rest.startsWith("HTTP/1.1 200 ") && rest.contains("Connection: close"), rest);
-            assertTrue(taken.isEmpty(), String.valueOf(taken));
+            assertTrue(received.isEmpty(), String.valueOf(received));
         }
     }
 
@@ -479,7 +480,7 @@
     public void requestThatDoesntComeInTimeClosesItsConnectionAlone(String bytes) throws Exception {
         try (Socket other = connect(post("/q", "s", BODY));
                 Socket socket = connect(bytes)) {
-            Query query = taken.poll(5, TimeUnit.SECONDS);
+            Query query = received.poll(5, TimeUnit.SECONDS);
             accepted(2);
             now = 2400;
             answer(query, HIT);
@@ -496,13 +497,13 @@
     public void silentConnectionsGiveWayToNewOnesAndScansThatAreOpenStay() throws Exception {
         var sockets = new ArrayList<Socket>();
         try (Socket busy = connect(post("/q", "s", BODY))) {
-            Query query = taken.poll(5, TimeUnit.SECONDS);
+            Query query = received.poll(5, TimeUnit.SECONDS);
             for (int i = 0; i < 2 * MOST; i++) {
                 sockets.add(connect(""));
             }
             assertEquals(rest(sockets.get(0)), "");
             sockets.add(connect(post("/q", "t", BODY)));
-            assertEquals(taken.poll(5, TimeUnit.SECONDS).id(), "t");
+            assertEquals(received.poll(5, TimeUnit.SECONDS).id(), "t");
             answer(query, HIT);
             String response = response(busy);
             assertTrue(response.startsWith("HTTP/1.1 200 "), response);
@@ -589,7 +590,7 @@
                 connect(post("/q", "a", BODY) + chunked + "0\r\n\r\n" + post("/q", "b", BODY))) {
             for (String id : List.of("a", "c", "b")) {
                 assertTrue(response(socket).startsWith("HTTP/1.1 200 "));
-                assertEquals(taken.remove().id(), id);
+                assertEquals(received.remove().id(), id);
             }
         }
     }
@@ -661,15 +662,15 @@
             }
             assertTrue(response(pieces).startsWith("HTTP/1.1 200 "));
         }
-        assertEquals(taken.size(), 2);
+        assertEquals(received.size(), 2);
     }
 
     @Test
     public void clientThatClosesHasLeft() throws Exception {
         Socket socket = connect(post("/q", "s", BODY));
-        assertEquals(taken.poll(5, TimeUnit.SECONDS).id(), "s");
+        assertEquals(received.poll(5, TimeUnit.SECONDS).id(), "s");
         socket.close();
-        assertEquals(left.poll(5, TimeUnit.SECONDS).id(), "s");
+        assertEquals(disconnected.poll(5, TimeUnit.SECONDS).id(), "s");
     }
 
     @Test
@@ -681,16 +682,16 @@
         try (Socket socket = connect(post("/q", "t", BODY))) {
             response(socket);
         }
-        assertTrue(left.isEmpty());
+        assertTrue(disconnected.isEmpty());
     }
 
     @Test
     public void panicEndsItsConnectionAlone() throws Exception {
         try (Socket other = connect(post("/q", "s", BODY))) {
-            Query query = taken.poll(5, TimeUnit.SECONDS);
+            Query query = received.poll(5, TimeUnit.SECONDS);
             try (Socket socket = connect(post("/q", "panic", BODY))) {
                 assertTrue(response(socket).startsWith("HTTP/1.1 500 "));
-                assertEquals(left.poll(5, TimeUnit.SECONDS).id(), "panic");
+                assertEquals(disconnected.poll(5, TimeUnit.SECONDS).id(), "panic");
                 answer(query, HIT);
                 assertTrue(response(other).startsWith("HTTP/1.1 200 "));
             }
@@ -706,12 +707,12 @@
             settled();
             atOnce = null;
             try (Socket busy = connect(post("/q", "s", BODY))) {
-                taken.poll(5, TimeUnit.SECONDS);
-                Query query = taken.poll(5, TimeUnit.SECONDS);
+                received.poll(5, TimeUnit.SECONDS);
+                Query query = received.poll(5, TimeUnit.SECONDS);
                 loop.run(
                         () -> {
                             server.drain();
-                            server.closeIdle();
+                            server.closeIdleConnections();
                         });
                 assertEquals(idle.getInputStream().read(), -1);
                 answer(query, HIT);
@@ -723,25 +724,28 @@
                 assertEquals(busy.getInputStream().read(), -1);
             }
         }
-        assertFalse(left.stream().anyMatch(query -> query.id().equals("i")));
+        assertFalse(disconnected.stream().anyMatch(query -> query.id().equals("i")));
     }
 
     @Test
     public void aCloseThatLiesUnreadIsReadWhenItIsAskedWhetherTheClientWaits() throws Exception {
         Socket stays = connect(post("/q", "stays", BODY));
         Socket leaves = connect(post("/q", "leaves", BODY));
-        var scans = new HashMap<String, Query>();
+        var queries = new HashMap<String, Query>();
         for (int i = 0; i < 2; i++) {
-            Query query = taken.poll(5, TimeUnit.SECONDS);
-            scans.put(query.id(), query);
+            Query query = received.poll(5, TimeUnit.SECONDS);
+            queries.put(query.id(), query);
         }
         var waits = new HashMap<String, Boolean>();
         var asked = new CountDownLatch(1);
         Runnable free =
                 loop.hold(
                         () -> {
-                            scans.values()
-                                    .forEach(query -> waits.put(query.id(), server.waits(query)));
+                            queries.values()
+                                    .forEach(
+                                            query ->
+                                                    waits.put(
+                                                            query.id(), server.clientWaits(query)));
                             asked.countDown();
                         });
         // Bytes before the end: it is not the first thing that is read.
@@ -750,13 +754,13 @@
         free.run();
         assertTrue(asked.await(5, TimeUnit.SECONDS));
         assertEquals(waits, Map.of("stays", true, "leaves", false));
-        assertEquals(left.poll(5, TimeUnit.SECONDS).id(), "leaves");
-        assertEquals((long) loop.call(() -> server.leftUnread()), 1L);
-        loop.act(() -> server.answer(scans.get("stays"), new Answer.Rejected(0)));
+        assertEquals(disconnected.poll(5, TimeUnit.SECONDS).id(), "leaves");
+        assertEquals((long) loop.call(() -> server.clientsFoundGone()), 1L);
+        loop.act(() -> server.answer(queries.get("stays"), new Answer.Rejected(0)));
         assertTrue(response(stays).startsWith("HTTP/1.1 503"));
         // Its end, which the loop tells of later, is told once.
         loop.until(() -> server.connections() <= 1);
-        assertTrue(left.isEmpty());
+        assertTrue(disconnected.isEmpty());
         stays.close();
     }
 }
--- a/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
@@ -16,13 +16,13 @@
 public class QueryReaderTest {
     private static final String PART = "{\"bucket\":3,\"part\":1.0}";
 
-    private static Query read(String id, String tableType, String deadline, String body)
+    private static Query read(String id, String queryClass, String deadline, String body)
             throws Exception {
         MultiMap headers = MultiMap.caseInsensitiveMultiMap();
         if (id != null) {
             headers.add("x-request-id", id);
         }
-        headers.add("X-Class", tableType).add("X-Tenant", "acme");
+        headers.add("X-Class", queryClass).add("X-Tenant", "acme");
         if (deadline != null) {
             headers.add("X-Deadline-Ms", deadline);
         }
@@ -79,10 +79,10 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void scansThatCantBeTakenAreRefused(
-            String id, String tableType, String deadline, String body) {
+    public void malformedQueriesAreRefused(
+            String id, String queryClass, String deadline, String body) {
         assertThrows(
-                QueryReader.MalformedException.class, () -> read(id, tableType, deadline, body));
+                QueryReader.MalformedException.class, () -> read(id, queryClass, deadline, body));
     }
 
     @Test
@@ -142,7 +142,7 @@
     }
 
     @Test
-    public void scanIsReadWithItsSharesMadeWhole() throws Exception {
+    public void queryIsReadWithItsWeightsMadeWhole() throws Exception {
         Query query =
                 read(
                         "s",
