--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -144,7 +144,7 @@
                         ? null
                         : new ConfigurationAdmin(
                                 vertx, config, plan, journal, clock, this::applied);
-        DecisionPolicy.Factory behind = admin == null ? factory : admin.withOverrides(factory);
+        DecisionPolicy.Factory behind = admin == null ? factory : admin.behindWords(factory);
         this.coordinator =
                 new QueryCoordinator(behind.start(config.seed(), deployment), deployment);
         this.shards =
@@ -228,8 +228,8 @@
     }
 
     @Override
-    public boolean isTableType(String name) {
-        return admin == null ? tableTypes.contains(name) : admin.isQueryClass(name);
+    public boolean isQueryClass(String name) {
+        return admin == null ? tableTypes.contains(name) : admin.isTableType(name);
     }
 
     @Override
@@ -243,7 +243,7 @@
     }
 
     @Override
-    public void take(Query query) {
+    public void receive(Query query) {
         scansTaken++;
         QueryLog.taken(query);
         if (phase == Drain.Phase.TURNING_AWAY || phase == Drain.Phase.OVER) {
@@ -254,7 +254,7 @@
         coming.add(query.id());
         neighbours.forEach(one -> one.taken(clock.now(), query));
         if (admin != null) {
-            admin.queryReceived(query);
+            admin.taken(query);
         }
         double takenAt = clock.now();
         soon(
@@ -272,10 +272,10 @@
     }
 
     @Override
-    public void left(Query query) {
+    public void disconnected(Query query) {
         QueryLog.left(query);
         if (admin != null) {
-            admin.clientDisconnected(query);
+            admin.left(query);
         }
         if (!coming.remove(query.id())) {
             report(new Observation.ClientDisconnected(query));
@@ -305,7 +305,7 @@
         return new AttemptGate() {
             @Override
             public boolean clientWaits(Query query) {
-                return clients.waits(query);
+                return clients.clientWaits(query);
             }
 
             @Override
@@ -433,11 +433,11 @@
                 () ->
                         commands.consumed()
                                 .forEach(
-                                        consumed ->
+                                        use ->
                                                 neighbours.forEach(
-                                                        one -> one.use(clock.now(), consumed))));
+                                                        one -> one.use(clock.now(), use))));
         commands.replies().forEach(reply -> guarded(() -> reply(reply)));
-        guarded(() -> shards.probe(commands.healthChecks()));
+        guarded(() -> shards.checkHealth(commands.healthChecks()));
         commands.logMessages().forEach(LOG::info);
         if (commands.subscribe()) {
             guarded(watch::ask);
@@ -456,7 +456,7 @@
 
     private void reply(Commands.Reply reply) {
         if (admin != null) {
-            admin.queryAnswered(reply.query(), reply.answer());
+            admin.answered(reply.query(), reply.answer());
         }
         QueryLog.ended(reply);
         clients.answer(reply.query(), reply.answer());
@@ -470,8 +470,8 @@
         var send = new ArrayList<Attempt>();
         for (Attempt attempt : dispatches) {
             var leaves = new ArrayList<BooleanSupplier>();
-            for (Command.ConsumeAllowance consumed : attempt.consumed()) {
-                neighbours.forEach(one -> leaves.add(one.use(clock.now(), consumed)));
+            for (Command.ConsumeAllowance use : attempt.consumed()) {
+                neighbours.forEach(one -> leaves.add(one.use(clock.now(), use)));
             }
             if (leaves.contains(null)) {
                 report(
@@ -540,7 +540,7 @@
         drain = new Drain(how, clock.now());
         phase = Drain.Phase.SERVING_ON;
         if (admin != null) {
-            admin.shuttingDown();
+            admin.ending();
         }
         ended =
                 (listens ? drained() : Future.<Void>succeededFuture())
@@ -565,7 +565,7 @@
                                                     + " left open, "
                                                     + passes.summary()
                                                     + ", "
-                                                    + clients.leftUnread()
+                                                    + clients.clientsFoundGone()
                                                     + " clients found gone right before an attempt");
                                     return null;
                                 });
@@ -578,11 +578,11 @@
                         clock.now(),
                         new Drain.Owed(
                                 coordinator.openQueries() + coming.size(),
-                                clients.underWay(),
-                                clients.arriving()));
+                                clients.pendingAnswers(),
+                                clients.arrivingRequests()));
         if (phase != Drain.Phase.SERVING_ON) {
             clients.drain();
-            clients.closeIdle();
+            clients.closeIdleConnections();
         }
         return phase == Drain.Phase.OVER
                 ? Future.succeededFuture()
--- a/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
@@ -10,18 +10,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 
 public class QueryReaderTest {
     private static final String PART = "{\"bucket\":3,\"part\":1.0}";
 
-    private static Query read(String id, String tableType, String deadline, String body)
+    private static Query read(String id, String queryClass, String deadline, String body)
             throws Exception {
         MultiMap headers = MultiMap.caseInsensitiveMultiMap();
         if (id != null) {
             headers.add("x-request-id", id);
         }
-        headers.add("X-Class", tableType).add("X-Tenant", "acme");
+        headers.add("X-Class", queryClass).add("X-Tenant", "acme");
         if (deadline != null) {
             headers.add("X-Deadline-Ms", deadline);
         }
@@ -78,10 +79,10 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void scansThatCantBeTakenAreRefused(
-            String id, String tableType, String deadline, String body) {
+    public void malformedQueriesAreRefused(
+            String id, String queryClass, String deadline, String body) {
         assertThrows(
-                QueryReader.MalformedException.class, () -> read(id, tableType, deadline, body));
+                QueryReader.MalformedException.class, () -> read(id, queryClass, deadline, body));
     }
 
     @Test
@@ -141,7 +142,7 @@
     }
 
     @Test
-    public void scanIsReadWithItsSharesMadeWhole() throws Exception {
+    public void queryIsReadWithItsWeightsMadeWhole() throws Exception {
         Query query =
                 read(
                         "s",
@@ -154,7 +155,7 @@
         assertEquals(read("s", "q", "29", body(PART)).timeLeftMs(), 0.0);
         assertEquals(query.parts().stream().map(Query.Part::shard).toList(), List.of(3, 9, 0));
         assertEquals(query.parts().stream().mapToDouble(Query.Part::weight).sum(), 1, 1e-9);
-        assertEquals(new String(query.body(), StandardCharsets.UTF_8), "c4é");
+        assertEquals(query.body().text(), "c4é");
     }
 
     @DataProvider
@@ -171,7 +172,7 @@
 
     @Test
     public void valuesStandInTheAnswerAsTheyCame() {
-        var values = List.of(new Answer.Value(3, "5b\"é".getBytes(StandardCharsets.UTF_8)));
+        var values = List.of(new Answer.Value(3, Payload.ofText("5b\"é")));
         assertEquals(
                 new String(
                         AnswerWriter.body(new Answer.Completed(false, values)),
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -5,20 +5,21 @@
 import static org.testng.Assert.assertTrue;
 
 import io.vertx.core.buffer.Buffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import sprucehold.coordinator.AttemptResult;
 import sprucehold.coordinator.EndpointUpdate;
-import sprucehold.coordinator.Load;
 import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.decision.Command;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Event;
+import sprucehold.decision.LoadReport;
 import sprucehold.decision.QueryClass;
 
 public class FrameTest {
@@ -50,23 +51,25 @@
     Object[][] loads() {
         return new Object[][] {
             {"-", null},
-            {"inflight=7,util=0.61", new Load(7, Double.NaN, 0.61)},
-            {"queue=3", new Load(Double.NaN, 3, Double.NaN)},
+            {"inflight=7,util=0.61", new LoadReport(7, Double.NaN, 0.61)},
+            {"queue=3", new LoadReport(Double.NaN, 3, Double.NaN)},
             {"other=1,queue=x", null},
             {"", null},
-            {"inflight=NaN,util=0.5", new Load(Double.NaN, Double.NaN, 0.5)},
+            {"inflight=NaN,util=0.5", new LoadReport(Double.NaN, Double.NaN, 0.5)},
             {"inflight=-1,queue=Infinity", null},
         };
     }
 
     @Test(dataProvider = "loads")
-    public void loadIsReadAsFarAsItCanBe(String report, Load load) throws Exception {
+    public void loadIsReadAsFarAsItCanBe(String report, LoadReport load) throws Exception {
         var ended =
-                (ShardFrame.Ended)
+                (ShardFrame.PartEnded)
                         ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
-        assertEquals(ended.load(), load);
+        assertEquals(ended.result().reportedLoad(), load);
         assertEquals(
-                ((ShardFrame.Probed) ShardFrame.decode(Buffer.buffer("D" + report))).load(), load);
+                ((ShardFrame.HealthCheckAnswered) ShardFrame.decode(Buffer.buffer("D" + report)))
+                        .load(),
+                load);
     }
 
     @Test
@@ -88,20 +91,22 @@
                 reader.handle(bytes.getBuffer(from, Math.min(bytes.length(), from + cut)), 0);
             }
             assertEquals(frames.size(), 4);
-            var ended = (ShardFrame.Ended) frames.get(0);
+            var ended = (ShardFrame.PartEnded) frames.get(0);
             assertEquals(ended.partId(), "p.1");
-            assertEquals(new String(ended.value()), "va\nlue");
-            assertEquals(frames.get(1), new ShardFrame.Probed(true, null));
-            assertEquals(((ShardFrame.Ended) frames.get(2)).end(), ShardFrame.End.FAULT);
-            assertEquals(frames.get(3), new ShardFrame.Unusable("no"));
+            var completed = (AttemptResult.Completed) ended.result();
+            assertEquals(completed.value().text(), "va\nlue");
+            assertEquals(frames.get(1), new ShardFrame.HealthCheckAnswered(true, null));
+            assertEquals(
+                    frames.get(2), new ShardFrame.PartEnded("p.2", new AttemptResult.Failed(null)));
+            assertEquals(frames.get(3), new ShardFrame.FrameRefused("no"));
         }
     }
 
     @Test
     public void framesToShardServersAreThoseOfEarlierBuilds() {
-        assertEquals(GathererFrame.giveUp("q.3"), Buffer.buffer("\4\0\0\0Bq.3"));
-        assertEquals(GathererFrame.probe(), Buffer.buffer("\1\0\0\0C"));
-        assertEquals(GathererFrame.loadProbe(), Buffer.buffer("\1\0\0\0D"));
+        assertEquals(GathererFrame.cancellation("q.3"), Buffer.buffer("\4\0\0\0Bq.3"));
+        assertEquals(GathererFrame.healthCheck(), Buffer.buffer("\1\0\0\0C"));
+        assertEquals(GathererFrame.healthCheckWithLoad(), Buffer.buffer("\1\0\0\0D"));
     }
 
     @Test
@@ -157,10 +162,10 @@
                         400,
                         Optional.of("key"),
                         List.of(new Query.Part(3, 0.5), new Query.Part(9, 0.5)),
-                        "body".getBytes(StandardCharsets.UTF_8));
+                        Payload.ofText("body"));
         var commands = coordinator.submit(10, query);
         assertEquals(
-                GathererFrame.call(commands.send(), 20),
+                GathererFrame.attempts(commands.send(), 20),
                 Buffer.buffer("\61\0\0\0Aq.3 3 d=240,k=key 4\nbodyq.9 9 d=240,k=key 4\nbody"));
     }
 
@@ -182,9 +187,10 @@
     @Test
     public void framesOfAGathererAreAsTheProtocolSays() {
         assertEquals(
-                GathererFrame.giveUp("s.3"),
+                GathererFrame.cancellation("s.3"),
                 Buffer.buffer(new byte[] {4, 0, 0, 0, 'B', 's', '.', '3'}));
-        assertEquals(GathererFrame.probe(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'C'}));
-        assertEquals(GathererFrame.loadProbe(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'D'}));
+        assertEquals(GathererFrame.healthCheck(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'C'}));
+        assertEquals(
+                GathererFrame.healthCheckWithLoad(), Buffer.buffer(new byte[] {1, 0, 0, 0, 'D'}));
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -26,6 +26,7 @@
 import sprucehold.coordinator.Commands;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.coordinator.ShardServer;
@@ -402,7 +403,7 @@
                         deployment.tenants().get(client.tenant).name(),
                         client.patienceMs,
                         parts,
-                        new byte[0]);
+                        Payload.EMPTY);
         gatherer.clients.put(query, client);
         if (random.nextInt(50) == 0) {
             schedule(
@@ -514,7 +515,7 @@
                 () ->
                         fails
                                 ? new AttemptResult.Failed(null)
-                                : new AttemptResult.Completed(new byte[0], null));
+                                : new AttemptResult.Completed(Payload.EMPTY, null));
     }
 
     private void injectFault() {
