--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -96,7 +96,7 @@
                                 addresses.put(name, member.at());
                             }
                         });
-        double counted = clock.countedMs();
+        double counted = clock.monotonicMs();
         double wall = clock.wallMs();
         this.session =
                 new CoordinationSession(
@@ -110,7 +110,7 @@
                         wall);
         this.allowances =
                 new AllowanceTable(
-                        config.facts().deployment(),
+                        config.settings().deployment(),
                         new AllowanceSettings(
                                 self,
                                 List.copyOf(plan.members().keySet()),
@@ -119,7 +119,7 @@
                                 plan.furtherWindowMs(),
                                 Math.min(
                                         PATIENCE_MS,
-                                        config.facts().connections().connectTimeoutMs()),
+                                        config.settings().connections().connectTimeoutMs()),
                                 plan.driftPpm() / 1e6,
                                 plan.clocksOffMs()),
                         session,
@@ -134,7 +134,7 @@
                                 own.listen().port(),
                                 addresses,
                                 plan.bytesPerS()),
-                        clock::countedMs,
+                        clock::monotonicMs,
                         this::read);
     }
 
@@ -158,12 +158,12 @@
     @Override
     public Future<Void> end() {
         vertx.cancelTimer(timer);
-        send(session.leave(clock.countedMs(), clock.wallMs()));
+        send(session.leave(clock.monotonicMs(), clock.wallMs()));
         return messaging.close();
     }
 
     private void tick() {
-        double counted = clock.countedMs();
+        double counted = clock.monotonicMs();
         double wall = clock.wallMs();
         allowances.tick(counted, wall);
         send(session.tick(counted, wall));
@@ -198,7 +198,7 @@
     }
 
     private void read(String from, ClusterMessage message) {
-        send(session.received(clock.countedMs(), clock.wallMs(), from, message));
+        send(session.received(clock.monotonicMs(), clock.wallMs(), from, message));
     }
 
     private void send(List<CoordinationSession.Out> letters) {
@@ -208,16 +208,16 @@
     // ---- The node ----
 
     @Override
-    public void taken(double nowMs, Query query) {
+    public void queryReceived(double nowMs, Query query) {
         allowances.taken(
-                clock.countedMs(),
+                clock.monotonicMs(),
                 query.tenant(),
                 query.parts().stream().map(Query.Part::shard).toList());
     }
 
     @Override
-    public void reported(double nowMs, Observation observation) {
-        double counted = clock.countedMs();
+    public void observed(double nowMs, Observation observation) {
+        double counted = clock.monotonicMs();
         double wall = clock.wallMs();
         if (observation instanceof Observation.EndpointsUpdated list) {
             allowances.listed(
@@ -252,13 +252,13 @@
     }
 
     @Override
-    public void sent(double nowMs, Attempt attempt) {
-        allowances.sent(clock.countedMs(), clock.wallMs(), attempt.server().name());
+    public void attemptStarting(double nowMs, Attempt attempt) {
+        allowances.sent(clock.monotonicMs(), clock.wallMs(), attempt.server().name());
     }
 
     @Override
-    public ClusterView told(double nowMs) {
-        ClusterView now = allowances.others(clock.countedMs(), clock.wallMs());
+    public ClusterView clusterView(double nowMs) {
+        ClusterView now = allowances.others(clock.monotonicMs(), clock.wallMs());
         boolean less =
                 !now.allowances().keySet().equals(believed.keySet())
                         || now.allowances().entrySet().stream()
@@ -278,19 +278,19 @@
     }
 
     @Override
-    public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
+    public BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use) {
         believed.computeIfPresent(use.limit(), (bound, units) -> units - use.units());
-        Grant leave = allowances.use(clock.countedMs(), clock.wallMs(), use.limit(), use.units());
+        Grant leave = allowances.use(clock.monotonicMs(), clock.wallMs(), use.limit(), use.units());
         return leave == null
                 ? null
-                : () -> allowances.holds(clock.countedMs(), clock.wallMs(), leave);
+                : () -> allowances.holds(clock.monotonicMs(), clock.wallMs(), leave);
     }
 
     // ---- For operators ----
 
     @Override
     public JsonNode status() {
-        CoordinationSession.Status status = session.status(clock.countedMs(), clock.wallMs());
+        CoordinationSession.Status status = session.status(clock.monotonicMs(), clock.wallMs());
         ObjectNode node =
                 MAPPER.createObjectNode()
                         .put("name", self)
--- a/gatherer/src/main/java/sprucehold/command/Main.java
+++ b/gatherer/src/main/java/sprucehold/command/Main.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
 import sprucehold.admin.AdminConfig;
-import sprucehold.node.JsonLines;
+import sprucehold.node.JsonLogFormatter;
 import sprucehold.node.NodeConfig;
 import sprucehold.node.NodeExtension;
 import sprucehold.node.Service;
@@ -225,10 +225,10 @@
         @Override
         public Integer call() throws IOException, Service.StartFailedException {
             if (log == LogForm.json) {
-                JsonLines.switchOn();
+                JsonLogFormatter.enable();
             }
             if (logScans) {
-                JsonLines.logScans();
+                JsonLogFormatter.enableQueryLog();
             }
             NodeConfig config = place.config();
             AdminConfig plan = door == null ? null : AdminConfig.read(door);
--- a/gatherer/src/main/java/sprucehold/node/Clock.java
+++ b/gatherer/src/main/java/sprucehold/node/Clock.java
@@ -7,37 +7,39 @@
  */
 public final class Clock {
     /** How far the wall clock is off, in milliseconds. */
-    private static final double OFF_MS =
+    private static final double WALL_CLOCK_OFFSET_MS =
             Double.parseDouble(System.getProperty("sprucehold.clockOffMs", "0"));
 
     /** How much too fast the monotonic clock counts, in parts of a million. */
-    private static final double DRIFT =
+    private static final double MONOTONIC_DRIFT =
             Double.parseDouble(System.getProperty("sprucehold.clockDriftPpm", "0")) / 1e6;
 
     /** By how much the wall clock jumps, and so many milliseconds after the start. */
-    private static final double JUMP_MS =
+    private static final double WALL_CLOCK_JUMP_MS =
             Double.parseDouble(System.getProperty("sprucehold.clockJumpMs", "0"));
 
-    private static final double JUMP_AFTER_MS =
+    private static final double WALL_CLOCK_JUMP_AFTER_MS =
             Double.parseDouble(System.getProperty("sprucehold.clockJumpAfterMs", "0"));
 
     private final long startedNanos = System.nanoTime();
-    private final double startedAt = wallMs();
+    private final double startedAtMs = wallMs();
 
     /** Unix time as it was at the start, and what was counted since. */
     public double now() {
-        return startedAt + countedMs();
+        return startedAtMs + monotonicMs();
     }
 
     /** Milliseconds counted since the start. */
-    public double countedMs() {
-        return (System.nanoTime() - startedNanos) / 1e6 * (1 + DRIFT);
+    public double monotonicMs() {
+        return (System.nanoTime() - startedNanos) / 1e6 * (1 + MONOTONIC_DRIFT);
     }
 
     /** Unix time as the wall clock has it now; it may jump. */
     public double wallMs() {
         return System.currentTimeMillis()
-                + OFF_MS
-                + (JUMP_MS != 0 && countedMs() >= JUMP_AFTER_MS ? JUMP_MS : 0);
+                + WALL_CLOCK_OFFSET_MS
+                + (WALL_CLOCK_JUMP_MS != 0 && monotonicMs() >= WALL_CLOCK_JUMP_AFTER_MS
+                        ? WALL_CLOCK_JUMP_MS
+                        : 0);
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -62,7 +62,7 @@
         this.changes =
                 new ConfigurationChanges(
                         document(config),
-                        config.facts().deployment(),
+                        config.settings().deployment(),
                         journal == null ? ConfigurationChanges.Journal.NONE : this::write,
                         plan.watchMs(),
                         plan.leastScans(),
@@ -84,12 +84,13 @@
 
     /** The facts that the start brought. */
     private static ConfigurationDocument document(NodeConfig config) {
-        var deployment = config.facts().deployment();
+        var deployment = config.settings().deployment();
         var types = new ArrayList<ConfigurationDocument.Type>();
         for (int i = 0; i < deployment.queryClasses().size(); i++) {
             types.add(
                     new ConfigurationDocument.Type(
-                            deployment.queryClasses().get(i), config.facts().deadlinesMs().get(i)));
+                            deployment.queryClasses().get(i),
+                            config.settings().deadlinesMs().get(i)));
         }
         return new ConfigurationDocument(
                 types,
--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -17,10 +17,10 @@
      * is finished. A twentieth of the 100 ms within which an attempt for a client that left may
      * still begin, and several usual calls of 0.1 to 1 ms.
      */
-    static final double LONGEST_TURN_MS = 5;
+    static final double MAX_TURN_MS = 5;
 
     private final Queue<Supplier<Commands>> calls = new ArrayDeque<>();
-    private double turnEndsAt = Double.NEGATIVE_INFINITY;
+    private double turnEndsAtMs = Double.NEGATIVE_INFINITY;
 
     void add(Supplier<Commands> call) {
         calls.add(call);
@@ -32,11 +32,11 @@
 
     /** Begins a turn, in which at least one call is made. */
     void beginTurn(double nowMs) {
-        turnEndsAt = nowMs + LONGEST_TURN_MS;
+        turnEndsAtMs = nowMs + MAX_TURN_MS;
     }
 
     /** The next call of this turn; null once the turn is over or nothing waits. */
     Supplier<Commands> next(double nowMs) {
-        return nowMs < turnEndsAt ? calls.poll() : null;
+        return nowMs < turnEndsAtMs ? calls.poll() : null;
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
@@ -12,7 +12,7 @@
     private final DoubleSupplier clock;
     private final Runnable due;
     private long timer = -1;
-    private double at = Double.POSITIVE_INFINITY;
+    private double scheduledAtMs = Double.POSITIVE_INFINITY;
 
     /**
      * @param due is called on the event loop each time it fires
@@ -24,23 +24,23 @@
     }
 
     /** The time for which it is set, in milliseconds; infinite where it isn't. */
-    double at() {
-        return at;
+    double scheduledAtMs() {
+        return scheduledAtMs;
     }
 
     /** Sets it for another time; infinite sets it off. */
-    void arm(double wanted) {
-        if (wanted == at) {
+    void schedule(double wanted) {
+        if (wanted == scheduledAtMs) {
             return;
         }
         vertx.cancelTimer(timer);
-        at = wanted;
-        if (at < Double.POSITIVE_INFINITY) {
+        scheduledAtMs = wanted;
+        if (scheduledAtMs < Double.POSITIVE_INFINITY) {
             timer =
                     vertx.setTimer(
-                            Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
+                            Math.max(1, (long) Math.ceil(scheduledAtMs - clock.getAsDouble())),
                             fired -> {
-                                at = Double.POSITIVE_INFINITY;
+                                scheduledAtMs = Double.POSITIVE_INFINITY;
                                 due.run();
                             });
         }
--- a/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
@@ -5,34 +5,34 @@
  * elsewhere at once, but those that are connected go on asking, and in a small fleet there may be
  * nobody else to ask.
  *
- * @param serveMs how long it serves on as before
- * @param closeMs when nobody should come any more, so that who still does is turned away
- * @param killMs when the process may be killed
+ * @param serveNormallyMs how long it serves on as before
+ * @param rejectAfterMs when nobody should come any more, so that who still does is turned away
+ * @param killAfterMs when the process may be killed
  */
-record DrainSchedule(long serveMs, long closeMs, double killMs) {
+record DrainSchedule(long serveNormallyMs, long rejectAfterMs, double killAfterMs) {
     /** New connections may still come for 0.4 s, and be slow by as much again. */
-    private static final long COMING_MS = 700;
+    private static final long LATE_CONNECTION_MS = 700;
 
     /** The signal may be taken up so late, and answers have to be written out. */
-    private static final double WAY_MS = 300;
+    private static final double DELIVERY_MARGIN_MS = 300;
 
     /** At once, for a gatherer that nobody asks any more. */
-    static final DrainSchedule NOW = new DrainSchedule(1, 1, Double.POSITIVE_INFINITY);
+    static final DrainSchedule IMMEDIATE = new DrainSchedule(1, 1, Double.POSITIVE_INFINITY);
 
     /**
      * SIGKILL follows no sooner than the longest query timeout, counted as 3 s where it is longer,
      * and 0.7 s.
      */
-    static DrainSchedule within(double longestTimeoutMs) {
-        double killMs = Math.min(longestTimeoutMs, 3000) + COMING_MS;
+    static DrainSchedule forLongestDeadline(double longestTimeoutMs) {
+        double killMs = Math.min(longestTimeoutMs, 3000) + LATE_CONNECTION_MS;
         return new DrainSchedule(
                 (long) Math.max(400, killMs - 550),
-                (long) Math.max(COMING_MS, killMs - 400),
+                (long) Math.max(LATE_CONNECTION_MS, killMs - 400),
                 killMs);
     }
 
     /** The most time that a scan taken after so long may get. */
     double timeLeftMs(double passedMs) {
-        return Math.max(0, killMs - WAY_MS - passedMs);
+        return Math.max(0, killAfterMs - DELIVERY_MARGIN_MS - passedMs);
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/Drain.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
@@ -5,67 +5,69 @@
  * away whom it answers, then turns away whoever still comes, and is over once nothing is owed to
  * anybody. Pure: told the time and what is owed.
  */
-final class Drain {
+final class DrainStateMachine {
     /** What is done in each phase, and so in every later one. */
     enum Phase {
         /** New clients find it not ready; all that comes is served. */
-        SERVING_ON,
+        SERVING,
         /** Answers ask to go elsewhere, and connections that rest are closed. */
-        SENDING_AWAY,
+        REDIRECTING,
         /** Scans that still come are throttled at once. */
-        TURNING_AWAY,
+        REJECTING,
         /** Nothing is owed: the listener and all connections may be closed. */
-        OVER
+        COMPLETE
     }
 
     /**
      * What clients are still owed.
      *
-     * @param scans that have no final answer
+     * @param queries that have no final answer
      * @param answers that aren't written out
      * @param arriving connections on which a request has begun to come in, or that have only just
      *     been opened
      */
-    record Owed(int scans, int answers, int arriving) {}
+    record Outstanding(int queries, int answers, int arriving) {}
 
     /**
      * How often it is looked whether something is owed: less than a scan's share of time is lost by
      * it.
      */
-    private static final long LOOK_MS = 10;
+    private static final long CHECK_INTERVAL_MS = 10;
 
     /**
      * How long a request that comes in slowly is waited for at the end; a sound one is whole within
      * a few ms.
      */
-    private static final long ARRIVING_MS = 100;
+    private static final long SLOW_REQUEST_MS = 100;
 
     private final DrainSchedule schedule;
-    private final double beganAt;
+    private final double startedAtMs;
 
-    Drain(DrainSchedule schedule, double beganAt) {
+    DrainStateMachine(DrainSchedule schedule, double beganAt) {
         this.schedule = schedule;
-        this.beganAt = beganAt;
+        this.startedAtMs = beganAt;
     }
 
-    Phase phase(double nowMs, Owed owed) {
-        double passed = nowMs - beganAt;
-        if (passed < schedule.serveMs()) {
-            return Phase.SERVING_ON;
-        } else if (passed < schedule.closeMs()) {
-            return Phase.SENDING_AWAY;
+    Phase phase(double nowMs, Outstanding owed) {
+        double passed = nowMs - startedAtMs;
+        if (passed < schedule.serveNormallyMs()) {
+            return Phase.SERVING;
+        } else if (passed < schedule.rejectAfterMs()) {
+            return Phase.REDIRECTING;
         }
-        boolean arriving = owed.arriving > 0 && passed < schedule.closeMs() + ARRIVING_MS;
-        return owed.scans > 0 || owed.answers > 0 || arriving ? Phase.TURNING_AWAY : Phase.OVER;
+        boolean arriving = owed.arriving > 0 && passed < schedule.rejectAfterMs() + SLOW_REQUEST_MS;
+        return owed.queries > 0 || owed.answers > 0 || arriving ? Phase.REJECTING : Phase.COMPLETE;
     }
 
     /** When to ask for the phase again, in milliseconds from now; at least 1. */
-    long lookAgainMs(double nowMs) {
-        double passed = nowMs - beganAt;
+    long nextCheckMs(double nowMs) {
+        double passed = nowMs - startedAtMs;
         double next =
-                passed < schedule.serveMs()
-                        ? schedule.serveMs()
-                        : passed < schedule.closeMs() ? schedule.closeMs() : passed + LOOK_MS;
+                passed < schedule.serveNormallyMs()
+                        ? schedule.serveNormallyMs()
+                        : passed < schedule.rejectAfterMs()
+                                ? schedule.rejectAfterMs()
+                                : passed + CHECK_INTERVAL_MS;
         return Math.max(1, (long) Math.ceil(next - passed));
     }
 
@@ -74,6 +76,6 @@
      * be killed.
      */
     double timeLeftMs(double nowMs) {
-        return schedule.timeLeftMs(nowMs - beganAt);
+        return schedule.timeLeftMs(nowMs - startedAtMs);
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/SocketPasses.java
+++ b/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
@@ -12,8 +12,8 @@
  * hold-ups of the process: a stopped process, a spent CPU quota, a long collection. Pure: timers
  * and clock are handed in.
  */
-final class SocketPasses {
-    private static final Logger LOG = Logger.getLogger(SocketPasses.class.getName());
+final class EventLoopMonitor {
+    private static final Logger LOG = Logger.getLogger(EventLoopMonitor.class.getName());
 
     /**
      * How old the knowledge of the last pass becomes at rest. With its fifty wake-ups a second an
@@ -25,15 +25,15 @@
      * What sound passes and heartbeats stay under; an error of that size is a third of what may be
      * told too much.
      */
-    static final double ON_TIME_MS = 50;
+    static final double NORMAL_PASS_MS = 50;
 
     /**
      * A heartbeat that is so late is told of: a client's close then lies unread for as long as an
      * attempt may follow it.
      */
-    static final double HELD_UP_MS = 100;
+    static final double STALL_MS = 100;
 
-    private static final double TELL_EACH_MS = 1000;
+    private static final double STALL_LOG_INTERVAL_MS = 1000;
 
     /** Timers of the event loop. */
     @FunctionalInterface
@@ -50,22 +50,22 @@
     private final Timers timers;
 
     /** The last pass that is known to have read its sockets asked the system after this moment. */
-    private double polledAfter;
+    private double polledAfterMs;
 
     private boolean stopped;
-    private long holdUps;
-    private double longestMs;
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private long stalls;
+    private double longestStallMs;
+    private double stallLoggedAtMs = Double.NEGATIVE_INFINITY;
 
     /** To be made where timers may be set: in the part of a pass after its sockets were read. */
-    SocketPasses(DoubleSupplier clock, Timers timers) {
+    EventLoopMonitor(DoubleSupplier clock, Timers timers) {
         this.clock = clock;
         this.timers = timers;
-        this.polledAfter = clock.getAsDouble();
-        beat();
+        this.polledAfterMs = clock.getAsDouble();
+        scheduleHeartbeat();
     }
 
-    private void beat() {
+    private void scheduleHeartbeat() {
         double from = clock.getAsDouble();
         timers.schedule(
                 HEARTBEAT_MS,
@@ -73,27 +73,27 @@
                     if (stopped) {
                         return;
                     }
-                    polledAfter = Math.max(polledAfter, from);
+                    polledAfterMs = Math.max(polledAfterMs, from);
                     double lateMs = clock.getAsDouble() - from - HEARTBEAT_MS;
-                    heldUp(lateMs);
-                    if (lateMs > ON_TIME_MS - HEARTBEAT_MS) {
+                    recordStall(lateMs);
+                    if (lateMs > NORMAL_PASS_MS - HEARTBEAT_MS) {
                         // Known anew at once: whoever asks right after a hold-up has not waited for
                         // all of it.
                         afterNextPass(() -> {});
                     }
-                    beat();
+                    scheduleHeartbeat();
                 });
     }
 
-    private void heldUp(double ms) {
-        if (ms < HELD_UP_MS) {
+    private void recordStall(double ms) {
+        if (ms < STALL_MS) {
             return;
         }
-        holdUps++;
-        longestMs = Math.max(longestMs, ms);
+        stalls++;
+        longestStallMs = Math.max(longestStallMs, ms);
         double now = clock.getAsDouble();
-        if (now - toldAt >= TELL_EACH_MS) {
-            toldAt = now;
+        if (now - stallLoggedAtMs >= STALL_LOG_INTERVAL_MS) {
+            stallLoggedAtMs = now;
             LOG.info("the event loop was held up for " + Math.round(ms) + " ms; " + summary());
         }
     }
@@ -108,7 +108,7 @@
         timers.schedule(
                 0,
                 () -> {
-                    polledAfter = Math.max(polledAfter, from);
+                    polledAfterMs = Math.max(polledAfterMs, from);
                     work.run();
                 });
     }
@@ -120,15 +120,15 @@
      */
     double unreadSince(double nowMs, ConnectionArrival arrival) {
         double since =
-                polledAfter >= arrival.openedAt()
-                        ? polledAfter
-                        : Math.min(polledAfter, arrival.connectedSince());
-        return nowMs - since <= ON_TIME_MS ? nowMs : since;
+                polledAfterMs >= arrival.openedAt()
+                        ? polledAfterMs
+                        : Math.min(polledAfterMs, arrival.connectedSince());
+        return nowMs - since <= NORMAL_PASS_MS ? nowMs : since;
     }
 
     /** How often and how long the loop was held up. */
     String summary() {
-        return holdUps + " hold-ups, the longest " + Math.round(longestMs) + " ms";
+        return stalls + " hold-ups, the longest " + Math.round(longestStallMs) + " ms";
     }
 
     void stop() {
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -68,13 +68,13 @@
     private final Set<String> coming = new HashSet<>();
 
     private final Context context;
-    private final SocketPasses passes;
+    private final EventLoopMonitor passes;
     private boolean hasList;
 
     /** How it ends; null while it serves. */
-    private Drain drain;
+    private DrainStateMachine drain;
 
-    private Drain.Phase phase;
+    private DrainStateMachine.Phase phase;
     private Future<Void> ended;
 
     /** Clients may come from now on; before, nothing is owed to anybody. */
@@ -124,7 +124,7 @@
             List<NodeExtension.Factory> beside) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
-        this.passes = new SocketPasses(clock::now, this::schedule);
+        this.passes = new EventLoopMonitor(clock::now, this::schedule);
         this.timer =
                 new DecisionTimer(
                         vertx,
@@ -134,7 +134,7 @@
                             runSoon();
                         });
         this.config = config;
-        var deployment = config.facts().deployment();
+        var deployment = config.settings().deployment();
         this.tableTypes =
                 deployment.queryClasses().stream()
                         .map(QueryClass::name)
@@ -150,9 +150,9 @@
         this.shards =
                 new ShardServers(
                         vertx,
-                        config.facts().connections(),
+                        config.settings().connections(),
                         deployment.layout().partsPerCall(),
-                        config.facts().loadByHealthCheck(),
+                        config.settings().loadByHealthCheck(),
                         clock::now,
                         this::report,
                         gate());
@@ -168,8 +168,12 @@
                         this::report);
         this.clients =
                 new ClientServer(
-                        vertx, config.facts().shards(), config.sockets() / 2, this, clock::now);
-        this.neighbours = beside.stream().map(one -> one.beside(vertx, config, clock)).toList();
+                        vertx,
+                        config.settings().shards(),
+                        config.maxDescriptors() / 2,
+                        this,
+                        clock::now);
+        this.neighbours = beside.stream().map(one -> one.create(vertx, config, clock)).toList();
     }
 
     /**
@@ -213,10 +217,10 @@
         return (alone ? Future.<Void>succeededFuture() : watch.start())
                 .map(
                         asked -> {
-                            if (!hasList && config.known() != null) {
+                            if (!hasList && config.knownEndpoints() != null) {
                                 report(
                                         new Observation.EndpointsUpdated(
-                                                true, config.known().servers()));
+                                                true, config.knownEndpoints().servers()));
                             }
                             return null;
                         });
@@ -245,14 +249,15 @@
     @Override
     public void take(Query query) {
         scansTaken++;
-        QueryLog.taken(query);
-        if (phase == Drain.Phase.TURNING_AWAY || phase == Drain.Phase.OVER) {
+        QueryLog.received(query);
+        if (phase == DrainStateMachine.Phase.REJECTING
+                || phase == DrainStateMachine.Phase.COMPLETE) {
             clients.answer(query, new Answer.Rejected(0));
             return;
         }
         double most = drain == null ? Double.POSITIVE_INFINITY : drain.timeLeftMs(clock.now());
         coming.add(query.id());
-        neighbours.forEach(one -> one.taken(clock.now(), query));
+        neighbours.forEach(one -> one.queryReceived(clock.now(), query));
         if (admin != null) {
             admin.taken(query);
         }
@@ -273,7 +278,7 @@
 
     @Override
     public void left(Query query) {
-        QueryLog.left(query);
+        QueryLog.clientDisconnected(query);
         if (admin != null) {
             admin.left(query);
         }
@@ -287,8 +292,8 @@
             hasList = true;
             LOG.info("ready: a list of shard servers is held");
         }
-        QueryLog.reported(observation, clock.now());
-        neighbours.forEach(one -> one.reported(clock.now(), observation));
+        QueryLog.observed(observation, clock.now());
+        neighbours.forEach(one -> one.observed(clock.now(), observation));
         reports.add(observation);
         if (!carrying) {
             runSoon();
@@ -310,7 +315,7 @@
 
             @Override
             public void begun(Attempt attempt) {
-                QueryLog.begun(attempt, clock.now());
+                QueryLog.attemptStarting(attempt, clock.now());
             }
 
             @Override
@@ -349,7 +354,7 @@
 
     private void run() {
         carrying = true;
-        nextTickAt = timer.at();
+        nextTickAt = timer.scheduledAtMs();
         try {
             turn();
         } catch (RuntimeException e) {
@@ -361,7 +366,7 @@
         if (!calls.isEmpty() || !reports.isEmpty()) {
             runSoon();
         }
-        timer.arm(nextTickAt);
+        timer.schedule(nextTickAt);
     }
 
     /**
@@ -410,7 +415,7 @@
     /** What neighbours know by now, before the decisions are asked. */
     private void hear() {
         for (NodeExtension one : neighbours) {
-            ClusterView told = one.told(clock.now());
+            ClusterView told = one.clusterView(clock.now());
             if (told != null) {
                 coordinator.changeClusterView(told);
             }
@@ -435,7 +440,9 @@
                                 .forEach(
                                         use ->
                                                 neighbours.forEach(
-                                                        one -> one.use(clock.now(), use))));
+                                                        one ->
+                                                                one.consumeAllowance(
+                                                                        clock.now(), use))));
         commands.replies().forEach(reply -> guarded(() -> reply(reply)));
         guarded(() -> shards.probe(commands.healthChecks()));
         commands.logMessages().forEach(LOG::info);
@@ -458,7 +465,7 @@
         if (admin != null) {
             admin.answered(reply.query(), reply.answer());
         }
-        QueryLog.ended(reply);
+        QueryLog.answered(reply);
         clients.answer(reply.query(), reply.answer());
     }
 
@@ -471,7 +478,7 @@
         for (Attempt attempt : dispatches) {
             var leaves = new ArrayList<BooleanSupplier>();
             for (Command.ConsumeAllowance use : attempt.consumed()) {
-                neighbours.forEach(one -> leaves.add(one.use(clock.now(), use)));
+                neighbours.forEach(one -> leaves.add(one.consumeAllowance(clock.now(), use)));
             }
             if (leaves.contains(null)) {
                 report(
@@ -483,7 +490,7 @@
                 attempt.requirePermission(
                         () -> leaves.stream().allMatch(BooleanSupplier::getAsBoolean));
             }
-            neighbours.forEach(one -> one.sent(clock.now(), attempt));
+            neighbours.forEach(one -> one.attemptStarting(clock.now(), attempt));
             send.add(attempt);
         }
         return send;
@@ -524,8 +531,8 @@
     }
 
     /**
-     * Ends the gatherer once nothing is owed to anybody, as {@link Drain} says; asked again, it
-     * ends no other way.
+     * Ends the gatherer once nothing is owed to anybody, as {@link DrainStateMachine} says; asked
+     * again, it ends no other way.
      */
     Future<Void> end(DrainSchedule how) {
         if (drain != null) {
@@ -537,8 +544,8 @@
                         + " scans open, "
                         + clients.connections()
                         + " client connections");
-        drain = new Drain(how, clock.now());
-        phase = Drain.Phase.SERVING_ON;
+        drain = new DrainStateMachine(how, clock.now());
+        phase = DrainStateMachine.Phase.SERVING;
         if (admin != null) {
             admin.ending();
         }
@@ -576,16 +583,16 @@
         phase =
                 drain.phase(
                         clock.now(),
-                        new Drain.Owed(
+                        new DrainStateMachine.Outstanding(
                                 coordinator.openQueries() + coming.size(),
                                 clients.underWay(),
                                 clients.arriving()));
-        if (phase != Drain.Phase.SERVING_ON) {
+        if (phase != DrainStateMachine.Phase.SERVING) {
             clients.drain();
             clients.closeIdle();
         }
-        return phase == Drain.Phase.OVER
+        return phase == DrainStateMachine.Phase.COMPLETE
                 ? Future.succeededFuture()
-                : vertx.timer(drain.lookAgainMs(clock.now())).compose(waited -> drained());
+                : vertx.timer(drain.nextCheckMs(clock.now())).compose(waited -> drained());
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/JsonLines.java
+++ b/gatherer/src/main/java/sprucehold/node/JsonLogFormatter.java
@@ -17,13 +17,13 @@
  * The log as JSON lines: time, level, logger, text, and as fields of their own whatever a line's
  * one parameter holds as a map. Jackson writes them; java.util.logging stays the way in.
  */
-public final class JsonLines extends Formatter {
+public final class JsonLogFormatter extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Makes all that is logged from now on JSON lines. */
-    public static void switchOn() {
+    public static void enable() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
-            handler.setFormatter(new JsonLines());
+            handler.setFormatter(new JsonLogFormatter());
         }
     }
 
@@ -31,10 +31,10 @@
      * Logs a line for each scan taken, each dispatch that ends, and each scan that ends, with their
      * ids as fields.
      */
-    public static void logScans() {
+    public static void enableQueryLog() {
         var handler = new ConsoleHandler();
-        handler.setFormatter(new JsonLines());
-        QueryLog.to(handler);
+        handler.setFormatter(new JsonLogFormatter());
+        QueryLog.enable(handler);
     }
 
     @Override
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -14,17 +14,17 @@
 /**
  * What one gatherer is told at its start.
  *
- * @param sockets how many descriptors the process may hold
- * @param known the list as it was last held
+ * @param maxDescriptors how many descriptors the process may hold
+ * @param knownEndpoints the list as it was last held
  */
 public record NodeConfig(
         String name,
         Address listen,
         Address discovery,
         long seed,
-        int sockets,
-        EndpointListReader known,
-        DeploymentSettings facts) {
+        int maxDescriptors,
+        EndpointListReader knownEndpoints,
+        DeploymentSettings settings) {
 
     /** Where to listen or call. */
     public record Address(String host, int port) {
@@ -93,22 +93,22 @@
             throw new InvalidSettingsException("known: " + e.getMessage());
         }
         return new NodeConfig(
-                either(name, node.path("name")),
-                Address.parse(either(listen, node.path("listen")), "listen"),
-                Address.parse(either(discovery, node.path("discovery")), "discovery"),
+                givenOrFromFile(name, node.path("name")),
+                Address.parse(givenOrFromFile(listen, node.path("listen")), "listen"),
+                Address.parse(givenOrFromFile(discovery, node.path("discovery")), "discovery"),
                 seed,
                 node.path("limits").path("sockets").asInt(Integer.MAX_VALUE),
                 known,
                 settings);
     }
 
-    private static String either(String given, JsonNode inFile) {
+    private static String givenOrFromFile(String given, JsonNode inFile) {
         return given == null || given.isEmpty() ? inFile.asText() : given;
     }
 
     /** The facts that matter to an operator, in a line. */
     public String summary() {
-        var deployment = facts.deployment();
+        var deployment = settings.deployment();
         return "gatherer "
                 + name
                 + " in "
@@ -120,7 +120,7 @@
                 + ", discovery at "
                 + discovery
                 + "; "
-                + facts.shards()
+                + settings.shards()
                 + " segments in "
                 + deployment.layout().replicaGroups()
                 + " cells, "
@@ -128,10 +128,10 @@
                 + " table types, "
                 + deployment.tenants().size()
                 + " customers; "
-                + (known == null
+                + (knownEndpoints == null
                         ? "no list known"
-                        : known.servers().size()
+                        : knownEndpoints.servers().size()
                                 + " shard servers known at index "
-                                + known.index());
+                                + knownEndpoints.index());
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/NodeExtension.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -20,7 +20,7 @@
         /**
          * @throws IllegalArgumentException in one line if it doesn't fit the configuration
          */
-        NodeExtension beside(Vertx vertx, NodeConfig config, Clock clock);
+        NodeExtension create(Vertx vertx, NodeConfig config, Clock clock);
     }
 
     /** By which it is asked for at the door. */
@@ -30,19 +30,19 @@
     Future<Void> start();
 
     /** A scan was taken. */
-    void taken(double nowMs, Query query);
+    void queryReceived(double nowMs, Query query);
 
     /** Something was reported; the decisions hear of it later. */
-    void reported(double nowMs, Observation observation);
+    void observed(double nowMs, Observation observation);
 
     /** A dispatch is about to be written. */
-    void sent(double nowMs, Attempt attempt);
+    void attemptStarting(double nowMs, Attempt attempt);
 
     /**
      * What the decisions are to know from this moment on, asked before each call of theirs; null if
      * that is nothing new.
      */
-    ClusterView told(double nowMs);
+    ClusterView clusterView(double nowMs);
 
     /**
      * The decisions take units of a shared bound.
@@ -50,7 +50,7 @@
      * @return whether what they are taken for may be written, to be asked right before that; null
      *     if they are not to be had
      */
-    BooleanSupplier use(double nowMs, Command.ConsumeAllowance use);
+    BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use);
 
     /** What operators may see of it, as a JSON object. */
     JsonNode status();
--- a/gatherer/src/main/java/sprucehold/node/QueryLog.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryLog.java
@@ -26,13 +26,13 @@
     private QueryLog() {}
 
     /** Switches it on; where the level above is off, as during the warm-up, it stays silent. */
-    static void to(Handler handler) {
+    static void enable(Handler handler) {
         LOG.setLevel(null);
         LOG.addHandler(handler);
         LOG.setUseParentHandlers(false);
     }
 
-    static void taken(Query query) {
+    static void received(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
             log(
                     "a scan is taken",
@@ -45,7 +45,7 @@
         }
     }
 
-    static void reported(Observation observation, double nowMs) {
+    static void observed(Observation observation, double nowMs) {
         if (!LOG.isLoggable(Level.INFO)) {
             return;
         }
@@ -60,21 +60,21 @@
                             "server",
                             attempt.server().name(),
                             "outcome",
-                            words(ended.result()),
+                            outcomeText(ended.result()),
                             "took_ms",
                             rounded(attempt.ageMs(nowMs))));
         }
     }
 
     /** A client's close was read, by the loop's pass or right before an attempt. */
-    static void left(Query query) {
+    static void clientDisconnected(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
             log("a client has left", fields(query));
         }
     }
 
     /** An attempt is written now; {@code waited_ms} counts from when the decisions wanted it. */
-    static void begun(Attempt attempt, double nowMs) {
+    static void attemptStarting(Attempt attempt, double nowMs) {
         if (LOG.isLoggable(Level.INFO)) {
             log(
                     "an attempt begins",
@@ -95,7 +95,7 @@
         }
     }
 
-    static void ended(Commands.Reply reply) {
+    static void answered(Commands.Reply reply) {
         if (LOG.isLoggable(Level.INFO)) {
             String outcome =
                     reply.answer() instanceof Answer.Completed completed
@@ -112,7 +112,7 @@
         }
     }
 
-    private static String words(AttemptResult result) {
+    private static String outcomeText(AttemptResult result) {
         if (result instanceof AttemptResult.ConnectionLost lost) {
             return "lost " + lost.progress();
         } else if (result instanceof AttemptResult.Cancelled off) {
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -85,7 +85,7 @@
 
     /** Serves stand-ins for all that the configuration names, on its addresses. */
     public static void standIn(NodeConfig config) throws StartFailedException {
-        if (config.known() == null) {
+        if (config.knownEndpoints() == null) {
             throw new StartFailedException("no known list to stand in for");
         }
         Vertx vertx = vertx();
@@ -96,7 +96,7 @@
                                         vertx,
                                         config.discovery().host(),
                                         config.discovery().port(),
-                                        config.known().servers(),
+                                        config.knownEndpoints().servers(),
                                         false)
                                 .onComplete(started::complete, started::completeExceptionally));
         await(started);
@@ -104,7 +104,7 @@
                 "standing in for discovery at "
                         + config.discovery()
                         + " and "
-                        + config.known().servers().size()
+                        + config.knownEndpoints().servers().size()
                         + " shard servers");
     }
 
@@ -141,13 +141,13 @@
                     (node == null
                                     ? Future.<Void>succeededFuture()
                                     : node.end(
-                                            DrainSchedule.within(
-                                                    config.facts().longestDeadlineMs())))
+                                            DrainSchedule.forLongestDeadline(
+                                                    config.settings().longestDeadlineMs())))
                             .onComplete(ended::complete, ended::completeExceptionally);
                 });
         try {
             // Beyond the time at which it may be killed, for what was taken with more time left.
-            ended.get((long) config.facts().longestDeadlineMs() + 5000, TimeUnit.MILLISECONDS);
+            ended.get((long) config.settings().longestDeadlineMs() + 5000, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOG.log(Level.WARNING, "ended before all was answered", e);
         } catch (InterruptedException e) {
--- a/gatherer/src/main/java/sprucehold/node/SmokeTest.java
+++ b/gatherer/src/main/java/sprucehold/node/SmokeTest.java
@@ -27,7 +27,7 @@
     public static boolean run(
             NodeConfig config, DecisionPolicy.Factory factory, Consumer<String> line)
             throws Service.StartFailedException {
-        if (config.known() == null) {
+        if (config.knownEndpoints() == null) {
             throw new Service.StartFailedException("no known list to stand in for");
         }
         WarmUp.run(config, factory);
@@ -38,7 +38,7 @@
         var done = new CompletableFuture<Boolean>();
         vertx.runOnContext(
                 none ->
-                        StandIns.start(vertx, HOST, 0, config.known().servers(), true)
+                        StandIns.start(vertx, HOST, 0, config.knownEndpoints().servers(), true)
                                 .compose(
                                         discovery -> {
                                             // Begun without a list, so that the whole one is asked
@@ -49,9 +49,9 @@
                                                             new NodeConfig.Address(HOST, 0),
                                                             new NodeConfig.Address(HOST, discovery),
                                                             config.seed(),
-                                                            config.sockets(),
+                                                            config.maxDescriptors(),
                                                             null,
-                                                            config.facts());
+                                                            config.settings());
                                             var node = new GathererNode(vertx, moved, factory);
                                             return node.start()
                                                     .compose(
@@ -66,7 +66,9 @@
                                                                                                     line)))
                                                     .compose(
                                                             whole ->
-                                                                    node.end(DrainSchedule.NOW)
+                                                                    node.end(
+                                                                                    DrainSchedule
+                                                                                            .IMMEDIATE)
                                                                             .map(whole));
                                         })
                                 .onComplete(done::complete, done::completeExceptionally));
@@ -92,7 +94,7 @@
         HttpClient client = vertx.createHttpClient();
         Future<Boolean> whole = Future.succeededFuture(true);
         int number = 0;
-        for (QueryClass type : config.facts().deployment().queryClasses()) {
+        for (QueryClass type : config.settings().deployment().queryClasses()) {
             String id = "rehearsal-" + number++;
             whole =
                     whole.compose(
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -21,19 +21,19 @@
      * Two wide scans make two hundred parts, after which most of what is called for each is
      * compiled; more starts later.
      */
-    private static final int SCANS = 3;
+    private static final int QUERIES = 3;
 
     /** The widest scans that are rehearsed. */
-    private static final int MOST_PARTS = 100;
+    private static final int MAX_PARTS = 100;
 
     private StubWarmUp() {}
 
     /** Returns how many scans were answered. */
     static int run(NodeConfig config, DecisionPolicy.Factory factory) {
-        Deployment deployment = config.facts().deployment();
+        Deployment deployment = config.settings().deployment();
         var coordinator =
                 new QueryCoordinator(factory.start(config.seed(), deployment), deployment);
-        var clients = new StubClient(config.facts().shards());
+        var clients = new StubClient(config.settings().shards());
         var servers = new StubShardServers();
         var scans = new WarmUpQueries(config);
         var list = new ArrayList<EndpointUpdate>();
@@ -51,14 +51,14 @@
         }
         double now = 1;
         int answered =
-                carry(
+                writeAnswers(
                         coordinator.observe(
                                 now, List.of(new Observation.EndpointsUpdated(true, list))),
                         clients);
-        for (int i = 0; i < SCANS; i++) {
+        for (int i = 0; i < QUERIES; i++) {
             Commands commands =
-                    coordinator.submit(now, clients.read(scans.next(i % 2 == 0 ? MOST_PARTS : 5)));
-            answered += carry(commands, clients);
+                    coordinator.submit(now, clients.read(scans.next(i % 2 == 0 ? MAX_PARTS : 5)));
+            answered += writeAnswers(commands, clients);
             // A scan that takes longer than so many rounds is left to its time.
             for (int round = 0; round < 8 && coordinator.openQueries() > 0; round++) {
                 now += 20;
@@ -67,13 +67,13 @@
                         reports.isEmpty()
                                 ? coordinator.tick(now)
                                 : coordinator.observe(now, reports);
-                answered += carry(commands, clients);
+                answered += writeAnswers(commands, clients);
             }
         }
         return answered;
     }
 
-    private static int carry(Commands commands, StubClient clients) {
+    private static int writeAnswers(Commands commands, StubClient clients) {
         commands.replies().forEach(reply -> clients.write(reply.answer()));
         return commands.replies().size();
     }
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -36,10 +36,10 @@
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
     /** Most of what a scan runs is compiled by then. */
-    private static final int SCANS = 300;
+    private static final int MAX_QUERIES = 300;
 
     /** Whoever waits for this gatherer waits no longer for it. */
-    private static final long LONGEST_MS = 6000;
+    private static final long TIMEOUT_MS = 6000;
 
     private static final int CLIENTS = 4;
 
@@ -47,15 +47,15 @@
      * Whoever finds a gatherer back after a restart comes on a new connection, so those are
      * rehearsed as well.
      */
-    private static final int SCANS_A_CONNECTION = 3;
+    private static final int QUERIES_PER_CONNECTION = 3;
 
     private final Vertx vertx = Service.vertx();
     private final NodeConfig config;
-    private final WarmUpQueries scans;
+    private final WarmUpQueries queries;
 
     private WarmUp(NodeConfig config) {
         this.config = config;
-        this.scans = new WarmUpQueries(config);
+        this.queries = new WarmUpQueries(config);
     }
 
     /** Returns when it is done; whatever goes wrong, only the time is lost. */
@@ -66,7 +66,7 @@
         long begun = System.nanoTime();
         int scans = 0;
         try {
-            scans = withinTheProcess() ? overSockets(config, factory) : 0;
+            scans = unixSocketsGranted() ? overSockets(config, factory) : 0;
             scans = scans > 0 ? scans : StubWarmUp.run(config, factory);
         } catch (RuntimeException e) {
             // Served cold then.
@@ -82,7 +82,7 @@
     }
 
     /** Whether sockets that stay within the process are granted. */
-    private static boolean withinTheProcess() {
+    private static boolean unixSocketsGranted() {
         try (var probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return probe.isOpen();
         } catch (IOException | UnsupportedOperationException e) {
@@ -98,7 +98,7 @@
             warmUp.start(directory, factory)
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .get(LONGEST_MS, TimeUnit.MILLISECONDS);
+                    .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (IOException | ExecutionException | TimeoutException e) {
             // Served cold then.
         } catch (InterruptedException e) {
@@ -107,7 +107,7 @@
             warmUp.vertx.close().toCompletionStage().toCompletableFuture().join();
             remove(directory);
         }
-        return warmUp.scans.asked();
+        return warmUp.queries.count();
     }
 
     private static void remove(Path directory) {
@@ -126,7 +126,7 @@
     private Future<Void> start(Path directory, DecisionPolicy.Factory factory) {
         String shards = directory.resolve("shards").toString();
         var servers = new ArrayList<EndpointUpdate>();
-        for (int cell = 0; cell < config.facts().deployment().layout().replicaGroups(); cell++) {
+        for (int cell = 0; cell < config.settings().deployment().layout().replicaGroups(); cell++) {
             for (String holder : List.of("a", "b")) {
                 servers.add(
                         new EndpointUpdate(
@@ -140,9 +140,9 @@
                         clients,
                         NodeConfig.Address.NONE,
                         config.seed(),
-                        config.sockets(),
+                        config.maxDescriptors(),
                         new EndpointListReader(0, true, servers),
-                        config.facts());
+                        config.settings());
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(
                 none ->
@@ -166,7 +166,7 @@
 
     /** Asks one scan after the other, some on each connection. */
     private Future<Void> ask(NetClient client, SocketAddress at) {
-        if (scans.asked() >= SCANS) {
+        if (queries.count() >= MAX_QUERIES) {
             return Future.succeededFuture();
         }
         return client.connect(at)
@@ -182,7 +182,7 @@
                                         if (last != '}' && last != '\n') {
                                             return;
                                         }
-                                        if (answers.incrementAndGet() == SCANS_A_CONNECTION) {
+                                        if (answers.incrementAndGet() == QUERIES_PER_CONNECTION) {
                                             socket.close();
                                         } else {
                                             next(socket);
@@ -195,6 +195,6 @@
     }
 
     private void next(NetSocket socket) {
-        socket.write(Buffer.buffer(scans.next(1 + scans.asked() % 6)));
+        socket.write(Buffer.buffer(queries.next(1 + queries.count() % 6)));
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
@@ -6,7 +6,7 @@
 /** The scans that a warm-up asks, over whatever way it has. */
 final class WarmUpQueries {
     private final NodeConfig config;
-    private int asked;
+    private int count;
 
     WarmUpQueries(NodeConfig config) {
         this.config = config;
@@ -16,16 +16,16 @@
      * The next request, as a client sends it, for so many parts at most; table types take turns.
      */
     String next(int mostParts) {
-        asked++;
-        List<QueryClass> types = config.facts().deployment().queryClasses();
-        String type = types.get(asked % types.size()).name();
-        int segments = config.facts().shards();
+        count++;
+        List<QueryClass> types = config.settings().deployment().queryClasses();
+        String type = types.get(count % types.size()).name();
+        int segments = config.settings().shards();
         int parts = Math.min(mostParts, segments);
         var buckets = new StringBuilder();
         for (int i = 0; i < parts; i++) {
             buckets.append(i == 0 ? "" : ",")
                     .append("{\"bucket\":")
-                    .append((asked + i) % segments)
+                    .append((count + i) % segments)
                     .append(",\"part\":")
                     .append(1.0 / parts)
                     .append('}');
@@ -34,7 +34,7 @@
         return "POST /"
                 + type
                 + " HTTP/1.1\r\nHost: warm-up\r\nX-Request-Id: warm-up-"
-                + asked
+                + count
                 + "\r\nX-Class: "
                 + type
                 + "\r\nX-Tenant: none\r\nX-Deadline-Ms: 2000\r\nContent-Length: "
@@ -43,7 +43,7 @@
                 + body;
     }
 
-    int asked() {
-        return asked;
+    int count() {
+        return count;
     }
 }
--- a/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
@@ -34,18 +34,18 @@
                     .with(
                             com.fasterxml.jackson.databind.DeserializationFeature
                                     .FAIL_ON_TRAILING_TOKENS);
-    private final Map<Integer, Seat> seats = new HashMap<>();
+    private final Map<Integer, Instance> instances = new HashMap<>();
 
     /** The numbered lists last received; they serve all instances. */
-    private final Map<Integer, List<Endpoint>> tables = new HashMap<>();
+    private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
 
     /** One instance: the gatherer, how its wire is read, and what has come for it in this batch. */
-    private static final class Seat {
+    private static final class Instance {
         final DecisionPolicy policy;
         final WireReader wire;
         final List<Event> events = new ArrayList<>();
 
-        Seat(DecisionPolicy policy, WireReader wire) {
+        Instance(DecisionPolicy policy, WireReader wire) {
             this.policy = policy;
             this.wire = wire;
         }
@@ -78,7 +78,7 @@
         if (batch == null || !batch.path("tsMs").isNumber() || !batch.path("parts").isArray()) {
             throw new MalformedBatchException("a batch needs tsMs and parts");
         }
-        Map<Integer, Seat> called = new LinkedHashMap<>();
+        Map<Integer, Instance> called = new LinkedHashMap<>();
         for (JsonNode part : batch.get("parts")) {
             if (!part.path("who").isInt() || !part.path("msgs").isArray()) {
                 throw new MalformedBatchException("a part of a batch needs who and msgs");
@@ -91,8 +91,8 @@
                 Map.Entry<String, JsonNode> named = message.properties().iterator().next();
                 receive(who, named.getKey(), named.getValue());
             }
-            if (seats.containsKey(who)) {
-                called.put(who, seats.get(who));
+            if (instances.containsKey(who)) {
+                called.put(who, instances.get(who));
             } else {
                 called.remove(who);
             }
@@ -102,7 +102,7 @@
             json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
             json.writeStartObject();
             json.writeArrayFieldStart("parts");
-            for (Map.Entry<Integer, Seat> entry : called.entrySet()) {
+            for (Map.Entry<Integer, Instance> entry : called.entrySet()) {
                 List<Command> actions;
                 String panic = null;
                 try {
@@ -128,25 +128,25 @@
         switch (name) {
             case "PowerOn" -> {
                 var wire = new WireReader(fields.path("params"));
-                seats.put(
+                instances.put(
                         who,
-                        new Seat(
+                        new Instance(
                                 factory.start(
                                         fields.path("rngSeed").longValue(), wire.deployment()),
                                 wire));
             }
-            case "CrashNow" -> seats.remove(who);
+            case "CrashNow" -> instances.remove(who);
             case "Table" ->
-                    tables.put(
+                    endpointLists.put(
                             fields.path("slot").intValue(),
-                            WireReader.listings(fields.path("hosts")));
+                            WireReader.endpoints(fields.path("hosts")));
             default -> {
-                Seat seat = seats.get(who);
+                Instance seat = instances.get(who);
                 if (seat == null) {
                     throw new MalformedBatchException(
                             name + " for instance " + who + ", which isn't running");
                 }
-                Event event = seat.wire.event(name, fields, tables);
+                Event event = seat.wire.event(name, fields, endpointLists);
                 if (event != null) {
                     seat.events.add(event);
                 }
--- a/gatherer/src/main/java/sprucehold/simulation/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireReader.java
@@ -20,8 +20,8 @@
  */
 final class WireReader {
     private final DeploymentSettings settings;
-    private final Map<String, QueryClass> tableTypes = new HashMap<>();
-    private final Map<String, Tenant> customers = new HashMap<>();
+    private final Map<String, QueryClass> queryClasses = new HashMap<>();
+    private final Map<String, Tenant> tenants = new HashMap<>();
 
     WireReader(JsonNode params) throws MalformedBatchException {
         try {
@@ -29,8 +29,8 @@
         } catch (InvalidSettingsException e) {
             throw new MalformedBatchException(e.getMessage());
         }
-        settings.deployment().queryClasses().forEach(type -> tableTypes.put(type.name(), type));
-        settings.deployment().tenants().forEach(tenant -> customers.put(tenant.name(), tenant));
+        settings.deployment().queryClasses().forEach(type -> queryClasses.put(type.name(), type));
+        settings.deployment().tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
     }
 
     Deployment deployment() {
@@ -41,20 +41,20 @@
     Event event(String name, JsonNode fields, Map<Integer, List<Endpoint>> tables)
             throws MalformedBatchException {
         return switch (name) {
-            case "Order" -> order(fields);
+            case "Order" -> queryOrPart(fields);
             case "Outcome" ->
                     new Event.AttemptEnded(
                             fields.path("id").asText(),
                             fields.path("sendNo").intValue(),
-                            ending(fields),
+                            outcome(fields),
                             fields.path("elapsedMs").doubleValue(),
                             load(fields));
             case "Aborted" -> new Event.ClientDisconnected(fields.path("id").asText());
-            case "Registry" -> list(fields, tables);
+            case "Registry" -> endpointUpdate(fields, tables);
             case "CheckResult" ->
                     new Event.HealthCheckEnded(
                             fields.path("server").asText(),
-                            ending(fields),
+                            outcome(fields),
                             fields.path("elapsedMs").doubleValue(),
                             load(fields));
             case "Bell" -> new Event.WakeUp();
@@ -63,7 +63,7 @@
         };
     }
 
-    private Event order(JsonNode fields) throws MalformedBatchException {
+    private Event queryOrPart(JsonNode fields) throws MalformedBatchException {
         String id = fields.path("id").asText();
         long number = fields.path("wholeNo").longValue();
         int segment = fields.path("rangeNo").intValue();
@@ -71,7 +71,7 @@
             return new Event.PartReceived(
                     id, number, segment, fields.path("measure").doubleValue());
         }
-        QueryClass type = tableTypes.get(fields.path("kind").asText());
+        QueryClass type = queryClasses.get(fields.path("kind").asText());
         if (type == null) {
             throw new MalformedBatchException("unknown kind " + fields.path("kind"));
         }
@@ -79,11 +79,11 @@
                 id,
                 number,
                 type,
-                customers.get(fields.path("realm").asText()),
+                tenants.get(fields.path("realm").asText()),
                 fields.path("timeBudgetMs").doubleValue());
     }
 
-    private static Event list(JsonNode fields, Map<Integer, List<Endpoint>> tables)
+    private static Event endpointUpdate(JsonNode fields, Map<Integer, List<Endpoint>> tables)
             throws MalformedBatchException {
         String kind = fields.path("kind").asText();
         if (kind.equals("unavailable")) {
@@ -96,7 +96,7 @@
         return new Event.EndpointsUpdated(!kind.equals("update"), entries);
     }
 
-    static List<Endpoint> listings(JsonNode hosts) throws MalformedBatchException {
+    static List<Endpoint> endpoints(JsonNode hosts) throws MalformedBatchException {
         var listings = new ArrayList<Endpoint>();
         for (JsonNode host : hosts) {
             Endpoint.State mode =
@@ -131,7 +131,7 @@
         return stats.path(settings.loadFields().indexOf(field)).asDouble(Double.NaN);
     }
 
-    private static AttemptOutcome ending(JsonNode fields) throws MalformedBatchException {
+    private static AttemptOutcome outcome(JsonNode fields) throws MalformedBatchException {
         return switch (fields.path("rc").asInt(-1)) {
             case 0 -> AttemptOutcome.COMPLETED;
             case 13 -> AttemptOutcome.ERROR;
--- a/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
@@ -74,7 +74,12 @@
         var started = new CompletableFuture<GathererNode>();
         vertx.runOnContext(
                 none ->
-                        StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true)
+                        StandIns.start(
+                                        vertx,
+                                        "127.0.0.1",
+                                        0,
+                                        config.knownEndpoints().servers(),
+                                        true)
                                 .compose(
                                         discovery -> {
                                             var moved =
@@ -84,9 +89,9 @@
                                                             new NodeConfig.Address(
                                                                     "127.0.0.1", discovery),
                                                             5,
-                                                            config.sockets(),
+                                                            config.maxDescriptors(),
                                                             null,
-                                                            config.facts());
+                                                            config.settings());
                                             try {
                                                 var serving =
                                                         new GathererNode(
@@ -125,7 +130,7 @@
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none ->
-                        node.end(DrainSchedule.NOW)
+                        node.end(DrainSchedule.IMMEDIATE)
                                 .onComplete(ended::complete, ended::completeExceptionally));
         ended.get(10, TimeUnit.SECONDS);
         vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
@@ -253,7 +258,7 @@
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none ->
-                        node.end(DrainSchedule.NOW)
+                        node.end(DrainSchedule.IMMEDIATE)
                                 .onComplete(ended::complete, ended::completeExceptionally));
         ended.get(10, TimeUnit.SECONDS);
         node = serve();
--- a/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
@@ -40,7 +40,7 @@
     @Test
     public void turnThatHasLastedLongEnoughLeavesTheRestToTheNext() {
         var queue = new DecisionQueue();
-        queue.add(call("a", DecisionQueue.LONGEST_TURN_MS - 1));
+        queue.add(call("a", DecisionQueue.MAX_TURN_MS - 1));
         queue.add(call("b", 1));
         queue.add(call("c", 1));
         turn(queue);
--- a/gatherer/src/test/java/sprucehold/node/SocketPassesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
@@ -10,20 +10,20 @@
 import org.testng.annotations.Test;
 import sprucehold.clients.ConnectionArrival;
 
-/** What is known of the passes over the sockets, on a clock and timers of the test's own. */
-public class SocketPassesTest {
+/** What is known of the monitor over the sockets, on a clock and timers of the test's own. */
+public class EventLoopMonitorTest {
     private record Timer(double at, Runnable work) {}
 
     private double now;
     private List<Timer> timers;
-    private SocketPasses passes;
+    private EventLoopMonitor monitor;
 
     @BeforeMethod
     public void begin() {
         now = 1000;
         timers = new ArrayList<>();
-        passes =
-                new SocketPasses(
+        monitor =
+                new EventLoopMonitor(
                         () -> now, (delayMs, work) -> timers.add(new Timer(now + delayMs, work)));
     }
 
@@ -32,7 +32,7 @@
      * read for long.
      */
     private double unreadSince(double nowMs) {
-        return passes.unreadSince(nowMs, new ConnectionArrival(0, 0));
+        return monitor.unreadSince(nowMs, new ConnectionArrival(0, 0));
     }
 
     /** A pass at a moment: the sockets are read, then the timers that are due fire. */
@@ -46,10 +46,10 @@
     @Test
     public void whatIsReadWhileTheLoopIsOnTimeLayUnreadForNoTime() {
         for (int i = 1; i <= 20; i++) {
-            pass(1000 + i * SocketPasses.HEARTBEAT_MS);
+            pass(1000 + i * EventLoopMonitor.HEARTBEAT_MS);
         }
         assertEquals(unreadSince(1410), 1410.0);
-        assertEquals(passes.summary(), "0 hold-ups, the longest 0 ms");
+        assertEquals(monitor.summary(), "0 hold-ups, the longest 0 ms");
     }
 
     @Test
@@ -91,18 +91,18 @@
             pass(at);
         }
         assertEquals(
-                passes.unreadSince(1200, new ConnectionArrival(connectedSince, openedAt)),
+                monitor.unreadSince(1200, new ConnectionArrival(connectedSince, openedAt)),
                 expected,
                 which);
     }
 
     @Test
     public void holdUpsAreCountedAndTheLongestIsKept() {
-        pass(1020 + SocketPasses.HELD_UP_MS - 1);
-        assertEquals(passes.summary(), "0 hold-ups, the longest 0 ms");
-        pass(now + SocketPasses.HEARTBEAT_MS + 150);
-        pass(now + SocketPasses.HEARTBEAT_MS + 130);
-        assertEquals(passes.summary(), "2 hold-ups, the longest 150 ms");
+        pass(1020 + EventLoopMonitor.STALL_MS - 1);
+        assertEquals(monitor.summary(), "0 hold-ups, the longest 0 ms");
+        pass(now + EventLoopMonitor.HEARTBEAT_MS + 150);
+        pass(now + EventLoopMonitor.HEARTBEAT_MS + 130);
+        assertEquals(monitor.summary(), "2 hold-ups, the longest 150 ms");
     }
 
     @Test
@@ -110,7 +110,7 @@
         pass(1020);
         now = 1100;
         var done = new ArrayList<Double>();
-        passes.afterNextPass(() -> done.add(unreadSince(now + 60)));
+        monitor.afterNextPass(() -> done.add(unreadSince(now + 60)));
         assertTrue(done.isEmpty());
         pass(1105);
         assertEquals(done, List.of(1100.0));
@@ -118,7 +118,7 @@
 
     @Test
     public void aStoppedHeartbeatSetsNoFurtherTimer() {
-        passes.stop();
+        monitor.stop();
         pass(1020);
         assertTrue(timers.isEmpty());
     }
--- a/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
@@ -122,9 +122,9 @@
     public void environmentWinsOverTheFile() throws IOException {
         NodeConfig config = config(PLACE, SETTINGS, KNOWN);
         assertEquals(config.seed(), -1L);
-        assertEquals(config.known().index(), 7);
-        assertEquals(config.facts().shards(), 4);
-        assertEquals(config.facts().longestDeadlineMs(), 300.0);
+        assertEquals(config.knownEndpoints().index(), 7);
+        assertEquals(config.settings().shards(), 4);
+        assertEquals(config.settings().longestDeadlineMs(), 300.0);
         assertEquals(
                 NodeConfig.read(file, "m", "127.0.0.2:5", null).listen(),
                 new NodeConfig.Address("127.0.0.2", 5));
@@ -180,9 +180,9 @@
                 listen,
                 new NodeConfig.Address("127.0.0.1", discovery),
                 5,
-                told.sockets(),
-                told.known(),
-                told.facts());
+                told.maxDescriptors(),
+                told.knownEndpoints(),
+                told.settings());
     }
 
     private void end(GathererNode node, DrainSchedule how) throws Exception {
@@ -272,9 +272,9 @@
         assertTrue(
                 loop.call(
                         () ->
-                                node.end(DrainSchedule.NOW)
+                                node.end(DrainSchedule.IMMEDIATE)
                                         == node.end(new DrainSchedule(60_000, 60_000, 60_000))));
-        end(node, DrainSchedule.NOW);
+        end(node, DrainSchedule.IMMEDIATE);
     }
 
     /**
@@ -300,19 +300,19 @@
         }
 
         @Override
-        public void taken(double nowMs, Query query) {
+        public void queryReceived(double nowMs, Query query) {
             heard.add("taken " + query.id());
         }
 
         @Override
-        public void reported(double nowMs, Observation observation) {
+        public void observed(double nowMs, Observation observation) {
             if (observation instanceof Observation.AttemptEnded ended) {
                 heard.add("ended " + ended.result().getClass().getSimpleName());
             }
         }
 
         @Override
-        public void sent(double nowMs, Attempt attempt) {
+        public void attemptStarting(double nowMs, Attempt attempt) {
             heard.add("sent " + attempt.partId());
             if (panics) {
                 throw new IllegalStateException("scripted");
@@ -320,14 +320,14 @@
         }
 
         @Override
-        public ClusterView told(double nowMs) {
+        public ClusterView clusterView(double nowMs) {
             ClusterView told = next;
             next = null;
             return told;
         }
 
         @Override
-        public BooleanSupplier use(double nowMs, Command.ConsumeAllowance use) {
+        public BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use) {
             units -= use.units();
             return units < 0 ? null : () -> !withdrawn;
         }
@@ -402,7 +402,7 @@
                     long turnEnds =
                             System.nanoTime()
                                     + TimeUnit.MILLISECONDS.toNanos(
-                                            (long) (2 * DecisionQueue.LONGEST_TURN_MS));
+                                            (long) (2 * DecisionQueue.MAX_TURN_MS));
                     while (System.nanoTime() < turnEnds) {
                         Thread.onSpinWait();
                     }
@@ -432,7 +432,7 @@
         for (Socket socket : List.of(first, stays, last)) {
             socket.close();
         }
-        end(node, DrainSchedule.NOW);
+        end(node, DrainSchedule.IMMEDIATE);
     }
 
     @Test
@@ -455,7 +455,7 @@
                 timeLeftMs + " ms left after " + unreadMs + " ms unread");
         first.close();
         unread.close();
-        end(node, DrainSchedule.NOW);
+        end(node, DrainSchedule.IMMEDIATE);
     }
 
     @Test
@@ -495,8 +495,8 @@
                                                 new NodeConfig.Address("127.0.0.1", discovery),
                                                 5,
                                                 40,
-                                                told.known(),
-                                                told.facts()),
+                                                told.knownEndpoints(),
+                                                told.settings()),
                                         factory,
                                         List.of())
                                 .start);
@@ -524,7 +524,7 @@
         for (Socket socket : idle) {
             socket.close();
         }
-        end(node, DrainSchedule.NOW);
+        end(node, DrainSchedule.IMMEDIATE);
     }
 
     @DataProvider
@@ -583,7 +583,9 @@
                         };
         NodeConfig config = config(PLACE, SETTINGS, KNOWN);
         int discovery =
-                await(StandIns.start(vertx, "127.0.0.1", 0, config.known().servers(), true));
+                await(
+                        StandIns.start(
+                                vertx, "127.0.0.1", 0, config.knownEndpoints().servers(), true));
         GathererNode node =
                 await(
                         begin(
@@ -592,9 +594,9 @@
                                                 config.listen(),
                                                 new NodeConfig.Address("127.0.0.1", discovery),
                                                 5,
-                                                config.sockets(),
+                                                config.maxDescriptors(),
                                                 null,
-                                                config.facts()),
+                                                config.settings()),
                                         factory,
                                         List.of((on, at, clock) -> lender))
                                 .start);
@@ -614,7 +616,7 @@
         assertEquals(
                 told.get(10, TimeUnit.SECONDS),
                 new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of()));
-        end(node, DrainSchedule.NOW);
+        end(node, DrainSchedule.IMMEDIATE);
         assertEquals(lender.heard, heard);
     }
 
@@ -653,7 +655,7 @@
         assertTrue(lender.heard.contains("sent t.0"));
         owed.close();
         other.close();
-        end(node, DrainSchedule.NOW);
+        end(node, DrainSchedule.IMMEDIATE);
     }
 
     @Test
--- a/gatherer/src/test/java/sprucehold/node/JsonLinesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/JsonLogFormatterTest.java
@@ -11,7 +11,7 @@
 import java.util.logging.LogRecord;
 import org.testng.annotations.Test;
 
-public class JsonLinesTest {
+public class JsonLogFormatterTest {
     @Test
     public void lineIsOneJsonObjectWithItsFieldsAndNoNewLineWithin() throws IOException {
         var line = new LogRecord(Level.WARNING, "two\nlines \"quoted\" and {0}");
@@ -19,7 +19,7 @@
         line.setParameters(
                 new Object[] {Map.of("version", 7L, "late", true, "took_ms", 1.5, "scan", "a\"b")});
         line.setThrown(new IllegalStateException("lost"));
-        String text = new JsonLines().format(line);
+        String text = new JsonLogFormatter().format(line);
         assertEquals(text.lines().count(), 1);
         JsonNode node = new ObjectMapper().readTree(text);
         assertEquals(node.get("version").longValue(), 7);
