--- a/gatherer/src/main/java/sprucehold/settings/SettingsFile.java
+++ b/gatherer/src/main/java/sprucehold/settings/SettingsFile.java
@@ -30,24 +30,27 @@
     private SettingsFile() {}
 
     /**
+     * Reads a file.
+     *
      * @param schema the name of a JSON schema among the program's resources
      * @throws IOException with all that is wrong with the file, in one line
      */
     public static JsonNode read(Path file, String schema) throws IOException {
         JsonNode settings = parse(file);
-        Set<ValidationMessage> faults = schema(schema).validate(settings);
-        if (!faults.isEmpty()) {
-            throw new IOException(
-                    file
-                            + ": "
-                            + faults.stream()
-                                    .map(ValidationMessage::getMessage)
-                                    .sorted()
-                                    .collect(Collectors.joining("; ")));
+        Set<ValidationMessage> errors = schema(schema).validate(settings);
+        if (!errors.isEmpty()) {
+            throw new IOException(file + ": " + inOneLine(errors));
         }
         return settings;
     }
 
+    private static String inOneLine(Set<ValidationMessage> errors) {
+        return errors.stream()
+                .map(ValidationMessage::getMessage)
+                .sorted()
+                .collect(Collectors.joining("; "));
+    }
+
     private static JsonNode parse(Path file) throws IOException {
         try {
             return MAPPER.readTree(Files.readAllBytes(file));
--- a/gatherer/src/main/java/sprucehold/settings/package-info.java
+++ b/gatherer/src/main/java/sprucehold/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings files of what may be switched on beside serving, as JSON with a schema. The entry point
- * is {@link sprucehold.settings.SettingsFile}. It must never know what a setting is for.
+ * Settings files of optional features, as JSON with a schema. The entry point is {@link
+ * sprucehold.settings.SettingsFile}. It must never know what a setting is for.
  */
 package sprucehold.settings;
--- a/gatherer/src/main/java/sprucehold/simulation/MalformedBatchException.java
+++ b/gatherer/src/main/java/sprucehold/simulation/MalformedBatchException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The input is no valid batch. */
+/** The input is no valid batch; the message says why, in one line. */
 public final class MalformedBatchException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public MalformedBatchException(String message) {
+    MalformedBatchException(String message) {
         super(message);
     }
 }
--- a/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
@@ -1,10 +1,6 @@
 package sprucehold.simulation;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.ObjectReader;
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -23,137 +19,130 @@
 import sprucehold.decision.Event;
 
 /**
- * Runs many gatherers on the bench's wire: a line in holds a batch of events, a line out the
- * actions.
+ * Runs many instances of the decision policy in the bench's simulation: a line in holds a batch of
+ * their events, a line out their commands. Names on the wire are {@link WireReader}'s and {@link
+ * WireWriter}'s.
  */
 public final class SimulationAdapter {
+    private static final int BUFFER_BYTES = 1 << 16;
+
     private final DecisionPolicy.Factory factory;
-    private final ObjectMapper mapper = new ObjectMapper();
-    private final ObjectReader reader =
-            mapper.reader()
-                    .with(
-                            com.fasterxml.jackson.databind.DeserializationFeature
-                                    .FAIL_ON_TRAILING_TOKENS);
     private final Map<Integer, Instance> instances = new HashMap<>();
 
-    /** The numbered lists last received; they serve all instances. */
+    /** The endpoint lists last received, by their number; they serve all instances. */
     private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
 
-    /** One instance: the gatherer, how its wire is read, and what has come for it in this batch. */
+    /** One instance of the policy, how its events are read, and those of this batch. */
     private static final class Instance {
-        final DecisionPolicy policy;
-        final WireReader wire;
-        final List<Event> events = new ArrayList<>();
+        private final DecisionPolicy policy;
+        private final WireReader reader;
+        private final List<Event> events = new ArrayList<>();
 
-        Instance(DecisionPolicy policy, WireReader wire) {
+        Instance(DecisionPolicy policy, WireReader reader) {
             this.policy = policy;
-            this.wire = wire;
+            this.reader = reader;
         }
     }
 
+    /** Makes an adapter whose instances are started by a factory. */
     public SimulationAdapter(DecisionPolicy.Factory factory) {
         this.factory = factory;
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Answers batches until the input ends.
+     *
+     * @throws MalformedBatchException at the first line that is no valid batch
+     */
     public void run(InputStream in, OutputStream out) throws IOException {
-        var lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
-        var reply = new ByteArrayOutputStream(1 << 16);
+        var lines =
+                new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
+        var reply = new ByteArrayOutputStream(BUFFER_BYTES);
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             reply.reset();
-            answer(line, reply);
+            JsonNode batch = WireReader.batch(line);
+            answer(WireReader.timeMs(batch), receive(batch), reply);
             reply.write('\n');
             reply.writeTo(out);
             out.flush();
         }
     }
 
-    private void answer(String line, OutputStream reply) throws IOException {
-        JsonNode batch;
-        try {
-            batch = reader.readTree(line);
-        } catch (JsonProcessingException e) {
-            throw new MalformedBatchException("input is not JSON: " + e.getOriginalMessage());
-        }
-        if (batch == null || !batch.path("tsMs").isNumber() || !batch.path("parts").isArray()) {
-            throw new MalformedBatchException("a batch needs tsMs and parts");
-        }
+    /**
+     * Takes in all messages of a batch; returns the instances to call, in the order of the batch.
+     */
+    private Map<Integer, Instance> receive(JsonNode batch) throws MalformedBatchException {
         Map<Integer, Instance> called = new LinkedHashMap<>();
-        for (JsonNode part : batch.get("parts")) {
-            if (!part.path("who").isInt() || !part.path("msgs").isArray()) {
-                throw new MalformedBatchException("a part of a batch needs who and msgs");
-            }
-            int who = part.get("who").intValue();
-            for (JsonNode message : part.get("msgs")) {
-                if (!message.isObject() || message.size() != 1) {
-                    throw new MalformedBatchException("a message needs exactly one name");
-                }
-                Map.Entry<String, JsonNode> named = message.properties().iterator().next();
-                receive(who, named.getKey(), named.getValue());
+        for (JsonNode part : WireReader.parts(batch)) {
+            int number = WireReader.instance(part);
+            for (JsonNode message : WireReader.messages(part)) {
+                receive(number, WireReader.message(message));
             }
-            if (instances.containsKey(who)) {
-                called.put(who, instances.get(who));
+            if (instances.containsKey(number)) {
+                called.put(number, instances.get(number));
             } else {
-                called.remove(who);
+                called.remove(number);
             }
         }
-        double now = batch.get("tsMs").doubleValue();
-        try (JsonGenerator json = mapper.createGenerator(reply)) {
-            json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
-            json.writeStartObject();
-            json.writeArrayFieldStart("parts");
-            for (Map.Entry<Integer, Instance> entry : called.entrySet()) {
-                List<Command> actions;
-                String panic = null;
-                try {
-                    actions =
-                            entry.getValue()
-                                    .policy
-                                    .decide(now, List.copyOf(entry.getValue().events));
-                } catch (RuntimeException | StackOverflowError e) {
-                    actions = List.of();
-                    panic = describe(e);
-                }
-                entry.getValue().events.clear();
-                if (!actions.isEmpty() || panic != null) {
-                    WireWriter.write(json, entry.getKey(), actions, panic);
-                }
-            }
-            json.writeEndArray();
-            json.writeEndObject();
-        }
+        return called;
     }
 
-    private void receive(int who, String name, JsonNode fields) throws MalformedBatchException {
-        switch (name) {
-            case "PowerOn" -> {
-                var wire = new WireReader(fields.path("params"));
-                instances.put(
-                        who,
-                        new Instance(
-                                factory.start(
-                                        fields.path("rngSeed").longValue(), wire.deployment()),
-                                wire));
+    private void receive(int number, WireReader.Message message) throws MalformedBatchException {
+        switch (message.kind()) {
+            case START -> {
+                var reader = new WireReader(message);
+                DecisionPolicy policy =
+                        factory.start(WireReader.seed(message), reader.deployment());
+                instances.put(number, new Instance(policy, reader));
             }
-            case "CrashNow" -> instances.remove(who);
-            case "Table" ->
+            case CRASH -> instances.remove(number);
+            case ENDPOINT_LIST ->
                     endpointLists.put(
-                            fields.path("slot").intValue(),
-                            WireReader.endpoints(fields.path("hosts")));
-            default -> {
-                Instance seat = instances.get(who);
-                if (seat == null) {
-                    throw new MalformedBatchException(
-                            name + " for instance " + who + ", which isn't running");
-                }
-                Event event = seat.wire.event(name, fields, endpointLists);
-                if (event != null) {
-                    seat.events.add(event);
-                }
+                            WireReader.listNumber(message), WireReader.endpoints(message));
+            case EVENT -> receiveEvent(number, message);
+        }
+    }
+
+    private void receiveEvent(int number, WireReader.Message message)
+            throws MalformedBatchException {
+        Instance instance = instances.get(number);
+        if (instance == null) {
+            throw new MalformedBatchException(
+                    message.wireName() + " for instance " + number + ", which isn't running");
+        }
+        Event event = instance.reader.event(message, endpointLists);
+        if (event != null) {
+            instance.events.add(event);
+        }
+    }
+
+    private static void answer(double nowMs, Map<Integer, Instance> called, OutputStream out)
+            throws IOException {
+        try (var writer = new WireWriter(out)) {
+            for (Map.Entry<Integer, Instance> entry : called.entrySet()) {
+                decide(nowMs, entry.getKey(), entry.getValue(), writer);
             }
         }
     }
 
+    private static void decide(double nowMs, int number, Instance instance, WireWriter writer)
+            throws IOException {
+        List<Command> commands;
+        String panic = null;
+        try {
+            commands = instance.policy.decide(nowMs, List.copyOf(instance.events));
+        } catch (RuntimeException | StackOverflowError e) {
+            // A fault of one instance is reported as its panic; the others go on.
+            commands = List.of();
+            panic = describe(e);
+        }
+        instance.events.clear();
+        if (!commands.isEmpty() || panic != null) {
+            writer.write(number, commands, panic);
+        }
+    }
+
+    /** The exception and the place where it was thrown. */
     private static String describe(Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
         return e + (trace.length > 0 ? " at " + trace[0] : "");
--- a/gatherer/src/main/java/sprucehold/simulation/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireReader.java
@@ -1,6 +1,10 @@
 package sprucehold.simulation;
 
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.ObjectReader;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,109 +20,251 @@
 import sprucehold.deployment.InvalidSettingsException;
 
 /**
- * Reads one instance's facts and events. Unknown fields are skipped, absent ones are zero or empty.
+ * Reads what the simulation sends. An object of this class reads the events of one instance, whose
+ * deployment it knows; what concerns a batch as a whole is static. Unknown fields are skipped,
+ * absent ones are zero or empty.
+ *
+ * <p>A batch has the simulated time {@code tsMs} in milliseconds, and in {@code parts} for each
+ * instance its number {@code who} and its messages {@code msgs}. A message is an object with one
+ * field: its name, with its fields.
+ *
+ * <table>
+ * <caption>Names on the wire</caption>
+ * <tr><th>wire</th><th>our type or field</th></tr>
+ * <tr><td>{@code PowerOn}: {@code rngSeed}, {@code params}</td>
+ *     <td>{@link MessageKind#START}: seed, {@link DeploymentSettings}</td></tr>
+ * <tr><td>{@code CrashNow}</td><td>{@link MessageKind#CRASH}</td></tr>
+ * <tr><td>{@code Table}: {@code slot}, {@code hosts}</td>
+ *     <td>{@link MessageKind#ENDPOINT_LIST}: number of the list, list of {@link Endpoint}</td></tr>
+ * <tr><td>a host's {@code server}, {@code place}, {@code site}, {@code bornMs}, {@code mode}</td>
+ *     <td>{@link Endpoint}: server, replicaGroup, zone, startedAtMs, state</td></tr>
+ * <tr><td>modes {@code Running}, {@code Stopping}, {@code Deleted}</td>
+ *     <td>{@link Endpoint.State}: RUNNING, DRAINING, GONE</td></tr>
+ * <tr><td>{@code Order} with {@code rangeNo} below 0: {@code id}, {@code wholeNo}, {@code kind},
+ *     {@code realm}, {@code timeBudgetMs}</td>
+ *     <td>{@link Event.QueryReceived}: id, number, queryClass, tenant, timeLeftMs</td></tr>
+ * <tr><td>{@code Order} with {@code rangeNo} from 0: {@code id}, {@code wholeNo}, {@code rangeNo},
+ *     {@code measure}</td>
+ *     <td>{@link Event.PartReceived}: id, queryNumber, shard, weight</td></tr>
+ * <tr><td>{@code Outcome}: {@code id}, {@code sendNo}, {@code rc}, {@code elapsedMs}, {@code
+ *     stats}</td>
+ *     <td>{@link Event.AttemptEnded}: partId, attemptNumber, outcome, durationMs, load</td></tr>
+ * <tr><td>{@code rc} 0, 13, 8, 4, 14, 10, 1, 9</td>
+ *     <td>{@link AttemptOutcome}: COMPLETED, ERROR, OVERLOADED, TIMED_OUT, UNREACHABLE, RESET,
+ *     CANCELLED, NEVER_SENT</td></tr>
+ * <tr><td>{@code stats}: {@code rif}, {@code q}, {@code busy}, in the order that the settings
+ *     give</td><td>{@link LoadReport}: held, queued, busy</td></tr>
+ * <tr><td>{@code Aborted}: {@code id}</td><td>{@link Event.ClientDisconnected}: queryId</td></tr>
+ * <tr><td>{@code Registry} of kind {@code unavailable}</td>
+ *     <td>{@link Event.EndpointsUnavailable}</td></tr>
+ * <tr><td>{@code Registry} of kind {@code update} or another: {@code slot}</td>
+ *     <td>{@link Event.EndpointsUpdated}, complete unless it is an update: endpoints</td></tr>
+ * <tr><td>{@code CheckResult}: {@code server}, {@code rc}, {@code elapsedMs}, {@code stats}</td>
+ *     <td>{@link Event.HealthCheckEnded}: server, outcome, durationMs, load</td></tr>
+ * <tr><td>{@code Bell}</td><td>{@link Event.WakeUp}</td></tr>
+ * <tr><td>{@code Flowing}, {@code Peer}</td><td>none: they mean nothing to a gatherer</td></tr>
+ * </table>
  */
 final class WireReader {
+    /** What a message concerns. */
+    enum MessageKind {
+        /** An instance is started, in place of one that runs. */
+        START,
+        /** An instance is gone with all that it knew. */
+        CRASH,
+        /** A numbered endpoint list, to which later events of any instance refer. */
+        ENDPOINT_LIST,
+        /** An event of an instance that runs. */
+        EVENT
+    }
+
+    /** A message with its fields, which only this class reads. */
+    record Message(String wireName, JsonNode fields) {
+        MessageKind kind() {
+            return switch (wireName) {
+                case "PowerOn" -> MessageKind.START;
+                case "CrashNow" -> MessageKind.CRASH;
+                case "Table" -> MessageKind.ENDPOINT_LIST;
+                default -> MessageKind.EVENT;
+            };
+        }
+    }
+
+    private static final ObjectReader JSON =
+            new ObjectMapper().reader().with(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
+
     private final DeploymentSettings settings;
     private final Map<String, QueryClass> queryClasses = new HashMap<>();
     private final Map<String, Tenant> tenants = new HashMap<>();
 
-    WireReader(JsonNode params) throws MalformedBatchException {
+    /** Makes a reader for the instance that a message starts. */
+    WireReader(Message start) throws MalformedBatchException {
         try {
-            settings = DeploymentSettings.read(params);
+            settings = DeploymentSettings.read(start.fields().path("params"));
         } catch (InvalidSettingsException e) {
             throw new MalformedBatchException(e.getMessage());
         }
-        settings.deployment().queryClasses().forEach(type -> queryClasses.put(type.name(), type));
+        settings.deployment()
+                .queryClasses()
+                .forEach(queryClass -> queryClasses.put(queryClass.name(), queryClass));
         settings.deployment().tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
     }
 
+    /** Reads a batch, of which only its outer form is checked. */
+    static JsonNode batch(String line) throws MalformedBatchException {
+        JsonNode batch;
+        try {
+            batch = JSON.readTree(line);
+        } catch (JsonProcessingException e) {
+            throw new MalformedBatchException("input is not JSON: " + e.getOriginalMessage());
+        }
+        if (batch == null || !batch.path("tsMs").isNumber() || !batch.path("parts").isArray()) {
+            throw new MalformedBatchException("a batch needs tsMs and parts");
+        }
+        return batch;
+    }
+
+    /** The simulated time of a batch, in milliseconds. */
+    static double timeMs(JsonNode batch) {
+        return batch.get("tsMs").doubleValue();
+    }
+
+    /** The parts of a batch, each for one instance. */
+    static Iterable<JsonNode> parts(JsonNode batch) {
+        return batch.get("parts");
+    }
+
+    /** The number of the instance that a part of a batch is for. */
+    static int instance(JsonNode part) throws MalformedBatchException {
+        if (!part.path("who").isInt() || !part.path("msgs").isArray()) {
+            throw new MalformedBatchException("a part of a batch needs who and msgs");
+        }
+        return part.get("who").intValue();
+    }
+
+    /** The messages of a part of a batch, whose number was read. */
+    static Iterable<JsonNode> messages(JsonNode part) {
+        return part.get("msgs");
+    }
+
+    static Message message(JsonNode message) throws MalformedBatchException {
+        if (!message.isObject() || message.size() != 1) {
+            throw new MalformedBatchException("a message needs exactly one name");
+        }
+        Map.Entry<String, JsonNode> named = message.properties().iterator().next();
+        return new Message(named.getKey(), named.getValue());
+    }
+
+    /** The seed of an instance that is started. */
+    static long seed(Message start) {
+        return start.fields().path("rngSeed").longValue();
+    }
+
+    /** The number of an endpoint list. */
+    static int listNumber(Message message) {
+        return message.fields().path("slot").intValue();
+    }
+
+    /** The entries of an endpoint list. */
+    static List<Endpoint> endpoints(Message list) throws MalformedBatchException {
+        var endpoints = new ArrayList<Endpoint>();
+        for (JsonNode host : list.fields().path("hosts")) {
+            endpoints.add(
+                    new Endpoint(
+                            host.path("server").asText(),
+                            host.path("place").intValue(),
+                            host.path("site").asText(),
+                            host.path("bornMs").doubleValue(),
+                            state(host.path("mode"))));
+        }
+        return List.copyOf(endpoints);
+    }
+
+    private static Endpoint.State state(JsonNode mode) throws MalformedBatchException {
+        return switch (mode.asText()) {
+            case "Running" -> Endpoint.State.RUNNING;
+            case "Stopping" -> Endpoint.State.DRAINING;
+            case "Deleted" -> Endpoint.State.GONE;
+            default -> throw new MalformedBatchException("unknown mode " + mode);
+        };
+    }
+
+    /** The deployment of the instance. */
     Deployment deployment() {
         return settings.deployment();
     }
 
-    /** Returns null for events that mean nothing to a gatherer of this kind. */
-    Event event(String name, JsonNode fields, Map<Integer, List<Endpoint>> tables)
+    /**
+     * Reads an event; null for one that means nothing to a gatherer.
+     *
+     * @param endpointLists the endpoint lists by number, as they are at this message
+     */
+    Event event(Message message, Map<Integer, List<Endpoint>> endpointLists)
             throws MalformedBatchException {
-        return switch (name) {
+        JsonNode fields = message.fields();
+        return switch (message.wireName()) {
             case "Order" -> queryOrPart(fields);
-            case "Outcome" ->
-                    new Event.AttemptEnded(
-                            fields.path("id").asText(),
-                            fields.path("sendNo").intValue(),
-                            outcome(fields),
-                            fields.path("elapsedMs").doubleValue(),
-                            load(fields));
+            case "Outcome" -> attemptEnded(fields);
             case "Aborted" -> new Event.ClientDisconnected(fields.path("id").asText());
-            case "Registry" -> endpointUpdate(fields, tables);
-            case "CheckResult" ->
-                    new Event.HealthCheckEnded(
-                            fields.path("server").asText(),
-                            outcome(fields),
-                            fields.path("elapsedMs").doubleValue(),
-                            load(fields));
+            case "Registry" -> endpointUpdate(message, endpointLists);
+            case "CheckResult" -> healthCheckEnded(fields);
             case "Bell" -> new Event.WakeUp();
             case "Flowing", "Peer" -> null;
-            default -> throw new MalformedBatchException("unknown message " + name);
+            default -> throw new MalformedBatchException("unknown message " + message.wireName());
         };
     }
 
     private Event queryOrPart(JsonNode fields) throws MalformedBatchException {
         String id = fields.path("id").asText();
-        long number = fields.path("wholeNo").longValue();
-        int segment = fields.path("rangeNo").intValue();
-        if (segment >= 0) {
+        long queryNumber = fields.path("wholeNo").longValue();
+        int shard = fields.path("rangeNo").intValue();
+        if (shard >= 0) {
             return new Event.PartReceived(
-                    id, number, segment, fields.path("measure").doubleValue());
+                    id, queryNumber, shard, fields.path("measure").doubleValue());
         }
-        QueryClass type = queryClasses.get(fields.path("kind").asText());
-        if (type == null) {
+        QueryClass queryClass = queryClasses.get(fields.path("kind").asText());
+        if (queryClass == null) {
             throw new MalformedBatchException("unknown kind " + fields.path("kind"));
         }
         return new Event.QueryReceived(
                 id,
-                number,
-                type,
+                queryNumber,
+                queryClass,
                 tenants.get(fields.path("realm").asText()),
                 fields.path("timeBudgetMs").doubleValue());
     }
 
-    private static Event endpointUpdate(JsonNode fields, Map<Integer, List<Endpoint>> tables)
+    private Event attemptEnded(JsonNode fields) throws MalformedBatchException {
+        return new Event.AttemptEnded(
+                fields.path("id").asText(),
+                fields.path("sendNo").intValue(),
+                outcome(fields),
+                fields.path("elapsedMs").doubleValue(),
+                load(fields));
+    }
+
+    private Event healthCheckEnded(JsonNode fields) throws MalformedBatchException {
+        return new Event.HealthCheckEnded(
+                fields.path("server").asText(),
+                outcome(fields),
+                fields.path("elapsedMs").doubleValue(),
+                load(fields));
+    }
+
+    private static Event endpointUpdate(Message message, Map<Integer, List<Endpoint>> endpointLists)
             throws MalformedBatchException {
-        String kind = fields.path("kind").asText();
+        String kind = message.fields().path("kind").asText();
         if (kind.equals("unavailable")) {
             return new Event.EndpointsUnavailable();
         }
-        List<Endpoint> entries = tables.get(fields.path("slot").intValue());
-        if (entries == null) {
-            throw new MalformedBatchException("no table in slot " + fields.path("slot"));
-        }
-        return new Event.EndpointsUpdated(!kind.equals("update"), entries);
-    }
-
-    static List<Endpoint> endpoints(JsonNode hosts) throws MalformedBatchException {
-        var listings = new ArrayList<Endpoint>();
-        for (JsonNode host : hosts) {
-            Endpoint.State mode =
-                    switch (host.path("mode").asText()) {
-                        case "Running" -> Endpoint.State.RUNNING;
-                        case "Stopping" -> Endpoint.State.DRAINING;
-                        case "Deleted" -> Endpoint.State.GONE;
-                        default ->
-                                throw new MalformedBatchException(
-                                        "unknown mode " + host.path("mode"));
-                    };
-            listings.add(
-                    new Endpoint(
-                            host.path("server").asText(),
-                            host.path("place").intValue(),
-                            host.path("site").asText(),
-                            host.path("bornMs").doubleValue(),
-                            mode));
+        List<Endpoint> endpoints = endpointLists.get(listNumber(message));
+        if (endpoints == null) {
+            throw new MalformedBatchException("no table in slot " + message.fields().path("slot"));
         }
-        return List.copyOf(listings);
+        return new Event.EndpointsUpdated(!kind.equals("update"), endpoints);
     }
 
+    /** What a shard server tells of its load; null if it tells nothing. */
     private LoadReport load(JsonNode fields) {
         JsonNode stats = fields.path("stats");
         if (settings.loadFields().isEmpty() || !stats.isArray()) {
--- a/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
@@ -1,78 +1,128 @@
 package sprucehold.simulation;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
+import java.io.OutputStream;
 import java.util.List;
 import sprucehold.decision.Command;
 
-/** Writes one instance's actions. */
-final class WireWriter {
-    private WireWriter() {}
+/**
+ * Writes the answer to one batch: in {@code parts} for each instance that commands something its
+ * number {@code who} and its messages {@code outbox}. A message is an object with one field: its
+ * name, with its fields.
+ *
+ * <table>
+ * <caption>Names on the wire</caption>
+ * <tr><th>our type and fields</th><th>wire</th></tr>
+ * <tr><td>{@link Command.SendAttempt}: partId, server, timeoutMs</td>
+ *     <td>{@code Attempt}: {@code id}, {@code server}, {@code timeoutMs}</td></tr>
+ * <tr><td>{@link Command.CancelAttempt}: partId, attemptNumber</td>
+ *     <td>{@code UndoSend}: {@code id}, {@code sendNo}</td></tr>
+ * <tr><td>{@link Command.AnswerQuery}: queryId, complete</td>
+ *     <td>{@code Assemble}: {@code id}, {@code complete}</td></tr>
+ * <tr><td>{@link Command.RejectQuery}: queryId, retryAfterMs</td>
+ *     <td>{@code Busy}: {@code id}, {@code comeBackMs}</td></tr>
+ * <tr><td>{@link Command.FailQuery}: queryId</td><td>{@code GiveUp}: {@code id}</td></tr>
+ * <tr><td>{@link Command.ScheduleWakeUp}: delayMs</td>
+ *     <td>{@code Timer}: {@code offsetMs}, {@code ref} always {@code wake}</td></tr>
+ * <tr><td>{@link Command.CheckHealth}: server</td><td>{@code Ping}: {@code server}</td></tr>
+ * <tr><td>{@link Command.SubscribeToEndpoints}</td>
+ *     <td>{@code KeepInformed}: {@code complete} always true</td></tr>
+ * <tr><td>{@link Command.LogMessage}: text</td><td>{@code Record}: {@code line}</td></tr>
+ * <tr><td>an exception of the decisions</td><td>{@code Panic}: {@code line}</td></tr>
+ * </table>
+ */
+final class WireWriter implements AutoCloseable {
+    private static final JsonFactory JSON = new JsonFactory();
 
-    /** {@code panic} is the text of a failure of the decisions, or null. */
-    static void write(JsonGenerator json, int who, List<Command> actions, String panic)
-            throws IOException {
+    private final JsonGenerator json;
+
+    /** Begins an answer; {@code out} is left open. */
+    WireWriter(OutputStream out) throws IOException {
+        json = JSON.createGenerator(out);
+        json.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
+        json.writeStartObject();
+        json.writeArrayFieldStart("parts");
+    }
+
+    /** Ends the answer. */
+    @Override
+    public void close() throws IOException {
+        json.writeEndArray();
+        json.writeEndObject();
+        json.close();
+    }
+
+    /**
+     * Writes what one instance commands.
+     *
+     * @param instance its number
+     * @param panic the text of an exception of its decisions, or null
+     */
+    void write(int instance, List<Command> commands, String panic) throws IOException {
         json.writeStartObject();
-        json.writeNumberField("who", who);
+        json.writeNumberField("who", instance);
         json.writeArrayFieldStart("outbox");
-        for (Command command : actions) {
-            write(json, command);
+        for (Command command : commands) {
+            write(command);
         }
         if (panic != null) {
-            open(json, "Panic");
+            begin("Panic");
             json.writeStringField("line", panic);
-            close(json);
+            end();
         }
         json.writeEndArray();
         json.writeEndObject();
     }
 
-    private static void write(JsonGenerator json, Command command) throws IOException {
-        if (command instanceof Command.SendAttempt sendAttempt) {
-            open(json, "Attempt");
-            json.writeStringField("id", sendAttempt.partId());
-            json.writeStringField("server", sendAttempt.server());
-            json.writeNumberField("timeoutMs", sendAttempt.timeoutMs());
+    private void write(Command command) throws IOException {
+        if (command instanceof Command.SendAttempt send) {
+            begin("Attempt");
+            json.writeStringField("id", send.partId());
+            json.writeStringField("server", send.server());
+            json.writeNumberField("timeoutMs", send.timeoutMs());
         } else if (command instanceof Command.CancelAttempt cancel) {
-            open(json, "UndoSend");
+            begin("UndoSend");
             json.writeStringField("id", cancel.partId());
             json.writeNumberField("sendNo", cancel.attemptNumber());
         } else if (command instanceof Command.AnswerQuery answer) {
-            open(json, "Assemble");
+            begin("Assemble");
             json.writeStringField("id", answer.queryId());
             json.writeBooleanField("complete", answer.complete());
-        } else if (command instanceof Command.RejectQuery throttle) {
-            open(json, "Busy");
-            json.writeStringField("id", throttle.queryId());
-            json.writeNumberField("comeBackMs", throttle.retryAfterMs());
-        } else if (command instanceof Command.FailQuery abandon) {
-            open(json, "GiveUp");
-            json.writeStringField("id", abandon.queryId());
-        } else if (command instanceof Command.ScheduleWakeUp wake) {
-            open(json, "Timer");
-            json.writeNumberField("offsetMs", wake.delayMs());
+        } else if (command instanceof Command.RejectQuery reject) {
+            begin("Busy");
+            json.writeStringField("id", reject.queryId());
+            json.writeNumberField("comeBackMs", reject.retryAfterMs());
+        } else if (command instanceof Command.FailQuery fail) {
+            begin("GiveUp");
+            json.writeStringField("id", fail.queryId());
+        } else if (command instanceof Command.ScheduleWakeUp wakeUp) {
+            begin("Timer");
+            json.writeNumberField("offsetMs", wakeUp.delayMs());
             json.writeStringField("ref", "wake");
-        } else if (command instanceof Command.CheckHealth probe) {
-            open(json, "Ping");
-            json.writeStringField("server", probe.server());
+        } else if (command instanceof Command.CheckHealth check) {
+            begin("Ping");
+            json.writeStringField("server", check.server());
         } else if (command instanceof Command.SubscribeToEndpoints) {
-            open(json, "KeepInformed");
+            begin("KeepInformed");
             json.writeBooleanField("complete", true);
-        } else if (command instanceof Command.LogMessage note) {
-            open(json, "Record");
-            json.writeStringField("line", note.text());
+        } else if (command instanceof Command.LogMessage message) {
+            begin("Record");
+            json.writeStringField("line", message.text());
         } else {
+            // Shared limits exist among gatherers on sockets only.
             throw new IllegalArgumentException("no wire form for " + command);
         }
-        close(json);
+        end();
     }
 
-    private static void open(JsonGenerator json, String name) throws IOException {
+    private void begin(String message) throws IOException {
         json.writeStartObject();
-        json.writeObjectFieldStart(name);
+        json.writeObjectFieldStart(message);
     }
 
-    private static void close(JsonGenerator json) throws IOException {
+    private void end() throws IOException {
         json.writeEndObject();
         json.writeEndObject();
     }
--- a/gatherer/src/test/java/sprucehold/simulation/SimulationAdapterTest.java
+++ b/gatherer/src/test/java/sprucehold/simulation/SimulationAdapterTest.java
@@ -17,6 +17,7 @@
 import sprucehold.decision.Event;
 import sprucehold.policy.QueryScheduler;
 
+/** The adapter on batches of the simulation, with scripted decisions and the real ones. */
 public class SimulationAdapterTest {
     private static final String ON =
             "{\"PowerOn\":{\"rngSeed\":5,\"params\":{\"balancers\":2,\"new\":[1],\"classes\":"
