--- a/cli/src/main/java/sprucehold/cli/Sprucehold.java
+++ b/cli/src/main/java/sprucehold/cli/Sprucehold.java
@@ -2,22 +2,29 @@
 
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import sprucehold.command.Check;
 import sprucehold.command.Main;
+import sprucehold.command.RunSmokeTest;
+import sprucehold.command.Serve;
+import sprucehold.command.ServeStubs;
+import sprucehold.command.ShowVersion;
+import sprucehold.command.Simulate;
+import sprucehold.command.Version;
 
 /** The command line of people: the commands of a gatherer and all tools around it. */
 @Command(
         name = "sprucehold",
         description = "The root node (gatherer) of a sharded search service, and its tools.",
         mixinStandardHelpOptions = true,
-        versionProvider = Main.Version.class,
+        versionProvider = Version.class,
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
-            Main.Serve.class,
-            Main.Check.class,
-            Main.Rehearse.class,
-            Main.StandIn.class,
-            Main.DrillCommand.class,
-            Main.VersionCommand.class,
+            Serve.class,
+            Check.class,
+            RunSmokeTest.class,
+            ServeStubs.class,
+            Simulate.class,
+            ShowVersion.class,
             TraceCommand.class,
             ChangeCommand.class,
             RigCommand.class,
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/command/Check.java
@@ -0,0 +1,21 @@
+package sprucehold.command;
+
+import java.io.IOException;
+import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+
+/** Reads a gatherer's configuration and prints what it understood ({@code check}). */
+@Command(
+        name = "check",
+        description = "Reads what a gatherer would be told, and says what it understood.",
+        mixinStandardHelpOptions = true)
+public final class Check implements Callable<Integer> {
+    @CommandLine.Mixin private NodeOptions node;
+
+    @Override
+    public Integer call() throws IOException {
+        System.out.println(node.read().summary());
+        return CommandLine.ExitCode.OK;
+    }
+}
--- a/gatherer/src/main/java/sprucehold/command/Recording.java
+++ b/gatherer/src/main/java/sprucehold/command/Recording.java
@@ -9,7 +9,10 @@
 import sprucehold.trace.record.RecordingGatherer;
 import sprucehold.trace.record.RecordingPlan;
 
-/** A recorder at the module's door; loaded only where an operator has switched it on. */
+/**
+ * Records every call of a decision policy in trace files; its classes are loaded only where an
+ * operator has switched it on.
+ */
 final class Recording {
     private final RecordingPlan plan;
     private final String gatherer;
@@ -20,11 +23,16 @@
         this.gatherer = gatherer;
     }
 
+    /**
+     * Reads what is to be recorded, and where.
+     *
+     * @throws IOException with all that is wrong with the file, in one line
+     */
     static Recording read(Path file, String gatherer) throws IOException {
         return new Recording(RecordingPlan.read(file), gatherer);
     }
 
-    /** Starts modules whose every call is recorded. */
+    /** Starts policies whose every call is recorded. */
     DecisionPolicy.Factory of(DecisionPolicy.Factory factory) {
         return (seed, deployment) -> {
             recorder =
@@ -32,7 +40,7 @@
                             plan,
                             new Source(
                                     gatherer,
-                                    new Main.Version().getVersion()[0],
+                                    Version.text(),
                                     seed,
                                     0,
                                     deployment,
@@ -41,7 +49,7 @@
         };
     }
 
-    /** Ends the last file. */
+    /** Closes the last file. */
     void end() {
         if (recorder != null) {
             recorder.close();
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
@@ -0,0 +1,108 @@
+package sprucehold.node;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+import sprucehold.clients.ClientServer;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.AttemptResult;
+import sprucehold.coordinator.Commands;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.WriteProgress;
+import sprucehold.shards.ShardServers;
+
+/**
+ * Carries out what the decisions command: cancels and sends attempts, answers clients, probes shard
+ * servers. Each command stands alone: one that fails must not lose an answer that is owed to a
+ * client.
+ */
+final class CommandExecutor {
+    private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
+
+    private final ShardServers shards;
+    private final ClientServer clients;
+    private final EndpointSource endpoints;
+    private final NodeExtensions extensions;
+    private final ConfigurationAdmin admin;
+    private final Consumer<Observation> observer;
+
+    /** Whether a command failed since {@link #execute} or {@link #writeWaiting} was entered. */
+    private boolean failed;
+
+    /**
+     * Makes an executor over the network parts of one gatherer.
+     *
+     * @param admin counts answers for the health watch; null where configuration can't be changed
+     * @param observer takes the outcome of attempts that weren't permitted
+     */
+    CommandExecutor(
+            ShardServers shards,
+            ClientServer clients,
+            EndpointSource endpoints,
+            NodeExtensions extensions,
+            ConfigurationAdmin admin,
+            Consumer<Observation> observer) {
+        this.shards = shards;
+        this.clients = clients;
+        this.endpoints = endpoints;
+        this.extensions = extensions;
+        this.admin = admin;
+        this.observer = observer;
+    }
+
+    /** Carries out all commands; returns whether none of them failed. */
+    boolean execute(Commands commands) {
+        failed = false;
+        guarded(() -> shards.cancel(commands.cancel()));
+        guarded(() -> shards.send(permitted(commands.send())));
+        guarded(() -> commands.consumed().forEach(extensions::consume));
+        commands.replies().forEach(reply -> guarded(() -> reply(reply)));
+        guarded(() -> shards.probe(commands.healthChecks()));
+        commands.logMessages().forEach(LOG::info);
+        if (commands.subscribe()) {
+            guarded(endpoints::subscribe);
+        }
+        return !failed;
+    }
+
+    /** Writes attempts that waited for their connection; returns whether that didn't fail. */
+    boolean writeWaiting() {
+        failed = false;
+        guarded(shards::writeWaiting);
+        return !failed;
+    }
+
+    private void guarded(Runnable command) {
+        try {
+            command.run();
+        } catch (RuntimeException e) {
+            LOG.log(Level.SEVERE, "panic: a command could not be carried out", e);
+            failed = true;
+        }
+    }
+
+    private void reply(Commands.Reply reply) {
+        if (admin != null) {
+            admin.answered(reply.query(), reply.answer());
+        }
+        QueryLog.answered(reply);
+        clients.answer(reply.query(), reply.answer());
+    }
+
+    /** Those attempts for which the shared limits allow it; the others are reported as unsent. */
+    private List<Attempt> permitted(List<Attempt> attempts) {
+        var permitted = new ArrayList<Attempt>();
+        for (Attempt attempt : attempts) {
+            if (extensions.permit(attempt)) {
+                permitted.add(attempt);
+            } else {
+                observer.accept(
+                        new Observation.AttemptEnded(
+                                attempt, new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN)));
+            }
+        }
+        return permitted;
+    }
+}
--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -14,14 +14,15 @@
 final class DecisionQueue {
     /**
      * How long a turn lasts, in milliseconds, before the sockets are read again; the call under way
-     * is finished. A twentieth of the 100 ms within which an attempt for a client that left may
-     * still begin, and several usual calls of 0.1 to 1 ms.
+     * is finished. A small part of the 100 ms within which an attempt for a client that left may
+     * still begin, and longer than several usual calls.
      */
     static final double MAX_TURN_MS = 5;
 
     private final Queue<Supplier<Commands>> calls = new ArrayDeque<>();
     private double turnEndsAtMs = Double.NEGATIVE_INFINITY;
 
+    /** Adds a call behind all that wait. */
     void add(Supplier<Commands> call) {
         calls.add(call);
     }
--- a/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
@@ -4,7 +4,7 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The one timer of the decisions: it fires at the time at which they want to be asked again, or
+ * The one timer of the decisions: it fires at the time at which they want to be called again, or
  * soon after.
  */
 final class DecisionTimer {
--- a/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
@@ -6,17 +6,21 @@
  * nobody else to ask.
  *
  * @param serveNormallyMs how long it serves on as before
- * @param rejectAfterMs when nobody should come any more, so that who still does is turned away
+ * @param rejectAfterMs when nobody should come any more, so that queries of those who do are
+ *     rejected
  * @param killAfterMs when the process may be killed
  */
 record DrainSchedule(long serveNormallyMs, long rejectAfterMs, double killAfterMs) {
-    /** New connections may still come for 0.4 s, and be slow by as much again. */
+    /**
+     * How long after the signal requests may still come, in milliseconds: new connections for 400
+     * ms, and some of them slow.
+     */
     private static final long LATE_CONNECTION_MS = 700;
 
-    /** The signal may be taken up so late, and answers have to be written out. */
+    /** How long the signal may take to arrive and an answer to be written out, in milliseconds. */
     private static final double DELIVERY_MARGIN_MS = 300;
 
-    /** At once, for a gatherer that nobody asks any more. */
+    /** Ends at once, for a gatherer that nobody asks any more. */
     static final DrainSchedule IMMEDIATE = new DrainSchedule(1, 1, Double.POSITIVE_INFINITY);
 
     /**
@@ -31,7 +35,7 @@
                 killMs);
     }
 
-    /** The most time that a scan taken after so long may get. */
+    /** The most time that a query may get that is received so long after the signal. */
     double timeLeftMs(double passedMs) {
         return Math.max(0, killAfterMs - DELIVERY_MARGIN_MS - passedMs);
     }
--- a/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
+++ b/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
@@ -5,34 +5,35 @@
 import sprucehold.clients.ConnectionArrival;
 
 /**
- * The passes of the event loop over its sockets. In each pass the loop asks the system once which
- * sockets can be read, reads those, and then does the work that was handed to it. This class knows
- * when a pass has asked the system, and from that since when something that is read now may have
- * lain unread; a heartbeat keeps that knowledge fresh while nothing else happens, and tells
- * hold-ups of the process: a stopped process, a spent CPU quota, a long collection. Pure: timers
+ * Follows the passes of the event loop over its sockets, and its stalls. In each pass the loop asks
+ * the system once which sockets can be read, reads those, and then does the work that was handed to
+ * it. This class knows when a pass has asked the system, and from that since when something that is
+ * read now may have lain unread. A heartbeat keeps that knowledge fresh while nothing else happens,
+ * and shows stalls: a stopped process, a spent CPU quota, a long garbage collection. Pure: timers
  * and clock are handed in.
  */
 final class EventLoopMonitor {
     private static final Logger LOG = Logger.getLogger(EventLoopMonitor.class.getName());
 
     /**
-     * How old the knowledge of the last pass becomes at rest. With its fifty wake-ups a second an
-     * idle loop used 0.4% of a core.
+     * Interval of the heartbeat in milliseconds, and so the age that the knowledge of the last pass
+     * reaches at rest.
      */
     static final long HEARTBEAT_MS = 20;
 
     /**
-     * What sound passes and heartbeats stay under; an error of that size is a third of what may be
-     * told too much.
+     * Duration in milliseconds that usual passes and heartbeats stay under; a third of the time
+     * that an attempt may tell its shard server beyond what its client has left.
      */
     static final double NORMAL_PASS_MS = 50;
 
     /**
-     * A heartbeat that is so late is told of: a client's close then lies unread for as long as an
-     * attempt may follow it.
+     * A heartbeat that is late by so many milliseconds counts as a stall: a client's close then
+     * lies unread for as long as an attempt may follow it.
      */
     static final double STALL_MS = 100;
 
+    /** Stalls are logged no more often than this, in milliseconds. */
     private static final double STALL_LOG_INTERVAL_MS = 1000;
 
     /** Timers of the event loop. */
@@ -77,7 +78,7 @@
                     double lateMs = clock.getAsDouble() - from - HEARTBEAT_MS;
                     recordStall(lateMs);
                     if (lateMs > NORMAL_PASS_MS - HEARTBEAT_MS) {
-                        // Known anew at once: whoever asks right after a hold-up has not waited for
+                        // Known anew at once: whoever asks right after a stall has not waited for
                         // all of it.
                         afterNextPass(() -> {});
                     }
@@ -94,7 +95,7 @@
         double now = clock.getAsDouble();
         if (now - stallLoggedAtMs >= STALL_LOG_INTERVAL_MS) {
             stallLoggedAtMs = now;
-            LOG.info("the event loop was held up for " + Math.round(ms) + " ms; " + summary());
+            LOG.info("event loop stalled: duration_ms=" + Math.round(ms) + ", " + summary());
         }
     }
 
@@ -126,11 +127,12 @@
         return nowMs - since <= NORMAL_PASS_MS ? nowMs : since;
     }
 
-    /** How often and how long the loop was held up. */
+    /** How often and how long the loop stalled, as fields of a log line. */
     String summary() {
-        return stalls + " hold-ups, the longest " + Math.round(longestStallMs) + " ms";
+        return "stalls=" + stalls + ", longest_stall_ms=" + Math.round(longestStallMs);
     }
 
+    /** Ends the heartbeat. */
     void stop() {
         stopped = true;
     }
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
@@ -0,0 +1,122 @@
+package sprucehold.node;
+
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.util.logging.Logger;
+import sprucehold.clients.ClientServer;
+import sprucehold.coordinator.QueryCoordinator;
+
+/**
+ * How a gatherer ends. It drains as {@link DrainStateMachine} says, closes its listener and all
+ * client connections once nothing is owed to any client, then closes the admin server, the
+ * extensions, and what it follows.
+ */
+final class GracefulShutdown {
+    private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
+
+    private final Vertx vertx;
+    private final Clock clock;
+    private final QueryCoordinator coordinator;
+    private final ClientServer clients;
+    private final QueryIntake intake;
+    private final EndpointSource endpoints;
+    private final EventLoopMonitor monitor;
+    private final NodeExtensions extensions;
+    private final ConfigurationAdmin admin;
+    private final DrainStatus drain;
+    private Future<Void> ended;
+
+    /**
+     * Makes the shutdown of one gatherer.
+     *
+     * @param admin where configuration may change while serving, else null
+     */
+    GracefulShutdown(
+            Vertx vertx,
+            Clock clock,
+            QueryCoordinator coordinator,
+            ClientServer clients,
+            QueryIntake intake,
+            EndpointSource endpoints,
+            EventLoopMonitor monitor,
+            NodeExtensions extensions,
+            ConfigurationAdmin admin,
+            DrainStatus drain) {
+        this.vertx = vertx;
+        this.clock = clock;
+        this.coordinator = coordinator;
+        this.clients = clients;
+        this.intake = intake;
+        this.endpoints = endpoints;
+        this.monitor = monitor;
+        this.extensions = extensions;
+        this.admin = admin;
+        this.drain = drain;
+    }
+
+    /**
+     * Begins to end; a later call changes nothing and returns the same future.
+     *
+     * @param listening whether clients may have connected: else nothing is owed to anybody
+     */
+    Future<Void> start(DrainSchedule schedule, boolean listening) {
+        if (drain.started()) {
+            return ended;
+        }
+        LOG.info(
+                "draining: open_queries="
+                        + coordinator.openQueries()
+                        + ", client_connections="
+                        + clients.connections());
+        drain.start(schedule, clock.now());
+        if (admin != null) {
+            admin.ending();
+        }
+        ended =
+                (listening ? drain() : Future.<Void>succeededFuture())
+                        .compose(drained -> clients.close())
+                        .compose(closed -> closeAdmin())
+                        .compose(closed -> extensions.end())
+                        .map(
+                                closed -> {
+                                    stop();
+                                    return null;
+                                });
+        return ended;
+    }
+
+    /** Succeeds once nothing is owed to any client. */
+    private Future<Void> drain() {
+        DrainStateMachine.Phase phase = drain.advance(clock.now(), outstanding());
+        if (phase != DrainStateMachine.Phase.SERVING) {
+            clients.drain();
+            clients.closeIdle();
+        }
+        return phase == DrainStateMachine.Phase.COMPLETE
+                ? Future.succeededFuture()
+                : vertx.timer(drain.nextCheckMs(clock.now())).compose(waited -> drain());
+    }
+
+    private DrainStateMachine.Outstanding outstanding() {
+        return new DrainStateMachine.Outstanding(
+                intake.openQueries(), clients.underWay(), clients.arriving());
+    }
+
+    private Future<Void> closeAdmin() {
+        return admin == null ? Future.succeededFuture() : admin.close();
+    }
+
+    private void stop() {
+        endpoints.stop();
+        monitor.stop();
+        LOG.info(
+                "ended: queries_received="
+                        + intake.received()
+                        + ", open_queries="
+                        + coordinator.openQueries()
+                        + ", "
+                        + monitor.summary()
+                        + ", clients_gone_before_attempt="
+                        + clients.leftUnread());
+    }
+}
--- a/gatherer/src/main/java/sprucehold/node/JsonLogFormatter.java
+++ b/gatherer/src/main/java/sprucehold/node/JsonLogFormatter.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.io.StringWriter;
+import java.io.UncheckedIOException;
 import java.time.Instant;
 import java.util.Map;
 import java.util.logging.ConsoleHandler;
@@ -14,13 +15,13 @@
 import java.util.logging.Logger;
 
 /**
- * The log as JSON lines: time, level, logger, text, and as fields of their own whatever a line's
- * one parameter holds as a map. Jackson writes them; java.util.logging stays the way in.
+ * Formats log records as JSON lines: time, level, logger, text, and each entry of the map that is a
+ * record's one parameter as a field of its own.
  */
 public final class JsonLogFormatter extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Makes all that is logged from now on JSON lines. */
+    /** Makes all lines that are logged from now on JSON lines. */
     public static void enable() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
             handler.setFormatter(new JsonLogFormatter());
@@ -28,8 +29,8 @@
     }
 
     /**
-     * Logs a line for each scan taken, each dispatch that ends, and each scan that ends, with their
-     * ids as fields.
+     * Logs a line for each step of each query and its attempts from now on, with their ids as
+     * fields.
      */
     public static void enableQueryLog() {
         var handler = new ConsoleHandler();
@@ -60,7 +61,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("a string can't be written to", e);
+            throw new UncheckedIOException("a string can't be written to", e);
         }
         return text.append(System.lineSeparator()).toString();
     }
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -12,10 +12,15 @@
 import sprucehold.discovery.EndpointListReader;
 
 /**
- * What one gatherer is told at its start.
+ * The configuration of one gatherer, as it is read at its start.
  *
- * @param maxDescriptors how many descriptors the process may hold
- * @param knownEndpoints the list as it was last held
+ * @param name the gatherer's name in logs and among other gatherers
+ * @param listen where clients connect
+ * @param discovery where discovery is asked for the endpoint list
+ * @param seed of the decisions' random draws
+ * @param maxDescriptors how many file descriptors the process may hold
+ * @param knownEndpoints the endpoint list as it was last known, or null
+ * @param settings of the deployment
  */
 public record NodeConfig(
         String name,
@@ -26,12 +31,16 @@
         EndpointListReader knownEndpoints,
         DeploymentSettings settings) {
 
-    /** Where to listen or call. */
+    /**
+     * Where to listen or connect.
+     *
+     * @param host name or address; the path of a Unix domain socket if it begins with a slash
+     * @param port 0 for any free one
+     */
     public record Address(String host, int port) {
-        /** Nowhere. */
+        /** No address: there is nothing to connect to. */
         static final Address NONE = new Address("", 0);
 
-        /** A host that begins with a slash is the path of a socket. */
         SocketAddress socket() {
             return host.startsWith("/")
                     ? SocketAddress.domainSocketAddress(host)
@@ -56,57 +65,75 @@
     }
 
     /**
-     * Reads the file; what the environment names wins over it. Null or empty values are not given.
+     * Reads a configuration file. A name or address that is given as an argument wins over the
+     * file; null and empty ones count as not given.
+     *
+     * @throws InvalidSettingsException if the file's content can't be used
+     * @throws IOException if the file can't be read
      */
     public static NodeConfig read(Path file, String name, String listen, String discovery)
             throws IOException {
-        JsonNode node;
+        JsonNode node = parse(file);
+        DeploymentSettings settings = settings(node);
+        long seed = seed(node);
+        EndpointListReader knownEndpoints = knownEndpoints(node, settings);
+        return new NodeConfig(
+                givenOrFromFile(name, node.path("name")),
+                Address.parse(givenOrFromFile(listen, node.path("listen")), "listen"),
+                Address.parse(givenOrFromFile(discovery, node.path("discovery")), "discovery"),
+                seed,
+                node.path("limits").path("sockets").asInt(Integer.MAX_VALUE),
+                knownEndpoints,
+                settings);
+    }
+
+    private static JsonNode parse(Path file) throws IOException {
         try {
-            node = new ObjectMapper().readTree(Files.readAllBytes(file));
+            return new ObjectMapper().readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
             throw new InvalidSettingsException("not JSON: " + e.getOriginalMessage());
         }
+    }
+
+    private static DeploymentSettings settings(JsonNode node) throws InvalidSettingsException {
         if (!node.path("settings").isObject()) {
             throw new InvalidSettingsException("no settings");
         }
         DeploymentSettings settings = DeploymentSettings.checked(node.get("settings"));
         if (settings.deployment().queryClasses().stream()
-                .anyMatch(type -> type.secondStepParts() > 0)) {
+                .anyMatch(queryClass -> queryClass.secondStepParts() > 0)) {
             throw new InvalidSettingsException(
                     "table types of two steps can't be served by this protocol");
         }
-        long seed;
+        return settings;
+    }
+
+    private static long seed(JsonNode node) throws InvalidSettingsException {
         try {
-            seed = Long.parseUnsignedLong(node.path("seed").asText("0"), 16);
+            return Long.parseUnsignedLong(node.path("seed").asText("0"), 16);
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("seed must be hex digits");
         }
-        EndpointListReader known;
+    }
+
+    private static EndpointListReader knownEndpoints(JsonNode node, DeploymentSettings settings)
+            throws InvalidSettingsException {
+        if (!node.path("known").isObject()) {
+            return null;
+        }
         try {
-            known =
-                    node.path("known").isObject()
-                            ? EndpointListReader.decode(
-                                    node.get("known"),
-                                    settings.deployment().layout().replicaGroups())
-                            : null;
+            return EndpointListReader.decode(
+                    node.get("known"), settings.deployment().layout().replicaGroups());
         } catch (EndpointListReader.MalformedException e) {
             throw new InvalidSettingsException("known: " + e.getMessage());
         }
-        return new NodeConfig(
-                givenOrFromFile(name, node.path("name")),
-                Address.parse(givenOrFromFile(listen, node.path("listen")), "listen"),
-                Address.parse(givenOrFromFile(discovery, node.path("discovery")), "discovery"),
-                seed,
-                node.path("limits").path("sockets").asInt(Integer.MAX_VALUE),
-                known,
-                settings);
     }
 
     private static String givenOrFromFile(String given, JsonNode inFile) {
         return given == null || given.isEmpty() ? inFile.asText() : given;
     }
 
-    /** The facts that matter to an operator, in a line. */
+    /** What matters to an operator, in a line. */
     public String summary() {
         var deployment = settings.deployment();
         return "gatherer "
@@ -121,15 +148,15 @@
                 + discovery
                 + "; "
                 + settings.shards()
-                + " segments in "
+                + " shards in "
                 + deployment.layout().replicaGroups()
-                + " cells, "
+                + " replica groups, "
                 + deployment.queryClasses().size()
-                + " table types, "
+                + " query classes, "
                 + deployment.tenants().size()
-                + " customers; "
+                + " tenants; "
                 + (knownEndpoints == null
-                        ? "no list known"
+                        ? "no endpoints known"
                         : knownEndpoints.servers().size()
                                 + " shard servers known at index "
                                 + knownEndpoints.index());
--- a/gatherer/src/main/java/sprucehold/node/NodeExtension.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -11,50 +11,54 @@
 import sprucehold.decision.Command;
 
 /**
- * What stands beside a node: it hears what happens there, and may give the decisions typed values.
- * All calls come on the node's event loop, with the time of the node's clock; none may wait.
+ * An optional part of a gatherer: it hears what happens there, and may give the decision policy
+ * typed values. All calls come on the gatherer's event loop, with the time of the gatherer's clock
+ * in milliseconds; none may block.
  */
 public interface NodeExtension {
-    /** Makes one for a node that is about to start. */
+    /** Makes an extension for a gatherer that is about to start. */
     interface Factory {
         /**
-         * @throws IllegalArgumentException in one line if it doesn't fit the configuration
+         * Makes the extension of one gatherer.
+         *
+         * @throws StartFailedException in one line if the extension doesn't fit the configuration
          */
-        NodeExtension create(Vertx vertx, NodeConfig config, Clock clock);
+        NodeExtension create(Vertx vertx, NodeConfig config, Clock clock)
+                throws StartFailedException;
     }
 
-    /** By which it is asked for at the door. */
+    /** The key under which the admin server shows {@link #status}. */
     String name();
 
-    /** Begins; the node listens once this has succeeded. */
+    /** Starts the extension; the gatherer listens once this has succeeded. */
     Future<Void> start();
 
-    /** A scan was taken. */
+    /** A query was received. */
     void queryReceived(double nowMs, Query query);
 
-    /** Something was reported; the decisions hear of it later. */
+    /** Something was observed; the decision policy hears of it later. */
     void observed(double nowMs, Observation observation);
 
-    /** A dispatch is about to be written. */
+    /** An attempt is about to be written. */
     void attemptStarting(double nowMs, Attempt attempt);
 
     /**
-     * What the decisions are to know from this moment on, asked before each call of theirs; null if
-     * that is nothing new.
+     * What the decision policy is to know from this moment on, asked before each of its calls; null
+     * if there is nothing new.
      */
     ClusterView clusterView(double nowMs);
 
     /**
-     * The decisions take units of a shared bound.
+     * The decision policy consumes units of a shared limit.
      *
-     * @return whether what they are taken for may be written, to be asked right before that; null
-     *     if they are not to be had
+     * @return whether the attempt for which they are consumed may still be written, to be asked
+     *     right before its write; null if the units can't be had
      */
     BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use);
 
-    /** What operators may see of it, as a JSON object. */
+    /** What operators may see of the extension, as a JSON object. */
     JsonNode status();
 
-    /** The node has answered all it had taken, and ends. */
+    /** Ends the extension; the gatherer has answered all queries that it received. */
     Future<Void> end();
 }
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
@@ -0,0 +1,106 @@
+package sprucehold.node;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Supplier;
+import sprucehold.coordinator.Attempt;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.decision.ClusterView;
+import sprucehold.decision.Command;
+
+/** All extensions of one gatherer, called in the order of their configuration. */
+final class NodeExtensions {
+    /** A gatherer without extensions. */
+    static final NodeExtensions NONE = new NodeExtensions(List.of(), null);
+
+    private final List<NodeExtension> extensions;
+    private final Clock clock;
+
+    private NodeExtensions(List<NodeExtension> extensions, Clock clock) {
+        this.extensions = extensions;
+        this.clock = clock;
+    }
+
+    static NodeExtensions create(
+            List<NodeExtension.Factory> factories, Vertx vertx, NodeConfig config, Clock clock)
+            throws StartFailedException {
+        var extensions = new ArrayList<NodeExtension>();
+        for (NodeExtension.Factory factory : factories) {
+            extensions.add(factory.create(vertx, config, clock));
+        }
+        return new NodeExtensions(List.copyOf(extensions), clock);
+    }
+
+    /** Starts all; succeeds once all have started. */
+    Future<Void> start() {
+        return Future.all(extensions.stream().map(NodeExtension::start).toList()).mapEmpty();
+    }
+
+    /** Ends all; succeeds once all have ended, whether they failed or not. */
+    Future<Void> end() {
+        return Future.join(extensions.stream().map(NodeExtension::end).toList())
+                .<Void>mapEmpty()
+                .otherwiseEmpty();
+    }
+
+    void queryReceived(Query query) {
+        extensions.forEach(extension -> extension.queryReceived(clock.now(), query));
+    }
+
+    void observed(Observation observation) {
+        extensions.forEach(extension -> extension.observed(clock.now(), observation));
+    }
+
+    /** Gives the decisions what the extensions know by now. */
+    void updateClusterView(QueryCoordinator coordinator) {
+        for (NodeExtension extension : extensions) {
+            ClusterView view = extension.clusterView(clock.now());
+            if (view != null) {
+                coordinator.changeClusterView(view);
+            }
+        }
+    }
+
+    /** Consumes units for which nothing is sent. */
+    void consume(Command.ConsumeAllowance use) {
+        extensions.forEach(extension -> extension.consumeAllowance(clock.now(), use));
+    }
+
+    /**
+     * Consumes the units of shared limits that an attempt needs, and announces the attempt. Right
+     * before its write the attempt asks whether the units are still granted.
+     *
+     * @return false if units can't be had: the attempt mustn't be sent
+     */
+    boolean permit(Attempt attempt) {
+        var permissions = new ArrayList<BooleanSupplier>();
+        for (Command.ConsumeAllowance use : attempt.consumed()) {
+            extensions.forEach(
+                    extension -> permissions.add(extension.consumeAllowance(clock.now(), use)));
+        }
+        if (permissions.contains(null)) {
+            return false;
+        }
+        if (!permissions.isEmpty()) {
+            attempt.requirePermission(
+                    () -> permissions.stream().allMatch(BooleanSupplier::getAsBoolean));
+        }
+        extensions.forEach(extension -> extension.attemptStarting(clock.now(), attempt));
+        return true;
+    }
+
+    /** What operators may see of each extension, by its name. */
+    Map<String, Supplier<JsonNode>> statuses() {
+        var statuses = new LinkedHashMap<String, Supplier<JsonNode>>();
+        extensions.forEach(extension -> statuses.put(extension.name(), extension::status));
+        return statuses;
+    }
+}
--- /dev/null
+++ b/gatherer/src/main/java/sprucehold/node/QueryIntake.java
@@ -0,0 +1,142 @@
+package sprucehold.node;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import java.util.stream.Collectors;
+import sprucehold.clients.ConnectionArrival;
+import sprucehold.clients.QueryHandler;
+import sprucehold.coordinator.Answer;
+import sprucehold.coordinator.Commands;
+import sprucehold.coordinator.Observation;
+import sprucehold.coordinator.Query;
+import sprucehold.coordinator.QueryCoordinator;
+import sprucehold.decision.QueryClass;
+
+/** Takes queries from clients and hands them to the decisions, unless the gatherer is ending. */
+final class QueryIntake implements QueryHandler {
+    private final Clock clock;
+    private final QueryCoordinator coordinator;
+    private final DecisionLoop decisions;
+    private final EventLoopMonitor monitor;
+    private final EndpointSource endpoints;
+    private final DrainStatus drain;
+    private final NodeExtensions extensions;
+    private final ConfigurationAdmin admin;
+    private final Set<String> queryClasses;
+    private final Consumer<Observation> observer;
+    private final BiConsumer<Query, Answer> responder;
+
+    /** Ids of queries that wait for the decisions to be called with them. */
+    private final Set<String> waiting = new HashSet<>();
+
+    private long received;
+
+    /**
+     * Makes the intake of one gatherer.
+     *
+     * @param admin where configuration may change while serving, else null
+     * @param responder writes answers that need no decision
+     */
+    QueryIntake(
+            NodeConfig config,
+            Clock clock,
+            QueryCoordinator coordinator,
+            DecisionLoop decisions,
+            EventLoopMonitor monitor,
+            EndpointSource endpoints,
+            DrainStatus drain,
+            NodeExtensions extensions,
+            ConfigurationAdmin admin,
+            Consumer<Observation> observer,
+            BiConsumer<Query, Answer> responder) {
+        this.clock = clock;
+        this.coordinator = coordinator;
+        this.decisions = decisions;
+        this.monitor = monitor;
+        this.endpoints = endpoints;
+        this.drain = drain;
+        this.extensions = extensions;
+        this.admin = admin;
+        this.observer = observer;
+        this.responder = responder;
+        this.queryClasses =
+                config.settings().deployment().queryClasses().stream()
+                        .map(QueryClass::name)
+                        .collect(Collectors.toSet());
+    }
+
+    @Override
+    public boolean ready() {
+        return endpoints.received() && !drain.started();
+    }
+
+    @Override
+    public boolean isTableType(String name) {
+        return admin == null ? queryClasses.contains(name) : admin.isTableType(name);
+    }
+
+    @Override
+    public boolean isOpen(Query query) {
+        return waiting.contains(query.id()) || coordinator.isOpen(query);
+    }
+
+    @Override
+    public double unreadSince(double nowMs, ConnectionArrival arrival) {
+        return monitor.unreadSince(nowMs, arrival);
+    }
+
+    @Override
+    public void take(Query query) {
+        received++;
+        QueryLog.received(query);
+        if (drain.rejectsQueries()) {
+            responder.accept(query, new Answer.Rejected(0));
+            return;
+        }
+        double drainTimeLeftMs = drain.timeLeftMs(clock.now());
+        waiting.add(query.id());
+        extensions.queryReceived(query);
+        if (admin != null) {
+            admin.taken(query);
+        }
+        double receivedAtMs = clock.now();
+        decisions.call(() -> submit(query, drainTimeLeftMs, receivedAtMs));
+    }
+
+    /**
+     * A client that left meanwhile gets no work done, and what has passed meanwhile is no longer
+     * left to the client.
+     */
+    private Commands submit(Query query, double drainTimeLeftMs, double receivedAtMs) {
+        double nowMs = clock.now();
+        if (!waiting.remove(query.id())) {
+            return coordinator.observe(nowMs, List.of());
+        }
+        double timeLeftMs = Math.min(drainTimeLeftMs, query.timeLeftMs());
+        return coordinator.submit(nowMs, query, timeLeftMs - (nowMs - receivedAtMs));
+    }
+
+    @Override
+    public void left(Query query) {
+        QueryLog.clientDisconnected(query);
+        if (admin != null) {
+            admin.left(query);
+        }
+        if (!waiting.remove(query.id())) {
+            observer.accept(new Observation.ClientDisconnected(query));
+        }
+    }
+
+    /** How many queries have no final answer. */
+    int openQueries() {
+        return coordinator.openQueries() + waiting.size();
+    }
+
+    /** How many queries were received, also those that were rejected. */
+    long received() {
+        return received;
+    }
+}
--- a/gatherer/src/main/java/sprucehold/node/QueryLog.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryLog.java
@@ -11,10 +11,31 @@
 import sprucehold.coordinator.Commands;
 import sprucehold.coordinator.Observation;
 import sprucehold.coordinator.Query;
+import sprucehold.coordinator.WriteProgress;
 
 /**
- * What becomes of each scan, a line for each step; off unless switched on. With it one scan's id is
- * followed through the logs of all gatherers that it came to, and losses are added up by cause.
+ * Logs each step of each query; off unless enabled. With it one query's id is followed through the
+ * logs of all gatherers that received it, and losses are added up by cause.
+ *
+ * <p>Programs read these lines, so their texts, keys and values keep the names that they have
+ * always had. This class maps our terms to them:
+ *
+ * <table>
+ * <caption>Names in the log</caption>
+ * <tr><th>log</th><th>our term</th></tr>
+ * <tr><td>{@code scan}</td><td>{@link Query#id}</td></tr>
+ * <tr><td>{@code table_type}</td><td>{@link Query#queryClass}</td></tr>
+ * <tr><td>{@code customer}</td><td>{@link Query#tenant}</td></tr>
+ * <tr><td>{@code segment}</td><td>{@link Attempt#shard}</td></tr>
+ * <tr><td>{@code told_ms}</td><td>{@link Attempt#timeLeftMs}, as the shard server is told</td></tr>
+ * <tr><td>{@code whole}, {@code part}</td><td>{@link Answer.Completed}, complete or not</td></tr>
+ * <tr><td>{@code throttled}</td><td>{@link Answer.Rejected}</td></tr>
+ * <tr><td>{@code abandoned}</td><td>{@link Answer.Failed}</td></tr>
+ * <tr><td>{@code faulty}</td><td>{@link AttemptResult.Failed}</td></tr>
+ * <tr><td>{@code turned away}</td><td>{@link AttemptResult.Rejected}</td></tr>
+ * <tr><td>{@code lost}</td><td>{@link AttemptResult.ConnectionLost}</td></tr>
+ * <tr><td>{@code called off}</td><td>{@link AttemptResult.Cancelled}</td></tr>
+ * </table>
  */
 final class QueryLog {
     private static final Logger LOG = Logger.getLogger("sprucehold.scans");
@@ -25,120 +46,117 @@
 
     private QueryLog() {}
 
-    /** Switches it on; where the level above is off, as during the warm-up, it stays silent. */
+    /** Enables it; where the level above is off, as during the warm-up, it stays silent. */
     static void enable(Handler handler) {
         LOG.setLevel(null);
         LOG.addHandler(handler);
         LOG.setUseParentHandlers(false);
     }
 
+    /** A query was received. */
     static void received(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
-            log(
-                    "a scan is taken",
-                    fields(
-                            query,
-                            "time_left_ms",
-                            query.timeLeftMs(),
-                            "parts",
-                            query.parts().size()));
+            new Line("a scan is taken", query)
+                    .with("time_left_ms", query.timeLeftMs())
+                    .with("parts", query.parts().size())
+                    .log();
         }
     }
 
+    /** Something was observed; the ends of attempts are logged. */
     static void observed(Observation observation, double nowMs) {
-        if (!LOG.isLoggable(Level.INFO)) {
-            return;
-        }
-        if (observation instanceof Observation.AttemptEnded ended) {
-            var attempt = ended.attempt();
-            log(
-                    "a dispatch has ended",
-                    fields(
-                            attempt.query(),
-                            "segment",
-                            attempt.shard(),
-                            "server",
-                            attempt.server().name(),
-                            "outcome",
-                            outcomeText(ended.result()),
-                            "took_ms",
-                            rounded(attempt.ageMs(nowMs))));
+        if (LOG.isLoggable(Level.INFO) && observation instanceof Observation.AttemptEnded ended) {
+            Attempt attempt = ended.attempt();
+            new Line("a dispatch has ended", attempt.query())
+                    .with("segment", attempt.shard())
+                    .with("server", attempt.server().name())
+                    .with("outcome", outcome(ended.result()))
+                    .with("took_ms", rounded(attempt.ageMs(nowMs)))
+                    .log();
         }
     }
 
-    /** A client's close was read, by the loop's pass or right before an attempt. */
+    /** A client's close was read, by the event loop's pass or right before an attempt. */
     static void clientDisconnected(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
-            log("a client has left", fields(query));
+            new Line("a client has left", query).log();
         }
     }
 
-    /** An attempt is written now; {@code waited_ms} counts from when the decisions wanted it. */
+    /** An attempt is written now; {@code waited_ms} counts from when it was commanded. */
     static void attemptStarting(Attempt attempt, double nowMs) {
         if (LOG.isLoggable(Level.INFO)) {
-            log(
-                    "an attempt begins",
-                    fields(
-                            attempt.query(),
-                            "segment",
-                            attempt.shard(),
-                            "number",
-                            attempt.number(),
-                            "server",
-                            attempt.server().name(),
-                            "reason",
-                            attempt.reason().storedName(),
-                            "waited_ms",
-                            rounded(attempt.ageMs(nowMs)),
-                            "told_ms",
-                            rounded(attempt.timeLeftMs(nowMs))));
+            new Line("an attempt begins", attempt.query())
+                    .with("segment", attempt.shard())
+                    .with("number", attempt.number())
+                    .with("server", attempt.server().name())
+                    .with("reason", attempt.reason().storedName())
+                    .with("waited_ms", rounded(attempt.ageMs(nowMs)))
+                    .with("told_ms", rounded(attempt.timeLeftMs(nowMs)))
+                    .log();
         }
     }
 
+    /** A query has its final answer. */
     static void answered(Commands.Reply reply) {
         if (LOG.isLoggable(Level.INFO)) {
-            String outcome =
-                    reply.answer() instanceof Answer.Completed completed
-                            ? completed.complete() ? "whole" : "part"
-                            : reply.answer() instanceof Answer.Rejected ? "throttled" : "abandoned";
-            log(
-                    "a scan has ended",
-                    fields(
-                            reply.query(),
-                            "outcome",
-                            outcome,
-                            "reason",
-                            reply.reason().storedName()));
+            new Line("a scan has ended", reply.query())
+                    .with("outcome", outcome(reply.answer()))
+                    .with("reason", reply.reason().storedName())
+                    .log();
+        }
+    }
+
+    private static String outcome(Answer answer) {
+        if (answer instanceof Answer.Completed completed) {
+            return completed.complete() ? "whole" : "part";
         }
+        return answer instanceof Answer.Rejected ? "throttled" : "abandoned";
     }
 
-    private static String outcomeText(AttemptResult result) {
+    private static String outcome(AttemptResult result) {
         if (result instanceof AttemptResult.ConnectionLost lost) {
-            return "lost " + lost.progress();
-        } else if (result instanceof AttemptResult.Cancelled off) {
-            return "called off " + off.progress();
+            return "lost " + text(lost.progress());
+        } else if (result instanceof AttemptResult.Cancelled cancelled) {
+            return "called off " + text(cancelled.progress());
+        } else if (result instanceof AttemptResult.Completed) {
+            return "completed";
         }
-        return result instanceof AttemptResult.Completed
-                ? "completed"
-                : result instanceof AttemptResult.Failed ? "faulty" : "turned away";
+        return result instanceof AttemptResult.Failed ? "faulty" : "turned away";
+    }
+
+    private static String text(WriteProgress progress) {
+        return switch (progress) {
+            case NOT_WRITTEN -> "NOT_WRITTEN";
+            case PARTLY_WRITTEN -> "PARTLY_WRITTEN";
+            case WRITTEN -> "WRITTEN";
+        };
     }
 
+    /** To a tenth of a millisecond. */
     private static double rounded(double ms) {
         return Math.round(ms * 10) / 10.0;
     }
 
-    private static void log(String text, Map<String, Object> fields) {
-        LOG.log(Level.INFO, text, new Object[] {fields});
-    }
+    /** A line with its structured fields in the order in which they are added. */
+    private static final class Line {
+        private final String text;
+        private final Map<String, Object> fields = new LinkedHashMap<>();
+
+        Line(String text, Query query) {
+            this.text = text;
+            with("scan", query.id());
+            with("table_type", query.queryClass());
+            with("customer", query.tenant());
+        }
+
+        Line with(String key, Object value) {
+            fields.put(key, value);
+            return this;
+        }
 
-    private static Map<String, Object> fields(Query query, Object... more) {
-        var fields = new LinkedHashMap<String, Object>();
-        fields.put("scan", query.id());
-        fields.put("table_type", query.queryClass());
-        fields.put("customer", query.tenant());
-        for (int i = 0; i < more.length; i += 2) {
-            fields.put((String) more[i], more[i + 1]);
+        void log() {
+            LOG.log(Level.INFO, text, new Object[] {fields});
         }
-        return fields;
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/Signals.java
+++ b/gatherer/src/main/java/sprucehold/node/Signals.java
@@ -3,7 +3,7 @@
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
 
-/** Signals that the JVM would end on. */
+/** Handlers of signals that would end the JVM otherwise. */
 final class Signals {
     private Signals() {}
 
--- a/gatherer/src/main/java/sprucehold/node/SmokeTest.java
+++ b/gatherer/src/main/java/sprucehold/node/SmokeTest.java
@@ -4,6 +4,7 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpClient;
+import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpMethod;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
@@ -15,120 +16,133 @@
 import sprucehold.standin.StandIns;
 
 /**
- * Starts a gatherer among stand-ins on free ports of this machine and asks it for a scan of each
- * table type.
+ * Starts a gatherer among stubs on free ports of this machine and asks it one query of each query
+ * class.
  */
 public final class SmokeTest {
     private static final String HOST = "127.0.0.1";
+    private static final long TIMEOUT_S = 20;
+    private static final long READY_CHECK_INTERVAL_MS = 10;
+    private static final int QUERY_TIMEOUT_MS = 5000;
+    private static final String QUERY_BODY =
+            "{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c41e77d0\"}";
+    private static final int HTTP_OK = 200;
 
-    private SmokeTest() {}
+    private final Vertx vertx;
+    private final NodeConfig config;
+    private final Consumer<String> report;
 
-    /** Returns whether each scan was answered whole; {@code line} takes what happened. */
+    private SmokeTest(Vertx vertx, NodeConfig config, Consumer<String> report) {
+        this.vertx = vertx;
+        this.config = config;
+        this.report = report;
+    }
+
+    /**
+     * Runs the test and returns whether each query was completed.
+     *
+     * @param report takes a line on each answer
+     * @throws StartFailedException if the gatherer or a stub can't be started, or time runs out
+     */
     public static boolean run(
-            NodeConfig config, DecisionPolicy.Factory factory, Consumer<String> line)
-            throws Service.StartFailedException {
-        if (config.knownEndpoints() == null) {
-            throw new Service.StartFailedException("no known list to stand in for");
-        }
-        WarmUp.run(config, factory);
+            NodeConfig config, DecisionPolicy.Factory policyFactory, Consumer<String> report)
+            throws StartFailedException {
+        Service.requireKnownEndpoints(config);
+        WarmUp.run(config, policyFactory);
         // Both ways of warming up, whichever the platform will grant: the archive of loaded classes
         // is made of this run.
-        StubWarmUp.run(config, factory);
+        StubWarmUp.run(config, policyFactory);
         Vertx vertx = Service.vertx();
+        var test = new SmokeTest(vertx, config, report);
         var done = new CompletableFuture<Boolean>();
         vertx.runOnContext(
                 none ->
-                        StandIns.start(vertx, HOST, 0, config.knownEndpoints().servers(), true)
-                                .compose(
-                                        discovery -> {
-                                            // Begun without a list, so that the whole one is asked
-                                            // for.
-                                            var moved =
-                                                    new NodeConfig(
-                                                            config.name(),
-                                                            new NodeConfig.Address(HOST, 0),
-                                                            new NodeConfig.Address(HOST, discovery),
-                                                            config.seed(),
-                                                            config.maxDescriptors(),
-                                                            null,
-                                                            config.settings());
-                                            var node = new GathererNode(vertx, moved, factory);
-                                            return node.start()
-                                                    .compose(
-                                                            port ->
-                                                                    whenReady(vertx, node)
-                                                                            .compose(
-                                                                                    ready ->
-                                                                                            ask(
-                                                                                                    vertx,
-                                                                                                    config,
-                                                                                                    port,
-                                                                                                    line)))
-                                                    .compose(
-                                                            whole ->
-                                                                    node.end(
-                                                                                    DrainSchedule
-                                                                                            .IMMEDIATE)
-                                                                            .map(whole));
-                                        })
+                        test.run(policyFactory)
                                 .onComplete(done::complete, done::completeExceptionally));
         try {
-            return done.get(20, TimeUnit.SECONDS);
+            return done.get(TIMEOUT_S, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new Service.StartFailedException(String.valueOf(e.getMessage()));
+            throw new StartFailedException(String.valueOf(e.getMessage()), e);
         } catch (InterruptedException e) {
-            throw new Service.StartFailedException("interrupted");
+            throw new StartFailedException("interrupted", e);
         } finally {
             vertx.close();
         }
     }
 
-    private static Future<Void> whenReady(Vertx vertx, GathererNode node) {
+    private Future<Boolean> run(DecisionPolicy.Factory policyFactory) {
+        return StandIns.start(vertx, HOST, 0, config.knownEndpoints().servers(), true)
+                .compose(
+                        discovery -> {
+                            var node = new GathererNode(vertx, configAt(discovery), policyFactory);
+                            return node.start()
+                                    .compose(port -> whenReady(node).compose(ready -> ask(port)))
+                                    .compose(
+                                            completed ->
+                                                    node.end(DrainSchedule.IMMEDIATE)
+                                                            .map(completed));
+                        });
+    }
+
+    /** Without a known endpoint list, so that discovery is asked for the complete one. */
+    private NodeConfig configAt(int discoveryPort) {
+        return new NodeConfig(
+                config.name(),
+                new NodeConfig.Address(HOST, 0),
+                new NodeConfig.Address(HOST, discoveryPort),
+                config.seed(),
+                config.maxDescriptors(),
+                null,
+                config.settings());
+    }
+
+    private Future<Void> whenReady(GathererNode node) {
         return node.ready()
                 ? Future.succeededFuture()
-                : vertx.timer(10).compose(waited -> whenReady(vertx, node));
+                : vertx.timer(READY_CHECK_INTERVAL_MS).compose(waited -> whenReady(node));
     }
 
-    private static Future<Boolean> ask(
-            Vertx vertx, NodeConfig config, int port, Consumer<String> line) {
+    /** Asks one query after the other; returns whether all were completed. */
+    private Future<Boolean> ask(int port) {
         HttpClient client = vertx.createHttpClient();
-        Future<Boolean> whole = Future.succeededFuture(true);
+        Future<Boolean> completed = Future.succeededFuture(true);
         int number = 0;
-        for (QueryClass type : config.settings().deployment().queryClasses()) {
+        for (QueryClass queryClass : config.settings().deployment().queryClasses()) {
             String id = "rehearsal-" + number++;
-            whole =
-                    whole.compose(
+            String name = queryClass.name();
+            completed =
+                    completed.compose(
                             before ->
-                                    client.request(HttpMethod.POST, port, HOST, "/" + type.name())
-                                            .compose(
-                                                    request ->
-                                                            request.putHeader("X-Request-Id", id)
-                                                                    .putHeader(
-                                                                            "X-Class", type.name())
-                                                                    .putHeader(
-                                                                            "X-Deadline-Ms", "5000")
-                                                                    .send(
-                                                                            Buffer.buffer(
-                                                                                    "{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c41e77d0\"}")))
-                                            .compose(
-                                                    response ->
-                                                            response.body()
-                                                                    .map(
-                                                                            body -> {
-                                                                                line.accept(
-                                                                                        type.name()
-                                                                                                + ": "
-                                                                                                + response
-                                                                                                        .statusCode()
-                                                                                                + " "
-                                                                                                + body.toString()
-                                                                                                        .strip());
-                                                                                return before
-                                                                                        && response
-                                                                                                        .statusCode()
-                                                                                                == 200;
-                                                                            })));
+                                    send(client, port, id, name)
+                                            .compose(response -> report(name, response))
+                                            .map(ok -> before && ok));
         }
-        return whole;
+        return completed;
+    }
+
+    private static Future<HttpClientResponse> send(
+            HttpClient client, int port, String id, String queryClass) {
+        return client.request(HttpMethod.POST, port, HOST, "/" + queryClass)
+                .compose(
+                        request ->
+                                request.putHeader("X-Request-Id", id)
+                                        .putHeader("X-Class", queryClass)
+                                        .putHeader(
+                                                "X-Deadline-Ms", String.valueOf(QUERY_TIMEOUT_MS))
+                                        .send(Buffer.buffer(QUERY_BODY)));
+    }
+
+    private Future<Boolean> report(String queryClass, HttpClientResponse response) {
+        return response.body()
+                .map(
+                        body -> {
+                            report.accept(
+                                    queryClass
+                                            + ": "
+                                            + response.statusCode()
+                                            + " "
+                                            + body.toString().strip());
+                            return response.statusCode() == HTTP_OK;
+                        });
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -1,6 +1,5 @@
 package sprucehold.node;
 
-import java.util.ArrayList;
 import java.util.List;
 import sprucehold.clients.StubClient;
 import sprucehold.coordinator.Commands;
@@ -12,69 +11,75 @@
 import sprucehold.shards.StubShardServers;
 
 /**
- * Runs scans through decisions and codecs without any socket, on a clock of its own. For platforms
- * that grant a process no sockets within itself: there the first scan after a start, interpreted,
- * held the loop for half a second, and others were answered late.
+ * Runs queries through decisions and codecs without any socket, on a clock of its own. For
+ * platforms that grant a process no sockets within itself: there the first query after a start
+ * would run interpreted and hold up the event loop.
  */
 final class StubWarmUp {
-    /**
-     * Two wide scans make two hundred parts, after which most of what is called for each is
-     * compiled; more starts later.
-     */
+    /** Most of what is called for each part is compiled after the parts of two wide queries. */
     private static final int QUERIES = 3;
 
-    /** The widest scans that are rehearsed. */
     private static final int MAX_PARTS = 100;
+    private static final int FEW_PARTS = 5;
 
-    private StubWarmUp() {}
+    /** A query that takes longer than so many steps is left without an answer. */
+    private static final int MAX_STEPS = 8;
 
-    /** Returns how many scans were answered. */
-    static int run(NodeConfig config, DecisionPolicy.Factory factory) {
+    /** Simulated time from sending attempts to their answers, in milliseconds. */
+    private static final double STEP_MS = 20;
+
+    private final QueryCoordinator coordinator;
+    private final StubClient clients;
+    private final StubShardServers servers = new StubShardServers();
+    private final WarmUpQueries queries;
+    private double nowMs = 1;
+    private int answered;
+
+    private StubWarmUp(NodeConfig config, DecisionPolicy.Factory policyFactory) {
         Deployment deployment = config.settings().deployment();
-        var coordinator =
-                new QueryCoordinator(factory.start(config.seed(), deployment), deployment);
-        var clients = new StubClient(config.settings().shards());
-        var servers = new StubShardServers();
-        var scans = new WarmUpQueries(config);
-        var list = new ArrayList<EndpointUpdate>();
-        for (int cell = 0; cell < deployment.layout().replicaGroups(); cell++) {
-            for (String holder : List.of("a", "b")) {
-                list.add(
-                        new EndpointUpdate(
-                                holder + cell,
-                                "127.0.0.1:1",
-                                cell,
-                                deployment.zone(),
-                                0,
-                                EndpointUpdate.State.RUNNING));
-            }
-        }
-        double now = 1;
-        int answered =
-                writeAnswers(
-                        coordinator.observe(
-                                now, List.of(new Observation.EndpointsUpdated(true, list))),
-                        clients);
+        this.coordinator =
+                new QueryCoordinator(policyFactory.start(config.seed(), deployment), deployment);
+        this.clients = new StubClient(config.settings().shards());
+        this.queries = new WarmUpQueries(config);
+    }
+
+    /** Returns how many queries were answered. */
+    static int run(NodeConfig config, DecisionPolicy.Factory policyFactory) {
+        var warmUp = new StubWarmUp(config, policyFactory);
+        warmUp.receive(endpoints(config.settings().deployment()));
         for (int i = 0; i < QUERIES; i++) {
-            Commands commands =
-                    coordinator.submit(now, clients.read(scans.next(i % 2 == 0 ? MAX_PARTS : 5)));
-            answered += writeAnswers(commands, clients);
-            // A scan that takes longer than so many rounds is left to its time.
-            for (int round = 0; round < 8 && coordinator.openQueries() > 0; round++) {
-                now += 20;
-                List<Observation> reports = servers.answered(commands.send(), now);
-                commands =
-                        reports.isEmpty()
-                                ? coordinator.tick(now)
-                                : coordinator.observe(now, reports);
-                answered += writeAnswers(commands, clients);
-            }
+            warmUp.runQuery(i % 2 == 0 ? MAX_PARTS : FEW_PARTS);
+        }
+        return warmUp.answered;
+    }
+
+    private static List<EndpointUpdate> endpoints(Deployment deployment) {
+        return WarmUpQueries.endpoints(
+                deployment.layout().replicaGroups(), "127.0.0.1:1", deployment.zone());
+    }
+
+    private void receive(List<EndpointUpdate> endpoints) {
+        write(
+                coordinator.observe(
+                        nowMs, List.of(new Observation.EndpointsUpdated(true, endpoints))));
+    }
+
+    private void runQuery(int maxParts) {
+        Commands commands = coordinator.submit(nowMs, clients.read(queries.next(maxParts)));
+        write(commands);
+        for (int step = 0; step < MAX_STEPS && coordinator.openQueries() > 0; step++) {
+            nowMs += STEP_MS;
+            List<Observation> observations = servers.answered(commands.send(), nowMs);
+            commands =
+                    observations.isEmpty()
+                            ? coordinator.tick(nowMs)
+                            : coordinator.observe(nowMs, observations);
+            write(commands);
         }
-        return answered;
     }
 
-    private static int writeAnswers(Commands commands, StubClient clients) {
+    private void write(Commands commands) {
         commands.replies().forEach(reply -> clients.write(reply.answer()));
-        return commands.replies().size();
+        answered += commands.replies().size();
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -20,14 +20,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.discovery.EndpointListReader;
 import sprucehold.standin.StandIns;
 
 /**
- * Runs scans through a gatherer of its own before the real one listens, so that what serving needs
- * is loaded and compiled by then: a JVM that begins under load with a part of a core answers
+ * Runs queries through a gatherer of its own before the real one listens, so that what serving
+ * needs is loaded and compiled by then: a JVM that begins under load with a part of a core answers
  * nothing in time for seconds. All stays within the process: its sockets are files in a directory
  * that nobody else knows, and go with it. Where such sockets aren't granted, {@link StubWarmUp}
  * does what goes without.
@@ -35,20 +34,23 @@
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
-    /** Most of what a scan runs is compiled by then. */
+    /** Most of what a query runs is compiled after so many. */
     private static final int MAX_QUERIES = 300;
 
-    /** Whoever waits for this gatherer waits no longer for it. */
+    /** Whoever waits for this gatherer to start waits no longer than this for its warm-up. */
     private static final long TIMEOUT_MS = 6000;
 
     private static final int CLIENTS = 4;
 
     /**
-     * Whoever finds a gatherer back after a restart comes on a new connection, so those are
-     * rehearsed as well.
+     * After a restart clients come on new connections, so opening connections is warmed up as well.
      */
     private static final int QUERIES_PER_CONNECTION = 3;
 
+    private static final int MAX_PARTS = 6;
+    private static final String CLIENT_SOCKET = "clients";
+    private static final String SHARD_SOCKET = "shards";
+
     private final Vertx vertx = Service.vertx();
     private final NodeConfig config;
     private final WarmUpQueries queries;
@@ -59,26 +61,25 @@
     }
 
     /** Returns when it is done; whatever goes wrong, only the time is lost. */
-    static void run(NodeConfig config, DecisionPolicy.Factory factory) {
-        // What is tried here is no news to operators.
+    static void run(NodeConfig config, DecisionPolicy.Factory policyFactory) {
+        // What happens within the warm-up is no news to operators.
         Logger all = Logger.getLogger("sprucehold");
         all.setLevel(Level.OFF);
-        long begun = System.nanoTime();
-        int scans = 0;
+        long startedNanos = System.nanoTime();
+        int queries = 0;
         try {
-            scans = unixSocketsGranted() ? overSockets(config, factory) : 0;
-            scans = scans > 0 ? scans : StubWarmUp.run(config, factory);
+            queries = unixSocketsGranted() ? overSockets(config, policyFactory) : 0;
+            queries = queries > 0 ? queries : StubWarmUp.run(config, policyFactory);
         } catch (RuntimeException e) {
-            // Served cold then.
+            // The gatherer starts without the rest of its warm-up, and the line below says so.
         } finally {
             all.setLevel(null);
         }
         LOG.info(
-                "warmed up by "
-                        + scans
-                        + " scans in "
-                        + (System.nanoTime() - begun) / 1_000_000
-                        + " ms");
+                "warmed up: queries="
+                        + queries
+                        + ", duration_ms="
+                        + (System.nanoTime() - startedNanos) / 1_000_000);
     }
 
     /** Whether sockets that stay within the process are granted. */
@@ -90,17 +91,17 @@
         }
     }
 
-    private static int overSockets(NodeConfig config, DecisionPolicy.Factory factory) {
+    private static int overSockets(NodeConfig config, DecisionPolicy.Factory policyFactory) {
         Path directory = null;
         var warmUp = new WarmUp(config);
         try {
             directory = Files.createTempDirectory("warm-up");
-            warmUp.start(directory, factory)
+            warmUp.start(directory, policyFactory)
                     .toCompletionStage()
                     .toCompletableFuture()
                     .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (IOException | ExecutionException | TimeoutException e) {
-            // Served cold then.
+            // What was asked until then counts.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -114,87 +115,91 @@
         if (directory == null) {
             return;
         }
-        for (String name : List.of("clients", "shards", "")) {
+        for (String name : List.of(CLIENT_SOCKET, SHARD_SOCKET, "")) {
             try {
                 Files.deleteIfExists(directory.resolve(name));
             } catch (IOException e) {
-                LOG.log(Level.FINE, "left of the warm-up", e);
+                LOG.log(Level.FINE, "warm-up files not removed", e);
             }
         }
     }
 
-    private Future<Void> start(Path directory, DecisionPolicy.Factory factory) {
-        String shards = directory.resolve("shards").toString();
-        var servers = new ArrayList<EndpointUpdate>();
-        for (int cell = 0; cell < config.settings().deployment().layout().replicaGroups(); cell++) {
-            for (String holder : List.of("a", "b")) {
-                servers.add(
-                        new EndpointUpdate(
-                                holder + cell, shards, cell, "", 0, EndpointUpdate.State.RUNNING));
-            }
-        }
-        var clients = new NodeConfig.Address(directory.resolve("clients").toString(), 0);
-        var warm =
-                new NodeConfig(
-                        config.name(),
-                        clients,
-                        NodeConfig.Address.NONE,
-                        config.seed(),
-                        config.maxDescriptors(),
-                        new EndpointListReader(0, true, servers),
-                        config.settings());
+    private Future<Void> start(Path directory, DecisionPolicy.Factory policyFactory) {
+        String shardSocket = directory.resolve(SHARD_SOCKET).toString();
+        var listen = new NodeConfig.Address(directory.resolve(CLIENT_SOCKET).toString(), 0);
+        NodeConfig warmUpConfig = configAt(listen, shardSocket);
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(
                 none ->
-                        StandIns.shardServer(vertx, shards)
-                                .compose(
-                                        listening -> new GathererNode(vertx, warm, factory).start())
+                        StandIns.shardServer(vertx, shardSocket)
                                 .compose(
-                                        listening -> {
-                                            var asking = new ArrayList<Future<Void>>();
-                                            for (int i = 0; i < CLIENTS; i++) {
-                                                asking.add(
-                                                        ask(
-                                                                vertx.createNetClient(),
-                                                                clients.socket()));
-                                            }
-                                            return Future.all(asking);
-                                        })
+                                        listening ->
+                                                new GathererNode(vertx, warmUpConfig, policyFactory)
+                                                        .start())
+                                .compose(listening -> runClients(listen.socket()))
                                 .onComplete(all -> done.complete(), done::fail));
         return done.future();
     }
 
-    /** Asks one scan after the other, some on each connection. */
-    private Future<Void> ask(NetClient client, SocketAddress at) {
+    private NodeConfig configAt(NodeConfig.Address listen, String shardSocket) {
+        int replicaGroups = config.settings().deployment().layout().replicaGroups();
+        var endpoints =
+                new EndpointListReader(
+                        0, true, WarmUpQueries.endpoints(replicaGroups, shardSocket, ""));
+        return new NodeConfig(
+                config.name(),
+                listen,
+                NodeConfig.Address.NONE,
+                config.seed(),
+                config.maxDescriptors(),
+                endpoints,
+                config.settings());
+    }
+
+    private Future<Void> runClients(SocketAddress server) {
+        var clients = new ArrayList<Future<Void>>();
+        for (int i = 0; i < CLIENTS; i++) {
+            clients.add(runClient(vertx.createNetClient(), server));
+        }
+        return Future.all(clients).mapEmpty();
+    }
+
+    /** Asks one query after the other, some on each connection. */
+    private Future<Void> runClient(NetClient client, SocketAddress server) {
         if (queries.count() >= MAX_QUERIES) {
             return Future.succeededFuture();
         }
-        return client.connect(at)
-                .compose(
-                        socket -> {
-                            Promise<Void> done = Promise.promise();
-                            var answers = new AtomicInteger();
-                            socket.closeHandler(none -> done.tryComplete());
-                            socket.handler(
-                                    bytes -> {
-                                        // The end of an answer's body, completed or not.
-                                        byte last = bytes.getByte(bytes.length() - 1);
-                                        if (last != '}' && last != '\n') {
-                                            return;
-                                        }
-                                        if (answers.incrementAndGet() == QUERIES_PER_CONNECTION) {
-                                            socket.close();
-                                        } else {
-                                            next(socket);
-                                        }
-                                    });
-                            next(socket);
-                            return done.future();
-                        })
-                .compose(closed -> ask(client, at));
+        return client.connect(server)
+                .compose(this::runConnection)
+                .compose(closed -> runClient(client, server));
+    }
+
+    private Future<Void> runConnection(NetSocket socket) {
+        Promise<Void> closed = Promise.promise();
+        var answers = new AtomicInteger();
+        socket.closeHandler(none -> closed.tryComplete());
+        socket.handler(
+                bytes -> {
+                    if (!endsAnswer(bytes)) {
+                        return;
+                    }
+                    if (answers.incrementAndGet() == QUERIES_PER_CONNECTION) {
+                        socket.close();
+                    } else {
+                        ask(socket);
+                    }
+                });
+        ask(socket);
+        return closed.future();
+    }
+
+    /** Whether the last byte is the end of an answer's body, completed or not. */
+    private static boolean endsAnswer(Buffer bytes) {
+        byte last = bytes.getByte(bytes.length() - 1);
+        return last == '}' || last == '\n';
     }
 
-    private void next(NetSocket socket) {
-        socket.write(Buffer.buffer(queries.next(1 + queries.count() % 6)));
+    private void ask(NetSocket socket) {
+        socket.write(Buffer.buffer(queries.next(1 + queries.count() % MAX_PARTS)));
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
@@ -1,9 +1,14 @@
 package sprucehold.node;
 
+import java.util.ArrayList;
 import java.util.List;
+import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.decision.QueryClass;
 
-/** The scans that a warm-up asks, over whatever way it has. */
+/**
+ * The queries of a warm-up, as the HTTP requests that a client would send, and the shard servers
+ * that they go to.
+ */
 final class WarmUpQueries {
     private final NodeConfig config;
     private int count;
@@ -12,37 +17,54 @@
         this.config = config;
     }
 
-    /**
-     * The next request, as a client sends it, for so many parts at most; table types take turns.
-     */
-    String next(int mostParts) {
+    /** The next request, for so many parts at most; query classes take turns. */
+    String next(int maxParts) {
         count++;
-        List<QueryClass> types = config.settings().deployment().queryClasses();
-        String type = types.get(count % types.size()).name();
-        int segments = config.settings().shards();
-        int parts = Math.min(mostParts, segments);
+        List<QueryClass> queryClasses = config.settings().deployment().queryClasses();
+        String queryClass = queryClasses.get(count % queryClasses.size()).name();
+        int shards = config.settings().shards();
+        int parts = Math.min(maxParts, shards);
         var buckets = new StringBuilder();
         for (int i = 0; i < parts; i++) {
             buckets.append(i == 0 ? "" : ",")
                     .append("{\"bucket\":")
-                    .append((count + i) % segments)
+                    .append((count + i) % shards)
                     .append(",\"part\":")
                     .append(1.0 / parts)
                     .append('}');
         }
         String body = "{\"buckets\":[" + buckets + "],\"body\":\"c41e77d0\"}";
         return "POST /"
-                + type
+                + queryClass
                 + " HTTP/1.1\r\nHost: warm-up\r\nX-Request-Id: warm-up-"
                 + count
                 + "\r\nX-Class: "
-                + type
+                + queryClass
                 + "\r\nX-Tenant: none\r\nX-Deadline-Ms: 2000\r\nContent-Length: "
                 + body.length()
                 + "\r\n\r\n"
                 + body;
     }
 
+    /** Two replicas of each replica group, all at one address. */
+    static List<EndpointUpdate> endpoints(int replicaGroups, String address, String zone) {
+        var endpoints = new ArrayList<EndpointUpdate>();
+        for (int group = 0; group < replicaGroups; group++) {
+            for (String replica : List.of("a", "b")) {
+                endpoints.add(
+                        new EndpointUpdate(
+                                replica + group,
+                                address,
+                                group,
+                                zone,
+                                0,
+                                EndpointUpdate.State.RUNNING));
+            }
+        }
+        return endpoints;
+    }
+
+    /** How many requests were made. */
     int count() {
         return count;
     }
--- a/gatherer/src/main/java/sprucehold/node/package-info.java
+++ b/gatherer/src/main/java/sprucehold/node/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Wires one gatherer: carries what happens outside to the picker and its orders to the network,
- * starts and ends the process. The entry point is {@link sprucehold.node.Service}. It must never
- * decide what the module decides.
+ * One gatherer and the process around it: takes what the network code observes to the query
+ * coordinator, carries out its commands, warms up, drains and ends. The entry point is {@link
+ * sprucehold.node.Service}; {@link sprucehold.node.GathererNode} wires one gatherer. It must never
+ * decide what the decision policy decides.
  */
 package sprucehold.node;
--- a/gatherer/src/test/java/sprucehold/command/ClosedWhileHeldUpTest.java
+++ b/gatherer/src/test/java/sprucehold/command/ClosedWhileHeldUpTest.java
@@ -58,7 +58,7 @@
     public void open() throws Exception {
         first = new RecordingShardServer(query -> query.startsWith("wait") ? null : "hit");
         second = new RecordingShardServer(query -> query.startsWith("wait") ? null : "hit");
-        try (var free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (var free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         config = Files.createTempFile("held-up", ".json");
@@ -121,7 +121,7 @@
     }
 
     private Socket connect() throws IOException {
-        var socket = new Socket(InetAddress.getByName("127.0.0.1"), port);
+        var socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(10_000);
         socket.setTcpNoDelay(true);
         return socket;
--- a/gatherer/src/test/java/sprucehold/command/MainTest.java
+++ b/gatherer/src/test/java/sprucehold/command/MainTest.java
@@ -6,11 +6,13 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** What commands do with arguments and files that can't be used. */
 public class MainTest {
     @DataProvider
     Object[][] commands() {
@@ -34,13 +36,14 @@
         }
         var errors = new ByteArrayOutputStream();
         PrintStream before = System.err;
-        System.setErr(new PrintStream(errors, true));
+        System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
         try {
             assertEquals(Main.commandLine().execute(arguments), exit);
         } finally {
             System.setErr(before);
             Files.delete(empty);
         }
-        assertTrue(errors.toString().matches("sprucehold: [^\\n]+\\n"), errors.toString());
+        String text = errors.toString(StandardCharsets.UTF_8);
+        assertTrue(text.matches("sprucehold: [^\\n]+\\n"), text);
     }
 }
--- a/gatherer/src/test/java/sprucehold/command/RecordingShardServer.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingShardServer.java
@@ -43,8 +43,7 @@
         }
     }
 
-    private final ServerSocket listener =
-            new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final List<Part> came = new ArrayList<>();
     private final List<Part> kept = new ArrayList<>();
     private final Function<String, String> ends;
@@ -103,14 +102,14 @@
         int at = 0;
         while (at < lines.length()) {
             int end = lines.indexOf('\n', at);
-            String[] words = lines.substring(at, end).split(" ");
+            String[] words = lines.substring(at, end).split(" ", -1);
             at = end + 1 + Integer.parseInt(words[3]);
             take(new Part(words[0], toldMs(words[2]), System.nanoTime(), to));
         }
     }
 
     private static double toldMs(String options) {
-        return Arrays.stream(options.split(","))
+        return Arrays.stream(options.split(",", -1))
                 .filter(option -> option.startsWith("d="))
                 .findFirst()
                 .map(option -> Double.parseDouble(option.substring(2)))
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -16,6 +16,7 @@
 import sprucehold.trace.event.Moment;
 import sprucehold.trace.format.TraceReader;
 
+/** Recording as an operator switches it on. */
 public class RecordingTest {
     private static final Deployment FACTS =
             new Deployment(
--- a/gatherer/src/test/java/sprucehold/command/ServeEndTest.java
+++ b/gatherer/src/test/java/sprucehold/command/ServeEndTest.java
@@ -51,7 +51,9 @@
                         () -> {
                             try (var lines =
                                     new BufferedReader(
-                                            new InputStreamReader(process.getInputStream()))) {
+                                            new InputStreamReader(
+                                                    process.getInputStream(),
+                                                    StandardCharsets.UTF_8))) {
                                 lines.lines().forEach(log::add);
                             } catch (IOException | RuntimeException e) {
                                 log.add("log ended: " + e);
@@ -92,7 +94,7 @@
 
     private static String ask(int port, String id) throws IOException {
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
-        try (var socket = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
+        try (var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream()
                     .write(
@@ -104,7 +106,9 @@
                                             + "\r\n\r\n"
                                             + body)
                                     .getBytes(StandardCharsets.UTF_8));
-            return new BufferedReader(new InputStreamReader(socket.getInputStream())).readLine();
+            return new BufferedReader(
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
+                    .readLine();
         }
     }
 
@@ -117,7 +121,7 @@
     public void whoComesAfterSigtermIsAnsweredAndFurtherSignalsChangeNothing(
             boolean options, String says) throws Exception {
         int port;
-        try (var free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (var free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         Path config = Files.createTempFile("serve", ".json");
@@ -148,7 +152,7 @@
                 String status = ask(port, id);
                 assertTrue(status != null && status.startsWith("HTTP/1.1 503"), status);
             }
-            awaitLine("end: 3 scans taken, 0 left open");
+            awaitLine("ended: queries_received=3, open_queries=0");
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             // 128 and the signal's number: nobody killed it.
             assertEquals(process.exitValue(), 143);
--- a/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
@@ -112,7 +112,7 @@
                                                                     port = listening;
                                                                     return serving;
                                                                 });
-                                            } catch (IOException e) {
+                                            } catch (IOException | StartFailedException e) {
                                                 throw new IllegalStateException(e);
                                             }
                                         })
--- a/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
@@ -33,7 +33,7 @@
     private void turn(DecisionQueue queue) {
         queue.beginTurn(now);
         for (Supplier<Commands> call = queue.next(now); call != null; call = queue.next(now)) {
-            call.get();
+            assertNull(call.get());
         }
     }
 
--- a/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
+++ b/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import sprucehold.clients.ConnectionArrival;
 
-/** What is known of the monitor over the sockets, on a clock and timers of the test's own. */
+/** The passes and stalls that the monitor sees, on a clock and timers of the test's own. */
 public class EventLoopMonitorTest {
     private record Timer(double at, Runnable work) {}
 
@@ -46,17 +46,17 @@
     @Test
     public void whatIsReadWhileTheLoopIsOnTimeLayUnreadForNoTime() {
         for (int i = 1; i <= 20; i++) {
-            pass(1000 + i * EventLoopMonitor.HEARTBEAT_MS);
+            pass(1000.0 + i * EventLoopMonitor.HEARTBEAT_MS);
         }
         assertEquals(unreadSince(1410), 1410.0);
-        assertEquals(monitor.summary(), "0 hold-ups, the longest 0 ms");
+        assertEquals(monitor.summary(), "stalls=0, longest_stall_ms=0");
     }
 
     @Test
-    public void whatIsReadAfterAHoldUpMayHaveLainUnreadSinceBeforeIt() {
+    public void whatIsReadAfterAStallMayHaveLainUnreadSinceBeforeIt() {
         pass(1020);
         pass(1040);
-        // Held up from 1041 on. The pass at 1040 asked the system after the heartbeat before it was
+        // Stalled from 1041 on. The pass at 1040 asked the system after the heartbeat before it was
         // set, at 1020.
         assertEquals(unreadSince(1191), 1020.0);
         pass(1191);
@@ -79,8 +79,8 @@
     }
 
     /**
-     * As after a hold-up of the whole process: the loop was on time again before the listener came
-     * to accept.
+     * As after a stall of the whole process: the loop was on time again before the listener came to
+     * accept.
      */
     @Test(dataProvider = "newcomers")
     public void whatIsReadFirstOnAConnectionMayHaveComeWhileItWaitedToBeAccepted(
@@ -97,12 +97,12 @@
     }
 
     @Test
-    public void holdUpsAreCountedAndTheLongestIsKept() {
+    public void stallsAreCountedAndTheLongestIsKept() {
         pass(1020 + EventLoopMonitor.STALL_MS - 1);
-        assertEquals(monitor.summary(), "0 hold-ups, the longest 0 ms");
+        assertEquals(monitor.summary(), "stalls=0, longest_stall_ms=0");
         pass(now + EventLoopMonitor.HEARTBEAT_MS + 150);
         pass(now + EventLoopMonitor.HEARTBEAT_MS + 130);
-        assertEquals(monitor.summary(), "2 hold-ups, the longest 150 ms");
+        assertEquals(monitor.summary(), "stalls=2, longest_stall_ms=150");
     }
 
     @Test
--- a/gatherer/src/test/java/sprucehold/node/JsonLogFormatterTest.java
+++ b/gatherer/src/test/java/sprucehold/node/JsonLogFormatterTest.java
@@ -11,6 +11,7 @@
 import java.util.logging.LogRecord;
 import org.testng.annotations.Test;
 
+/** Log records as JSON lines. */
 public class JsonLogFormatterTest {
     @Test
     public void lineIsOneJsonObjectWithItsFieldsAndNoNewLineWithin() throws IOException {
