--- a/gatherer/src/main/java/sprucehold/command/Check.java
+++ b/gatherer/src/main/java/sprucehold/command/Check.java
@@ -8,7 +8,7 @@
 /** Reads a gatherer's configuration and prints what it understood ({@code check}). */
 @Command(
         name = "check",
-        description = "Reads what a gatherer would be told, and says what it understood.",
+        description = "Reads a gatherer's configuration, and says what it understood.",
         mixinStandardHelpOptions = true)
 public final class Check implements Callable<Integer> {
     @CommandLine.Mixin private NodeOptions node;
--- a/gatherer/src/main/java/sprucehold/command/NodeOptions.java
+++ b/gatherer/src/main/java/sprucehold/command/NodeOptions.java
@@ -19,7 +19,8 @@
             required = true,
             defaultValue = "${env:" + CONFIG_VARIABLE + "}",
             paramLabel = "FILE",
-            description = "all a gatherer is told, as JSON (default: $" + CONFIG_VARIABLE + ")")
+            description =
+                    "the configuration of a gatherer, as JSON (default: $" + CONFIG_VARIABLE + ")")
     private Path config;
 
     @Option(
--- a/gatherer/src/main/java/sprucehold/command/ServeStubs.java
+++ b/gatherer/src/main/java/sprucehold/command/ServeStubs.java
@@ -11,8 +11,8 @@
 @Command(
         name = "stand-in",
         description =
-                "Serves stubs of discovery and of the shard servers that a gatherer would "
-                        + "be told of, on their addresses.",
+                "Serves stubs of discovery and of the shard servers that a gatherer's "
+                        + "configuration names, on their addresses.",
         mixinStandardHelpOptions = true)
 public final class ServeStubs implements Callable<Integer> {
     @CommandLine.Mixin private NodeOptions node;
--- a/gatherer/src/main/java/sprucehold/node/DecisionLoop.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionLoop.java
@@ -61,7 +61,7 @@
         this.executor = commandExecutor;
     }
 
-    /** Has the decisions told of an observation in the next turn. */
+    /** Hands an observation to the decisions in the next turn. */
     void observe(Observation observation) {
         observations.add(observation);
         requestTurnUnlessInTurn();
@@ -111,8 +111,8 @@
     }
 
     /**
-     * The decisions are told what happened before anything new is begun, so that nothing is sent on
-     * for a client that has left.
+     * The decisions hear what happened before anything new is begun, so that nothing is sent on for
+     * a client that has left.
      */
     private void turn() {
         decideOnObservations();
--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -9,7 +9,7 @@
  * Calls of the decisions that wait for their turn, made in turns of bounded length. Between two
  * turns the event loop reads its sockets: a client that leaves while a hundred queries are decided
  * upon is seen before the next attempt for it begins, and what shard servers answer isn't taken for
- * late because it lies unread. Pure: no sockets, no threads, told the time.
+ * late because it lies unread. Pure: no sockets, no threads, the time is handed in.
  */
 final class DecisionQueue {
     /**
--- a/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
@@ -3,7 +3,7 @@
 /**
  * The drain of a gatherer that is told to end, as a state machine: it serves as before, then
  * redirects the clients that it answers, then rejects new queries, and is complete once nothing is
- * owed to any client. Pure: told the time in milliseconds and what is owed.
+ * owed to any client. Pure: the time in milliseconds and what is owed are handed in.
  */
 final class DrainStateMachine {
     /** What is done in each phase, and so in every later one. */
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -203,8 +203,8 @@
 
     /**
      * Returns the port on which clients are served. It listens only once its endpoint list is
-     * checked: the one known from before may be out of date, and what discovery's agent has counts
-     * as told from a process's first moment.
+     * checked: the one known from before may be out of date, and what discovery's agent holds
+     * counts as known to a process from its first moment on.
      */
     Future<Integer> start() {
         LOG.info(config.summary());
--- a/gatherer/src/main/java/sprucehold/simulation/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireReader.java
@@ -264,7 +264,7 @@
         return new Event.EndpointsUpdated(!kind.equals("update"), endpoints);
     }
 
-    /** What a shard server tells of its load; null if it tells nothing. */
+    /** The load that a shard server reports; null if it reports none. */
     private LoadReport load(JsonNode fields) {
         JsonNode stats = fields.path("stats");
         if (settings.loadFields().isEmpty() || !stats.isArray()) {
--- a/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
@@ -128,10 +128,10 @@
     public void allowanceOfAnAttemptIsConsumedAndAskedForAgainBeforeItsWrite(
             int units, boolean withdrawn, AttemptOutcome outcome, List<String> heard)
             throws Exception {
-        var lender = new LendingExtension();
-        lender.units = units;
-        lender.withdrawn = withdrawn;
-        lender.next = new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of());
+        var extension = new LendingExtension();
+        extension.units = units;
+        extension.withdrawn = withdrawn;
+        extension.next = new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of());
         var outcomes = new CompletableFuture<AttemptOutcome>();
         var told = new CompletableFuture<ClusterView>();
         DecisionPolicy.Factory factory =
@@ -169,7 +169,7 @@
                                                 null,
                                                 config.settings()),
                                         factory,
-                                        List.of((on, at, clock) -> lender))
+                                        List.of((on, at, clock) -> extension))
                                 .start());
         loop.until(node::ready);
         HttpClient client = vertx.createHttpClient();
@@ -188,13 +188,13 @@
                 told.get(10, TimeUnit.SECONDS),
                 new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of()));
         end(node, DrainSchedule.IMMEDIATE);
-        assertEquals(lender.heard, heard);
+        assertEquals(extension.heard, heard);
     }
 
     @Test
     public void commandThatFailsLosesNoAnswer() throws Exception {
-        var lender = new LendingExtension();
-        lender.panics = true;
+        var extension = new LendingExtension();
+        extension.panics = true;
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
@@ -215,15 +215,15 @@
                         begin(
                                         config(PLACE, SETTINGS, KNOWN),
                                         factory,
-                                        List.of((on, at, clock) -> lender))
+                                        List.of((on, at, clock) -> extension))
                                 .start());
         Socket owed = ask(port, "s");
-        loop.until(() -> lender.heard.contains("taken s"));
+        loop.until(() -> extension.heard.contains("taken s"));
         Socket other = ask(port, "t");
         assertEquals(
                 owed.getInputStream().readNBytes(12),
                 "HTTP/1.1 503".getBytes(StandardCharsets.US_ASCII));
-        assertTrue(lender.heard.contains("sent t.0"));
+        assertTrue(extension.heard.contains("sent t.0"));
         owed.close();
         other.close();
         end(node, DrainSchedule.IMMEDIATE);
