--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -64,7 +64,7 @@
         this.changes =
                 new ConfigurationChanges(
                         documentOf(config),
-                        config.facts().deployment(),
+                        config.settings().deployment(),
                         journal == null ? ConfigurationChanges.Journal.NONE : this::write,
                         settings.watchDurationMs(),
                         settings.minimumQueries(),
@@ -89,9 +89,9 @@
 
     /** The configuration that the process was started with, as a document. */
     private static ConfigurationDocument documentOf(NodeConfig config) {
-        Deployment deployment = config.facts().deployment();
+        Deployment deployment = config.settings().deployment();
         List<QueryClass> queryClasses = deployment.queryClasses();
-        List<Double> deadlinesMs = config.facts().deadlinesMs();
+        List<Double> deadlinesMs = config.settings().deadlinesMs();
         var settings = new ArrayList<ConfigurationDocument.QueryClassSettings>();
         for (int i = 0; i < queryClasses.size(); i++) {
             settings.add(
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -17,6 +17,7 @@
 import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
+/** Recording as an operator switches it on. */
 public class RecordingTest {
     private static final Deployment FACTS =
             new Deployment(
--- a/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
@@ -33,14 +33,14 @@
     private void turn(DecisionQueue queue) {
         queue.beginTurn(now);
         for (Supplier<Commands> call = queue.next(now); call != null; call = queue.next(now)) {
-            call.get();
+            assertNull(call.get());
         }
     }
 
     @Test
     public void turnThatHasLastedLongEnoughLeavesTheRestToTheNext() {
         var queue = new DecisionQueue();
-        queue.add(call("a", DecisionQueue.LONGEST_TURN_MS - 1));
+        queue.add(call("a", DecisionQueue.MAX_TURN_MS - 1));
         queue.add(call("b", 1));
         queue.add(call("c", 1));
         turn(queue);
