--- a/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
+++ b/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
@@ -17,6 +17,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -41,6 +42,7 @@
 public class PeerMessagingTest {
     private static final int WITHIN_S = 10;
     private static final String HERE = "127.0.0.1";
+    private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     private static final ClusterMessage PING =
             new ClusterMessage.MembershipPart(new MemberMessage.Ping(1, List.of()));
 
@@ -58,10 +60,10 @@
     /** A port that is free for UDP and TCP alike, held by nobody for the moment. */
     private static int free() throws Exception {
         while (true) {
-            try (ServerSocket stream = new ServerSocket(0, 1, InetAddress.getByName(HERE));
+            try (ServerSocket stream = new ServerSocket(0, 1, LOOPBACK);
                     DatagramSocket datagram =
                             new DatagramSocket(
-                                    new InetSocketAddress(HERE, stream.getLocalPort()))) {
+                                    new InetSocketAddress(LOOPBACK, stream.getLocalPort()))) {
                 return datagram.getLocalPort();
             } catch (BindException e) {
                 // Taken for UDP; another.
@@ -139,7 +141,7 @@
     }
 
     @Test(dataProvider = "letters")
-    public void aLetterComesAsItWasSent(String what, ClusterMessage message) throws Exception {
+    public void aMessageComesAsItWasSent(String what, ClusterMessage message) throws Exception {
         send(a, "b", message);
         assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", message), what);
     }
@@ -162,13 +164,15 @@
     }
 
     @Test(dataProvider = "notLetters")
-    public void whatIsNoLetterChangesNothingAndTheNextIsRead(String what, byte[] bytes)
+    public void bytesThatAreNoMessageChangeNothingAndTheNextIsRead(String what, byte[] bytes)
             throws Exception {
         try (var socket = new DatagramSocket()) {
             socket.send(
-                    new DatagramPacket(bytes, bytes.length, new InetSocketAddress(HERE, portB)));
+                    new DatagramPacket(
+                            bytes, bytes.length, new InetSocketAddress(LOOPBACK, portB)));
             byte[] good = new Codec("a").write("b", PING, 1);
-            socket.send(new DatagramPacket(good, good.length, new InetSocketAddress(HERE, portB)));
+            socket.send(
+                    new DatagramPacket(good, good.length, new InetSocketAddress(LOOPBACK, portB)));
         }
         assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING), what);
         assertTrue(toB.isEmpty(), what);
@@ -191,9 +195,9 @@
     }
 
     @Test(dataProvider = "streams")
-    public void aStreamThatBringsNoLetterIsClosedAndTheNextIsRead(String what, byte[] bytes)
+    public void aStreamThatBringsNoMessageIsClosedAndTheNextIsRead(String what, byte[] bytes)
             throws Exception {
-        try (var socket = new Socket(HERE, portB)) {
+        try (var socket = new Socket(LOOPBACK, portB)) {
             socket.getOutputStream().write(bytes);
             if (bytes.length > 4 && bytes.length < 100) {
                 socket.setSoTimeout(1000 * WITHIN_S);
@@ -212,7 +216,7 @@
         try {
             int closed = 0;
             for (int i = 0; i < 20; i++) {
-                var socket = new Socket(HERE, portB);
+                var socket = new Socket(LOOPBACK, portB);
                 socket.setSoTimeout(1000 * WITHIN_S);
                 held.add(socket);
             }
@@ -261,14 +265,15 @@
                 for (int i = 0; i < 200; i++) {
                     socket.send(
                             new DatagramPacket(
-                                    letter, letter.length, new InetSocketAddress(HERE, portB)));
+                                    letter, letter.length, new InetSocketAddress(LOOPBACK, portB)));
                 }
             }
             assertEquals((long) on(() -> Future.succeededFuture(b.tally().received())), 5000L);
             now = 1000;
             toB.clear();
             socket.send(
-                    new DatagramPacket(letter, letter.length, new InetSocketAddress(HERE, portB)));
+                    new DatagramPacket(
+                            letter, letter.length, new InetSocketAddress(LOOPBACK, portB)));
         }
         assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING));
     }
@@ -283,19 +288,20 @@
         for (int i = 0; i < 4; i++) {
             letter[3 + i] = (byte) (sum.getValue() >>> (24 - 8 * i));
         }
-        try (var socket = new DatagramSocket(new InetSocketAddress(HERE, 0))) {
+        try (var socket = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0))) {
             socket.setSoTimeout(1000 * WITHIN_S);
             for (int i = 0; i < 3; i++) {
                 socket.send(
                         new DatagramPacket(
-                                letter, letter.length, new InetSocketAddress(HERE, portB)));
+                                letter, letter.length, new InetSocketAddress(LOOPBACK, portB)));
             }
             byte[] good = new Codec("a").write("b", PING, 1);
-            socket.send(new DatagramPacket(good, good.length, new InetSocketAddress(HERE, portB)));
+            socket.send(
+                    new DatagramPacket(good, good.length, new InetSocketAddress(LOOPBACK, portB)));
             var answer = new DatagramPacket(new byte[1500], 1500);
             socket.receive(answer);
             assertEquals(
-                    new String(answer.getData(), 7, answer.getLength() - 7),
+                    new String(answer.getData(), 7, answer.getLength() - 7, StandardCharsets.UTF_8),
                     "version 9 can't be read here, 1 to 1 can");
             assertEquals(toB.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING));
             // All three were read before the good letter: had there been a second answer, it would
@@ -333,7 +339,7 @@
             for (int i = 0; i < 2; i++) {
                 socket.send(
                         new DatagramPacket(
-                                letter, letter.length, new InetSocketAddress(HERE, port)));
+                                letter, letter.length, new InetSocketAddress(LOOPBACK, port)));
                 assertEquals(came.poll(WITHIN_S, TimeUnit.SECONDS), new Came("a", PING));
             }
         }
