--- a/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
@@ -10,9 +10,9 @@
 /**
  * Who is there, by SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's additions
  * (Dadgar, Phillips, Currey 2017): {@link FailureProbes} finds members that don't answer, {@link
- * Suspicions} gives them time to refute that, {@link LocalHealth} makes a gatherer that has trouble
- * itself slow to suspect, {@link Dissemination} spreads updates on probes, and {@link AntiEntropy}
- * repairs what gossip left out. {@link MemberList} holds the result.
+ * Suspicions} gives them time to refute that, {@link LocalHealth} makes a gatherer whose own probes
+ * fail itself slow to suspect, {@link Dissemination} spreads updates on probes, and {@link
+ * AntiEntropy} repairs what gossip left out. {@link MemberList} holds the result.
  */
 public final class Membership implements FailureDetector {
     /**
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -23,13 +23,13 @@
     /** Who has told all of all by then, as after a start long ago. */
     private static final double FAILS_AT_MS = 3000;
 
-    /** What the decisions take for trouble. */
+    /** The failure score above which the decisions avoid a server. */
     private static final double FAILURE_SCORE_LIMIT = 0.5;
 
     /**
      * What is played.
      *
-     * @param attemptsPerSecond dispatches a second of each gatherer to each shard server
+     * @param attemptsPerSecond attempts a second of each gatherer to each shard server
      * @param lyingObserver whether the first gatherer sees all servers fail, and none does
      */
     public record Setting(
@@ -45,9 +45,9 @@
      *
      * @param aloneMedianMs until a gatherer's own second failure there, after the first moment;
      *     {@code aloneAllMs} of the last one
-     * @param toldMedianMs until it holds by the others that the server has trouble; {@code
-     *     toldAllMs} of the last one
-     * @param falselySuspecting gatherers that held a sound server to be in trouble at some moment
+     * @param toldMedianMs until it holds by the others that the server fails; {@code toldAllMs} of
+     *     the last one
+     * @param falselySuspecting gatherers that held a sound server to fail at some moment
      * @param messagesPerSecond a gatherer and second
      */
     public record Result(
@@ -121,7 +121,7 @@
             int member = i;
             events.schedule(random.nextDouble() * session.tickMs(), () -> tick(member));
             for (int server = 0; server <= SOUND; server++) {
-                dispatch(member, server);
+                scheduleAttempt(member, server);
             }
         }
         events.runUntil(setting.lengthMs);
@@ -138,7 +138,7 @@
                 messages / (double) setting.members / setting.lengthMs * 1000);
     }
 
-    private void dispatch(int member, int server) {
+    private void scheduleAttempt(int member, int server) {
         events.schedule(
                 events.nowMs()
                         - Math.log(1 - random.nextDouble()) * 1000 / setting.attemptsPerSecond,
@@ -155,7 +155,7 @@
                     if (fails && server == 0 && ++failures[member] == 2) {
                         aloneAt[member] = events.nowMs() - FAILS_AT_MS;
                     }
-                    dispatch(member, server);
+                    scheduleAttempt(member, server);
                 });
     }
 
@@ -168,14 +168,17 @@
         CoordinationSession session = sessions.get(member);
         send(member, session.tick(events.nowMs(), WALL + events.nowMs()));
         for (int server = 0; server <= SOUND; server++) {
-            boolean trouble =
+            boolean suspected =
                     session.assess(events.nowMs(), WALL + events.nowMs(), "s-" + server, 0)
                                     .failureScore()
                             > FAILURE_SCORE_LIMIT;
-            if (trouble && server == 0 && !setting.lyingObserver && Double.isNaN(toldAt[member])) {
+            if (suspected
+                    && server == 0
+                    && !setting.lyingObserver
+                    && Double.isNaN(toldAt[member])) {
                 toldAt[member] = events.nowMs() - FAILS_AT_MS;
             }
-            falselySuspecting[member] |= trouble && (server > 0 || setting.lyingObserver);
+            falselySuspecting[member] |= suspected && (server > 0 || setting.lyingObserver);
         }
         events.schedule(events.nowMs() + session.tickMs(), () -> tick(member));
     }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaStrategy.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaStrategy.java
@@ -2,11 +2,11 @@
 
 import sprucehold.cluster.quota.QuotaTerms;
 
-/** Ways to divide one bound among a fleet. */
+/** Ways to divide one shared limit among a fleet. */
 public enum QuotaStrategy {
     /** Each has the same for good; nobody talks. What a gatherer does today. */
     EQUAL,
-    /** Each has the same home, and lends what it doesn't need. */
+    /** Each has the same own units, and lends what it doesn't need. */
     LENT,
     /**
      * One member has all and lends it to those who ask; a tenth of each equal part stays with its
@@ -19,8 +19,8 @@
     ALL_KNOWING;
 
     /**
-     * The terms of a member; homes add up to the bound, or a little less where it can't be divided
-     * evenly.
+     * The terms of a member; own units add up to the limit, or a little less where it can't be
+     * divided evenly.
      */
     QuotaTerms terms(
             int member, int members, int bound, double windowMs, double termMs, double drift) {
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
@@ -7,19 +7,13 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Random;
 import java.util.Set;
-import java.util.TreeMap;
-import java.util.function.DoubleUnaryOperator;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.cluster.session.CoordinationSession;
-import sprucehold.cluster.session.SessionSettings;
 import sprucehold.decision.Deployment;
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.QueryClass;
@@ -31,13 +25,13 @@
  * counted in true time.
  */
 public class AllowanceTableTest {
-    private static final double WALL = 1.7e12;
-    private static final double WINDOW_MS = 1000;
-    private static final double WARM_MS = 5000;
-    private static final double MULTIPLE = 1;
-    private static final Set<SharedLimit.Kind> ALL = EnumSet.allOf(SharedLimit.Kind.class);
+    static final double WALL = 1.7e12;
+    static final double WINDOW_MS = 1000;
+    static final double WARM_MS = 5000;
+    static final double MULTIPLE = 1;
+    static final Set<SharedLimit.Kind> ALL = EnumSet.allOf(SharedLimit.Kind.class);
 
-    private static Deployment facts() {
+    static Deployment facts() {
         return new Deployment(
                 6,
                 "a",
@@ -57,69 +51,16 @@
     /**
      * What a server that started so long ago may be sent in a window, by all gatherers together.
      */
-    private static double allowed(double ageMs) {
+    static double allowed(double ageMs) {
         return MULTIPLE * (0.2 + 0.8 * Math.min(1, ageMs / WARM_MS)) * WINDOW_MS;
     }
 
-    private static Endpoint listing(String server, double startedAt, Endpoint.State mode) {
+    static Endpoint listing(String server, double startedAt, Endpoint.State mode) {
         return new Endpoint(server, 0, "z", startedAt, mode);
     }
 
-    /** One of a fleet, with clocks that may be wrong. */
-    private static final class One {
-        final String name;
-        double drift;
-        double offMs;
-        CoordinationSession session;
-        AllowanceTable allowances;
-        double bornAt;
-
-        One(String name) {
-            this.name = name;
-        }
-
-        double counted(double now) {
-            return (now - bornAt) * (1 + drift);
-        }
-
-        double wall(double now) {
-            return WALL + now + offMs;
-        }
-
-        void begin(double now, List<String> fleet, long seed) {
-            bornAt = now;
-            var sites = new TreeMap<String, String>();
-            fleet.forEach(one -> sites.put(one, one.substring(0, 1)));
-            session =
-                    new CoordinationSession(
-                            new SessionSettings(Map.of(), 500, 5000),
-                            name,
-                            sites.get(name),
-                            (long) wall(now),
-                            sites,
-                            seed,
-                            0,
-                            wall(now));
-            allowances =
-                    new AllowanceTable(
-                            facts(),
-                            new AllowanceSettings(
-                                    name, fleet, ALL, 12, WINDOW_MS, 300, 0.002, 10_000),
-                            session,
-                            0,
-                            wall(now));
-        }
-
-        int room(double now, SharedLimit bound) {
-            return allowances
-                    .clusterView(counted(now), wall(now))
-                    .allowances()
-                    .getOrDefault(bound, -1);
-        }
-    }
-
-    private static One alone(double now) {
-        var one = new One("a-0");
+    private static TestGatherer alone(double now) {
+        var one = new TestGatherer("a-0");
         one.begin(now, List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1"), 1);
         return one;
     }
@@ -167,7 +108,7 @@
 
     @Test(dataProvider = "starts")
     public void aWarmingServerIsSharedFromTheUpdateOfItsStart(String what, double agoMs, int room) {
-        One one = alone(0);
+        TestGatherer one = alone(0);
         double now = 50_000;
         one.allowances.endpointsUpdated(
                 one.counted(now),
@@ -182,7 +123,7 @@
 
     @Test
     public void aWarmingServerFoundAfterARestartWaitsUntilEarlierLeasesHaveLapsed() {
-        One one = alone(0);
+        TestGatherer one = alone(0);
         one.allowances.endpointsUpdated(
                 0, one.wall(0), true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
         assertEquals(one.room(0, SharedLimit.slowStart("s")), 0);
@@ -197,7 +138,7 @@
 
     @Test
     public void allowanceGrowsWithWarmthAndOwnGrowthIsConsumedFirst() {
-        One one = alone(0);
+        TestGatherer one = alone(0);
         double now = 50_000;
         one.allowances.endpointsUpdated(
                 one.counted(now),
@@ -242,7 +183,7 @@
     @Test(dataProvider = "gone")
     public void aServerThatComesBackUnderTheSameStartHasNoNewLimit(
             String what, Endpoint.State mode, boolean stays) {
-        One one = alone(0);
+        TestGatherer one = alone(0);
         double now = 50_000;
         var running = List.of(listing("s", WALL + now, Endpoint.State.RUNNING));
         one.allowances.endpointsUpdated(one.counted(now), one.wall(now), true, running);
@@ -260,7 +201,7 @@
 
     @Test
     public void whatIsNotSharedIsNeverRefused() {
-        var one = new One("a-0");
+        var one = new TestGatherer("a-0");
         one.begin(0, List.of("a-0", "b-0"), 1);
         one.allowances =
                 new AllowanceTable(
@@ -284,23 +225,10 @@
         assertEquals(one.allowances.clusterView(0, WALL).allowances(), Map.of());
     }
 
-    /** What befalls a fleet of six between 6 and 12 s of 20. */
-    enum Day {
-        CALM,
-        A_BAD_NETWORK,
-        CUT,
-        ALL_ALONE,
-        DEAF,
-        KILLED,
-        PAUSED,
-        CLOCKS,
-        TOLD_LATE
-    }
-
     @DataProvider
     Object[][] days() {
         var rows = new ArrayList<Object[]>();
-        for (Day day : Day.values()) {
+        for (AllowanceFleet.Day day : AllowanceFleet.Day.values()) {
             for (long seed = 1; seed <= 4; seed++) {
                 rows.add(new Object[] {day, seed});
             }
@@ -309,8 +237,8 @@
     }
 
     @Test(dataProvider = "days")
-    public void noWindowExceedsTheLimitsWhateverHappens(Day day, long seed) {
-        var fleet = new Fleet(day, seed);
+    public void noWindowExceedsTheLimitsWhateverHappens(AllowanceFleet.Day day, long seed) {
+        var fleet = new AllowanceFleet(day, seed);
         fleet.play();
         assertEquals(fleet.broken, List.of());
         assertTrue(
@@ -320,269 +248,11 @@
 
     @Test
     public void sharingUsesMoreOfTheLimitThanEqualParts() {
-        var fleet = new Fleet(Day.CALM, 1);
+        var fleet = new AllowanceFleet(AllowanceFleet.Day.CALM, 1);
         fleet.play();
         // Alone a busy one of six may make two further dispatches a second of the twelve.
         assertTrue(
                 fleet.furtherByBusy > 1.5 * 2 * 14,
                 "further dispatches of the busy one in 14 s: " + fleet.furtherByBusy);
     }
-
-    /** Six gatherers, two of them busy, four servers that come back cold again and again. */
-    private static final class Fleet {
-        private static final List<String> NAMES = List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1");
-        private static final double FROM = 6000;
-        private static final double TO = 12_000;
-
-        private record Sent(double atMs, double units) {}
-
-        private record Mail(
-                double atMs, long turn, String from, CoordinationSession.Outgoing out) {}
-
-        final Day day;
-        final Random random;
-        final Map<String, One> all = new TreeMap<>();
-        final Map<String, Double> startedAt = new TreeMap<>();
-        final Map<String, ArrayDeque<Sent>> cold = new TreeMap<>();
-        final ArrayDeque<Sent> further = new ArrayDeque<>();
-        final List<Mail> mail = new ArrayList<>();
-        final List<Runnable> woken = new ArrayList<>();
-        final List<String> broken = new ArrayList<>();
-        double now;
-        double units;
-        long turns;
-        int coldSent;
-        int furtherSent;
-        int furtherByBusy;
-
-        Fleet(Day day, long seed) {
-            this.day = day;
-            this.random = new Random(seed);
-            for (String name : NAMES) {
-                var one = new One(name);
-                if (day == Day.CLOCKS) {
-                    one.drift = 0.004 * random.nextDouble() - 0.002;
-                    one.offMs = 10_000 * random.nextDouble() - 5000;
-                }
-                one.begin(0, NAMES, random.nextLong());
-                all.put(name, one);
-            }
-            for (int i = 0; i < 4; i++) {
-                startedAt.put("s" + i, -1e6);
-            }
-        }
-
-        boolean troubled() {
-            return now >= FROM && now < TO;
-        }
-
-        boolean paused(One one) {
-            return day == Day.PAUSED && troubled() && one.name.equals("a-0");
-        }
-
-        boolean lost(String from, String to) {
-            return switch (day) {
-                case CUT -> troubled() && from.startsWith("a") != to.startsWith("a");
-                case ALL_ALONE -> troubled();
-                case DEAF -> troubled() && to.equals("a-0");
-                case A_BAD_NETWORK -> random.nextDouble() < 0.1;
-                default -> false;
-            };
-        }
-
-        void play() {
-            all.values().forEach(this::tell);
-            for (now = 0; now < 20_000; now += 10) {
-                if (now % 4000 == 3000) {
-                    // One after the other dies and is back.
-                    String server = "s" + (int) (now / 4000) % 4;
-                    startedAt.put(server, now);
-                    cold.remove(server);
-                    all.values()
-                            .forEach(
-                                    one -> {
-                                        if (day != Day.TOLD_LATE || random.nextBoolean()) {
-                                            tell(one);
-                                        }
-                                    });
-                }
-                if (day == Day.TOLD_LATE && now % 4000 == 0) {
-                    all.values().forEach(this::tell);
-                }
-                if (day == Day.KILLED && now == FROM) {
-                    for (String name : List.of("a-0", "b-0", "b-1")) {
-                        all.get(name).begin(now, NAMES, random.nextLong());
-                        tell(all.get(name));
-                    }
-                }
-                deliver();
-                all.values().forEach(this::act);
-            }
-        }
-
-        void tell(One one) {
-            var list = new ArrayList<Endpoint>();
-            startedAt.forEach(
-                    (server, at) -> list.add(listing(server, WALL + at, Endpoint.State.RUNNING)));
-            Runnable told =
-                    () ->
-                            one.allowances.endpointsUpdated(
-                                    one.counted(now), one.wall(now), true, list);
-            if (paused(one)) {
-                woken.add(told);
-            } else {
-                told.run();
-            }
-        }
-
-        void send(String from, List<CoordinationSession.Outgoing> letters) {
-            for (CoordinationSession.Outgoing out : letters) {
-                int copies =
-                        lost(from, out.to())
-                                ? 0
-                                : day == Day.A_BAD_NETWORK && random.nextDouble() < 0.1 ? 2 : 1;
-                for (int i = 0; i < copies; i++) {
-                    mail.add(
-                            new Mail(
-                                    now
-                                            + (day == Day.A_BAD_NETWORK
-                                                    ? 200 * random.nextDouble()
-                                                    : 1),
-                                    turns++,
-                                    from,
-                                    out));
-                }
-            }
-        }
-
-        void deliver() {
-            List<Mail> due = mail.stream().filter(one -> one.atMs <= now).toList();
-            mail.removeAll(due);
-            for (Mail one : due) {
-                One to = all.get(one.out.to());
-                if (paused(to)) {
-                    woken.add(() -> received(to, one));
-                } else {
-                    received(to, one);
-                }
-            }
-            if (!troubled() && !woken.isEmpty()) {
-                List<Runnable> late = List.copyOf(woken);
-                woken.clear();
-                late.forEach(Runnable::run);
-            }
-        }
-
-        void received(One to, Mail one) {
-            send(
-                    to.name,
-                    to.session.receive(to.counted(now), to.wall(now), one.from, one.out.message()));
-        }
-
-        void act(One one) {
-            if (paused(one)) {
-                return;
-            }
-            double counted = one.counted(now);
-            double wall = one.wall(now);
-            if (now % 200 == 0) {
-                one.allowances.tick(counted, wall);
-                send(one.name, one.session.tick(counted, wall));
-            }
-            boolean busy = one.name.startsWith("a");
-            if (random.nextDouble() < (busy ? 0.4 : 0.05)) {
-                one.allowances.queryReceived(counted, "acme", List.of(0));
-            }
-            SharedLimit bound =
-                    random.nextDouble() < 0.3
-                            ? SharedLimit.RETRIES
-                            : SharedLimit.slowStart("s" + random.nextInt(4));
-            int wanted = bound.equals(SharedLimit.RETRIES) ? 1 : 20;
-            boolean wants =
-                    bound.equals(SharedLimit.RETRIES)
-                            ? random.nextDouble() < (busy ? 0.5 : 0.01)
-                            : random.nextDouble() < (busy ? 0.9 : 0.2);
-            int room =
-                    one.allowances.clusterView(counted, wall).allowances().getOrDefault(bound, -1);
-            if (!wants || room < wanted) {
-                return;
-            }
-            Grant grant = one.allowances.consume(counted, wall, bound, wanted);
-            if (grant == null) {
-                broken.add(
-                        now
-                                + ": "
-                                + one.name
-                                + " was told of "
-                                + room
-                                + " of "
-                                + bound
-                                + " and got nothing");
-                return;
-            }
-            double writtenAt = now + 250 * random.nextDouble();
-            Runnable write =
-                    () -> {
-                        if (one.allowances.isValid(one.counted(now), one.wall(now), grant)) {
-                            written(one, bound, wanted);
-                        }
-                    };
-            // A stop between decision and write is the case to meet.
-            if (day == Day.PAUSED && one.name.equals("a-0") && writtenAt >= FROM && now < FROM) {
-                woken.add(write);
-            } else {
-                double at = now;
-                now = writtenAt;
-                write.run();
-                now = at;
-            }
-        }
-
-        void written(One one, SharedLimit bound, int wanted) {
-            if (bound.equals(SharedLimit.RETRIES)) {
-                furtherSent++;
-                furtherByBusy += one.name.equals("a-0") ? 1 : 0;
-                count(further, at -> 12, "further");
-            } else {
-                coldSent++;
-                units = wanted;
-                double started = startedAt.get(bound.subject());
-                count(
-                        cold.computeIfAbsent(bound.subject(), none -> new ArrayDeque<>()),
-                        at -> allowed(at - started),
-                        bound.subject());
-            }
-        }
-
-        /**
-         * Writes are noted in the order of decisions, a little out of the order of time: each
-         * window that holds this one counts.
-         */
-        void count(ArrayDeque<Sent> sent, DoubleUnaryOperator allowed, String what) {
-            sent.add(new Sent(now, what.equals("further") ? 1 : units));
-            sent.removeIf(one -> one.atMs <= now - 3 * WINDOW_MS);
-            for (Sent end : sent) {
-                double most = allowed.applyAsDouble(end.atMs);
-                double sum =
-                        sent.stream()
-                                .filter(
-                                        one ->
-                                                one.atMs > end.atMs - WINDOW_MS
-                                                        && one.atMs <= end.atMs)
-                                .mapToDouble(Sent::units)
-                                .sum();
-                if (end.atMs >= now && end.atMs < now + WINDOW_MS && sum > most + 1e-9) {
-                    broken.add(
-                            end.atMs
-                                    + ": "
-                                    + what
-                                    + ": "
-                                    + sum
-                                    + " in a window, "
-                                    + most
-                                    + " are allowed");
-                }
-            }
-        }
-    }
 }
--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -1,14 +1,10 @@
 package sprucehold.clustering;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
@@ -57,8 +53,6 @@
     /** Allowances that have only grown are told this often, rather than with every call. */
     private static final double VIEW_INTERVAL_MS = 50;
 
-    private static final ObjectMapper MAPPER = new ObjectMapper();
-
     private final Vertx vertx;
     private final Clock clock;
     private final CoordinationSession session;
@@ -288,49 +282,11 @@
 
     @Override
     public JsonNode status() {
-        CoordinationSession.Status status = session.status(clock.countedMs(), clock.wallMs());
-        ObjectNode node =
-                MAPPER.createObjectNode()
-                        .put("name", self)
-                        .put("there", session.aliveCount() + 1)
-                        .put("superseded", status.superseded())
-                        .put("cutOff", status.isolated())
-                        .put("health", status.localHealth());
-        ArrayNode members = node.putArray("members");
-        for (MemberUpdate update : status.members()) {
-            members.addObject()
-                    .put("name", update.name())
-                    .put("site", update.site())
-                    .put("state", update.state().storedName().toLowerCase(Locale.ROOT))
-                    .put("life", update.generation())
-                    .put("incarnation", update.incarnation());
-        }
-        ArrayNode bounds = node.putArray("bounds");
-        status.limits()
-                .forEach(
-                        (bound, held) ->
-                                bounds.addObject()
-                                        .put("bound", bound)
-                                        .put("home", held.ownUnits())
-                                        .put("lent", held.lent())
-                                        .put("borrowed", held.borrowed())
-                                        .put("used", held.used())
-                                        .put("free", held.free()));
-        ArrayNode failureScores = node.putArray("trouble");
-        lastView.failureScores()
-                .forEach(
-                        (server, share) ->
-                                failureScores
-                                        .addObject()
-                                        .put("server", server)
-                                        .put("trouble", share));
-        PeerMessaging.Tally tally = messaging.tally();
-        node.putObject("letters")
-                .put("sent", tally.sent())
-                .put("received", tally.received())
-                .put("unsent", tally.dropped() + status.droppedMessages())
-                .put("foreign", tally.foreign())
-                .put("unread", tally.notRead());
-        return node;
+        return ClusterStatus.json(
+                self,
+                session.aliveCount(),
+                session.status(clock.countedMs(), clock.wallMs()),
+                lastView,
+                messaging.tally());
     }
 }
