--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -1,9 +1,6 @@
 package sprucehold.clustering;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.HashMap;
@@ -35,28 +32,26 @@
 import sprucehold.node.NodeExtension;
 
 /**
- * One gatherer among others: what happens at its node goes into what they know together, and what
- * comes of that into the node.
+ * One gatherer as a member of the cluster: what happens at its node goes into the coordination with
+ * the others, and what follows from that into the node's decisions.
  */
 public final class ClusterMember implements NodeExtension {
     private static final Logger LOG = Logger.getLogger(ClusterMember.class.getName());
 
     /**
-     * A rate heard from another counts half after so long: about what a flood takes to come or go.
+     * A rate heard from another counts half after so long: about what a surge takes to come or go.
      */
-    private static final double COUNT_HALF_MS = 5000;
+    private static final double RATE_HALF_LIFE_MS = 5000;
 
     /**
-     * How long after it was decided a dispatch may still be written. Each use counts longer by as
-     * much, so no more than a busy event loop and a usual dial within an installation take; what
+     * How long after it was decided an attempt may still be written. Each use counts longer by as
+     * much, so no more than a busy event loop and a usual connect within an installation take; what
      * waits longer than that goes elsewhere.
      */
-    private static final double PATIENCE_MS = 100;
+    private static final double MAX_SEND_DELAY_MS = 100;
 
-    /** Room that has only grown is told this often, rather than with every call. */
-    private static final double TELL_MS = 50;
-
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+    /** Allowances that have only grown are told this often, rather than with every call. */
+    private static final double VIEW_INTERVAL_MS = 50;
 
     private final Vertx vertx;
     private final Clock clock;
@@ -65,11 +60,11 @@
     private final PeerMessaging messaging;
     private final String self;
 
-    /** What the decisions believe, less what they have taken since. */
-    private final Map<SharedLimit, Integer> believed = new HashMap<>();
+    /** The allowances last told to the decisions, less what they have consumed since. */
+    private final Map<SharedLimit, Integer> toldAllowances = new HashMap<>();
 
-    private ClusterView last = ClusterView.NONE;
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private ClusterView lastView = ClusterView.NONE;
+    private double toldAtMs = Double.NEGATIVE_INFINITY;
     private long timer = -1;
     private boolean superseded;
     private boolean cutOff;
@@ -96,18 +91,18 @@
                                 addresses.put(name, member.at());
                             }
                         });
-        double counted = clock.monotonicMs();
-        double wall = clock.wallMs();
+        double monotonicMs = clock.monotonicMs();
+        double wallMs = clock.wallMs();
         this.session =
                 new CoordinationSession(
-                        new SessionSettings(Map.of(), plan.messagesPerSecond(), COUNT_HALF_MS),
+                        new SessionSettings(Map.of(), plan.messagesPerSecond(), RATE_HALF_LIFE_MS),
                         self,
                         own.site(),
-                        (long) wall,
+                        (long) wallMs,
                         sites,
                         config.seed(),
-                        counted,
-                        wall);
+                        monotonicMs,
+                        wallMs);
         this.allowances =
                 new AllowanceTable(
                         config.settings().deployment(),
@@ -118,13 +113,13 @@
                                 plan.retriesPerWindow(),
                                 plan.retryWindowMs(),
                                 Math.min(
-                                        PATIENCE_MS,
+                                        MAX_SEND_DELAY_MS,
                                         config.settings().connections().connectTimeoutMs()),
                                 plan.maxClockDriftPpm() / 1e6,
                                 plan.maxClockOffsetMs()),
                         session,
-                        counted,
-                        wall);
+                        monotonicMs,
+                        wallMs);
         this.messaging =
                 new PeerMessaging(
                         vertx,
@@ -163,10 +158,10 @@
     }
 
     private void tick() {
-        double counted = clock.monotonicMs();
-        double wall = clock.wallMs();
-        allowances.tick(counted, wall);
-        send(session.tick(counted, wall));
+        double monotonicMs = clock.monotonicMs();
+        double wallMs = clock.wallMs();
+        allowances.tick(monotonicMs, wallMs);
+        send(session.tick(monotonicMs, wallMs));
         for (MemberUpdate update : session.takeChanges()) {
             LOG.info(
                     "gatherer "
@@ -201,12 +196,10 @@
         send(session.receive(clock.monotonicMs(), clock.wallMs(), from, message));
     }
 
-    private void send(List<CoordinationSession.Outgoing> letters) {
-        letters.forEach(out -> messaging.send(out.to(), out.message()));
+    private void send(List<CoordinationSession.Outgoing> messages) {
+        messages.forEach(out -> messaging.send(out.to(), out.message()));
     }
 
-    // ---- The node ----
-
     @Override
     public void queryReceived(double nowMs, Query query) {
         allowances.queryReceived(
@@ -217,34 +210,34 @@
 
     @Override
     public void observed(double nowMs, Observation observation) {
-        double counted = clock.monotonicMs();
-        double wall = clock.wallMs();
+        double monotonicMs = clock.monotonicMs();
+        double wallMs = clock.wallMs();
         if (observation instanceof Observation.EndpointsUpdated list) {
             allowances.endpointsUpdated(
-                    counted,
-                    wall,
+                    monotonicMs,
+                    wallMs,
                     list.complete(),
-                    list.updates().stream().map(ClusterMember::listing).toList());
+                    list.updates().stream().map(ClusterMember::endpoint).toList());
         } else if (observation instanceof Observation.AttemptEnded ended) {
-            boolean calledOff = ended.result() instanceof AttemptResult.Cancelled;
-            // What was given up before its time tells nothing of the server.
-            if (!calledOff || ended.attempt().ageMs(nowMs) >= ended.attempt().timeoutMs()) {
+            boolean cancelled = ended.result() instanceof AttemptResult.Cancelled;
+            // An attempt cancelled before its time tells nothing of the server.
+            if (!cancelled || ended.attempt().ageMs(nowMs) >= ended.attempt().timeoutMs()) {
                 allowances.attemptEnded(
-                        counted,
-                        wall,
+                        monotonicMs,
+                        wallMs,
                         ended.attempt().server().name(),
                         ended.result() instanceof AttemptResult.Completed);
             }
         }
     }
 
-    private static Endpoint listing(EndpointUpdate news) {
+    private static Endpoint endpoint(EndpointUpdate update) {
         return new Endpoint(
-                news.name(),
-                news.replicaGroup(),
-                news.zone(),
-                news.startedAtMs(),
-                switch (news.state()) {
+                update.name(),
+                update.replicaGroup(),
+                update.zone(),
+                update.startedAtMs(),
+                switch (update.state()) {
                     case RUNNING -> Endpoint.State.RUNNING;
                     case DRAINING -> Endpoint.State.DRAINING;
                     case GONE -> Endpoint.State.GONE;
@@ -260,77 +253,40 @@
     public ClusterView clusterView(double nowMs) {
         ClusterView now = allowances.clusterView(clock.monotonicMs(), clock.wallMs());
         boolean less =
-                !now.allowances().keySet().equals(believed.keySet())
+                !now.allowances().keySet().equals(toldAllowances.keySet())
                         || now.allowances().entrySet().stream()
-                                .anyMatch(one -> one.getValue() < believed.get(one.getKey()));
+                                .anyMatch(one -> one.getValue() < toldAllowances.get(one.getKey()));
         boolean other =
-                !now.failureScores().equals(last.failureScores())
-                        || now.gatherers() != last.gatherers()
-                        || !now.allowances().equals(believed);
-        if (!less && (!other || nowMs - toldAt < TELL_MS)) {
+                !now.failureScores().equals(lastView.failureScores())
+                        || now.gatherers() != lastView.gatherers()
+                        || !now.allowances().equals(toldAllowances);
+        if (!less && (!other || nowMs - toldAtMs < VIEW_INTERVAL_MS)) {
             return null;
         }
-        believed.clear();
-        believed.putAll(now.allowances());
-        last = now;
-        toldAt = nowMs;
+        toldAllowances.clear();
+        toldAllowances.putAll(now.allowances());
+        lastView = now;
+        toldAtMs = nowMs;
         return now;
     }
 
     @Override
     public BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use) {
-        believed.computeIfPresent(use.limit(), (bound, units) -> units - use.units());
-        Grant leave =
+        toldAllowances.computeIfPresent(use.limit(), (bound, units) -> units - use.units());
+        Grant grant =
                 allowances.consume(clock.monotonicMs(), clock.wallMs(), use.limit(), use.units());
-        return leave == null
+        return grant == null
                 ? null
-                : () -> allowances.isValid(clock.monotonicMs(), clock.wallMs(), leave);
+                : () -> allowances.isValid(clock.monotonicMs(), clock.wallMs(), grant);
     }
 
-    // ---- For operators ----
-
     @Override
     public JsonNode status() {
-        CoordinationSession.Status status = session.status(clock.monotonicMs(), clock.wallMs());
-        ObjectNode node =
-                MAPPER.createObjectNode()
-                        .put("name", self)
-                        .put("there", session.aliveCount() + 1)
-                        .put("superseded", status.superseded())
-                        .put("cutOff", status.isolated())
-                        .put("health", status.localHealth());
-        ArrayNode members = node.putArray("members");
-        for (MemberUpdate update : status.members()) {
-            members.addObject()
-                    .put("name", update.name())
-                    .put("site", update.site())
-                    .put("state", update.state().storedName().toLowerCase())
-                    .put("life", update.generation())
-                    .put("incarnation", update.incarnation());
-        }
-        ArrayNode bounds = node.putArray("bounds");
-        status.limits()
-                .forEach(
-                        (bound, held) ->
-                                bounds.addObject()
-                                        .put("bound", bound)
-                                        .put("home", held.ownUnits())
-                                        .put("lent", held.lent())
-                                        .put("borrowed", held.borrowed())
-                                        .put("used", held.used())
-                                        .put("free", held.free()));
-        ArrayNode trouble = node.putArray("trouble");
-        last.failureScores()
-                .forEach(
-                        (server, share) ->
-                                trouble.addObject().put("server", server).put("trouble", share));
-        PeerMessaging.Tally tally = messaging.tally();
-        node.putObject("letters")
-                .put("sent", tally.sent())
-                .put("received", tally.received())
-                .put("unsent", tally.dropped() + status.droppedMessages())
-                .put("foreign", tally.foreign())
-                .put("unread", tally.notRead());
-        return node;
+        return ClusterStatus.json(
+                self,
+                session.aliveCount(),
+                session.status(clock.monotonicMs(), clock.wallMs()),
+                lastView,
+                messaging.tally());
     }
 }
