--- a/gatherer/src/main/java/sprucehold/discovery/EndpointListReader.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointListReader.java
@@ -7,18 +7,34 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.logging.Logger;
 import sprucehold.coordinator.EndpointUpdate;
 
 /**
- * One answer of discovery.
+ * Reads an answer of discovery. One entry that isn't understood mustn't hide the others; its server
+ * counts as gone, so that nothing is sent where it isn't understood.
  *
- * @param index the version of the list
- * @param complete whether it is the whole list
+ * <table>
+ *   <caption>Keys of an answer</caption>
+ *   <tr><th>key</th><th>our term</th></tr>
+ *   <tr><td>{@code index}</td><td>{@link EndpointList#index}, the version of the list</td></tr>
+ *   <tr><td>{@code snapshot}</td><td>{@link EndpointList#complete}</td></tr>
+ *   <tr><td>{@code endpoints[]}</td><td>{@link EndpointList#servers}: {@link
+ *       EndpointUpdate}</td></tr>
+ *   <tr><td>{@code endpoints[].name}, {@code address}, {@code zone}</td><td>the same</td></tr>
+ *   <tr><td>{@code endpoints[].group}</td><td>{@code replicaGroup}</td></tr>
+ *   <tr><td>{@code endpoints[].since_ms}</td><td>{@code startedAtMs}</td></tr>
+ *   <tr><td>{@code endpoints[].status}: {@code active}, {@code leaving}, {@code left}</td>
+ *       <td>{@code state}: {@code RUNNING}, {@code DRAINING}, {@code GONE}</td></tr>
+ * </table>
  */
-public record EndpointListReader(long index, boolean complete, List<EndpointUpdate> servers) {
+public final class EndpointListReader {
     private static final Logger LOG = Logger.getLogger(EndpointListReader.class.getName());
-    private static final ObjectMapper MAPPER = new ObjectMapper();
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final int LARGEST_PORT = 65_535;
+
+    private EndpointListReader() {}
 
     /** The answer doesn't tell what it has to. */
     public static final class MalformedException extends Exception {
@@ -29,16 +45,29 @@
         }
     }
 
-    /** {@code cells} is how many cells there are. */
-    public static EndpointListReader decode(byte[] body, int cells) throws MalformedException {
+    /**
+     * Reads the body of an answer.
+     *
+     * @param body JSON in UTF-8
+     * @param replicaGroups how many replica groups there are
+     * @throws MalformedException if it isn't a list
+     */
+    public static EndpointList decode(byte[] body, int replicaGroups) throws MalformedException {
         try {
-            return decode(MAPPER.readTree(new String(body, StandardCharsets.UTF_8)), cells);
+            return decode(JSON.readTree(new String(body, StandardCharsets.UTF_8)), replicaGroups);
         } catch (JsonProcessingException e) {
             throw new MalformedException("not JSON: " + e.getOriginalMessage());
         }
     }
 
-    public static EndpointListReader decode(JsonNode node, int cells) throws MalformedException {
+    /**
+     * Reads an answer.
+     *
+     * @param node the answer
+     * @param replicaGroups how many replica groups there are
+     * @throws MalformedException if it isn't a list
+     */
+    public static EndpointList decode(JsonNode node, int replicaGroups) throws MalformedException {
         if (!node.path("index").canConvertToLong()
                 || !node.path("index").isIntegralNumber()
                 || !node.path("snapshot").isBoolean()
@@ -47,44 +76,44 @@
         }
         var servers = new ArrayList<EndpointUpdate>();
         for (JsonNode endpoint : node.get("endpoints")) {
-            servers.add(server(endpoint, cells));
+            servers.add(server(endpoint, replicaGroups));
         }
-        return new EndpointListReader(
+        return new EndpointList(
                 node.get("index").longValue(),
                 node.get("snapshot").booleanValue(),
                 List.copyOf(servers));
     }
 
-    private static EndpointUpdate server(JsonNode endpoint, int cells) throws MalformedException {
+    private static EndpointUpdate server(JsonNode endpoint, int replicaGroups)
+            throws MalformedException {
         String name = endpoint.path("name").asText();
         if (name.isEmpty()) {
             throw new MalformedException("an endpoint without a name");
         }
-        int cell = endpoint.path("group").asInt(-1);
+        int group = endpoint.path("group").asInt(-1);
         String address = endpoint.path("address").asText();
-        EndpointUpdate.State state =
-                switch (endpoint.path("status").asText()) {
-                    case "active" -> EndpointUpdate.State.RUNNING;
-                    case "leaving" -> EndpointUpdate.State.DRAINING;
-                    case "left" -> EndpointUpdate.State.GONE;
-                    default -> null;
-                };
-        boolean placed = cell >= 0 && cell < cells && isAddress(address);
-        if (state == null || state != EndpointUpdate.State.GONE && !placed) {
-            // One odd entry mustn't hide the others, and where it isn't understood nothing is sent.
-            LOG.warning(
-                    "the list tells of shard server "
-                            + name
-                            + " what can't be used; it gets nothing");
-            state = EndpointUpdate.State.GONE;
+        Optional<EndpointUpdate.State> state = state(endpoint.path("status").asText());
+        boolean placed = group >= 0 && group < replicaGroups && isAddress(address);
+        boolean usable = state.isPresent() && (placed || state.get() == EndpointUpdate.State.GONE);
+        if (!usable) {
+            LOG.warning("endpoint unusable, it is sent nothing: shard server " + name);
         }
         return new EndpointUpdate(
                 name,
                 address,
-                placed ? cell : 0,
+                placed ? group : 0,
                 endpoint.path("zone").asText(),
                 endpoint.path("since_ms").doubleValue(),
-                state);
+                usable ? state.get() : EndpointUpdate.State.GONE);
+    }
+
+    private static Optional<EndpointUpdate.State> state(String status) {
+        return switch (status) {
+            case "active" -> Optional.of(EndpointUpdate.State.RUNNING);
+            case "leaving" -> Optional.of(EndpointUpdate.State.DRAINING);
+            case "left" -> Optional.of(EndpointUpdate.State.GONE);
+            default -> Optional.empty();
+        };
     }
 
     /** Names are never looked up, so a host is its number. */
@@ -93,6 +122,6 @@
         return colon > 0
                 && NetUtil.createByteArrayFromIpAddressString(address.substring(0, colon)) != null
                 && address.substring(colon + 1).matches("[0-9]{1,5}")
-                && Integer.parseInt(address.substring(colon + 1)) <= 65_535;
+                && Integer.parseInt(address.substring(colon + 1)) <= LARGEST_PORT;
     }
 }
--- a/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
@@ -20,63 +20,77 @@
 import sprucehold.coordinator.Observation;
 
 /**
- * Follows the list of shard servers over HTTP, as {@link EndpointWatchPlan} says. A call that fails
- * is reported and not repeated until {@link #ask} or, should nobody ask, until the longest wait
+ * Follows the endpoint list over HTTP, as {@link EndpointWatchPlan} says. A call that fails is
+ * reported and not repeated until {@link #poll} or, should nobody ask, until the longest wait
  * between calls is over.
  */
 public final class EndpointWatch {
     private static final Logger LOG = Logger.getLogger(EndpointWatch.class.getName());
 
+    private static final double SHORTEST_POLL_INTERVAL_MS = 1000;
+
+    /**
+     * One connection for the call that waits, one for a call without an answer beside it, and one
+     * that is being closed.
+     */
+    private static final int MAX_CONNECTIONS = 3;
+
     private final Vertx vertx;
-    private final int cells;
+    private final int replicaGroups;
     private final DoubleSupplier clock;
-    private final Consumer<Observation> reports;
+    private final Consumer<Observation> observations;
     private final EndpointWatchPlan plan;
     private HttpClient client;
     private String host;
     private int port;
     private boolean stopped;
     private long timer = -1;
-    private double timerAt = Double.POSITIVE_INFINITY;
+    private double timerAtMs = Double.POSITIVE_INFINITY;
 
     /** Calls under way by their numbers; null while its connection isn't up. */
     private final Map<Long, HttpClientRequest> calls = new HashMap<>();
 
     /** Over once the first call is. */
-    private final Promise<Void> first = Promise.promise();
+    private final Promise<Void> firstCallOver = Promise.promise();
 
     /**
-     * @param cells how many cells there are
-     * @param asked whether the list comes only when asked for, so that each call costs the list
-     *     service
-     * @param askWithinMs the longest wait between calls, in milliseconds
+     * @param vertx on whose event loop all is called
+     * @param host where discovery is
+     * @param port where discovery is
+     * @param replicaGroups how many replica groups there are
+     * @param polled whether the list comes only when asked for, so that each call costs discovery
+     * @param maxPollIntervalMs the longest wait between calls, in milliseconds
+     * @param clock the time in milliseconds
+     * @param observations is told what came
      */
     public EndpointWatch(
             Vertx vertx,
             String host,
             int port,
-            int cells,
-            boolean asked,
-            double askWithinMs,
+            int replicaGroups,
+            boolean polled,
+            double maxPollIntervalMs,
             DoubleSupplier clock,
-            Consumer<Observation> reports) {
+            Consumer<Observation> observations) {
         this.vertx = vertx;
-        this.cells = cells;
+        this.replicaGroups = replicaGroups;
         this.clock = clock;
-        this.reports = reports;
-        this.plan = new EndpointWatchPlan(!asked, Math.max(1000, askWithinMs));
+        this.observations = observations;
+        this.plan =
+                new EndpointWatchPlan(
+                        !polled, Math.max(SHORTEST_POLL_INTERVAL_MS, maxPollIntervalMs));
         address(host, port);
     }
 
     private void address(String newHost, int newPort) {
         host = newHost;
         port = newPort;
-        // One connection for the call that waits, one for a call without an answer beside it, and
-        // one that is being closed.
         client =
                 vertx.httpClientBuilder()
-                        .with(new HttpClientOptions().setConnectTimeout(EndpointWatchPlan.WAY_MS))
-                        .with(new PoolOptions().setHttp1MaxSize(3))
+                        .with(
+                                new HttpClientOptions()
+                                        .setConnectTimeout(EndpointWatchPlan.TRANSIT_MS))
+                        .with(new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS))
                         .withConnectHandler(
                                 connection ->
                                         connection.exceptionHandler(
@@ -93,11 +107,11 @@
      * what the old address had still to tell is in it, and versions of the two need not go
      * together.
      */
-    public void move(String newHost, int newPort) {
-        if (stopped || host.equals(newHost) && port == newPort) {
+    public void moveTo(String newHost, int newPort) {
+        if (stopped || (host.equals(newHost) && port == newPort)) {
             return;
         }
-        LOG.info("discovery is now at " + newHost + ":" + newPort);
+        LOG.info("discovery moved: " + newHost + ":" + newPort);
         HttpClient old = client;
         address(newHost, newPort);
         carryOut(plan.moved(clock.getAsDouble()));
@@ -110,12 +124,12 @@
      * not it brought a list.
      */
     public Future<Void> start() {
-        ask();
-        return first.future();
+        poll();
+        return firstCallOver.future();
     }
 
     /** Calls now unless a call is under way. */
-    public void ask() {
+    public void poll() {
         if (!stopped) {
             carryOut(plan.ask(clock.getAsDouble()));
         }
@@ -123,41 +137,41 @@
 
     private void carryOut(List<EndpointWatchPlan.Step> steps) {
         for (EndpointWatchPlan.Step step : steps) {
-            if (step instanceof EndpointWatchPlan.Step.Ask ask) {
+            if (step instanceof EndpointWatchPlan.Step.MakeCall ask) {
                 call(ask.call());
-            } else if (step instanceof EndpointWatchPlan.Step.Drop drop) {
+            } else if (step instanceof EndpointWatchPlan.Step.DropCall drop) {
                 HttpClientRequest request = calls.remove(drop.number());
                 if (request != null) {
                     request.reset();
                 }
-            } else if (step instanceof EndpointWatchPlan.Step.Tell tell) {
-                reports.accept(
+            } else if (step instanceof EndpointWatchPlan.Step.Report tell) {
+                observations.accept(
                         new Observation.EndpointsUpdated(
-                                tell.news().complete(), tell.news().servers()));
-            } else if (step instanceof EndpointWatchPlan.Step.TellFailed failed) {
-                reports.accept(new Observation.EndpointsUnavailable());
-                first.tryComplete();
-            } else if (step instanceof EndpointWatchPlan.Step.Note note) {
-                LOG.log(note.trouble() ? Level.WARNING : Level.INFO, note.line());
+                                tell.list().complete(), tell.list().servers()));
+            } else if (step instanceof EndpointWatchPlan.Step.ReportUnavailable) {
+                observations.accept(new Observation.EndpointsUnavailable());
+                firstCallOver.tryComplete();
+            } else if (step instanceof EndpointWatchPlan.Step.LogLine note) {
+                LOG.log(note.warning() ? Level.WARNING : Level.INFO, note.text());
             }
         }
-        arm();
+        setTimer();
     }
 
-    private void arm() {
-        double at = stopped ? Double.POSITIVE_INFINITY : plan.dueAt();
-        if (at == timerAt) {
+    private void setTimer() {
+        double at = stopped ? Double.POSITIVE_INFINITY : plan.timerAtMs();
+        if (at == timerAtMs) {
             return;
         }
         vertx.cancelTimer(timer);
-        timerAt = at;
+        timerAtMs = at;
         if (at < Double.POSITIVE_INFINITY) {
             timer =
                     vertx.setTimer(
                             Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
                             fired -> {
-                                timerAt = Double.POSITIVE_INFINITY;
-                                carryOut(plan.woken(clock.getAsDouble()));
+                                timerAtMs = Double.POSITIVE_INFINITY;
+                                carryOut(plan.timerFired(clock.getAsDouble()));
                             });
         }
     }
@@ -174,7 +188,7 @@
                                 .setHost(host)
                                 .setPort(port)
                                 .setURI(uri)
-                                .setIdleTimeout(call.giveUpMs()))
+                                .setIdleTimeout(call.timeoutMs()))
                 .compose(
                         request -> {
                             if (!calls.containsKey(call.number())) {
@@ -208,27 +222,29 @@
         if (stopped || !known) {
             return;
         }
-        String why = failure;
-        EndpointListReader news = null;
-        if (why == null) {
-            try {
-                news = EndpointListReader.decode(body.getBytes(), cells);
-            } catch (EndpointListReader.MalformedException e) {
-                why = e.getMessage();
-            }
+        carryOut(outcome(call, body, failure));
+        firstCallOver.tryComplete();
+    }
+
+    private List<EndpointWatchPlan.Step> outcome(
+            EndpointWatchPlan.Call call, Buffer body, String failure) {
+        if (failure != null) {
+            return plan.failed(clock.getAsDouble(), call.number(), failure);
+        }
+        EndpointList list;
+        try {
+            list = EndpointListReader.decode(body.getBytes(), replicaGroups);
+        } catch (EndpointListReader.MalformedException e) {
+            return plan.failed(clock.getAsDouble(), call.number(), e.getMessage());
         }
-        double now = clock.getAsDouble();
-        carryOut(
-                why == null
-                        ? plan.answered(now, call.number(), news)
-                        : plan.failed(now, call.number(), why));
-        first.tryComplete();
+        return plan.answered(clock.getAsDouble(), call.number(), list);
     }
 
+    /** Makes no further calls. */
     public void stop() {
         stopped = true;
-        arm();
+        setTimer();
         client.close();
-        first.tryComplete();
+        firstCallOver.tryComplete();
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -440,7 +440,7 @@
         guarded(() -> shards.checkHealth(commands.healthChecks()));
         commands.logMessages().forEach(LOG::info);
         if (commands.subscribe()) {
-            guarded(watch::ask);
+            guarded(watch::poll);
         }
     }
 
@@ -520,7 +520,7 @@
      * while serving.
      */
     void reconfigure(NodeConfig now) {
-        watch.move(now.discovery().host(), now.discovery().port());
+        watch.moveTo(now.discovery().host(), now.discovery().port());
     }
 
     /**
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import sprucehold.deployment.DeploymentSettings;
 import sprucehold.deployment.InvalidSettingsException;
+import sprucehold.discovery.EndpointList;
 import sprucehold.discovery.EndpointListReader;
 
 /**
@@ -23,7 +24,7 @@
         Address discovery,
         long seed,
         int sockets,
-        EndpointListReader known,
+        EndpointList known,
         DeploymentSettings facts) {
 
     /** Where to listen or call. */
@@ -81,7 +82,7 @@
         } catch (NumberFormatException e) {
             throw new InvalidSettingsException("seed must be hex digits");
         }
-        EndpointListReader known;
+        EndpointList known;
         try {
             known =
                     node.path("known").isObject()
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -22,7 +22,7 @@
 import java.util.logging.Logger;
 import sprucehold.coordinator.EndpointUpdate;
 import sprucehold.decision.DecisionPolicy;
-import sprucehold.discovery.EndpointListReader;
+import sprucehold.discovery.EndpointList;
 import sprucehold.standin.StandIns;
 
 /**
@@ -141,7 +141,7 @@
                         NodeConfig.Address.NONE,
                         config.seed(),
                         config.sockets(),
-                        new EndpointListReader(0, true, servers),
+                        new EndpointList(0, true, servers),
                         config.facts());
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -198,7 +198,7 @@
      * happen twice. One that isn't up yet may still come up.
      */
     boolean isOpenStill() {
-        return socket == null || UnreadInput.readAll(channel()) && !closed;
+        return socket == null || (UnreadInput.readAll(channel()) && !closed);
     }
 
     /** The one place at which attempts are written; the parts of a call are of one query. */
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -149,7 +149,7 @@
         double held = Double.NaN;
         double queued = Double.NaN;
         double busy = Double.NaN;
-        for (String field : report.split(",")) {
+        for (String field : report.split(",", -1)) {
             int equals = field.indexOf('=');
             if (equals < 0) {
                 continue;
--- a/gatherer/src/main/java/sprucehold/sockets/AcceptingServerChannel.java
+++ b/gatherer/src/main/java/sprucehold/sockets/AcceptingServerChannel.java
@@ -27,54 +27,57 @@
      * How old the knowledge of an empty backlog becomes at rest. One system call each, under a
      * thousandth of a core.
      */
-    static final long LOOK_EACH_MS = 20;
+    static final long BACKLOG_CHECK_MS = 20;
 
     /** Where descriptors are short, trying without a pause would only spend the core. */
     private static final long RETRY_MS = 10;
 
-    private static final long TELL_EACH_NANOS = 1_000_000_000L;
+    private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
     /**
      * The moment at which the backlog was last seen empty before the connection was accepted, by
      * {@link System#nanoTime}.
      */
-    private static final AttributeKey<Long> EMPTY_AT =
+    private static final AttributeKey<Long> BACKLOG_EMPTY_AT_NANOS =
             AttributeKey.valueOf(AcceptingServerChannel.class, "emptyAt");
 
-    private long emptyAt;
-    private Future<?> looks;
+    private long backlogEmptyAtNanos;
+    private Future<?> backlogChecks;
     private long failures;
-    private long toldAt = System.nanoTime() - TELL_EACH_NANOS;
+    private long loggedAtNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
 
     /**
      * When the backlog was last seen empty before a connection was accepted, by {@link
      * System#nanoTime}; now for one of another listener.
      */
     static long backlogSeenEmptyAt(Channel connection) {
-        Long at = connection.attr(EMPTY_AT).get();
+        Long at = connection.attr(BACKLOG_EMPTY_AT_NANOS).get();
         return at == null ? System.nanoTime() : at;
     }
 
     @Override
     protected void doBind(SocketAddress address) throws Exception {
-        emptyAt = System.nanoTime();
+        backlogEmptyAtNanos = System.nanoTime();
         super.doBind(address);
-        looks =
+        backlogChecks =
                 eventLoop()
                         .scheduleWithFixedDelay(
-                                this::look, LOOK_EACH_MS, LOOK_EACH_MS, TimeUnit.MILLISECONDS);
+                                this::checkBacklog,
+                                BACKLOG_CHECK_MS,
+                                BACKLOG_CHECK_MS,
+                                TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void doClose() throws Exception {
-        if (looks != null) {
-            looks.cancel(false);
+        if (backlogChecks != null) {
+            backlogChecks.cancel(false);
         }
         super.doClose();
     }
 
     /** Accepts what waits, which is nothing most of the time, unless an accept has just failed. */
-    private void look() {
+    private void checkBacklog() {
         if (isActive() && config().isAutoRead()) {
             unsafe().read();
         }
@@ -92,10 +95,14 @@
             return 0;
         }
         if (accepted.size() == before) {
-            emptyAt = askedAt;
+            backlogEmptyAtNanos = askedAt;
         } else {
             accepted.subList(before, accepted.size())
-                    .forEach(one -> ((Channel) one).attr(EMPTY_AT).set(emptyAt));
+                    .forEach(
+                            one ->
+                                    ((Channel) one)
+                                            .attr(BACKLOG_EMPTY_AT_NANOS)
+                                            .set(backlogEmptyAtNanos));
         }
         return read;
     }
@@ -105,17 +112,16 @@
         return super.doReadMessages(accepted);
     }
 
+    // The task can fail only once the channel is closed, and then nothing is accepted any more.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void failed(IOException why) {
         long now = System.nanoTime();
         failures++;
-        if (now - toldAt >= TELL_EACH_NANOS) {
-            toldAt = now;
+        if (now - loggedAtNanos >= LOG_INTERVAL_NANOS) {
+            loggedAtNanos = now;
             LOG.log(
                     Level.WARNING,
-                    "a connection could not be accepted, "
-                            + failures
-                            + " failures so far: "
-                            + why.getMessage());
+                    "accept failed: " + failures + " failures so far, " + why.getMessage());
         }
         config().setAutoRead(false);
         eventLoop().schedule(() -> config().setAutoRead(true), RETRY_MS, TimeUnit.MILLISECONDS);
--- a/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
+++ b/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
@@ -12,9 +12,9 @@
  * for their timers without polling.
  */
 public final class AcceptingTransport implements Transport {
-    private static final double NANOS_A_MS = 1e6;
+    private static final double NANOS_PER_MS = 1e6;
 
-    private final io.vertx.core.spi.transport.Transport sockets =
+    private final io.vertx.core.spi.transport.Transport delegate =
             new NioTransport() {
                 @Override
                 public IoHandlerFactory ioHandlerFactory() {
@@ -36,7 +36,7 @@
      */
     public static double backlogSeenEmptyMsAgo(Channel connection) {
         long seenEmptyAt = AcceptingServerChannel.backlogSeenEmptyAt(connection);
-        return (System.nanoTime() - seenEmptyAt) / NANOS_A_MS;
+        return (System.nanoTime() - seenEmptyAt) / NANOS_PER_MS;
     }
 
     @Override
@@ -56,6 +56,6 @@
 
     @Override
     public io.vertx.core.spi.transport.Transport implementation() {
-        return sockets;
+        return delegate;
     }
 }
--- a/gatherer/src/main/java/sprucehold/sockets/RoundedUpWaits.java
+++ b/gatherer/src/main/java/sprucehold/sockets/RoundedUpWaits.java
@@ -14,12 +14,12 @@
  * polling is what holds the process up.
  */
 final class RoundedUpWaits implements IoHandler {
-    private static final long NANOS_A_MS = 1_000_000;
+    private static final long NANOS_PER_MS = 1_000_000;
 
-    private final IoHandler sockets;
+    private final IoHandler delegate;
 
     private RoundedUpWaits(IoHandler sockets) {
-        this.sockets = sockets;
+        this.delegate = sockets;
     }
 
     /** Makes handlers that wait so around those of another factory. */
@@ -42,10 +42,10 @@
      * longer; none where it is due.
      */
     static long roundedUp(long nanos) {
-        if (nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_A_MS) {
+        if (nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MS) {
             return nanos;
         }
-        return (nanos + NANOS_A_MS - 1) / NANOS_A_MS * NANOS_A_MS;
+        return (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS * NANOS_PER_MS;
     }
 
     private record Waits(IoHandlerContext loop) implements IoHandlerContext {
@@ -77,36 +77,36 @@
 
     @Override
     public int run(IoHandlerContext loop) {
-        return sockets.run(new Waits(loop));
+        return delegate.run(new Waits(loop));
     }
 
     @Override
     public void initialize() {
-        sockets.initialize();
+        delegate.initialize();
     }
 
     @Override
     public void prepareToDestroy() {
-        sockets.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        sockets.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return sockets.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        sockets.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> handleType) {
-        return sockets.isCompatible(handleType);
+        return delegate.isCompatible(handleType);
     }
 }
--- a/gatherer/src/main/java/sprucehold/sockets/UnreadInput.java
+++ b/gatherer/src/main/java/sprucehold/sockets/UnreadInput.java
@@ -14,7 +14,7 @@
      * set otherwise), with room to spare. So all that lay unread at the call is read, and a sender
      * that is faster than the reader does not keep it here.
      */
-    private static final int MOST_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_BYTES = 8 * 1024 * 1024;
 
     private UnreadInput() {}
 
@@ -29,7 +29,7 @@
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
             int lastBytes = 1;
             for (int bytes = 0;
-                    bytes < MOST_BYTES && lastBytes > 0 && channel.isActive();
+                    bytes < MAX_BYTES && lastBytes > 0 && channel.isActive();
                     bytes += lastBytes) {
                 unsafe.read();
                 lastBytes = unsafe.recvBufAllocHandle().lastBytesRead();
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -55,7 +55,7 @@
     private String unread;
 
     private void step(String step) {
-        String[] words = step.split(" ");
+        String[] words = step.split(" ", -1);
         String c = words.length > 1 ? words[1] : "";
         switch (words[0]) {
             case "open" -> connections.opened(c, now - BACKLOG_MS);
@@ -122,7 +122,7 @@
 
     @Test(dataProvider = "days")
     public void connectionsEndWhenTheyHoldAPlaceWithoutNeedAndNoSooner(String steps, String ends) {
-        for (String step : steps.split(", ")) {
+        for (String step : steps.split(", ", -1)) {
             step(step);
         }
         assertEquals(String.join(", ", done), ends);
@@ -142,7 +142,7 @@
 
     @Test(dataProvider = "heard")
     public void nothingMoreIsTakenFromWhoHasHadItsLastAnswer(String steps, boolean taken) {
-        for (String step : steps.split(", ")) {
+        for (String step : steps.split(", ", -1)) {
             step(step);
         }
         assertEquals(connections.requestBegun("a"), taken);
@@ -164,7 +164,7 @@
 
     @Test(dataProvider = "arriving")
     public void requestsThatAreComingInAreCounted(String steps, int arriving) {
-        for (String step : steps.split(", ")) {
+        for (String step : steps.split(", ", -1)) {
             step(step);
         }
         assertEquals(connections.arriving(), arriving);
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -11,6 +11,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -168,7 +169,7 @@
     }
 
     private Socket connect(String bytes) throws IOException {
-        var socket = new Socket("127.0.0.1", port);
+        var socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(5000);
         socket.getOutputStream().write(bytes.getBytes(StandardCharsets.UTF_8));
         return socket;
@@ -204,7 +205,7 @@
             }
             text.append((char) read);
         }
-        String head = text.toString().toLowerCase();
+        String head = text.toString().toLowerCase(Locale.ROOT);
         int at = head.indexOf("content-length: ");
         int length =
                 at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
@@ -410,7 +411,8 @@
             // before it reads.
             Runnable free = loop.hold(() -> server.sweep());
             socket.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
-            now += age;
+            double later = now + age;
+            now = later;
             free.run();
             assertTrue(response(socket).startsWith("HTTP/1.1 200 "));
         }
@@ -537,7 +539,8 @@
             first.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
             assertTrue(response(first).startsWith("HTTP/1.1 200 "));
             settled();
-            now += goes;
+            double later = now + goes;
+            now = later;
             assertEquals(rest(first), "");
             for (Socket other : others) {
                 other.close();
@@ -581,8 +584,16 @@
     public void chunkedAndPipelinedRequestsAreAllTaken() throws IOException {
         atOnce = HIT;
         String chunked =
-                "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: c\r\nX-Class: q\r\nX-Deadline-Ms: 480\r\n"
-                        + "Transfer-Encoding: chunked\r\n\r\n";
+                String.join(
+                        "\r\n",
+                        "POST /q HTTP/1.1",
+                        "Host: h",
+                        "X-Request-Id: c",
+                        "X-Class: q",
+                        "X-Deadline-Ms: 480",
+                        "Transfer-Encoding: chunked",
+                        "",
+                        "");
         for (int i = 0; i < BODY.length(); i++) {
             chunked += "1\r\n" + BODY.charAt(i) + "\r\n";
         }
--- a/gatherer/src/test/java/sprucehold/discovery/EndpointWatchPlanTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchPlanTest.java
@@ -59,13 +59,13 @@
 
         private void carryOut(List<EndpointWatchPlan.Step> steps) {
             for (EndpointWatchPlan.Step step : steps) {
-                if (step instanceof EndpointWatchPlan.Step.Ask ask) {
+                if (step instanceof EndpointWatchPlan.Step.MakeCall ask) {
                     calls++;
                     long to = moves;
                     calledAt.put(ask.call().number(), now);
                     at(now + WAY, () -> arrive(ask.call(), to));
                     at(
-                            now + ask.call().giveUpMs(),
+                            now + ask.call().timeoutMs(),
                             () ->
                                     end(
                                             ask.call().number(),
@@ -75,21 +75,21 @@
                                                                     now,
                                                                     ask.call().number(),
                                                                     "no answer"))));
-                } else if (step instanceof EndpointWatchPlan.Step.Drop drop) {
+                } else if (step instanceof EndpointWatchPlan.Step.DropCall drop) {
                     waiting.remove(drop.number());
                     calledAt.remove(drop.number());
-                } else if (step instanceof EndpointWatchPlan.Step.Tell tell) {
-                    for (long v = 1; v <= tell.news().index(); v++) {
+                } else if (step instanceof EndpointWatchPlan.Step.Report tell) {
+                    for (long v = 1; v <= tell.list().index(); v++) {
                         knownAt.putIfAbsent(v, now);
                     }
-                } else if (step instanceof EndpointWatchPlan.Step.TellFailed) {
+                } else if (step instanceof EndpointWatchPlan.Step.ReportUnavailable) {
                     // What the decisions do: they ask again after up to three seconds.
                     at(now + 3000, () -> carryOut(plan.ask(now)));
                 }
             }
-            double next = plan.dueAt();
+            double next = plan.timerAtMs();
             if (next < Double.POSITIVE_INFINITY) {
-                at(Math.max(now, next), () -> carryOut(plan.woken(now)));
+                at(Math.max(now, next), () -> carryOut(plan.timerFired(now)));
             }
         }
 
@@ -115,7 +115,7 @@
             if (call == null
                     || down
                     || silentSince.containsKey(number)
-                    || !over && call.after() >= version) {
+                    || (!over && call.after() >= version)) {
                 return;
             }
             long told = version;
@@ -130,7 +130,7 @@
                                                     plan.answered(
                                                             now,
                                                             number,
-                                                            new EndpointListReader(
+                                                            new EndpointList(
                                                                     told,
                                                                     call.after() < 0,
                                                                     List.of())))));
@@ -336,39 +336,45 @@
     public void listThatGoesBackIsAskedForAnewAndWhole() {
         var plan = new EndpointWatchPlan(true, 10_000);
         plan.ask(0);
-        plan.answered(1, 1, new EndpointListReader(9, true, List.of()));
-        plan.woken(3001);
+        plan.answered(1, 1, new EndpointList(9, true, List.of()));
+        plan.timerFired(3001);
         List<EndpointWatchPlan.Step> steps =
-                plan.answered(3002, 3, new EndpointListReader(4, false, List.of()));
-        assertEquals(steps.get(0), new EndpointWatchPlan.Step.Drop(2));
+                plan.answered(3002, 3, new EndpointList(4, false, List.of()));
+        assertEquals(steps.get(0), new EndpointWatchPlan.Step.DropCall(2));
         assertTrue(
-                steps.contains(new EndpointWatchPlan.Step.TellFailed("its index went back")),
+                steps.contains(new EndpointWatchPlan.Step.ReportUnavailable("its index went back")),
                 steps.toString());
-        assertEquals(((EndpointWatchPlan.Step.Ask) plan.ask(3010).get(0)).call().after(), -1);
+        assertEquals(((EndpointWatchPlan.Step.MakeCall) plan.ask(3010).get(0)).call().after(), -1);
     }
 
     @Test
     public void refusedCallsAreMadeASecondApart() {
         var plan = new EndpointWatchPlan(true, 10_000);
         plan.ask(0);
-        plan.answered(1, 1, new EndpointListReader(9, true, List.of()));
+        plan.answered(1, 1, new EndpointList(9, true, List.of()));
         plan.failed(1000, 2, "reset");
         // The watch goes on if the next call comes within 200 ms.
-        assertEquals(plan.dueAt(), 1050.0);
-        plan.woken(1050);
+        assertEquals(plan.timerAtMs(), 1050.0);
+        plan.timerFired(1050);
         plan.failed(1100, 3, "refused");
-        assertEquals(plan.dueAt(), 2100.0);
+        assertEquals(plan.timerAtMs(), 2100.0);
     }
 
     @Test
     public void atMostTwoCallsAreOpenHoweverLongDiscoveryIsSilent() {
         var plan = new EndpointWatchPlan(true, 10_000);
         plan.ask(0);
-        int open = 1;
+        long open = 1;
         for (int i = 0; i < 20; i++) {
-            List<EndpointWatchPlan.Step> steps = plan.woken(plan.dueAt());
-            open += steps.stream().filter(EndpointWatchPlan.Step.Ask.class::isInstance).count();
-            open -= steps.stream().filter(EndpointWatchPlan.Step.Drop.class::isInstance).count();
+            List<EndpointWatchPlan.Step> steps = plan.timerFired(plan.timerAtMs());
+            open +=
+                    steps.stream()
+                            .filter(EndpointWatchPlan.Step.MakeCall.class::isInstance)
+                            .count();
+            open -=
+                    steps.stream()
+                            .filter(EndpointWatchPlan.Step.DropCall.class::isInstance)
+                            .count();
             assertEquals(open, 2);
         }
     }
--- a/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
@@ -180,7 +180,7 @@
                         ",\"zone\":\"z\",\"since_ms\":1700000000123,\"status\":\""
                                 + status
                                 + "\",\"new\":[]");
-        EndpointListReader news =
+        EndpointList news =
                 EndpointListReader.decode(
                         list(41, false, entry).getBytes(StandardCharsets.UTF_8), 2);
         assertEquals(news.index(), 41);
@@ -217,7 +217,7 @@
                         .get(5, TimeUnit.SECONDS)
                         .actualPort();
         HttpServerRequest old = following(2000);
-        vertx.runOnContext(none -> watch.move("127.0.0.1", port));
+        vertx.runOnContext(none -> watch.moveTo("127.0.0.1", port));
         // The whole list, since the versions of the two need not go together.
         HttpServerRequest first = moved.poll(5, TimeUnit.SECONDS);
         assertEquals(first.uri(), "/discovery/hosts");
@@ -277,7 +277,7 @@
      */
     @Test
     public void listWithoutLengthThatIsResetIsNoList() throws Exception {
-        try (var cutting = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
+        try (var cutting = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             watch.stop();
             watch = watch(cutting.getLocalPort(), true);
             Future<Void> first = watch.start();
@@ -317,7 +317,7 @@
         }
         assertTrue(report() instanceof Observation.EndpointsUnavailable);
         assertTrue(calls.isEmpty());
-        vertx.runOnContext(none -> watch.ask());
+        vertx.runOnContext(none -> watch.poll());
         // A list whose index went back is asked for anew, whole.
         request =
                 call(
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -349,7 +349,8 @@
         assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.until(
                 () -> {
-                    now += 301;
+                    double later = now + 301;
+                    now = later;
                     shards.sweep(300);
                     return !reports.isEmpty();
                 });
@@ -381,7 +382,7 @@
     private static void untilRefused(int port) throws IOException {
         for (int tries = 0; tries < 10_000; tries++) {
             try (var probe = new Socket()) {
-                probe.connect(new InetSocketAddress("127.0.0.1", port), 5000);
+                probe.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 5000);
             } catch (ConnectException refused) {
                 return;
             }
@@ -782,7 +783,7 @@
     public void aConnectionWhoseEndLiesUnreadIsNotWrittenTo() throws Exception {
         repeat = QueryClass.Idempotence.NON_IDEMPOTENT;
         start(32, 1, (socket, bytes) -> {});
-        try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
+        try (var listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(10_000);
             list(EndpointUpdate.State.RUNNING, listener.getLocalPort());
             List<Attempt> first = attempts("s", 1, "text");
@@ -876,7 +877,7 @@
     @Test
     public void aServerWhoseAnswerLiesUnreadIsNotTakenForSilent() throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        try (var listener = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
+        try (var listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(10_000);
             list(EndpointUpdate.State.RUNNING, listener.getLocalPort());
             List<Attempt> first = attempts("s", 1, "text");
--- a/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
@@ -119,7 +119,7 @@
         long first = askedAt.poll(10, TimeUnit.SECONDS);
         long second = askedAt.poll(10, TimeUnit.SECONDS);
         assertTrue(
-                second - first >= AcceptingServerChannel.LOOK_EACH_MS * 1_000_000L / 2,
+                second - first >= AcceptingServerChannel.BACKLOG_CHECK_MS * 1_000_000L / 2,
                 "looked again after " + (second - first) + " ns");
         // A look that has begun may itself accept what connects now; once the next one has begun,
         // the second is known to have found nothing.
