--- a/gatherer/src/main/java/sprucehold/node/EndpointSource.java
+++ b/gatherer/src/main/java/sprucehold/node/EndpointSource.java
@@ -6,7 +6,7 @@
 import java.util.logging.Logger;
 import sprucehold.coordinator.Observation;
 import sprucehold.decision.Deployment;
-import sprucehold.discovery.EndpointListReader;
+import sprucehold.discovery.EndpointList;
 import sprucehold.discovery.EndpointWatch;
 
 /**
@@ -17,7 +17,7 @@
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
 
     private final boolean withoutDiscovery;
-    private final EndpointListReader knownEndpoints;
+    private final EndpointList knownEndpoints;
     private final EndpointWatch watch;
     private final Consumer<Observation> observer;
     private boolean received;
@@ -76,12 +76,12 @@
 
     /** Asks discovery for its list, as the decisions command. */
     void subscribe() {
-        watch.ask();
+        watch.poll();
     }
 
     /** Follows discovery at another address from now on. */
     void move(NodeConfig.Address discovery) {
-        watch.move(discovery.host(), discovery.port());
+        watch.moveTo(discovery.host(), discovery.port());
     }
 
     void stop() {
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -9,6 +9,7 @@
 import java.nio.file.Path;
 import sprucehold.deployment.DeploymentSettings;
 import sprucehold.deployment.InvalidSettingsException;
+import sprucehold.discovery.EndpointList;
 import sprucehold.discovery.EndpointListReader;
 
 /**
@@ -28,7 +29,7 @@
         Address discovery,
         long seed,
         int maxDescriptors,
-        EndpointListReader knownEndpoints,
+        EndpointList knownEndpoints,
         DeploymentSettings settings) {
 
     /**
@@ -76,7 +77,7 @@
         JsonNode node = parse(file);
         DeploymentSettings settings = settings(node);
         long seed = seed(node);
-        EndpointListReader knownEndpoints = knownEndpoints(node, settings);
+        EndpointList knownEndpoints = knownEndpoints(node, settings);
         return new NodeConfig(
                 givenOrFromFile(name, node.path("name")),
                 Address.parse(givenOrFromFile(listen, node.path("listen")), "listen"),
@@ -116,7 +117,7 @@
         }
     }
 
-    private static EndpointListReader knownEndpoints(JsonNode node, DeploymentSettings settings)
+    private static EndpointList knownEndpoints(JsonNode node, DeploymentSettings settings)
             throws InvalidSettingsException {
         if (!node.path("known").isObject()) {
             return null;
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -21,7 +21,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import sprucehold.decision.DecisionPolicy;
-import sprucehold.discovery.EndpointListReader;
+import sprucehold.discovery.EndpointList;
 import sprucehold.standin.StandIns;
 
 /**
@@ -144,8 +144,7 @@
     private NodeConfig configAt(NodeConfig.Address listen, String shardSocket) {
         int replicaGroups = config.settings().deployment().layout().replicaGroups();
         var endpoints =
-                new EndpointListReader(
-                        0, true, WarmUpQueries.endpoints(replicaGroups, shardSocket, ""));
+                new EndpointList(0, true, WarmUpQueries.endpoints(replicaGroups, shardSocket, ""));
         return new NodeConfig(
                 config.name(),
                 listen,
