--- a/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
@@ -9,6 +9,7 @@
  * @param permits all have to be valid when it is written
  */
 public record Grant(List<Permit> permits) {
+    /** Copies the list. */
     public Grant {
         permits = List.copyOf(permits);
     }
--- a/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
@@ -84,6 +84,10 @@
     private final Map<String, Map<String, Received>> byObserver = new TreeMap<>();
     private long sequenceNumber;
 
+    /**
+     * @param self this gatherer's name
+     * @param site where it stands
+     */
     public EvidenceTable(String self, String site) {
         this.self = self;
         this.site = site;
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessagingSettings.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessagingSettings.java
@@ -17,6 +17,7 @@
     /** A host by its address, and a port. */
     public record Address(String host, int port) {}
 
+    /** Copies the addresses. */
     public PeerMessagingSettings {
         peers = Map.copyOf(peers);
     }
