--- a/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
@@ -12,7 +12,7 @@
 
 /** Records for the health watch which queries are open and which are completed in time. */
 final class QueryHealthRecorder {
-    private final Map<Query, OpenQuery> openQueries = new IdentityHashMap<>();
+    private final IdentityHashMap<Query, OpenQuery> openQueries = new IdentityHashMap<>();
     private final TimeWindow.Builder window = new TimeWindow.Builder();
 
     /**
--- a/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
@@ -34,10 +34,12 @@
         }
     }
 
+    /** The index of its source in the file's header. */
     public int source() {
         return source;
     }
 
+    /** The event by which it began. */
     public Event.QueryReceived received() {
         return received;
     }
--- a/trace/src/main/java/sprucehold/trace/event/Item.java
+++ b/trace/src/main/java/sprucehold/trace/event/Item.java
@@ -9,6 +9,7 @@
  * @param index its place, from 0, among all events and then all commands of its moment
  */
 public record Item(int index, Event event, Command command) {
+    /** Takes exactly one of the two. */
     public Item {
         if ((event == null) == (command == null)) {
             throw new IllegalArgumentException("an item is an event or an action");
--- a/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
+++ b/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
@@ -16,6 +16,7 @@
 public record PolicyCall(
         int source, long seq, double nowMs, boolean policyFailed, int total, List<Item> items)
         implements Entry {
+    /** Copies the items. */
     public PolicyCall {
         items = List.copyOf(items);
     }
@@ -39,10 +40,12 @@
         return items.size() == total;
     }
 
+    /** The events that went in, of those kept. */
     public List<Event> events() {
         return items.stream().map(Item::event).filter(event -> event != null).toList();
     }
 
+    /** The commands that came out, of those kept. */
     public List<Command> commands() {
         return items.stream().map(Item::command).filter(command -> command != null).toList();
     }
@@ -52,6 +55,7 @@
         return new PolicyCall(other, seq, nowMs, policyFailed, total, items);
     }
 
+    /** The same call with fewer items. */
     public PolicyCall withItems(List<Item> kept) {
         return new PolicyCall(source, seq, nowMs, policyFailed, total, kept);
     }
--- a/trace/src/main/java/sprucehold/trace/event/Source.java
+++ b/trace/src/main/java/sprucehold/trace/event/Source.java
@@ -28,6 +28,7 @@
                 + Long.toHexString(Double.doubleToLongBits(startedMs));
     }
 
+    /** The same with another fit of its clock. */
     public Source withClock(ClockFit fit) {
         return new Source(gatherer, build, seed, startedMs, deployment, fit);
     }
--- a/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
+++ b/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
@@ -17,11 +17,13 @@
      * order.
      */
     public record Window(double fromMs, double toMs) {
+        /** Whether a time lies in the window. */
         public boolean holds(double ms) {
             return ms >= fromMs && ms < toMs;
         }
     }
 
+    /** Copies the lists; files of earlier versions may lack some. */
     public TraceHeader {
         sources = List.copyOf(sources);
         lost = lost == null ? List.of() : List.copyOf(lost);
@@ -33,14 +35,17 @@
         return new TraceHeader(List.of(source), 1, false, null, List.of());
     }
 
+    /** The same with another sampling rate. */
     public TraceHeader withOneIn(int n) {
         return new TraceHeader(sources, n, anonymised, window, lost);
     }
 
+    /** The same with other sources. */
     public TraceHeader withSources(List<Source> replacement) {
         return new TraceHeader(replacement, oneIn, anonymised, window, lost);
     }
 
+    /** The same with another window. */
     public TraceHeader withWindow(Window other) {
         return new TraceHeader(sources, oneIn, anonymised, other, lost);
     }
--- a/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
@@ -118,11 +118,11 @@
         }
         if (kind < RecordKind.QUERY_RECEIVED
                 || kind > RecordKind.CONSUME_ALLOWANCE
-                || kind > RecordKind.CLUSTER_VIEW_CHANGED && kind < RecordKind.SEND_ATTEMPT) {
+                || (kind > RecordKind.CLUSTER_VIEW_CHANGED && kind < RecordKind.SEND_ATTEMPT)) {
             return;
         }
         if (open == null) {
-            throw new IOException("an item of kind " + kind + " before any moment");
+            throw new IOException("an item of kind " + kind + " before any policy call");
         }
         int index = leftOut ? in.readUInt32() : items.size();
         Item item =
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
@@ -51,7 +51,7 @@
             run.hashes[i] = in.readFixed64();
         }
         for (int i = 0; i < queries; i++) {
-            run.blockOf[i] = in.readRawByte() & 0xff | (in.readRawByte() & 0xff) << 8;
+            run.blockOf[i] = (in.readRawByte() & 0xff) | ((in.readRawByte() & 0xff) << 8);
             if (run.blockOf[i] >= blocks) {
                 throw new IOException("a query in block " + run.blockOf[i] + " of " + blocks);
             }
--- a/trace/src/main/java/sprucehold/trace/format/Frame.java
+++ b/trace/src/main/java/sprucehold/trace/format/Frame.java
@@ -59,11 +59,11 @@
         // Of 48 bytes, 4 are the checksum and 4 more are kept free, as zero, for a longer one.
         int at = frame.position();
         frame.putInt(0).putInt(0).put(stored);
-        frame.putInt(at, checksum(frame.array(), at, stored.length));
+        frame.putInt(at, checksum(frame.array(), at));
         return frame.array();
     }
 
-    private static int checksum(byte[] frame, int at, int storedLength) {
+    private static int checksum(byte[] frame, int at) {
         var crc = new CRC32C();
         crc.update(frame, 0, at);
         crc.update(frame, at + 4, frame.length - at - 4);
@@ -109,7 +109,7 @@
 
     /** Whether header and stored bytes are as they were written. */
     boolean matches(byte[] all) {
-        return checksum(all, Layout.FRAME_BYTES - 8, storedLength) == crc;
+        return checksum(all, Layout.FRAME_BYTES - 8) == crc;
     }
 
     /** The raw bytes; null where the stored ones don't inflate to just so many. */
@@ -142,7 +142,7 @@
             boolean complete =
                     length == rawLength
                             && (inflater.finished()
-                                    || inflater.inflate(new byte[1]) == 0 && inflater.finished());
+                                    || (inflater.inflate(new byte[1]) == 0 && inflater.finished()));
             return complete && inflater.getRemaining() == 0 ? raw : null;
         } catch (DataFormatException e) {
             return null;
--- a/trace/src/main/java/sprucehold/trace/format/TraceFile.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceFile.java
@@ -38,7 +38,7 @@
         try {
             length = channel.size();
             int headerLength = readPreamble();
-            firstFrame = Layout.PREAMBLE_BYTES + headerLength + CRC_BYTES;
+            firstFrame = (long) Layout.PREAMBLE_BYTES + headerLength + CRC_BYTES;
             header = readHeader();
         } catch (IOException | RuntimeException e) {
             channel.close();
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -18,6 +18,8 @@
     private TraceRepair() {}
 
     /**
+     * What a repair did.
+     *
      * @param needed false where the file was sound and nothing was written
      * @param entries entries kept
      * @param lostBytes bytes after the last whole block
@@ -39,8 +41,9 @@
             Path repaired = file.resolveSibling(file.getFileName() + ".repaired");
             // Frame by frame even where there is an index: it may tell of blocks that are damaged.
             TraceCursor look = reader.withoutIndex();
-            while (look.next() != null) {
-                continue;
+            Entry met = look.next();
+            while (met != null) {
+                met = look.next();
             }
             var lost = new ArrayList<>(reader.header().lost());
             look.skipped().forEach(what -> lost.add("a damaged block was left out: " + what));
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -26,9 +26,9 @@
 import sprucehold.trace.format.TraceWriter;
 
 /**
- * Takes what one gatherer's module is told and does, and writes it on a thread of its own. {@link
- * #took} belongs to the event loop: it neither waits nor fails, and where the writer has fallen
- * behind it counts what is lost.
+ * Takes what one gatherer's policy is told and decides, and writes it on a thread of its own.
+ * {@link #record} belongs to the event loop: it neither waits nor fails, and where the writer has
+ * fallen behind it counts what is lost.
  */
 public final class Recorder implements Closeable {
     private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
@@ -81,10 +81,13 @@
 
     /** Opens files to write to; a test's may fail or be slow. */
     public interface OpenFile {
+        /** Opens a new file. */
         OutputStream open(Path file) throws IOException;
     }
 
     /**
+     * Makes a recorder and starts its thread.
+     *
      * @param source whose policy calls these are; its start is the time of the first of them
      */
     public Recorder(RecordingSettings plan, Source source) {
@@ -96,6 +99,8 @@
                                 file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
+    // The lowest priority, as the thread shares its gatherer's one core; nothing rests on it.
+    @SuppressWarnings("ThreadPriorityCheck")
     Recorder(RecordingSettings plan, Source source, OpenFile openFile) {
         this.plan = plan;
         this.unbegun = source;
--- a/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
@@ -10,6 +10,7 @@
     private final DecisionPolicy policy;
     private final Recorder recorder;
 
+    /** Records what a policy is told and decides. */
     public RecordingPolicy(DecisionPolicy policy, Recorder recorder) {
         this.policy = policy;
         this.recorder = recorder;
--- a/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
@@ -32,6 +32,8 @@
         Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
 
     /**
+     * Reads the settings.
+     *
      * @throws InvalidSettingsException with all that is wrong with the file, in one line
      */
     public static RecordingSettings read(Path file) throws IOException {
--- a/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
@@ -35,12 +35,20 @@
         DROP
     }
 
+    /**
+     * Makes a policy.
+     *
+     * @param fileBytes a file is ended beyond so many bytes
+     * @param fileMs a file is ended after so many milliseconds
+     */
     public RotationPolicy(long fileBytes, double fileMs) {
         this.fileBytes = fileBytes;
         this.fileMs = fileMs;
     }
 
     /**
+     * What to do with the next entry.
+     *
      * @param nowMs the entry's time; a clock that stepped back ends no file and puts no retry off
      * @param written bytes in the file that is open
      */
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -188,7 +188,7 @@
             },
             {"names that grow out of each other", growingNames(), goodRun, null},
             {"four million records from nearly nothing", bomb(), goodRun, null},
-            {"an item before any moment", varints(17, 0), goodRun, null},
+            {"an item before any policy call", varints(17, 0), goodRun, null},
             {"a source that isn't there", varints(1, 5, 7, 0, 0, 0, 0), goodRun, null},
             {"a name that isn't there", varints(1, 5, 0, 0, 0, 0, 1, 13, 1, 99), goodRun, null},
             {"a run with a billion blocks", moment, varints(1_000_000_000L), null},
@@ -237,7 +237,7 @@
         // Several times a block's bound, whatever the file claims.
         assertTrue(
                 allocated() - before < 220L << 20,
-                what + " took " + (allocated() - before >> 20) + " MiB: " + said);
+                what + " took " + ((allocated() - before) >> 20) + " MiB: " + said);
     }
 
     private static long allocated() {
--- a/trace/src/test/java/sprucehold/trace/format/Samples.java
+++ b/trace/src/test/java/sprucehold/trace/format/Samples.java
@@ -52,6 +52,9 @@
                     new Deployment.EndpointSubscription(false, 10_000));
     public static final double BEGIN = 1_767_225_600_000.0;
 
+    private static final List<AttemptOutcome> OUTCOMES = List.of(AttemptOutcome.values());
+    private static final List<Endpoint.State> STATES = List.of(Endpoint.State.values());
+
     private Samples() {}
 
     public static Source source(String gatherer) {
@@ -107,7 +110,7 @@
                             new Event.AttemptEnded(
                                     id + ".3",
                                     0,
-                                    AttemptOutcome.values()[i % 8],
+                                    OUTCOMES.get(i % 8),
                                     random.nextDouble() * 100,
                                     new LoadReport(3, Double.NaN, 0.61)),
                             new Event.AttemptEnded(id + ".9", 0, AttemptOutcome.COMPLETED, 3, null),
@@ -118,11 +121,7 @@
                                     i % 2 == 0,
                                     List.of(
                                             new Endpoint(
-                                                    "s-" + i % 5,
-                                                    1,
-                                                    "a",
-                                                    0,
-                                                    Endpoint.State.values()[i % 3]))));
+                                                    "s-" + i % 5, 1, "a", 0, STATES.get(i % 3)))));
             Command end =
                     switch (i % 4) {
                         case 0 -> new Command.AnswerQuery(id, true, Reason.COMPLETE);
--- a/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
@@ -114,7 +114,7 @@
 
     private long warnings() {
         synchronized (logged) {
-            return logged.stream().filter(line -> line.getLevel() == Level.WARNING).count();
+            return logged.stream().filter(line -> line.getLevel().equals(Level.WARNING)).count();
         }
     }
 
