--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -21,7 +21,7 @@
     private static final int FANOUT = 3;
 
     /** Pieces of a table in a datagram, as the membership has. */
-    private static final int PIECE = 12;
+    private static final int CHUNK_SIZE = 12;
 
     /** Standard deviations beyond the mean at which phi is 8. */
     private static final double DEVIATIONS = 5.6;
@@ -60,10 +60,10 @@
         List<String> others = new ArrayList<>(alive());
         for (int i = 0; i < Math.min(FANOUT, others.size()); i++) {
             String to = others.get(random.nextInt(others.size()));
-            var piece = new ArrayList<MemberUpdate>();
+            var chunk = new ArrayList<MemberUpdate>();
             for (var one : all.entrySet()) {
                 if (one.getValue().count > 0) {
-                    piece.add(
+                    chunk.add(
                             new MemberUpdate(
                                     one.getKey(),
                                     "",
@@ -71,15 +71,15 @@
                                     one.getValue().count,
                                     MemberUpdate.State.ALIVE));
                 }
-                if (piece.size() == PIECE) {
+                if (chunk.size() == CHUNK_SIZE) {
                     out.add(
                             new Outgoing(
-                                    to, new MemberMessage.MemberTable(false, List.copyOf(piece))));
-                    piece.clear();
+                                    to, new MemberMessage.MemberTable(false, List.copyOf(chunk))));
+                    chunk.clear();
                 }
             }
-            if (!piece.isEmpty()) {
-                out.add(new Outgoing(to, new MemberMessage.MemberTable(false, List.copyOf(piece))));
+            if (!chunk.isEmpty()) {
+                out.add(new Outgoing(to, new MemberMessage.MemberTable(false, List.copyOf(chunk))));
             }
         }
         return out;
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -134,7 +134,7 @@
     private final Random random;
     private final List<Member> members = new ArrayList<>();
     private final EventQueue events = new EventQueue();
-    private final ArrayDeque<Double> sent = new ArrayDeque<>();
+    private final ArrayDeque<Double> sentAtMs = new ArrayDeque<>();
     private long messages;
     private long wanted;
     private long got;
@@ -294,16 +294,16 @@
     }
 
     private int inWindow() {
-        while (!sent.isEmpty() && sent.peek() <= events.nowMs() - setting.windowMs) {
-            sent.poll();
+        while (!sentAtMs.isEmpty() && sentAtMs.peek() <= events.nowMs() - setting.windowMs) {
+            sentAtMs.poll();
         }
-        return sent.size();
+        return sentAtMs.size();
     }
 
     private void used() {
         got++;
         count(gotBySecond);
-        sent.add(events.nowMs());
+        sentAtMs.add(events.nowMs());
         mostInWindow = Math.max(mostInWindow, inWindow());
     }
 
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
@@ -253,7 +253,7 @@
             } catch (RuntimeException e) {
                 LOG.log(
                         Level.SEVERE,
-                        "panic: a letter of " + decoded.from() + " could not be taken",
+                        "panic: a message of " + decoded.from() + " could not be taken",
                         e);
             }
             return;
@@ -282,7 +282,7 @@
                                 + refused.reason());
             }
         } else if (LOG.isLoggable(Level.FINE)) {
-            LOG.fine("not a letter from a known gatherer, from " + sender + ": " + received);
+            LOG.fine("not a message from a known gatherer, from " + sender + ": " + received);
         }
     }
 
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -326,7 +326,7 @@
                 && !healthChecks.noneWritten()) {
             healthCheckAnswered(answered);
         } else if (frame instanceof ShardFrame.FrameRefused refused) {
-            LOG.warning("frame refused: shard server at " + address + ", " + refused.words());
+            LOG.warning("frame refused: shard server at " + address + ", " + refused.reason());
             close(false, "a frame could not be used");
         }
     }
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -54,9 +54,9 @@
     /**
      * The shard server could not use a frame of ours, and closes the connection.
      *
-     * @param words what it said
+     * @param reason what it said
      */
-    record FrameRefused(String words) implements ShardFrame {}
+    record FrameRefused(String reason) implements ShardFrame {}
 
     /** The frame can't be read. */
     final class MalformedException extends Exception {
