--- a/cli/src/main/java/sprucehold/cli/OutcomeNames.java
+++ b/cli/src/main/java/sprucehold/cli/OutcomeNames.java
@@ -16,9 +16,9 @@
                 .orElseThrow(
                         () ->
                                 new TypeConversionException(
-                                        "expected one of "
+                                        "expected one of ["
                                                 + String.join(", ", this)
-                                                + " but was '"
+                                                + "] (case-sensitive) but was '"
                                                 + name
                                                 + "'"));
     }
--- a/cli/src/main/java/sprucehold/cli/TraceJudge.java
+++ b/cli/src/main/java/sprucehold/cli/TraceJudge.java
@@ -86,7 +86,7 @@
                                 "gatherers",
                                 groups(summary.byGatherer()),
                                 "outcomes",
-                                summary.outcomes(),
+                                reasonsByOutcome(summary),
                                 "reasons",
                                 summary.reasons(),
                                 "servers",
@@ -207,6 +207,13 @@
             System.out.println();
         }
 
+        private static Map<String, Object> reasonsByOutcome(TraceSummary summary) {
+            var map = TraceLook.map();
+            summary.outcomes()
+                    .forEach((outcome, reasons) -> map.put(outcome.storedName(), reasons));
+            return map;
+        }
+
         private static Map<String, Object> groups(Map<String, QueryGroup> groups) {
             var map = TraceLook.map();
             groups.forEach(
--- a/cli/src/main/java/sprucehold/cli/TraceLook.java
+++ b/cli/src/main/java/sprucehold/cli/TraceLook.java
@@ -12,6 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
+import sprucehold.storage.StoredJson;
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.Source;
 import sprucehold.trace.format.TraceCursor;
@@ -489,7 +490,7 @@
                                         "gatherer",
                                         source.gatherer(),
                                         "outcome",
-                                        explanation.statistics().outcome(),
+                                        explanation.statistics().outcome().storedName(),
                                         "reason",
                                         explanation.statistics().reason(),
                                         "lines",
@@ -502,19 +503,12 @@
                                                                         "ms",
                                                                         line.nowMs(),
                                                                         "kind",
-                                                                        (line.item().event() != null
-                                                                                        ? line.item()
-                                                                                                .event()
-                                                                                        : line.item()
-                                                                                                .command())
-                                                                                .getClass()
-                                                                                .getSimpleName(),
+                                                                        StoredJson.kind(
+                                                                                line.item()
+                                                                                        .eventOrCommand()),
                                                                         "what",
-                                                                        line.item().event() != null
-                                                                                ? line.item()
-                                                                                        .event()
-                                                                                : line.item()
-                                                                                        .command()))
+                                                                        line.item()
+                                                                                .eventOrCommand()))
                                                 .toList()));
                     } else {
                         QueryExplainer.tell(explanation, source).forEach(System.out::println);
--- a/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
@@ -166,4 +166,21 @@
                         .out
                         .contains("\"kind\":\"ScanTaken\""));
     }
+
+    /** Scripts read these names of outcomes and reasons. */
+    @Test
+    public void summaryNamesOutcomesAndReasonsAsEarlierVersionsDid() throws IOException {
+        JsonNode summary = new ObjectMapper().readTree(trace("summarise DIR/m.trace --json").out);
+        assertTrue(summary.at("/outcomes/WHOLE/WHOLE").asInt() > 0, summary.toString());
+        assertTrue(summary.at("/reasons/FIRST_ROUND").asInt() > 0, summary.toString());
+        assertTrue(summary.at("/gatherers/g0/outcomes/WHOLE").asInt() > 0, summary.toString());
+    }
+
+    @Test
+    public void explanationNamesItsOutcomeAsEarlierVersionsDid() throws IOException {
+        String found = trace("find DIR/m.trace --outcome WHOLE --most 1 --json").out;
+        String id = new ObjectMapper().readTree(found).get("scan").asText();
+        String explained = trace("explain DIR/m.trace --json --scan " + id).out;
+        assertTrue(explained.contains("\"outcome\":\"WHOLE\""), explained);
+    }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Item.java
+++ b/trace/src/main/java/sprucehold/trace/event/Item.java
@@ -15,4 +15,9 @@
             throw new IllegalArgumentException("an item is an event or an action");
         }
     }
+
+    /** The event or the command, whichever it is. */
+    public Object eventOrCommand() {
+        return event != null ? event : command;
+    }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -51,7 +51,7 @@
                 continue;
             }
             for (Item item : ((PolicyCall) entry).items()) {
-                Object what = item.event() != null ? item.event() : item.command();
+                Object what = item.eventOrCommand();
                 ObjectNode fields = MAPPER.valueToTree(what);
                 if (what instanceof Event.QueryReceived taken) {
                     fields.put("type", taken.queryClass().name());
