--- a/core/src/main/java/sprucehold/policy/Admission.java
+++ b/core/src/main/java/sprucehold/policy/Admission.java
@@ -5,19 +5,22 @@
 import sprucehold.decision.Tenant;
 
 /**
- * Admits a query when enough of its parts have a server with capacity; until then it waits, at no
- * cost to the servers.
+ * Decides when a query may start. A query is admitted once enough of its parts have a server with
+ * capacity. A waiting query puts no load on the servers.
  */
 final class Admission {
-    /** What becomes of a query for now. */
+    /** Result of an admission check. */
     enum Decision {
-        /** It begins. */
+        /** The query starts now. */
         ADMIT,
-        /** It waits. */
+        /** The query stays in the admission queue. */
         WAIT,
-        /** It is rejected: the fleet as a whole is slow. */
+        /** The query is rejected because the fleet as a whole is slow. */
         REJECT_OVERLOAD,
-        /** It is rejected: its client most likely leaves before the needed parts are completed. */
+        /**
+         * The query is rejected because its client most likely disconnects before the needed parts
+         * are completed.
+         */
         REJECT_DEADLINE_TOO_SHORT
     }
 
@@ -43,7 +46,10 @@
         this.replicas = replicas;
     }
 
-    /** Decides on a query and selects its position. */
+    /**
+     * Decides whether a query may start now. Selects the position of the query unless the query is
+     * rejected.
+     */
     Decision decide(ScheduledQuery query) {
         if (!query.isAdmissionTried()) {
             Tenant tenant = query.tenant();
@@ -52,9 +58,9 @@
                 return Decision.REJECT_OVERLOAD;
             }
         }
-        double usualMs = latencies.medianOfSlowestMs(query.queryClass(), query.neededParts());
+        double medianMs = latencies.medianOfSlowestMs(query.queryClass(), query.neededParts());
         if (query.endsAtMs() < query.objectiveAtMs()
-                && query.endsAtMs() - context.nowMs() < usualMs) {
+                && query.endsAtMs() - context.nowMs() < medianMs) {
             return Decision.REJECT_DEADLINE_TOO_SHORT;
         }
         query.setPosition(replicas.selectPosition(query));
@@ -63,7 +69,7 @@
 
     private boolean hasCapacity(ScheduledQuery query) {
         Map<ShardServerState, Integer> wanted = new LinkedHashMap<>();
-        int placeable = 0;
+        int partsWithCapacity = 0;
         for (ScheduledPart part : query.parts()) {
             ShardServerState server = replicas.select(part);
             if (context.manyGatherers() && server != null && failedRepeatedly(server, query)) {
@@ -72,24 +78,31 @@
             if (server != null) {
                 wanted.merge(server, 1, Integer::sum);
             } else if (!endpoints.hasRunningReplica(part.shard())) {
-                // A shard that has no server doesn't hold up the other parts.
-                placeable++;
+                // A shard without a running replica must not keep the other parts waiting.
+                partsWithCapacity++;
             }
         }
         for (Map.Entry<ShardServerState, Integer> entry : wanted.entrySet()) {
-            placeable += capacity(entry.getKey(), entry.getValue());
+            partsWithCapacity += capacity(entry.getKey(), entry.getValue());
         }
-        return placeable >= query.neededParts();
+        return partsWithCapacity >= query.neededParts();
     }
 
-    /** Whether all replicas failed more than once lately: a part there would come late. */
+    /**
+     * Returns whether the selected server has failed more than once in a row, the last time within
+     * one latency objective. {@link ReplicaSelector} selects such a server only if no other replica
+     * is better, so a part sent now would be late.
+     */
     private boolean failedRepeatedly(ShardServerState server, ScheduledQuery query) {
-        double latelyMs = context.nowMs() - query.queryClass().latencyObjectiveMs();
+        double recentSinceMs = context.nowMs() - query.queryClass().latencyObjectiveMs();
         return server.ejection().consecutiveFailures() > 1
-                && server.ejection().lastFailureAtMs() > latelyMs;
+                && server.ejection().lastFailureAtMs() > recentSinceMs;
     }
 
-    /** How many of the parts wanted a server takes; an idle one takes all that a query brings. */
+    /**
+     * Returns how many of a query's parts for a server the server has capacity for. An idle server
+     * takes all of them.
+     */
     private static int capacity(ShardServerState server, int wanted) {
         int pending = server.pendingAttempts().size();
         int free = (int) server.concurrencyLimit().value() - pending;
--- a/core/src/main/java/sprucehold/policy/AdmissionQueue.java
+++ b/core/src/main/java/sprucehold/policy/AdmissionQueue.java
@@ -6,15 +6,27 @@
 import java.util.List;
 import sprucehold.decision.Reason;
 
-/** Queries, and second steps of queries, that wait to begin, those of highest priority first. */
+/**
+ * Queue of queries, and of second steps of queries, that wait to start. The queue is in descending
+ * order of priority.
+ */
 final class AdmissionQueue {
-    /** Leaves half the time for a round and some for a retry. */
+    /**
+     * Portion of the available time that a query may wait for admission. The rest leaves half of
+     * the time for a round and some time for a retry.
+     */
     private static final double MAX_WAIT_PORTION = 0.25;
 
-    /** Queries tried in vain in one call; more would cost more than serving. */
-    private static final int MAX_TRIED_IN_VAIN = 2;
+    /**
+     * Maximum number of unsuccessful admission checks per call. More checks would cost more than
+     * serving the queries.
+     */
+    private static final int MAX_FAILED_CHECKS = 2;
 
-    /** The portion of the most that may be open at which the lowest priorities give way. */
+    /**
+     * Portion of the maximum number of open queries and parts above which the waiting queries of
+     * lowest priority are rejected.
+     */
     private static final double MAX_OPEN_PORTION = 0.9;
 
     private final DecisionContext context;
@@ -49,8 +61,8 @@
     }
 
     /**
-     * Begins the queries that can, rejects those that have waited too long, and evicts if too many
-     * are open.
+     * Starts the waiting queries that can be admitted and rejects those that have waited too long.
+     * Evicts waiting queries if too many queries and parts are open.
      */
     void beginWaiting() {
         double overQuotaPriority = context.deployment().overQuotaPriority();
@@ -61,14 +73,15 @@
         if (fullPass) {
             lastFullPassAtMs = nowMs;
         }
-        int triedInVain = 0;
+        int failedChecks = 0;
         for (Iterator<ScheduledQuery> queries = waiting.iterator(); queries.hasNext(); ) {
             ScheduledQuery query = queries.next();
             boolean mayWait = query.isSecondStep() || nowMs < latestBeginMs(query);
-            boolean due = fullPass || !query.isAdmissionTried() || query.isSecondStep();
-            boolean tried = !query.isOver() && mayWait && triedInVain < MAX_TRIED_IN_VAIN && due;
-            if (tried && !begin(query)) {
-                triedInVain++;
+            boolean needsCheck = fullPass || !query.isAdmissionTried() || query.isSecondStep();
+            boolean checkNow =
+                    !query.isOver() && mayWait && failedChecks < MAX_FAILED_CHECKS && needsCheck;
+            if (checkNow && !begin(query)) {
+                failedChecks++;
             } else if (!query.isOver() && !mayWait) {
                 completion.reject(
                         query, query.isOverQuota() ? Reason.OVER_QUOTA : Reason.NO_CAPACITY);
@@ -88,7 +101,7 @@
         return query.receivedAtMs() + availableMs * MAX_WAIT_PORTION;
     }
 
-    /** Begins or rejects a query; false if it has to wait. */
+    /** Starts or rejects a query. Returns false if the query has to wait. */
     private boolean begin(ScheduledQuery query) {
         if (!query.isSecondStep() && !query.isAdmitted()) {
             switch (admission.decide(query)) {
@@ -110,7 +123,10 @@
         return true;
     }
 
-    /** At the most that may be open the next query is lost, whatever its priority. */
+    /**
+     * Rejects waiting queries of lowest priority before the maximum number of open queries and
+     * parts is reached. At the maximum the next query would be lost, whatever its priority.
+     */
     private void evictLowestPriorities() {
         int open = waiting.isEmpty() ? 0 : openQueries.size();
         int maxOpen = context.deployment().limits().maxOpen();
--- a/core/src/main/java/sprucehold/policy/AttemptResults.java
+++ b/core/src/main/java/sprucehold/policy/AttemptResults.java
@@ -5,9 +5,15 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Reason;
 
-/** Takes in how attempts ended: for the statistics, the server, the part and its query. */
+/**
+ * Processes the results of attempts: updates the statistics, the state of the server, the part and
+ * its query.
+ */
 final class AttemptResults {
-    /** A completion within this portion of the latency objective leaves time to queue more. */
+    /**
+     * Portion of the latency objective within which a completion counts as quick. The server then
+     * has time to queue further attempts.
+     */
     private static final double QUICK_PORTION = 0.25;
 
     private final DecisionContext context;
@@ -35,7 +41,7 @@
         this.completion = completion;
     }
 
-    void onEnded(Event.AttemptEnded ended) {
+    void onAttemptEnded(Event.AttemptEnded ended) {
         ScheduledPart part = openQueries.part(ended.partId());
         if (part == null) {
             return;
@@ -51,7 +57,7 @@
         } else {
             onNotCompleted(attempt, ended.outcome(), wanted);
         }
-        openQueries.forgetIfDone(part);
+        openQueries.removeIfDone(part);
     }
 
     private void onCompleted(PartAttempt attempt, double latencyMs, boolean wanted) {
@@ -72,7 +78,7 @@
         part.markCompleted();
         if (wanted) {
             sender.cancel(part, Reason.PART_COMPLETED);
-            completion.settle(part.query());
+            completion.evaluate(part.query());
         }
     }
 
@@ -90,13 +96,15 @@
         }
         if (wanted && !part.hasPendingAttempt()) {
             sender.retry(part);
-            completion.settle(part.query());
+            completion.evaluate(part.query());
         }
     }
 
     /**
-     * Whether an outcome speaks against the server. A timeout before the attempt was late tells of
-     * the client, and attempts that end at the same moment are one failure, as of a connection.
+     * Returns whether an outcome counts as a new failure of the server. Late attempts are left to
+     * {@link LateDetector}. A timeout before the attempt was late is due to the client's short
+     * deadline. Attempts that end at the same time count as one failure, because they usually share
+     * a connection.
      */
     private boolean isNewFailure(PartAttempt attempt, AttemptOutcome outcome) {
         if (attempt.isLate() || outcome == AttemptOutcome.TIMED_OUT) {
--- a/core/src/main/java/sprucehold/policy/AttemptRules.java
+++ b/core/src/main/java/sprucehold/policy/AttemptRules.java
@@ -3,9 +3,15 @@
 import sprucehold.decision.Deployment;
 import sprucehold.decision.QueryClass;
 
-/** Whether a part may get another attempt, by its query class, the limits and the retry budget. */
+/**
+ * Decides whether a part may get another attempt, by its query class, the limits and the retry
+ * budget.
+ */
 final class AttemptRules {
-    /** The end of a deduplication window that isn't used: a repeat must not arrive after it. */
+    /**
+     * Margin at the end of the deduplication window, in ticks. No retry is sent within this margin,
+     * because a repeated attempt must not arrive after the window.
+     */
     private static final double DEDUPLICATION_MARGIN_TICKS = 2;
 
     private final DecisionContext context;
@@ -30,7 +36,7 @@
         if (pending && !limits.hedging()) {
             return false;
         }
-        if (isHeldBack(part)) {
+        if (isBlockedByReset(part)) {
             return false;
         }
         if ((part.mayHaveRun() || pending) && !mayRunAgain(part)) {
@@ -39,7 +45,7 @@
         return retryBudget.allowsRetry();
     }
 
-    /** Whether its query class allows a part to run again that may have run. */
+    /** Returns whether the query class allows a part that may have run to run again. */
     private boolean mayRunAgain(ScheduledPart part) {
         QueryClass queryClass = part.query().queryClass();
         return switch (queryClass.idempotence()) {
@@ -54,10 +60,11 @@
     }
 
     /**
-     * Whether a part whose connection was reset has to wait until another part of its query is
-     * completed. Guards against queries that bring down the servers that run them, one by one.
+     * Returns whether a part whose connection was reset has to wait until another part of its query
+     * is completed. This protects the servers from a query that would crash, one after the other,
+     * all servers that run it.
      */
-    boolean isHeldBack(ScheduledPart part) {
+    boolean isBlockedByReset(ScheduledPart part) {
         return part.hadConnectionReset() && part.query().completedParts() == 0;
     }
 }
--- a/core/src/main/java/sprucehold/policy/AttemptSender.java
+++ b/core/src/main/java/sprucehold/policy/AttemptSender.java
@@ -6,7 +6,7 @@
 import sprucehold.decision.Reason;
 import sprucehold.decision.SkippedReplica;
 
-/** Sends and cancels attempts; holds parts that wait for a replica. */
+/** Sends and cancels attempts, and queues parts that wait for a replica. */
 final class AttemptSender {
     private final DecisionContext context;
     private final CommandList commands;
@@ -38,9 +38,10 @@
     }
 
     /**
-     * Sends a part.
+     * Sends an attempt of a part.
      *
-     * @param server where to, or null to wait until a replica may be used
+     * @param server the server to send to, or null if the part has to wait until a replica is
+     *     available
      */
     void send(ScheduledPart part, ShardServerState server, Reason reason) {
         if (server == null) {
@@ -68,9 +69,12 @@
         lateDetector.watch(attempt);
     }
 
-    /** Sends a part whose attempts have all ended once more, if it may be. */
+    /**
+     * Sends a part again after all its attempts have ended, if another attempt is allowed. A part
+     * that is blocked by a connection reset is queued.
+     */
     void retry(ScheduledPart part) {
-        if (rules.isHeldBack(part)) {
+        if (rules.isBlockedByReset(part)) {
             waitingParts.add(part);
         } else if (rules.mayAttempt(part)) {
             send(part, replicas.selectLeastLoaded(part), reasonOfNext(part));
@@ -81,12 +85,12 @@
         return !waitingParts.isEmpty();
     }
 
-    /** Sends the parts that waited and for which there is a replica now. */
+    /** Sends the waiting parts for which a replica is now available. */
     void sendWaitingParts() {
         List<ScheduledPart> parts = List.copyOf(waitingParts);
         waitingParts.clear();
         for (ScheduledPart part : parts) {
-            if (rules.isHeldBack(part) && !part.query().isOver()) {
+            if (rules.isBlockedByReset(part) && !part.query().isOver()) {
                 waitingParts.add(part);
             } else if (rules.mayAttempt(part) && !part.hasPendingAttempt()) {
                 ShardServerState server =
--- a/core/src/main/java/sprucehold/policy/CapacityRechecks.java
+++ b/core/src/main/java/sprucehold/policy/CapacityRechecks.java
@@ -1,6 +1,9 @@
 package sprucehold.policy;
 
-/** Sees to a wake-up while something waits for capacity, which time alone may bring. */
+/**
+ * Schedules wake-ups while queries or parts wait for capacity, because capacity may become
+ * available by the passing of time alone.
+ */
 final class CapacityRechecks {
     private static final double INTERVAL_MS = 25;
 
@@ -13,11 +16,14 @@
         this.timers = timers;
     }
 
-    /** Sets a timer unless one is set: each would bring a next one. */
+    /**
+     * Sets a timer unless one is already set. Without this check each timer would set another one,
+     * and the timers would multiply.
+     */
     void schedule() {
         if (context.nowMs() >= nextAtMs) {
             nextAtMs = context.nowMs() + INTERVAL_MS;
-            timers.at(nextAtMs, () -> {});
+            timers.schedule(nextAtMs, () -> {});
         }
     }
 }
--- a/core/src/main/java/sprucehold/policy/CommandList.java
+++ b/core/src/main/java/sprucehold/policy/CommandList.java
@@ -8,7 +8,7 @@
 final class CommandList {
     private List<Command> commands = new ArrayList<>();
 
-    /** Starts a new list; one handed out before stays as it is. */
+    /** Starts a new list. A list returned by an earlier call stays unchanged. */
     void beginCall() {
         commands = new ArrayList<>();
     }
--- a/core/src/main/java/sprucehold/policy/Completion.java
+++ b/core/src/main/java/sprucehold/policy/Completion.java
@@ -5,7 +5,9 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Reason;
 
-/** Decides when a query is answered, rejected or failed; each gets exactly one final answer. */
+/**
+ * Decides when a query is answered, rejected or failed. Each query gets exactly one final answer.
+ */
 final class Completion {
     private final DecisionContext context;
     private final CommandList commands;
@@ -32,8 +34,11 @@
         this.resetGuard = resetGuard;
     }
 
-    /** After a change in a query's parts: answers it, ends it or its round, or lets it go on. */
-    void settle(ScheduledQuery query) {
+    /**
+     * Evaluates a query after a change in its parts: answers the query, ends the query or its
+     * current round, or lets the query continue.
+     */
+    void evaluate(ScheduledQuery query) {
         double coverage = query.coverage();
         if (coverage >= query.completeCoverage() - ScheduledQuery.COVERAGE_TOLERANCE) {
             answerComplete(query);
@@ -47,12 +52,12 @@
             end(query, Reason.ALL_CONNECTIONS_RESET);
             return;
         }
-        double possible = possibleCoverage(query, anyPending);
-        if (possible < query.minimumCoverage() - ScheduledQuery.COVERAGE_TOLERANCE) {
+        double reachableCoverage = maxReachableCoverage(query, anyPending);
+        if (reachableCoverage < query.minimumCoverage() - ScheduledQuery.COVERAGE_TOLERANCE) {
             end(query, Reason.BELOW_MINIMUM_COVERAGE);
-        } else if (possible <= coverage) {
+        } else if (reachableCoverage <= coverage) {
             end(query, Reason.NOTHING_PENDING);
-        } else if (query.lastRound().parts().stream().allMatch(this::isSettled)) {
+        } else if (query.lastRound().parts().stream().allMatch(this::isFinished)) {
             rounds.end(query, query.lastRound());
         }
     }
@@ -61,20 +66,20 @@
         return query.parts().stream().anyMatch(ScheduledPart::hadConnectionReset);
     }
 
-    /** The coverage of what is completed, pending or may still be sent. */
-    private double possibleCoverage(ScheduledQuery query, boolean anyPending) {
+    /** Returns the coverage of the parts that are completed, pending or may still be sent. */
+    private double maxReachableCoverage(ScheduledQuery query, boolean anyPending) {
         return query.parts().stream()
                 .filter(
                         part ->
                                 part.isCompleted()
                                         || part.hasPendingAttempt()
                                         || rules.mayAttempt(part)
-                                        || (anyPending && rules.isHeldBack(part)))
+                                        || (anyPending && rules.isBlockedByReset(part)))
                 .mapToDouble(ScheduledPart::weight)
                 .sum();
     }
 
-    private boolean isSettled(ScheduledPart part) {
+    private boolean isFinished(ScheduledPart part) {
         return part.isCompleted() || (!part.hasPendingAttempt() && !rules.mayAttempt(part));
     }
 
@@ -88,11 +93,14 @@
         List<ScheduledPart> firstStep = query.parts();
         firstStep.forEach(part -> sender.cancel(part, Reason.NEXT_STEP));
         firstStep.forEach(ScheduledPart::markStepOver);
-        firstStep.forEach(openQueries::forgetIfDone);
+        firstStep.forEach(openQueries::removeIfDone);
         query.beginSecondStep();
     }
 
-    /** Ends a query with what is completed, if that may be an answer, or else with none. */
+    /**
+     * Ends a query. Answers it with the completed parts if they suffice for a final answer, and
+     * otherwise rejects or fails it.
+     */
     void end(ScheduledQuery query, Reason reason) {
         if (query.isOver()) {
             return;
@@ -108,14 +116,19 @@
         }
     }
 
-    /** Answers a query at its latency objective, if what is completed may be the answer. */
+    /**
+     * Answers a query at its latency objective if the completed parts suffice for a final answer.
+     */
     void endAtObjective(ScheduledQuery query) {
         if (mayAnswer(query)) {
             end(query, Reason.LATENCY_OBJECTIVE);
         }
     }
 
-    /** Whether what is completed may be the final answer; a first step's never is one. */
+    /**
+     * Returns whether the completed parts suffice for a final answer. The first of two steps never
+     * has a final answer.
+     */
     private static boolean mayAnswer(ScheduledQuery query) {
         return !query.isOver()
                 && (query.isSecondStep() || query.queryClass().secondStepParts() == 0)
@@ -123,7 +136,10 @@
                 && query.coverage() >= query.minimumCoverage() - ScheduledQuery.COVERAGE_TOLERANCE;
     }
 
-    /** Whether asking again is harmless: the query may run again, or nothing of it ever ran. */
+    /**
+     * Returns whether the client may safely repeat the query. This holds if the query may run more
+     * than once, or if no part of it can have run.
+     */
     private static boolean isRejectable(ScheduledQuery query) {
         return query.queryClass().idempotence() != QueryClass.Idempotence.NON_IDEMPOTENT
                 || (!query.isSecondStep()
@@ -137,11 +153,11 @@
         close(query, Reason.QUERY_OVER);
     }
 
-    /** Closes a query, and cancels what is pending for it. */
+    /** Closes a query and cancels its pending attempts. */
     void close(ScheduledQuery query, Reason reason) {
         query.markOver();
         openQueries.remove(query);
         query.parts().forEach(part -> sender.cancel(part, reason));
-        query.parts().forEach(openQueries::forgetIfDone);
+        query.parts().forEach(openQueries::removeIfDone);
     }
 }
--- a/core/src/main/java/sprucehold/policy/CompletionEstimate.java
+++ b/core/src/main/java/sprucehold/policy/CompletionEstimate.java
@@ -1,14 +1,14 @@
 package sprucehold.policy;
 
-/** The estimated share of sent parts that complete before their round's timer. */
+/** Estimated share of sent parts that complete before the timer of their round expires. */
 final class CompletionEstimate {
     /** Weight of the latest round in the moving average. */
     private static final double ROUND_WEIGHT = 0.1;
 
-    /** The estimate is cut so that a first round is more often enough. */
+    /** Factor that lowers the estimate, so that the first round suffices more often. */
     private static final double SAFETY_FACTOR = 0.9;
 
-    /** Keeps an exact quotient from being rounded up. */
+    /** Tolerance that keeps rounding errors from raising an exact quotient to the next integer. */
     private static final double WIDTH_TOLERANCE = 1e-9;
 
     private double completedShare = 1;
@@ -17,16 +17,19 @@
         return completedShare;
     }
 
-    /** Takes in a round whose timer has expired. */
+    /** Updates the estimate with a round whose timer has expired. */
     void onRoundTimer(Round round) {
-        if (round.counted() > 0) {
-            double share = (double) round.completedInTime() / round.counted();
+        if (round.countedParts() > 0) {
+            double share = (double) round.completedInTime() / round.countedParts();
             completedShare += ROUND_WEIGHT * (share - completedShare);
         }
     }
 
-    /** How many parts a first round sends so that as many complete as are needed. */
-    int firstWidth(int neededParts) {
+    /**
+     * Returns how many parts a first round has to send so that, by the estimate, as many parts
+     * complete as are needed.
+     */
+    int firstRoundWidth(int neededParts) {
         double estimate = SAFETY_FACTOR * completedShare;
         return estimate <= 0 ? 1 : (int) Math.ceil(neededParts / estimate - WIDTH_TOLERANCE);
     }
--- a/core/src/main/java/sprucehold/policy/ConcurrencyLimit.java
+++ b/core/src/main/java/sprucehold/policy/ConcurrencyLimit.java
@@ -1,23 +1,32 @@
 package sprucehold.policy;
 
 /**
- * How many attempts of this gatherer may be pending at one shard server: additive increase,
- * multiplicative decrease (Chiu and Jain, 1989). Below the initial limit it recovers faster.
+ * Limit on the attempts of this gatherer that may be pending at one shard server. The limit uses
+ * additive increase and multiplicative decrease (Chiu and Jain, 1989). Below its initial value it
+ * recovers faster.
  */
 final class ConcurrencyLimit {
-    /** The cores of a small server and as many attempts that wait there. */
+    /**
+     * Initial limit: the number of cores of a small server, plus as many attempts that wait there.
+     */
     static final double INITIAL_LIMIT = 4;
 
     private static final double MIN_LIMIT = 1;
     private static final double DECREASE_FACTOR = 0.7;
 
-    /** Attempts that were pending together cut the limit once. */
+    /**
+     * Minimum time between two cuts, in milliseconds. It ensures that attempts that were pending at
+     * the same time cut the limit only once.
+     */
     private static final double MIN_BETWEEN_CUTS_MS = 200;
 
-    /** For so long after a cut the limit grows by steps, later it doubles. */
-    private static final double CAREFUL_GROWTH_MS = 2000;
+    /**
+     * Time after a cut, in milliseconds, during which a limit below the initial value grows by
+     * {@link #ADDITIVE_STEP}. Later the limit doubles.
+     */
+    private static final double ADDITIVE_GROWTH_MS = 2000;
 
-    private static final double CAREFUL_STEP = 0.5;
+    private static final double ADDITIVE_STEP = 0.5;
 
     private double limit = INITIAL_LIMIT;
     private double cutAtMs;
@@ -34,17 +43,17 @@
     }
 
     /**
-     * Grows the limit after an attempt that wasn't late.
+     * Increases the limit after an attempt that completed in time.
      *
-     * @param quick whether more attempts could wait at the server and still be in time
-     * @param pending attempts that are pending there now
+     * @param quick whether the server could queue more attempts and still complete them in time
+     * @param pending number of attempts that are still pending at the server
      */
     void onCompletedInTime(double nowMs, boolean quick, int pending) {
         if (limit < INITIAL_LIMIT) {
-            boolean careful = nowMs - cutAtMs < CAREFUL_GROWTH_MS;
-            limit = Math.min(INITIAL_LIMIT, careful ? limit + CAREFUL_STEP : 2 * limit);
+            boolean additive = nowMs - cutAtMs < ADDITIVE_GROWTH_MS;
+            limit = Math.min(INITIAL_LIMIT, additive ? limit + ADDITIVE_STEP : 2 * limit);
         } else if (quick && pending + 1 >= limit / 2) {
-            // An unused limit tells nothing about a higher one.
+            // As long as the limit is not used, completions show nothing about a higher limit.
             limit += 1 / limit;
         }
     }
--- a/core/src/main/java/sprucehold/policy/DecisionContext.java
+++ b/core/src/main/java/sprucehold/policy/DecisionContext.java
@@ -4,8 +4,8 @@
 import sprucehold.decision.Deployment;
 
 /**
- * What every mechanism may read and only {@link QueryScheduler} sets: the time of the current call,
- * the deployment and the cluster view.
+ * State that every mechanism may read and only {@link QueryScheduler} sets: the time of the current
+ * call, the deployment and the cluster view.
  */
 final class DecisionContext {
     private Deployment deployment;
@@ -31,7 +31,7 @@
         manyGatherers = isMany(view.gatherers() > 0 ? view.gatherers() : deployment.gatherers());
     }
 
-    /** The time of the current call, in milliseconds. */
+    /** Returns the time of the current call, in milliseconds. */
     double nowMs() {
         return nowMs;
     }
@@ -40,14 +40,18 @@
         return deployment;
     }
 
-    /** How much other gatherers' observations speak against a shard server, 0 to 1. */
+    /**
+     * Returns the failure score of a shard server, from 0 to 1. The score summarizes the failures
+     * that other gatherers have observed.
+     */
     double failureScore(String server) {
         return clusterView.failureScores().getOrDefault(server, 0.0);
     }
 
     /**
-     * Whether there are more gatherers than a server's initial concurrency limit. Limits of one
-     * attempt each then overfill a server, and only latencies tell of the load.
+     * Returns whether there are more gatherers than the initial concurrency limit of a server. Even
+     * with a limit of one attempt each, the gatherers then overload a server, and only latencies
+     * show the load.
      */
     boolean manyGatherers() {
         return manyGatherers;
--- a/core/src/main/java/sprucehold/policy/EndpointList.java
+++ b/core/src/main/java/sprucehold/policy/EndpointList.java
@@ -9,15 +9,22 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 
-/** All shard servers, as endpoint updates tell of them, and which of them hold a shard. */
+/** All shard servers from the endpoint updates, and the replicas of each shard. */
 final class EndpointList {
-    /** Outlasts a server that is gone for a moment and comes back under its name. */
-    private static final double FORGET_AFTER_MS = 30_000;
+    /**
+     * Time since the last contact, in milliseconds, after which the state of a server that is gone
+     * is removed. It is long enough for a server that is gone for a moment and returns under the
+     * same name to keep its state.
+     */
+    private static final double REMOVE_AFTER_MS = 30_000;
 
     private final DecisionContext context;
     private final Map<String, ShardServerState> serversById = new TreeMap<>();
 
-    /** The servers of each replica group that aren't gone, by id: the same at every gatherer. */
+    /**
+     * Servers of each replica group that aren't gone. Sorting by id gives the same order at every
+     * gatherer.
+     */
     private final List<List<ShardServerState>> replicaGroups = new ArrayList<>();
 
     EndpointList(DecisionContext context) {
@@ -37,7 +44,7 @@
             replicaGroups.forEach(List::clear);
         }
         update.endpoints().forEach(this::update);
-        serversById.values().removeIf(this::isForgotten);
+        serversById.values().removeIf(this::isRemovable);
     }
 
     private void update(Endpoint endpoint) {
@@ -59,18 +66,21 @@
         }
     }
 
-    /** Fleets may be replaced by servers of new names, which must leave nothing behind. */
-    private boolean isForgotten(ShardServerState server) {
+    /**
+     * Returns whether the state of a server that is gone can be removed. Without the removal, the
+     * state of old servers would accumulate when a fleet is replaced by servers with new names.
+     */
+    private boolean isRemovable(ShardServerState server) {
         return server.pendingAttempts().isEmpty()
                 && !group(server).contains(server)
-                && server.lastContactAtMs() < context.nowMs() - FORGET_AFTER_MS;
+                && server.lastContactAtMs() < context.nowMs() - REMOVE_AFTER_MS;
     }
 
     private List<ShardServerState> group(ShardServerState server) {
         return replicaGroups.get(server.replicaGroup());
     }
 
-    /** The replicas of a shard in a fixed order; a position is an index into it. */
+    /** Returns the replicas of a shard in a fixed order. A position is an index into this list. */
     List<ShardServerState> replicas(int shard) {
         Deployment.ShardLayout layout = context.deployment().layout();
         if (layout.groupsPerShard() == 1) {
--- a/core/src/main/java/sprucehold/policy/EndpointSubscriber.java
+++ b/core/src/main/java/sprucehold/policy/EndpointSubscriber.java
@@ -4,18 +4,21 @@
 import sprucehold.decision.Command;
 import sprucehold.decision.Reason;
 
-/** Asks for endpoint updates, with exponential backoff and jitter while they are unavailable. */
+/** Requests endpoint updates, with exponential backoff and jitter while they are unavailable. */
 final class EndpointSubscriber {
     private static final double BACKOFF_BASE_MS = 250;
     private static final int BACKOFF_MAX_DOUBLINGS = 6;
 
     /**
-     * With jitter and the time of an unanswered call it stays under the six seconds after which the
-     * list's content counts as known.
+     * Maximum backoff, in milliseconds. With jitter and the duration of an unanswered call, the
+     * interval between calls stays under six seconds. Six seconds after discovery has a change and
+     * can be reached, the change counts as known to the gatherer.
      */
     private static final double BACKOFF_MAX_MS = 2000;
 
-    /** Jitter is drawn from this portion of the backoff to this portion and one. */
+    /**
+     * Lower bound of the jitter factor, which is drawn from this value up to this value plus one.
+     */
     private static final double JITTER_MIN = 0.5;
 
     private final DecisionContext context;
@@ -33,9 +36,9 @@
     }
 
     /**
-     * Notes an update.
+     * Handles an endpoint update.
      *
-     * @param first whether no server was known before it
+     * @param first whether no server was known before the update
      */
     void onUpdate(boolean first) {
         if (first && context.deployment().endpointSubscription().mustSubscribe()) {
@@ -51,7 +54,7 @@
         int doublings = Math.min(consecutiveFailures, BACKOFF_MAX_DOUBLINGS);
         consecutiveFailures++;
         double backoffMs = Math.min(maxMs, BACKOFF_BASE_MS * Math.pow(2, doublings));
-        timers.at(
+        timers.schedule(
                 context.nowMs() + backoffMs * (JITTER_MIN + random.nextDouble()),
                 () -> commands.add(new Command.SubscribeToEndpoints(Reason.ENDPOINTS_UNAVAILABLE)));
     }
--- a/core/src/main/java/sprucehold/policy/Hedging.java
+++ b/core/src/main/java/sprucehold/policy/Hedging.java
@@ -4,11 +4,14 @@
 import sprucehold.decision.Reason;
 
 /**
- * Sends hedged requests for late parts (Dean and Barroso, "The Tail at Scale", 2013), each as soon
- * as there is a server for it.
+ * Sends hedged requests for late parts (Dean and Barroso, "The Tail at Scale", 2013). Each one is
+ * sent as soon as a suitable server is available.
  */
 final class Hedging {
-    /** Above it hedged requests would only add to a full fleet's load. */
+    /**
+     * Overload signal above which no hedged requests are sent, because they would only add to a
+     * full fleet's load.
+     */
     private static final double MAX_OVERLOAD = 0.1;
 
     private final DecisionContext context;
@@ -40,7 +43,10 @@
         lateParts.removeIf(this::hedgeOrDrop);
     }
 
-    /** Returns whether the part needs no hedged request any more. */
+    /**
+     * Sends a hedged request for a late part if possible. Returns whether the part needs no hedged
+     * request any more.
+     */
     private boolean hedgeOrDrop(ScheduledPart part) {
         if (!part.hasPendingAttempt()
                 || !rules.mayAttempt(part)
@@ -51,7 +57,7 @@
             return false;
         }
         ShardServerState server = replicas.selectLeastLoaded(part);
-        // At a server with other attempts pending a hedged request makes those late in turn.
+        // At a server with other pending attempts, a hedged request would make those attempts late.
         if (server == null || (!server.pendingAttempts().isEmpty() && !isOvertaken(part))) {
             return false;
         }
@@ -60,7 +66,10 @@
         return true;
     }
 
-    /** Whether its server has answered attempts that were sent later: it is lost on the way. */
+    /**
+     * Returns whether the server of the last attempt has answered attempts that were sent later.
+     * The last attempt is then considered lost in transit.
+     */
     private static boolean isOvertaken(ScheduledPart part) {
         List<PartAttempt> attempts = part.attempts();
         PartAttempt last = attempts.get(attempts.size() - 1);
--- a/core/src/main/java/sprucehold/policy/LateDetector.java
+++ b/core/src/main/java/sprucehold/policy/LateDetector.java
@@ -1,12 +1,18 @@
 package sprucehold.policy;
 
-/** Notices attempts that are late, and what that says of their server, its zone and the fleet. */
+/** Detects late attempts, and records them for their server, its zone and the fleet. */
 final class LateDetector {
-    /** A timer that is itself later than this says nothing of the server. */
+    /**
+     * Maximum delay of a timer, in ticks. A timer that fires with a longer delay shows nothing
+     * about the server.
+     */
     private static final double MAX_TIMER_DELAY_TICKS = 2;
 
-    /** Below this estimate the fleet as a whole is slow; ejection would only load the others. */
-    private static final double MIN_ESTIMATE_TO_BLAME_SERVER = 0.6;
+    /**
+     * Completion estimate below which the fleet as a whole is slow. Ejecting a server would then
+     * only add load to the other servers.
+     */
+    private static final double MIN_ESTIMATE_TO_COUNT_FAILURE = 0.6;
 
     private final DecisionContext context;
     private final Timers timers;
@@ -33,24 +39,27 @@
         this.lateParts = lateParts;
     }
 
-    /** Watches an attempt that is sent now. */
+    /** Starts to monitor an attempt that is sent now. */
     void watch(PartAttempt attempt) {
         double lateAfterMs = latencies.lateAfterMs(attempt.part().query().queryClass());
-        watchUntil(context.nowMs() + lateAfterMs, attempt);
+        scheduleCheck(context.nowMs() + lateAfterMs, attempt);
     }
 
-    /** A timer that comes late puts it off by as much: answers may lie unread. */
-    private void watchUntil(double dueMs, PartAttempt attempt) {
-        timers.at(
-                dueMs,
+    /**
+     * Sets a timer that marks the attempt as late. If the timer fires with a delay, the check is
+     * postponed by the same delay, because answers may not have been read yet.
+     */
+    private void scheduleCheck(double checkAtMs, PartAttempt attempt) {
+        timers.schedule(
+                checkAtMs,
                 () -> {
                     if (!attempt.isPending()) {
                         return;
                     }
                     double nowMs = context.nowMs();
                     double maxDelayMs = MAX_TIMER_DELAY_TICKS * context.deployment().tickMs();
-                    if (nowMs - dueMs > maxDelayMs) {
-                        watchUntil(2 * nowMs - dueMs, attempt);
+                    if (nowMs - checkAtMs > maxDelayMs) {
+                        scheduleCheck(2 * nowMs - checkAtMs, attempt);
                     } else {
                         onLate(attempt, nowMs);
                     }
@@ -64,7 +73,7 @@
         suspects.onLate(server.zone());
         server.concurrencyLimit().onLate(nowMs);
         if (!server.answeredSince(attempt.sentAtMs())
-                || estimate.value() >= MIN_ESTIMATE_TO_BLAME_SERVER) {
+                || estimate.value() >= MIN_ESTIMATE_TO_COUNT_FAILURE) {
             server.onFailure(nowMs, false);
         }
         lateParts.add(attempt.part());
--- a/core/src/main/java/sprucehold/policy/LatencyHistogram.java
+++ b/core/src/main/java/sprucehold/policy/LatencyHistogram.java
@@ -1,8 +1,8 @@
 package sprucehold.policy;
 
 /**
- * A histogram with exponential bins, each {@value #BIN_GROWTH} times as wide as the one before. Old
- * values fade: all counts are halved whenever their sum reaches the capacity.
+ * Histogram with exponential bins, each {@value #BIN_GROWTH} times as wide as the previous one.
+ * Older values lose weight: all counts are halved whenever their sum reaches the capacity.
  */
 final class LatencyHistogram {
     private static final int BINS = 18;
@@ -12,7 +12,7 @@
 
     private static final double BIN_GROWTH = 1.6;
 
-    /** The least sum of counts for which a quantile is known. */
+    /** Minimum sum of counts for which a quantile is computed. */
     private static final double MIN_SAMPLES = 12;
 
     private final double[] counts = new double[BINS];
@@ -42,14 +42,15 @@
     }
 
     /**
-     * The upper edge, in milliseconds, of the bin in which a share of the values is reached.
+     * Returns the upper edge, in milliseconds, of the bin in which the cumulative count reaches a
+     * share of all values.
      *
      * @param share from 0 to 1
-     * @param unknown the result while there are too few values
+     * @param fallback the result while there are too few values
      */
-    double quantile(double share, double unknown) {
+    double quantile(double share, double fallback) {
         if (total < MIN_SAMPLES) {
-            return unknown;
+            return fallback;
         }
         double sum = 0;
         for (int bin = 0; bin < BINS; bin++) {
--- a/core/src/main/java/sprucehold/policy/LatencyStatistics.java
+++ b/core/src/main/java/sprucehold/policy/LatencyStatistics.java
@@ -5,26 +5,35 @@
 import java.util.Map;
 import sprucehold.decision.QueryClass;
 
-/** The latencies of completed attempts by query class, and what is derived from them. */
+/** Latencies of completed attempts by query class, and estimates derived from them. */
 final class LatencyStatistics {
-    /** About ten seconds of a quiet gatherer's parts. */
+    /**
+     * Capacity of a histogram: about the number of parts that a gatherer with little traffic
+     * handles in ten seconds.
+     */
     private static final int CAPACITY = 200;
 
-    /** An attempt is late after this portion of the latency objective at the latest. */
+    /** Portion of the latency objective after which a pending attempt is late at the latest. */
     private static final double LATE_OBJECTIVE_PORTION = 0.5;
 
     private static final double LATE_QUANTILE = 0.9;
     private static final double LATE_QUANTILE_FACTOR = 1.5;
 
-    /** The shortest latencies have next to no queueing in them. */
+    /**
+     * Quantile that estimates the work of a part. The shortest latencies contain almost no
+     * queueing.
+     */
     private static final double WORK_QUANTILE = 0.1;
 
-    /** The work of a part while nothing is known, as a portion of the latency objective. */
+    /**
+     * Assumed work of a part while there are too few latencies, as a portion of the latency
+     * objective.
+     */
     private static final double INITIAL_WORK_PORTION = 0.25;
 
     private final Map<String, LatencyHistogram> latencies = new HashMap<>();
 
-    /** Starts statistics for query classes that have none yet. */
+    /** Creates histograms for query classes that have none yet. */
     void addClasses(List<QueryClass> queryClasses) {
         queryClasses.forEach(
                 queryClass ->
@@ -35,14 +44,14 @@
         latencies.get(queryClass.name()).add(latencyMs);
     }
 
-    /** How long an attempt may be pending before it counts as late, in milliseconds. */
+    /** Returns how long an attempt may be pending before it counts as late, in milliseconds. */
     double lateAfterMs(QueryClass queryClass) {
-        double latest = queryClass.latencyObjectiveMs() * LATE_OBJECTIVE_PORTION;
-        double usual = latencies.get(queryClass.name()).quantile(LATE_QUANTILE, latest);
-        return Math.min(latest, LATE_QUANTILE_FACTOR * usual);
+        double maxMs = queryClass.latencyObjectiveMs() * LATE_OBJECTIVE_PORTION;
+        double quantileMs = latencies.get(queryClass.name()).quantile(LATE_QUANTILE, maxMs);
+        return Math.min(maxMs, LATE_QUANTILE_FACTOR * quantileMs);
     }
 
-    /** The work of a part at its shard server, in milliseconds on one core. */
+    /** Returns the estimated work of a part at its shard server, in milliseconds on one core. */
     double workMs(QueryClass queryClass) {
         return latencies
                 .get(queryClass.name())
@@ -50,8 +59,8 @@
     }
 
     /**
-     * The time within which, as likely as not, this many parts are all completed, in milliseconds;
-     * 0 while unknown.
+     * Returns the estimated median of the time in which a number of parts are all completed, in
+     * milliseconds; 0 while there are too few latencies.
      */
     double medianOfSlowestMs(QueryClass queryClass, int parts) {
         return latencies.get(queryClass.name()).quantile(Math.pow(0.5, 1.0 / parts), 0);
--- a/core/src/main/java/sprucehold/policy/OpenQueries.java
+++ b/core/src/main/java/sprucehold/policy/OpenQueries.java
@@ -26,34 +26,36 @@
         queriesByNumber.remove(query.number());
     }
 
-    /** Forgets a part of no use any more once none of its attempts is pending. */
-    void forgetIfDone(ScheduledPart part) {
+    /** Removes an obsolete part once none of its attempts is pending. */
+    void removeIfDone(ScheduledPart part) {
         if (part.isObsolete() && !part.hasPendingAttempt()) {
             partsById.remove(part.id());
         }
     }
 
-    /** Makes the query classes of all open queries as strict as changed ones are. */
-    void restrict(List<QueryClass> changed) {
-        queriesByNumber.values().forEach(query -> query.restrict(changed));
+    /**
+     * Applies changed query classes to all open queries, but only where this makes them stricter.
+     */
+    void restrictClasses(List<QueryClass> changed) {
+        queriesByNumber.values().forEach(query -> query.restrictClass(changed));
     }
 
-    /** The query of this name, or null. */
+    /** Returns the query with this id, or null. */
     ScheduledQuery byId(String id) {
         return queriesById.get(id);
     }
 
-    /** The query of this number, or null. */
+    /** Returns the query with this number, or null. */
     ScheduledQuery byNumber(long number) {
         return queriesByNumber.get(number);
     }
 
-    /** The part of this name, or null. */
+    /** Returns the part with this id, or null. */
     ScheduledPart part(String id) {
         return partsById.get(id);
     }
 
-    /** How many queries and parts are held. */
+    /** Returns the number of open queries and of parts that are not done. */
     int size() {
         return queriesByNumber.size() + partsById.size();
     }
--- a/core/src/main/java/sprucehold/policy/OutlierEjection.java
+++ b/core/src/main/java/sprucehold/policy/OutlierEjection.java
@@ -1,17 +1,24 @@
 package sprucehold.policy;
 
 /**
- * Consecutive failures of one shard server, and its ejection: while ejected it is sent nothing. The
- * time grows with each ejection that brings no success, as in Envoy's outlier detection.
+ * Counts consecutive failures of one shard server and ejects the server. No attempts are sent to an
+ * ejected server, except as a last resort (see {@link ReplicaSelector}). The ejection time grows
+ * with each ejection until an attempt completes in time, as in Envoy's outlier detection.
  */
 final class OutlierEjection {
-    /** One failure may be an accident, two a pause. */
+    /**
+     * Consecutive failures that eject a server. One failure may be an accident, and two may be
+     * caused by a pause of the server.
+     */
     private static final int FAILURES_TO_EJECT = 3;
 
     private static final double EJECTION_BASE_MS = 1000;
     private static final double EJECTION_MAX_MS = 4000;
 
-    /** For each consecutive failure; about as long as a quiet gatherer takes to meet it again. */
+    /**
+     * Time for which a server is suspect, in milliseconds per consecutive failure. It is about the
+     * time until a gatherer with little traffic selects the same server again.
+     */
     private static final double SUSPECT_PER_FAILURE_MS = 5000;
 
     private static final int SUSPECT_MAX_FAILURES = 4;
@@ -24,9 +31,9 @@
     /**
      * Counts a failure.
      *
-     * @param unreachable whether no connection came up: a server that is down or full is ejected at
-     *     once
-     * @return whether the server is ejected by this failure
+     * @param unreachable whether no connection could be opened; such a server is down or full, and
+     *     is ejected at once
+     * @return whether this failure ejects the server
      */
     boolean onFailure(double nowMs, boolean unreachable) {
         consecutiveFailures++;
@@ -51,12 +58,14 @@
         ejectionMs = 0;
     }
 
-    /** Failures and late attempts since an attempt last completed in time. */
+    /**
+     * Returns the number of failures and late attempts since an attempt last completed in time.
+     */
     int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** When it last failed, in milliseconds; 0 if never. */
+    /** Returns the time of the last failure, in milliseconds; 0 if there was none. */
     double lastFailureAtMs() {
         return lastFailureAtMs;
     }
@@ -65,8 +74,10 @@
         return nowMs < ejectedUntilMs;
     }
 
-    /** Whether it has failed lately and completed nothing in time since. */
-    boolean failedLately(double nowMs) {
+    /**
+     * Returns whether the server has failed recently and has completed no attempt in time since.
+     */
+    boolean failedRecently(double nowMs) {
         int failures = Math.min(SUSPECT_MAX_FAILURES, consecutiveFailures);
         return consecutiveFailures > 0
                 && nowMs < lastFailureAtMs + SUSPECT_PER_FAILURE_MS * failures;
--- a/core/src/main/java/sprucehold/policy/PartAttempt.java
+++ b/core/src/main/java/sprucehold/policy/PartAttempt.java
@@ -1,6 +1,6 @@
 package sprucehold.policy;
 
-/** One sending of a part to a shard server. */
+/** One attempt of a part at a shard server. */
 final class PartAttempt {
     private final ScheduledPart part;
     private final int number;
@@ -39,7 +39,7 @@
         return part;
     }
 
-    /** Counts the attempts of its part from 0. */
+    /** Returns the number of this attempt among the attempts of its part, counted from 0. */
     int number() {
         return number;
     }
@@ -56,12 +56,12 @@
         return pending;
     }
 
-    /** Whether it was pending for longer than usual, see {@link LateDetector}. */
+    /** Returns whether the attempt was pending for longer than usual, see {@link LateDetector}. */
     boolean isLate() {
         return late;
     }
 
-    /** Whether its cancellation was asked for. */
+    /** Returns whether a cancellation of the attempt was requested. */
     boolean isCancelled() {
         return cancelled;
     }
--- a/core/src/main/java/sprucehold/policy/QueryIntake.java
+++ b/core/src/main/java/sprucehold/policy/QueryIntake.java
@@ -6,7 +6,8 @@
 /** Opens queries and their parts as they are received. */
 final class QueryIntake {
     /**
-     * A query ends ahead of its client's deadline: for a late wake-up, the way, and one to spare.
+     * Margin, in ticks, by which a query ends before its client's deadline: one tick for a late
+     * wake-up, one for the network delay, and one in reserve.
      */
     private static final double DEADLINE_MARGIN_TICKS = 3;
 
@@ -38,9 +39,9 @@
         double endsAtMs = nowMs + Math.max(0, received.timeLeftMs() - marginMs);
         var query = new ScheduledQuery(received, nowMs, endsAtMs);
         openQueries.add(query);
-        timers.at(endsAtMs, () -> completion.end(query, Reason.DEADLINE));
+        timers.schedule(endsAtMs, () -> completion.end(query, Reason.DEADLINE));
         // An incomplete answer in time is worth more than a complete one that is late.
-        timers.at(
+        timers.schedule(
                 Math.min(endsAtMs, query.objectiveAtMs() - marginMs),
                 () -> completion.endAtObjective(query));
         retryBudget.onRequest();
@@ -50,7 +51,8 @@
         retryBudget.onRequest();
         ScheduledQuery query = openQueries.byNumber(received.queryNumber());
         if (query == null) {
-            // It has ended, as when a second step's parts come after the deadline.
+            // The query has already ended, for example because the parts of its second step arrived
+            // after the deadline.
             return;
         }
         var part = new ScheduledPart(received, query);
--- a/core/src/main/java/sprucehold/policy/QueryScheduler.java
+++ b/core/src/main/java/sprucehold/policy/QueryScheduler.java
@@ -9,25 +9,27 @@
 import sprucehold.decision.Reason;
 
 /**
- * All decisions of one gatherer, see docs/design.md. {@link #decide} is the one entry point; the
- * interface is the package {@link sprucehold.decision}. This class hands each event to the
- * mechanism that it concerns:
+ * Makes all decisions of one gatherer, see docs/design.md. {@link #decide} is the only entry point,
+ * and the package {@link sprucehold.decision} is the interface. This class passes each event to the
+ * mechanism that handles it:
  *
  * <ul>
- *   <li>{@link QueryIntake} opens queries, {@link OpenQueries} holds them;
- *   <li>{@link AdmissionQueue} and {@link Admission} begin queries when there is capacity and
- *       reject those that come to nothing, by {@link OverloadSignal} and {@link TenantQuotas};
- *   <li>{@link Rounds} sends a query's parts in rounds as wide as {@link CompletionEstimate} asks;
+ *   <li>{@link QueryIntake} opens queries, and {@link OpenQueries} stores them;
+ *   <li>{@link AdmissionQueue} and {@link Admission} start queries when there is capacity, and
+ *       reject queries that would not be answered, by {@link OverloadSignal} and {@link
+ *       TenantQuotas};
+ *   <li>{@link Rounds} sends the parts of a query in rounds, whose width {@link CompletionEstimate}
+ *       determines;
  *   <li>{@link ReplicaSelector} selects the replica of a part, by {@link EndpointList}, {@link
  *       OutlierEjection}, {@link ConcurrencyLimit}, {@link SuspectDetector} and {@link SlowStart};
  *   <li>{@link AttemptSender} sends and cancels attempts; {@link AttemptRules} and {@link
- *       RetryBudgetWindow} allow retries, {@link LateDetector} and {@link Hedging} send hedged
+ *       RetryBudgetWindow} allow retries; {@link LateDetector} and {@link Hedging} send hedged
  *       requests;
- *   <li>{@link AttemptResults} takes in how attempts ended, for {@link LatencyStatistics} and the
- *       servers;
+ *   <li>{@link AttemptResults} processes the results of attempts, for {@link LatencyStatistics} and
+ *       the servers;
  *   <li>{@link Completion} gives each query its final answer;
  *   <li>{@link EndpointSubscriber} keeps the endpoint list up to date;
- *   <li>{@link Timers} run what falls due later.
+ *   <li>{@link Timers} run scheduled tasks.
  * </ul>
  */
 public final class QueryScheduler implements DecisionPolicy {
@@ -50,9 +52,9 @@
     private final CapacityRechecks capacityRechecks;
 
     /**
-     * Makes the scheduler of a gatherer that holds nothing yet.
+     * Creates the scheduler of a gatherer without any open queries or known servers.
      *
-     * @param seed of all its random choices
+     * @param seed the seed of all random choices of the scheduler
      */
     public QueryScheduler(long seed, Deployment deployment) {
         var random = new Random(seed);
@@ -108,15 +110,18 @@
         intake =
                 new QueryIntake(
                         context, timers, openQueries, retryBudget, admissionQueue, completion);
-        use(deployment);
+        applyDeployment(deployment);
     }
 
-    /** Queries received from now on go by this deployment; open ones may only become stricter. */
-    private void use(Deployment deployment) {
+    /**
+     * Uses a deployment for all queries received from now on. Open queries can only become
+     * stricter.
+     */
+    private void applyDeployment(Deployment deployment) {
         context.replaceDeployment(deployment);
         latencies.addClasses(deployment.queryClasses());
         quotas.replaceTenants(deployment.tenants());
-        openQueries.restrict(deployment.queryClasses());
+        openQueries.restrictClasses(deployment.queryClasses());
     }
 
     @Override
@@ -142,7 +147,7 @@
         } else if (event instanceof Event.PartReceived received) {
             intake.receive(received);
         } else if (event instanceof Event.AttemptEnded ended) {
-            attemptResults.onEnded(ended);
+            attemptResults.onAttemptEnded(ended);
         } else if (event instanceof Event.ClientDisconnected disconnected) {
             onClientDisconnected(disconnected.queryId());
         } else if (event instanceof Event.EndpointsUpdated update) {
@@ -155,7 +160,7 @@
             context.replaceClusterView(changed.view());
             allowances.replace(changed.view().allowances());
         } else if (event instanceof Event.DeploymentChanged changed) {
-            use(changed.deployment());
+            applyDeployment(changed.deployment());
         }
     }
 
--- a/core/src/main/java/sprucehold/policy/ReplicaSelector.java
+++ b/core/src/main/java/sprucehold/policy/ReplicaSelector.java
@@ -7,8 +7,8 @@
 import sprucehold.decision.SkippedReplica;
 
 /**
- * Selects the replica for a part: the one at its query's position, or the least loaded other if
- * that one may not be used or is suspect.
+ * Selects the replica for a part: the one at the position of the part's query, or the least loaded
+ * other replica if the first one may not be used or is suspect.
  */
 final class ReplicaSelector {
     private final DecisionContext context;
@@ -30,7 +30,10 @@
         this.random = random;
     }
 
-    /** The position whose servers have the least load; one of them at random if several do. */
+    /**
+     * Returns the position whose servers have the least load. Chooses one at random if several
+     * positions have the same load.
+     */
     int selectPosition(ScheduledQuery query) {
         int positions =
                 query.parts().stream()
@@ -38,17 +41,17 @@
                         .max()
                         .orElse(0);
         int best = 0;
-        int equals = 0;
+        int ties = 0;
         double leastLoad = Double.POSITIVE_INFINITY;
         for (int position = 0; position < positions; position++) {
             double load = loadAt(query, position);
             if (load < leastLoad) {
                 leastLoad = load;
                 best = position;
-                equals = 1;
+                ties = 1;
             } else if (load == leastLoad) {
-                equals++;
-                if (random.nextInt(equals) == 0) {
+                ties++;
+                if (random.nextInt(ties) == 0) {
                     best = position;
                 }
             }
@@ -65,15 +68,18 @@
                 .sum();
     }
 
-    /** The load of the server that a part would go to; infinite if there is none. */
+    /**
+     * Returns the load of the server that would be selected for a part; infinite if there is none.
+     */
     double loadOfSelected(ScheduledPart part) {
         ShardServerState server = select(part);
         return server == null ? Double.POSITIVE_INFINITY : load(server);
     }
 
     /**
-     * This gatherer's attempts pending at a server, counted by call where parts share calls.
-     * Failures count too, as a server that fails fast would look idle.
+     * Returns the load of a server: the number of this gatherer's pending attempts there, or of
+     * their calls where parts share calls. Failures are added, because a server that fails fast
+     * would otherwise look idle.
      */
     private double load(ShardServerState server) {
         List<PartAttempt> pending = server.pendingAttempts();
@@ -88,7 +94,10 @@
                 + (suspects.isImpaired(server) ? 1 : 0);
     }
 
-    /** The replica for a part at its query's position; null if none may be used. */
+    /**
+     * Returns the replica for a part at its query's position, or another one; null if no replica
+     * may be used.
+     */
     ShardServerState select(ScheduledPart part) {
         return select(part, part.query().position());
     }
@@ -102,7 +111,8 @@
         if (!mayUse(preferred, part)) {
             return selectLeastLoaded(part);
         }
-        // Each of many gatherers meets a server too seldom to eject it after failures in a row.
+        // If there are many gatherers, each one sends to a server too rarely to eject it after
+        // consecutive failures. A suspect server is therefore avoided as well.
         if (suspects.isSuspect(preferred)) {
             ShardServerState other = selectLeastLoaded(part);
             return other == null || suspects.isSuspect(other) ? preferred : other;
@@ -110,7 +120,10 @@
         return preferred;
     }
 
-    /** The least loaded replica that a part wasn't sent to yet; null if none may be used. */
+    /**
+     * Returns the least loaded replica that the part hasn't been sent to yet; null if no replica
+     * may be used.
+     */
     ShardServerState selectLeastLoaded(ScheduledPart part) {
         ShardServerState best = null;
         ShardServerState lastResort = null;
@@ -128,7 +141,8 @@
                 lastResort = lessLoaded(lastResort, server);
             }
         }
-        // Ejection never rules out all replicas of a shard: they get one part at a time.
+        // Ejection never excludes all replicas of a shard. If all are unavailable, each replica
+        // gets one part at a time.
         return best == null && allUnavailable ? lastResort : best;
     }
 
@@ -143,7 +157,10 @@
                 && hasSlowStartBudget(server, part);
     }
 
-    /** A round is never split by the limit: the query's own attempts don't count. */
+    /**
+     * Returns whether a server is below its concurrency limit for a query. The query's own attempts
+     * don't count, so that the limit never splits a round.
+     */
     private static boolean isBelowConcurrencyLimit(ShardServerState server, ScheduledQuery query) {
         double limit = server.concurrencyLimit().value();
         double allowed = query.isOverQuota() ? limit / 2 : limit;
@@ -155,8 +172,9 @@
     }
 
     /**
-     * The replicas that a part was kept from, and why. Has no effect on decisions: lotteries that
-     * it asks for were drawn at this moment.
+     * Returns the replicas that were skipped for a part, and the cause for each. This has no effect
+     * on decisions, because the admission lotteries that are read here have already been drawn at
+     * the current time.
      */
     List<SkippedReplica> skipped(ScheduledPart part, ShardServerState selected) {
         List<ShardServerState> replicas = endpoints.replicas(part.shard());
--- a/core/src/main/java/sprucehold/policy/ResetGuard.java
+++ b/core/src/main/java/sprucehold/policy/ResetGuard.java
@@ -5,11 +5,14 @@
 import sprucehold.decision.Tenant;
 
 /**
- * Tenants of whom a query lately had all its connections reset. Their queries begin with one part,
- * which guards the servers against queries that bring them down.
+ * Tenants for which all connections of a query were recently reset. Their queries start with one
+ * part, which protects the servers from queries that crash them.
  */
 final class ResetGuard {
-    /** A gatherer meets few such queries. */
+    /**
+     * Duration of the guard, in milliseconds. The guard is long because queries that crash servers
+     * are rare at a single gatherer: a short guard would end before the next such query arrives.
+     */
     private static final double GUARD_MS = 20_000;
 
     private final DecisionContext context;
--- a/core/src/main/java/sprucehold/policy/RetryBudgetWindow.java
+++ b/core/src/main/java/sprucehold/policy/RetryBudgetWindow.java
@@ -5,8 +5,8 @@
 import sprucehold.decision.SharedLimit;
 
 /**
- * The deployment's retry budget: retries and hedged requests in a sliding window, as against the
- * queries and parts received in it.
+ * Retry budget of the deployment: limits the retries and hedged requests in a sliding window, by
+ * the number of queries and parts received in the window.
  */
 final class RetryBudgetWindow {
     private final DecisionContext context;
@@ -19,18 +19,18 @@
         this.allowances = allowances;
     }
 
-    /** Counts a query or part received. */
+    /** Counts a received query or part. */
     void onRequest() {
         requestsAtMs.add(context.nowMs());
     }
 
-    /** Counts an attempt beyond a part's first. */
+    /** Counts an attempt beyond the first one of a part. */
     void onRetry() {
         retriesAtMs.add(context.nowMs());
         allowances.consume(SharedLimit.RETRIES, 1);
     }
 
-    /** Forgets requests that have left the window. */
+    /** Removes requests that have left the window. */
     void expireRequests() {
         double oldestMs = context.nowMs() - context.deployment().retryBudget().windowMs();
         while (!requestsAtMs.isEmpty() && requestsAtMs.peek() <= oldestMs) {
@@ -40,7 +40,8 @@
 
     boolean allowsRetry() {
         Deployment.RetryBudget budget = context.deployment().retryBudget();
-        // A tick longer than the window: calls, which date the attempts, are a tick apart.
+        // One tick longer than the window, because attempts carry the time of their call and calls
+        // are one tick apart.
         double oldestMs = context.nowMs() - budget.windowMs() - context.deployment().tickMs();
         retriesAtMs.removeIf(timeMs -> timeMs < oldestMs);
         return retriesAtMs.size() + 1 <= budget.fixed() + budget.perRequest() * requestsAtMs.size()
--- a/core/src/main/java/sprucehold/policy/Round.java
+++ b/core/src/main/java/sprucehold/policy/Round.java
@@ -36,17 +36,20 @@
         return parts;
     }
 
-    /** Parts completed before the timer expired. */
+    /** Returns the number of parts that completed before the timer expired. */
     int completedInTime() {
         return completedInTime;
     }
 
-    /** Parts that count: those cancelled say nothing of the servers. */
-    int counted() {
+    /**
+     * Returns the number of parts that count for the completion estimate. Cancelled parts are
+     * excluded, because they show nothing about the servers.
+     */
+    int countedParts() {
         return parts.size() - cancelled;
     }
 
-    /** Whether the round that follows it has begun. */
+    /** Returns whether the next round has begun. */
     boolean isOver() {
         return over;
     }
--- a/core/src/main/java/sprucehold/policy/Rounds.java
+++ b/core/src/main/java/sprucehold/policy/Rounds.java
@@ -6,11 +6,12 @@
 import sprucehold.decision.Reason;
 
 /**
- * Sends a query's parts in rounds, after the range queries of Apache Cassandra: the first as wide
- * as the estimate asks for, the later ones by what the query itself has completed so far.
+ * Sends the parts of a query in rounds, like the range queries of Apache Cassandra. The completion
+ * estimate determines the width of the first round. The parts that the query itself has completed
+ * so far determine the width of later rounds.
  */
 final class Rounds {
-    /** A round's timer, as a portion of the latency objective. */
+    /** Duration of the timer of a round, as a portion of the latency objective. */
     private static final double TIMER_PORTION = 0.5;
 
     private final DecisionContext context;
@@ -40,7 +41,7 @@
         if (query.isSecondStep()) {
             query.setPosition(replicas.selectPosition(query));
         }
-        int width = estimate.firstWidth(query.neededParts());
+        int width = estimate.firstRoundWidth(query.neededParts());
         if (resetGuard.guards(query.tenant()) && !query.isSecondStep()) {
             width = 1;
         }
@@ -51,28 +52,32 @@
         var round = new Round();
         query.add(round);
         List<ScheduledPart> unsent = new ArrayList<>(query.unsentParts());
-        // Parts left for a later round should be those likely to be late.
+        // The parts that are left for a later round should be those that are likely to be late.
         unsent.sort(Comparator.comparingDouble(replicas::loadOfSelected));
-        long underWay =
+        long completedOrPending =
                 query.parts().stream()
                         .filter(part -> part.isCompleted() || part.hasPendingAttempt())
                         .count();
         for (ScheduledPart part : unsent.subList(0, Math.min(width, unsent.size()))) {
             ShardServerState server = replicas.select(part);
-            // What a round sends beyond the need doesn't queue: others may need the server more.
-            if (isBusy(server, query) && underWay >= query.neededParts()) {
+            // Parts beyond the number needed don't queue at busy servers, because other queries may
+            // need these servers more. They wait for a later round.
+            if (isBusy(server, query) && completedOrPending >= query.neededParts()) {
                 break;
             }
             round.add(part);
             sender.send(part, server, reason);
-            underWay++;
+            completedOrPending++;
         }
-        timers.at(
+        timers.schedule(
                 context.nowMs() + query.queryClass().latencyObjectiveMs() * TIMER_PORTION,
                 () -> onTimer(query, round));
     }
 
-    /** Whether there is no server, or other queries use it and half its limit is reached. */
+    /**
+     * Returns whether a part has no server, or other queries use the server and half of its
+     * concurrency limit is reached.
+     */
     private static boolean isBusy(ShardServerState server, ScheduledQuery query) {
         return server == null
                 || (server.pendingOfOthers(query) > 0
@@ -86,7 +91,7 @@
         end(query, round);
     }
 
-    /** Ends a round, and sends the next one if parts are left. */
+    /** Ends a round, and sends the next one if unsent parts are left. */
     void end(ScheduledQuery query, Round round) {
         List<ScheduledPart> unsent = query.unsentParts();
         if (round.isOver() || query.isOver() || unsent.isEmpty()) {
@@ -94,13 +99,13 @@
         }
         round.end();
         if (round.hasCompletedPart()) {
-            send(query, laterWidth(query, unsent.size()), Reason.LATER_ROUND);
+            send(query, laterRoundWidth(query, unsent.size()), Reason.LATER_ROUND);
         } else {
             send(query, unsent.size(), Reason.ROUND_AFTER_EMPTY);
         }
     }
 
-    private static int laterWidth(ScheduledQuery query, int unsent) {
+    private static int laterRoundWidth(ScheduledQuery query, int unsent) {
         int completed = query.completedParts();
         double completedShare = (double) completed / (query.parts().size() - unsent);
         long wanted = Math.round((query.neededParts() - completed) / completedShare);
--- a/core/src/main/java/sprucehold/policy/ScheduledPart.java
+++ b/core/src/main/java/sprucehold/policy/ScheduledPart.java
@@ -56,17 +56,17 @@
         return shard;
     }
 
-    /** Its share of the whole answer. */
+    /** Returns the weight of the part: its share of the complete answer. */
     double weight() {
         return weight;
     }
 
-    /** All attempts so far, in the order of their numbers. */
+    /** Returns all attempts so far, in the order of their numbers. */
     List<PartAttempt> attempts() {
         return attempts;
     }
 
-    /** The round that asked for it, or null. */
+    /** Returns the round in which the part was selected to be sent, or null. */
     Round round() {
         return round;
     }
@@ -75,22 +75,25 @@
         return completed;
     }
 
-    /** Whether an attempt ended that doesn't prove that it never ran. */
+    /**
+     * Returns whether an attempt has ended with an outcome that doesn't prove that the part never
+     * ran.
+     */
     boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether an attempt ended with its connection reset. */
+    /** Returns whether an attempt has ended with its connection reset. */
     boolean hadConnectionReset() {
         return connectionReset;
     }
 
-    /** Whether its query has gone on to the next step. */
+    /** Returns whether the query has continued with its second step. */
     boolean isStepOver() {
         return stepOver;
     }
 
-    /** Whether its result is of no use any more. */
+    /** Returns whether the result of the part is no longer needed. */
     boolean isObsolete() {
         return query.isOver() || stepOver;
     }
--- a/core/src/main/java/sprucehold/policy/ScheduledQuery.java
+++ b/core/src/main/java/sprucehold/policy/ScheduledQuery.java
@@ -8,7 +8,7 @@
 
 /** An open query, with the parts and rounds of its current step. */
 final class ScheduledQuery {
-    /** Slack of sums of weights, which need not be exact. */
+    /** Tolerance for sums of weights, which may be inexact. */
     static final double COVERAGE_TOLERANCE = 1e-6;
 
     private final Event.QueryReceived received;
@@ -27,7 +27,7 @@
     /**
      * Opens a query.
      *
-     * @param endsAtMs when it must have its final answer
+     * @param endsAtMs time by which the query must have its final answer, in milliseconds
      */
     ScheduledQuery(Event.QueryReceived received, double nowMs, double endsAtMs) {
         this.received = received;
@@ -44,7 +44,7 @@
         rounds.add(round);
     }
 
-    /** Forgets the parts and rounds of the first step. */
+    /** Drops the parts and rounds of the first step. */
     void beginSecondStep() {
         parts = new ArrayList<>();
         rounds = new ArrayList<>();
@@ -54,7 +54,7 @@
         secondStep = true;
     }
 
-    void restrict(List<QueryClass> changed) {
+    void restrictClass(List<QueryClass> changed) {
         queryClass = queryClass.restrictedBy(changed);
     }
 
@@ -83,12 +83,15 @@
         return received.number();
     }
 
-    /** Whose query it is, or null. */
+    /** Returns the tenant of the query, or null. */
     Tenant tenant() {
         return received.tenant();
     }
 
-    /** Its class as it was when the query was received, made stricter by changes since. */
+    /**
+     * Returns the query class at the time the query was received, made stricter by later changes of
+     * the class.
+     */
     QueryClass queryClass() {
         return queryClass;
     }
@@ -97,12 +100,12 @@
         return receivedAtMs;
     }
 
-    /** When it must have its final answer, in milliseconds. */
+    /** Returns the time by which the query must have its final answer, in milliseconds. */
     double endsAtMs() {
         return endsAtMs;
     }
 
-    /** When its latency objective is over, in milliseconds. */
+    /** Returns the time at which the latency objective ends, in milliseconds. */
     double objectiveAtMs() {
         return receivedAtMs + queryClass.latencyObjectiveMs();
     }
@@ -115,17 +118,23 @@
         return rounds.get(rounds.size() - 1);
     }
 
-    /** The index into each shard's replicas that its parts go to. */
+    /**
+     * Returns the position of the query: the index into each shard's replicas to which its parts
+     * are sent.
+     */
     int position() {
         return position;
     }
 
-    /** Whether it lies beyond its tenant's quota. */
+    /** Returns whether the query exceeds the quota of its tenant. */
     boolean isOverQuota() {
         return overQuota;
     }
 
-    /** Whether its admission was tried, and its tenant's quota charged. */
+    /**
+     * Returns whether the query's admission was checked at least once. The first check charges the
+     * tenant's quota.
+     */
     boolean isAdmissionTried() {
         return admissionTried;
     }
@@ -138,12 +147,15 @@
         return secondStep;
     }
 
-    /** Whether it has its final answer. */
+    /** Returns whether the query has its final answer, or its client has disconnected. */
     boolean isOver() {
         return over;
     }
 
-    /** How many parts make the answer complete, taking them as equal in weight. */
+    /**
+     * Returns how many parts make the answer complete, on the assumption that all parts have equal
+     * weight.
+     */
     int neededParts() {
         return secondStep
                 ? parts.size()
@@ -152,12 +164,12 @@
                                 queryClass.completeCoverage() * parts.size() - COVERAGE_TOLERANCE);
     }
 
-    /** The coverage that makes the answer complete. */
+    /** Returns the coverage at which the answer is complete. */
     double completeCoverage() {
         return secondStep ? 1 : queryClass.completeCoverage();
     }
 
-    /** The coverage below which no answer may be given. */
+    /** Returns the coverage below which the query must not be answered. */
     double minimumCoverage() {
         return secondStep && queryClass.minimumCoverage() >= queryClass.completeCoverage()
                 ? 1
@@ -179,7 +191,7 @@
         return parts.stream().filter(part -> part.round() == null).toList();
     }
 
-    /** What the query is worth for each part it needs. */
+    /** Returns the priority of the query for each part that it needs. */
     double priorityPerPart(double overQuotaPriority) {
         double priority = queryClass.priorityWeight() * (overQuota ? overQuotaPriority : 1);
         return priority / Math.max(1, neededParts());
--- a/core/src/main/java/sprucehold/policy/SendRate.java
+++ b/core/src/main/java/sprucehold/policy/SendRate.java
@@ -1,8 +1,11 @@
 package sprucehold.policy;
 
-/** The rate of attempts sent, as an exponentially decaying average. */
+/** Rate of attempts sent, as an exponentially decaying average. */
 final class SendRate {
-    /** Long beside a quiet gatherer's gaps between queries, short beside a server's warm-up. */
+    /**
+     * Time constant of the average, in milliseconds. It is long compared with the gaps between
+     * queries of a gatherer with little traffic, and short compared with a server's warm-up.
+     */
     private static final double TIME_CONSTANT_MS = 2000;
 
     private double perMs;
@@ -12,7 +15,7 @@
         perMs = perMs(nowMs) + 1 / TIME_CONSTANT_MS;
     }
 
-    /** Attempts a millisecond. */
+    /** Returns the average number of attempts per millisecond. */
     double perMs(double nowMs) {
         perMs *= Math.exp((updatedAtMs - nowMs) / TIME_CONSTANT_MS);
         updatedAtMs = nowMs;
--- a/core/src/main/java/sprucehold/policy/ShardServerState.java
+++ b/core/src/main/java/sprucehold/policy/ShardServerState.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import sprucehold.decision.Endpoint;
 
-/** What this gatherer knows of one shard server. */
+/** State of one shard server as observed by this gatherer. */
 final class ShardServerState {
     private final String id;
     private final List<PartAttempt> pendingAttempts = new ArrayList<>();
@@ -22,14 +22,14 @@
         this.id = id;
     }
 
-    /** Takes over what an endpoint update says. */
+    /** Applies an endpoint update. */
     void update(Endpoint endpoint) {
         replicaGroup = endpoint.replicaGroup();
         zone = endpoint.zone();
         running = endpoint.state() == Endpoint.State.RUNNING;
     }
 
-    /** Forgets what was known of the process that ran before. */
+    /** Resets the state that was observed on the server's previous process. */
     void onStarted(double startedAtMs, boolean warmingUp) {
         this.startedAtMs = startedAtMs;
         ejection.onServerStarted();
@@ -68,17 +68,19 @@
         return zone;
     }
 
-    /** When it started, in milliseconds; 0 if long ago. */
+    /** Returns the start time of the server, in milliseconds; 0 if the server started long ago. */
     double startedAtMs() {
         return startedAtMs;
     }
 
-    /** Whether it may be sent to: it is neither draining nor gone. */
+    /**
+     * Returns whether the server is neither draining nor gone, so that attempts may be sent to it.
+     */
     boolean isRunning() {
         return running;
     }
 
-    /** This gatherer's attempts that are pending there. */
+    /** Returns this gatherer's attempts that are pending at the server. */
     List<PartAttempt> pendingAttempts() {
         return pendingAttempts;
     }
@@ -99,17 +101,17 @@
         return lastAnswerAtMs >= timeMs;
     }
 
-    /** Whether it has answered an attempt that was sent after a time. */
+    /** Returns whether the server has answered an attempt that was sent after a given time. */
     boolean answeredAttemptSentAfter(double timeMs) {
         return latestAnsweredSendAtMs > timeMs;
     }
 
-    /** When it last answered or failed, in milliseconds. */
+    /** Returns the time of the last answer or failure, in milliseconds. */
     double lastContactAtMs() {
         return Math.max(lastAnswerAtMs, ejection.lastFailureAtMs());
     }
 
-    /** Attempts that are pending there for other queries. */
+    /** Returns the number of attempts that are pending at the server for other queries. */
     long pendingOfOthers(ScheduledQuery query) {
         return pendingAttempts.stream().filter(attempt -> attempt.part().query() != query).count();
     }
--- a/core/src/main/java/sprucehold/policy/SharedAllowances.java
+++ b/core/src/main/java/sprucehold/policy/SharedAllowances.java
@@ -5,7 +5,7 @@
 import sprucehold.decision.Command;
 import sprucehold.decision.SharedLimit;
 
-/** What is left of the allowances that the cluster view granted of shared limits. */
+/** Remaining allowances of shared limits, as granted by the cluster view. */
 final class SharedAllowances {
     private final CommandList commands;
     private Map<SharedLimit, Integer> remaining = new HashMap<>();
@@ -18,24 +18,30 @@
         remaining = new HashMap<>(allowances);
     }
 
-    /** Units left of a limit; null where it isn't shared. */
+    /** Returns the remaining units of a limit; null if the limit isn't shared. */
     Integer remaining(SharedLimit limit) {
         return remaining.get(limit);
     }
 
-    /** Milliseconds of work left for a server that is warming up; null where it isn't shared. */
+    /**
+     * Returns the remaining milliseconds of work for a server that is warming up; null if its limit
+     * isn't shared.
+     */
     Integer remainingSlowStartMs(String server) {
         return remaining.isEmpty() ? null : remaining.get(SharedLimit.slowStart(server));
     }
 
-    /** Whether another retry or hedged request is within the limit, or the limit isn't shared. */
+    /**
+     * Returns whether another retry or hedged request is within the limit, or the limit isn't
+     * shared.
+     */
     boolean allowRetry() {
         return remaining.getOrDefault(SharedLimit.RETRIES, 1) > 0;
     }
 
-    /** Consumes units of a limit if it is shared, whether or not so many are left. */
+    /** Consumes units of a limit if the limit is shared, even if fewer units remain. */
     void consume(SharedLimit limit, int units) {
-        if (units > 0 && remaining.computeIfPresent(limit, (of, left) -> left - units) != null) {
+        if (units > 0 && remaining.computeIfPresent(limit, (key, left) -> left - units) != null) {
             commands.add(new Command.ConsumeAllowance(limit, units));
         }
     }
--- a/core/src/main/java/sprucehold/policy/SlowStart.java
+++ b/core/src/main/java/sprucehold/policy/SlowStart.java
@@ -6,25 +6,28 @@
 import sprucehold.decision.SharedLimit;
 
 /**
- * Keeps what all gatherers send a shard server that is warming up within what it can take. Each
- * gatherer has its part of the slow-start budget; where that is less than one part's work, an
- * admission lottery decides who sends one part. Where the budget is a shared limit, the allowance
- * for it decides alone.
+ * Limits the work that all gatherers together send to a shard server that is warming up. Each
+ * gatherer uses its share of the slow-start budget. If this share is less than the work of one
+ * part, an admission lottery decides which gatherers send one part. If the budget is a shared
+ * limit, only the allowance of this gatherer decides.
  */
 final class SlowStart {
-    /** How long what was sent is counted, in windows of the rule. */
-    private static final double WINDOW_MARGIN = 1.2;
+    /** Time for which sent work is counted, in windows of the slow-start rule. */
+    private static final double COUNTED_WINDOWS = 1.2;
 
-    /** Parts that the rule grants in a window beyond its budget. */
+    /** Parts per window that the rule allows in addition to its budget. */
     private static final double GRANTED_PARTS = 2;
 
-    /** Standard deviations by which the lottery's aim stays below what the rule grants. */
+    /**
+     * Standard deviations by which the target of the lottery stays below the number of parts that
+     * the rule allows.
+     */
     private static final double LOTTERY_DEVIATIONS = 1.5;
 
-    /** The least parts a window that a gatherer is taken to have for a server. */
+    /** Minimum number of parts per window that a gatherer is assumed to have for a server. */
     private static final double MIN_PARTS_PER_WINDOW = 0.3;
 
-    /** Leaves room for traffic that grows or shifts. */
+    /** Factor on the observed traffic that allows for traffic that grows or shifts. */
     private static final double TRAFFIC_MARGIN = 1.5;
 
     private final DecisionContext context;
@@ -48,16 +51,20 @@
     }
 
     /**
-     * The portion of its full speed that a server has reached, from 0 to 1.
+     * Returns the portion of its full speed that a server has reached, from 0 to 1.
      *
-     * @param startedAtMs when it started; 0 or less if long ago
+     * @param startedAtMs start time of the server, in milliseconds; 0 or less if the server started
+     *     long ago
      */
     static double speedPortion(Deployment.SlowStartRule rule, double startedAtMs, double nowMs) {
         double warmUpPortion = Math.min(1, Math.max(0, nowMs - startedAtMs) / rule.warmAfterMs());
         return startedAtMs <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmUpPortion;
     }
 
-    /** Whether a server may be sent a part of this class now. May draw the server's lottery. */
+    /**
+     * Returns whether a part of a query class may be sent to a server now. May draw the admission
+     * lottery of the server.
+     */
     boolean hasBudget(ShardServerState server, QueryClass queryClass) {
         double speed = speedPortion(server);
         Integer shared = allowances.remainingSlowStartMs(server.id());
@@ -71,8 +78,9 @@
         Deployment.SlowStartRule rule = context.deployment().slowStart();
         double nowMs = context.nowMs();
         SlowStartWindow window = server.slowStartWindow();
-        double sentMs = window.workSinceMs(nowMs - WINDOW_MARGIN * rule.windowMs());
-        // One core is the least that a server has. Other gatherers are taken to send as much.
+        double sentMs = window.workSinceMs(nowMs - COUNTED_WINDOWS * rule.windowMs());
+        // The budget is that of one core, because every server has at least one. The other
+        // gatherers are assumed to send as much as this one.
         double budgetMs = rule.overloadFactor() * speed * rule.windowMs();
         if (sentMs + workMs <= budgetMs / context.deployment().gatherers()) {
             return true;
@@ -85,25 +93,27 @@
     }
 
     /**
-     * The probability by which all gatherers together send a server, in one window, the parts of
-     * its budget and {@value #GRANTED_PARTS}, less {@value #LOTTERY_DEVIATIONS} standard deviations
-     * of their sum, and no more than its budget. A gatherer that has a part for the server in few
-     * windows draws with a higher probability, and the others are taken to be like it.
+     * Returns the probability with which this gatherer wins the lottery. All gatherers together
+     * then send a server a target number of parts per window. The target is the number of parts in
+     * the budget plus {@value #GRANTED_PARTS}, less {@value #LOTTERY_DEVIATIONS} standard
+     * deviations of the sum, and at most the budget. A gatherer that has a part for the server in
+     * few windows draws with a higher probability, and assumes the same of the other gatherers.
      *
      * @param parts the budget of all gatherers in a window, in parts
      */
     private double lotteryProbability(double parts) {
-        double aim = Math.min(parts, parts + GRANTED_PARTS - LOTTERY_DEVIATIONS * Math.sqrt(parts));
+        double targetParts =
+                Math.min(parts, parts + GRANTED_PARTS - LOTTERY_DEVIATIONS * Math.sqrt(parts));
         double servers = Math.max(1, endpoints.runningServers());
         double partsPerWindow =
                 sendRate.perMs(context.nowMs())
                         * context.deployment().slowStart().windowMs()
                         / servers;
         double expected = Math.max(MIN_PARTS_PER_WINDOW, TRAFFIC_MARGIN * partsPerWindow);
-        return aim / context.deployment().gatherers() / (1 - Math.exp(-expected));
+        return targetParts / context.deployment().gatherers() / (1 - Math.exp(-expected));
     }
 
-    /** Accounts for an attempt. */
+    /** Records an attempt that is sent to a server. */
     void onSend(ShardServerState server, QueryClass queryClass) {
         sendRate.add(context.nowMs());
         if (speedPortion(server) < 1) {
--- a/core/src/main/java/sprucehold/policy/SlowStartWindow.java
+++ b/core/src/main/java/sprucehold/policy/SlowStartWindow.java
@@ -2,7 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/** What one shard server was lately sent while warming up, and its last admission lottery. */
+/**
+ * Work that was recently sent to one shard server while it was warming up, and the last admission
+ * lottery of the server.
+ */
 final class SlowStartWindow {
     private record Send(double atMs, double workMs) {}
 
@@ -14,7 +17,10 @@
         sends.add(new Send(nowMs, workMs));
     }
 
-    /** The work sent since a time, in milliseconds; forgets what was sent before it. */
+    /**
+     * Returns the work sent since a given time, in milliseconds. Removes records of work sent
+     * earlier.
+     */
     double workSinceMs(double sinceMs) {
         sends.removeIf(send -> send.atMs < sinceMs);
         return sends.stream().mapToDouble(Send::workMs).sum();
--- a/core/src/main/java/sprucehold/policy/SuspectDetector.java
+++ b/core/src/main/java/sprucehold/policy/SuspectDetector.java
@@ -3,19 +3,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Tells which shard servers are suspect: used only if no other replica is better. */
+/** Detects suspect shard servers. A suspect server is used only if no other replica is better. */
 final class SuspectDetector {
-    /** Weight of the latest attempt in the average by zone. */
+    /** Weight of the latest attempt in the moving average of its zone. */
     private static final double AVERAGE_WEIGHT = 0.1;
 
-    /** At each decay; lets a zone that is avoided be tried again after some seconds. */
+    /**
+     * Factor on the averages at each decay. The decay lets a zone that is avoided be used again
+     * after some seconds.
+     */
     private static final double DECAY_FACTOR = 0.95;
 
     private static final double IMPAIRED_ABOVE = 0.5;
 
     private final DecisionContext context;
 
-    /** The share of this gatherer's attempts in each zone that were late, a moving average. */
+    /** Share of late attempts among this gatherer's attempts in each zone, as a moving average. */
     private final Map<String, Double> lateShareByZone = new TreeMap<>();
 
     SuspectDetector(DecisionContext context) {
@@ -35,12 +38,15 @@
         lateShareByZone.replaceAll((zone, share) -> DECAY_FACTOR * share);
     }
 
-    /** Whether it failed lately or is impaired. */
+    /** Returns whether a server failed recently or is impaired. */
     boolean isSuspect(ShardServerState server) {
-        return server.ejection().failedLately(context.nowMs()) || isImpaired(server);
+        return server.ejection().failedRecently(context.nowMs()) || isImpaired(server);
     }
 
-    /** Whether most attempts in its zone are late, or other gatherers saw it fail. */
+    /**
+     * Returns whether most attempts in the server's zone are late, or other gatherers have observed
+     * failures of the server.
+     */
     boolean isImpaired(ShardServerState server) {
         double failureScore = context.failureScore(server.id());
         double lateShare = lateShareByZone.getOrDefault(server.zone(), 0.0);
--- a/core/src/main/java/sprucehold/policy/TenantQuotas.java
+++ b/core/src/main/java/sprucehold/policy/TenantQuotas.java
@@ -7,16 +7,22 @@
 import sprucehold.decision.Tenant;
 
 /**
- * Whether queries lie within their tenant's quota. Where the quota isn't a shared limit, token
- * buckets compare the tenants' shares of what this gatherer receives: how much of all traffic that
- * is isn't known.
+ * Checks whether queries are within their tenant's quota. If a quota isn't a shared limit, token
+ * buckets compare the tenants' shares of the queries that this gatherer receives, because the
+ * gatherer's share of the whole traffic isn't known.
  */
 final class TenantQuotas {
-    /** Queries that may be saved up for a burst. */
+    /**
+     * Capacity of a token bucket, which is the number of queries that a tenant can save up for a
+     * burst.
+     */
     private static final double BURST = 4;
 
-    /** Allows for hours in which the tenants' mix differs from their quotas. */
-    private static final double MARGIN = 1.5;
+    /**
+     * Factor on a tenant's share of the quotas. It allows for hours in which the mix of the tenants
+     * differs from their quotas.
+     */
+    private static final double QUOTA_MARGIN = 1.5;
 
     private final DecisionContext context;
     private final SharedAllowances allowances;
@@ -32,7 +38,7 @@
         tenants.forEach(tenant -> tokensByTenant.putIfAbsent(tenant, BURST));
     }
 
-    /** Charges a tenant with a query; whether it lies within the quota. */
+    /** Charges a query to a tenant's quota. Returns whether the query is within the quota. */
     boolean charge(Tenant tenant) {
         SharedLimit limit = SharedLimit.tenantQuota(tenant.name());
         Integer left = allowances.remaining(limit);
@@ -43,8 +49,13 @@
         double allQuotas =
                 context.deployment().tenants().stream().mapToDouble(Tenant::queriesPerSecond).sum();
         tokensByTenant.replaceAll(
-                (one, tokens) ->
-                        Math.min(BURST, tokens + MARGIN * one.queriesPerSecond() / allQuotas));
+                (bucketTenant, tokens) ->
+                        Math.min(
+                                BURST,
+                                tokens
+                                        + QUOTA_MARGIN
+                                                * bucketTenant.queriesPerSecond()
+                                                / allQuotas));
         double tokens = tokensByTenant.get(tenant);
         tokensByTenant.put(tenant, tokens < 1 ? tokens : tokens - 1);
         return tokens >= 1;
--- a/core/src/main/java/sprucehold/policy/Timers.java
+++ b/core/src/main/java/sprucehold/policy/Timers.java
@@ -5,7 +5,8 @@
 import sprucehold.decision.Command;
 
 /**
- * Tasks that fall due at a time. Tasks of the same time run in the order in which they were set.
+ * Tasks that are scheduled for a time. Tasks with the same time run in the order in which they were
+ * scheduled.
  */
 final class Timers {
     private record Timer(double dueMs, long sequence, Runnable task) {}
@@ -13,17 +14,19 @@
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(
                     Comparator.comparingDouble(Timer::dueMs).thenComparingLong(Timer::sequence));
-    private long timersSet;
+    private long timersScheduled;
 
-    /** When the next wake-up that was asked for comes; infinite if none is. */
+    /** Time of the next wake-up that was requested, in milliseconds; infinite if there is none. */
     private double wakeUpAtMs = Double.POSITIVE_INFINITY;
 
-    /** Runs a task in the first call at or after a time. */
-    void at(double dueMs, Runnable task) {
-        timers.add(new Timer(dueMs, timersSet++, task));
+    /** Schedules a task for the first call at or after a given time. */
+    void schedule(double dueMs, Runnable task) {
+        timers.add(new Timer(dueMs, timersScheduled++, task));
     }
 
-    /** Runs all tasks that are due, those included that a task sets. */
+    /**
+     * Runs all tasks whose time has been reached, including tasks that are scheduled meanwhile.
+     */
     void runDue(double nowMs) {
         if (wakeUpAtMs <= nowMs) {
             wakeUpAtMs = Double.POSITIVE_INFINITY;
@@ -33,7 +36,10 @@
         }
     }
 
-    /** Asks for a wake-up at the next timer, unless one comes by then. */
+    /**
+     * Requests a wake-up for the next timer, unless one is already requested for that time or
+     * earlier.
+     */
     void scheduleWakeUp(double nowMs, CommandList commands) {
         if (!timers.isEmpty() && timers.peek().dueMs < wakeUpAtMs) {
             wakeUpAtMs = timers.peek().dueMs;
--- a/core/src/main/java/sprucehold/policy/package-info.java
+++ b/core/src/main/java/sprucehold/policy/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The decisions of a gatherer, one class a mechanism. {@link sprucehold.policy.QueryScheduler} is
- * the one entry point: events in, commands out. The package must never read a clock, a file or a
- * socket, start a thread, or draw random numbers but from the seed it is given. Times are in
- * milliseconds on the clock of the calls.
+ * Decision logic of a gatherer, with one class per mechanism. {@link
+ * sprucehold.policy.QueryScheduler} is the only entry point: it receives events and returns
+ * commands. The package must never read a clock, a file or a socket, or start a thread. Random
+ * numbers may only be drawn from the seed that is passed in. Times are in milliseconds on the clock
+ * whose current time is passed with each call.
  */
 package sprucehold.policy;
--- a/core/src/test/java/sprucehold/policy/AdmissionTest.java
+++ b/core/src/test/java/sprucehold/policy/AdmissionTest.java
@@ -16,7 +16,7 @@
 import sprucehold.decision.SharedLimit;
 import sprucehold.decision.Tenant;
 
-/** Which queries begin, wait or are rejected, and what waiting costs. */
+/** Tests which queries start, wait or are rejected, and how much work waiting queries cause. */
 public class AdmissionTest {
     @Test
     public void queryWithoutCapacityWaitsAndIsRejectedBeforeAnyWork() {
@@ -24,34 +24,35 @@
         for (int i = 0; i < 12; i++) {
             fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
         }
-        long begun = fixture.serversByPart().size() / 4;
-        assertTrue(begun < 12, begun + " begun");
+        long started = fixture.serversByPart().size() / 4;
+        assertTrue(started < 12, started + " started");
         assertEquals(fixture.finalAnswers(), List.of());
         fixture.waitFor(260);
-        assertEquals(fixture.finalAnswers().size(), 12 - begun);
-        assertEquals(fixture.serversByPart().size(), 4 * begun);
+        assertEquals(fixture.finalAnswers().size(), 12 - started);
+        assertEquals(fixture.serversByPart().size(), 4 * started);
     }
 
     @DataProvider
     Object[][] shortDeadlines() {
         return new Object[][] {
-            // the client's time left in ms, whether its query is begun, where parts usually take 50
-            // ms
+            // time until the client's deadline in ms, whether its query is started if parts usually
+            // take 50 ms
             {0.0, false}, {7.0, false}, {30.0, false}, {150.0, true}, {4000.0, true},
         };
     }
 
-    /** A query whose client leaves before any answer takes no server's time. */
+    /** A query whose client disconnects before it can be answered must not use a server's time. */
     @Test(dataProvider = "shortDeadlines")
-    public void queryThatCannotBeAnsweredInTimeIsRejectedOnArrival(double timeLeft, boolean begun) {
+    public void queryThatCannotBeAnsweredInTimeIsRejectedOnArrival(
+            double timeLeftMs, boolean started) {
         var fixture = new SchedulerFixture().start();
         for (int i = 0; i < 12; i++) {
             fixture.complete("t" + i);
         }
         fixture.commands.clear();
-        fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, timeLeft);
-        assertEquals(fixture.serversByPart().containsKey("s/0"), begun);
-        assertEquals(fixture.finalAnswers(), begun ? List.of() : List.of("rejected"));
+        fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, timeLeftMs);
+        assertEquals(fixture.serversByPart().containsKey("s/0"), started);
+        assertEquals(fixture.finalAnswers(), started ? List.of() : List.of("rejected"));
     }
 
     @Test
@@ -62,7 +63,8 @@
         for (int i = 0; i < 12; i++) {
             fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
         }
-        // Twelve queries of four parts are sixty open; evicting six of those not begun is enough.
+        // Twelve queries of four parts are sixty open queries and parts. It is enough to evict six
+        // of the queries that have not started.
         assertTrue(
                 fixture.finalAnswers().size() >= 1
                         && fixture.finalAnswers().stream().allMatch("rejected"::equals));
@@ -89,67 +91,67 @@
     @DataProvider
     Object[][] tenantMixes() {
         return new Object[][] {
-            // gatherers, queries of the flooding tenant for one of the other, whether its last wait
-            // behind the other's
+            // gatherers, queries of the flooding tenant for each query of the other tenant, whether
+            // the last queries of the flooding tenant wait
             {1, 1, false}, {100, 1, false}, {100, 12, true},
         };
     }
 
     /**
-     * Two tenants of equal quota: the mix tells of a flood, however little of the traffic comes
-     * here.
+     * Two tenants have equal quotas. The mix of their queries shows a flood even if this gatherer
+     * receives only a small share of the traffic.
      */
     @Test(dataProvider = "tenantMixes")
-    public void floodingTenantWaitsBehindOthers(int gatherers, int flood, boolean behind) {
+    public void floodingTenantWaitsBehindOthers(int gatherers, int floodingQueries, boolean waits) {
         var fixture = new SchedulerFixture();
         fixture.gatherers = gatherers;
         fixture.tenants = List.of(new Tenant("x", 10), new Tenant("y", 10));
         fixture.start();
         for (int i = 0; i < 10; i++) {
-            for (int j = 0; j < flood; j++) {
+            for (int j = 0; j < floodingQueries; j++) {
                 fixture.complete("x" + i + "-" + j);
             }
             fixture.tenants = List.of(fixture.tenants.get(1), fixture.tenants.get(0));
             fixture.complete("y" + i);
             fixture.tenants = List.of(fixture.tenants.get(1), fixture.tenants.get(0));
         }
-        // Over its quota a tenant has half of a concurrency limit, two attempts of four.
-        int begun = 0;
+        // A tenant over its quota may use half of a concurrency limit: two of four attempts.
+        int started = 0;
         for (int i = 0; i < 8; i++) {
             fixture.receive("last" + i, SchedulerFixture.NON_IDEMPOTENT, 1, 4000);
-            begun += fixture.serversByPart().containsKey("last" + i + "/0") ? 1 : 0;
+            started += fixture.serversByPart().containsKey("last" + i + "/0") ? 1 : 0;
         }
-        assertEquals(begun < 8, behind, begun + " begun");
+        assertEquals(started < 8, waits, started + " started");
     }
 
     @DataProvider
     Object[][] fleetLatencies() {
         return new Object[][] {
-            // gatherers, how long parts take in ms, whether queries are rejected on arrival
+            // gatherers, latency of parts in ms, whether queries are rejected on arrival
             {100, 700, true}, {100, 20, false}, {3, 700, false},
         };
     }
 
-    /** Among many gatherers a full fleet shows in latencies alone. */
+    /** If there are many gatherers, only latencies show that the fleet is full. */
     @Test(dataProvider = "fleetLatencies")
-    public void slowFleetOfManyGatherersRejectsQueries(
-            int gatherers, double took, boolean rejected) {
+    public void queriesAreRejectedIfTheFleetIsSlowAndGatherersAreMany(
+            int gatherers, double latencyMs, boolean rejected) {
         var fixture = new SchedulerFixture();
         fixture.gatherers = gatherers;
         fixture.start();
-        boolean any = false;
+        boolean anyRejected = false;
         for (int i = 0; i < 40; i++) {
             fixture.commands.clear();
             for (int j = 0; j < 4; j++) {
-                List<Command> actions =
+                List<Command> decided =
                         fixture.receive("s" + i + "-" + j, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
-                any |= actions.stream().anyMatch(Command.RejectQuery.class::isInstance);
+                anyRejected |= decided.stream().anyMatch(Command.RejectQuery.class::isInstance);
             }
-            fixture.waitFor(took);
+            fixture.waitFor(latencyMs);
             fixture.serversByPart()
                     .forEach((part, sent) -> fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED));
         }
-        assertEquals(any, rejected);
+        assertEquals(anyRejected, rejected);
     }
 
     @DataProvider
@@ -158,13 +160,13 @@
     }
 
     /**
-     * Every replica of a part failed twice just now: an overload that each of many gatherers can't
-     * see otherwise.
+     * Every replica of a part has just failed twice. With many gatherers, this is the only sign of
+     * an overload that a single gatherer can see.
      */
     @Test(dataProvider = "gathererCounts")
-    public void queryWaitsWhileEveryReplicaHasJustFailed(boolean many) {
+    public void queryWaitsIfEveryReplicaHasJustFailedAndGatherersAreMany(boolean manyGatherers) {
         var fixture = new SchedulerFixture();
-        fixture.gatherers = many ? 100 : 1;
+        fixture.gatherers = manyGatherers ? 100 : 1;
         fixture.start();
         for (int i = 0; i < 2; i++) {
             fixture.receive("f" + i, SchedulerFixture.COMPLETE_ONLY, 1, 4000);
@@ -173,15 +175,15 @@
             fixture.now++;
         }
         fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
-        assertEquals(fixture.serversByPart().containsKey("s/0"), !many);
+        assertEquals(fixture.serversByPart().containsKey("s/0"), !manyGatherers);
     }
 
     /**
-     * Guards against a timer set by each call while a query waits, and each of those setting a next
-     * one.
+     * Guards against wake-ups that multiply because each call during a wait sets a timer and each
+     * of these timers sets another one.
      */
     @Test
-    public void eventsDuringAWaitDontMultiplyWakeUps() {
+    public void eventsWhileAQueryWaitsDontMultiplyWakeUps() {
         var fixture = new SchedulerFixture().start();
         for (int group = 0; group < 4; group++) {
             fixture.decide(
@@ -207,11 +209,11 @@
     }
 
     /**
-     * Guards against a flood of waiting queries that costs more to try, at each call, than to
-     * serve.
+     * Guards against a flood of waiting queries whose admission checks at each call cost more than
+     * serving the queries.
      */
     @Test
-    public void waitingQueriesAreTriedOnceATick() {
+    public void waitingQueriesAreCheckedOncePerTick() {
         var fixture = new SchedulerFixture().start();
         for (int i = 0; i < 12; i++) {
             fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
@@ -220,7 +222,7 @@
         fixture.decide(new Event.ClientDisconnected("nobody"));
         fixture.commands.clear();
         fixture.now += 2;
-        // Capacity comes, and is seen with the next tick.
+        // Servers get free capacity, which is used from the next tick on.
         for (int i = 0; i < 4; i++) {
             fixture.endAttempt("s0/" + i, 0, AttemptOutcome.COMPLETED);
             fixture.endAttempt("s1/" + i, 0, AttemptOutcome.COMPLETED);
--- a/core/src/test/java/sprucehold/policy/AttemptRulesTest.java
+++ b/core/src/test/java/sprucehold/policy/AttemptRulesTest.java
@@ -14,13 +14,16 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.SharedLimit;
 
-/** Which parts get another attempt: by outcome, query class, budget and resets. */
+/**
+ * Tests which parts get another attempt, depending on outcome, query class, retry budget and
+ * connection resets.
+ */
 public class AttemptRulesTest {
     @DataProvider
     Object[][] retries() {
         return new Object[][] {
-            // query class, how the first attempt ended, after how many ms, whether the part is sent
-            // again
+            // query class, outcome of the first attempt, after how many ms, whether the part is
+            // sent again
             {SchedulerFixture.COMPLETE_ONLY, AttemptOutcome.ERROR, 50, true},
             {SchedulerFixture.COMPLETE_ONLY, AttemptOutcome.UNREACHABLE, 50, true},
             {SchedulerFixture.NON_IDEMPOTENT, AttemptOutcome.ERROR, 50, false},
@@ -37,13 +40,13 @@
 
     @Test(dataProvider = "retries")
     public void failedPartIsRetriedOnlyWhereItsQueryClassAllows(
-            QueryClass queryClass, AttemptOutcome outcome, double after, boolean again) {
+            QueryClass queryClass, AttemptOutcome outcome, double afterMs, boolean retried) {
         var fixture = new SchedulerFixture();
         fixture.limits = new Deployment.Limits(3, 1000, false, true, 500);
         fixture.start().receive("s", queryClass, 1, 4000);
-        fixture.waitFor(after);
+        fixture.waitFor(afterMs);
         fixture.endAttempt("s/0", 0, outcome);
-        assertEquals(fixture.serversByPart().get("s/0").size(), again ? 2 : 1);
+        assertEquals(fixture.serversByPart().get("s/0").size(), retried ? 2 : 1);
     }
 
     @Test
@@ -59,7 +62,8 @@
         }
         long retries =
                 fixture.serversByPart().values().stream().mapToInt(sent -> sent.size() - 1).sum();
-        // Ten queries of one part are twenty requests: two retries are free, and a tenth for each.
+        // Ten queries of one part are twenty requests. The budget allows two retries, plus a tenth
+        // for each request.
         assertTrue(retries >= 2 && retries <= 4, retries + " retries");
     }
 
@@ -84,7 +88,8 @@
     @DataProvider
     Object[][] resetParts() {
         return new Object[][] {
-            // how each of two parts ends (null: stays pending), attempts of the first, final answer
+            // outcomes of the two parts (null: stays pending), attempts of the first part, final
+            // answer
             {AttemptOutcome.RESET, AttemptOutcome.COMPLETED, 2, List.of()},
             {AttemptOutcome.RESET, null, 1, List.of()},
             {AttemptOutcome.RESET, AttemptOutcome.RESET, 1, List.of("rejected")},
@@ -93,21 +98,24 @@
     }
 
     /**
-     * Queries that bring down whatever server begins one of their parts mustn't go on to the next
+     * A query that crashes each server that starts one of its parts must not be sent to the next
      * replica.
      */
     @Test(dataProvider = "resetParts")
-    public void resetPartIsRetriedOnlyOnceAnotherIsCompleted(
-            AttemptOutcome one, AttemptOutcome other, int sent, List<String> ends) {
+    public void partWithConnectionResetIsRetriedOnlyAfterAnotherPartCompletes(
+            AttemptOutcome firstOutcome,
+            AttemptOutcome secondOutcome,
+            int expectedAttempts,
+            List<String> expectedAnswers) {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 2, 4000);
-        fixture.endAttempt("s/0", 0, one);
+        fixture.endAttempt("s/0", 0, firstOutcome);
         fixture.waitFor(50);
-        if (other != null) {
-            fixture.endAttempt("s/1", 0, other);
+        if (secondOutcome != null) {
+            fixture.endAttempt("s/1", 0, secondOutcome);
         }
         fixture.waitFor(50);
-        assertEquals(fixture.serversByPart().get("s/0").size(), sent);
-        assertEquals(fixture.finalAnswers(), ends);
+        assertEquals(fixture.serversByPart().get("s/0").size(), expectedAttempts);
+        assertEquals(fixture.finalAnswers(), expectedAnswers);
     }
 }
--- a/core/src/test/java/sprucehold/policy/CompletionTest.java
+++ b/core/src/test/java/sprucehold/policy/CompletionTest.java
@@ -12,13 +12,13 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Reason;
 
-/** Which final answer a query gets, when, and with which reason. */
+/** Tests which final answer a query gets, when, and with which reason. */
 public class CompletionTest {
     @DataProvider
     Object[][] finalAnswers() {
         return new Object[][] {
-            // query class, parts, completed, how the rest ended (null: pending at the deadline),
-            // final answer
+            // query class, parts, completed parts, outcome of the other parts (null: pending at the
+            // deadline), final answer
             {SchedulerFixture.COMPLETE_ONLY, 2, 2, null, "complete"},
             {SchedulerFixture.COMPLETE_ONLY, 2, 1, null, "rejected"},
             {SchedulerFixture.THREE_QUARTERS, 4, 3, null, "complete"},
@@ -35,13 +35,18 @@
 
     @Test(dataProvider = "finalAnswers")
     public void missingPartsLeadToOneFinalAnswerInTime(
-            QueryClass queryClass, int parts, int completed, AttemptOutcome rest, String expected) {
+            QueryClass queryClass,
+            int parts,
+            int completed,
+            AttemptOutcome otherOutcome,
+            String expected) {
         var fixture = new SchedulerFixture();
         fixture.limits = new Deployment.Limits(1, 1000, false, true, 500);
         fixture.start().receive("s", queryClass, parts, 3000);
         for (int i = 0; i < parts; i++) {
-            if (i < completed || rest != null) {
-                fixture.endAttempt("s/" + i, 0, i < completed ? AttemptOutcome.COMPLETED : rest);
+            if (i < completed || otherOutcome != null) {
+                fixture.endAttempt(
+                        "s/" + i, 0, i < completed ? AttemptOutcome.COMPLETED : otherOutcome);
             }
         }
         fixture.waitFor(3000);
@@ -55,14 +60,14 @@
     }
 
     @Test
-    public void secondStepNeedsAnAnswerOfItsOwn() {
+    public void secondStepGetsItsOwnAnswer() {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.TWO_STEPS, 2, 4000);
         fixture.endAttempt("s/0", 0, AttemptOutcome.COMPLETED);
         fixture.endAttempt("s/1", 0, AttemptOutcome.COMPLETED);
         assertEquals(fixture.finalAnswers(), List.of("complete"));
-        List<Event> more = fixture.parts("s+", 2);
-        fixture.decide(more.toArray(new Event[0]));
+        List<Event> secondStepParts = fixture.parts("s+", 2);
+        fixture.decide(secondStepParts.toArray(new Event[0]));
         fixture.endAttempt("s+/0", 0, AttemptOutcome.COMPLETED);
         assertEquals(fixture.finalAnswers(), List.of("complete"));
         fixture.endAttempt("s+/1", 0, AttemptOutcome.COMPLETED);
@@ -70,7 +75,7 @@
     }
 
     @Test
-    public void incompleteAnswerIsGivenAtTheLatencyObjective() {
+    public void incompleteQueryIsAnsweredAtTheLatencyObjective() {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.HALF_MINIMUM, 4, 4000);
         fixture.endAttempt("s/0", 0, AttemptOutcome.COMPLETED);
@@ -84,8 +89,8 @@
     @DataProvider
     Object[][] endReasons() {
         return new Object[][] {
-            // query class, how its one part's first attempt ends (null: not at all), reason of the
-            // final answer
+            // query class, outcome of the first attempt of its only part (null: no outcome), reason
+            // of the final answer
             {SchedulerFixture.COMPLETE_ONLY, AttemptOutcome.COMPLETED, Reason.COMPLETE},
             {SchedulerFixture.NON_IDEMPOTENT, AttemptOutcome.ERROR, Reason.BELOW_MINIMUM_COVERAGE},
             {SchedulerFixture.NON_IDEMPOTENT, AttemptOutcome.RESET, Reason.ALL_CONNECTIONS_RESET},
@@ -115,7 +120,7 @@
     }
 
     @Test
-    public void cancelledAttemptsHaveTheirReason() {
+    public void attemptsOfADisconnectedClientAreCancelledWithThatReason() {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 2, 4000);
         fixture.decide(new Event.ClientDisconnected("s"));
--- a/core/src/test/java/sprucehold/policy/DeploymentChangeTest.java
+++ b/core/src/test/java/sprucehold/policy/DeploymentChangeTest.java
@@ -13,7 +13,7 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
-/** Queries that are open while the deployment changes. */
+/** Tests queries that are open while the deployment changes. */
 public class DeploymentChangeTest {
     private static Deployment changedDeployment(
             SchedulerFixture fixture, List<QueryClass> classes) {
@@ -50,8 +50,8 @@
         QueryClass.Idempotence idempotent = QueryClass.Idempotence.IDEMPOTENT;
         QueryClass.Idempotence nonIdempotent = QueryClass.Idempotence.NON_IDEMPOTENT;
         return new Object[][] {
-            // class as the query was received, what it turns into while the part is pending,
-            // whether an error is retried
+            // query class when the query is received, query class after a change while the part is
+            // pending, whether the part is retried after an error
             {
                 SchedulerFixture.NON_IDEMPOTENT,
                 withIdempotence(SchedulerFixture.NON_IDEMPOTENT, idempotent, 0),
@@ -88,18 +88,18 @@
     }
 
     @Test(dataProvider = "changedClasses")
-    public void pendingPartIsNeverFreedByAChangeOfItsClass(
-            QueryClass before, QueryClass after, boolean again) {
+    public void pendingPartKeepsTheRetryRestrictionsOfItsClassAfterAChange(
+            QueryClass original, QueryClass changed, boolean retried) {
         var fixture = new SchedulerFixture().start();
-        fixture.receive("s", before, 1, 4000);
-        fixture.decide(new Event.DeploymentChanged(changedDeployment(fixture, List.of(after))));
+        fixture.receive("s", original, 1, 4000);
+        fixture.decide(new Event.DeploymentChanged(changedDeployment(fixture, List.of(changed))));
         fixture.now += 50;
         fixture.endAttempt("s/0", 0, AttemptOutcome.ERROR);
-        assertEquals(fixture.serversByPart().get("s/0").size(), again ? 2 : 1);
+        assertEquals(fixture.serversByPart().get("s/0").size(), retried ? 2 : 1);
     }
 
     @Test
-    public void deduplicationWindowNeverGrowsOverAnAttemptAlreadyMade() {
+    public void longerDeduplicationWindowDoesNotApplyToAnEarlierAttempt() {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.DEDUPLICATED, 1, 4000);
         fixture.decide(
@@ -117,9 +117,9 @@
     }
 
     @Test
-    public void openQueriesKeepTheirCoverageWhenItsClassChanges() {
+    public void openQueryKeepsItsCoverageWhenItsClassChanges() {
         var fixture = new SchedulerFixture().start();
-        var wide =
+        var completeClass =
                 new QueryClass(
                         "three-quarters",
                         QueryClass.Idempotence.IDEMPOTENT,
@@ -131,24 +131,25 @@
                         1,
                         0);
         fixture.receive("old", SchedulerFixture.THREE_QUARTERS, 9, 4000);
-        fixture.decide(new Event.DeploymentChanged(changedDeployment(fixture, List.of(wide))));
+        fixture.decide(
+                new Event.DeploymentChanged(changedDeployment(fixture, List.of(completeClass))));
         fixture.commands.clear();
-        fixture.receive("new", wide, 4, 4000);
+        fixture.receive("new", completeClass, 4, 4000);
         assertEquals(fixture.all(Command.SendAttempt.class).size(), 4);
         for (int i = 0; i < 7; i++) {
             fixture.endAttempt("old/" + i, 0, AttemptOutcome.COMPLETED);
         }
         assertTrue(
                 fixture.finalAnswers().contains("complete"),
-                "seven of nine were enough when it was taken");
+                "seven of nine parts sufficed when the query was received");
     }
 
     @Test
-    public void removedTenantsOpenQueriesAreStillServed() {
+    public void openQueryOfARemovedTenantIsStillAnswered() {
         var fixture = new SchedulerFixture();
         fixture.tenants = List.of(new Tenant("acme", 10));
         fixture.start().receive("s", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
-        Deployment now = changedDeployment(fixture, List.of(SchedulerFixture.COMPLETE_ONLY));
+        Deployment deployment = changedDeployment(fixture, List.of(SchedulerFixture.COMPLETE_ONLY));
         fixture.decide(
                 new Event.DeploymentChanged(
                         new Deployment(
@@ -158,11 +159,11 @@
                                 0.2,
                                 List.of(SchedulerFixture.COMPLETE_ONLY),
                                 List.of(),
-                                now.layout(),
-                                now.limits(),
-                                now.slowStart(),
-                                now.retryBudget(),
-                                now.endpointSubscription())));
+                                deployment.layout(),
+                                deployment.limits(),
+                                deployment.slowStart(),
+                                deployment.retryBudget(),
+                                deployment.endpointSubscription())));
         fixture.endAttempt("s/0", 0, AttemptOutcome.COMPLETED);
         assertEquals(fixture.finalAnswers(), List.of("complete"));
         fixture.tenants = List.of();
--- a/core/src/test/java/sprucehold/policy/EndpointListTest.java
+++ b/core/src/test/java/sprucehold/policy/EndpointListTest.java
@@ -12,10 +12,10 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 
-/** Servers that go, come back or are missing, and a list that is unavailable. */
+/** Tests servers that leave, return or are missing, and an endpoint list that is unavailable. */
 public class EndpointListTest {
     @Test
-    public void shardWithoutReplicaWaitsForOne() {
+    public void partOfAShardWithoutReplicasWaitsForOne() {
         var fixture = new SchedulerFixture().start();
         fixture.decide(
                 new Event.EndpointsUpdated(
@@ -34,24 +34,24 @@
     }
 
     @Test
-    public void unavailableListIsAskedForWithGrowingBackoffWithinItsTime() {
+    public void unavailableListIsRequestedWithGrowingBackoffBelowTheMaximumPollInterval() {
         var fixture = new SchedulerFixture();
         fixture.subscription = new Deployment.EndpointSubscription(true, 10_000);
         fixture.start();
         assertEquals(fixture.all(Command.SubscribeToEndpoints.class).size(), 1);
-        double last = fixture.now;
-        double longest = 0;
-        int asked = 1;
+        double lastRequestAtMs = fixture.now;
+        double longestGapMs = 0;
+        int requests = 1;
         for (int i = 0; i < 12; i++) {
             fixture.decide(new Event.EndpointsUnavailable());
-            while (fixture.all(Command.SubscribeToEndpoints.class).size() == asked) {
+            while (fixture.all(Command.SubscribeToEndpoints.class).size() == requests) {
                 fixture.waitFor(50);
             }
-            asked++;
-            longest = Math.max(longest, fixture.now - last);
-            last = fixture.now;
+            requests++;
+            longestGapMs = Math.max(longestGapMs, fixture.now - lastRequestAtMs);
+            lastRequestAtMs = fixture.now;
         }
-        assertTrue(longest > 2000 && longest < 10_000, longest + " ms");
+        assertTrue(longestGapMs > 2000 && longestGapMs < 10_000, longestGapMs + " ms");
     }
 
     @DataProvider
@@ -60,16 +60,16 @@
     }
 
     /**
-     * Fleets that are replaced by servers of new names must leave nothing behind; one that blinks
-     * is known again.
+     * State of old servers must not accumulate when a fleet is replaced by servers with new names.
+     * A server that is missing only briefly keeps its state.
      */
     @Test(dataProvider = "absences")
-    public void serverGoneForLongIsForgotten(double goneFor, boolean forgotten) {
+    public void stateOfAServerGoneForLongIsRemoved(double goneMs, boolean removed) {
         SchedulerFixture fixture = SchedulerFixture.withThreeFailuresOfA(AttemptOutcome.ERROR, 1);
         fixture.decide(
                 new Event.EndpointsUpdated(
                         false, List.of(SchedulerFixture.endpoint("a", 0, 0, Endpoint.State.GONE))));
-        fixture.waitFor(goneFor);
+        fixture.waitFor(goneMs);
         fixture.decide(
                 new Event.EndpointsUpdated(
                         false,
@@ -78,14 +78,14 @@
                 new Event.EndpointsUpdated(
                         false,
                         List.of(SchedulerFixture.endpoint("a", 0, 0, Endpoint.State.RUNNING))));
-        // Three failures in its books count as three parts out.
+        // Three recorded failures count as much as three pending attempts.
         fixture.commands.clear();
         for (int i = 0; i < 3; i++) {
             fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 1, 4000);
         }
         assertEquals(
                 fixture.all(Command.SendAttempt.class).stream()
-                        .anyMatch(d -> d.server().equals("a")),
-                forgotten);
+                        .anyMatch(attempt -> attempt.server().equals("a")),
+                removed);
     }
 }
--- a/core/src/test/java/sprucehold/policy/HedgingTest.java
+++ b/core/src/test/java/sprucehold/policy/HedgingTest.java
@@ -14,12 +14,14 @@
 import sprucehold.decision.Event;
 import sprucehold.decision.QueryClass;
 
-/** When a late part gets a hedged request, and when a late timer makes no part late. */
+/**
+ * Tests when a late part gets a hedged request, and that a delayed timer marks no part as late.
+ */
 public class HedgingTest {
     @DataProvider
     Object[][] hedges() {
         return new Object[][] {
-            // query class, whether another query keeps the other replica busy, attempts of the late
+            // query class, whether other queries keep the other replica busy, attempts of the late
             // part
             {SchedulerFixture.COMPLETE_ONLY, false, 2},
             {SchedulerFixture.DEDUPLICATED, false, 2},
@@ -28,15 +30,15 @@
         };
     }
 
-    /** Hedged requests to busy servers overload a full fleet. */
+    /** Hedged requests to busy servers would overload a full fleet. */
     @Test(dataProvider = "hedges")
     public void latePartIsHedgedOnAnIdleServerOnly(
             QueryClass queryClass, boolean busy, int expected) {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", queryClass, 1, 4000);
         if (busy) {
-            // With attempts pending at a and b, the other replica of shard 0 is busy, whichever it
-            // is.
+            // With attempts pending at servers a and b, the other replica of shard 0 is busy,
+            // whichever of them it is.
             for (int i = 0; i < 4; i++) {
                 fixture.receive("busy" + i, SchedulerFixture.NON_IDEMPOTENT, 4, 4000);
             }
@@ -64,15 +66,15 @@
     }
 
     @DataProvider
-    Object[][] overtaking() {
+    Object[][] overtakenCases() {
         return new Object[][] {{true}, {false}};
     }
 
     /**
-     * A part that later ones have overtaken is lost, so its hedged request needn't wait for an idle
-     * server.
+     * A part whose server has answered attempts sent later is considered lost, so its hedged
+     * request does not wait for an idle server.
      */
-    @Test(dataProvider = "overtaking")
+    @Test(dataProvider = "overtakenCases")
     public void overtakenPartIsHedgedOnABusyServer(boolean overtaken) {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
@@ -91,8 +93,8 @@
     }
 
     /**
-     * A query of many parts meets many slow servers at once: as many as half its parts may be
-     * hedged.
+     * A query of many parts may meet many slow servers at the same time, so half of its parts may
+     * be hedged.
      */
     @Test
     public void largeQueryMayHedgeHalfItsParts() {
@@ -130,14 +132,14 @@
     }
 
     /**
-     * A gatherer that was delayed itself may have unread answers: a part that then seems late says
-     * nothing of the server.
+     * A gatherer that was itself delayed may have unread answers. A part that seems late at that
+     * moment shows nothing about the server.
      */
     @Test(dataProvider = "lateTimers")
-    public void timerThatComesLateItselfMakesNoPartLate(double wokenAfter, boolean hedged) {
+    public void delayedTimerMarksNoPartAsLate(double wakeUpAfterMs, boolean hedged) {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 1, 4000);
-        fixture.now += wokenAfter;
+        fixture.now += wakeUpAfterMs;
         fixture.decide(new Event.WakeUp());
         assertEquals(fixture.serversByPart().get("s/0").size(), hedged ? 2 : 1);
         fixture.now += 65;
--- a/core/src/test/java/sprucehold/policy/OutlierEjectionTest.java
+++ b/core/src/test/java/sprucehold/policy/OutlierEjectionTest.java
@@ -9,13 +9,13 @@
 import sprucehold.decision.AttemptOutcome;
 import sprucehold.decision.Command;
 
-/** When failures eject a server, and which ones don't count against it. */
+/** Tests when failures eject a server, and which outcomes don't count against it. */
 public class OutlierEjectionTest {
     @DataProvider
     Object[][] consecutiveFailures() {
         return new Object[][] {
-            // consecutive failures of server a, how, whether sequential queries avoid it, whether
-            // concurrent ones do
+            // consecutive failures of server a, their outcome, whether sequential queries avoid the
+            // server, whether concurrent queries avoid it
             {1, AttemptOutcome.RESET, true, false},
             {2, AttemptOutcome.RESET, true, true},
             {3, AttemptOutcome.RESET, true, true},
@@ -25,18 +25,22 @@
         };
     }
 
-    /** Among many gatherers each meets a server too seldom for three failures to come in time. */
+    /**
+     * If there are many gatherers, each one sends to a server too rarely for three failures to
+     * eject it in time. Sequential queries therefore avoid a server after its first failure.
+     */
     @Test(dataProvider = "consecutiveFailures")
     public void failingServerIsAvoidedThenEjectedThenTriedAgain(
-            int failures, AttemptOutcome how, boolean avoided, boolean ejected) {
-        SchedulerFixture fixture = withFailuresOfA(failures, how);
+            int failures, AttemptOutcome outcome, boolean avoided, boolean ejected) {
+        SchedulerFixture fixture = withFailuresOfA(failures, outcome);
         assertEquals(fixture.sendsToAIn20Queries("calm", true), !avoided);
         fixture.waitFor(21_000);
         assertTrue(fixture.sendsToAIn20Queries("later", true));
-        assertEquals(withFailuresOfA(failures, how).sendsToAIn20Queries("busy", false), !ejected);
+        assertEquals(
+                withFailuresOfA(failures, outcome).sendsToAIn20Queries("busy", false), !ejected);
     }
 
-    private SchedulerFixture withFailuresOfA(int failures, AttemptOutcome how) {
+    private SchedulerFixture withFailuresOfA(int failures, AttemptOutcome outcome) {
         var fixture = new SchedulerFixture().start();
         int failed = 0;
         for (int i = 0; failed < failures && i < 40; i++) {
@@ -46,7 +50,7 @@
             for (var sent : List.copyOf(fixture.serversByPart().entrySet())) {
                 boolean fails = sent.getValue().get(0).equals("a") && failed < failures;
                 failed += fails ? 1 : 0;
-                fixture.endAttempt(sent.getKey(), 0, fails ? how : AttemptOutcome.COMPLETED);
+                fixture.endAttempt(sent.getKey(), 0, fails ? outcome : AttemptOutcome.COMPLETED);
                 if (fixture.serversByPart().get(sent.getKey()).size() > 1) {
                     fixture.endAttempt(sent.getKey(), 1, AttemptOutcome.COMPLETED);
                 }
@@ -56,7 +60,7 @@
         return fixture;
     }
 
-    /** Timeouts of impatient clients aren't their servers' failures. */
+    /** Timeouts caused by short deadlines of clients aren't failures of the servers. */
     @Test
     public void timeoutBeforeAPartIsLateDoesNotCountAgainstItsServer() {
         var fixture = new SchedulerFixture().start();
@@ -78,7 +82,7 @@
     }
 
     @DataProvider
-    Object[][] simultaneous() {
+    Object[][] failureTimings() {
         return new Object[][] {
             {AttemptOutcome.RESET, 0, false},
             {AttemptOutcome.ERROR, 0, false},
@@ -88,12 +92,12 @@
         };
     }
 
-    /** One answer that can't be read ends all that is out on its connection. */
-    @Test(dataProvider = "simultaneous")
-    public void partsThatEndTogetherCountAsOneFailure(
-            AttemptOutcome outcome, double apart, boolean ejected) {
+    /** A single unreadable answer ends all pending attempts on its connection. */
+    @Test(dataProvider = "failureTimings")
+    public void failuresAtTheSameTimeCountAsOne(
+            AttemptOutcome outcome, double apartMs, boolean ejected) {
         assertEquals(
-                SchedulerFixture.withThreeFailuresOfA(outcome, apart)
+                SchedulerFixture.withThreeFailuresOfA(outcome, apartMs)
                         .sendsToAIn20Queries("busy", false),
                 !ejected);
     }
--- a/core/src/test/java/sprucehold/policy/ReplicaSelectorTest.java
+++ b/core/src/test/java/sprucehold/policy/ReplicaSelectorTest.java
@@ -16,7 +16,7 @@
 import sprucehold.decision.SharedLimit;
 import sprucehold.decision.SkippedReplica;
 
-/** Which replica a part goes to while servers drain, fail or are far. */
+/** Tests which replica a part is sent to while servers drain, fail or are in a slow zone. */
 public class ReplicaSelectorTest {
     @DataProvider
     Object[][] departures() {
@@ -28,7 +28,7 @@
     }
 
     @Test(dataProvider = "departures")
-    public void drainingOrGoneServerIsSentNothing(Endpoint.State state, boolean comesBack) {
+    public void drainingOrGoneServerIsSentNothing(Endpoint.State state, boolean returns) {
         var fixture = new SchedulerFixture().start();
         fixture.decide(
                 new Event.EndpointsUpdated(
@@ -38,8 +38,8 @@
         }
         assertTrue(
                 fixture.all(Command.SendAttempt.class).stream()
-                        .noneMatch(d -> d.server().equals("a")));
-        if (comesBack) {
+                        .noneMatch(attempt -> attempt.server().equals("a")));
+        if (returns) {
             fixture.decide(
                     new Event.EndpointsUpdated(
                             false,
@@ -49,31 +49,32 @@
             }
             assertFalse(
                     fixture.all(Command.SendAttempt.class).stream()
-                            .noneMatch(d -> d.server().equals("a")));
+                            .noneMatch(attempt -> attempt.server().equals("a")));
         }
     }
 
     @Test
-    public void drainingReplicaIsNamedAsSkipped() {
+    public void drainingReplicaIsListedAsSkipped() {
         var fixture = new SchedulerFixture().start();
         fixture.decide(
                 new Event.EndpointsUpdated(
                         false,
                         List.of(SchedulerFixture.endpoint("a", 0, 0, Endpoint.State.DRAINING))));
         fixture.commands.clear();
-        // One of the two positions is taken at random; at one of them shard 0 would be a's.
+        // The position is chosen at random. At one of the two positions, server a is the replica of
+        // shard 0.
         for (int i = 0; i < 8; i++) {
             fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 1, 4000);
             fixture.endAttempt("s" + i + "/0", 0, AttemptOutcome.COMPLETED);
         }
-        List<List<SkippedReplica>> passed =
+        List<List<SkippedReplica>> skippedLists =
                 fixture.all(Command.SendAttempt.class).stream()
                         .map(Command.SendAttempt::skipped)
                         .filter(list -> !list.isEmpty())
                         .toList();
-        assertFalse(passed.isEmpty());
+        assertFalse(skippedLists.isEmpty());
         assertTrue(
-                passed.stream()
+                skippedLists.stream()
                         .allMatch(
                                 List.of(new SkippedReplica("a", SkippedReplica.Cause.DRAINING))
                                         ::equals));
@@ -82,7 +83,7 @@
     @DataProvider
     Object[][] failureScores() {
         return new Object[][] {
-            // failure scores of a and b, the replicas of shard 0; whether a part goes to a
+            // failure scores of a and b, the replicas of shard 0; whether a part is sent to a
             {Map.of(), true},
             {Map.of("a", 0.5), true},
             {Map.of("a", 0.6), false},
@@ -92,8 +93,8 @@
     }
 
     @Test(dataProvider = "failureScores")
-    public void serverThatOtherGatherersSeeFailIsAvoided(Map<String, Double> scores, boolean goes) {
-        boolean went = false;
+    public void serverWithAHighFailureScoreIsAvoided(Map<String, Double> scores, boolean expected) {
+        boolean sentToA = false;
         for (int seed = 0; seed < 20; seed++) {
             var fixture = new SchedulerFixture();
             fixture.seed = seed * 0x9E3779B97F4A7C15L;
@@ -103,13 +104,13 @@
                     fixture.all(Command.SendAttempt.class).size(),
                     1,
                     "the last replicas of a shard are never all avoided");
-            went |= fixture.attemptsTo("a") > 0;
+            sentToA |= fixture.attemptsTo("a") > 0;
         }
-        assertEquals(went, goes);
+        assertEquals(sentToA, expected);
     }
 
     @Test
-    public void clusterViewThatSaysNothingReplacesTheOneBefore() {
+    public void emptyClusterViewReplacesThePreviousView() {
         var fixture = new SchedulerFixture().start();
         fixture.decide(
                 SchedulerFixture.clusterView(9, Map.of(SharedLimit.RETRIES, 0), Map.of("a", 1.0)));
@@ -134,13 +135,16 @@
     }
 
     @DataProvider
-    Object[][] zones() {
+    Object[][] lateZones() {
         return new Object[][] {{true}, {false}};
     }
 
-    /** Lateness of a zone: a server there is avoided though it has never failed. */
-    @Test(dataProvider = "zones")
-    public void zoneWithMostPartsLateIsAvoided(boolean late) {
+    /**
+     * A server in a zone where most parts are late is avoided even if the server itself has never
+     * failed.
+     */
+    @Test(dataProvider = "lateZones")
+    public void zoneWithMostPartsLateIsAvoided(boolean lateZone) {
         var fixture = new SchedulerFixture();
         fixture.now = 100_000;
         fixture.start();
@@ -153,16 +157,16 @@
             var sent = fixture.serversByPart();
             sent.forEach(
                     (part, servers) -> {
-                        if (!late || !"ac".contains(servers.get(0))) {
+                        if (!lateZone || !"ac".contains(servers.get(0))) {
                             fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED);
                         }
                     });
             fixture.waitFor(6000);
             sent.forEach((part, servers) -> fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED));
         }
-        // Started again, a has no failures of its own any more.
+        // After a restart, server a has no failures of its own any more.
         fixture.decide(new Event.EndpointsUpdated(false, List.of(endpointFarAway("a", 0, 1))));
-        assertEquals(fixture.sendsToAIn20Queries("t", true), !late);
+        assertEquals(fixture.sendsToAIn20Queries("t", true), !lateZone);
     }
 
     private static Endpoint endpointFarAway(String server, int group, double startedAt) {
--- a/core/src/test/java/sprucehold/policy/RoundsTest.java
+++ b/core/src/test/java/sprucehold/policy/RoundsTest.java
@@ -13,7 +13,7 @@
 import sprucehold.decision.Reason;
 import sprucehold.decision.SkippedReplica;
 
-/** How wide rounds are, when the next one is sent, and which parts go first. */
+/** Tests how wide rounds are, when the next round is sent, and which parts are sent first. */
 public class RoundsTest {
     @DataProvider
     Object[][] firstWidths() {
@@ -38,14 +38,15 @@
     @DataProvider
     Object[][] roundTimers() {
         return new Object[][] {
-            // completed of the eight sent of nine before the timer, whether the ninth is sent when
-            // it expires
+            // parts completed before the timer expires, of the eight sent of nine; whether the
+            // ninth is sent when the timer expires
             {0, true}, {3, true}, {6, true}, {7, false},
         };
     }
 
     @Test(dataProvider = "roundTimers")
-    public void expiredRoundWithTooFewCompletedIsFollowedByAnother(int completed, boolean asked) {
+    public void expiredRoundWithTooFewCompletedIsFollowedByAnother(
+            int completed, boolean ninthSent) {
         var fixture = new SchedulerFixture();
         fixture.limits = new Deployment.Limits(1, 1000, false, true, 500);
         fixture.start().receive("s", SchedulerFixture.THREE_QUARTERS, 9, 4000);
@@ -53,12 +54,12 @@
         sent.subList(0, completed)
                 .forEach(part -> fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED));
         fixture.waitFor(505);
-        assertEquals(fixture.serversByPart().size(), asked ? 9 : 8);
+        assertEquals(fixture.serversByPart().size(), ninthSent ? 9 : 8);
         assertEquals(fixture.finalAnswers(), completed >= 7 ? List.of("complete") : List.of());
     }
 
     @Test
-    public void partsBeyondTheNeedDontQueueAtBusyServers() {
+    public void partsBeyondTheNumberNeededDontQueueAtBusyServers() {
         var fixture = new SchedulerFixture().start();
         for (int i = 0; i < 2; i++) {
             fixture.receive("busy" + i, SchedulerFixture.NON_IDEMPOTENT, 4, 4000);
@@ -75,7 +76,8 @@
         fixture.start().receive("s", SchedulerFixture.THREE_QUARTERS, 9, 4000);
         List<Command.SendAttempt> first = fixture.all(Command.SendAttempt.class);
         assertTrue(
-                first.stream().allMatch(d -> d.reason() == Reason.FIRST_ROUND), first.toString());
+                first.stream().allMatch(attempt -> attempt.reason() == Reason.FIRST_ROUND),
+                first.toString());
         fixture.endAttempt(first.get(0).partId(), 0, AttemptOutcome.COMPLETED);
         fixture.commands.clear();
         fixture.endAttempt(first.get(1).partId(), 0, AttemptOutcome.OVERLOADED);
@@ -104,9 +106,9 @@
                 List.of(Reason.ROUND_AFTER_EMPTY));
     }
 
-    /** Guards against queries that bring down the servers that run them. */
+    /** Guards against queries that crash the servers that run them. */
     @Test
-    public void queryThatResetAllConnectionsMakesItsTenantsNextOnesBeginWithOnePart() {
+    public void nextQueryOfATenantStartsWithOnePartAfterAllConnectionsWereReset() {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", SchedulerFixture.COMPLETE_ONLY, 4, 4000);
         for (int i = 0; i < 4; i++) {
--- a/core/src/test/java/sprucehold/policy/SchedulerFixture.java
+++ b/core/src/test/java/sprucehold/policy/SchedulerFixture.java
@@ -15,8 +15,8 @@
 import sprucehold.decision.Tenant;
 
 /**
- * A scheduler driven by hand: a deployment to vary before {@link #start}, events to bring, a clock
- * to advance, and all commands so far.
+ * Test fixture with a scheduler, a deployment that can be changed before {@link #start}, a clock
+ * that the test advances, and all commands so far.
  */
 final class SchedulerFixture {
     static final QueryClass COMPLETE_ONLY =
@@ -45,7 +45,7 @@
     final List<Command> commands = new ArrayList<>();
     private QueryScheduler scheduler;
     private long queries;
-    private double wakeAt = Double.POSITIVE_INFINITY;
+    private double wakeUpAtMs = Double.POSITIVE_INFINITY;
 
     private static QueryClass queryClass(
             String name,
@@ -71,8 +71,8 @@
     }
 
     /**
-     * Starts a scheduler with four replica groups of one server each, a to d; shard s is held by
-     * groups s and s + 1.
+     * Starts a scheduler with four replica groups of one server each, a to d. The replicas of shard
+     * s are the servers of groups s and s + 1.
      */
     SchedulerFixture start() {
         scheduler =
@@ -105,19 +105,22 @@
         return this;
     }
 
-    /** Brings events at the current time. */
+    /** Passes events to the scheduler at the current time. */
     List<Command> decide(Event... events) {
         List<Command> decided = scheduler.decide(now, List.of(events));
         for (Command command : decided) {
-            if (command instanceof Command.ScheduleWakeUp wake) {
-                wakeAt = Math.min(wakeAt, now + wake.delayMs());
+            if (command instanceof Command.ScheduleWakeUp wakeUp) {
+                wakeUpAtMs = Math.min(wakeUpAtMs, now + wakeUp.delayMs());
             }
         }
         commands.addAll(decided);
         return decided;
     }
 
-    /** Receives a query with parts "ID/0", "ID/1", ... of equal weight of shards 0, 1, ... */
+    /**
+     * Receives a query with parts "ID/0", "ID/1", ... of equal weight, which belong to shards 0, 1,
+     * ...
+     */
     List<Command> receive(String id, QueryClass queryClass, int parts, double timeLeftMs) {
         var events = new ArrayList<Event>();
         events.add(
@@ -139,23 +142,23 @@
         return events;
     }
 
-    /** Ends an attempt, after 50 ms as it says. */
+    /** Ends an attempt with a reported duration of 50 ms. */
     List<Command> endAttempt(String part, int number, AttemptOutcome outcome) {
         return decide(new Event.AttemptEnded(part, number, outcome, 50, null));
     }
 
-    /** Advances the clock, with the wake-ups that were asked for. */
+    /** Advances the clock, and runs the wake-ups that were requested. */
     void waitFor(double ms) {
         double until = now + ms;
-        while (wakeAt <= until) {
-            now = Math.max(now, wakeAt);
-            wakeAt = Double.POSITIVE_INFINITY;
+        while (wakeUpAtMs <= until) {
+            now = Math.max(now, wakeUpAtMs);
+            wakeUpAtMs = Double.POSITIVE_INFINITY;
             decide(new Event.WakeUp());
         }
         now = until;
     }
 
-    /** The servers that each part was sent to so far, in order. */
+    /** Returns the servers that each part was sent to so far, in order. */
     Map<String, List<String>> serversByPart() {
         var byPart = new LinkedHashMap<String, List<String>>();
         for (Command.SendAttempt sendAttempt : all(Command.SendAttempt.class)) {
@@ -169,7 +172,7 @@
         return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    /** The final answers so far: "complete", "incomplete", "rejected" or "failed". */
+    /** Returns the final answers so far: "complete", "incomplete", "rejected" or "failed". */
     List<String> finalAnswers() {
         var answers = new ArrayList<String>();
         for (Command command : commands) {
@@ -184,7 +187,7 @@
         return answers;
     }
 
-    /** Receives a query of four parts, and completes each on its first attempt. */
+    /** Receives a query of four parts, and completes the first attempt of each. */
     void complete(String id) {
         receive(id, COMPLETE_ONLY, 4, 4000);
         for (int i = 0; i < 4; i++) {
@@ -199,9 +202,10 @@
     }
 
     /**
-     * Whether server a is sent anything in twenty further queries; forgets the commands before.
+     * Returns whether server a is sent any attempt in twenty further queries. Clears the earlier
+     * commands.
      *
-     * @param completed whether each query is completed before the next
+     * @param completed whether each query is completed before the next one is received
      */
     boolean sendsToAIn20Queries(String id, boolean completed) {
         commands.clear();
@@ -221,9 +225,9 @@
     }
 
     /**
-     * A scheduler that has seen three attempts at server a end.
+     * Returns a started fixture in which three attempts at server a have ended with an outcome.
      *
-     * @param apartMs the time between the ends of the attempts
+     * @param apartMs time between the ends of the attempts, in milliseconds
      */
     static SchedulerFixture withThreeFailuresOfA(AttemptOutcome outcome, double apartMs) {
         var fixture = new SchedulerFixture().start();
@@ -244,7 +248,7 @@
             fixture.decide(event);
             fixture.now += apartMs;
         }
-        // Retries are completed elsewhere.
+        // The retries are completed at other servers.
         List.copyOf(fixture.serversByPart().keySet())
                 .forEach(part -> fixture.endAttempt(part, 1, AttemptOutcome.COMPLETED));
         return fixture;
