--- a/core/src/main/java/sprucehold/policy/Admission.java
+++ b/core/src/main/java/sprucehold/policy/Admission.java
@@ -18,8 +18,8 @@
         /** The query is rejected because the fleet as a whole is slow. */
         REJECT_OVERLOAD,
         /**
-         * The query is rejected because its client most likely disconnects before the needed parts
-         * are completed.
+         * The query is rejected because its deadline most likely passes before the needed parts are
+         * completed. Its attempts would only use server capacity that other queries need.
          */
         REJECT_DEADLINE_TOO_SHORT
     }
@@ -90,8 +90,9 @@
 
     /**
      * Returns whether the selected server has failed more than once in a row, the last time within
-     * one latency objective. {@link ReplicaSelector} selects such a server only if no other replica
-     * is better, so a part sent now would be late.
+     * one latency objective. {@link ReplicaSelector} avoids such a server, so its selection
+     * indicates that the other replicas of the shard have failed as well. A part sent now would be
+     * late.
      */
     private boolean failedRepeatedly(ShardServerState server, ScheduledQuery query) {
         double recentSinceMs = context.nowMs() - query.queryClass().latencyObjectiveMs();
@@ -100,8 +101,8 @@
     }
 
     /**
-     * Returns how many of a query's parts for a server the server has capacity for. An idle server
-     * takes all of them.
+     * Returns for how many of the wanted parts a server has capacity. An idle server has capacity
+     * for all parts of a query.
      */
     private static int capacity(ShardServerState server, int wanted) {
         int pending = server.pendingAttempts().size();
--- a/core/src/main/java/sprucehold/policy/AdmissionQueue.java
+++ b/core/src/main/java/sprucehold/policy/AdmissionQueue.java
@@ -18,8 +18,8 @@
     private static final double MAX_WAIT_PORTION = 0.25;
 
     /**
-     * Maximum number of unsuccessful admission checks per call. More checks would cost more than
-     * serving the queries.
+     * Maximum number of unsuccessful admission checks per call. It keeps the cost of checking the
+     * waiting queries below the cost of serving queries.
      */
     private static final int MAX_FAILED_CHECKS = 2;
 
--- a/core/src/main/java/sprucehold/policy/AttemptResults.java
+++ b/core/src/main/java/sprucehold/policy/AttemptResults.java
@@ -11,8 +11,8 @@
  */
 final class AttemptResults {
     /**
-     * Portion of the latency objective within which a completion counts as quick. The server then
-     * has time to queue further attempts.
+     * Portion of the latency objective within which a completion counts as quick. Further attempts
+     * can then be queued at the server, and a retry would still be in time.
      */
     private static final double QUICK_PORTION = 0.25;
 
@@ -101,10 +101,10 @@
     }
 
     /**
-     * Returns whether an outcome counts as a new failure of the server. Late attempts are left to
-     * {@link LateDetector}. A timeout before the attempt was late is due to the client's short
-     * deadline. Attempts that end at the same time count as one failure, because they usually share
-     * a connection.
+     * Returns whether an outcome counts as a new failure of the server. Late attempts are handled
+     * by {@link LateDetector}. A timeout before the attempt was late is due to the client's short
+     * deadline. Attempts that end at the same time count as one failure, because a broken
+     * connection ends all attempts on it. An unreachable server counts as a new failure each time.
      */
     private boolean isNewFailure(PartAttempt attempt, AttemptOutcome outcome) {
         if (attempt.isLate() || outcome == AttemptOutcome.TIMED_OUT) {
--- a/core/src/main/java/sprucehold/policy/AttemptRules.java
+++ b/core/src/main/java/sprucehold/policy/AttemptRules.java
@@ -61,8 +61,8 @@
 
     /**
      * Returns whether a part whose connection was reset has to wait until another part of its query
-     * is completed. This protects the servers from a query that would crash, one after the other,
-     * all servers that run it.
+     * is completed. Otherwise, a query that crashes servers would crash one replica after the
+     * other. A harmless query only has to wait for its fastest part.
      */
     boolean isBlockedByReset(ScheduledPart part) {
         return part.hadConnectionReset() && part.query().completedParts() == 0;
--- a/core/src/main/java/sprucehold/policy/AttemptSender.java
+++ b/core/src/main/java/sprucehold/policy/AttemptSender.java
@@ -109,7 +109,7 @@
         return part.mayHaveRun() ? Reason.RETRY : Reason.RETRY_NOT_RUN;
     }
 
-    /** Cancels the pending attempts of a part, where the deployment allows it. */
+    /** Cancels the pending attempts of a part if the deployment allows cancellation. */
     void cancel(ScheduledPart part, Reason reason) {
         for (PartAttempt attempt : part.attempts()) {
             if (attempt.isPending()
--- a/core/src/main/java/sprucehold/policy/CapacityRechecks.java
+++ b/core/src/main/java/sprucehold/policy/CapacityRechecks.java
@@ -1,8 +1,8 @@
 package sprucehold.policy;
 
 /**
- * Schedules wake-ups while queries or parts wait for capacity, because capacity may become
- * available by the passing of time alone.
+ * Schedules wake-ups while queries or parts wait for capacity, because capacity can become
+ * available without an event, for example when an ejection ends.
  */
 final class CapacityRechecks {
     private static final double INTERVAL_MS = 25;
@@ -17,8 +17,8 @@
     }
 
     /**
-     * Sets a timer unless one is already set. Without this check each timer would set another one,
-     * and the timers would multiply.
+     * Sets a timer unless one is already set. Otherwise, each call would set a timer, each timer
+     * would cause another call, and the timers would multiply.
      */
     void schedule() {
         if (context.nowMs() >= nextAtMs) {
--- a/core/src/main/java/sprucehold/policy/CompletionEstimate.java
+++ b/core/src/main/java/sprucehold/policy/CompletionEstimate.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Returns how many parts a first round has to send so that, by the estimate, as many parts
-     * complete as are needed.
+     * Returns how many parts the first round has to send so that, according to the estimate, the
+     * needed number of parts completes.
      */
     int firstRoundWidth(int neededParts) {
         double estimate = SAFETY_FACTOR * completedShare;
--- a/core/src/main/java/sprucehold/policy/ConcurrencyLimit.java
+++ b/core/src/main/java/sprucehold/policy/ConcurrencyLimit.java
@@ -7,7 +7,8 @@
  */
 final class ConcurrencyLimit {
     /**
-     * Initial limit: the number of cores of a small server, plus as many attempts that wait there.
+     * Initial limit: one attempt for each core of a small server, and as many attempts that wait in
+     * its queue.
      */
     static final double INITIAL_LIMIT = 4;
 
@@ -15,29 +16,30 @@
     private static final double DECREASE_FACTOR = 0.7;
 
     /**
-     * Minimum time between two cuts, in milliseconds. It ensures that attempts that were pending at
-     * the same time cut the limit only once.
+     * Minimum time between two decreases, in milliseconds. It ensures that attempts that were
+     * pending at the same time decrease the limit only once.
      */
-    private static final double MIN_BETWEEN_CUTS_MS = 200;
+    private static final double MIN_BETWEEN_DECREASES_MS = 200;
 
     /**
-     * Time after a cut, in milliseconds, during which a limit below the initial value grows by
-     * {@link #ADDITIVE_STEP}. Later the limit doubles.
+     * Time after a decrease, in milliseconds, during which a limit below the initial value grows by
+     * {@link #ADDITIVE_STEP} for each attempt that completes in time. Later, each such attempt
+     * doubles the limit.
      */
     private static final double ADDITIVE_GROWTH_MS = 2000;
 
     private static final double ADDITIVE_STEP = 0.5;
 
     private double limit = INITIAL_LIMIT;
-    private double cutAtMs;
+    private double decreasedAtMs;
 
     double value() {
         return limit;
     }
 
     void onLate(double nowMs) {
-        if (nowMs - cutAtMs > MIN_BETWEEN_CUTS_MS) {
-            cutAtMs = nowMs;
+        if (nowMs - decreasedAtMs > MIN_BETWEEN_DECREASES_MS) {
+            decreasedAtMs = nowMs;
             limit = Math.max(MIN_LIMIT, DECREASE_FACTOR * limit);
         }
     }
@@ -50,10 +52,11 @@
      */
     void onCompletedInTime(double nowMs, boolean quick, int pending) {
         if (limit < INITIAL_LIMIT) {
-            boolean additive = nowMs - cutAtMs < ADDITIVE_GROWTH_MS;
+            boolean additive = nowMs - decreasedAtMs < ADDITIVE_GROWTH_MS;
             limit = Math.min(INITIAL_LIMIT, additive ? limit + ADDITIVE_STEP : 2 * limit);
         } else if (quick && pending + 1 >= limit / 2) {
-            // As long as the limit is not used, completions show nothing about a higher limit.
+            // While less than half of the limit is used, completions do not show whether the server
+            // could handle more attempts than the limit.
             limit += 1 / limit;
         }
     }
--- a/core/src/main/java/sprucehold/policy/DecisionContext.java
+++ b/core/src/main/java/sprucehold/policy/DecisionContext.java
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Returns whether there are more gatherers than the initial concurrency limit of a server. Even
-     * with a limit of one attempt each, the gatherers then overload a server, and only latencies
-     * show the load.
+     * Returns whether there are more gatherers than the initial concurrency limit of a server. The
+     * limits can't prevent an overload then: the gatherers together overload a server even if each
+     * of them has only one attempt pending there. Only latencies show the load.
      */
     boolean manyGatherers() {
         return manyGatherers;
--- a/core/src/main/java/sprucehold/policy/EndpointSubscriber.java
+++ b/core/src/main/java/sprucehold/policy/EndpointSubscriber.java
@@ -10,9 +10,10 @@
     private static final int BACKOFF_MAX_DOUBLINGS = 6;
 
     /**
-     * Maximum backoff, in milliseconds. With jitter and the duration of an unanswered call, the
-     * interval between calls stays under six seconds. Six seconds after discovery has a change and
-     * can be reached, the change counts as known to the gatherer.
+     * Maximum backoff, in milliseconds. A gatherer counts as informed of a change six seconds after
+     * discovery has the change and can be reached. The interval between calls stays below this
+     * time: the backoff with jitter is at most three seconds, and a call without an answer takes
+     * two seconds.
      */
     private static final double BACKOFF_MAX_MS = 2000;
 
--- a/core/src/main/java/sprucehold/policy/Hedging.java
+++ b/core/src/main/java/sprucehold/policy/Hedging.java
@@ -9,8 +9,8 @@
  */
 final class Hedging {
     /**
-     * Overload signal above which no hedged requests are sent, because they would only add to a
-     * full fleet's load.
+     * Overload signal above which no hedged requests are sent, because they would only add load to
+     * a fleet that is already at capacity.
      */
     private static final double MAX_OVERLOAD = 0.1;
 
--- a/core/src/main/java/sprucehold/policy/LateDetector.java
+++ b/core/src/main/java/sprucehold/policy/LateDetector.java
@@ -3,14 +3,15 @@
 /** Detects late attempts, and records them for their server, its zone and the fleet. */
 final class LateDetector {
     /**
-     * Maximum delay of a timer, in ticks. A timer that fires with a longer delay shows nothing
-     * about the server.
+     * Maximum delay of a timer, in ticks. A longer delay means that the gatherer itself was
+     * delayed. An attempt that is still pending then shows nothing about its server.
      */
     private static final double MAX_TIMER_DELAY_TICKS = 2;
 
     /**
-     * Completion estimate below which the fleet as a whole is slow. Ejecting a server would then
-     * only add load to the other servers.
+     * Completion estimate below which the fleet as a whole is slow. A late attempt then counts as a
+     * failure only if the server has answered nothing since the attempt was sent. Ejecting a server
+     * that still answers would only add load to the other servers.
      */
     private static final double MIN_ESTIMATE_TO_COUNT_FAILURE = 0.6;
 
@@ -46,8 +47,8 @@
     }
 
     /**
-     * Sets a timer that marks the attempt as late. If the timer fires with a delay, the check is
-     * postponed by the same delay, because answers may not have been read yet.
+     * Sets a timer that marks the attempt as late. If the timer fires with more than the maximum
+     * delay, the check is postponed by the same delay, because answers may not have been read yet.
      */
     private void scheduleCheck(double checkAtMs, PartAttempt attempt) {
         timers.schedule(
--- a/core/src/main/java/sprucehold/policy/LatencyHistogram.java
+++ b/core/src/main/java/sprucehold/policy/LatencyHistogram.java
@@ -1,8 +1,9 @@
 package sprucehold.policy;
 
 /**
- * Histogram with exponential bins, each {@value #BIN_GROWTH} times as wide as the previous one.
- * Older values lose weight: all counts are halved whenever their sum reaches the capacity.
+ * Histogram with exponential bins: the upper edge of each bin is {@value #BIN_GROWTH} times the
+ * upper edge of the previous bin. Older values lose weight: all counts are halved whenever their
+ * sum reaches the capacity.
  */
 final class LatencyHistogram {
     private static final int BINS = 18;
--- a/core/src/main/java/sprucehold/policy/LatencyStatistics.java
+++ b/core/src/main/java/sprucehold/policy/LatencyStatistics.java
@@ -13,7 +13,10 @@
      */
     private static final int CAPACITY = 200;
 
-    /** Portion of the latency objective after which a pending attempt is late at the latest. */
+    /**
+     * Maximum time after which a pending attempt counts as late, as a portion of the latency
+     * objective.
+     */
     private static final double LATE_OBJECTIVE_PORTION = 0.5;
 
     private static final double LATE_QUANTILE = 0.9;
--- a/core/src/main/java/sprucehold/policy/OpenQueries.java
+++ b/core/src/main/java/sprucehold/policy/OpenQueries.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import sprucehold.decision.QueryClass;
 
-/** All open queries, and all parts that still have an attempt pending or may get one. */
+/** All open queries with their parts, and obsolete parts that still have a pending attempt. */
 final class OpenQueries {
     private final Map<String, ScheduledQuery> queriesById = new HashMap<>();
     private final Map<Long, ScheduledQuery> queriesByNumber = new LinkedHashMap<>();
@@ -55,7 +55,7 @@
         return partsById.get(id);
     }
 
-    /** Returns the number of open queries and of parts that are not done. */
+    /** Returns the number of open queries plus the number of stored parts. */
     int size() {
         return queriesByNumber.size() + partsById.size();
     }
--- a/core/src/main/java/sprucehold/policy/OutlierEjection.java
+++ b/core/src/main/java/sprucehold/policy/OutlierEjection.java
@@ -2,13 +2,14 @@
 
 /**
  * Counts consecutive failures of one shard server and ejects the server. No attempts are sent to an
- * ejected server, except as a last resort (see {@link ReplicaSelector}). The ejection time grows
- * with each ejection until an attempt completes in time, as in Envoy's outlier detection.
+ * ejected server unless all replicas of a shard are ejected or not running (see {@link
+ * ReplicaSelector}). The ejection time grows with each ejection until an attempt completes in time,
+ * as in Envoy's outlier detection.
  */
 final class OutlierEjection {
     /**
-     * Consecutive failures that eject a server. One failure may be an accident, and two may be
-     * caused by a pause of the server.
+     * Number of consecutive failures after which a server is ejected. One failure may be an
+     * accident, and two may be caused by a pause of the server.
      */
     private static final int FAILURES_TO_EJECT = 3;
 
@@ -38,8 +39,8 @@
     boolean onFailure(double nowMs, boolean unreachable) {
         consecutiveFailures++;
         lastFailureAtMs = nowMs;
-        boolean enough = consecutiveFailures >= FAILURES_TO_EJECT || unreachable;
-        if (!enough || isEjected(nowMs)) {
+        boolean shouldEject = consecutiveFailures >= FAILURES_TO_EJECT || unreachable;
+        if (!shouldEject || isEjected(nowMs)) {
             return false;
         }
         ejectionMs = Math.min(EJECTION_MAX_MS, Math.max(EJECTION_BASE_MS, 2 * ejectionMs));
@@ -59,7 +60,8 @@
     }
 
     /**
-     * Returns the number of failures and late attempts since an attempt last completed in time.
+     * Returns the number of failures, including late attempts, since an attempt last completed in
+     * time or the server started.
      */
     int consecutiveFailures() {
         return consecutiveFailures;
--- a/core/src/main/java/sprucehold/policy/QueryScheduler.java
+++ b/core/src/main/java/sprucehold/policy/QueryScheduler.java
@@ -16,18 +16,19 @@
  * <ul>
  *   <li>{@link QueryIntake} opens queries, and {@link OpenQueries} stores them;
  *   <li>{@link AdmissionQueue} and {@link Admission} start queries when there is capacity, and
- *       reject queries that would not be answered, by {@link OverloadSignal} and {@link
- *       TenantQuotas};
- *   <li>{@link Rounds} sends the parts of a query in rounds, whose width {@link CompletionEstimate}
- *       determines;
- *   <li>{@link ReplicaSelector} selects the replica of a part, by {@link EndpointList}, {@link
- *       OutlierEjection}, {@link ConcurrencyLimit}, {@link SuspectDetector} and {@link SlowStart};
+ *       reject queries that would probably not be answered, based on {@link OverloadSignal} and
+ *       {@link TenantQuotas};
+ *   <li>{@link Rounds} sends the parts of a query in rounds; {@link CompletionEstimate} determines
+ *       the width of the first round;
+ *   <li>{@link ReplicaSelector} selects the replica of a part, based on {@link EndpointList},
+ *       {@link OutlierEjection}, {@link ConcurrencyLimit}, {@link SuspectDetector} and {@link
+ *       SlowStart};
  *   <li>{@link AttemptSender} sends and cancels attempts; {@link AttemptRules} and {@link
- *       RetryBudgetWindow} allow retries; {@link LateDetector} and {@link Hedging} send hedged
- *       requests;
- *   <li>{@link AttemptResults} processes the results of attempts, for {@link LatencyStatistics} and
- *       the servers;
- *   <li>{@link Completion} gives each query its final answer;
+ *       RetryBudgetWindow} decide which retries are allowed; {@link LateDetector} detects late
+ *       attempts, and {@link Hedging} sends hedged requests for their parts;
+ *   <li>{@link AttemptResults} processes the results of attempts, and updates {@link
+ *       LatencyStatistics} and the state of the servers;
+ *   <li>{@link Completion} decides the final answer of each query;
  *   <li>{@link EndpointSubscriber} keeps the endpoint list up to date;
  *   <li>{@link Timers} run scheduled tasks.
  * </ul>
@@ -114,7 +115,7 @@
     }
 
     /**
-     * Uses a deployment for all queries received from now on. Open queries can only become
+     * Applies a deployment. The query classes of open queries change only where the new ones are
      * stricter.
      */
     private void applyDeployment(Deployment deployment) {
--- a/core/src/main/java/sprucehold/policy/ReplicaSelector.java
+++ b/core/src/main/java/sprucehold/policy/ReplicaSelector.java
@@ -78,8 +78,8 @@
 
     /**
      * Returns the load of a server: the number of this gatherer's pending attempts there, or of
-     * their calls where parts share calls. Failures are added, because a server that fails fast
-     * would otherwise look idle.
+     * their calls where parts share calls. Consecutive failures are added, because a server that
+     * fails fast would otherwise look idle. An impaired server counts one more.
      */
     private double load(ShardServerState server) {
         List<PartAttempt> pending = server.pendingAttempts();
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Returns the replica for a part at its query's position, or another one; null if no replica
-     * may be used.
+     * Returns the replica for a part: the one at its query's position, or the least loaded other
+     * replica if that one may not be used or is suspect. Returns null if no replica may be used.
      */
     ShardServerState select(ScheduledPart part) {
         return select(part, part.query().position());
@@ -141,8 +141,8 @@
                 lastResort = lessLoaded(lastResort, server);
             }
         }
-        // Ejection never excludes all replicas of a shard. If all are unavailable, each replica
-        // gets one part at a time.
+        // Ejection never excludes all replicas of a shard. If every replica is ejected or not
+        // running, each running replica gets one part at a time.
         return best == null && allUnavailable ? lastResort : best;
     }
 
--- a/core/src/main/java/sprucehold/policy/RetryBudgetWindow.java
+++ b/core/src/main/java/sprucehold/policy/RetryBudgetWindow.java
@@ -40,11 +40,11 @@
 
     boolean allowsRetry() {
         Deployment.RetryBudget budget = context.deployment().retryBudget();
-        // One tick longer than the window, because attempts carry the time of their call and calls
-        // are one tick apart.
+        // Retries are counted for one tick longer than the window, because a retry has the time of
+        // the call that sends it, and calls are one tick apart.
         double oldestMs = context.nowMs() - budget.windowMs() - context.deployment().tickMs();
         retriesAtMs.removeIf(timeMs -> timeMs < oldestMs);
         return retriesAtMs.size() + 1 <= budget.fixed() + budget.perRequest() * requestsAtMs.size()
-                && allowances.allowRetry();
+                && allowances.allowsRetry();
     }
 }
--- a/core/src/main/java/sprucehold/policy/Round.java
+++ b/core/src/main/java/sprucehold/policy/Round.java
@@ -43,7 +43,7 @@
 
     /**
      * Returns the number of parts that count for the completion estimate. Cancelled parts are
-     * excluded, because they show nothing about the servers.
+     * excluded, because it is unknown whether their attempts would have completed in time.
      */
     int countedParts() {
         return parts.size() - cancelled;
--- a/core/src/main/java/sprucehold/policy/Rounds.java
+++ b/core/src/main/java/sprucehold/policy/Rounds.java
@@ -61,7 +61,8 @@
         for (ScheduledPart part : unsent.subList(0, Math.min(width, unsent.size()))) {
             ShardServerState server = replicas.select(part);
             // Parts beyond the number needed don't queue at busy servers, because other queries may
-            // need these servers more. They wait for a later round.
+            // depend on these servers, for example if a replica group has lost servers. The parts
+            // wait for a later round.
             if (isBusy(server, query) && completedOrPending >= query.neededParts()) {
                 break;
             }
--- a/core/src/main/java/sprucehold/policy/ScheduledPart.java
+++ b/core/src/main/java/sprucehold/policy/ScheduledPart.java
@@ -66,7 +66,10 @@
         return attempts;
     }
 
-    /** Returns the round in which the part was selected to be sent, or null. */
+    /**
+     * Returns the round that the part belongs to; null if the part hasn't been selected for a round
+     * yet.
+     */
     Round round() {
         return round;
     }
--- a/core/src/main/java/sprucehold/policy/ScheduledQuery.java
+++ b/core/src/main/java/sprucehold/policy/ScheduledQuery.java
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Returns the position of the query: the index into each shard's replicas to which its parts
-     * are sent.
+     * Returns the position of the query: the index, into the replicas of each shard, of the replica
+     * that its parts are sent to by default.
      */
     int position() {
         return position;
@@ -191,7 +191,7 @@
         return parts.stream().filter(part -> part.round() == null).toList();
     }
 
-    /** Returns the priority of the query for each part that it needs. */
+    /** Returns the priority of the query, divided by the number of parts that it needs. */
     double priorityPerPart(double overQuotaPriority) {
         double priority = queryClass.priorityWeight() * (overQuota ? overQuotaPriority : 1);
         return priority / Math.max(1, neededParts());
--- a/core/src/main/java/sprucehold/policy/SharedAllowances.java
+++ b/core/src/main/java/sprucehold/policy/SharedAllowances.java
@@ -35,7 +35,7 @@
      * Returns whether another retry or hedged request is within the limit, or the limit isn't
      * shared.
      */
-    boolean allowRetry() {
+    boolean allowsRetry() {
         return remaining.getOrDefault(SharedLimit.RETRIES, 1) > 0;
     }
 
--- a/core/src/main/java/sprucehold/policy/SlowStart.java
+++ b/core/src/main/java/sprucehold/policy/SlowStart.java
@@ -93,11 +93,12 @@
     }
 
     /**
-     * Returns the probability with which this gatherer wins the lottery. All gatherers together
-     * then send a server a target number of parts per window. The target is the number of parts in
-     * the budget plus {@value #GRANTED_PARTS}, less {@value #LOTTERY_DEVIATIONS} standard
-     * deviations of the sum, and at most the budget. A gatherer that has a part for the server in
-     * few windows draws with a higher probability, and assumes the same of the other gatherers.
+     * Returns the probability with which this gatherer wins the lottery. With this probability, all
+     * gatherers together send a server a target number of parts per window. The target is the
+     * number of parts in the budget plus {@value #GRANTED_PARTS}, less {@value #LOTTERY_DEVIATIONS}
+     * standard deviations of the total number of parts sent, and at most the number in the budget.
+     * A gatherer that has a part for the server in few windows draws with a higher probability. The
+     * other gatherers are assumed to have the same traffic.
      *
      * @param parts the budget of all gatherers in a window, in parts
      */
--- a/core/src/main/java/sprucehold/policy/SuspectDetector.java
+++ b/core/src/main/java/sprucehold/policy/SuspectDetector.java
@@ -3,7 +3,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Detects suspect shard servers. A suspect server is used only if no other replica is better. */
+/**
+ * Detects suspect shard servers. {@link ReplicaSelector} avoids a suspect server if another replica
+ * isn't suspect.
+ */
 final class SuspectDetector {
     /** Weight of the latest attempt in the moving average of its zone. */
     private static final double AVERAGE_WEIGHT = 0.1;
--- a/core/src/main/java/sprucehold/policy/TenantQuotas.java
+++ b/core/src/main/java/sprucehold/policy/TenantQuotas.java
@@ -8,8 +8,8 @@
 
 /**
  * Checks whether queries are within their tenant's quota. If a quota isn't a shared limit, token
- * buckets compare the tenants' shares of the queries that this gatherer receives, because the
- * gatherer's share of the whole traffic isn't known.
+ * buckets compare each tenant's share of the queries that this gatherer receives with the tenant's
+ * share of the quotas, because the gatherer's share of the whole traffic isn't known.
  */
 final class TenantQuotas {
     /**
@@ -41,10 +41,10 @@
     /** Charges a query to a tenant's quota. Returns whether the query is within the quota. */
     boolean charge(Tenant tenant) {
         SharedLimit limit = SharedLimit.tenantQuota(tenant.name());
-        Integer left = allowances.remaining(limit);
-        if (left != null) {
-            allowances.consume(limit, Math.min(1, left));
-            return left > 0;
+        Integer remaining = allowances.remaining(limit);
+        if (remaining != null) {
+            allowances.consume(limit, Math.min(1, remaining));
+            return remaining > 0;
         }
         double allQuotas =
                 context.deployment().tenants().stream().mapToDouble(Tenant::queriesPerSecond).sum();
--- a/core/src/test/java/sprucehold/policy/AdmissionTest.java
+++ b/core/src/test/java/sprucehold/policy/AdmissionTest.java
@@ -63,8 +63,8 @@
         for (int i = 0; i < 12; i++) {
             fixture.receive("s" + i, SchedulerFixture.COMPLETE_ONLY, 4, 4000);
         }
-        // Twelve queries of four parts are sixty open queries and parts. It is enough to evict six
-        // of the queries that have not started.
+        // Twelve queries of four parts are sixty open queries and parts, which is the maximum.
+        // Queries that have not started are evicted while more than 54 queries and parts are open.
         assertTrue(
                 fixture.finalAnswers().size() >= 1
                         && fixture.finalAnswers().stream().allMatch("rejected"::equals));
@@ -132,7 +132,7 @@
         };
     }
 
-    /** If there are many gatherers, only latencies show that the fleet is full. */
+    /** If there are many gatherers, only latencies show that the fleet is overloaded. */
     @Test(dataProvider = "fleetLatencies")
     public void queriesAreRejectedIfTheFleetIsSlowAndGatherersAreMany(
             int gatherers, double latencyMs, boolean rejected) {
@@ -205,7 +205,7 @@
         fixture.waitFor(100);
         assertTrue(
                 fixture.all(Command.ScheduleWakeUp.class).size() <= 5,
-                fixture.all(Command.ScheduleWakeUp.class).size() + " wakes in 100 ms");
+                fixture.all(Command.ScheduleWakeUp.class).size() + " wake-ups in 100 ms");
     }
 
     /**
--- a/core/src/test/java/sprucehold/policy/HedgingTest.java
+++ b/core/src/test/java/sprucehold/policy/HedgingTest.java
@@ -30,7 +30,7 @@
         };
     }
 
-    /** Hedged requests to busy servers would overload a full fleet. */
+    /** Hedged requests to busy servers would overload a fleet that is already at capacity. */
     @Test(dataProvider = "hedges")
     public void latePartIsHedgedOnAnIdleServerOnly(
             QueryClass queryClass, boolean busy, int expected) {
--- a/core/src/test/java/sprucehold/policy/ReplicaSelectorTest.java
+++ b/core/src/test/java/sprucehold/policy/ReplicaSelectorTest.java
@@ -150,7 +150,7 @@
         fixture.start();
         fixture.decide(
                 new Event.EndpointsUpdated(
-                        false, List.of(endpointFarAway("a", 0, 0), endpointFarAway("c", 2, 0))));
+                        false, List.of(farEndpoint("a", 0, 0), farEndpoint("c", 2, 0))));
         for (int i = 0; i < 30; i++) {
             fixture.commands.clear();
             fixture.receive("s" + i, SchedulerFixture.NON_IDEMPOTENT, 4, 4000);
@@ -165,11 +165,11 @@
             sent.forEach((part, servers) -> fixture.endAttempt(part, 0, AttemptOutcome.COMPLETED));
         }
         // After a restart, server a has no failures of its own any more.
-        fixture.decide(new Event.EndpointsUpdated(false, List.of(endpointFarAway("a", 0, 1))));
+        fixture.decide(new Event.EndpointsUpdated(false, List.of(farEndpoint("a", 0, 1))));
         assertEquals(fixture.sendsToAIn20Queries("t", true), !lateZone);
     }
 
-    private static Endpoint endpointFarAway(String server, int group, double startedAt) {
+    private static Endpoint farEndpoint(String server, int group, double startedAt) {
         return new Endpoint(server, group, "far", startedAt, Endpoint.State.RUNNING);
     }
 }
--- a/core/src/test/java/sprucehold/policy/RoundsTest.java
+++ b/core/src/test/java/sprucehold/policy/RoundsTest.java
@@ -18,7 +18,8 @@
     @DataProvider
     Object[][] firstWidths() {
         return new Object[][] {
-            // query class, parts, attempts of the first round: ceil(n / 0.9), at most k
+            // query class, parts, attempts of the first round: ceil(needed parts / 0.9), at most
+            // the number of parts
             {SchedulerFixture.THREE_QUARTERS, 9, 8},
             {SchedulerFixture.THREE_QUARTERS, 4, 4},
             {SchedulerFixture.THREE_QUARTERS, 16, 14},
@@ -28,7 +29,7 @@
     }
 
     @Test(dataProvider = "firstWidths")
-    public void firstRoundIsWiderThanNeededByTheEstimate(
+    public void firstRoundWidthFollowsTheCompletionEstimate(
             QueryClass queryClass, int parts, int expected) {
         var fixture = new SchedulerFixture().start();
         fixture.receive("s", queryClass, parts, 4000);
--- a/core/src/test/java/sprucehold/policy/SlowStartTest.java
+++ b/core/src/test/java/sprucehold/policy/SlowStartTest.java
@@ -96,7 +96,8 @@
         }
         assertTrue(maxLoad <= 1, "got " + maxLoad + " times the allowed work");
         double queries = gatherers * queriesPerWindow * 10;
-        assertTrue(sentAt.size() >= Math.min(20, queries / 2), "it is used: " + sentAt.size());
+        assertTrue(
+                sentAt.size() >= Math.min(20, queries / 2), "too few parts sent: " + sentAt.size());
     }
 
     /**
