--- a/core/src/main/java/sprucehold/coordinator/Answer.java
+++ b/core/src/main/java/sprucehold/coordinator/Answer.java
@@ -2,30 +2,31 @@
 
 import java.util.List;
 
-/** The one final answer of a query. */
+/** Final answer to a query. Each query gets at most one. */
 public sealed interface Answer {
     /**
-     * The query has an answer.
+     * The query is answered with the values of its completed parts.
      *
-     * @param complete whether its coverage is that of a complete answer
+     * @param complete whether the coverage reaches that of a complete answer
      * @param values the values of the parts that were completed, in the order of the query's parts
      */
     record Completed(boolean complete, List<Value> values) implements Answer {}
 
     /**
-     * The query has had no effect, and asking again is harmless.
+     * The query has had no effect, and the client can safely send it again.
      *
-     * @param retryAfterMs when the client should ask again, in milliseconds; 0 for no advice
+     * @param retryAfterMs delay after which the client should send the query again, in
+     *     milliseconds; 0 for no advice
      */
     record Rejected(double retryAfterMs) implements Answer {}
 
-    /** No promise about the query's effect. */
+    /** The query failed. It may or may not have had an effect. */
     record Failed() implements Answer {}
 
     /**
-     * What a shard server answered to one part.
+     * Value that a shard server returned for one part.
      *
-     * @param shard the shard that the part asked
+     * @param shard the shard that the part queried
      * @param payload the value
      */
     record Value(int shard, Payload payload) {}
--- a/core/src/main/java/sprucehold/coordinator/Attempt.java
+++ b/core/src/main/java/sprucehold/coordinator/Attempt.java
@@ -9,8 +9,8 @@
 import sprucehold.decision.Reason;
 
 /**
- * One sending of a part to a shard server. Times are in milliseconds of the clock that the
- * coordinator is told. Not safe for threads.
+ * One request of a part to a shard server. Times are in milliseconds on the clock whose readings
+ * are passed to the {@link QueryCoordinator}. Not thread-safe.
  */
 public final class Attempt {
     private final OpenPart part;
@@ -24,14 +24,14 @@
     private boolean pending = true;
     private boolean timedOut;
     private boolean neverRan;
-    private BooleanSupplier permission = () -> true;
+    private BooleanSupplier permissionCheck = () -> true;
 
     /**
-     * @param part what is sent; the attempt takes the next free number of the part
-     * @param server where it goes, or null if it isn't listed any more
-     * @param sentAtMs when the policy decided on it
-     * @param command what the policy wants
-     * @param consumed what it consumes of shared limits
+     * @param part the part to send; the attempt gets the part's next free attempt number
+     * @param server the shard server to send to, or null if the endpoint list no longer contains it
+     * @param sentAtMs time at which the policy decided to make the attempt
+     * @param command the policy's command to make the attempt
+     * @param consumed units of shared limits that the attempt consumes
      */
     Attempt(
             OpenPart part,
@@ -52,47 +52,47 @@
         return part;
     }
 
-    /** The id of its part. */
+    /** Returns the id of the part that this attempt sends. */
     public String partId() {
         return part.id;
     }
 
-    /** The shard that its part asks. */
+    /** Returns the shard that the part queries. */
     public int shard() {
         return part.shard;
     }
 
-    /** The shard server that it goes to. */
+    /** Returns the shard server that this attempt is sent to. */
     public ShardServer server() {
         return server;
     }
 
-    /** The query that its part belongs to. */
+    /** Returns the query that the part belongs to. */
     public Query query() {
         return part.query.query;
     }
 
-    /** Its place among the attempts of its part, from 0. */
+    /** Returns the index of this attempt among the attempts of its part, from 0. */
     public int number() {
         return number;
     }
 
-    /** Why the policy wants it. */
+    /** Returns the policy's reason for this attempt. */
     public Reason reason() {
         return reason;
     }
 
-    /** How long it has been pending at a moment, in milliseconds. */
+    /** Returns the time from the start of this attempt until {@code nowMs}, in milliseconds. */
     public double ageMs(double nowMs) {
         return nowMs - sentAtMs;
     }
 
-    /** What it consumes of shared limits. */
+    /** Returns the units of shared limits that this attempt consumes. */
     public List<Command.ConsumeAllowance> consumed() {
         return consumed;
     }
 
-    /** When its timeout is over. */
+    /** Returns the time at which this attempt times out. */
     double timesOutAtMs() {
         return timesOutAtMs;
     }
@@ -101,7 +101,7 @@
         return pending;
     }
 
-    /** Whether it was cancelled because its timeout was over. */
+    /** Returns whether this attempt was cancelled because its timeout expired. */
     boolean isTimedOut() {
         return timedOut;
     }
@@ -110,57 +110,63 @@
         timedOut = true;
     }
 
-    /** It has ended. */
+    /** Records that this attempt has ended. */
     void end(AttemptOutcome outcome) {
         pending = false;
         neverRan = outcome.provesNeverRan();
     }
 
-    /** Makes its writing depend on something that is asked right before it. */
-    public void requirePermission(BooleanSupplier mayBeWritten) {
-        permission = mayBeWritten;
+    /** Sets a check that must return true right before this attempt is written. */
+    public void requirePermission(BooleanSupplier permissionCheck) {
+        this.permissionCheck = permissionCheck;
     }
 
     /**
-     * Whether it may still be written at this moment. To be asked with nothing between the answer
-     * and the write. Guards against a connection that came up late, and a process that stood still
-     * after it had decided and goes on as if nothing had been: by then its query may be over, its
-     * timeout past, the deduplication window closed, or its permit withdrawn.
+     * Returns whether this attempt may still be written. Call this immediately before the write.
+     *
+     * <p>The check is needed when a connection is established late, or when the process is paused
+     * between the decision and the write. In the meantime the query may have been closed, the
+     * timeout or the deduplication window may have expired, or the permission for the units of
+     * shared limits may have been withdrawn.
      */
     public boolean mayBeWritten(double nowMs) {
         return pending
-                && !part.query.isOver()
+                && !part.query.isClosed()
                 && nowMs < timesOutAtMs
-                && mayRunBesideOthers(nowMs)
-                && permission.getAsBoolean();
+                && isRepeatAllowed(nowMs)
+                && permissionCheck.getAsBoolean();
     }
 
     /**
-     * Whether a run of it now does no harm beside the part's other attempts that have run, or may
-     * have, or may yet.
+     * Returns whether the query class allows this attempt to run now, given the part's other
+     * attempts that have run, may have run or may still run.
      */
-    private boolean mayRunBesideOthers(double nowMs) {
+    private boolean isRepeatAllowed(double nowMs) {
         QueryClass queryClass = part.query.queryClass();
         return switch (queryClass.idempotence()) {
             case IDEMPOTENT -> true;
             case DEDUPLICATED -> {
                 double windowMs = queryClass.deduplicationWindowMs();
-                yield othersThatMayRun().allMatch(other -> nowMs <= other.sentAtMs + windowMs);
+                yield otherAttemptsThatMayRun()
+                        .allMatch(other -> nowMs <= other.sentAtMs + windowMs);
             }
-            case NON_IDEMPOTENT -> othersThatMayRun().findAny().isEmpty();
+            case NON_IDEMPOTENT -> otherAttemptsThatMayRun().findAny().isEmpty();
         };
     }
 
-    private Stream<Attempt> othersThatMayRun() {
+    private Stream<Attempt> otherAttemptsThatMayRun() {
         return part.attempts.stream().filter(other -> other != this && !other.neverRan);
     }
 
-    /** How much of its timeout is left, in milliseconds; 0 or less once it is over. */
+    /**
+     * Returns the time until this attempt times out, in milliseconds. The value is 0 or negative
+     * once the timeout has expired.
+     */
     public double timeLeftMs(double nowMs) {
         return timesOutAtMs - nowMs;
     }
 
-    /** How long its answer is waited for, in milliseconds. */
+    /** Returns the timeout of this attempt, in milliseconds. */
     public double timeoutMs() {
         return timesOutAtMs - sentAtMs;
     }
--- a/core/src/main/java/sprucehold/coordinator/AttemptOutcomes.java
+++ b/core/src/main/java/sprucehold/coordinator/AttemptOutcomes.java
@@ -2,16 +2,16 @@
 
 import sprucehold.decision.AttemptOutcome;
 
-/** Translates what the network code saw of an attempt into the policy's outcome. */
+/** Maps the network code's result of an attempt to the outcome that the policy receives. */
 final class AttemptOutcomes {
     private AttemptOutcomes() {}
 
     /**
-     * The outcome of an attempt. It also says whether the part may have run, and the rule that
-     * effects happen no more often than allowed rests on that.
+     * Returns the outcome of an attempt. The outcome must be exact about whether the part may have
+     * run: the policy relies on it to never run a part more often than the query class allows.
      *
      * @param result how the attempt ended
-     * @param timedOut whether it was cancelled because its timeout was over
+     * @param timedOut whether the attempt was cancelled because its timeout expired
      */
     static AttemptOutcome of(AttemptResult result, boolean timedOut) {
         if (result instanceof AttemptResult.Completed) {
--- a/core/src/main/java/sprucehold/coordinator/AttemptResult.java
+++ b/core/src/main/java/sprucehold/coordinator/AttemptResult.java
@@ -3,15 +3,15 @@
 import sprucehold.decision.LoadReport;
 
 /**
- * How an attempt or a health check ended, as the network code saw it. A load report is null where
- * none came along.
+ * Result of an attempt or a health check as observed by the network code. A load report is null if
+ * the shard server sent none.
  */
 public sealed interface AttemptResult {
     /**
-     * The shard server answered.
+     * The shard server returned a value.
      *
-     * @param value its answer
-     * @param load what it told of its load, or null
+     * @param value the value
+     * @param load the load report of the shard server, or null
      */
     record Completed(Payload value, LoadReport load) implements AttemptResult {
         @Override
@@ -21,9 +21,9 @@
     }
 
     /**
-     * The shard server failed on it, or what it sent can't be read; it may have run.
+     * The shard server returned an error or an unreadable response. The part may have run.
      *
-     * @param load what it told of its load, or null
+     * @param load the load report of the shard server, or null
      */
     record Failed(LoadReport load) implements AttemptResult {
         @Override
@@ -33,9 +33,9 @@
     }
 
     /**
-     * The shard server rejected it unseen, being overloaded.
+     * The shard server was overloaded and rejected the request without processing it.
      *
-     * @param load what it told of its load, or null
+     * @param load the load report of the shard server, or null
      */
     record Rejected(LoadReport load) implements AttemptResult {
         @Override
@@ -45,20 +45,20 @@
     }
 
     /**
-     * No connection came up for it, or the one it was on ended.
+     * No connection could be established, or the connection in use ended.
      *
-     * @param progress how far it had been written
+     * @param progress how much of the request had been written
      */
     record ConnectionLost(WriteProgress progress) implements AttemptResult {}
 
     /**
-     * It was cancelled, as commanded.
+     * The attempt was cancelled by a command.
      *
-     * @param progress how far it had been written
+     * @param progress how much of the request had been written
      */
     record Cancelled(WriteProgress progress) implements AttemptResult {}
 
-    /** What the shard server told of its load, or null where it told nothing. */
+    /** Returns the load report of the shard server, or null if it sent none. */
     default LoadReport reportedLoad() {
         return null;
     }
--- a/core/src/main/java/sprucehold/coordinator/AttemptTimeouts.java
+++ b/core/src/main/java/sprucehold/coordinator/AttemptTimeouts.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The attempts that were sent, by the time at which they time out. */
+/** Queue of the attempts that were sent, ordered by the time at which they time out. */
 final class AttemptTimeouts {
     private final PriorityQueue<Attempt> queue =
             new PriorityQueue<>(Comparator.comparingDouble(Attempt::timesOutAtMs));
@@ -12,7 +12,9 @@
         queue.add(attempt);
     }
 
-    /** Takes out a pending attempt whose timeout is over; null if there is none. */
+    /**
+     * Removes and returns a pending attempt whose timeout has expired, or null if there is none.
+     */
     Attempt pollTimedOut(double nowMs) {
         while (!queue.isEmpty() && !queue.peek().isPending()) {
             queue.poll();
@@ -20,7 +22,9 @@
         return queue.isEmpty() || queue.peek().timesOutAtMs() > nowMs ? null : queue.poll();
     }
 
-    /** When the next pending attempt times out; infinite if none is pending. */
+    /**
+     * Returns the time at which the next pending attempt times out; infinite if none is pending.
+     */
     double nextAtMs() {
         while (!queue.isEmpty() && !queue.peek().isPending()) {
             queue.poll();
--- a/core/src/main/java/sprucehold/coordinator/CommandBuffer.java
+++ b/core/src/main/java/sprucehold/coordinator/CommandBuffer.java
@@ -5,7 +5,7 @@
 import sprucehold.decision.Command;
 import sprucehold.decision.SharedLimit;
 
-/** Collects what the network code has to do until the coordinator's call returns. */
+/** Collects the commands for the network code until the current call of the coordinator returns. */
 final class CommandBuffer {
     private List<Attempt> cancel = new ArrayList<>();
     private List<Attempt> send = new ArrayList<>();
@@ -15,19 +15,25 @@
     private List<Command.ConsumeAllowance> consumed = new ArrayList<>();
     private boolean subscribe;
 
-    /** What the attempt that follows consumes of shared limits; kept over calls. */
+    /**
+     * Units of shared limits that the next attempt consumes. They are kept across calls of the
+     * coordinator.
+     */
     private final List<Command.ConsumeAllowance> consumedByNextAttempt = new ArrayList<>();
 
     void send(Attempt attempt) {
         send.add(attempt);
     }
 
-    /** Takes back an attempt that isn't out yet; false if it is none. */
-    boolean unsend(Attempt attempt) {
+    /**
+     * Removes an attempt that was not yet handed to the network code. Returns false if the buffer
+     * does not contain the attempt.
+     */
+    boolean removeUnsent(Attempt attempt) {
         return send.remove(attempt);
     }
 
-    /** A copy of what is to be sent. */
+    /** Returns a copy of the list of attempts to send. */
     List<Attempt> unsent() {
         return List.copyOf(send);
     }
@@ -54,21 +60,24 @@
         logMessages.add(message);
     }
 
-    /** A tenant's quota is consumed by the query; any other limit by the attempt that follows. */
-    void consume(Command.ConsumeAllowance allowance) {
+    /**
+     * Adds consumed units of a shared limit. A tenant's quota is consumed by the query, any other
+     * limit by the next attempt.
+     */
+    void addConsumed(Command.ConsumeAllowance allowance) {
         boolean byQuery = allowance.limit().kind() == SharedLimit.Kind.TENANT_QUOTA;
         (byQuery ? consumed : consumedByNextAttempt).add(allowance);
     }
 
-    /** Hands over what the attempt that is made now consumes. */
+    /** Returns and clears the units that the attempt being created consumes. */
     List<Command.ConsumeAllowance> takeConsumedByNextAttempt() {
-        List<Command.ConsumeAllowance> taken = List.copyOf(consumedByNextAttempt);
+        List<Command.ConsumeAllowance> consumedByAttempt = List.copyOf(consumedByNextAttempt);
         consumedByNextAttempt.clear();
-        return taken;
+        return consumedByAttempt;
     }
 
-    /** Hands over all that was collected and begins anew. */
-    Commands take(double nextTickAtMs) {
+    /** Returns all collected commands and clears the buffer. */
+    Commands takeAll(double nextTickAtMs) {
         var commands =
                 new Commands(
                         cancel,
--- a/core/src/main/java/sprucehold/coordinator/Commands.java
+++ b/core/src/main/java/sprucehold/coordinator/Commands.java
@@ -5,19 +5,20 @@
 import sprucehold.decision.Reason;
 
 /**
- * What the network code has to do now. Attempts to cancel were sent by earlier commands; none of
- * those to send is among them, and none of those to send belongs to a query that has been answered.
+ * Commands that the network code has to execute now. The attempts to cancel were sent by earlier
+ * commands. No attempt is both to be sent and to be cancelled, and no attempt to send belongs to a
+ * query that has been answered.
  *
  * @param cancel attempts to cancel
  * @param send attempts to send
- * @param replies final answers to give
- * @param healthChecks shard servers to check
- * @param consumed units of shared limits consumed for queries; what an attempt consumes goes with
- *     the attempt
- * @param subscribe whether to ask for the endpoint list now
- * @param logMessages lines for the operators' log
- * @param nextTickAtMs when to tick next, in milliseconds of the caller's clock; infinite if there
- *     is no need
+ * @param replies final answers to send to clients
+ * @param healthChecks shard servers whose health is to be checked
+ * @param consumed units of shared limits consumed by queries; the units that an attempt consumes
+ *     are in {@link Attempt#consumed}
+ * @param subscribe whether to subscribe to endpoint updates now
+ * @param logMessages messages to write to the log
+ * @param nextTickAtMs time of the next call of {@link QueryCoordinator#tick}, in milliseconds on
+ *     the caller's clock; infinite if none is needed
  */
 public record Commands(
         List<Attempt> cancel,
@@ -30,11 +31,12 @@
         double nextTickAtMs) {
 
     /**
-     * The final answer of a query.
+     * Final answer to a query.
      *
      * @param query the query
-     * @param answer its answer
-     * @param reason why it is this one; {@link Reason#UNSTATED} where the policy had no say
+     * @param answer the answer to send
+     * @param reason the policy's reason for the answer; {@link Reason#UNSTATED} if the policy did
+     *     not decide on the answer
      */
     public record Reply(Query query, Answer answer, Reason reason) {}
 }
--- a/core/src/main/java/sprucehold/coordinator/EndpointDirectory.java
+++ b/core/src/main/java/sprucehold/coordinator/EndpointDirectory.java
@@ -7,11 +7,11 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.Event;
 
-/** The shard servers that discovery lists, by name. */
+/** Shard servers that discovery lists, by name. */
 final class EndpointDirectory {
     private final Map<String, ShardServer> servers = new HashMap<>();
 
-    /** The server of a name, or null if it isn't listed. */
+    /** Returns the shard server with a name, or null if it is not listed. */
     ShardServer find(String name) {
         return servers.get(name);
     }
@@ -20,24 +20,27 @@
         return servers.size();
     }
 
-    /** Takes an update over; returns what the policy has to know of it. */
+    /** Applies an endpoint update and returns the event for the policy. */
     Event.EndpointsUpdated update(Observation.EndpointsUpdated update) {
         if (update.complete()) {
             servers.values().forEach(ShardServer::markGone);
         }
-        var known = new HashMap<>(servers);
+        var previousServers = new HashMap<>(servers);
         if (update.complete()) {
             servers.clear();
         }
         var endpoints = new ArrayList<Endpoint>();
         for (EndpointUpdate endpoint : update.updates()) {
-            update(endpoint, known.computeIfAbsent(endpoint.name(), ShardServer::new));
+            update(endpoint, previousServers.computeIfAbsent(endpoint.name(), ShardServer::new));
             endpoints.add(endpoint(endpoint));
         }
         return new Event.EndpointsUpdated(update.complete(), List.copyOf(endpoints));
     }
 
-    /** Restarted servers may bear new names for good, so names that are gone aren't kept. */
+    /**
+     * Applies the update of one shard server. Names of servers that are gone are removed, because a
+     * restarted server may get a new name and never use the old one again.
+     */
     private void update(EndpointUpdate endpoint, ShardServer server) {
         server.update(endpoint.address(), endpoint.state() == EndpointUpdate.State.RUNNING);
         if (endpoint.state() == EndpointUpdate.State.GONE) {
--- a/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
+++ b/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
@@ -1,14 +1,15 @@
 package sprucehold.coordinator;
 
 /**
- * What discovery tells of one shard server.
+ * State of one shard server as reported by discovery.
  *
- * @param name its name, unique in the endpoint list
- * @param address host and port as seen from this gatherer
- * @param replicaGroup the replica group that it belongs to, from 0
- * @param zone the zone that it runs in
- * @param startedAtMs Unix time in milliseconds at which it last started, 0 if long ago
- * @param state whether it may be sent to
+ * @param name name of the shard server, unique in the endpoint list
+ * @param address host and port at which this gatherer reaches the shard server
+ * @param replicaGroup replica group of the shard server, from 0
+ * @param zone zone in which the shard server runs
+ * @param startedAtMs Unix time of the last start of the shard server, in milliseconds; 0 if it
+ *     started long ago
+ * @param state whether parts may be sent to the shard server
  */
 public record EndpointUpdate(
         String name,
@@ -18,13 +19,13 @@
         double startedAtMs,
         State state) {
 
-    /** Whether a shard server may be sent to. */
+    /** Whether parts may be sent to a shard server. */
     public enum State {
-        /** It takes parts. */
+        /** The shard server accepts parts. */
         RUNNING,
-        /** It must be sent nothing new. */
+        /** No new parts may be sent to the shard server. */
         DRAINING,
-        /** It is not there any more. */
+        /** The shard server no longer exists. */
         GONE
     }
 }
--- a/core/src/main/java/sprucehold/coordinator/Observation.java
+++ b/core/src/main/java/sprucehold/coordinator/Observation.java
@@ -2,41 +2,42 @@
 
 import java.util.List;
 
-/** Something that the network code saw. */
+/** Event observed by the network code. */
 public sealed interface Observation {
     /**
-     * An attempt ended; each attempt ends exactly once.
+     * An attempt ended. Each attempt ends exactly once.
      *
      * @param attempt the attempt
-     * @param result how it ended
+     * @param result result of the attempt
      */
     record AttemptEnded(Attempt attempt, AttemptResult result) implements Observation {}
 
     /**
-     * A client closed its connection before it had its answer.
+     * A client closed its connection before it received its answer.
      *
-     * @param query what it had asked
+     * @param query the query of the client
      */
     record ClientDisconnected(Query query) implements Observation {}
 
     /**
-     * Discovery told of shard servers.
+     * Discovery reported the state of shard servers.
      *
-     * @param complete whether all shard servers are named, or only those that changed
-     * @param updates the shard servers named
+     * @param complete true if {@code updates} contains all shard servers, false if it contains only
+     *     those that changed
+     * @param updates state of each reported shard server
      */
     record EndpointsUpdated(boolean complete, List<EndpointUpdate> updates)
             implements Observation {}
 
-    /** A call to discovery failed, or told nothing that can be used. */
+    /** A call to discovery failed or returned an unusable response. */
     record EndpointsUnavailable() implements Observation {}
 
     /**
      * A health check ended.
      *
      * @param server the shard server that was checked
-     * @param result how the check ended; never {@link AttemptResult.Cancelled}
-     * @param durationMs how long it took, in milliseconds
+     * @param result result of the check; never {@link AttemptResult.Cancelled}
+     * @param durationMs duration of the check, in milliseconds
      */
     record HealthCheckEnded(ShardServer server, AttemptResult result, double durationMs)
             implements Observation {}
--- a/core/src/main/java/sprucehold/coordinator/OpenPart.java
+++ b/core/src/main/java/sprucehold/coordinator/OpenPart.java
@@ -3,16 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One part of a query, with all its attempts, until the query is answered and none is pending. */
+/**
+ * One part of a query and all attempts of the part. It is kept until the query is closed and no
+ * attempt of the part is pending.
+ */
 final class OpenPart {
     final String id;
     final int shard;
     final OpenQuery query;
 
-    /** All attempts ever made of it; an attempt's number is its index here. */
+    /** All attempts made for this part. The index of an attempt is its number. */
     final List<Attempt> attempts = new ArrayList<>();
 
-    /** What a shard server answered first; null before that, and once the query is over. */
+    /** First value returned by a shard server; null before that and after the query is closed. */
     Payload value;
 
     OpenPart(OpenQuery query, int shard) {
@@ -21,7 +24,7 @@
         this.query = query;
     }
 
-    /** The name of a query's part that asks a shard. */
+    /** Returns the id of the part of a query that queries a shard. */
     static String idOf(Query query, int shard) {
         return query.id() + "." + shard;
     }
--- a/core/src/main/java/sprucehold/coordinator/OpenQueries.java
+++ b/core/src/main/java/sprucehold/coordinator/OpenQueries.java
@@ -8,8 +8,8 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * The queries that have no final answer yet, by id and by deadline, and the parts that are open or
- * have a pending attempt, by id.
+ * Index of the queries without a final answer by id and by deadline, and of the parts that are open
+ * or have a pending attempt by id.
  */
 final class OpenQueries {
     private final Map<String, OpenQuery> queries = new HashMap<>();
@@ -17,7 +17,7 @@
     private final PriorityQueue<OpenQuery> deadlines =
             new PriorityQueue<>(Comparator.comparingDouble(query -> query.deadlineAtMs));
 
-    /** How many parts the open queries have. */
+    /** Number of parts of all open queries. */
     private int openParts;
 
     void add(OpenQuery query) {
@@ -27,17 +27,17 @@
         query.parts.forEach(part -> parts.put(part.id, part));
     }
 
-    /** The open query of an id, or null. */
+    /** Returns the open query with an id, or null. */
     OpenQuery find(String queryId) {
         return queries.get(queryId);
     }
 
-    /** The part of an id that is open or has a pending attempt, or null. */
+    /** Returns the part with an id if it is open or has a pending attempt, otherwise null. */
     OpenPart findPart(String partId) {
         return parts.get(partId);
     }
 
-    /** Whether a query of the same id is open, or an attempt for one is pending. */
+    /** Returns whether a query with the same id is open or has a pending attempt. */
     boolean isOpen(Query query) {
         return queries.containsKey(query.id())
                 || query.parts().stream()
@@ -48,33 +48,33 @@
         return queries.size();
     }
 
-    /** Open queries and their parts together. */
+    /** Returns the number of open queries plus the number of their parts. */
     int items() {
         return queries.size() + openParts;
     }
 
-    /** The query has its answer, or needs none any more. */
+    /** Closes a query that was answered or whose client disconnected. */
     void close(OpenQuery query) {
-        query.markOver();
+        query.markClosed();
         queries.remove(query.query.id());
         openParts -= query.parts.size();
         query.parts.forEach(part -> part.value = null);
         query.parts.forEach(this::removeIfDone);
     }
 
-    /** Removes a part whose query is over and which has no pending attempt. */
+    /** Removes a part if its query is closed and no attempt of the part is pending. */
     void removeIfDone(OpenPart part) {
-        if (part.query.isOver() && !part.hasPendingAttempt()) {
+        if (part.query.isClosed() && !part.hasPendingAttempt()) {
             parts.remove(part.id, part);
         }
     }
 
-    /** The query classes have changed. */
+    /** Restricts the query classes of all open queries after the query classes have changed. */
     void restrictClassesBy(List<QueryClass> changed) {
         queries.values().forEach(query -> query.restrictClassBy(changed));
     }
 
-    /** Takes out an open query whose deadline is past; null if there is none. */
+    /** Removes and returns an open query whose deadline has passed, or null if there is none. */
     OpenQuery pollPastDeadline(double nowMs) {
         removeClosedDeadlines();
         return deadlines.isEmpty() || deadlines.peek().deadlineAtMs > nowMs
@@ -82,19 +82,19 @@
                 : deadlines.poll();
     }
 
-    /** The next deadline of an open query; infinite if none is open. */
+    /** Returns the next deadline of an open query; infinite if no query is open. */
     double nextDeadlineAtMs() {
         removeClosedDeadlines();
         return deadlines.isEmpty() ? Double.POSITIVE_INFINITY : deadlines.peek().deadlineAtMs;
     }
 
     private void removeClosedDeadlines() {
-        while (!deadlines.isEmpty() && deadlines.peek().isOver()) {
+        while (!deadlines.isEmpty() && deadlines.peek().isClosed()) {
             deadlines.poll();
         }
     }
 
-    /** The sizes of all collections together, for tests that look for leaks. */
+    /** Returns the sum of the sizes of all collections, for tests that look for leaks. */
     int trackedItems() {
         return queries.size() + parts.size() + openParts + deadlines.size();
     }
--- a/core/src/main/java/sprucehold/coordinator/OpenQuery.java
+++ b/core/src/main/java/sprucehold/coordinator/OpenQuery.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import sprucehold.decision.QueryClass;
 
-/** A query that has no final answer yet, and its parts. */
+/** Query without a final answer, and its parts. */
 final class OpenQuery {
     final Query query;
     final double deadlineAtMs;
     final List<OpenPart> parts;
 
-    /** Whether it has its final answer, or its client has disconnected. */
-    private boolean over;
+    /** Whether the query has its final answer or its client has disconnected. */
+    private boolean closed;
 
     private QueryClass queryClass;
 
@@ -21,20 +21,26 @@
         this.parts = query.parts().stream().map(part -> new OpenPart(this, part.shard())).toList();
     }
 
-    boolean isOver() {
-        return over;
+    boolean isClosed() {
+        return closed;
     }
 
-    void markOver() {
-        over = true;
+    void markClosed() {
+        closed = true;
     }
 
-    /** Its class as it was received under, but for what later changes restrict. */
+    /**
+     * Returns the query class as of the receipt of the query, with the restrictions of later
+     * changes applied.
+     */
     QueryClass queryClass() {
         return queryClass;
     }
 
-    /** The query classes have changed: its parts may run again no more often than both allow. */
+    /**
+     * Restricts the query class after the query classes have changed, so that parts run again no
+     * more often than either version allows.
+     */
     void restrictClassBy(List<QueryClass> changed) {
         queryClass = queryClass.restrictedBy(changed);
     }
--- a/core/src/main/java/sprucehold/coordinator/Payload.java
+++ b/core/src/main/java/sprucehold/coordinator/Payload.java
@@ -3,12 +3,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Bytes that travel through the gatherer unread: the body of a query, the value of a part. The
- * array is handed over with its ownership and never copied, so whoever makes a payload doesn't
- * change the array afterwards, and whoever reads one doesn't either. Compared by identity.
+ * Bytes that the gatherer forwards without interpreting them: the body of a query or the value of a
+ * part. The payload takes ownership of its array and never copies it, so neither the creator nor a
+ * reader of a payload may change the array. Payloads are compared by identity.
  */
 public final class Payload {
-    /** No bytes at all. */
+    /** Payload of length 0. */
     public static final Payload EMPTY = new Payload(new byte[0]);
 
     private final byte[] bytes;
@@ -17,27 +17,27 @@
         this.bytes = bytes;
     }
 
-    /** Takes the array over without copying it. */
+    /** Creates a payload that takes ownership of the array without copying it. */
     public static Payload owning(byte[] bytes) {
         return new Payload(bytes);
     }
 
-    /** The text as UTF-8. */
+    /** Creates a payload from the UTF-8 encoding of a text. */
     public static Payload ofText(String text) {
         return new Payload(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The array itself, only to be read. */
+    /** Returns the array itself, which callers must not modify. */
     public byte[] bytes() {
         return bytes;
     }
 
-    /** The number of bytes. */
+    /** Returns the number of bytes. */
     public int length() {
         return bytes.length;
     }
 
-    /** The bytes read as UTF-8. */
+    /** Returns the bytes decoded as UTF-8. */
     public String text() {
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/core/src/main/java/sprucehold/coordinator/Query.java
+++ b/core/src/main/java/sprucehold/coordinator/Query.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * A client's query as it came.
+ * Query as received from a client.
  *
- * @param id its name, chosen by the client
- * @param queryClass the name of its class
- * @param tenant the name of its tenant; one that isn't known counts as none
- * @param timeLeftMs how long the client still waits, in milliseconds
- * @param idempotencyKey by which shard servers know repeats of the same effect, if the client sent
- *     one
- * @param parts what it asks of which shard
- * @param body what each part carries
+ * @param id id chosen by the client
+ * @param queryClass name of the query class
+ * @param tenant name of the tenant; a query of an unknown tenant is treated as a query without one
+ * @param timeLeftMs remaining time that the client waits for the answer, in milliseconds
+ * @param idempotencyKey key by which shard servers detect repeats of the same effect, if the client
+ *     sent one
+ * @param parts parts of the query, one for each shard queried
+ * @param body body that is sent with each part
  */
 public record Query(
         String id,
@@ -24,7 +24,7 @@
         List<Part> parts,
         Payload body) {
 
-    /** A query without an idempotency key. */
+    /** Creates a query without an idempotency key. */
     public Query(
             String id,
             String queryClass,
@@ -36,10 +36,10 @@
     }
 
     /**
-     * A part of a query.
+     * Part of a query.
      *
-     * @param shard the shard that it asks
-     * @param weight its share of the whole answer, 0 to 1
+     * @param shard shard that the part queries
+     * @param weight share of the part in the whole answer, 0 to 1
      */
     public record Part(int shard, double weight) {}
 }
--- a/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
@@ -18,28 +18,31 @@
 import sprucehold.decision.Tenant;
 
 /**
- * The decision policy as plain calls that return at once with what to do.
+ * Non-blocking interface of the network code to the decision policy. Each call returns the commands
+ * that the network code has to execute.
  *
- * <p>The contract:
+ * <p>Contract:
  *
  * <ul>
- *   <li>Each query submitted gets exactly one {@link Commands.Reply}, unless its client disconnects
- *       before. It comes within its time left even if the policy fails with an exception.
- *   <li>Each {@link Attempt} that was returned to be sent ends with exactly one {@link
- *       Observation.AttemptEnded}; what is observed of it after that is dropped.
- *   <li>An attempt to cancel still ends by an observation, which tells how far it was written.
- *   <li>{@link #tick} is called at the time that the last commands named, or soon after; each set
- *       of commands replaces the time named before.
+ *   <li>Each submitted query gets exactly one {@link Commands.Reply}, unless its client disconnects
+ *       first. The reply is returned within the remaining time of the query even if the policy
+ *       throws an exception.
+ *   <li>The network code reports exactly one {@link Observation.AttemptEnded} for each {@link
+ *       Attempt} that it was told to send. Later observations of the attempt are ignored.
+ *   <li>An attempt to cancel also ends with an observation, which states how much of it was
+ *       written.
+ *   <li>The network code calls {@link #tick} at {@link Commands#nextTickAtMs} or soon after. Each
+ *       set of commands replaces the time of the previous one.
  * </ul>
  *
- * <p>Times are in milliseconds of the caller's clock. Not safe for threads.
+ * <p>Times are in milliseconds on the caller's clock. Not thread-safe.
  */
 public final class QueryCoordinator {
     private static final Logger LOG = Logger.getLogger(QueryCoordinator.class.getName());
 
     private static final Event WAKE_UP = new Event.WakeUp();
     private static final double NEVER = Double.POSITIVE_INFINITY;
-    private static final double SHORTEST_TICK_MS = 1;
+    private static final double MIN_TICK_MS = 1;
 
     private final DecisionPolicy policy;
     private final double tickMs;
@@ -58,13 +61,13 @@
     private double wakeUpAtMs = NEVER;
 
     /**
-     * @param policy what decides
-     * @param deployment the deployment that holds at first
+     * @param policy the policy that makes the decisions
+     * @param deployment the initial deployment
      */
     public QueryCoordinator(DecisionPolicy policy, Deployment deployment) {
         this.policy = policy;
-        this.tickMs = Math.max(SHORTEST_TICK_MS, deployment.tickMs());
-        adopt(deployment);
+        this.tickMs = Math.max(MIN_TICK_MS, deployment.tickMs());
+        applyDeployment(deployment);
     }
 
     private void advanceTo(double newNowMs) {
@@ -72,7 +75,7 @@
         lifecycle.advanceTo(newNowMs);
     }
 
-    private void adopt(Deployment deployment) {
+    private void applyDeployment(Deployment deployment) {
         maxOpenItems = deployment.limits().maxOpen();
         queryClasses =
                 deployment.queryClasses().stream()
@@ -82,10 +85,12 @@
                         .collect(Collectors.toMap(Tenant::name, Function.identity()));
     }
 
-    /** Another deployment holds from now on, in one step, for queries submitted from now on. */
+    /**
+     * Switches to another deployment, which applies in full to all queries submitted from now on.
+     */
     public Commands changeDeployment(double nowMs, Deployment deployment) {
         advanceTo(nowMs);
-        adopt(deployment);
+        applyDeployment(deployment);
         openQueries.restrictClassesBy(deployment.queryClasses());
         events.add(new Event.DeploymentChanged(deployment));
         decide(List.of());
@@ -93,53 +98,53 @@
     }
 
     /**
-     * Another view of the cluster holds from now on; the policy is told with whatever it is told
-     * next, and before that.
+     * Replaces the cluster view. The policy receives the change in its next call, before the other
+     * events that are added after this method was called.
      */
     public void changeClusterView(ClusterView clusterView) {
         events.add(new Event.ClusterViewChanged(clusterView));
     }
 
-    /** Whether a query of this id is still open, or an attempt for one is pending. */
+    /** Returns whether a query with this id is open or has a pending attempt. */
     public boolean isOpen(Query query) {
         return openQueries.isOpen(query);
     }
 
-    /** Queries and parts that count against the most that may be open. */
+    /** Returns the number of queries and parts that count towards the limit of open ones. */
     public int openItems() {
         return openQueries.items();
     }
 
-    /** Queries that have no final answer yet. */
+    /** Returns the number of queries without a final answer. */
     public int openQueries() {
         return openQueries.size();
     }
 
-    /** The sizes of all collections together, for tests that look for leaks. */
+    /** Returns the sum of the sizes of all collections, for tests that look for leaks. */
     int trackedItems() {
         return lifecycle.trackedItems() + events.size();
     }
 
-    int knownServers() {
+    int listedServers() {
         return endpoints.size();
     }
 
-    /** As {@link #submit(double, Query, double)}, with all the time that the client waits. */
+    /** Submits a query whose deadline is limited only by the time that the client waits. */
     public Commands submit(double nowMs, Query query) {
         return submit(nowMs, query, Double.POSITIVE_INFINITY);
     }
 
     /**
-     * Takes a query of a known query class whose id isn't open. It gets exactly one reply, now or
-     * later.
+     * Submits a query of a known query class. No query with the same id may be open. The query gets
+     * exactly one reply, in the returned commands or in later ones.
      *
-     * @param maxTimeLeftMs the reply has to come within this time, in milliseconds, however long
-     *     the client would wait
+     * @param maxTimeLeftMs upper limit of the time until the reply, in milliseconds, even if the
+     *     client waits longer
      */
     public Commands submit(double nowMs, Query query, double maxTimeLeftMs) {
         advanceTo(nowMs);
         QueryClass queryClass = queryClasses.get(query.queryClass());
-        // A class may be gone by a change of the deployment since the query was read.
+        // A change of the deployment may have removed the class since the query was read.
         if (openQueries.items() >= maxOpenItems || queryClass == null) {
             commands.reply(new Commands.Reply(query, new Answer.Rejected(0), Reason.UNSTATED));
             return takeCommands();
@@ -147,12 +152,12 @@
         double timeLeftMs = Math.min(query.timeLeftMs(), maxTimeLeftMs);
         var openQuery = new OpenQuery(query, queryClass, nowMs + timeLeftMs);
         openQueries.add(openQuery);
-        announce(openQuery, timeLeftMs);
+        addReceivedEvents(openQuery, timeLeftMs);
         decide(List.of(openQuery));
         return takeCommands();
     }
 
-    private void announce(OpenQuery openQuery, double timeLeftMs) {
+    private void addReceivedEvents(OpenQuery openQuery, double timeLeftMs) {
         Query query = openQuery.query;
         long number = ++queriesReceived;
         events.add(
@@ -169,22 +174,22 @@
         }
     }
 
-    /** Takes what the network code saw, in the order given. */
+    /** Processes observations of the network code, in the order given. */
     public Commands observe(double nowMs, List<Observation> observations) {
         advanceTo(nowMs);
         for (Observation observation : observations) {
-            take(observation);
+            handle(observation);
         }
-        List<OpenQuery> concerned =
+        List<OpenQuery> affected =
                 observations.stream()
                         .filter(Observation.AttemptEnded.class::isInstance)
                         .map(ended -> ((Observation.AttemptEnded) ended).attempt().part().query)
                         .toList();
-        decide(concerned);
+        decide(affected);
         return takeCommands();
     }
 
-    private void take(Observation observation) {
+    private void handle(Observation observation) {
         if (observation instanceof Observation.AttemptEnded ended) {
             lifecycle.attemptEnded(ended.attempt(), ended.result());
         } else if (observation instanceof Observation.ClientDisconnected disconnected) {
@@ -203,7 +208,10 @@
         }
     }
 
-    /** Lets time pass; to be called at the time that the last commands named, or soon after. */
+    /**
+     * Processes wake-ups, timeouts and deadlines. Call this method at the {@link
+     * Commands#nextTickAtMs} of the last commands or soon after.
+     */
     public Commands tick(double nowMs) {
         advanceTo(nowMs);
         events.add(WAKE_UP);
@@ -217,25 +225,25 @@
     }
 
     private Commands takeCommands() {
-        return commands.take(Math.min(wakeUpAtMs, lifecycle.nextDueAtMs()));
+        return commands.takeAll(Math.min(wakeUpAtMs, lifecycle.nextExpiryAtMs()));
     }
 
     /**
-     * Tells the policy what happened and carries out its commands, until nothing more has happened.
+     * Passes the events to the policy and executes its commands, until no more events are left.
      *
-     * @param concerned the queries that are failed if the policy fails on what it is told first
+     * @param affected the queries to fail if the policy throws on the first batch of events
      */
-    private void decide(List<OpenQuery> concerned) {
-        List<OpenQuery> failedWithPolicy = concerned;
+    private void decide(List<OpenQuery> affected) {
+        List<OpenQuery> queriesToFail = affected;
         do {
             addWakeUpIfDue();
             List<Event> batch = List.copyOf(events);
             events.clear();
             try {
-                policy.decide(nowMs, batch).forEach(this::carryOut);
+                policy.decide(nowMs, batch).forEach(this::execute);
             } catch (RuntimeException | StackOverflowError e) {
-                policyFailed(e, failedWithPolicy);
-                failedWithPolicy = List.of();
+                handlePolicyFailure(e, queriesToFail);
+                queriesToFail = List.of();
                 if (batch.stream().allMatch(Event.ClientDisconnected.class::isInstance)) {
                     return;
                 }
@@ -243,7 +251,11 @@
         } while (!events.isEmpty());
     }
 
-    /** Whatever a call is for: once the time has come, no tick for it may follow. */
+    /**
+     * Adds the wake-up event in any call once the wake-up time is reached, not only in a tick. The
+     * wake-up time is cleared here, so no tick may ever be called for it. Without the event the
+     * wake-up would be lost.
+     */
     private void addWakeUpIfDue() {
         if (wakeUpAtMs <= nowMs) {
             wakeUpAtMs = NEVER;
@@ -253,18 +265,21 @@
         }
     }
 
-    /** The policy may have lost the time at which it wanted to be woken, so it is woken soon. */
-    private void policyFailed(Throwable failure, List<OpenQuery> concerned) {
+    /**
+     * Fails the affected queries and schedules a wake-up within one tick, because the policy may
+     * have lost its own wake-up time.
+     */
+    private void handlePolicyFailure(Throwable failure, List<OpenQuery> affected) {
         LOG.log(
                 Level.SEVERE,
-                "panic: the decision policy failed and the queries concerned are failed",
+                "panic: the decision policy failed; failing the affected queries",
                 failure);
-        concerned.stream().filter(openQuery -> !openQuery.isOver()).forEach(lifecycle::fail);
+        affected.stream().filter(openQuery -> !openQuery.isClosed()).forEach(lifecycle::fail);
         wakeUpAtMs = Math.min(wakeUpAtMs, nowMs + tickMs);
         events.removeIf(event -> !(event instanceof Event.ClientDisconnected));
     }
 
-    private void carryOut(Command command) {
+    private void execute(Command command) {
         if (command instanceof Command.SendAttempt send) {
             lifecycle.send(send);
         } else if (command instanceof Command.CancelAttempt cancel) {
@@ -282,7 +297,7 @@
         } else if (command instanceof Command.SubscribeToEndpoints) {
             commands.subscribe();
         } else if (command instanceof Command.ConsumeAllowance allowance) {
-            commands.consume(allowance);
+            commands.addConsumed(allowance);
         } else if (command instanceof Command.LogMessage message) {
             commands.log(message.text());
         }
--- a/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
@@ -10,8 +10,8 @@
 import sprucehold.decision.Reason;
 
 /**
- * What happens to queries and attempts from their begin to their end: each end of an attempt
- * becomes one event for the policy, and each query is closed with its one reply.
+ * State transitions of queries and attempts. Each end of an attempt adds one event for the policy,
+ * and each reply closes its query.
  */
 final class QueryLifecycle {
     private static final Logger LOG = Logger.getLogger(QueryLifecycle.class.getName());
@@ -24,9 +24,9 @@
     private double nowMs;
 
     /**
-     * @param endpoints where attempts can go
-     * @param commands takes what the network code has to do
-     * @param events takes what the policy has to know
+     * @param endpoints shard servers to which attempts can be sent
+     * @param commands collects the commands for the network code
+     * @param events collects the events for the policy
      */
     QueryLifecycle(EndpointDirectory endpoints, CommandBuffer commands, Queue<Event> events) {
         this.endpoints = endpoints;
@@ -34,34 +34,36 @@
         this.events = events;
     }
 
-    /** The time from now on, in milliseconds. */
+    /** Sets the current time, in milliseconds. */
     void advanceTo(double newNowMs) {
         nowMs = newNowMs;
     }
 
-    /** The queries that are open, and their parts. */
+    /** Returns the open queries and their parts. */
     OpenQueries openQueries() {
         return openQueries;
     }
 
-    /** The next time at which a deadline or a timeout is over; infinite if there is none. */
-    double nextDueAtMs() {
+    /**
+     * Returns the time at which the next deadline or timeout expires; infinite if there is none.
+     */
+    double nextExpiryAtMs() {
         return Math.min(openQueries.nextDeadlineAtMs(), timeouts.nextAtMs());
     }
 
-    /** The sizes of all collections together, for tests that look for leaks. */
+    /** Returns the sum of the sizes of all collections, for tests that look for leaks. */
     int trackedItems() {
         return openQueries.trackedItems() + timeouts.size();
     }
 
-    /** The network code saw the end of an attempt; what comes after the first end is dropped. */
+    /** Processes the end of an attempt. Any further result of the same attempt is ignored. */
     void attemptEnded(Attempt attempt, AttemptResult result) {
         if (!attempt.isPending()) {
             return;
         }
         OpenPart part = attempt.part();
         if (result instanceof AttemptResult.Completed completed
-                && !part.query.isOver()
+                && !part.query.isClosed()
                 && part.value == null) {
             part.value = completed.value();
         }
@@ -69,8 +71,8 @@
         end(attempt, outcome, result.reportedLoad());
     }
 
-    /** A client needs no answer any more. */
-    // By identity: another client may have asked a query that is equal, and still wait.
+    /** Closes the query of a client that disconnected. */
+    // Compares by identity: an equal query may belong to another client that is still waiting.
     @SuppressWarnings("ReferenceEquality")
     void clientDisconnected(Query query) {
         OpenQuery openQuery = openQueries.find(query.id());
@@ -80,7 +82,7 @@
         }
     }
 
-    /** Cancels attempts whose timeout is over. */
+    /** Cancels the attempts whose timeout has expired. */
     void cancelTimedOut() {
         for (Attempt attempt = timeouts.pollTimedOut(nowMs);
                 attempt != null;
@@ -90,7 +92,10 @@
         }
     }
 
-    /** The policy ends each query before its deadline; one may be left over after it has failed. */
+    /**
+     * Fails the queries whose deadline has passed. Normally the policy ends each query before its
+     * deadline, but queries may be left over after the policy has failed.
+     */
     void failPastDeadline() {
         for (OpenQuery openQuery = openQueries.pollPastDeadline(nowMs);
                 openQuery != null;
@@ -100,7 +105,7 @@
         }
     }
 
-    /** Makes an attempt; one that can't be sent ends at once as never sent. */
+    /** Creates an attempt. An attempt that can't be sent ends at once with outcome NEVER_SENT. */
     void send(Command.SendAttempt command) {
         OpenPart part = openQueries.findPart(command.partId());
         List<Command.ConsumeAllowance> consumed = commands.takeConsumedByNextAttempt();
@@ -110,7 +115,7 @@
         ShardServer server = endpoints.find(command.server());
         var attempt = new Attempt(part, server, nowMs, command, consumed);
         part.attempts.add(attempt);
-        if (part.query.isOver() || command.timeoutMs() <= 0 || server == null) {
+        if (part.query.isClosed() || command.timeoutMs() <= 0 || server == null) {
             end(attempt, AttemptOutcome.NEVER_SENT, null);
         } else {
             timeouts.add(attempt);
@@ -118,7 +123,7 @@
         }
     }
 
-    /** Cancels an attempt; one that was never made ends as never sent. */
+    /** Cancels an attempt. An attempt that was never created ends with outcome NEVER_SENT. */
     void cancel(Command.CancelAttempt command) {
         OpenPart part = openQueries.findPart(command.partId());
         int number = command.attemptNumber();
@@ -135,7 +140,7 @@
         if (!attempt.isPending()) {
             return;
         }
-        if (commands.unsend(attempt)) {
+        if (commands.removeUnsent(attempt)) {
             end(attempt, AttemptOutcome.NEVER_SENT, null);
         } else {
             commands.cancel(attempt);
@@ -151,7 +156,7 @@
         openQueries.removeIfDone(part);
     }
 
-    /** Answers a query from the parts completed so far. */
+    /** Answers a query with the values of the parts completed so far. */
     void answer(Command.AnswerQuery command) {
         OpenQuery openQuery = openQueries.find(command.queryId());
         if (openQuery == null) {
@@ -171,7 +176,7 @@
         reply(openQuery, new Answer.Rejected(command.retryAfterMs()), command.reason());
     }
 
-    /** Fails a query as the policy wants it. */
+    /** Fails a query by command of the policy. */
     void fail(Command.FailQuery command) {
         reply(openQueries.find(command.queryId()), new Answer.Failed(), command.reason());
     }
@@ -183,7 +188,7 @@
         }
     }
 
-    /** Fails a query that the policy has failed on. */
+    /** Fails a query that is still open because the policy failed. */
     void fail(OpenQuery openQuery) {
         reply(openQuery, new Answer.Failed(), Reason.UNSTATED);
         openQuery.parts.forEach(part -> List.copyOf(part.attempts).forEach(this::cancel));
--- a/core/src/main/java/sprucehold/coordinator/ShardServer.java
+++ b/core/src/main/java/sprucehold/coordinator/ShardServer.java
@@ -1,8 +1,8 @@
 package sprucehold.coordinator;
 
 /**
- * A shard server as discovery last told of it. There is one object for a name while the name is
- * listed, so it can be compared by identity. Not safe for threads.
+ * Shard server in the state last reported by discovery. As long as a name is listed there is
+ * exactly one object for it, so shard servers can be compared by identity. Not thread-safe.
  */
 public final class ShardServer {
     private final String name;
@@ -22,17 +22,20 @@
         running = false;
     }
 
-    /** Its name in the endpoint list. */
+    /** Returns the name of the shard server in the endpoint list. */
     public String name() {
         return name;
     }
 
-    /** Host and port. */
+    /** Returns the host and port of the shard server. */
     public String address() {
         return address;
     }
 
-    /** False once discovery told that it drains or is gone: nothing new may be written to it. */
+    /**
+     * Returns whether new parts may be sent. False once discovery has reported the shard server as
+     * draining or gone.
+     */
     public boolean running() {
         return running;
     }
--- a/core/src/main/java/sprucehold/coordinator/package-info.java
+++ b/core/src/main/java/sprucehold/coordinator/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The decision policy as plain calls for the network code. The entry point is {@link
- * sprucehold.coordinator.QueryCoordinator}: it is told observations and returns commands, and keeps
- * the open queries, attempts and endpoints to which the ids of the policy's events and commands
- * refer. It must never decide which server is asked, what is repeated or what is rejected.
+ * Interface of the network code to the decision policy. The entry point is {@link
+ * sprucehold.coordinator.QueryCoordinator}, which receives observations and returns commands. The
+ * package keeps the open queries, attempts and endpoints to which the ids in the policy's events
+ * and commands refer. It must never decide which server a part is sent to, which parts are retried
+ * or which queries are rejected.
  */
 package sprucehold.coordinator;
--- a/core/src/main/java/sprucehold/decision/AttemptOutcome.java
+++ b/core/src/main/java/sprucehold/decision/AttemptOutcome.java
@@ -1,22 +1,25 @@
 package sprucehold.decision;
 
-/** How an attempt or a health check ended. */
+/** Outcome of an attempt or a health check. */
 public enum AttemptOutcome implements StoredEnum {
-    /** The shard server answered. */
+    /** The shard server returned a value. */
     COMPLETED(0, "COMPLETED", false),
-    /** The shard server failed on it, or its answer couldn't be read. */
+    /** The shard server returned an error, or its response couldn't be read. */
     ERROR(1, "ERROR", false),
-    /** The shard server refused it unseen, being at its limit. */
+    /** The shard server was at its limit and rejected the request without processing it. */
     OVERLOADED(2, "FULL", true),
-    /** No answer came within its timeout. */
+    /** No response arrived within the timeout. */
     TIMED_OUT(3, "TIMED_OUT", false),
-    /** It could not be written in whole: no connection came up, or it ended before. */
+    /**
+     * The request could not be written in full: no connection was established, or the connection
+     * ended first.
+     */
     UNREACHABLE(4, "UNCONNECTED", true),
-    /** Its connection ended after it was written. */
+    /** The connection ended after the request was written in full. */
     RESET(5, "RESET", false),
-    /** It was cancelled after it was written. */
+    /** The attempt was cancelled after the request was written in full. */
     CANCELLED(6, "CANCELLED", false),
-    /** It was cancelled, or couldn't be made, before anything of it was written. */
+    /** The attempt could not be made, or was cancelled before the request was written in full. */
     NEVER_SENT(7, "NEVER_SENT", true);
 
     private final int storedNumber;
@@ -39,7 +42,7 @@
         return storedName;
     }
 
-    /** Whether this outcome proves that the part never ran at the shard server. */
+    /** Returns whether this outcome proves that the part never ran on the shard server. */
     public boolean provesNeverRan() {
         return provesNeverRan;
     }
--- a/core/src/main/java/sprucehold/decision/Command.java
+++ b/core/src/main/java/sprucehold/decision/Command.java
@@ -2,20 +2,21 @@
 
 import java.util.List;
 
-/** Something that the policy wants done, and why. Times are in milliseconds. */
+/** Command of the policy with its reason. Times are in milliseconds. */
 public sealed interface Command {
-    /** Why it is wanted. */
+    /** Returns the reason for the command. */
     Reason reason();
 
     /**
-     * Sends a part to a shard server; the attempts of a part are numbered from 0 in this order.
+     * Sends a part to a shard server. The attempts of a part are numbered from 0 in the order of
+     * these commands.
      *
-     * @param partId the part
-     * @param server the shard server
-     * @param timeoutMs how long its answer is waited for
-     * @param reason why it is sent
-     * @param position the position that its query took among each shard's replicas, from 0
-     * @param skipped replicas that would have come first, and why they were skipped
+     * @param partId id of the part
+     * @param server name of the shard server
+     * @param timeoutMs timeout of the attempt
+     * @param reason reason for the attempt
+     * @param position position of the query in the replica order of each shard, from 0
+     * @param skipped replicas that were preferred but skipped, with the cause
      */
     record SendAttempt(
             String partId,
@@ -25,7 +26,7 @@
             int position,
             List<SkippedReplica> skipped)
             implements Command {
-        /** An attempt without a reason. */
+        /** Creates an attempt without a stated reason. */
         public SendAttempt(String partId, String server, double timeoutMs) {
             this(partId, server, timeoutMs, Reason.UNSTATED, 0, List.of());
         }
@@ -33,52 +34,52 @@
 
     /** Cancels a pending attempt. */
     record CancelAttempt(String partId, int attemptNumber, Reason reason) implements Command {
-        /** A cancellation without a reason. */
+        /** Creates a cancellation without a stated reason. */
         public CancelAttempt(String partId, int attemptNumber) {
             this(partId, attemptNumber, Reason.UNSTATED);
         }
     }
 
     /**
-     * Answers a query from the parts completed so far.
+     * Answers a query with the values of the parts completed so far.
      *
-     * @param queryId the query
+     * @param queryId id of the query
      * @param complete whether the answer is complete
-     * @param reason why it is given now
+     * @param reason reason for answering the query now
      */
     record AnswerQuery(String queryId, boolean complete, Reason reason) implements Command {
-        /** An answer without a reason. */
+        /** Creates an answer without a stated reason. */
         public AnswerQuery(String queryId, boolean complete) {
             this(queryId, complete, Reason.UNSTATED);
         }
     }
 
     /**
-     * Rejects a query: it has had no effect, and asking again is harmless.
+     * Rejects a query that has had no effect. The client can safely send it again.
      *
-     * @param queryId the query
-     * @param retryAfterMs when its client should ask again; 0 for no advice
-     * @param reason why it is rejected
+     * @param queryId id of the query
+     * @param retryAfterMs delay after which the client should send the query again; 0 for no advice
+     * @param reason reason for the rejection
      */
     record RejectQuery(String queryId, double retryAfterMs, Reason reason) implements Command {
-        /** A rejection without a reason. */
+        /** Creates a rejection without a stated reason. */
         public RejectQuery(String queryId, double retryAfterMs) {
             this(queryId, retryAfterMs, Reason.UNSTATED);
         }
     }
 
-    /** Ends a query with no promise about its effect. */
+    /** Fails a query. The query may or may not have had an effect. */
     record FailQuery(String queryId, Reason reason) implements Command {
-        /** A failure without a reason. */
+        /** Creates a failure without a stated reason. */
         public FailQuery(String queryId) {
             this(queryId, Reason.UNSTATED);
         }
     }
 
     /**
-     * Consumes units of the allowance that {@link ClusterView} told of: for the attempt that
-     * follows, which must not be made unless the allowance still has them, or for the query just
-     * received.
+     * Consumes units of an allowance of the {@link ClusterView}, either for the next attempt or for
+     * the query just received. The attempt must not be made unless the allowance still contains the
+     * units.
      */
     record ConsumeAllowance(SharedLimit limit, int units) implements Command {
         @Override
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Asks for an {@link Event.WakeUp} after a time. */
+    /** Requests an {@link Event.WakeUp} after a delay. */
     record ScheduleWakeUp(double delayMs) implements Command {
         @Override
         public Reason reason() {
@@ -103,15 +104,15 @@
         }
     }
 
-    /** Asks for updates of the endpoint list from now on, and for what was missed. */
+    /** Subscribes to endpoint updates, including the updates missed so far. */
     record SubscribeToEndpoints(Reason reason) implements Command {
-        /** A subscription without a reason. */
+        /** Creates a subscription without a stated reason. */
         public SubscribeToEndpoints() {
             this(Reason.UNSTATED);
         }
     }
 
-    /** A line for the log. */
+    /** Writes a message to the log. */
     record LogMessage(String text) implements Command {
         @Override
         public Reason reason() {
--- a/core/src/main/java/sprucehold/decision/DecisionPolicy.java
+++ b/core/src/main/java/sprucehold/decision/DecisionPolicy.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * The decisions of one gatherer as a deterministic state machine: the same calls bring the same
- * commands. Instances share nothing and are not safe for use by several threads.
+ * Decision policy of one gatherer as a deterministic state machine: the same calls return the same
+ * commands. Instances share no state and are not thread-safe.
  */
 public interface DecisionPolicy {
     /**
-     * Takes all that happened at one moment, in the order it happened, and returns what is to be
-     * done at that moment, in order.
+     * Processes the events of one point in time, in the order in which they happened, and returns
+     * the commands to execute at that time, in order.
      *
-     * @param nowMs the clock, in milliseconds; it begins at no particular value and never goes back
+     * @param nowMs current time in milliseconds on a monotonic clock with an arbitrary origin
      */
     List<Command> decide(double nowMs, List<Event> events);
 
-    /** Makes the policy of a gatherer that holds nothing yet. */
+    /** Creates policies of gatherers that have no queries or endpoints yet. */
     interface Factory {
         /**
-         * Makes a policy.
+         * Creates a policy.
          *
-         * @param seed of all its random choices
+         * @param seed seed of all random choices of the policy
          */
         DecisionPolicy start(long seed, Deployment deployment);
     }
--- a/core/src/main/java/sprucehold/decision/Deployment.java
+++ b/core/src/main/java/sprucehold/decision/Deployment.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What decisions have to know of a deployment.
+ * Properties of a deployment that affect decisions.
  *
- * @param gatherers how many gatherers there are
- * @param zone the zone of this gatherer
- * @param tickMs the shortest time between two calls of the policy, in milliseconds
- * @param overQuotaPriority what a query beyond its tenant's quota is worth, as a portion of its
- *     class's weight
- * @param queryClasses the classes of queries that are served
- * @param tenants the tenants that have a quota; empty where there are none
- * @param layout which shard servers hold which shards
- * @param limits what a gatherer may do
- * @param slowStart what a shard server that is warming up can take
- * @param retryBudget how many retries and hedged requests are allowed
- * @param endpointSubscription how the endpoint list is kept up to date
+ * @param gatherers number of gatherers
+ * @param zone zone of this gatherer
+ * @param tickMs minimum time between two calls of the policy, in milliseconds
+ * @param overQuotaPriority priority weight of a query beyond its tenant's quota, as a fraction of
+ *     the priority weight of its class
+ * @param queryClasses query classes that are served
+ * @param tenants tenants with a quota; empty if the deployment has none
+ * @param layout assignment of shards to replica groups
+ * @param limits limits of a gatherer
+ * @param slowStart capacity of a shard server that is warming up
+ * @param retryBudget limit of retries and hedged requests
+ * @param endpointSubscription rules for keeping the endpoint list up to date
  */
 public record Deployment(
         int gatherers,
@@ -32,24 +32,25 @@
         EndpointSubscription endpointSubscription) {
 
     /**
-     * Which replica groups hold a shard: {@code groupsPerShard} in a row, the first being the shard
-     * modulo {@code replicaGroups}.
+     * Assignment of shards to replica groups. A shard is stored in {@code groupsPerShard}
+     * consecutive groups. The number of the first group is the shard number modulo {@code
+     * replicaGroups}.
      *
-     * @param replicaGroups how many groups there are; the servers of a group hold the same shards
-     * @param groupsPerShard how many groups in a row hold a shard
-     * @param partsPerCall the most parts of one query that share a call to a server
+     * @param replicaGroups number of replica groups; all servers of a group store the same shards
+     * @param groupsPerShard number of consecutive groups that store a shard
+     * @param partsPerCall maximum number of parts of one query in a single call to a server
      */
     public record ShardLayout(int replicaGroups, int groupsPerShard, int partsPerCall) {}
 
     /**
-     * What a gatherer may do.
+     * Limits of a gatherer.
      *
-     * @param attemptsPerPart the most attempts of one part, the first included
-     * @param maxOpen the most queries and parts that may be open at once
-     * @param hedging whether a second attempt may go beside a pending one
+     * @param attemptsPerPart maximum number of attempts of one part, including the first
+     * @param maxOpen maximum number of queries and parts open at the same time
+     * @param hedging whether a second attempt may be sent while one is pending
      * @param cancellation whether pending attempts may be cancelled
-     * @param maxRetryAfterMs the longest time after which a rejected client may be asked to come
-     *     back, in milliseconds; 0 where clients aren't told
+     * @param maxRetryAfterMs maximum retry after that is returned with a rejection, in
+     *     milliseconds; 0 if no retry after is returned
      */
     public record Limits(
             int attemptsPerPart,
@@ -59,35 +60,35 @@
             double maxRetryAfterMs) {}
 
     /**
-     * What a shard server that is warming up can take. It falls over when it is sent {@code
-     * overloadFactor} times what it can do within {@code windowMs}.
+     * Capacity of a shard server that is warming up. The server fails when the work sent to it
+     * within {@code windowMs} reaches {@code overloadFactor} times its capacity in that time.
      *
-     * @param startShare the share of its full speed at which it starts, 0 to 1
-     * @param warmAfterMs how long after its start it reaches full speed, in milliseconds
-     * @param overloadFactor the multiple of its work in a window from which it falls over
-     * @param windowMs the length of the window, in milliseconds
+     * @param startShare fraction of the full speed at which the server starts, 0 to 1
+     * @param warmAfterMs time from the start of the server until full speed, in milliseconds
+     * @param overloadFactor multiple of the capacity in a window at which the server fails
+     * @param windowMs length of the window, in milliseconds
      */
     public record SlowStartRule(
             double startShare, double warmAfterMs, double overloadFactor, double windowMs) {}
 
     /**
-     * The most attempts beyond each part's first in any window.
+     * Maximum number of attempts beyond the first of each part in any window.
      *
-     * @param fixed how many are always allowed
-     * @param perRequest how many more for each query and each part received in the window
-     * @param windowMs the length of the window, in milliseconds
+     * @param fixed number of attempts that are always allowed
+     * @param perRequest additional attempts for each query and each part received in the window
+     * @param windowMs length of the window, in milliseconds
      */
     public record RetryBudget(double fixed, double perRequest, double windowMs) {
-        /** Where no budget is stated. */
+        /** Unlimited budget, for deployments that state none. */
         public static final RetryBudget NONE = new RetryBudget(Double.POSITIVE_INFINITY, 0, 0);
     }
 
     /**
-     * How the endpoint list is kept up to date.
+     * Rules for keeping the endpoint list up to date.
      *
-     * @param mustSubscribe whether updates come only to who asks for them
-     * @param maxPollIntervalMs how often the list has to be asked for at least while there is no
-     *     subscription, in milliseconds
+     * @param mustSubscribe whether discovery sends updates only to gatherers that subscribe
+     * @param maxPollIntervalMs maximum time between two requests for the endpoint list while there
+     *     is no subscription, in milliseconds
      */
     public record EndpointSubscription(boolean mustSubscribe, double maxPollIntervalMs) {}
 }
--- a/core/src/main/java/sprucehold/decision/Endpoint.java
+++ b/core/src/main/java/sprucehold/decision/Endpoint.java
@@ -1,24 +1,26 @@
 package sprucehold.decision;
 
 /**
- * A shard server as the endpoint list tells of it.
+ * Shard server as described in the endpoint list.
  *
- * @param server its name
- * @param replicaGroup tells which shards it holds, see {@link Deployment.ShardLayout}
- * @param zone the zone in which it runs
- * @param startedAtMs when it last started, on the policy's clock in milliseconds; 0 if long ago
- * @param state whether it may be sent to
+ * @param server name of the shard server
+ * @param replicaGroup replica group of the shard server, which determines its shards; see {@link
+ *     Deployment.ShardLayout}
+ * @param zone zone in which the shard server runs
+ * @param startedAtMs time of the last start of the shard server, in milliseconds on the policy's
+ *     clock; 0 if it started long ago
+ * @param state whether parts may be sent to the shard server
  */
 public record Endpoint(
         String server, int replicaGroup, String zone, double startedAtMs, State state) {
 
-    /** Whether it may be sent to. */
+    /** Whether parts may be sent to a shard server. */
     public enum State implements StoredEnum {
-        /** It takes queries. */
+        /** The shard server accepts queries. */
         RUNNING(0, "RUNNING"),
-        /** It ends what it holds and must be sent nothing new. */
+        /** The shard server completes its pending parts and must receive no new ones. */
         DRAINING(1, "DRAINING"),
-        /** It isn't there any more. */
+        /** The shard server no longer exists. */
         GONE(2, "GONE");
 
         private final int storedNumber;
--- a/core/src/main/java/sprucehold/decision/Event.java
+++ b/core/src/main/java/sprucehold/decision/Event.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** Something that happened at one gatherer. Times are in milliseconds. */
+/** Event at one gatherer. Times are in milliseconds. */
 public sealed interface Event {
     /**
-     * A client's query was received; its parts follow in the same call.
+     * A client's query was received. Its parts follow in the same call.
      *
-     * @param id its name, unique among open queries
-     * @param number counts up from 1; parts name their query by it
-     * @param queryClass its class as it was when the query was received
-     * @param tenant whose query it is, or null where the deployment has no tenants
-     * @param timeLeftMs how long the client still waits
+     * @param id id of the query, unique among open queries
+     * @param number consecutive number from 1, by which parts refer to their query
+     * @param queryClass query class as of the receipt of the query
+     * @param tenant tenant of the query, or null if the deployment lists no such tenant
+     * @param timeLeftMs remaining time that the client waits for the answer
      */
     record QueryReceived(
             String id, long number, QueryClass queryClass, Tenant tenant, double timeLeftMs)
@@ -20,21 +20,21 @@
     /**
      * A part of a query was received.
      *
-     * @param id its name, unique among open parts
-     * @param queryNumber the number of its query
-     * @param shard the shard that it asks
-     * @param weight its share of the whole answer; the weights of one step sum to about 1
+     * @param id id of the part, unique among open parts
+     * @param queryNumber number of the query
+     * @param shard shard that the part queries
+     * @param weight share of the part in the whole answer; the weights of one step sum to about 1
      */
     record PartReceived(String id, long queryNumber, int shard, double weight) implements Event {}
 
     /**
-     * An attempt ended; each attempt ends exactly once.
+     * An attempt ended. Each attempt ends exactly once.
      *
-     * @param partId its part
-     * @param attemptNumber counts the attempts of a part from 0
-     * @param outcome how it ended
-     * @param durationMs how long it was pending
-     * @param load what the shard server told of its load, or null
+     * @param partId id of the part
+     * @param attemptNumber number of the attempt among those of the part, from 0
+     * @param outcome outcome of the attempt
+     * @param durationMs time for which the attempt was pending
+     * @param load load report of the shard server, or null
      */
     record AttemptEnded(
             String partId,
@@ -44,14 +44,15 @@
             LoadReport load)
             implements Event {}
 
-    /** The client has disconnected, so its query is over. */
+    /** The client has disconnected, so its query is closed. */
     record ClientDisconnected(String queryId) implements Event {}
 
     /**
      * The endpoint list changed.
      *
-     * @param complete whether all endpoints are named, or only those that changed
-     * @param endpoints the endpoints named
+     * @param complete true if {@code endpoints} contains all endpoints, false if it contains only
+     *     those that changed
+     * @param endpoints the endpoints
      */
     record EndpointsUpdated(boolean complete, List<Endpoint> endpoints) implements Event {}
 
@@ -61,25 +62,25 @@
     /**
      * A health check ended.
      *
-     * @param server the shard server checked
-     * @param outcome how the check ended
-     * @param durationMs how long it took
-     * @param load what the shard server told of its load, or null
+     * @param server name of the shard server that was checked
+     * @param outcome outcome of the check
+     * @param durationMs duration of the check
+     * @param load load report of the shard server, or null
      */
     record HealthCheckEnded(
             String server, AttemptOutcome outcome, double durationMs, LoadReport load)
             implements Event {}
 
     /**
-     * Another deployment holds from this moment on, for what comes after it. Gatherers, zone,
-     * layout and tick stay. Open queries end under the query class that they were received under,
-     * as {@link QueryClass#restrictedBy} says.
+     * The deployment changed. The new one applies to all later events. The number of gatherers, the
+     * zone, the shard layout and the tick keep their values. Open queries keep the query class
+     * under which they were received, restricted as described in {@link QueryClass#restrictedBy}.
      */
     record DeploymentChanged(Deployment deployment) implements Event {}
 
-    /** The view of the cluster changed; it comes before whatever else happened in the same call. */
+    /** The cluster view changed. This event precedes all other events of the same call. */
     record ClusterViewChanged(ClusterView view) implements Event {}
 
-    /** The time asked for by a {@link Command.ScheduleWakeUp} has come. */
+    /** The time requested by a {@link Command.ScheduleWakeUp} is reached. */
     record WakeUp() implements Event {}
 }
--- a/core/src/main/java/sprucehold/decision/LoadReport.java
+++ b/core/src/main/java/sprucehold/decision/LoadReport.java
@@ -1,10 +1,10 @@
 package sprucehold.decision;
 
 /**
- * What a shard server tells of its load; a value that it doesn't tell is NaN.
+ * Load report of a shard server. A value that the shard server does not report is NaN.
  *
- * @param held parts that it holds
- * @param queued parts among them that wait
- * @param busy the share of its cores that is busy, 0 to 1
+ * @param held number of parts at the shard server
+ * @param queued number of those parts that are waiting
+ * @param busy fraction of the shard server's cores that are busy, 0 to 1
  */
 public record LoadReport(double held, double queued, double busy) {}
--- a/core/src/main/java/sprucehold/decision/QueryClass.java
+++ b/core/src/main/java/sprucehold/decision/QueryClass.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * A class of queries: what they are worth and what may be done for them.
+ * Query class: the priority, latency objective, coverage and retry rules of a kind of query.
  *
- * @param name its name, unique in a deployment
+ * @param name name, unique in a deployment
  * @param idempotence whether a part may run more than once
- * @param latencyObjectiveMs an answer within this time, in milliseconds, earns the full weight
- * @param priorityWeight what an answer within the latency objective is worth
- * @param lateWeight the portion of the weight that a later answer earns
- * @param deduplicationWindowMs for {@link Idempotence#DEDUPLICATED}: how long after a part's first
- *     attempt shard servers drop repeats, in milliseconds
- * @param completeCoverage the share of the parts' weight, 0 to 1, that makes an answer complete
- * @param minimumCoverage the share of the parts' weight below which no answer may be given
- * @param secondStepParts how many parts the answer of the first step brings, 0 where there is one
- *     step only
+ * @param latencyObjectiveMs latency objective in milliseconds; an answer within this time earns the
+ *     full priority weight
+ * @param priorityWeight value of an answer within the latency objective
+ * @param lateWeight fraction of the priority weight that a later answer earns
+ * @param deduplicationWindowMs for {@link Idempotence#DEDUPLICATED}: time after a part's first
+ *     attempt during which shard servers drop repeats, in milliseconds
+ * @param completeCoverage share of the parts' weight from which an answer is complete, 0 to 1
+ * @param minimumCoverage share of the parts' weight below which no answer may be returned, 0 to 1
+ * @param secondStepParts number of parts of the second step, determined by the answer of the first
+ *     step; 0 if there is only one step
  */
 public record QueryClass(
         String name,
@@ -28,15 +29,13 @@
         double minimumCoverage,
         int secondStepParts) {
 
-    /**
-     * Whether a part may run more than once. The constants stand from the freest to the strictest.
-     */
+    /** Whether a part may run more than once. Constants are ordered from least to most strict. */
     public enum Idempotence implements StoredEnum {
         /** Parts may run any number of times. */
         IDEMPOTENT(0, "REPLAYABLE"),
         /** Shard servers drop repeats of a part within the deduplication window. */
         DEDUPLICATED(1, "KEYED"),
-        /** Parts may run once at the most. */
+        /** Parts may run at most once. */
         NON_IDEMPOTENT(2, "NON_REPLAYABLE");
 
         private final int storedNumber;
@@ -57,19 +56,20 @@
             return storedName;
         }
 
-        /** Whether fewer repeats are allowed than by another. */
+        /** Returns whether this value allows fewer repeats than another. */
         public boolean isStricterThan(Idempotence other) {
             return compareTo(other) > 0;
         }
     }
 
     /**
-     * This class for a query received under it, after the query classes have changed: all stays as
-     * it was, but its parts may run again no more often than either version allows. A class that
-     * turns idempotent frees no pending part, one that turns non-idempotent binds at once, and a
-     * deduplication window never grows over an attempt already made.
+     * Returns this class, after a change of the query classes, for a query received before the
+     * change. All values stay, except that parts may run again no more often than either version
+     * allows. Parts of the query don't become repeatable when the class becomes idempotent, and
+     * repeats stop at once when the class becomes non-idempotent. The deduplication window never
+     * becomes longer, so a longer one does not apply to attempts already made.
      *
-     * @param changed the query classes as they are now
+     * @param changed the query classes after the change
      */
     public QueryClass restrictedBy(List<QueryClass> changed) {
         for (QueryClass now : changed) {
--- a/core/src/main/java/sprucehold/decision/SharedLimit.java
+++ b/core/src/main/java/sprucehold/decision/SharedLimit.java
@@ -1,23 +1,22 @@
 package sprucehold.decision;
 
 /**
- * A limit that holds for the sum of all gatherers and of which each may be granted allowances.
+ * Limit on the total of all gatherers. Each gatherer may be granted allowances of it.
  *
- * @param kind what is limited
- * @param subject the shard server or the tenant by name; empty where it concerns the fleet as a
- *     whole
+ * @param kind kind of the limit
+ * @param subject name of the shard server or tenant; empty if the limit applies to the whole fleet
  */
 public record SharedLimit(Kind kind, String subject) {
-    /** The limit of retries and hedged requests of the whole fleet. */
+    /** Limit of retries and hedged requests of the whole fleet. */
     public static final SharedLimit RETRIES = new SharedLimit(Kind.RETRIES, "");
 
-    /** What is limited, and what a unit of it is. */
+    /** Kind of a limit and its unit. */
     public enum Kind implements StoredEnum {
-        /** What a shard server that is warming up is sent; milliseconds of work on one core. */
+        /** Work sent to a shard server that is warming up, in milliseconds on one core. */
         SLOW_START(0, "COLD"),
-        /** Attempts beyond each part's first; one each. */
+        /** Attempts beyond the first of each part, one unit each. */
         RETRIES(1, "FURTHER"),
-        /** Queries that lie within a tenant's quota; one each. */
+        /** Queries within a tenant's quota, one unit each. */
         TENANT_QUOTA(2, "CUSTOMER");
 
         private final int storedNumber;
@@ -39,12 +38,12 @@
         }
     }
 
-    /** The limit of what a shard server is sent while it is warming up. */
+    /** Returns the limit of work sent to a shard server while it is warming up. */
     public static SharedLimit slowStart(String server) {
         return new SharedLimit(Kind.SLOW_START, server);
     }
 
-    /** The quota of a tenant. */
+    /** Returns the quota of a tenant. */
     public static SharedLimit tenantQuota(String tenant) {
         return new SharedLimit(Kind.TENANT_QUOTA, tenant);
     }
--- a/core/src/main/java/sprucehold/decision/SkippedReplica.java
+++ b/core/src/main/java/sprucehold/decision/SkippedReplica.java
@@ -1,26 +1,28 @@
 package sprucehold.decision;
 
 /**
- * A replica of a part's shard that an attempt did not go to.
+ * Replica of a part's shard that was skipped when an attempt was sent.
  *
- * @param server its name
- * @param cause why it was skipped
+ * @param server name of the shard server
+ * @param cause cause of the skip
  */
 public record SkippedReplica(String server, Cause cause) {
 
-    /** Why a replica was skipped. */
+    /** Cause for skipping a replica. */
     public enum Cause implements StoredEnum {
-        /** It is draining or gone. */
+        /** The replica is draining or gone. */
         DRAINING(0, "DRAINING", "draining or gone"),
-        /** An attempt of this part went there before. */
+        /** An earlier attempt of this part was sent to the replica. */
         ALREADY_TRIED(1, "TRIED", "tried for this part before"),
-        /** It is ejected after failures. */
+        /** The replica is ejected after failures. */
         EJECTED(2, "SET_ASIDE", "ejected after failures"),
-        /** As many attempts are pending there as its concurrency limit allows. */
+        /** The number of attempts pending at the replica has reached its concurrency limit. */
         AT_CONCURRENCY_LIMIT(3, "NO_ROOM", "at its concurrency limit"),
-        /** It is warming up and its slow-start budget is spent. */
+        /** The replica is warming up and its slow-start budget is spent. */
         AT_SLOW_START_BUDGET(4, "COLD_BUDGET", "warming up and at its slow-start budget"),
-        /** It failed lately, or its zone is late, and another replica is not suspect. */
+        /**
+         * The replica failed recently or its zone is late, while another replica is not suspect.
+         */
         SUSPECT(5, "SUSPECT", "suspect: it failed lately, or its zone is late");
 
         private final int storedNumber;
@@ -43,7 +45,7 @@
             return storedName;
         }
 
-        /** The cause in words, for people. */
+        /** Returns a description of the cause for operators. */
         public String description() {
             return description;
         }
--- a/core/src/main/java/sprucehold/decision/StoredEnum.java
+++ b/core/src/main/java/sprucehold/decision/StoredEnum.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * An enum whose constants are kept outside of the program: in files by number, in JSON, settings
- * and logs by name. Both forms stand beside each constant, so that a constant can be renamed or
- * moved without a change of what is stored.
+ * Enum whose constants are stored outside the program: by number in files, by name in JSON,
+ * settings and logs. Both forms are declared with each constant, so a constant can be renamed or
+ * moved without changing the stored form.
  */
 public interface StoredEnum {
-    /** The number that files hold. Numbers are never given again. */
+    /** Returns the number stored in files. Numbers of removed constants are never reused. */
     int storedNumber();
 
-    /** The name that JSON, settings and logs hold, in capitals with underscores. */
+    /** Returns the name used in JSON, settings and logs, in upper case with underscores. */
     String storedName();
 
-    /** The constant with this name, if this build knows one. */
+    /** Returns the constant with a stored name, or empty if this version has none. */
     static <E extends Enum<E> & StoredEnum> Optional<E> ofName(Class<E> type, String name) {
         return Arrays.stream(type.getEnumConstants())
                 .filter(constant -> constant.storedName().equals(name))
--- a/core/src/main/java/sprucehold/decision/Tenant.java
+++ b/core/src/main/java/sprucehold/decision/Tenant.java
@@ -1,9 +1,9 @@
 package sprucehold.decision;
 
 /**
- * A tenant of the service.
+ * Tenant of the service.
  *
- * @param name its name, unique in a deployment
- * @param queriesPerSecond its quota: queries per second, over all gatherers
+ * @param name name, unique in a deployment
+ * @param queriesPerSecond quota in queries per second, over all gatherers
  */
 public record Tenant(String name, double queriesPerSecond) {}
--- a/core/src/main/java/sprucehold/decision/package-info.java
+++ b/core/src/main/java/sprucehold/decision/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The interface of the decisions: events that happened, commands that are wanted and why, and what
- * has to be known of a deployment. Types only; the entry point is {@link
- * sprucehold.decision.DecisionPolicy}. It must never decide anything.
+ * Interface of the decision policy: events, commands with their reasons, and the properties of a
+ * deployment that affect decisions. The package contains only types; the entry point is {@link
+ * sprucehold.decision.DecisionPolicy}. It must never make a decision itself.
  */
 package sprucehold.decision;
--- a/core/src/main/java/sprucehold/deployment/ConnectionSettings.java
+++ b/core/src/main/java/sprucehold/deployment/ConnectionSettings.java
@@ -1,11 +1,11 @@
 package sprucehold.deployment;
 
 /**
- * What the deployment says of connections to shard servers.
+ * Settings of connections to shard servers.
  *
- * @param connectTimeoutMs how long a connection may take to come up, in milliseconds
- * @param idleTimeoutMs how long a shard server keeps an idle connection open, in milliseconds
- * @param maxPartsInFlight the most parts that may be pending on one connection, at least 1
+ * @param connectTimeoutMs timeout for establishing a connection, in milliseconds
+ * @param idleTimeoutMs time after which a shard server closes an idle connection, in milliseconds
+ * @param maxPartsInFlight maximum number of parts pending on one connection, at least 1
  */
 public record ConnectionSettings(
         double connectTimeoutMs, double idleTimeoutMs, int maxPartsInFlight) {}
--- a/core/src/main/java/sprucehold/deployment/DeploymentSettings.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettings.java
@@ -8,13 +8,13 @@
 import sprucehold.decision.Tenant;
 
 /**
- * All that is read of a deployment's settings. Unknown keys are skipped, absent ones are zero,
- * empty or without effect. What the keys mean in our terms ({@code deployment} is a {@link
+ * Settings of a deployment. Unknown keys are ignored. Absent keys are zero, empty or without
+ * effect. The table maps the keys to the terms of this code ({@code deployment} is a {@link
  * Deployment}):
  *
  * <table>
  *   <caption>Keys of the settings</caption>
- *   <tr><th>key</th><th>our term</th></tr>
+ *   <tr><th>key</th><th>term in the code</th></tr>
  *   <tr><td>{@code balancers}</td><td>{@code deployment.gatherers}</td></tr>
  *   <tr><td>{@code locality}</td><td>{@code deployment.zone}</td></tr>
  *   <tr><td>{@code quantumMs}</td><td>{@code deployment.tickMs}</td></tr>
@@ -57,23 +57,23 @@
  *   <tr><td>{@code safety.overloadForMs}</td><td>{@code deployment.slowStart.windowMs}</td></tr>
  *   <tr><td>{@code safety.budgetFree}</td><td>{@code deployment.retryBudget.fixed}</td></tr>
  *   <tr><td>{@code safety.extraRatio}</td><td>{@code deployment.retryBudget.perRequest}</td></tr>
- *   <tr><td>{@code safety.countedOverMs}</td><td>{@code deployment.retryBudget.windowMs}; without
- *       it there is no budget</td></tr>
+ *   <tr><td>{@code safety.countedOverMs}</td><td>{@code deployment.retryBudget.windowMs}; if
+ *       absent, the budget is unlimited</td></tr>
  *   <tr><td>{@code safety.mustAskInMs}</td>
  *       <td>{@code deployment.endpointSubscription.maxPollIntervalMs}</td></tr>
  *   <tr><td>{@code feedback.source}: {@code none}, {@code probe}, others</td>
- *       <td>no load reports; {@code loadByHealthCheck}; load reports come with answers</td></tr>
+ *       <td>no load reports; {@code loadByHealthCheck}; load reports with answers</td></tr>
  *   <tr><td>{@code feedback.fields[]}</td><td>{@code loadFields}</td></tr>
  * </table>
  *
- * @param deployment what bears on decisions
- * @param connections what bears on connections to shard servers
- * @param shards how many shards there are
- * @param longestDeadlineMs the longest deadline of any query class, in milliseconds
- * @param deadlinesMs the deadline of each query class, in the order of the classes, in milliseconds
- * @param loadFields the names of the values of a load report, in the order of the simulation's
- *     messages; empty where there are no load reports
- * @param loadByHealthCheck whether load reports come with health checks
+ * @param deployment settings that affect decisions
+ * @param connections settings of connections to shard servers
+ * @param shards number of shards
+ * @param longestDeadlineMs longest deadline of any query class, in milliseconds
+ * @param deadlinesMs deadline of each query class in milliseconds, in the order of the classes
+ * @param loadFields names of the values of a load report, in the order of the simulation's
+ *     messages; empty if there are no load reports
+ * @param loadByHealthCheck whether load reports are part of the responses to health checks
  */
 public record DeploymentSettings(
         Deployment deployment,
@@ -85,10 +85,10 @@
         boolean loadByHealthCheck) {
 
     /**
-     * The settings that a gatherer is to serve by.
+     * Validates and reads the settings that a gatherer will use.
      *
-     * @throws InvalidSettingsException if they lack or contradict what is needed; it names the
-     *     first such field
+     * @throws InvalidSettingsException if a field is missing, invalid or contradicts another; the
+     *     message names the first such field
      */
     public static DeploymentSettings checked(JsonNode settings) throws InvalidSettingsException {
         DeploymentSettingsValidator.check(settings);
@@ -96,9 +96,9 @@
     }
 
     /**
-     * The settings as they are, unchecked.
+     * Reads the settings without validation.
      *
-     * @throws InvalidSettingsException if a query class's semantics are unknown
+     * @throws InvalidSettingsException if the semantics of a query class are unknown
      */
     public static DeploymentSettings read(JsonNode settings) throws InvalidSettingsException {
         JsonNode feedback = settings.path("feedback");
@@ -206,13 +206,13 @@
     }
 
     private static Deployment.Limits limits(JsonNode limits) {
-        boolean tellsRetryAfter = limits.path("retryAfter").booleanValue();
+        boolean sendsRetryAfter = limits.path("retryAfter").booleanValue();
         return new Deployment.Limits(
                 Math.max(1, limits.path("sendCap").asInt(1)),
                 limits.path("maxOpen").asInt(Integer.MAX_VALUE),
                 limits.path("secondCopies").booleanValue(),
                 limits.path("cancel").booleanValue(),
-                tellsRetryAfter ? limits.path("maxRetryAfterMs").doubleValue() : 0);
+                sendsRetryAfter ? limits.path("maxRetryAfterMs").doubleValue() : 0);
     }
 
     private static Deployment.SlowStartRule slowStart(JsonNode safety) {
--- a/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * Finds what the settings of a deployment lack or contradict before anything is served by them.
- * Only what nobody can serve without is required: keys that have a sound default may be absent, but
- * their values not be of another kind. The keys are those of {@link DeploymentSettings}.
+ * Validates the settings of a deployment before a gatherer uses them. Only keys without a usable
+ * default are required. Other keys may be absent, but if present their values must have the right
+ * type and range. The keys are described in {@link DeploymentSettings}.
  */
 final class DeploymentSettingsValidator {
-    private static final int LONGEST_VALUE_SHOWN = 80;
+    private static final int MAX_SHOWN_CHARS = 80;
 
     private static final Set<String> SEMANTICS = Set.of("retryable", "dedup", "fragile");
     private static final List<String> SAFETY_NUMBERS =
@@ -27,7 +27,7 @@
 
     private DeploymentSettingsValidator() {}
 
-    /** Throws at the first value that can't be used, naming its key and what was expected. */
+    /** Throws an exception for the first invalid value, with its key and the expected value. */
     static void check(JsonNode settings) throws InvalidSettingsException {
         checkQueryClasses(settings.path("classes"));
         checkTenants(settings.path("tenants"));
@@ -37,14 +37,14 @@
         for (String key : SAFETY_NUMBERS) {
             safety.optionalNonNegative(key);
         }
-        var top = new Section(settings, "");
-        top.optionalNonNegative("quantumMs");
-        top.optionalCount("balancers");
+        var root = new Section(settings, "");
+        root.optionalNonNegative("quantumMs");
+        root.optionalPositiveInteger("balancers");
     }
 
     private static void checkQueryClasses(JsonNode classes) throws InvalidSettingsException {
         if (!classes.isArray() || classes.isEmpty()) {
-            throw unusable("classes", classes, "a list with at least one table type");
+            throw invalid("classes", classes, "a list with at least one table type");
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classes.size(); i++) {
@@ -54,17 +54,17 @@
 
     private static void checkQueryClass(Section queryClass, Set<String> names)
             throws InvalidSettingsException {
-        queryClass.uniqueName(names);
+        queryClass.requireUniqueName(names);
         JsonNode semantics = queryClass.value("semantics");
         if (!SEMANTICS.contains(semantics.asText())) {
-            throw unusable(queryClass.place("semantics"), semantics, "retryable, dedup or fragile");
+            throw invalid(queryClass.pathOf("semantics"), semantics, "retryable, dedup or fragile");
         }
-        queryClass.positive("aimMs");
-        queryClass.positive("giveUpMs");
+        queryClass.requirePositive("aimMs");
+        queryClass.requirePositive("giveUpMs");
         queryClass.optionalNonNegative("worth");
         queryClass.optionalNonNegative("lateValue");
         if (semantics.asText().equals("dedup")) {
-            queryClass.nonNegative("windowMs");
+            queryClass.requireNonNegative("windowMs");
         } else {
             queryClass.optionalNonNegative("windowMs");
         }
@@ -72,87 +72,87 @@
 
     private static void checkTenants(JsonNode tenants) throws InvalidSettingsException {
         if (!tenants.isMissingNode() && !tenants.isArray()) {
-            throw unusable("tenants", tenants, "a list");
+            throw invalid("tenants", tenants, "a list");
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < tenants.size(); i++) {
             var tenant = new Section(tenants.get(i), "tenants[" + i + "].");
-            tenant.uniqueName(names);
-            tenant.nonNegative("allowancePerS");
+            tenant.requireUniqueName(names);
+            tenant.requireNonNegative("allowancePerS");
         }
     }
 
     private static void checkFamily(JsonNode node, int queryClasses)
             throws InvalidSettingsException {
         var family = new Section(node, "familyInfo.");
-        family.count("ranges");
-        family.count("sets");
-        family.optionalCount("width");
-        family.optionalCount("bundleMax");
+        family.requirePositiveInteger("ranges");
+        family.requirePositiveInteger("sets");
+        family.optionalPositiveInteger("width");
+        family.optionalPositiveInteger("bundleMax");
         family.optionalShares("completeFrom", queryClasses);
         family.optionalShares("leastShare", queryClasses);
     }
 
     private static void checkLimits(JsonNode node) throws InvalidSettingsException {
         var limits = new Section(node, "limits.");
-        limits.positive("dialTimeoutMs");
-        limits.positive("idleCloseMs");
-        limits.optionalCount("streamsPerConn");
-        limits.optionalCount("sendCap");
-        limits.optionalCount("maxOpen");
+        limits.requirePositive("dialTimeoutMs");
+        limits.requirePositive("idleCloseMs");
+        limits.optionalPositiveInteger("streamsPerConn");
+        limits.optionalPositiveInteger("sendCap");
+        limits.optionalPositiveInteger("maxOpen");
     }
 
     /**
-     * An object of the settings.
+     * JSON object in the settings.
      *
-     * @param node the object, perhaps missing
-     * @param path where it stands, ending with a dot unless empty
+     * @param node the object, may be missing
+     * @param pathPrefix path of the object followed by a dot; empty for the root object
      */
-    private record Section(JsonNode node, String path) {
+    private record Section(JsonNode node, String pathPrefix) {
         JsonNode value(String key) {
             return node.path(key);
         }
 
-        String place(String key) {
-            return path + key;
+        String pathOf(String key) {
+            return pathPrefix + key;
         }
 
-        void uniqueName(Set<String> names) throws InvalidSettingsException {
+        void requireUniqueName(Set<String> names) throws InvalidSettingsException {
             JsonNode name = value("name");
             if (!name.isTextual() || name.asText().isEmpty()) {
-                throw unusable(place("name"), name, "a name");
+                throw invalid(pathOf("name"), name, "a name");
             } else if (!names.add(name.asText())) {
-                throw unusable(place("name"), name, "another name than those before it");
+                throw invalid(pathOf("name"), name, "another name than those before it");
             }
         }
 
-        void positive(String key) throws InvalidSettingsException {
+        void requirePositive(String key) throws InvalidSettingsException {
             if (!(numberOrNaN(value(key)) > 0)) {
-                throw unusable(place(key), value(key), "a number above 0");
+                throw invalid(pathOf(key), value(key), "a number above 0");
             }
         }
 
-        void nonNegative(String key) throws InvalidSettingsException {
+        void requireNonNegative(String key) throws InvalidSettingsException {
             if (!(numberOrNaN(value(key)) >= 0)) {
-                throw unusable(place(key), value(key), "a number of at least 0");
+                throw invalid(pathOf(key), value(key), "a number of at least 0");
             }
         }
 
         void optionalNonNegative(String key) throws InvalidSettingsException {
             if (!value(key).isMissingNode()) {
-                nonNegative(key);
+                requireNonNegative(key);
             }
         }
 
-        void count(String key) throws InvalidSettingsException {
+        void requirePositiveInteger(String key) throws InvalidSettingsException {
             if (!value(key).isIntegralNumber() || value(key).longValue() < 1) {
-                throw unusable(place(key), value(key), "a whole number of at least 1");
+                throw invalid(pathOf(key), value(key), "a whole number of at least 1");
             }
         }
 
-        void optionalCount(String key) throws InvalidSettingsException {
+        void optionalPositiveInteger(String key) throws InvalidSettingsException {
             if (!value(key).isMissingNode()) {
-                count(key);
+                requirePositiveInteger(key);
             }
         }
 
@@ -162,14 +162,16 @@
                 return;
             }
             if (!shares.isArray() || shares.size() != queryClasses) {
-                throw unusable(
-                        place(key), shares, "a share for each of " + queryClasses + " table types");
+                throw invalid(
+                        pathOf(key),
+                        shares,
+                        "a share for each of " + queryClasses + " table types");
             }
             for (int i = 0; i < queryClasses; i++) {
                 double share = numberOrNaN(shares.get(i));
                 if (!(share >= 0 && share <= 1)) {
-                    throw unusable(
-                            place(key) + "[" + i + "]", shares.get(i), "a share from 0 to 1");
+                    throw invalid(
+                            pathOf(key) + "[" + i + "]", shares.get(i), "a share from 0 to 1");
                 }
             }
         }
@@ -179,14 +181,13 @@
         return value.isNumber() ? value.doubleValue() : Double.NaN;
     }
 
-    private static InvalidSettingsException unusable(
-            String place, JsonNode value, String expected) {
+    private static InvalidSettingsException invalid(String path, JsonNode value, String expected) {
         String found = value.isMissingNode() ? "is missing" : "is " + value;
         String shown =
-                found.length() > LONGEST_VALUE_SHOWN
-                        ? found.substring(0, LONGEST_VALUE_SHOWN) + "..."
+                found.length() > MAX_SHOWN_CHARS
+                        ? found.substring(0, MAX_SHOWN_CHARS) + "..."
                         : found;
         return new InvalidSettingsException(
-                "settings." + place + " " + shown + ", expected " + expected);
+                "settings." + path + " " + shown + ", expected " + expected);
     }
 }
--- a/core/src/main/java/sprucehold/deployment/package-info.java
+++ b/core/src/main/java/sprucehold/deployment/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Reads the settings of a deployment and checks them; the entry point is {@link
- * sprucehold.deployment.DeploymentSettings}, the one place that knows the settings' keys by our
- * terms. It must never hold a tuned value: an absent field is zero, empty or without effect.
+ * Reads and validates the settings of a deployment. The entry point is {@link
+ * sprucehold.deployment.DeploymentSettings}, the only place that maps the keys of the settings to
+ * the terms of the code. The package must never contain a tuned value: an absent field is zero,
+ * empty or without effect.
  */
 package sprucehold.deployment;
--- a/core/src/main/java/sprucehold/storage/StoredJson.java
+++ b/core/src/main/java/sprucehold/storage/StoredJson.java
@@ -27,10 +27,10 @@
 import sprucehold.decision.Tenant;
 
 /**
- * The JSON form of the types of {@link sprucehold.decision} in trace files and in what commands
- * print. Files and scripts of earlier versions hold these names, so they stay when a type, a
- * component or a constant is renamed. What isn't listed has the name that it has in the code;
- * constants have their {@link StoredEnum#storedName}.
+ * JSON form of the types of {@link sprucehold.decision} in trace files and in the output of
+ * command-line tools. Files and scripts of earlier versions use these names, so the names stay when
+ * a type, a component or a constant is renamed. Names that are not listed are the same in the code
+ * and in JSON. Constants are written as their {@link StoredEnum#storedName}.
  *
  * <table>
  * <caption>Names in JSON</caption>
@@ -167,7 +167,7 @@
 
     private StoredJson() {}
 
-    /** A builder of mappers that read and write these names. */
+    /** Returns a builder of mappers that read and write these names. */
     public static JsonMapper.Builder mapperBuilder() {
         var limits = new SimpleModule();
         limits.addKeySerializer(SharedLimit.class, new SharedLimitKey());
@@ -177,7 +177,7 @@
                 .addModule(limits);
     }
 
-    /** The kind of an event or a command in JSON lines. */
+    /** Returns the kind of an event or a command in JSON lines. */
     public static String kind(Object eventOrCommand) {
         return KINDS.get(eventOrCommand.getClass());
     }
@@ -223,12 +223,13 @@
         }
     }
 
-    /** Keys of the allowances of a {@link ClusterView}. */
+    /** Writes the keys of the allowances of a {@link ClusterView}. */
     private static final class SharedLimitKey extends JsonSerializer<SharedLimit> {
         @Override
-        public void serialize(SharedLimit limit, JsonGenerator to, SerializerProvider provider)
+        public void serialize(
+                SharedLimit limit, JsonGenerator generator, SerializerProvider provider)
                 throws IOException {
-            to.writeFieldName(
+            generator.writeFieldName(
                     "Bound[kind=" + limit.kind().storedName() + ", of=" + limit.subject() + "]");
         }
     }
--- a/core/src/main/java/sprucehold/storage/package-info.java
+++ b/core/src/main/java/sprucehold/storage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The JSON form in which types of the decisions are kept and printed; the entry point is {@link
- * sprucehold.storage.StoredJson}. It must never read or write a file itself.
+ * JSON form in which the types of the decision interface are stored and printed. The entry point is
+ * {@link sprucehold.storage.StoredJson}. The package must never read or write a file itself.
  */
 package sprucehold.storage;
--- a/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -18,11 +18,12 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
-/** The coordinator with a scripted policy: one list of commands for each call. */
+/** Tests the coordinator with a scripted policy that returns one list of commands for each call. */
 public class QueryCoordinatorTest {
-    private static final AttemptResult HIT = new AttemptResult.Completed(Payload.ofText("v"), null);
+    private static final AttemptResult COMPLETED =
+            new AttemptResult.Completed(Payload.ofText("v"), null);
     private final Queue<List<Command>> script = new ArrayDeque<>();
-    private final List<List<Event>> seen = new ArrayList<>();
+    private final List<List<Event>> eventBatches = new ArrayList<>();
     private QueryCoordinator coordinator;
 
     private static Query query(String id, String tenant, int parts) {
@@ -36,14 +37,15 @@
     @BeforeMethod
     public void start() {
         script.clear();
-        seen.clear();
-        var type = new QueryClass("q", QueryClass.Idempotence.IDEMPOTENT, 100, 1, 0, 0, 1, 1, 0);
+        eventBatches.clear();
+        var queryClass =
+                new QueryClass("q", QueryClass.Idempotence.IDEMPOTENT, 100, 1, 0, 0, 1, 1, 0);
         coordinator =
                 new QueryCoordinator(
                         (now, events) -> {
-                            seen.add(events);
+                            eventBatches.add(events);
                             List<Command> commands = script.isEmpty() ? List.of() : script.remove();
-                            if (commands == null || commands.contains(PANIC)) {
+                            if (commands == null || commands.contains(THROW)) {
                                 throw new IllegalStateException("scripted");
                             }
                             return commands;
@@ -53,7 +55,7 @@
                                 "z",
                                 5,
                                 1,
-                                List.of(type),
+                                List.of(queryClass),
                                 List.of(new Tenant("acme", 9)),
                                 new Deployment.ShardLayout(1, 1, 1),
                                 new Deployment.Limits(4, 5, true, true, 0),
@@ -73,29 +75,29 @@
                                                 "z",
                                                 0,
                                                 EndpointUpdate.State.RUNNING)))));
-        seen.clear();
+        eventBatches.clear();
     }
 
-    private static final Command PANIC = new Command.LogMessage("panic");
+    private static final Command THROW = new Command.LogMessage("throw");
 
     private static Command send(String part) {
         return new Command.SendAttempt(part, "a", 400);
     }
 
-    private Attempt sent(String id) {
+    private Attempt submitAndSend(String id) {
         script.add(List.of(send(id + ".0")));
         return coordinator.submit(1, query(id, null, 1)).send().get(0);
     }
 
-    private Commands ended(double now, Attempt attempt, AttemptResult result) {
+    private Commands endAttempt(double now, Attempt attempt, AttemptResult result) {
         return coordinator.observe(now, List.of(new Observation.AttemptEnded(attempt, result)));
     }
 
     @DataProvider
     Object[][] outcomes() {
         return new Object[][] {
-            {HIT, false, AttemptOutcome.COMPLETED},
-            {HIT, true, AttemptOutcome.COMPLETED},
+            {COMPLETED, false, AttemptOutcome.COMPLETED},
+            {COMPLETED, true, AttemptOutcome.COMPLETED},
             {new AttemptResult.Failed(null), false, AttemptOutcome.ERROR},
             {new AttemptResult.Rejected(null), false, AttemptOutcome.OVERLOADED},
             {
@@ -125,29 +127,29 @@
     }
 
     @Test(dataProvider = "outcomes")
-    public void outcomeSaysWhetherThePartMayHaveRun(
+    public void resultMapsToOutcomeThatStatesWhetherPartMayHaveRun(
             AttemptResult result, boolean timedOut, AttemptOutcome outcome) {
         assertEquals(AttemptOutcomes.of(result, timedOut), outcome);
     }
 
     @Test
-    public void queryAndPartsComeInOneCallAndUnknownTenantsAsNone() {
+    public void submitPassesQueryAndPartsInOneCallAndUnknownTenantAsNull() {
         coordinator.submit(1, query("s", "acme", 2));
         coordinator.submit(1, query("t", "nobody", 1));
-        assertEquals(seen.get(0).size(), 3);
-        assertEquals(((Event.QueryReceived) seen.get(0).get(0)).tenant().name(), "acme");
-        assertEquals(((Event.PartReceived) seen.get(0).get(2)).id(), "s.1");
-        assertEquals(((Event.QueryReceived) seen.get(1).get(0)).tenant(), null);
+        assertEquals(eventBatches.get(0).size(), 3);
+        assertEquals(((Event.QueryReceived) eventBatches.get(0).get(0)).tenant().name(), "acme");
+        assertEquals(((Event.PartReceived) eventBatches.get(0).get(2)).id(), "s.1");
+        assertEquals(((Event.QueryReceived) eventBatches.get(1).get(0)).tenant(), null);
     }
 
     @Test
-    public void answerHoldsTheValuesThatCame() {
+    public void answerContainsOnlyValuesOfCompletedParts() {
         script.add(List.of(send("s.0"), send("s.1")));
         Commands commands = coordinator.submit(1, query("s", null, 2));
-        ended(2, commands.send().get(1), HIT);
+        endAttempt(2, commands.send().get(1), COMPLETED);
         script.add(
                 List.of(new Command.AnswerQuery("s", false), new Command.CancelAttempt("s.0", 0)));
-        commands = ended(3, commands.send().get(0), new AttemptResult.Failed(null));
+        commands = endAttempt(3, commands.send().get(0), new AttemptResult.Failed(null));
         var answer = (Answer.Completed) commands.replies().get(0).answer();
         assertFalse(answer.complete());
         assertEquals(answer.values().size(), 1);
@@ -156,15 +158,15 @@
     }
 
     @Test
-    public void queriesAreRejectedOnceAsManyAreOpenAsMayBe() {
+    public void submitRejectsQueryAtLimitOfOpenItems() {
         coordinator.submit(1, query("s", null, 4));
         Commands commands = coordinator.submit(1, query("t", null, 1));
         assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(0));
-        assertEquals(seen.size(), 1);
+        assertEquals(eventBatches.size(), 1);
     }
 
     @Test
-    public void nothingIsSentForAQueryAnsweredAtTheSameMoment() {
+    public void attemptIsNotSentIfItsQueryIsAnsweredInTheSameCall() {
         script.add(
                 List.of(
                         send("s.0"),
@@ -175,75 +177,78 @@
         assertTrue(commands.cancel().isEmpty());
         assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(250));
         assertEquals(
-                ((Event.AttemptEnded) seen.get(1).get(0)).outcome(), AttemptOutcome.NEVER_SENT);
+                ((Event.AttemptEnded) eventBatches.get(1).get(0)).outcome(),
+                AttemptOutcome.NEVER_SENT);
     }
 
     @Test
-    public void cancellationIsToldOnceItIsKnownHowFarTheAttemptWasWritten() {
-        Attempt attempt = sent("s");
+    public void cancelledAttemptEndsWhenItsWriteProgressIsReported() {
+        Attempt attempt = submitAndSend("s");
         script.add(List.of(new Command.FailQuery("s"), new Command.CancelAttempt("s.0", 0)));
         assertEquals(coordinator.tick(9).cancel(), List.of(attempt));
-        ended(9, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
-        assertEquals(((Event.AttemptEnded) seen.get(2).get(0)).outcome(), AttemptOutcome.CANCELLED);
-        // What comes after its end is dropped.
-        assertTrue(ended(10, attempt, HIT).replies().isEmpty());
+        endAttempt(9, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        assertEquals(
+                ((Event.AttemptEnded) eventBatches.get(2).get(0)).outcome(),
+                AttemptOutcome.CANCELLED);
+        // A result after the end of the attempt is ignored.
+        assertTrue(endAttempt(10, attempt, COMPLETED).replies().isEmpty());
         assertFalse(coordinator.isOpen(query("s", null, 1)));
     }
 
     @Test
-    public void idIsOpenWhileAnAttemptIsPending() {
-        Attempt attempt = sent("s");
+    public void queryIdIsOpenWhileAnAttemptIsPending() {
+        Attempt attempt = submitAndSend("s");
         script.add(List.of(new Command.RejectQuery("s", 0)));
         coordinator.tick(2);
         assertTrue(coordinator.isOpen(query("s", null, 1)));
-        ended(3, attempt, HIT);
+        endAttempt(3, attempt, COMPLETED);
         assertFalse(coordinator.isOpen(query("s", null, 1)));
     }
 
     @Test
-    public void timeoutThatIsOverCancelsAndCountsAsTimedOut() {
-        Attempt attempt = sent("s");
+    public void attemptIsCancelledAsTimedOutWhenItsTimeoutExpires() {
+        Attempt attempt = submitAndSend("s");
         assertEquals(coordinator.tick(400.5).cancel(), List.of());
         assertEquals(coordinator.tick(401).cancel(), List.of(attempt));
-        ended(401, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+        endAttempt(401, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertEquals(
-                ((Event.AttemptEnded) seen.get(seen.size() - 1).get(0)).outcome(),
+                ((Event.AttemptEnded) eventBatches.get(eventBatches.size() - 1).get(0)).outcome(),
                 AttemptOutcome.TIMED_OUT);
     }
 
     @Test
-    public void clientThatDisconnectedEndsItsOwnQueryOnly() {
-        sent("s");
+    public void disconnectedClientClosesOnlyItsOwnQuery() {
+        submitAndSend("s");
         coordinator.observe(2, List.of(new Observation.ClientDisconnected(query("s", null, 1))));
         assertEquals(coordinator.openQueries(), 1);
     }
 
     @Test
-    public void failureOfThePolicyFailsTheQueriesConcernedAndGoesOn() {
-        Attempt other = sent("s");
-        script.add(List.of(PANIC));
+    public void policyExceptionFailsAffectedQueriesAndOthersContinue() {
+        Attempt other = submitAndSend("s");
+        script.add(List.of(THROW));
         Commands commands = coordinator.submit(2, query("t", null, 1));
         assertEquals(commands.replies().get(0).query().id(), "t");
         assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
-        assertEquals(((Event.ClientDisconnected) seen.get(2).get(0)).queryId(), "t");
+        assertEquals(((Event.ClientDisconnected) eventBatches.get(2).get(0)).queryId(), "t");
         assertTrue(commands.nextTickAtMs() <= 7);
         script.add(List.of(new Command.AnswerQuery("s", true)));
-        assertEquals(ended(3, other, HIT).replies().size(), 1);
+        assertEquals(endAttempt(3, other, COMPLETED).replies().size(), 1);
     }
 
     @Test
-    public void failureOfThePolicyInEveryCallStillEnds() {
-        Attempt attempt = sent("s");
+    public void policyExceptionInEveryCallStillFailsTheQuery() {
+        Attempt attempt = submitAndSend("s");
         for (int i = 0; i < 10; i++) {
-            script.add(List.of(PANIC));
+            script.add(List.of(THROW));
         }
-        Commands commands = ended(2, attempt, HIT);
+        Commands commands = endAttempt(2, attempt, COMPLETED);
         assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
     }
 
     @Test
-    public void queryThatThePolicyForgotFailsAtItsDeadline() {
-        Attempt attempt = sent("s");
+    public void queryThatThePolicyNeverEndsFailsAtItsDeadline() {
+        Attempt attempt = submitAndSend("s");
         assertTrue(coordinator.tick(500.5).replies().isEmpty());
         Commands commands = coordinator.tick(501);
         assertEquals(commands.replies().get(0).answer(), new Answer.Failed());
@@ -252,27 +257,27 @@
     }
 
     @Test
-    public void nothingIsTrackedOnceAllHasEnded() {
+    public void noItemsAreTrackedAfterAllQueriesAndAttemptsEnded() {
         for (int i = 0; i < 100; i++) {
             script.add(List.of(send("s.0"), send("s.1"), send("s.0")));
-            List<Attempt> out = coordinator.submit(i, query("s", null, 2)).send();
-            ended(i, out.get(0), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
+            List<Attempt> attempts = coordinator.submit(i, query("s", null, 2)).send();
+            endAttempt(i, attempts.get(0), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
             script.add(
                     List.of(
                             new Command.AnswerQuery("s", true),
                             new Command.CancelAttempt("s.0", 1)));
-            ended(i, out.get(1), HIT);
-            ended(i, out.get(2), new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+            endAttempt(i, attempts.get(1), COMPLETED);
+            endAttempt(i, attempts.get(2), new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         }
         coordinator.tick(1000);
         assertEquals(coordinator.trackedItems(), 0);
     }
 
     @Test
-    public void serversThatWereReplacedLeaveNothingBehindAndAttemptsThereEndAsUsual() {
-        Attempt attempt = sent("s");
+    public void replacedServersAreRemovedAndTheirAttemptsEndNormally() {
+        Attempt attempt = submitAndSend("s");
         for (int i = 0; i < 100; i++) {
-            EndpointUpdate old =
+            EndpointUpdate goneServer =
                     new EndpointUpdate(
                             "n" + i, "127.0.0.1:2", 0, "z", 0, EndpointUpdate.State.GONE);
             coordinator.observe(
@@ -281,7 +286,7 @@
                             new Observation.EndpointsUpdated(
                                     i % 2 == 0,
                                     List.of(
-                                            old,
+                                            goneServer,
                                             new EndpointUpdate(
                                                     "n" + (i + 1),
                                                     "127.0.0.1:2",
@@ -290,10 +295,10 @@
                                                     0,
                                                     EndpointUpdate.State.RUNNING)))));
         }
-        assertEquals(coordinator.knownServers(), 1);
+        assertEquals(coordinator.listedServers(), 1);
         script.add(List.of(new Command.AnswerQuery("s", true)));
-        assertEquals(ended(3, attempt, HIT).replies().size(), 1);
-        // Where the policy still names one of them, nothing goes out.
+        assertEquals(endAttempt(3, attempt, COMPLETED).replies().size(), 1);
+        // An attempt to a server that is no longer listed is not sent.
         script.add(List.of(send("t.0")));
         assertTrue(coordinator.submit(4, query("t", null, 1)).send().isEmpty());
     }
@@ -311,8 +316,8 @@
     }
 
     @Test
-    public void serverIsClosedToNewPartsOnceDiscoverySaysSo() {
-        ShardServer server = sent("s").server();
+    public void serverIsNotRunningOnceReportedDrainingOrGoneOrUnlisted() {
+        ShardServer server = submitAndSend("s").server();
         assertTrue(server.running());
         for (EndpointUpdate.State state : EndpointUpdate.State.values()) {
             coordinator.observe(
@@ -343,16 +348,16 @@
         assertFalse(server.running());
     }
 
-    /** Else it is lost where something else is reported right when the time has come. */
+    /** Guards against a lost wake-up if another call is made exactly at the wake-up time. */
     @Test
-    public void whoeverAsksToBeWokenIsToldByAnyCallThatComesThen() {
+    public void wakeUpEventIsAddedByAnyCallAtTheWakeUpTime() {
         script.add(List.of(new Command.ScheduleWakeUp(50)));
         assertEquals(coordinator.submit(1, query("s", null, 1)).nextTickAtMs(), 51.0);
-        seen.clear();
+        eventBatches.clear();
         coordinator.observe(50, List.of());
-        assertFalse(seen.get(0).contains(new Event.WakeUp()));
+        assertFalse(eventBatches.get(0).contains(new Event.WakeUp()));
         coordinator.observe(51, List.of());
-        assertEquals(seen.get(1), List.of(new Event.WakeUp()));
+        assertEquals(eventBatches.get(1), List.of(new Event.WakeUp()));
         assertTrue(coordinator.observe(52, List.of()).nextTickAtMs() > 51);
     }
 }
--- a/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
+++ b/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
@@ -8,9 +8,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings that lack or contradict what is needed to serve by them. */
+/** Tests the validation of settings with missing, invalid or contradictory fields. */
 public class DeploymentSettingsValidatorTest {
-    private static final String SOUND =
+    private static final String VALID_SETTINGS =
             "{'classes':[{'name':'q','semantics':'retryable','aimMs':100,'giveUpMs':300},"
                     + "{'name':'k','semantics':'dedup','aimMs':100,'giveUpMs':300,'windowMs':700,'worth':2}],"
                     + "'tenants':[{'name':'one','allowancePerS':9.5}],"
@@ -19,21 +19,21 @@
                     + "'safety':{'coldFrom':0.2,'coldMs':9000.0},'quantumMs':5.0,'balancers':3}";
 
     private static JsonNode settings(String from, String to) throws Exception {
-        if (!SOUND.contains(from)) {
+        if (!VALID_SETTINGS.contains(from)) {
             throw new IllegalArgumentException(from);
         }
         return new ObjectMapper()
                 .readTree(
-                        SOUND.replaceFirst(
+                        VALID_SETTINGS.replaceFirst(
                                         java.util.regex.Pattern.quote(from),
                                         java.util.regex.Matcher.quoteReplacement(to))
                                 .replace('\'', '"'));
     }
 
     @DataProvider
-    Object[][] unusable() {
+    Object[][] invalidSettings() {
         return new Object[][] {
-            // What stands there, what comes in its place, the place named, and what was expected.
+            // Replaced text, replacement, path in the message, expected value in the message.
             {"'classes'", "'other'", "classes is missing", "a list with at least one table type"},
             {"'name':'q'", "'name':''", "classes[0].name is \"\"", "a name"},
             {
@@ -97,20 +97,20 @@
         };
     }
 
-    @Test(dataProvider = "unusable")
-    public void whatCantBeServedByIsOneErrorThatNamesTheField(
-            String from, String to, String place, String expected) throws Exception {
+    @Test(dataProvider = "invalidSettings")
+    public void invalidFieldThrowsExceptionThatNamesIt(
+            String from, String to, String path, String expected) throws Exception {
         JsonNode settings = settings(from, to);
         String message =
                 expectThrows(
                                 InvalidSettingsException.class,
                                 () -> DeploymentSettings.checked(settings))
                         .getMessage();
-        assertEquals(message, "settings." + place + ", expected " + expected);
+        assertEquals(message, "settings." + path + ", expected " + expected);
     }
 
     @DataProvider
-    Object[][] usable() {
+    Object[][] validSettings() {
         return new Object[][] {
             {"'q'", "'q'"},
             {"'tenants'", "'others'"},
@@ -121,8 +121,8 @@
         };
     }
 
-    @Test(dataProvider = "usable")
-    public void whatHasASoundDefaultMayBeAbsent(String from, String to) throws Exception {
+    @Test(dataProvider = "validSettings")
+    public void fieldWithDefaultMayBeAbsent(String from, String to) throws Exception {
         assertEquals(
                 DeploymentSettings.checked(settings(from, to)).deployment().queryClasses().size(),
                 2);
