--- a/core/src/main/java/sprucehold/coordinator/Answer.java
+++ b/core/src/main/java/sprucehold/coordinator/Answer.java
@@ -13,7 +13,8 @@
     record Completed(boolean complete, List<Value> values) implements Answer {}
 
     /**
-     * The query has had no effect, and the client can safely send it again.
+     * The query was rejected. The client can safely send it again, because none of its parts can
+     * have run or its query class allows parts to run again.
      *
      * @param retryAfterMs delay after which the client should send the query again, in
      *     milliseconds; 0 for no advice
--- a/core/src/main/java/sprucehold/coordinator/Attempt.java
+++ b/core/src/main/java/sprucehold/coordinator/Attempt.java
@@ -9,8 +9,8 @@
 import sprucehold.decision.Reason;
 
 /**
- * One request of a part to a shard server. Times are in milliseconds on the clock whose readings
- * are passed to the {@link QueryCoordinator}. Not thread-safe.
+ * One request that sends a part to a shard server. Times are in milliseconds on the clock whose
+ * readings are passed to the {@link QueryCoordinator}. Not thread-safe.
  */
 public final class Attempt {
     private final OpenPart part;
--- a/core/src/main/java/sprucehold/coordinator/CommandBuffer.java
+++ b/core/src/main/java/sprucehold/coordinator/CommandBuffer.java
@@ -7,8 +7,8 @@
 
 /** Collects the commands for the network code until the current call of the coordinator returns. */
 final class CommandBuffer {
-    private List<Attempt> cancel = new ArrayList<>();
-    private List<Attempt> send = new ArrayList<>();
+    private List<Attempt> attemptsToCancel = new ArrayList<>();
+    private List<Attempt> attemptsToSend = new ArrayList<>();
     private List<Commands.Reply> replies = new ArrayList<>();
     private List<ShardServer> healthChecks = new ArrayList<>();
     private List<String> logMessages = new ArrayList<>();
@@ -22,7 +22,7 @@
     private final List<Command.ConsumeAllowance> consumedByNextAttempt = new ArrayList<>();
 
     void send(Attempt attempt) {
-        send.add(attempt);
+        attemptsToSend.add(attempt);
     }
 
     /**
@@ -30,17 +30,17 @@
      * does not contain the attempt.
      */
     boolean removeUnsent(Attempt attempt) {
-        return send.remove(attempt);
+        return attemptsToSend.remove(attempt);
     }
 
     /** Returns a copy of the list of attempts to send. */
     List<Attempt> unsent() {
-        return List.copyOf(send);
+        return List.copyOf(attemptsToSend);
     }
 
     void cancel(Attempt attempt) {
-        if (!cancel.contains(attempt)) {
-            cancel.add(attempt);
+        if (!attemptsToCancel.contains(attempt)) {
+            attemptsToCancel.add(attempt);
         }
     }
 
@@ -80,16 +80,16 @@
     Commands takeAll(double nextTickAtMs) {
         var commands =
                 new Commands(
-                        cancel,
-                        send,
+                        attemptsToCancel,
+                        attemptsToSend,
                         replies,
                         healthChecks,
                         consumed,
                         subscribe,
                         logMessages,
                         nextTickAtMs);
-        cancel = new ArrayList<>();
-        send = new ArrayList<>();
+        attemptsToCancel = new ArrayList<>();
+        attemptsToSend = new ArrayList<>();
         replies = new ArrayList<>();
         healthChecks = new ArrayList<>();
         consumed = new ArrayList<>();
--- a/core/src/main/java/sprucehold/coordinator/EndpointDirectory.java
+++ b/core/src/main/java/sprucehold/coordinator/EndpointDirectory.java
@@ -11,7 +11,7 @@
 final class EndpointDirectory {
     private final Map<String, ShardServer> servers = new HashMap<>();
 
-    /** Returns the shard server with a name, or null if it is not listed. */
+    /** Returns the shard server with this name, or null if it is not listed. */
     ShardServer find(String name) {
         return servers.get(name);
     }
@@ -20,7 +20,11 @@
         return servers.size();
     }
 
-    /** Applies an endpoint update and returns the event for the policy. */
+    /**
+     * Applies an endpoint update and returns the event for the policy. A complete update marks all
+     * shard servers that it does not contain as gone and removes them. Shard servers that were
+     * already listed keep their objects.
+     */
     Event.EndpointsUpdated update(Observation.EndpointsUpdated update) {
         if (update.complete()) {
             servers.values().forEach(ShardServer::markGone);
@@ -31,17 +35,18 @@
         }
         var endpoints = new ArrayList<Endpoint>();
         for (EndpointUpdate endpoint : update.updates()) {
-            update(endpoint, previousServers.computeIfAbsent(endpoint.name(), ShardServer::new));
-            endpoints.add(endpoint(endpoint));
+            apply(endpoint, previousServers.computeIfAbsent(endpoint.name(), ShardServer::new));
+            endpoints.add(toEndpoint(endpoint));
         }
         return new Event.EndpointsUpdated(update.complete(), List.copyOf(endpoints));
     }
 
     /**
-     * Applies the update of one shard server. Names of servers that are gone are removed, because a
-     * restarted server may get a new name and never use the old one again.
+     * Applies the update of one shard server. A server that is gone is removed, because a restarted
+     * server may get a new name and never use the old one again, so the map would grow without
+     * limit otherwise.
      */
-    private void update(EndpointUpdate endpoint, ShardServer server) {
+    private void apply(EndpointUpdate endpoint, ShardServer server) {
         server.update(endpoint.address(), endpoint.state() == EndpointUpdate.State.RUNNING);
         if (endpoint.state() == EndpointUpdate.State.GONE) {
             servers.remove(endpoint.name());
@@ -50,7 +55,7 @@
         }
     }
 
-    private static Endpoint endpoint(EndpointUpdate update) {
+    private static Endpoint toEndpoint(EndpointUpdate update) {
         Endpoint.State state =
                 switch (update.state()) {
                     case RUNNING -> Endpoint.State.RUNNING;
--- a/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
+++ b/core/src/main/java/sprucehold/coordinator/EndpointUpdate.java
@@ -7,8 +7,9 @@
  * @param address host and port at which this gatherer reaches the shard server
  * @param replicaGroup replica group of the shard server, from 0
  * @param zone zone in which the shard server runs
- * @param startedAtMs Unix time of the last start of the shard server, in milliseconds; 0 if it
- *     started long ago
+ * @param startedAtMs time of the last start of the shard server, in milliseconds on the clock whose
+ *     readings are passed to the {@link QueryCoordinator}, which is Unix time in a gatherer; 0 if
+ *     the server started long ago
  * @param state whether parts may be sent to the shard server
  */
 public record EndpointUpdate(
--- a/core/src/main/java/sprucehold/coordinator/OpenPart.java
+++ b/core/src/main/java/sprucehold/coordinator/OpenPart.java
@@ -24,7 +24,7 @@
         this.query = query;
     }
 
-    /** Returns the id of the part of a query that queries a shard. */
+    /** Returns the id of the part that a query sends to a shard. */
     static String idOf(Query query, int shard) {
         return query.id() + "." + shard;
     }
--- a/core/src/main/java/sprucehold/coordinator/OpenQueries.java
+++ b/core/src/main/java/sprucehold/coordinator/OpenQueries.java
@@ -8,8 +8,8 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * Index of the queries without a final answer by id and by deadline, and of the parts that are open
- * or have a pending attempt by id.
+ * Index of the open queries by id and by deadline, and of their parts by id. A part of a closed
+ * query stays in the index while it has a pending attempt.
  */
 final class OpenQueries {
     private final Map<String, OpenQuery> queries = new HashMap<>();
@@ -27,12 +27,15 @@
         query.parts.forEach(part -> parts.put(part.id, part));
     }
 
-    /** Returns the open query with an id, or null. */
+    /** Returns the open query with this id, or null. */
     OpenQuery find(String queryId) {
         return queries.get(queryId);
     }
 
-    /** Returns the part with an id if it is open or has a pending attempt, otherwise null. */
+    /**
+     * Returns the part with this id if its query is open or it has a pending attempt, otherwise
+     * null.
+     */
     OpenPart findPart(String partId) {
         return parts.get(partId);
     }
@@ -49,11 +52,11 @@
     }
 
     /** Returns the number of open queries plus the number of their parts. */
-    int items() {
+    int queriesAndParts() {
         return queries.size() + openParts;
     }
 
-    /** Closes a query that was answered or whose client disconnected. */
+    /** Closes a query that got its final answer or whose client disconnected. */
     void close(OpenQuery query) {
         query.markClosed();
         queries.remove(query.query.id());
@@ -69,9 +72,9 @@
         }
     }
 
-    /** Restricts the query classes of all open queries after the query classes have changed. */
-    void restrictClassesBy(List<QueryClass> changed) {
-        queries.values().forEach(query -> query.restrictClassBy(changed));
+    /** Applies a change of the query classes to all open queries. */
+    void restrictClassesBy(List<QueryClass> changedClasses) {
+        queries.values().forEach(query -> query.restrictClassBy(changedClasses));
     }
 
     /** Removes and returns an open query whose deadline has passed, or null if there is none. */
--- a/core/src/main/java/sprucehold/coordinator/OpenQuery.java
+++ b/core/src/main/java/sprucehold/coordinator/OpenQuery.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import sprucehold.decision.QueryClass;
 
-/** Query without a final answer, and its parts. */
+/**
+ * Query that was submitted, and its parts. After the query is closed, it is kept until none of its
+ * attempts is pending.
+ */
 final class OpenQuery {
     final Query query;
     final double deadlineAtMs;
@@ -41,7 +44,7 @@
      * Restricts the query class after the query classes have changed, so that parts run again no
      * more often than either version allows.
      */
-    void restrictClassBy(List<QueryClass> changed) {
-        queryClass = queryClass.restrictedBy(changed);
+    void restrictClassBy(List<QueryClass> changedClasses) {
+        queryClass = queryClass.restrictedBy(changedClasses);
     }
 }
--- a/core/src/main/java/sprucehold/coordinator/Query.java
+++ b/core/src/main/java/sprucehold/coordinator/Query.java
@@ -10,8 +10,8 @@
  * @param queryClass name of the query class
  * @param tenant name of the tenant; a query of an unknown tenant is treated as a query without one
  * @param timeLeftMs remaining time that the client waits for the answer, in milliseconds
- * @param idempotencyKey key by which shard servers detect repeats of the same effect, if the client
- *     sent one
+ * @param idempotencyKey key by which shard servers recognize a part that would repeat an earlier
+ *     effect; empty if the client sent none
  * @param parts parts of the query, one for each shard queried
  * @param body body that is sent with each part
  */
--- a/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
@@ -29,8 +29,8 @@
  *       throws an exception.
  *   <li>The network code reports exactly one {@link Observation.AttemptEnded} for each {@link
  *       Attempt} that it was told to send. Later observations of the attempt are ignored.
- *   <li>An attempt to cancel also ends with an observation, which states how much of it was
- *       written.
+ *   <li>An attempt that the network code was told to cancel also ends with an observation, which
+ *       states how much of the attempt was written.
  *   <li>The network code calls {@link #tick} at {@link Commands#nextTickAtMs} or soon after. Each
  *       set of commands replaces the time of the previous one.
  * </ul>
@@ -98,21 +98,21 @@
     }
 
     /**
-     * Replaces the cluster view. The policy receives the change in its next call, before the other
-     * events that are added after this method was called.
+     * Replaces the cluster view. The next call of the policy receives the change, before any event
+     * that is added later.
      */
     public void changeClusterView(ClusterView clusterView) {
         events.add(new Event.ClusterViewChanged(clusterView));
     }
 
-    /** Returns whether a query with this id is open or has a pending attempt. */
+    /** Returns whether a query with the same id is open or has a pending attempt. */
     public boolean isOpen(Query query) {
         return openQueries.isOpen(query);
     }
 
     /** Returns the number of queries and parts that count towards the limit of open ones. */
     public int openItems() {
-        return openQueries.items();
+        return openQueries.queriesAndParts();
     }
 
     /** Returns the number of queries without a final answer. */
@@ -145,7 +145,7 @@
         advanceTo(nowMs);
         QueryClass queryClass = queryClasses.get(query.queryClass());
         // A change of the deployment may have removed the class since the query was read.
-        if (openQueries.items() >= maxOpenItems || queryClass == null) {
+        if (openQueries.queriesAndParts() >= maxOpenItems || queryClass == null) {
             commands.reply(new Commands.Reply(query, new Answer.Rejected(0), Reason.UNSTATED));
             return takeCommands();
         }
@@ -252,9 +252,9 @@
     }
 
     /**
-     * Adds the wake-up event in any call once the wake-up time is reached, not only in a tick. The
-     * wake-up time is cleared here, so no tick may ever be called for it. Without the event the
-     * wake-up would be lost.
+     * Adds the wake-up event once the wake-up time is reached. Every call does this, not only a
+     * tick: the wake-up time is cleared here, so the returned commands no longer request a tick for
+     * it, and without the event the wake-up would be lost.
      */
     private void addWakeUpIfDue() {
         if (wakeUpAtMs <= nowMs) {
--- a/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
@@ -188,7 +188,10 @@
         }
     }
 
-    /** Fails a query that is still open because the policy failed. */
+    /**
+     * Fails a query that the policy did not end, and cancels its attempts. The policy receives
+     * {@link Event.ClientDisconnected}, so that it closes the query as well.
+     */
     void fail(OpenQuery openQuery) {
         reply(openQuery, new Answer.Failed(), Reason.UNSTATED);
         openQuery.parts.forEach(part -> List.copyOf(part.attempts).forEach(this::cancel));
--- a/core/src/main/java/sprucehold/coordinator/ShardServer.java
+++ b/core/src/main/java/sprucehold/coordinator/ShardServer.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns whether new parts may be sent. False once discovery has reported the shard server as
-     * draining or gone.
+     * Returns whether new parts may be sent. False if discovery last reported the shard server as
+     * draining or gone, or left it out of a complete endpoint list.
      */
     public boolean running() {
         return running;
--- a/core/src/main/java/sprucehold/decision/AttemptOutcome.java
+++ b/core/src/main/java/sprucehold/decision/AttemptOutcome.java
@@ -12,14 +12,17 @@
     TIMED_OUT(3, "TIMED_OUT", false),
     /**
      * The request could not be written in full: no connection was established, or the connection
-     * ended first.
+     * ended before the last byte was written.
      */
     UNREACHABLE(4, "UNCONNECTED", true),
     /** The connection ended after the request was written in full. */
     RESET(5, "RESET", false),
     /** The attempt was cancelled after the request was written in full. */
     CANCELLED(6, "CANCELLED", false),
-    /** The attempt could not be made, or was cancelled before the request was written in full. */
+    /**
+     * The attempt could not be sent, for example because its shard server is no longer listed, or
+     * it was cancelled before the request was written in full.
+     */
     NEVER_SENT(7, "NEVER_SENT", true);
 
     private final int storedNumber;
--- a/core/src/main/java/sprucehold/decision/Command.java
+++ b/core/src/main/java/sprucehold/decision/Command.java
@@ -15,7 +15,8 @@
      * @param server name of the shard server
      * @param timeoutMs timeout of the attempt
      * @param reason reason for the attempt
-     * @param position position of the query in the replica order of each shard, from 0
+     * @param position position of the query, from 0: the index of the preferred replica in the list
+     *     of replicas of each shard, modulo the length of the list
      * @param skipped replicas that were preferred but skipped, with the cause
      */
     record SendAttempt(
@@ -41,7 +42,8 @@
     }
 
     /**
-     * Answers a query with the values of the parts completed so far.
+     * Answers a query with the values of the parts completed so far. If the query class has a
+     * second step, the answer of the first step starts the second step and does not end the query.
      *
      * @param queryId id of the query
      * @param complete whether the answer is complete
@@ -55,7 +57,8 @@
     }
 
     /**
-     * Rejects a query that has had no effect. The client can safely send it again.
+     * Rejects a query. The client can safely send it again, because none of its parts can have run
+     * or its query class allows parts to run again.
      *
      * @param queryId id of the query
      * @param retryAfterMs delay after which the client should send the query again; 0 for no advice
--- a/core/src/main/java/sprucehold/decision/Deployment.java
+++ b/core/src/main/java/sprucehold/decision/Deployment.java
@@ -60,26 +60,28 @@
             double maxRetryAfterMs) {}
 
     /**
-     * Capacity of a shard server that is warming up. The server fails when the work sent to it
-     * within {@code windowMs} reaches {@code overloadFactor} times its capacity in that time.
+     * Capacity of a shard server that is warming up. The server fails if the work sent to it within
+     * {@code windowMs} exceeds {@code overloadFactor} times the work that it can do in that time at
+     * the speed it has reached.
      *
      * @param startShare fraction of the full speed at which the server starts, 0 to 1
      * @param warmAfterMs time from the start of the server until full speed, in milliseconds
-     * @param overloadFactor multiple of the capacity in a window at which the server fails
+     * @param overloadFactor multiple of the capacity in a window above which the server fails
      * @param windowMs length of the window, in milliseconds
      */
     public record SlowStartRule(
             double startShare, double warmAfterMs, double overloadFactor, double windowMs) {}
 
     /**
-     * Maximum number of attempts beyond the first of each part in any window.
+     * Limit on retries and hedged requests: the maximum number of attempts beyond the first of each
+     * part within any window.
      *
      * @param fixed number of attempts that are always allowed
      * @param perRequest additional attempts for each query and each part received in the window
      * @param windowMs length of the window, in milliseconds
      */
     public record RetryBudget(double fixed, double perRequest, double windowMs) {
-        /** Unlimited budget, for deployments that state none. */
+        /** Unlimited budget, for deployments without a retry budget. */
         public static final RetryBudget NONE = new RetryBudget(Double.POSITIVE_INFINITY, 0, 0);
     }
 
--- a/core/src/main/java/sprucehold/decision/Endpoint.java
+++ b/core/src/main/java/sprucehold/decision/Endpoint.java
@@ -16,7 +16,7 @@
 
     /** Whether parts may be sent to a shard server. */
     public enum State implements StoredEnum {
-        /** The shard server accepts queries. */
+        /** The shard server accepts parts. */
         RUNNING(0, "RUNNING"),
         /** The shard server completes its pending parts and must receive no new ones. */
         DRAINING(1, "DRAINING"),
--- a/core/src/main/java/sprucehold/decision/Event.java
+++ b/core/src/main/java/sprucehold/decision/Event.java
@@ -44,7 +44,10 @@
             LoadReport load)
             implements Event {}
 
-    /** The client has disconnected, so its query is closed. */
+    /**
+     * The client has disconnected, so its query is closed. The coordinator also adds this event for
+     * a query that it failed itself, so that the policy closes the query.
+     */
     record ClientDisconnected(String queryId) implements Event {}
 
     /**
@@ -81,6 +84,9 @@
     /** The cluster view changed. This event precedes all other events of the same call. */
     record ClusterViewChanged(ClusterView view) implements Event {}
 
-    /** The time requested by a {@link Command.ScheduleWakeUp} is reached. */
+    /**
+     * The time requested by a {@link Command.ScheduleWakeUp} is reached, or the coordinator was
+     * called because a timeout or a deadline expired.
+     */
     record WakeUp() implements Event {}
 }
--- a/core/src/main/java/sprucehold/decision/QueryClass.java
+++ b/core/src/main/java/sprucehold/decision/QueryClass.java
@@ -15,8 +15,8 @@
  *     attempt during which shard servers drop repeats, in milliseconds
  * @param completeCoverage share of the parts' weight from which an answer is complete, 0 to 1
  * @param minimumCoverage share of the parts' weight below which no answer may be returned, 0 to 1
- * @param secondStepParts number of parts of the second step, determined by the answer of the first
- *     step; 0 if there is only one step
+ * @param secondStepParts number of parts of the second step; 0 if there is only one step. The
+ *     answer of the first step determines which parts these are
  */
 public record QueryClass(
         String name,
@@ -63,45 +63,45 @@
     }
 
     /**
-     * Returns this class, after a change of the query classes, for a query received before the
-     * change. All values stay, except that parts may run again no more often than either version
-     * allows. Parts of the query don't become repeatable when the class becomes idempotent, and
-     * repeats stop at once when the class becomes non-idempotent. The deduplication window never
-     * becomes longer, so a longer one does not apply to attempts already made.
+     * Returns the query class of a query that was received before the query classes changed. It
+     * equals this class, except that parts may run again no more often than either version allows.
+     * Parts of the query don't become repeatable when the class becomes idempotent, and repeats
+     * stop at once when the class becomes non-idempotent. The deduplication window never becomes
+     * longer, so a longer one does not apply to attempts already made.
      *
-     * @param changed the query classes after the change
+     * @param changedClasses the query classes after the change
      */
-    public QueryClass restrictedBy(List<QueryClass> changed) {
-        for (QueryClass now : changed) {
-            if (now.name.equals(name) && !now.equals(this)) {
-                return restrictedBy(now);
+    public QueryClass restrictedBy(List<QueryClass> changedClasses) {
+        for (QueryClass changed : changedClasses) {
+            if (changed.name.equals(name) && !changed.equals(this)) {
+                return restrictedBy(changed);
             }
         }
         return this;
     }
 
-    private QueryClass restrictedBy(QueryClass now) {
+    private QueryClass restrictedBy(QueryClass changed) {
         Idempotence stricter =
-                now.idempotence.isStricterThan(idempotence) ? now.idempotence : idempotence;
+                changed.idempotence.isStricterThan(idempotence) ? changed.idempotence : idempotence;
         return new QueryClass(
                 name,
                 stricter,
                 latencyObjectiveMs,
                 priorityWeight,
                 lateWeight,
-                shorterDeduplicationWindowMs(now),
+                shorterDeduplicationWindowMs(changed),
                 completeCoverage,
                 minimumCoverage,
                 secondStepParts);
     }
 
-    private double shorterDeduplicationWindowMs(QueryClass now) {
-        if (now.idempotence != Idempotence.DEDUPLICATED) {
+    private double shorterDeduplicationWindowMs(QueryClass changed) {
+        if (changed.idempotence != Idempotence.DEDUPLICATED) {
             return deduplicationWindowMs;
         }
         if (idempotence != Idempotence.DEDUPLICATED) {
-            return now.deduplicationWindowMs;
+            return changed.deduplicationWindowMs;
         }
-        return Math.min(deduplicationWindowMs, now.deduplicationWindowMs);
+        return Math.min(deduplicationWindowMs, changed.deduplicationWindowMs);
     }
 }
--- a/core/src/main/java/sprucehold/decision/Reason.java
+++ b/core/src/main/java/sprucehold/decision/Reason.java
@@ -13,11 +13,14 @@
     /** All unsent parts are sent because the previous round completed none. */
     ROUND_AFTER_EMPTY(
             3, "EMPTY_ROUND", "all unsent parts go, as the round before completed nothing"),
-    /** The first attempt of a part for which no replica was available when its round began. */
+    /** A part is first sent now because no replica was available when its round began. */
     REPLICA_AVAILABLE(4, "WAITED", "it had waited for an available replica"),
-    /** The previous attempt may have run, and the query class allows the part to run again. */
+    /**
+     * A part is sent again after an attempt that may have run, because the query class allows the
+     * part to run again.
+     */
     RETRY(5, "FURTHER_TRY", "a retry after a failure"),
-    /** The previous attempt provably never ran. */
+    /** A part is sent again because its earlier attempts provably never ran. */
     RETRY_NOT_RUN(6, "NEVER_RAN", "a retry, as the attempt before never ran"),
     /** A second attempt is sent while the first one is pending and late. */
     HEDGE(7, "SECOND_COPY", "a hedged request, as the pending attempt is late"),
@@ -41,7 +44,10 @@
     LOWEST_PRIORITY(
             12, "LEAST_BENEFIT", "nearly all that may be open is, and its priority is the lowest"),
 
-    /** A query ends with the coverage of a complete answer. */
+    /**
+     * A query has reached the coverage of a complete answer. The query ends, unless a second step
+     * follows.
+     */
     COMPLETE(13, "WHOLE", "all that it needs is completed"),
     /** A query ends at its latency objective with at least its minimum coverage. */
     LATENCY_OBJECTIVE(
@@ -53,7 +59,10 @@
     /** A query ends because it can no longer reach its minimum coverage. */
     BELOW_MINIMUM_COVERAGE(
             17, "UNDER_LEAST", "what is completed and may still be is under the minimum coverage"),
-    /** A query ends because the connection was reset for each part that was sent. */
+    /**
+     * A query ends because a connection was reset, none of its parts completed and no attempt is
+     * pending.
+     */
     ALL_CONNECTIONS_RESET(18, "ALL_BROKEN", "all its parts reset their connections"),
     /** A query ends because its client has disconnected. */
     CLIENT_DISCONNECTED(19, "CLIENT_LEFT", "its client has disconnected"),
--- a/core/src/main/java/sprucehold/decision/SharedLimit.java
+++ b/core/src/main/java/sprucehold/decision/SharedLimit.java
@@ -1,7 +1,8 @@
 package sprucehold.decision;
 
 /**
- * Limit on the total of all gatherers. Each gatherer may be granted allowances of it.
+ * Limit on the total that all gatherers consume. Each gatherer may be granted an allowance, the
+ * number of units that it may consume itself.
  *
  * @param kind kind of the limit
  * @param subject name of the shard server or tenant; empty if the limit applies to the whole fleet
@@ -10,9 +11,9 @@
     /** Limit of retries and hedged requests of the whole fleet. */
     public static final SharedLimit RETRIES = new SharedLimit(Kind.RETRIES, "");
 
-    /** Kind of a limit and its unit. */
+    /** Kind of a shared limit. The description of each kind states the unit. */
     public enum Kind implements StoredEnum {
-        /** Work sent to a shard server that is warming up, in milliseconds on one core. */
+        /** Work sent to a shard server that is warming up; a unit is 1 ms of work on one core. */
         SLOW_START(0, "COLD"),
         /** Attempts beyond the first of each part, one unit each. */
         RETRIES(1, "FURTHER"),
--- a/core/src/main/java/sprucehold/decision/SkippedReplica.java
+++ b/core/src/main/java/sprucehold/decision/SkippedReplica.java
@@ -21,7 +21,8 @@
         /** The replica is warming up and its slow-start budget is spent. */
         AT_SLOW_START_BUDGET(4, "COLD_BUDGET", "warming up and at its slow-start budget"),
         /**
-         * The replica failed recently or its zone is late, while another replica is not suspect.
+         * The replica failed recently, most attempts in its zone are late, or other gatherers
+         * observed that it failed. Such a replica is used only if no other one is better.
          */
         SUSPECT(5, "SUSPECT", "suspect: it failed lately, or its zone is late");
 
--- a/core/src/main/java/sprucehold/decision/StoredEnum.java
+++ b/core/src/main/java/sprucehold/decision/StoredEnum.java
@@ -15,7 +15,7 @@
     /** Returns the name used in JSON, settings and logs, in upper case with underscores. */
     String storedName();
 
-    /** Returns the constant with a stored name, or empty if this version has none. */
+    /** Returns the constant with this stored name, or empty if this version has none. */
     static <E extends Enum<E> & StoredEnum> Optional<E> ofName(Class<E> type, String name) {
         return Arrays.stream(type.getEnumConstants())
                 .filter(constant -> constant.storedName().equals(name))
--- a/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettingsValidator.java
@@ -44,7 +44,7 @@
 
     private static void checkQueryClasses(JsonNode classes) throws InvalidSettingsException {
         if (!classes.isArray() || classes.isEmpty()) {
-            throw invalid("classes", classes, "a list with at least one table type");
+            throw invalid("classes", classes, "a list with at least one query class");
         }
         Set<String> names = new HashSet<>();
         for (int i = 0; i < classes.size(); i++) {
@@ -120,9 +120,9 @@
         void requireUniqueName(Set<String> names) throws InvalidSettingsException {
             JsonNode name = value("name");
             if (!name.isTextual() || name.asText().isEmpty()) {
-                throw invalid(pathOf("name"), name, "a name");
+                throw invalid(pathOf("name"), name, "a non-empty string");
             } else if (!names.add(name.asText())) {
-                throw invalid(pathOf("name"), name, "another name than those before it");
+                throw invalid(pathOf("name"), name, "a name that no earlier entry has");
             }
         }
 
@@ -165,7 +165,7 @@
                 throw invalid(
                         pathOf(key),
                         shares,
-                        "a share for each of " + queryClasses + " table types");
+                        "a list with one share for each of the " + queryClasses + " query classes");
             }
             for (int i = 0; i < queryClasses; i++) {
                 double share = numberOrNaN(shares.get(i));
--- a/core/src/main/java/sprucehold/storage/StoredJson.java
+++ b/core/src/main/java/sprucehold/storage/StoredJson.java
@@ -167,14 +167,14 @@
 
     private StoredJson() {}
 
-    /** Returns a builder of mappers that read and write these names. */
+    /** Returns a builder of mappers that read and write the JSON form described by this class. */
     public static JsonMapper.Builder mapperBuilder() {
-        var limits = new SimpleModule();
-        limits.addKeySerializer(SharedLimit.class, new SharedLimitKey());
+        var sharedLimitModule = new SimpleModule();
+        sharedLimitModule.addKeySerializer(SharedLimit.class, new SharedLimitKey());
         return JsonMapper.builder()
                 .propertyNamingStrategy(new StoredKeys())
                 .annotationIntrospector(new StoredConstants())
-                .addModule(limits);
+                .addModule(sharedLimitModule);
     }
 
     /** Returns the kind of an event or a command in JSON lines. */
--- a/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -26,16 +26,16 @@
     private final List<List<Event>> eventBatches = new ArrayList<>();
     private QueryCoordinator coordinator;
 
-    private static Query query(String id, String tenant, int parts) {
-        var list = new ArrayList<Query.Part>();
-        for (int shard = 0; shard < parts; shard++) {
-            list.add(new Query.Part(shard, 1.0 / parts));
+    private static Query query(String id, String tenant, int partCount) {
+        var parts = new ArrayList<Query.Part>();
+        for (int shard = 0; shard < partCount; shard++) {
+            parts.add(new Query.Part(shard, 1.0 / partCount));
         }
-        return new Query(id, "q", tenant, 500, list, Payload.ofText("text"));
+        return new Query(id, "q", tenant, 500, parts, Payload.ofText("text"));
     }
 
     @BeforeMethod
-    public void start() {
+    public void createCoordinator() {
         script.clear();
         eventBatches.clear();
         var queryClass =
@@ -80,8 +80,8 @@
 
     private static final Command THROW = new Command.LogMessage("throw");
 
-    private static Command send(String part) {
-        return new Command.SendAttempt(part, "a", 400);
+    private static Command send(String partId) {
+        return new Command.SendAttempt(partId, "a", 400);
     }
 
     private Attempt submitAndSend(String id) {
--- a/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
+++ b/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
@@ -34,13 +34,13 @@
     Object[][] invalidSettings() {
         return new Object[][] {
             // Replaced text, replacement, path in the message, expected value in the message.
-            {"'classes'", "'other'", "classes is missing", "a list with at least one table type"},
-            {"'name':'q'", "'name':''", "classes[0].name is \"\"", "a name"},
+            {"'classes'", "'other'", "classes is missing", "a list with at least one query class"},
+            {"'name':'q'", "'name':''", "classes[0].name is \"\"", "a non-empty string"},
             {
                 "'name':'k'",
                 "'name':'q'",
                 "classes[1].name is \"q\"",
-                "another name than those before it"
+                "a name that no earlier entry has"
             },
             {
                 "'semantics':'retryable'",
@@ -71,7 +71,7 @@
                 "[0.75,1.0]",
                 "[0.75]",
                 "familyInfo.completeFrom is [0.75]",
-                "a share for each of 2 table types"
+                "a list with one share for each of the 2 query classes"
             },
             {"[0.5,1]", "[0.5,1.5]", "familyInfo.leastShare[1] is 1.5", "a share from 0 to 1"},
             {
