--- a/gatherer/src/main/java/sprucehold/command/Check.java
+++ b/gatherer/src/main/java/sprucehold/command/Check.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Reads a gatherer's configuration and prints what it understood ({@code check}). */
+/** Reads a gatherer's configuration and prints a summary of it ({@code check}). */
 @Command(
         name = "check",
         description = "Reads a gatherer's configuration, and says what it understood.",
--- a/gatherer/src/main/java/sprucehold/command/Clustering.java
+++ b/gatherer/src/main/java/sprucehold/command/Clustering.java
@@ -8,16 +8,17 @@
 import sprucehold.node.StartFailedException;
 
 /**
- * Coordination with other gatherers as an extension; its classes are loaded only where an operator
- * has switched it on.
+ * Creates the extension that coordinates a gatherer with other gatherers; its classes are loaded
+ * only if the operator has enabled it.
  */
 final class Clustering {
     private Clustering() {}
 
     /**
-     * Reads the cluster's configuration and returns what makes a member of it.
+     * Reads the cluster's configuration and returns a factory of cluster members.
      *
-     * @throws IOException with all that is wrong with the file, in one line
+     * @throws IOException if the file can't be read or is invalid; the message lists all errors in
+     *     one line
      */
     static NodeExtension.Factory read(Path file) throws IOException {
         ClusterConfig cluster = ClusterConfig.read(file);
--- a/gatherer/src/main/java/sprucehold/command/Main.java
+++ b/gatherer/src/main/java/sprucehold/command/Main.java
@@ -7,7 +7,7 @@
 import sprucehold.node.ServiceLogManager;
 import sprucehold.node.StartFailedException;
 
-/** The command line of a gatherer: the commands that its lean jar holds. */
+/** Command line of a gatherer, with the commands that are part of its small jar. */
 @Command(
         name = "sprucehold",
         description = "The root node (gatherer) of a sharded search service.",
@@ -25,27 +25,31 @@
 public final class Main {
     private Main() {}
 
-    /** Runs a command; the process exits with its code unless it serves on. */
+    /**
+     * Runs a command. The process exits with the command's exit code, unless the command keeps
+     * serving.
+     */
     public static void main(String[] args) {
         prepareLog();
         int exit =
-                args.length == 1 && args[0].equals("serve") && Serve.byEnvironmentAlone()
+                args.length == 1 && args[0].equals("serve") && Serve.configuredByEnvironmentOnly()
                         ? serve()
                         : commandLine().execute(args);
-        // A command that serves has returned, and its event loop keeps the process.
+        // A command that serves returns at once; the thread of its event loop keeps the process
+        // alive.
         if (exit != CommandLine.ExitCode.OK) {
             System.exit(exit);
         }
     }
 
     /**
-     * Serves as the environment says, without picocli: its classes are compiled for a JVM so old
-     * that no archive of loaded classes takes them in, and loading and verifying them would delay
-     * each start.
+     * Serves with the configuration from environment variables, without picocli. The class files of
+     * picocli target a JVM so old that a class data archive can't contain them, so loading and
+     * verifying them would delay each start.
      */
     private static int serve() {
         try {
-            return Serve.ofEnvironment().call();
+            return Serve.fromEnvironment().call();
         } catch (IOException | StartFailedException e) {
             return failed(e);
         }
@@ -60,7 +64,7 @@
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    /** Sets the log's form; to be called before the first logger is made. */
+    /** Sets the log's manager and format; to be called before the first logger is created. */
     public static void prepareLog() {
         System.setProperty("java.util.logging.manager", ServiceLogManager.class.getName());
         System.setProperty(
@@ -72,8 +76,8 @@
     }
 
     /**
-     * Has a command line report an error as one line on standard error and by the exit code: 2 for
-     * bad usage, else 1.
+     * Makes a command line report an error as one line on standard error and by the exit code: 2
+     * for invalid usage, 1 for all other errors.
      */
     public static CommandLine strict(CommandLine line) {
         line.setParameterExceptionHandler(
--- a/gatherer/src/main/java/sprucehold/command/NodeOptions.java
+++ b/gatherer/src/main/java/sprucehold/command/NodeOptions.java
@@ -6,7 +6,8 @@
 import sprucehold.node.NodeConfig;
 
 /**
- * Which configuration a gatherer reads, and what wins over it; by option or from the environment.
+ * Options that select a gatherer's configuration file and override settings in it. Each can be set
+ * on the command line or as an environment variable.
  */
 final class NodeOptions {
     private static final String CONFIG_VARIABLE = "EDGE_CONFIG";
@@ -43,8 +44,11 @@
             description = "wins over the file's")
     private String discovery;
 
-    /** As the options' own defaults have it, without the library that reads options. */
-    static NodeOptions ofEnvironment() {
+    /**
+     * Returns the options with their defaults from the environment, without loading the library
+     * that parses options.
+     */
+    static NodeOptions fromEnvironment() {
         var options = new NodeOptions();
         options.config = Path.of(System.getenv(CONFIG_VARIABLE));
         options.name = System.getenv(NAME_VARIABLE);
@@ -53,9 +57,9 @@
         return options;
     }
 
-    /** Whether the environment names a configuration. */
-    static boolean inEnvironment() {
-        return Serve.given(CONFIG_VARIABLE);
+    /** Whether the environment contains the path of a configuration. */
+    static boolean isConfigInEnvironment() {
+        return Serve.isSet(CONFIG_VARIABLE);
     }
 
     /** Reads the configuration. */
@@ -63,7 +67,10 @@
         return NodeConfig.read(config, name, listen, discovery);
     }
 
-    /** What the file says by now; discovery's address is the file's alone, since it may move. */
+    /**
+     * Reads the configuration file again. Discovery's address is taken from the file even if an
+     * option overrides it, since the address may have changed.
+     */
     NodeConfig reload() throws IOException {
         return NodeConfig.read(config, name, listen, null);
     }
--- a/gatherer/src/main/java/sprucehold/command/Recording.java
+++ b/gatherer/src/main/java/sprucehold/command/Recording.java
@@ -10,34 +10,35 @@
 import sprucehold.trace.record.RecordingSettings;
 
 /**
- * Records every call of a decision policy in trace files; its classes are loaded only where an
- * operator has switched it on.
+ * Records every call of a decision policy in trace files; its classes are loaded only if the
+ * operator has enabled it.
  */
 final class Recording {
-    private final RecordingSettings plan;
+    private final RecordingSettings settings;
     private final String gatherer;
     private Recorder recorder;
 
-    private Recording(RecordingSettings plan, String gatherer) {
-        this.plan = plan;
+    private Recording(RecordingSettings settings, String gatherer) {
+        this.settings = settings;
         this.gatherer = gatherer;
     }
 
     /**
-     * Reads what is to be recorded, and where.
+     * Reads the settings of a recording from a file.
      *
-     * @throws IOException with all that is wrong with the file, in one line
+     * @throws IOException if the file can't be read or is invalid; the message lists all errors in
+     *     one line
      */
     static Recording read(Path file, String gatherer) throws IOException {
         return new Recording(RecordingSettings.read(file), gatherer);
     }
 
-    /** Starts policies whose every call is recorded. */
-    DecisionPolicy.Factory of(DecisionPolicy.Factory factory) {
+    /** Returns a factory of policies whose every call is recorded. */
+    DecisionPolicy.Factory wrap(DecisionPolicy.Factory factory) {
         return (seed, deployment) -> {
             recorder =
                     new Recorder(
-                            plan,
+                            settings,
                             new Source(
                                     gatherer,
                                     Version.text(),
@@ -49,7 +50,7 @@
         };
     }
 
-    /** Closes the last file. */
+    /** Closes the last trace file, if a policy was started. */
     void end() {
         if (recorder != null) {
             recorder.close();
--- a/gatherer/src/main/java/sprucehold/command/RunSmokeTest.java
+++ b/gatherer/src/main/java/sprucehold/command/RunSmokeTest.java
@@ -8,7 +8,10 @@
 import sprucehold.node.StartFailedException;
 import sprucehold.policy.QueryScheduler;
 
-/** Tries a gatherer among stubs ({@code rehearse}); exit 1 unless all queries are completed. */
+/**
+ * Runs the smoke test of a gatherer with stubs ({@code rehearse}); exits with 1 unless all queries
+ * are completed.
+ */
 @Command(
         name = "rehearse",
         description =
--- a/gatherer/src/main/java/sprucehold/command/Serve.java
+++ b/gatherer/src/main/java/sprucehold/command/Serve.java
@@ -25,7 +25,7 @@
     private static final String RECORDING_VARIABLE = "SPRUCEHOLD_RECORDING";
     private static final String QUERY_LOG_VARIABLE = "SPRUCEHOLD_LOG_SCANS";
 
-    /** How lines of the log look; named as they are written on the command line. */
+    /** Format of the log lines; the constants are named like the values on the command line. */
     enum LogForm {
         text,
         json
@@ -74,23 +74,27 @@
                             + "$SPRUCEHOLD_LOG_SCANS, or not)")
     private boolean logQueries;
 
-    /** Whether the environment names a configuration and no option that picocli has to read. */
-    static boolean byEnvironmentAlone() {
-        return NodeOptions.inEnvironment()
-                && !given(RECORDING_VARIABLE)
-                && !given(QUERY_LOG_VARIABLE);
+    /**
+     * Whether the environment sets a configuration file and no option that only picocli can parse.
+     */
+    static boolean configuredByEnvironmentOnly() {
+        return NodeOptions.isConfigInEnvironment()
+                && !isSet(RECORDING_VARIABLE)
+                && !isSet(QUERY_LOG_VARIABLE);
     }
 
-    /** Whether a variable of the environment is set and not empty. */
-    static boolean given(String variable) {
+    /** Whether an environment variable is set and not empty. */
+    static boolean isSet(String variable) {
         return System.getenv(variable) != null && !System.getenv(variable).isEmpty();
     }
 
-    /** As the options' own defaults have it. */
-    static Serve ofEnvironment() {
+    /**
+     * Returns the command with the defaults of its options and the settings from the environment.
+     */
+    static Serve fromEnvironment() {
         var serve = new Serve();
         serve.logForm = LogForm.text;
-        serve.node = NodeOptions.ofEnvironment();
+        serve.node = NodeOptions.fromEnvironment();
         return serve;
     }
 
@@ -110,7 +114,12 @@
             start(config, QueryScheduler::new, adminConfig, extensions, () -> {});
         } else {
             Recording recorder = Recording.read(recording, config.name());
-            start(config, recorder.of(QueryScheduler::new), adminConfig, extensions, recorder::end);
+            start(
+                    config,
+                    recorder.wrap(QueryScheduler::new),
+                    adminConfig,
+                    extensions,
+                    recorder::end);
         }
         return CommandLine.ExitCode.OK;
     }
--- a/gatherer/src/main/java/sprucehold/command/ServeStubs.java
+++ b/gatherer/src/main/java/sprucehold/command/ServeStubs.java
@@ -7,7 +7,7 @@
 import sprucehold.node.Service;
 import sprucehold.node.StartFailedException;
 
-/** Serves stubs of discovery and the shard servers of a configuration ({@code stand-in}). */
+/** Serves stubs of discovery and of the shard servers in a configuration ({@code stand-in}). */
 @Command(
         name = "stand-in",
         description =
--- a/gatherer/src/main/java/sprucehold/command/package-info.java
+++ b/gatherer/src/main/java/sprucehold/command/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The command line of a gatherer, one class a command; the entry point is {@link
- * sprucehold.command.Main}. Names of commands and options are those that operators and deploy files
- * use. Only wiring: what a command does is in the packages below.
+ * Command line of a gatherer, with one class for each command; the entry point is {@link
+ * sprucehold.command.Main}. Operators and deploy files depend on the names of commands and options.
+ * The classes only parse options and create objects; the work of the commands is done in other
+ * packages.
  */
 package sprucehold.command;
--- a/gatherer/src/main/java/sprucehold/node/Clock.java
+++ b/gatherer/src/main/java/sprucehold/node/Clock.java
@@ -1,9 +1,10 @@
 package sprucehold.node;
 
 /**
- * The clocks of this process, in milliseconds: Unix time that never goes back, read once from the
- * wall clock and then advanced by the monotonic clock; and both clocks that it comes from, for what
- * mustn't trust either alone. Fault injection shifts clocks here and nowhere else.
+ * Clocks of this process, in milliseconds. The main clock is Unix time that never goes back: it is
+ * read once from the wall clock and then advanced by the monotonic clock. The wall clock and the
+ * monotonic clock are available too, for code that must not rely on one of them alone. Fault
+ * injection changes clocks only in this class.
  */
 public final class Clock {
     /** Injected offset of the wall clock, in milliseconds. */
@@ -18,24 +19,27 @@
     private static final double WALL_CLOCK_JUMP_MS =
             Double.parseDouble(System.getProperty("sprucehold.clockJumpMs", "0"));
 
-    /** When the wall clock jumps, in milliseconds after the start. */
+    /** Time of the injected jump of the wall clock, in milliseconds after the start. */
     private static final double WALL_CLOCK_JUMP_AFTER_MS =
             Double.parseDouble(System.getProperty("sprucehold.clockJumpAfterMs", "0"));
 
     private final long startedNanos = System.nanoTime();
     private final double startedAtMs = wallMs();
 
-    /** Unix time as it was at the start, plus the time that the monotonic clock counted since. */
+    /**
+     * Returns the Unix time at the start plus the time that has passed since then on the monotonic
+     * clock.
+     */
     public double now() {
         return startedAtMs + monotonicMs();
     }
 
-    /** Milliseconds that the monotonic clock counted since the start. */
+    /** Returns the time since the start on the monotonic clock. */
     public double monotonicMs() {
         return (System.nanoTime() - startedNanos) / 1e6 * (1 + MONOTONIC_DRIFT);
     }
 
-    /** Unix time by the wall clock; it may jump. */
+    /** Returns the Unix time of the wall clock, which may jump. */
     public double wallMs() {
         return System.currentTimeMillis()
                 + WALL_CLOCK_OFFSET_MS
--- a/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
+++ b/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
@@ -14,9 +14,9 @@
 import sprucehold.shards.ShardServers;
 
 /**
- * Carries out what the decisions command: cancels and sends attempts, answers clients, probes shard
- * servers. Each command stands alone: one that fails must not lose an answer that is owed to a
- * client.
+ * Executes the commands of the decision policy: cancels and sends attempts, answers clients, checks
+ * the health of shard servers. A failed command doesn't stop the others, so that no client loses
+ * its answer because of it.
  */
 final class CommandExecutor {
     private static final Logger LOG = Logger.getLogger(CommandExecutor.class.getName());
@@ -32,10 +32,11 @@
     private boolean failed;
 
     /**
-     * Makes an executor over the network parts of one gatherer.
+     * Creates an executor that uses the network components of one gatherer.
      *
-     * @param admin counts answers for the health watch; null where configuration can't be changed
-     * @param observer takes the outcome of attempts that weren't permitted
+     * @param admin counts answers for the health watch; null if configuration changes aren't
+     *     enabled
+     * @param observer receives the outcome of attempts that weren't permitted
      */
     CommandExecutor(
             ShardServers shards,
@@ -52,7 +53,7 @@
         this.observer = observer;
     }
 
-    /** Carries out all commands; returns whether none of them failed. */
+    /** Executes all commands; returns whether none of them failed. */
     boolean execute(Commands commands) {
         failed = false;
         guarded(() -> shards.cancel(commands.cancel()));
@@ -67,7 +68,7 @@
         return !failed;
     }
 
-    /** Writes attempts that waited for their connection; returns whether that didn't fail. */
+    /** Writes attempts that waited for their connection; returns whether this succeeded. */
     boolean writeWaiting() {
         failed = false;
         guarded(shards::writeWaiting);
@@ -91,7 +92,7 @@
         clients.answer(reply.query(), reply.answer());
     }
 
-    /** Those attempts for which the shared limits allow it; the others are reported as unsent. */
+    /** Returns the attempts that the shared limits permit; reports the others as not written. */
     private List<Attempt> permitted(List<Attempt> attempts) {
         var permitted = new ArrayList<Attempt>();
         for (Attempt attempt : attempts) {
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -28,8 +28,9 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * The I/O of configuration changes: the journal on disk, the timer of the health watch, and the
- * admin server through which operators propose, confirm and roll back. Belongs to the event loop.
+ * I/O of configuration changes: the journal on disk, the timer of the health watch, and the admin
+ * server through which operators propose, confirm and roll back versions. Used on the event loop
+ * only.
  */
 final class ConfigurationAdmin {
     private static final Logger LOG = Logger.getLogger(ConfigurationAdmin.class.getName());
@@ -45,9 +46,9 @@
     private long windowTimer = -1;
 
     /**
-     * @param config what the process was started with
-     * @param journal where versions are written, or null if they are not to outlive the process
-     * @param apply puts a version in force between two decisions
+     * @param config the configuration that the process was started with
+     * @param journal stores versions across restarts; null if they aren't stored
+     * @param apply puts a version into effect between two decisions
      */
     ConfigurationAdmin(
             Vertx vertx,
@@ -72,7 +73,7 @@
     }
 
     /**
-     * Opens the journal that the settings name, or returns null if they name none.
+     * Opens the journal that is configured in the settings; returns null if none is.
      *
      * @throws IOException if it can't be opened
      */
@@ -87,7 +88,7 @@
         return journal;
     }
 
-    /** The configuration that the process was started with, as a document. */
+    /** Returns the configuration that the process was started with as a document. */
     private static ConfigurationDocument documentOf(NodeConfig config) {
         Deployment deployment = config.settings().deployment();
         List<QueryClass> queryClasses = deployment.queryClasses();
@@ -112,17 +113,17 @@
 
     private void write(JournalEntry entry) {
         try {
-            // The event loop waits for the disk here and nowhere else: a change is rare, and must
-            // be on the disk before it is in force.
+            // This is the only place where the event loop blocks on the disk: changes are rare, and
+            // a change must be on the disk before it takes effect.
             journal.write(entry);
         } catch (IOException e) {
             LOG.warning(
-                    "the journal of versions can't be written, and a restart will not know of this: "
+                    "cannot write to the journal of versions, this change will be lost on a restart: "
                             + e);
         }
     }
 
-    /** A factory of policies that see operators' overrides of endpoints. */
+    /** Returns a factory of policies whose endpoint updates include the operators' overrides. */
     DecisionPolicy.Factory withOverrides(DecisionPolicy.Factory factory) {
         return changes.withOverrides(factory);
     }
@@ -144,9 +145,9 @@
     }
 
     /**
-     * Resumes from the journal and opens the admin server; the result is its port.
+     * Restores the version history from the journal and opens the admin server; returns its port.
      *
-     * @param views what operators can see of the rest of the node, by name
+     * @param views status views of the rest of the node for operators, by name
      * @param openItems the number of queries and parts that are open
      */
     Future<Integer> open(Map<String, Supplier<JsonNode>> views, IntSupplier openItems) {
@@ -159,7 +160,7 @@
                 .onSuccess(listening -> port = listening);
     }
 
-    /** Passes operators' requests on, with the time. */
+    /** Passes operators' requests on to the version history, with the current time. */
     private final class Handler implements ConfigurationHandler {
         private final IntSupplier openItems;
 
@@ -178,7 +179,7 @@
             List<VersionCommand> commands =
                     changes.propose(
                             clock.now(), id, author, basedOn, document, openItems.getAsInt());
-            // Another task of the event loop is never within a decision.
+            // A separate task of the event loop never runs during a decision.
             context.runOnContext(none -> changes.betweenDecisions(clock.now()));
             return commands;
         }
@@ -194,12 +195,12 @@
         }
     }
 
-    /** The port of the admin server, 0 while it isn't open. */
+    /** Returns the port of the admin server; 0 while it isn't open. */
     int port() {
         return port;
     }
 
-    /** The process has been told to end. */
+    /** Stops the time windows and records that the process is shutting down. */
     void shuttingDown() {
         vertx.cancelTimer(windowTimer);
         changes.shuttingDown(clock.now());
@@ -224,7 +225,7 @@
         try {
             journal.close();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "the journal of versions", e);
+            LOG.log(Level.FINE, "cannot close the journal of versions", e);
         }
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
@@ -20,13 +20,16 @@
 import sprucehold.decision.Deployment;
 
 /**
- * Connects one gatherer to its version history: passes on what happens as events, and carries out
- * the commands. Times are Unix time in milliseconds. Belongs to the event loop.
+ * Connects one gatherer to its version history: passes events to the history and executes the
+ * commands that the history returns. Times are Unix time in milliseconds. Used on the event loop
+ * only.
  */
 final class ConfigurationChanges {
     private static final Logger LOG = Logger.getLogger(ConfigurationChanges.class.getName());
 
-    /** Length of a time window; a harmful change shows within a few of them. */
+    /**
+     * Length of a time window, in milliseconds. A harmful change is visible within a few windows.
+     */
     static final long WINDOW_MS = 250;
 
     private final Deployment initial;
@@ -39,19 +42,19 @@
     private final QueryHealthRecorder queries = new QueryHealthRecorder();
     private final Baseline baseline = new Baseline();
 
-    /** The watch of the live version, or null if none is watched. */
+    /** The health watch of the live version; null if no version is watched. */
     private HealthWatch watch;
 
     private long watchedVersion;
 
-    /** Puts a deployment in force between two decisions. */
+    /** Puts a deployment into effect between two decisions. */
     interface Apply {
         void apply(Deployment deployment);
     }
 
-    /** Writes an entry before its transition takes effect. */
+    /** Stores an entry before its transition takes effect. */
     interface Journal {
-        /** Keeps nothing, for a gatherer whose versions are not to outlive the process. */
+        /** Stores nothing, for a gatherer whose versions need not survive a restart. */
         Journal NONE = entry -> {};
 
         void write(JournalEntry entry);
@@ -60,10 +63,11 @@
     /**
      * @param start the document of the settings that the process was started with
      * @param initial the deployment that the process was started with
-     * @param journal where versions are written
-     * @param watchDurationMs how long service has to hold before a version is confirmed
-     * @param minimumQueries the number of queries that have to be seen before that
-     * @param apply puts a version in force
+     * @param journal stores the entries of the version history
+     * @param watchDurationMs how long the service must stay healthy before a version is confirmed
+     * @param minimumQueries the number of queries that must be observed before a version is
+     *     confirmed
+     * @param apply puts a version into effect
      */
     ConfigurationChanges(
             ConfigurationDocument start,
@@ -80,12 +84,12 @@
         this.apply = apply;
     }
 
-    /** A factory of policies that see operators' overrides of endpoints. */
+    /** Returns a factory of policies whose endpoint updates include the operators' overrides. */
     DecisionPolicy.Factory withOverrides(DecisionPolicy.Factory factory) {
         return overrides.wrap(factory);
     }
 
-    /** Resumes from the journal, if it has entries. */
+    /** Restores the version history from the journal, if the journal has entries. */
     void started(double nowMs, List<JournalEntry> entries) {
         if (!entries.isEmpty()) {
             handle(nowMs, new VersionEvent.Started(entries));
@@ -93,10 +97,10 @@
     }
 
     /**
-     * Takes a proposal.
+     * Handles a proposal.
      *
      * @param openItems the number of queries and parts that are open
-     * @return the commands that it led to, the answer to the proposal among them
+     * @return the resulting commands, including the answer to the proposal
      */
     List<VersionCommand> propose(
             double nowMs,
@@ -122,7 +126,7 @@
         handle(nowMs, new VersionEvent.RollbackRequested(version, author));
     }
 
-    /** The policy is between two decisions: a staged version goes live. */
+    /** Puts a staged version into effect. To be called between two decisions. */
     void betweenDecisions(double nowMs) {
         if (history.staged() != null) {
             handle(nowMs, new VersionEvent.BetweenDecisions());
@@ -145,7 +149,10 @@
         queries.disconnected(nowMs, query);
     }
 
-    /** Ends a time window: it extends the baseline, or the watch while there is one. */
+    /**
+     * Ends a time window and adds it to the health watch or, if no version is watched, to the
+     * baseline.
+     */
     void windowEnded(double nowMs) {
         TimeWindow window = queries.endWindow(nowMs);
         if (watch == null) {
@@ -163,13 +170,13 @@
     private List<VersionCommand> handle(double nowMs, VersionEvent event) {
         List<VersionCommand> commands = history.handle(event);
         for (VersionCommand command : commands) {
-            carryOut(nowMs, command);
+            execute(nowMs, command);
         }
         return commands;
     }
 
-    /** Answers to proposals are left to the caller. */
-    private void carryOut(double nowMs, VersionCommand command) {
+    /** Executes a command. Answers to proposals are sent by the caller. */
+    private void execute(double nowMs, VersionCommand command) {
         if (command instanceof VersionCommand.WriteJournal write) {
             journal.write(write.entry());
         } else if (command instanceof VersionCommand.Apply applied) {
@@ -200,12 +207,12 @@
         LOG.log(Level.INFO, message, new Object[] {fields});
     }
 
-    /** The versions and their states. */
+    /** Returns the versions and their states. */
     VersionHistory history() {
         return history;
     }
 
-    /** Whether queries of this class are served now. */
+    /** Whether queries of this class are served by the live version. */
     boolean isQueryClass(String name) {
         return history.live().document().queryClass(name).isPresent();
     }
--- a/gatherer/src/main/java/sprucehold/node/DecisionLoop.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionLoop.java
@@ -12,13 +12,14 @@
 import sprucehold.coordinator.QueryCoordinator;
 
 /**
- * Calls the decisions in turns of bounded length on the event loop, and has their commands carried
- * out.
+ * Calls the query coordinator in turns of bounded duration on the event loop, and passes its
+ * commands to the executor.
  *
- * <p>A turn is taken once the pass over the sockets in which something happened is through, and a
- * whole further one. What one socket brings mustn't be decided upon while what came with it lies
- * unread on others, or behind it: answers would look late, and the end of a stream is only read in
- * the pass after the bytes before it.
+ * <p>A turn starts only after the pass over the sockets in which something was observed, and one
+ * further whole pass, have ended. The data of one socket must not be acted upon while data that
+ * arrived at the same time is still unread on other sockets or later on the same socket. Otherwise
+ * answers would look late. The further pass is needed because the end of a stream is read one pass
+ * after the bytes before it.
  */
 final class DecisionLoop {
     private static final Logger LOG = Logger.getLogger(DecisionLoop.class.getName());
@@ -30,10 +31,10 @@
     private final NodeExtensions extensions;
     private final DecisionTimer timer;
 
-    /** What was observed since the coordinator was last called. */
+    /** Observations since the last call of the coordinator. */
     private final List<Observation> observations = new ArrayList<>();
 
-    /** Calls of the coordinator wait here until all that came in at one moment is read. */
+    /** Calls of the coordinator that wait until all data that arrived at the same time is read. */
     private final DecisionQueue calls = new DecisionQueue();
 
     private CommandExecutor executor;
@@ -56,28 +57,28 @@
         this.timer = new DecisionTimer(vertx, clock::now, this::tick);
     }
 
-    /** Sets who carries out commands; to be called once, before anything is observed. */
-    void executeWith(CommandExecutor commandExecutor) {
+    /** Sets the executor of commands; to be called once, before the first observation. */
+    void setExecutor(CommandExecutor commandExecutor) {
         this.executor = commandExecutor;
     }
 
-    /** Hands an observation to the decisions in the next turn. */
+    /** Passes an observation to the coordinator in the next turn. */
     void observe(Observation observation) {
         observations.add(observation);
         requestTurnUnlessInTurn();
     }
 
-    /** Has the coordinator called in a turn to come, after the calls that wait already. */
+    /** Queues a call of the coordinator behind the pending calls. */
     void call(Supplier<Commands> call) {
         calls.add(call);
         requestTurnUnlessInTurn();
     }
 
-    /** Has a turn taken soon, even if nothing was observed. */
+    /** Schedules a turn, even if nothing was observed. */
     void requestTurn() {
         if (!turnScheduled) {
             turnScheduled = true;
-            context.runOnContext(none -> monitor.afterNextPass(this::takeScheduledTurn));
+            context.runOnContext(none -> monitor.afterNextPass(this::runScheduledTurn));
         }
     }
 
@@ -92,12 +93,12 @@
         requestTurn();
     }
 
-    private void takeScheduledTurn() {
+    private void runScheduledTurn() {
         turnScheduled = false;
         inTurn = true;
         nextTickAtMs = timer.scheduledAtMs();
         try {
-            turn();
+            runTurn();
         } catch (RuntimeException e) {
             LOG.log(Level.SEVERE, "panic: commands could not be carried out", e);
             decideAgainNow();
@@ -111,10 +112,10 @@
     }
 
     /**
-     * The decisions hear what happened before anything new is begun, so that nothing is sent on for
-     * a client that has left.
+     * Runs one turn. The coordinator receives all observations before any new work begins, so that
+     * no attempt is sent for a client that has disconnected.
      */
-    private void turn() {
+    private void runTurn() {
         decideOnObservations();
         if (!executor.writeWaiting()) {
             decideAgainNow();
@@ -152,7 +153,10 @@
         }
     }
 
-    /** After a failure: what the decisions wait for may never be observed. */
+    /**
+     * Schedules a tick at once. It is called after a failure, when the observation that the
+     * decision policy waits for may never occur.
+     */
     private void decideAgainNow() {
         nextTickAtMs = clock.now();
     }
--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -6,23 +6,24 @@
 import sprucehold.coordinator.Commands;
 
 /**
- * Calls of the decisions that wait for their turn, made in turns of bounded length. Between two
- * turns the event loop reads its sockets: a client that leaves while a hundred queries are decided
- * upon is seen before the next attempt for it begins, and what shard servers answer isn't taken for
- * late because it lies unread. Pure: no sockets, no threads, the time is handed in.
+ * Queue of pending calls of the decision policy, which are made in turns of bounded duration.
+ * Between two turns the event loop reads its sockets. So if a client disconnects while a hundred
+ * queries are being decided, its close is read before the next attempt for it begins, and answers
+ * of shard servers don't look late because they were still unread. The class uses no sockets,
+ * threads or clock; callers pass the time.
  */
 final class DecisionQueue {
     /**
-     * How long a turn lasts, in milliseconds, before the sockets are read again; the call under way
-     * is finished. A small part of the 100 ms within which an attempt for a client that left may
-     * still begin, and longer than several usual calls.
+     * Maximum duration of a turn, in milliseconds, before the sockets are read again; a call that
+     * has begun is finished. It is a small part of the 100 ms within which an attempt may still
+     * begin after its client has disconnected, and longer than several typical calls.
      */
     static final double MAX_TURN_MS = 5;
 
     private final Queue<Supplier<Commands>> calls = new ArrayDeque<>();
     private double turnEndsAtMs = Double.NEGATIVE_INFINITY;
 
-    /** Adds a call behind all that wait. */
+    /** Appends a call to the queue. */
     void add(Supplier<Commands> call) {
         calls.add(call);
     }
@@ -31,12 +32,15 @@
         return calls.isEmpty();
     }
 
-    /** Begins a turn, in which at least one call is made. */
+    /** Begins a turn. At least one call can be taken in each turn, however long it runs. */
     void beginTurn(double nowMs) {
         turnEndsAtMs = nowMs + MAX_TURN_MS;
     }
 
-    /** The next call of this turn; null once the turn is over or nothing waits. */
+    /**
+     * Removes and returns the next call of this turn; returns null once the turn is over or the
+     * queue is empty.
+     */
     Supplier<Commands> next(double nowMs) {
         return nowMs < turnEndsAtMs ? calls.poll() : null;
     }
--- a/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionTimer.java
@@ -4,44 +4,43 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The one timer of the decisions: it fires at the time at which they want to be called again, or
- * soon after.
+ * Timer for the next tick of the query coordinator. It fires at the requested time or soon after.
  */
 final class DecisionTimer {
     private final Vertx vertx;
     private final DoubleSupplier clock;
-    private final Runnable due;
+    private final Runnable onFired;
     private long timer = -1;
     private double scheduledAtMs = Double.POSITIVE_INFINITY;
 
     /**
-     * @param due is called on the event loop each time it fires
+     * @param onFired is called on the event loop each time the timer fires
      */
-    DecisionTimer(Vertx vertx, DoubleSupplier clock, Runnable due) {
+    DecisionTimer(Vertx vertx, DoubleSupplier clock, Runnable onFired) {
         this.vertx = vertx;
         this.clock = clock;
-        this.due = due;
+        this.onFired = onFired;
     }
 
-    /** The time for which it is set, in milliseconds; infinite where it isn't. */
+    /** Returns the time for which the timer is set, in milliseconds; infinite if it isn't set. */
     double scheduledAtMs() {
         return scheduledAtMs;
     }
 
-    /** Sets it for another time; infinite sets it off. */
-    void schedule(double wanted) {
-        if (wanted == scheduledAtMs) {
+    /** Sets the timer to another time, in milliseconds; infinite cancels it. */
+    void schedule(double timeMs) {
+        if (timeMs == scheduledAtMs) {
             return;
         }
         vertx.cancelTimer(timer);
-        scheduledAtMs = wanted;
+        scheduledAtMs = timeMs;
         if (scheduledAtMs < Double.POSITIVE_INFINITY) {
             timer =
                     vertx.setTimer(
                             Math.max(1, (long) Math.ceil(scheduledAtMs - clock.getAsDouble())),
                             fired -> {
                                 scheduledAtMs = Double.POSITIVE_INFINITY;
-                                due.run();
+                                onFired.run();
                             });
         }
     }
--- a/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
@@ -1,31 +1,33 @@
 package sprucehold.node;
 
 /**
- * When a gatherer that is told to end does what, in milliseconds from then on. New clients are sent
- * elsewhere at once, but those that are connected go on asking, and in a small fleet there may be
- * nobody else to ask.
+ * Schedule of a gatherer's drain, in milliseconds since the shutdown signal. New clients find the
+ * gatherer not ready and are routed to other gatherers at once. Connected clients keep sending
+ * queries, and in a small deployment there may be no other gatherer that they could use, so the
+ * gatherer first serves them as before.
  *
- * @param serveNormallyMs how long it serves on as before
- * @param rejectAfterMs when nobody should come any more, so that queries of those who do are
- *     rejected
- * @param killAfterMs when the process may be killed
+ * @param serveNormallyMs how long queries are served as before
+ * @param rejectAfterMs time from which no more queries are expected and new ones are rejected
+ * @param killAfterMs time from which the process may be killed
  */
 record DrainSchedule(long serveNormallyMs, long rejectAfterMs, double killAfterMs) {
     /**
-     * How long after the signal requests may still come, in milliseconds: new connections for 400
-     * ms, and some of them slow.
+     * Time after the signal during which requests may still arrive, in milliseconds. New
+     * connections are opened for up to 400 ms after the signal, and some of them are slow.
      */
     private static final long LATE_CONNECTION_MS = 700;
 
-    /** How long the signal may take to arrive and an answer to be written out, in milliseconds. */
+    /**
+     * Time that the delivery of the signal and the write of an answer may take, in milliseconds.
+     */
     private static final double DELIVERY_MARGIN_MS = 300;
 
-    /** Ends at once, for a gatherer that nobody asks any more. */
+    /** Schedule that ends at once, for a gatherer that receives no more queries. */
     static final DrainSchedule IMMEDIATE = new DrainSchedule(1, 1, Double.POSITIVE_INFINITY);
 
     /**
-     * SIGKILL follows no sooner than the longest query timeout, counted as 3 s where it is longer,
-     * and 0.7 s.
+     * Returns the schedule for a deployment. SIGKILL follows the shutdown signal no sooner than
+     * after the longest query timeout, but at most 3 s, plus 0.7 s.
      */
     static DrainSchedule forLongestDeadline(double longestTimeoutMs) {
         double killMs = Math.min(longestTimeoutMs, 3000) + LATE_CONNECTION_MS;
@@ -35,8 +37,11 @@
                 killMs);
     }
 
-    /** The most time that a query may get that is received so long after the signal. */
-    double timeLeftMs(double passedMs) {
-        return Math.max(0, killAfterMs - DELIVERY_MARGIN_MS - passedMs);
+    /**
+     * Returns the maximum time left for a query that is received {@code elapsedMs} after the
+     * signal, in milliseconds.
+     */
+    double timeLeftMs(double elapsedMs) {
+        return Math.max(0, killAfterMs - DELIVERY_MARGIN_MS - elapsedMs);
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
@@ -1,42 +1,46 @@
 package sprucehold.node;
 
 /**
- * The drain of a gatherer that is told to end, as a state machine: it serves as before, then
- * redirects the clients that it answers, then rejects new queries, and is complete once nothing is
- * owed to any client. Pure: the time in milliseconds and what is owed are handed in.
+ * State machine of the drain of a gatherer that shuts down. The gatherer serves as before, then
+ * redirects the clients that it answers, then rejects new queries. The drain is complete once no
+ * client waits for an answer. The class has no clock and no I/O; callers pass the time in
+ * milliseconds and the outstanding work.
  */
 final class DrainStateMachine {
-    /** What is done in each phase, and so in every later one. */
+    /** Phase of the drain. The actions of a phase continue in all later ones. */
     enum Phase {
-        /** New clients find it not ready; all queries are served. */
+        /**
+         * The gatherer reports that it isn't ready, so new clients avoid it; all queries are
+         * served.
+         */
         SERVING,
-        /** Answers ask clients to go elsewhere, and idle connections are closed. */
+        /** Answers ask clients to use another gatherer, and idle connections are closed. */
         REDIRECTING,
-        /** Queries that still come are rejected at once. */
+        /** New queries are rejected at once. */
         REJECTING,
-        /** Nothing is owed: the listener and all connections may be closed. */
+        /** No client waits for an answer: the listener and all connections may be closed. */
         COMPLETE
     }
 
     /**
-     * What clients are still owed.
+     * Outstanding work for clients.
      *
-     * @param queries how many have no final answer
-     * @param answers how many aren't written out
-     * @param arriving how many connections there are on which a request has begun to come in, or
+     * @param queries the number of queries without a final answer
+     * @param answers the number of answers that aren't completely written
+     * @param arriving the number of connections on which a request has been received in part, or
      *     that have only just been opened
      */
     record Outstanding(int queries, int answers, int arriving) {}
 
     /**
-     * How often it is checked whether something is owed, in milliseconds; small beside a query's
+     * Interval between checks for outstanding work, in milliseconds; small compared to a query's
      * deadline.
      */
     private static final long CHECK_INTERVAL_MS = 10;
 
     /**
-     * How long a request that comes in slowly is waited for at the end, in milliseconds; a usual
-     * one is read within a few.
+     * How long the drain waits at its end for a request that arrives slowly, in milliseconds. A
+     * typical request is read within a few milliseconds.
      */
     private static final long SLOW_REQUEST_MS = 100;
 
@@ -49,34 +53,38 @@
         this.startedAtMs = startedAtMs;
     }
 
-    /** The phase at a time, with what is owed then. */
-    Phase phase(double nowMs, Outstanding owed) {
-        double passedMs = nowMs - startedAtMs;
-        if (passedMs < schedule.serveNormallyMs()) {
+    /** Returns the phase at a time, for the work that is outstanding then. */
+    Phase phase(double nowMs, Outstanding outstanding) {
+        double elapsedMs = nowMs - startedAtMs;
+        if (elapsedMs < schedule.serveNormallyMs()) {
             return Phase.SERVING;
-        } else if (passedMs < schedule.rejectAfterMs()) {
+        } else if (elapsedMs < schedule.rejectAfterMs()) {
             return Phase.REDIRECTING;
         }
         boolean arriving =
-                owed.arriving > 0 && passedMs < schedule.rejectAfterMs() + SLOW_REQUEST_MS;
-        return owed.queries > 0 || owed.answers > 0 || arriving ? Phase.REJECTING : Phase.COMPLETE;
+                outstanding.arriving > 0 && elapsedMs < schedule.rejectAfterMs() + SLOW_REQUEST_MS;
+        return outstanding.queries > 0 || outstanding.answers > 0 || arriving
+                ? Phase.REJECTING
+                : Phase.COMPLETE;
     }
 
-    /** When to ask for the phase again, in milliseconds from now; at least 1. */
+    /**
+     * Returns the delay until the phase has to be determined again, in milliseconds; at least 1.
+     */
     long nextCheckMs(double nowMs) {
-        double passedMs = nowMs - startedAtMs;
+        double elapsedMs = nowMs - startedAtMs;
         double nextMs =
-                passedMs < schedule.serveNormallyMs()
+                elapsedMs < schedule.serveNormallyMs()
                         ? schedule.serveNormallyMs()
-                        : passedMs < schedule.rejectAfterMs()
+                        : elapsedMs < schedule.rejectAfterMs()
                                 ? schedule.rejectAfterMs()
-                                : passedMs + CHECK_INTERVAL_MS;
-        return Math.max(1, (long) Math.ceil(nextMs - passedMs));
+                                : elapsedMs + CHECK_INTERVAL_MS;
+        return Math.max(1, (long) Math.ceil(nextMs - elapsedMs));
     }
 
     /**
-     * The most time that a query received now may get: its answer has to be out before the process
-     * may be killed.
+     * Returns the maximum time left for a query that is received now, in milliseconds. Its answer
+     * has to be written before the process may be killed.
      */
     double timeLeftMs(double nowMs) {
         return schedule.timeLeftMs(nowMs - startedAtMs);
--- a/gatherer/src/main/java/sprucehold/node/DrainStatus.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainStatus.java
@@ -1,6 +1,6 @@
 package sprucehold.node;
 
-/** Whether and how far a gatherer drains; {@link GracefulShutdown} drives it. */
+/** Drain status of a gatherer, advanced by {@link GracefulShutdown}. */
 final class DrainStatus {
     private DrainStateMachine drain;
     private DrainStateMachine.Phase phase;
@@ -15,13 +15,13 @@
         return drain != null;
     }
 
-    /** Enters the phase that the time and what is owed to clients ask for, and returns it. */
+    /** Enters the phase that follows from the time and the outstanding work, and returns it. */
     DrainStateMachine.Phase advance(double nowMs, DrainStateMachine.Outstanding outstanding) {
         phase = drain.phase(nowMs, outstanding);
         return phase;
     }
 
-    /** When to call {@link #advance} again, in milliseconds from now; at least 1. */
+    /** Returns the delay until the next call of {@link #advance}, in milliseconds; at least 1. */
     long nextCheckMs(double nowMs) {
         return drain.nextCheckMs(nowMs);
     }
@@ -31,7 +31,10 @@
                 || phase == DrainStateMachine.Phase.COMPLETE;
     }
 
-    /** The most time that a query received now may get, in milliseconds; infinite while serving. */
+    /**
+     * Returns the maximum time left for a query that is received now, in milliseconds; infinite
+     * before the drain has started.
+     */
     double timeLeftMs(double nowMs) {
         return drain == null ? Double.POSITIVE_INFINITY : drain.timeLeftMs(nowMs);
     }
--- a/gatherer/src/main/java/sprucehold/node/EndpointOverrideFilter.java
+++ b/gatherer/src/main/java/sprucehold/node/EndpointOverrideFilter.java
@@ -14,15 +14,16 @@
 import sprucehold.decision.Event;
 
 /**
- * Stands before the policy and applies operators' overrides to the endpoint updates it is given.
+ * Wraps the decision policy and applies operators' overrides to the endpoint updates that the
+ * policy receives.
  */
 final class EndpointOverrideFilter {
     private final EndpointOverrides overrides = new EndpointOverrides();
 
-    /** Endpoints whose override changed; the policy is told with the next deployment. */
+    /** Endpoints whose override changed; the policy receives them with the next deployment. */
     private List<Endpoint> pending = List.of();
 
-    /** A factory of policies that see overridden endpoints only. */
+    /** Returns a factory of policies that receive endpoint updates with the overrides applied. */
     DecisionPolicy.Factory wrap(DecisionPolicy.Factory factory) {
         return (seed, deployment) -> {
             DecisionPolicy policy = factory.start(seed, deployment);
@@ -52,15 +53,18 @@
         return event instanceof Event.EndpointsUpdated || event instanceof Event.DeploymentChanged;
     }
 
-    /** Replaces the drained servers; the policy is told with the next deployment. */
+    /**
+     * Replaces the set of drained servers; the policy receives the change with the next deployment.
+     */
     void setDrained(SortedSet<String> servers, double nowMs) {
         pending = overrides.setDrained(servers, nowMs);
     }
 
     /**
-     * Names of the running servers of each shard, overrides left out. The replicas of a shard are
-     * the servers of consecutive replica groups, so one shard that begins at each group stands for
-     * all.
+     * Returns the names of the running servers of each shard, without the servers that operators
+     * have drained. The replicas of a shard are the servers of consecutive replica groups. So all
+     * shards that begin at the same group have the same replicas, and the result contains one shard
+     * for each group.
      */
     Map<Integer, Set<String>> replicasByShard(Deployment deployment) {
         int groups = deployment.layout().replicaGroups();
--- a/gatherer/src/main/java/sprucehold/node/EndpointSource.java
+++ b/gatherer/src/main/java/sprucehold/node/EndpointSource.java
@@ -10,8 +10,8 @@
 import sprucehold.discovery.EndpointWatch;
 
 /**
- * Where a gatherer has its endpoint list from: discovery, or the list that its configuration knows
- * from before where discovery is silent or there is none.
+ * Source of a gatherer's endpoint list: discovery or, if discovery doesn't answer or isn't
+ * configured, the endpoint list in the gatherer's configuration.
  */
 final class EndpointSource {
     private static final Logger LOG = Logger.getLogger(EndpointSource.class.getName());
@@ -40,15 +40,16 @@
     }
 
     /**
-     * Follows discovery; succeeds once it has answered or was silent for too long. A known list
-     * that may be out of date is better than none.
+     * Starts following discovery. The future succeeds once discovery has answered or its answer
+     * timed out. If no list was received by then, the configured endpoint list is used: it may be
+     * out of date, but without a list no query can be served.
      */
     Future<Void> start() {
         if (withoutDiscovery) {
             watch.stop();
         }
-        Future<Void> asked = withoutDiscovery ? Future.succeededFuture() : watch.start();
-        return asked.map(
+        Future<Void> subscribed = withoutDiscovery ? Future.succeededFuture() : watch.start();
+        return subscribed.map(
                 none -> {
                     useKnownEndpointsIfNoneReceived();
                     return null;
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Notes whether an observation brings the first endpoint list. */
+    /** Records the receipt of the first endpoint list, if the observation contains it. */
     void observed(Observation observation) {
         if (observation instanceof Observation.EndpointsUpdated && !received) {
             received = true;
@@ -69,18 +70,18 @@
         }
     }
 
-    /** Whether an endpoint list was received, from wherever. */
+    /** Whether an endpoint list was received, from discovery or from the configuration. */
     boolean received() {
         return received;
     }
 
-    /** Asks discovery for its list, as the decisions command. */
+    /** Requests the endpoint list from discovery, on command of the decision policy. */
     void subscribe() {
         watch.poll();
     }
 
-    /** Follows discovery at another address from now on. */
-    void move(NodeConfig.Address discovery) {
+    /** Switches to discovery at another address. */
+    void changeDiscoveryAddress(NodeConfig.Address discovery) {
         watch.moveTo(discovery.host(), discovery.port());
     }
 
--- a/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
+++ b/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
@@ -5,44 +5,45 @@
 import sprucehold.clients.ConnectionArrival;
 
 /**
- * Follows the passes of the event loop over its sockets, and its stalls. In each pass the loop asks
- * the system once which sockets can be read, reads those, and then does the work that was handed to
- * it. This class knows when a pass has asked the system, and from that since when something that is
- * read now may have lain unread. A heartbeat keeps that knowledge fresh while nothing else happens,
- * and shows stalls: a stopped process, a spent CPU quota, a long garbage collection. Pure: timers
- * and clock are handed in.
+ * Monitors the passes of the event loop over its sockets, and its stalls. In each pass the loop
+ * polls the system once for readable sockets, reads those, and then runs the tasks that were
+ * submitted to it. This class tracks a lower bound of the time of the last poll. From that it
+ * derives since when data that is read now may have been unread. A heartbeat updates the bound
+ * while the loop is idle. It also detects stalls: a stopped process, an exhausted CPU quota, a long
+ * garbage collection. Timers and clock are passed in.
  */
 final class EventLoopMonitor {
     private static final Logger LOG = Logger.getLogger(EventLoopMonitor.class.getName());
 
     /**
-     * Interval of the heartbeat in milliseconds, and so the age that the knowledge of the last pass
-     * reaches at rest.
+     * Interval of the heartbeat in milliseconds. While the loop is idle, the time of the last known
+     * pass becomes as old as this.
      */
     static final long HEARTBEAT_MS = 20;
 
     /**
-     * Duration in milliseconds that usual passes and heartbeats stay under; a third of the time
-     * that an attempt may tell its shard server beyond what its client has left.
+     * Duration in milliseconds that normal passes and heartbeats stay below. It is a third of the
+     * time by which the timeout that an attempt sends to its shard server may exceed the time left
+     * to its client.
      */
     static final double NORMAL_PASS_MS = 50;
 
     /**
-     * A heartbeat that is late by so many milliseconds counts as a stall: a client's close then
-     * lies unread for as long as an attempt may follow it.
+     * Delay of a heartbeat, in milliseconds, from which it counts as a stall. In such a stall the
+     * close of a client's connection stays unread for the whole time within which an attempt may
+     * still begin after that close.
      */
     static final double STALL_MS = 100;
 
-    /** Stalls are logged no more often than this, in milliseconds. */
+    /** Minimum interval between two log lines about stalls, in milliseconds. */
     private static final double STALL_LOG_INTERVAL_MS = 1000;
 
     /** Timers of the event loop. */
     @FunctionalInterface
     interface Timers {
         /**
-         * Has work done once so much time has passed, in the part of a pass that comes after its
-         * sockets were read. Work that is handed over in that part, whatever its delay, is done in
-         * a later pass.
+         * Schedules work to run after a delay, in the part of a pass that follows the reads of its
+         * sockets. Work that is scheduled in that part runs in a later pass, whatever its delay.
          */
         void schedule(long delayMs, Runnable work);
     }
@@ -50,7 +51,7 @@
     private final DoubleSupplier clock;
     private final Timers timers;
 
-    /** The last pass that is known to have read its sockets asked the system after this moment. */
+    /** The last pass that is known to have read its sockets polled the system after this time. */
     private double polledAfterMs;
 
     private boolean stopped;
@@ -58,7 +59,10 @@
     private double longestStallMs;
     private double stallLoggedAtMs = Double.NEGATIVE_INFINITY;
 
-    /** To be made where timers may be set: in the part of a pass after its sockets were read. */
+    /**
+     * Creates a monitor and starts its heartbeat. To be called in the part of a pass after its
+     * sockets were read, as timers may be set only there.
+     */
     EventLoopMonitor(DoubleSupplier clock, Timers timers) {
         this.clock = clock;
         this.timers = timers;
@@ -67,19 +71,19 @@
     }
 
     private void scheduleHeartbeat() {
-        double from = clock.getAsDouble();
+        double scheduledAtMs = clock.getAsDouble();
         timers.schedule(
                 HEARTBEAT_MS,
                 () -> {
                     if (stopped) {
                         return;
                     }
-                    polledAfterMs = Math.max(polledAfterMs, from);
-                    double lateMs = clock.getAsDouble() - from - HEARTBEAT_MS;
+                    polledAfterMs = Math.max(polledAfterMs, scheduledAtMs);
+                    double lateMs = clock.getAsDouble() - scheduledAtMs - HEARTBEAT_MS;
                     recordStall(lateMs);
                     if (lateMs > NORMAL_PASS_MS - HEARTBEAT_MS) {
-                        // Known anew at once: whoever asks right after a stall has not waited for
-                        // all of it.
+                        // Updates the bound at once: data that arrives right after a stall has not
+                        // been unread for the whole stall.
                         afterNextPass(() -> {});
                     }
                     scheduleHeartbeat();
@@ -100,24 +104,25 @@
     }
 
     /**
-     * Has work done after a whole pass over the sockets that begins from now on, so that it knows
-     * all that lay unread until then. To be called in the part of a pass after its sockets were
-     * read.
+     * Runs work after a whole pass over the sockets that begins from now on, so that all data that
+     * was unread until then has been read before the work runs. To be called in the part of a pass
+     * after its sockets were read.
      */
     void afterNextPass(Runnable work) {
-        double from = clock.getAsDouble();
+        double requestedAtMs = clock.getAsDouble();
         timers.schedule(
                 0,
                 () -> {
-                    polledAfterMs = Math.max(polledAfterMs, from);
+                    polledAfterMs = Math.max(polledAfterMs, requestedAtMs);
                     work.run();
                 });
     }
 
     /**
-     * Since when something that is read at a moment on a connection may have lain unread: that
-     * moment itself where the loop is on time. A connection that no whole pass has read since it
-     * was opened may bring what came while it waited to be accepted.
+     * Returns the earliest time since when data that is read at {@code nowMs} on a connection may
+     * have been unread. While the loop isn't stalled, this is {@code nowMs} itself. If no whole
+     * pass has read the connection since it was opened, the data may have arrived while the
+     * connection waited to be accepted.
      */
     double unreadSince(double nowMs, ConnectionArrival arrival) {
         double since =
@@ -127,12 +132,12 @@
         return nowMs - since <= NORMAL_PASS_MS ? nowMs : since;
     }
 
-    /** How often and how long the loop stalled, as fields of a log line. */
+    /** Returns the number of stalls and the longest stall, as fields of a log line. */
     String summary() {
         return "stalls=" + stalls + ", longest_stall_ms=" + Math.round(longestStallMs);
     }
 
-    /** Ends the heartbeat. */
+    /** Stops the heartbeat. */
     void stop() {
         stopped = true;
     }
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -22,14 +22,15 @@
 import sprucehold.shards.ShardServers;
 
 /**
- * One gatherer: wires its parts and starts and ends them. All of it runs on the one event loop.
+ * One gatherer: creates its components, connects them, and starts and ends them. All of them run on
+ * the same event loop.
  *
  * <ul>
- *   <li>{@link QueryIntake} takes queries from {@link ClientServer};
- *   <li>{@link DecisionLoop} calls the decisions with queries and observations;
- *   <li>{@link CommandExecutor} carries out what they command;
- *   <li>{@link EndpointSource} follows the endpoint list;
- *   <li>{@link GracefulShutdown} drains and ends it.
+ *   <li>{@link QueryIntake} receives queries from {@link ClientServer};
+ *   <li>{@link DecisionLoop} calls the query coordinator with queries and observations;
+ *   <li>{@link CommandExecutor} executes the commands of the query coordinator;
+ *   <li>{@link EndpointSource} receives the endpoint list;
+ *   <li>{@link GracefulShutdown} drains and shuts down the gatherer.
  * </ul>
  */
 final class GathererNode {
@@ -49,14 +50,14 @@
     private final DrainStatus drain = new DrainStatus();
     private final GracefulShutdown shutdown;
 
-    /** Clients may connect from now on; before, nothing is owed to anybody. */
+    /** Whether clients may have connected; before that no client can wait for an answer. */
     private boolean listening;
 
     /**
-     * Makes a gatherer.
+     * Creates a gatherer.
      *
-     * @param adminConfig where operators change its configuration, or null
-     * @param extensionFactories make its extensions
+     * @param adminConfig the configuration of the admin server; null for a gatherer without one
+     * @param extensionFactories create the gatherer's extensions
      * @throws IOException if the journal of configuration versions can't be opened
      * @throws StartFailedException if an extension doesn't fit the configuration
      */
@@ -88,7 +89,7 @@
                 clock);
     }
 
-    /** Makes a gatherer without admin server and extensions. */
+    /** Creates a gatherer without admin server and extensions. */
     GathererNode(Vertx vertx, NodeConfig config, DecisionPolicy.Factory policyFactory) {
         this(vertx, config, policyFactory, null, null, NodeExtensions.NONE, new Clock());
     }
@@ -134,7 +135,7 @@
                         config.maxDescriptors() / 2,
                         intake,
                         clock::now);
-        decisions.executeWith(
+        decisions.setExecutor(
                 new CommandExecutor(
                         shardServers(vertx), clients, endpoints, extensions, admin, this::observe));
         this.shutdown =
@@ -188,10 +189,13 @@
         };
     }
 
-    /** A task's timer, even one of no delay, fires after the sockets were read once more. */
+    /**
+     * Schedules work on the event loop after a delay. A timer that a task sets fires only after the
+     * sockets were read once more, even if its delay is 0.
+     */
     private void scheduleAfterSocketReads(long delayMs, Runnable work) {
-        // Nothing to await: the timer only hands the work to the context, which takes its
-        // exceptions.
+        // The result of the timer is unused: the timer only submits the work to the context, which
+        // handles the exceptions of the work.
         var unused =
                 ((ContextInternal) context)
                         .nettyEventLoop()
@@ -202,20 +206,21 @@
     }
 
     /**
-     * Returns the port on which clients are served. It listens only once its endpoint list is
-     * checked: the one known from before may be out of date, and what discovery's agent holds
-     * counts as known to a process from its first moment on.
+     * Starts the gatherer and returns the port on which it serves clients. It listens only once
+     * discovery was asked for the endpoint list, since the configured list may be out of date. The
+     * list in discovery's agent counts as received by a process from its start on, so the gatherer
+     * may already be forbidden to use an older one.
      */
     Future<Integer> start() {
         LOG.info(config.summary());
         return endpoints
                 .start()
                 .compose(checked -> failIfEnding())
-                .compose(wanted -> openAdmin())
+                .compose(notEnding -> openAdmin())
                 .compose(opened -> extensions.start())
                 .compose(started -> failIfEnding())
                 .compose(
-                        wanted -> {
+                        notEnding -> {
                             listening = true;
                             return clients.listen(config.listen().socket());
                         })
@@ -228,7 +233,9 @@
 
     private Future<Void> failIfEnding() {
         return drain.started()
-                ? Future.failedFuture(new StartFailedException("told to end before it listened"))
+                ? Future.failedFuture(
+                        new StartFailedException(
+                                "shutdown requested before the gatherer listened"))
                 : Future.succeededFuture();
     }
 
@@ -238,12 +245,15 @@
                 : admin.open(extensions.statuses(), coordinator::openItems);
     }
 
-    /** Whether queries are served: an endpoint list is there, and the gatherer isn't ending. */
+    /**
+     * Whether queries are served: an endpoint list was received, and the gatherer isn't shutting
+     * down.
+     */
     boolean ready() {
         return intake.ready();
     }
 
-    /** The port of the admin server, 0 where it isn't switched on. */
+    /** Returns the port of the admin server; 0 if it isn't enabled. */
     int adminPort() {
         return admin == null ? 0 : admin.port();
     }
@@ -264,15 +274,14 @@
     }
 
     /**
-     * Follows discovery at the address that the configuration names now, and takes no other part of
-     * it.
+     * Switches to the discovery address of a new configuration; ignores all other settings in it.
      */
-    void reconfigure(NodeConfig now) {
-        endpoints.move(now.discovery());
+    void reconfigure(NodeConfig newConfig) {
+        endpoints.changeDiscoveryAddress(newConfig.discovery());
     }
 
     /**
-     * Ends the gatherer once nothing is owed to any client; a later call with another schedule
+     * Ends the gatherer once no client waits for an answer. A later call with another schedule
      * changes nothing and returns the same future.
      */
     Future<Void> end(DrainSchedule schedule) {
--- a/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
+++ b/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
@@ -7,9 +7,10 @@
 import sprucehold.coordinator.QueryCoordinator;
 
 /**
- * How a gatherer ends. It drains as {@link DrainStateMachine} says, closes its listener and all
- * client connections once nothing is owed to any client, then closes the admin server, the
- * extensions, and what it follows.
+ * Graceful shutdown of a gatherer. It drains the gatherer in the phases of {@link
+ * DrainStateMachine}. Once no client waits for an answer, it closes the listener and all client
+ * connections, then the admin server, the extensions, the subscription to discovery and the event
+ * loop monitor.
  */
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger(GracefulShutdown.class.getName());
@@ -27,9 +28,9 @@
     private Future<Void> ended;
 
     /**
-     * Makes the shutdown of one gatherer.
+     * Creates the shutdown of one gatherer.
      *
-     * @param admin where configuration may change while serving, else null
+     * @param admin applies configuration changes while serving; null if these aren't enabled
      */
     GracefulShutdown(
             Vertx vertx,
@@ -55,9 +56,10 @@
     }
 
     /**
-     * Begins to end; a later call changes nothing and returns the same future.
+     * Starts the shutdown. A later call changes nothing and returns the same future.
      *
-     * @param listening whether clients may have connected: else nothing is owed to anybody
+     * @param listening whether clients may have connected; if not, the drain is skipped, since no
+     *     client waits for an answer
      */
     Future<Void> start(DrainSchedule schedule, boolean listening) {
         if (drain.started()) {
@@ -85,7 +87,7 @@
         return ended;
     }
 
-    /** Succeeds once nothing is owed to any client. */
+    /** Drains the gatherer; the future succeeds once no client waits for an answer. */
     private Future<Void> drain() {
         DrainStateMachine.Phase phase = drain.advance(clock.now(), outstanding());
         if (phase != DrainStateMachine.Phase.SERVING) {
--- a/gatherer/src/main/java/sprucehold/node/JsonLogFormatter.java
+++ b/gatherer/src/main/java/sprucehold/node/JsonLogFormatter.java
@@ -15,23 +15,20 @@
 import java.util.logging.Logger;
 
 /**
- * Formats log records as JSON lines: time, level, logger, text, and each entry of the map that is a
- * record's one parameter as a field of its own.
+ * Formats log records as JSON lines with the fields time, level, logger and text. If the only
+ * parameter of a record is a map, each of its entries becomes a field.
  */
 public final class JsonLogFormatter extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Makes all lines that are logged from now on JSON lines. */
+    /** Switches all handlers of the root logger to JSON lines. */
     public static void enable() {
         for (Handler handler : Logger.getLogger("").getHandlers()) {
             handler.setFormatter(new JsonLogFormatter());
         }
     }
 
-    /**
-     * Logs a line for each step of each query and its attempts from now on, with their ids as
-     * fields.
-     */
+    /** Enables the log of each step of each query and its attempts, with their ids as fields. */
     public static void enableQueryLog() {
         var handler = new ConsoleHandler();
         handler.setFormatter(new JsonLogFormatter());
@@ -61,7 +58,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a string can't be written to", e);
+            throw new UncheckedIOException("cannot write to an in-memory buffer", e);
         }
         return text.append(System.lineSeparator()).toString();
     }
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -13,15 +13,16 @@
 import sprucehold.discovery.EndpointListReader;
 
 /**
- * The configuration of one gatherer, as it is read at its start.
+ * Configuration of one gatherer, as it is read at its start.
  *
  * @param name the gatherer's name in logs and among other gatherers
- * @param listen where clients connect
- * @param discovery where discovery is asked for the endpoint list
- * @param seed of the decisions' random draws
- * @param maxDescriptors how many file descriptors the process may hold
- * @param knownEndpoints the endpoint list as it was last known, or null
- * @param settings of the deployment
+ * @param listen the address on which the gatherer serves clients
+ * @param discovery the address of discovery, which returns the endpoint list
+ * @param seed the seed of the decision policy's random draws
+ * @param maxDescriptors the maximum number of file descriptors that the process may have open
+ * @param knownEndpoints the last known endpoint list at the time of the configuration, which may be
+ *     out of date, or null
+ * @param settings the settings of the deployment
  */
 public record NodeConfig(
         String name,
@@ -33,13 +34,14 @@
         DeploymentSettings settings) {
 
     /**
-     * Where to listen or connect.
+     * Address to listen on or to connect to.
      *
-     * @param host name or address; the path of a Unix domain socket if it begins with a slash
-     * @param port 0 for any free one
+     * @param host the host's name or IP address, or the path of a Unix domain socket if it begins
+     *     with a slash
+     * @param port the port; 0 for any free one
      */
     public record Address(String host, int port) {
-        /** No address: there is nothing to connect to. */
+        /** Placeholder for a missing address, to which nothing connects. */
         static final Address NONE = new Address("", 0);
 
         SocketAddress socket() {
@@ -48,12 +50,12 @@
                     : SocketAddress.inetSocketAddress(port, host);
         }
 
-        static Address parse(String text, String what) throws InvalidSettingsException {
+        static Address parse(String text, String setting) throws InvalidSettingsException {
             int colon = text.lastIndexOf(':');
             if (colon <= 0
                     || !text.substring(colon + 1).matches("[0-9]{1,5}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
-                throw new InvalidSettingsException(what + " needs HOST:PORT");
+                throw new InvalidSettingsException(setting + " needs HOST:PORT");
             }
             return new Address(
                     text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -66,10 +68,10 @@
     }
 
     /**
-     * Reads a configuration file. A name or address that is given as an argument wins over the
-     * file; null and empty ones count as not given.
+     * Reads a configuration file. A name or address that is passed as an argument takes precedence
+     * over the one in the file; null and empty arguments are ignored.
      *
-     * @throws InvalidSettingsException if the file's content can't be used
+     * @throws InvalidSettingsException if the file's content is invalid
      * @throws IOException if the file can't be read
      */
     public static NodeConfig read(Path file, String name, String listen, String discovery)
@@ -79,9 +81,9 @@
         long seed = seed(node);
         EndpointList knownEndpoints = knownEndpoints(node, settings);
         return new NodeConfig(
-                givenOrFromFile(name, node.path("name")),
-                Address.parse(givenOrFromFile(listen, node.path("listen")), "listen"),
-                Address.parse(givenOrFromFile(discovery, node.path("discovery")), "discovery"),
+                argumentOrFromFile(name, node.path("name")),
+                Address.parse(argumentOrFromFile(listen, node.path("listen")), "listen"),
+                Address.parse(argumentOrFromFile(discovery, node.path("discovery")), "discovery"),
                 seed,
                 node.path("limits").path("sockets").asInt(Integer.MAX_VALUE),
                 knownEndpoints,
@@ -98,13 +100,13 @@
 
     private static DeploymentSettings settings(JsonNode node) throws InvalidSettingsException {
         if (!node.path("settings").isObject()) {
-            throw new InvalidSettingsException("no settings");
+            throw new InvalidSettingsException("settings is missing or not an object");
         }
         DeploymentSettings settings = DeploymentSettings.checked(node.get("settings"));
         if (settings.deployment().queryClasses().stream()
                 .anyMatch(queryClass -> queryClass.secondStepParts() > 0)) {
             throw new InvalidSettingsException(
-                    "table types of two steps can't be served by this protocol");
+                    "query classes with a second step are not supported by this protocol");
         }
         return settings;
     }
@@ -130,11 +132,11 @@
         }
     }
 
-    private static String givenOrFromFile(String given, JsonNode inFile) {
-        return given == null || given.isEmpty() ? inFile.asText() : given;
+    private static String argumentOrFromFile(String argument, JsonNode inFile) {
+        return argument == null || argument.isEmpty() ? inFile.asText() : argument;
     }
 
-    /** What matters to an operator, in a line. */
+    /** Returns a one-line summary for operators. */
     public String summary() {
         var deployment = settings.deployment();
         return "gatherer "
--- a/gatherer/src/main/java/sprucehold/node/NodeExtension.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -11,54 +11,57 @@
 import sprucehold.decision.Command;
 
 /**
- * An optional part of a gatherer: it hears what happens there, and may give the decision policy
- * typed values. All calls come on the gatherer's event loop, with the time of the gatherer's clock
- * in milliseconds; none may block.
+ * Optional extension of a gatherer. It is notified of queries, observations and attempts, and may
+ * pass typed values to the decision policy. All methods are called on the gatherer's event loop,
+ * with the time of the gatherer's clock in milliseconds; none may block.
  */
 public interface NodeExtension {
-    /** Makes an extension for a gatherer that is about to start. */
+    /** Creates an extension for a gatherer that is about to start. */
     interface Factory {
         /**
-         * Makes the extension of one gatherer.
+         * Creates the extension of one gatherer.
          *
-         * @throws StartFailedException in one line if the extension doesn't fit the configuration
+         * @throws StartFailedException if the extension isn't compatible with the configuration;
+         *     its message is one line
          */
         NodeExtension create(Vertx vertx, NodeConfig config, Clock clock)
                 throws StartFailedException;
     }
 
-    /** The key under which the admin server shows {@link #status}. */
+    /** Returns the key under which the admin server shows {@link #status}. */
     String name();
 
-    /** Starts the extension; the gatherer listens once this has succeeded. */
+    /** Starts the extension; the gatherer listens once the future has succeeded. */
     Future<Void> start();
 
-    /** A query was received. */
+    /** Called when a query was received. */
     void queryReceived(double nowMs, Query query);
 
-    /** Something was observed; the decision policy hears of it later. */
+    /** Called for each observation, before the decision policy receives it. */
     void observed(double nowMs, Observation observation);
 
-    /** An attempt is about to be written. */
+    /** Called when an attempt is about to be written. */
     void attemptStarting(double nowMs, Attempt attempt);
 
     /**
-     * What the decision policy is to know from this moment on, asked before each of its calls; null
-     * if there is nothing new.
+     * Returns a new cluster view for the decision policy, or null if it hasn't changed. Called
+     * before each call of the policy.
      */
     ClusterView clusterView(double nowMs);
 
     /**
-     * The decision policy consumes units of a shared limit.
+     * Consumes units of a shared limit, on command of the decision policy.
      *
-     * @return whether the attempt for which they are consumed may still be written, to be asked
-     *     right before its write; null if the units can't be had
+     * @return a check whether the attempt that needs the units may still be written, to be called
+     *     right before its write; null if the units aren't available
      */
-    BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use);
+    BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance consumption);
 
-    /** What operators may see of the extension, as a JSON object. */
+    /** Returns the status of the extension for operators, as a JSON object. */
     JsonNode status();
 
-    /** Ends the extension; the gatherer has answered all queries that it received. */
+    /**
+     * Ends the extension. It is called once the gatherer has answered all queries that it received.
+     */
     Future<Void> end();
 }
--- a/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
@@ -39,12 +39,12 @@
         return new NodeExtensions(List.copyOf(extensions), clock);
     }
 
-    /** Starts all; succeeds once all have started. */
+    /** Starts all extensions; the future succeeds once all have started. */
     Future<Void> start() {
         return Future.all(extensions.stream().map(NodeExtension::start).toList()).mapEmpty();
     }
 
-    /** Ends all; succeeds once all have ended, whether they failed or not. */
+    /** Ends all extensions; the future succeeds once all have ended, even if some failed to. */
     Future<Void> end() {
         return Future.join(extensions.stream().map(NodeExtension::end).toList())
                 .<Void>mapEmpty()
@@ -59,7 +59,7 @@
         extensions.forEach(extension -> extension.observed(clock.now(), observation));
     }
 
-    /** Gives the decisions what the extensions know by now. */
+    /** Passes the new cluster views of the extensions to the coordinator. */
     void updateClusterView(QueryCoordinator coordinator) {
         for (NodeExtension extension : extensions) {
             ClusterView view = extension.clusterView(clock.now());
@@ -69,22 +69,24 @@
         }
     }
 
-    /** Consumes units for which nothing is sent. */
-    void consume(Command.ConsumeAllowance use) {
-        extensions.forEach(extension -> extension.consumeAllowance(clock.now(), use));
+    /** Consumes units of a shared limit that belong to no attempt. */
+    void consume(Command.ConsumeAllowance consumption) {
+        extensions.forEach(extension -> extension.consumeAllowance(clock.now(), consumption));
     }
 
     /**
-     * Consumes the units of shared limits that an attempt needs, and announces the attempt. Right
-     * before its write the attempt asks whether the units are still granted.
+     * Consumes the units of shared limits that an attempt needs, and announces the attempt to the
+     * extensions. Right before its write the attempt checks that the units are still granted.
      *
-     * @return false if units can't be had: the attempt mustn't be sent
+     * @return false if the units aren't available; the attempt must not be sent then
      */
     boolean permit(Attempt attempt) {
         var permissions = new ArrayList<BooleanSupplier>();
-        for (Command.ConsumeAllowance use : attempt.consumed()) {
+        for (Command.ConsumeAllowance consumption : attempt.consumed()) {
             extensions.forEach(
-                    extension -> permissions.add(extension.consumeAllowance(clock.now(), use)));
+                    extension ->
+                            permissions.add(
+                                    extension.consumeAllowance(clock.now(), consumption)));
         }
         if (permissions.contains(null)) {
             return false;
@@ -97,7 +99,7 @@
         return true;
     }
 
-    /** What operators may see of each extension, by its name. */
+    /** Returns the status of each extension for operators, by the extension's name. */
     Map<String, Supplier<JsonNode>> statuses() {
         var statuses = new LinkedHashMap<String, Supplier<JsonNode>>();
         extensions.forEach(extension -> statuses.put(extension.name(), extension::status));
--- a/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
@@ -10,7 +10,10 @@
 import sprucehold.coordinator.Query;
 import sprucehold.decision.Tenant;
 
-/** Records for the health watch which queries are open and which are completed in time. */
+/**
+ * Records for the health watch which queries are open and which were completed within the latency
+ * objective.
+ */
 final class QueryHealthRecorder {
     private final IdentityHashMap<Query, OpenQuery> openQueries = new IdentityHashMap<>();
     private final TimeWindow.Builder window = new TimeWindow.Builder();
@@ -18,8 +21,8 @@
     /**
      * An open query.
      *
-     * @param receivedMs when it was received
-     * @param settings its query class, as it was then
+     * @param receivedMs the time of its receipt, in milliseconds
+     * @param settings the settings of its query class at that time
      * @param tenant the tenant's name, or null if it has no quota
      */
     private record OpenQuery(double receivedMs, QueryClassSettings settings, String tenant) {
@@ -28,7 +31,7 @@
         }
     }
 
-    /** Takes a query; one of a class that is not served isn't recorded. */
+    /** Records the receipt of a query, unless its class isn't served. */
     void received(double nowMs, Query query, ConfigurationDocument live) {
         live.queryClass(query.queryClass())
                 .ifPresent(
@@ -50,8 +53,8 @@
     }
 
     /**
-     * Takes a client's disconnection. Within the latency objective it tells nothing of service;
-     * later the query counts as not completed in time.
+     * Records the disconnection of a query's client. Within the latency objective it is no evidence
+     * of bad service and is ignored. Later the query counts as not completed in time.
      */
     void disconnected(double nowMs, Query query) {
         OpenQuery open = openQueries.remove(query);
@@ -68,7 +71,7 @@
                 withinObjective);
     }
 
-    /** Ends the time window and begins the next. */
+    /** Ends the time window, returns it and begins the next one. */
     TimeWindow endWindow(double nowMs) {
         return window.take(nowMs);
     }
--- a/gatherer/src/main/java/sprucehold/node/QueryIntake.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryIntake.java
@@ -15,7 +15,10 @@
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.decision.QueryClass;
 
-/** Takes queries from clients and hands them to the decisions, unless the gatherer is ending. */
+/**
+ * Receives queries from clients and submits them to the query coordinator, unless the drain has
+ * reached the phase in which new queries are rejected.
+ */
 final class QueryIntake implements QueryHandler {
     private final Clock clock;
     private final QueryCoordinator coordinator;
@@ -29,16 +32,16 @@
     private final Consumer<Observation> observer;
     private final BiConsumer<Query, Answer> responder;
 
-    /** Ids of queries that wait for the decisions to be called with them. */
-    private final Set<String> waiting = new HashSet<>();
+    /** Ids of queries that wait to be submitted to the query coordinator. */
+    private final Set<String> waitingIds = new HashSet<>();
 
     private long received;
 
     /**
-     * Makes the intake of one gatherer.
+     * Creates the intake of one gatherer.
      *
-     * @param admin where configuration may change while serving, else null
-     * @param responder writes answers that need no decision
+     * @param admin applies configuration changes while serving; null if these aren't enabled
+     * @param responder sends answers that need no decision
      */
     QueryIntake(
             NodeConfig config,
@@ -80,7 +83,7 @@
 
     @Override
     public boolean isOpen(Query query) {
-        return waiting.contains(query.id()) || coordinator.isOpen(query);
+        return waitingIds.contains(query.id()) || coordinator.isOpen(query);
     }
 
     @Override
@@ -97,7 +100,7 @@
             return;
         }
         double drainTimeLeftMs = drain.timeLeftMs(clock.now());
-        waiting.add(query.id());
+        waitingIds.add(query.id());
         extensions.queryReceived(query);
         if (admin != null) {
             admin.queryReceived(query);
@@ -107,12 +110,12 @@
     }
 
     /**
-     * A client that left meanwhile gets no work done, and what has passed meanwhile is no longer
-     * left to the client.
+     * Submits a query to the coordinator. If its client has disconnected since the receipt, the
+     * query is dropped. The time since the receipt is subtracted from the time left to the client.
      */
     private Commands submit(Query query, double drainTimeLeftMs, double receivedAtMs) {
         double nowMs = clock.now();
-        if (!waiting.remove(query.id())) {
+        if (!waitingIds.remove(query.id())) {
             return coordinator.observe(nowMs, List.of());
         }
         double timeLeftMs = Math.min(drainTimeLeftMs, query.timeLeftMs());
@@ -125,17 +128,17 @@
         if (admin != null) {
             admin.clientDisconnected(query);
         }
-        if (!waiting.remove(query.id())) {
+        if (!waitingIds.remove(query.id())) {
             observer.accept(new Observation.ClientDisconnected(query));
         }
     }
 
-    /** How many queries have no final answer. */
+    /** Returns the number of queries without a final answer. */
     int openQueries() {
-        return coordinator.openQueries() + waiting.size();
+        return coordinator.openQueries() + waitingIds.size();
     }
 
-    /** How many queries were received, also those that were rejected. */
+    /** Returns the number of queries that were received, including rejected ones. */
     long received() {
         return received;
     }
--- a/gatherer/src/main/java/sprucehold/node/QueryLog.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryLog.java
@@ -14,20 +14,20 @@
 import sprucehold.coordinator.WriteProgress;
 
 /**
- * Logs each step of each query; off unless enabled. With it one query's id is followed through the
- * logs of all gatherers that received it, and losses are added up by cause.
+ * Logs each step of each query; off unless enabled. Operators use it to trace the id of one query
+ * through the logs of all gatherers that received it, and to add up losses by cause.
  *
- * <p>Programs read these lines, so their texts, keys and values keep the names that they have
- * always had. This class maps our terms to them:
+ * <p>Programs parse these lines, so their texts, keys and values must not change. This class maps
+ * the terms of the source to them:
  *
  * <table>
  * <caption>Names in the log</caption>
- * <tr><th>log</th><th>our term</th></tr>
+ * <tr><th>log</th><th>term in the source</th></tr>
  * <tr><td>{@code scan}</td><td>{@link Query#id}</td></tr>
  * <tr><td>{@code table_type}</td><td>{@link Query#queryClass}</td></tr>
  * <tr><td>{@code customer}</td><td>{@link Query#tenant}</td></tr>
  * <tr><td>{@code segment}</td><td>{@link Attempt#shard}</td></tr>
- * <tr><td>{@code told_ms}</td><td>{@link Attempt#timeLeftMs}, as the shard server is told</td></tr>
+ * <tr><td>{@code told_ms}</td><td>{@link Attempt#timeLeftMs}, as sent to the shard server</td></tr>
  * <tr><td>{@code whole}, {@code part}</td><td>{@link Answer.Completed}, complete or not</td></tr>
  * <tr><td>{@code throttled}</td><td>{@link Answer.Rejected}</td></tr>
  * <tr><td>{@code abandoned}</td><td>{@link Answer.Failed}</td></tr>
@@ -46,14 +46,17 @@
 
     private QueryLog() {}
 
-    /** Enables it; where the level above is off, as during the warm-up, it stays silent. */
+    /**
+     * Enables the query log. Nothing is logged while the level of the parent logger is off, as
+     * during the warm-up.
+     */
     static void enable(Handler handler) {
         LOG.setLevel(null);
         LOG.addHandler(handler);
         LOG.setUseParentHandlers(false);
     }
 
-    /** A query was received. */
+    /** Logs the receipt of a query. */
     static void received(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
             new Line("a scan is taken", query)
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Something was observed; the ends of attempts are logged. */
+    /** Logs an observation if it is the end of an attempt; ignores all others. */
     static void observed(Observation observation, double nowMs) {
         if (LOG.isLoggable(Level.INFO) && observation instanceof Observation.AttemptEnded ended) {
             Attempt attempt = ended.attempt();
@@ -76,14 +79,20 @@
         }
     }
 
-    /** A client's close was read, by the event loop's pass or right before an attempt. */
+    /**
+     * Logs that the close of a client's connection was read, either in a pass of the event loop or
+     * in the check right before an attempt.
+     */
     static void clientDisconnected(Query query) {
         if (LOG.isLoggable(Level.INFO)) {
             new Line("a client has left", query).log();
         }
     }
 
-    /** An attempt is written now; {@code waited_ms} counts from when it was commanded. */
+    /**
+     * Logs the start of an attempt, at the time of its write. {@code waited_ms} is the time since
+     * the decision policy commanded the attempt.
+     */
     static void attemptStarting(Attempt attempt, double nowMs) {
         if (LOG.isLoggable(Level.INFO)) {
             new Line("an attempt begins", attempt.query())
@@ -97,7 +106,7 @@
         }
     }
 
-    /** A query has its final answer. */
+    /** Logs the final answer to a query. */
     static void answered(Commands.Reply reply) {
         if (LOG.isLoggable(Level.INFO)) {
             new Line("a scan has ended", reply.query())
@@ -133,12 +142,12 @@
         };
     }
 
-    /** To a tenth of a millisecond. */
+    /** Rounds to a tenth of a millisecond. */
     private static double rounded(double ms) {
         return Math.round(ms * 10) / 10.0;
     }
 
-    /** A line with its structured fields in the order in which they are added. */
+    /** A log line with structured fields, in the order in which they were added. */
     private static final class Line {
         private final String text;
         private final Map<String, Object> fields = new LinkedHashMap<>();
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -18,27 +18,31 @@
 import sprucehold.sockets.AcceptingTransport;
 import sprucehold.standin.StandIns;
 
-/** The process around a gatherer: its event loop, SIGHUP, and its end on SIGTERM. */
+/**
+ * Process of a gatherer: creates its event loop, reloads its configuration on SIGHUP, and shuts it
+ * down on SIGTERM.
+ */
 public final class Service {
     private static final Logger LOG = Logger.getLogger(Service.class.getName());
 
     /**
-     * Beyond the longest deadline, in milliseconds: the end waits so long for queries that were
-     * received with more time left than that.
+     * Time beyond the longest configured deadline for which the shutdown waits, in milliseconds. It
+     * covers queries that were received with more time left than that deadline.
      */
-    private static final long END_MARGIN_MS = 5000;
+    private static final long SHUTDOWN_MARGIN_MS = 5000;
 
     private Service() {}
 
     /**
-     * What a process serves.
+     * Options of a serving process.
      *
-     * @param warmUpPolicy starts the decisions of the warm-up
-     * @param policy starts the decisions that serve
-     * @param admin where operators change the configuration, or null
-     * @param extensions make the gatherer's extensions
-     * @param reload reads the configuration anew when SIGHUP asks for it
-     * @param afterEnd is called once all queries are answered, on the thread that ends the process
+     * @param config the gatherer's configuration
+     * @param warmUpPolicy creates the decision policy of the warm-up
+     * @param policy creates the decision policy that serves
+     * @param admin the configuration of the admin server; null for a gatherer without one
+     * @param extensions create the gatherer's extensions
+     * @param reload reads the configuration again on SIGHUP
+     * @param afterEnd is called once all queries are answered, on the thread of the shutdown hook
      */
     public record Options(
             NodeConfig config,
@@ -50,35 +54,38 @@
             Runnable afterEnd) {}
 
     /**
-     * Serves until the process is ended; returns once it serves.
+     * Starts the gatherer, which serves until the process ends; returns once it serves.
      *
-     * @throws StartFailedException if it can't serve
+     * @throws StartFailedException if the gatherer can't be started
      */
     public static void start(Options options) throws StartFailedException {
         NodeConfig config = options.config();
         WarmUp.run(config, options.warmUpPolicy());
         Vertx vertx = vertx();
         var started = new CompletableFuture<GathererNode>();
-        var made = new AtomicReference<GathererNode>();
-        // Before it listens: what it receives from its first moment on is owed an answer.
+        var nodeReference = new AtomicReference<GathererNode>();
+        // Registered before the gatherer listens, since every query that it receives from then on
+        // has to be answered.
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
                                 () -> {
-                                    end(vertx, made, config);
+                                    shutDown(vertx, nodeReference, config);
                                     options.afterEnd().run();
                                 },
                                 "end"));
-        vertx.runOnContext(none -> startNode(vertx, options, made, started));
+        vertx.runOnContext(none -> startNode(vertx, options, nodeReference, started));
         GathererNode node = await(started);
         Signals.onHangUp(() -> reconfigure(vertx, node, options.reload()));
     }
 
-    /** Runs on the event loop; {@code made} is set before the node is started. */
+    /**
+     * Creates and starts a node, on the event loop; {@code nodeReference} is set before the start.
+     */
     private static void startNode(
             Vertx vertx,
             Options options,
-            AtomicReference<GathererNode> made,
+            AtomicReference<GathererNode> nodeReference,
             CompletableFuture<GathererNode> started) {
         try {
             var node =
@@ -88,15 +95,15 @@
                             options.policy(),
                             options.admin(),
                             options.extensions());
-            made.set(node);
+            nodeReference.set(node);
             node.start().onComplete(done -> started.complete(node), started::completeExceptionally);
         } catch (IOException | StartFailedException | RuntimeException e) {
-            // Whatever it is, the caller waits for it on another thread.
+            // Any failure is passed to the caller, which waits on another thread.
             started.completeExceptionally(e);
         }
     }
 
-    /** One event loop for everything, and no more threads than must be. */
+    /** Creates a Vert.x instance with one event loop and as few threads as possible. */
     static Vertx vertx() {
         var options =
                 new VertxOptions()
@@ -107,11 +114,11 @@
     }
 
     /**
-     * Serves stubs of discovery and of all shard servers that the configuration names, on their
-     * addresses, until the process is ended; returns once they serve.
+     * Starts stubs of discovery and of all shard servers in the configuration, on their configured
+     * addresses. The stubs serve until the process ends; the method returns once they serve.
      *
-     * @throws StartFailedException if the configuration knows no endpoint list, or an address can't
-     *     be listened on
+     * @throws StartFailedException if the configuration contains no endpoint list, or a stub can't
+     *     listen on its address
      */
     public static void startStubs(NodeConfig config) throws StartFailedException {
         requireKnownEndpoints(config);
@@ -136,7 +143,8 @@
 
     static void requireKnownEndpoints(NodeConfig config) throws StartFailedException {
         if (config.knownEndpoints() == null) {
-            throw new StartFailedException("no known list to stand in for");
+            throw new StartFailedException(
+                    "the configuration contains no endpoint list for the stubs");
         }
     }
 
@@ -150,13 +158,16 @@
         }
     }
 
-    /** Runs on the signal's own thread; one at a time, so that what was read last counts. */
+    /**
+     * Reads the configuration again and applies it. It runs on the signal's thread. Calls are
+     * serialized, so that the configuration that was read last takes effect.
+     */
     private static synchronized void reconfigure(
             Vertx vertx, GathererNode node, Callable<NodeConfig> reload) {
         LOG.info("SIGHUP received: reading the configuration again");
         try {
-            NodeConfig now = reload.call();
-            vertx.runOnContext(none -> node.reconfigure(now));
+            NodeConfig newConfig = reload.call();
+            vertx.runOnContext(none -> node.reconfigure(newConfig));
         } catch (Exception e) {
             LOG.log(
                     Level.WARNING,
@@ -164,16 +175,22 @@
         }
     }
 
-    /** Runs on the hook's own thread, and only waits there for what the event loop does. */
-    private static void end(Vertx vertx, AtomicReference<GathererNode> made, NodeConfig config) {
+    /**
+     * Shuts down the gatherer. It runs on the thread of the shutdown hook, which waits for the
+     * event loop.
+     */
+    private static void shutDown(
+            Vertx vertx, AtomicReference<GathererNode> nodeReference, NodeConfig config) {
         double longestDeadlineMs = config.settings().longestDeadlineMs();
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none ->
-                        endNode(made.get(), DrainSchedule.forLongestDeadline(longestDeadlineMs))
+                        endNode(
+                                        nodeReference.get(),
+                                        DrainSchedule.forLongestDeadline(longestDeadlineMs))
                                 .onComplete(ended::complete, ended::completeExceptionally));
         try {
-            ended.get((long) longestDeadlineMs + END_MARGIN_MS, TimeUnit.MILLISECONDS);
+            ended.get((long) longestDeadlineMs + SHUTDOWN_MARGIN_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOG.log(Level.WARNING, "ended before all queries were answered", e);
         } catch (InterruptedException e) {
@@ -181,7 +198,9 @@
         }
     }
 
-    /** Ends a gatherer; null if the process is told to end before it has one. */
+    /**
+     * Ends a gatherer; {@code node} is null if the shutdown begins before the gatherer is created.
+     */
     private static Future<Void> endNode(GathererNode node, DrainSchedule schedule) {
         return node == null ? Future.succeededFuture() : node.end(schedule);
     }
--- a/gatherer/src/main/java/sprucehold/node/ServiceLogManager.java
+++ b/gatherer/src/main/java/sprucehold/node/ServiceLogManager.java
@@ -3,12 +3,12 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log open while the process ends: java.util.logging resets itself in a shutdown hook of
- * its own, and would lose the lines of ours.
+ * Log manager that keeps the log open while the process ends. java.util.logging resets its handlers
+ * in its own shutdown hook, and the lines that the gatherer's shutdown hook logs would be lost.
  */
 public final class ServiceLogManager extends LogManager {
     @Override
     public void reset() {
-        // Nothing to take back: the process ends and standard error is never buffered.
+        // Nothing to release: the process is ending, and standard error isn't buffered.
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/Signals.java
+++ b/gatherer/src/main/java/sprucehold/node/Signals.java
@@ -3,18 +3,20 @@
 import java.lang.reflect.InvocationHandler;
 import java.lang.reflect.Proxy;
 
-/** Handlers of signals that would end the JVM otherwise. */
+/** Handlers of signals that would terminate the JVM otherwise. */
 final class Signals {
     private Signals() {}
 
-    /** Runs the action, on a thread of the signal's own, each time the process gets SIGHUP. */
+    /**
+     * Runs the action each time the process receives SIGHUP, on a separate thread for the signal.
+     */
     static void onHangUp(Runnable action) {
-        // The JDK has no other way than sun.misc, and naming that is a warning that can't be turned
-        // off.
+        // The JDK handles signals only through sun.misc. A direct reference to it causes a compiler
+        // warning that can't be turned off, so it is called by reflection.
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            InvocationHandler invoked =
+            InvocationHandler invocationHandler =
                     (proxy, method, arguments) -> {
                         if (method.getName().equals("handle")) {
                             action.run();
@@ -29,9 +31,9 @@
                             Proxy.newProxyInstance(
                                     Signals.class.getClassLoader(),
                                     new Class<?>[] {handler},
-                                    invoked));
+                                    invocationHandler));
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP can't be taken over", e);
+            throw new IllegalStateException("cannot install a handler for SIGHUP", e);
         }
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/SmokeTest.java
+++ b/gatherer/src/main/java/sprucehold/node/SmokeTest.java
@@ -16,8 +16,8 @@
 import sprucehold.standin.StandIns;
 
 /**
- * Starts a gatherer among stubs on free ports of this machine and asks it one query of each query
- * class.
+ * Starts a gatherer with stubs of discovery and of its shard servers on free ports of this machine,
+ * and sends it one query of each query class.
  */
 public final class SmokeTest {
     private static final String HOST = "127.0.0.1";
@@ -41,7 +41,7 @@
     /**
      * Runs the test and returns whether each query was completed.
      *
-     * @param report takes a line on each answer
+     * @param report receives one line for each answer
      * @throws StartFailedException if the gatherer or a stub can't be started, or time runs out
      */
     public static boolean run(
@@ -49,8 +49,8 @@
             throws StartFailedException {
         Service.requireKnownEndpoints(config);
         WarmUp.run(config, policyFactory);
-        // Both ways of warming up, whichever the platform will grant: the archive of loaded classes
-        // is made of this run.
+        // Runs both kinds of warm-up: the class data archive is recorded in this run, and has to
+        // contain the classes of whichever kind the target platform supports.
         StubWarmUp.run(config, policyFactory);
         Vertx vertx = Service.vertx();
         var test = new SmokeTest(vertx, config, report);
@@ -76,7 +76,10 @@
                         discovery -> {
                             var node = new GathererNode(vertx, configAt(discovery), policyFactory);
                             return node.start()
-                                    .compose(port -> whenReady(node).compose(ready -> ask(port)))
+                                    .compose(
+                                            port ->
+                                                    whenReady(node)
+                                                            .compose(ready -> sendQueries(port)))
                                     .compose(
                                             completed ->
                                                     node.end(DrainSchedule.IMMEDIATE)
@@ -84,7 +87,10 @@
                         });
     }
 
-    /** Without a known endpoint list, so that discovery is asked for the complete one. */
+    /**
+     * Returns the configuration without its endpoint list, so that the gatherer requests the
+     * complete list from discovery.
+     */
     private NodeConfig configAt(int discoveryPort) {
         return new NodeConfig(
                 config.name(),
@@ -102,8 +108,8 @@
                 : vertx.timer(READY_CHECK_INTERVAL_MS).compose(waited -> whenReady(node));
     }
 
-    /** Asks one query after the other; returns whether all were completed. */
-    private Future<Boolean> ask(int port) {
+    /** Sends the queries one after the other; returns whether all were completed. */
+    private Future<Boolean> sendQueries(int port) {
         HttpClient client = vertx.createHttpClient();
         Future<Boolean> completed = Future.succeededFuture(true);
         int number = 0;
@@ -112,10 +118,10 @@
             String name = queryClass.name();
             completed =
                     completed.compose(
-                            before ->
+                            allCompleted ->
                                     send(client, port, id, name)
                                             .compose(response -> report(name, response))
-                                            .map(ok -> before && ok));
+                                            .map(thisCompleted -> allCompleted && thisCompleted));
         }
         return completed;
     }
--- a/gatherer/src/main/java/sprucehold/node/StartFailedException.java
+++ b/gatherer/src/main/java/sprucehold/node/StartFailedException.java
@@ -1,15 +1,15 @@
 package sprucehold.node;
 
-/** A gatherer can't be started; the message says why, in one line. */
+/** Thrown when a gatherer can't be started; the message states the reason in one line. */
 public final class StartFailedException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Makes an exception that no other one caused. */
+    /** Creates an exception without a cause. */
     public StartFailedException(String message) {
         super(message);
     }
 
-    /** Makes an exception with its cause. */
+    /** Creates an exception with a cause. */
     public StartFailedException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -11,18 +11,21 @@
 import sprucehold.shards.StubShardServers;
 
 /**
- * Runs queries through decisions and codecs without any socket, on a clock of its own. For
- * platforms that grant a process no sockets within itself: there the first query after a start
- * would run interpreted and hold up the event loop.
+ * Warm-up that runs queries through the decision policy and the codecs without sockets, on a
+ * simulated clock. It is used on platforms where a process can't open Unix domain sockets to
+ * itself. Without it the first query after a start would run interpreted and stall the event loop.
  */
 final class StubWarmUp {
-    /** Most of what is called for each part is compiled after the parts of two wide queries. */
+    /**
+     * Number of queries. After the parts of two queries of {@link #MAX_PARTS} parts, most methods
+     * that are called for each part are compiled.
+     */
     private static final int QUERIES = 3;
 
     private static final int MAX_PARTS = 100;
     private static final int FEW_PARTS = 5;
 
-    /** A query that takes longer than so many steps is left without an answer. */
+    /** Maximum number of steps of a query; a query that isn't answered by then is abandoned. */
     private static final int MAX_STEPS = 8;
 
     /** Simulated time from sending attempts to their answers, in milliseconds. */
@@ -43,7 +46,7 @@
         this.queries = new WarmUpQueries(config);
     }
 
-    /** Returns how many queries were answered. */
+    /** Runs the warm-up and returns the number of answered queries. */
     static int run(NodeConfig config, DecisionPolicy.Factory policyFactory) {
         var warmUp = new StubWarmUp(config, policyFactory);
         warmUp.receive(endpoints(config.settings().deployment()));
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -25,25 +25,30 @@
 import sprucehold.standin.StandIns;
 
 /**
- * Runs queries through a gatherer of its own before the real one listens, so that what serving
- * needs is loaded and compiled by then: a JVM that begins under load with a part of a core answers
- * nothing in time for seconds. All stays within the process: its sockets are files in a directory
- * that nobody else knows, and go with it. Where such sockets aren't granted, {@link StubWarmUp}
- * does what goes without.
+ * Warm-up of the process: runs queries through a separate gatherer before the real one listens, so
+ * that the classes for serving are loaded and their methods compiled by then. A JVM that starts
+ * under load with a fraction of a core answers no query in time for several seconds. The warm-up
+ * stays within the process: its sockets are Unix domain sockets in a private temporary directory,
+ * which is removed afterwards. If such sockets aren't available, {@link StubWarmUp} warms up the
+ * code that needs no sockets.
  */
 final class WarmUp {
     private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
-    /** Most of what a query runs is compiled after so many. */
+    /** Number of queries after which most methods that a query calls are compiled. */
     private static final int MAX_QUERIES = 300;
 
-    /** Whoever waits for this gatherer to start waits no longer than this for its warm-up. */
+    /**
+     * Timeout of the warm-up over sockets, in milliseconds. It bounds how long the warm-up delays
+     * the start of the gatherer.
+     */
     private static final long TIMEOUT_MS = 6000;
 
     private static final int CLIENTS = 4;
 
     /**
-     * After a restart clients come on new connections, so opening connections is warmed up as well.
+     * Number of queries on each connection. After a restart clients open new connections, so
+     * opening connections is warmed up as well.
      */
     private static final int QUERIES_PER_CONNECTION = 3;
 
@@ -60,20 +65,24 @@
         this.queries = new WarmUpQueries(config);
     }
 
-    /** Returns when it is done; whatever goes wrong, only the time is lost. */
+    /**
+     * Runs the warm-up and returns when it is done. A failure of the warm-up doesn't prevent the
+     * start of the gatherer.
+     */
     static void run(NodeConfig config, DecisionPolicy.Factory policyFactory) {
-        // What happens within the warm-up is no news to operators.
-        Logger all = Logger.getLogger("sprucehold");
-        all.setLevel(Level.OFF);
+        // Log lines of the warm-up's own gatherer are of no use to operators.
+        Logger logger = Logger.getLogger("sprucehold");
+        logger.setLevel(Level.OFF);
         long startedNanos = System.nanoTime();
         int queries = 0;
         try {
-            queries = unixSocketsGranted() ? overSockets(config, policyFactory) : 0;
+            queries = unixSocketsGranted() ? runOverSockets(config, policyFactory) : 0;
             queries = queries > 0 ? queries : StubWarmUp.run(config, policyFactory);
         } catch (RuntimeException e) {
-            // The gatherer starts without the rest of its warm-up, and the line below says so.
+            // The gatherer starts without the rest of its warm-up; the log line below shows the
+            // number of queries that were run.
         } finally {
-            all.setLevel(null);
+            logger.setLevel(null);
         }
         LOG.info(
                 "warmed up: queries="
@@ -82,7 +91,7 @@
                         + (System.nanoTime() - startedNanos) / 1_000_000);
     }
 
-    /** Whether sockets that stay within the process are granted. */
+    /** Whether the platform lets the process open Unix domain sockets. */
     private static boolean unixSocketsGranted() {
         try (var probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return probe.isOpen();
@@ -91,7 +100,7 @@
         }
     }
 
-    private static int overSockets(NodeConfig config, DecisionPolicy.Factory policyFactory) {
+    private static int runOverSockets(NodeConfig config, DecisionPolicy.Factory policyFactory) {
         Path directory = null;
         var warmUp = new WarmUp(config);
         try {
@@ -101,7 +110,7 @@
                     .toCompletableFuture()
                     .get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (IOException | ExecutionException | TimeoutException e) {
-            // What was asked until then counts.
+            // The queries that were sent until then have warmed up the process.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -163,7 +172,7 @@
         return Future.all(clients).mapEmpty();
     }
 
-    /** Asks one query after the other, some on each connection. */
+    /** Sends one query after the other, {@link #QUERIES_PER_CONNECTION} on each connection. */
     private Future<Void> runClient(NetClient client, SocketAddress server) {
         if (queries.count() >= MAX_QUERIES) {
             return Future.succeededFuture();
@@ -185,20 +194,20 @@
                     if (answers.incrementAndGet() == QUERIES_PER_CONNECTION) {
                         socket.close();
                     } else {
-                        ask(socket);
+                        sendQuery(socket);
                     }
                 });
-        ask(socket);
+        sendQuery(socket);
         return closed.future();
     }
 
-    /** Whether the last byte is the end of an answer's body, completed or not. */
+    /** Whether the last byte ends the body of an answer, whether it is a completed one or not. */
     private static boolean endsAnswer(Buffer bytes) {
         byte last = bytes.getByte(bytes.length() - 1);
         return last == '}' || last == '\n';
     }
 
-    private void ask(NetSocket socket) {
+    private void sendQuery(NetSocket socket) {
         socket.write(Buffer.buffer(queries.next(1 + queries.count() % MAX_PARTS)));
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUpQueries.java
@@ -6,8 +6,8 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * The queries of a warm-up, as the HTTP requests that a client would send, and the shard servers
- * that they go to.
+ * Queries of a warm-up, as the HTTP requests that a client would send, and the endpoints of the
+ * shard servers that receive their parts.
  */
 final class WarmUpQueries {
     private final NodeConfig config;
@@ -17,7 +17,10 @@
         this.config = config;
     }
 
-    /** The next request, for so many parts at most; query classes take turns. */
+    /**
+     * Returns the next request, with at most {@code maxParts} parts. The requests cycle through the
+     * query classes.
+     */
     String next(int maxParts) {
         count++;
         List<QueryClass> queryClasses = config.settings().deployment().queryClasses();
@@ -46,7 +49,7 @@
                 + body;
     }
 
-    /** Two replicas of each replica group, all at one address. */
+    /** Returns two replicas of each replica group, all with the same address. */
     static List<EndpointUpdate> endpoints(int replicaGroups, String address, String zone) {
         var endpoints = new ArrayList<EndpointUpdate>();
         for (int group = 0; group < replicaGroups; group++) {
@@ -64,7 +67,7 @@
         return endpoints;
     }
 
-    /** How many requests were made. */
+    /** Returns the number of requests that were created. */
     int count() {
         return count;
     }
--- a/gatherer/src/main/java/sprucehold/node/package-info.java
+++ b/gatherer/src/main/java/sprucehold/node/package-info.java
@@ -1,7 +1,8 @@
 /**
- * One gatherer and the process around it: takes what the network code observes to the query
- * coordinator, carries out its commands, warms up, drains and ends. The entry point is {@link
- * sprucehold.node.Service}; {@link sprucehold.node.GathererNode} wires one gatherer. It must never
- * decide what the decision policy decides.
+ * One gatherer and its process. The package passes the observations of the network code to the
+ * query coordinator, executes the coordinator's commands, runs the warm-up, and drains and shuts
+ * down the gatherer. The entry point is {@link sprucehold.node.Service}; {@link
+ * sprucehold.node.GathererNode} wires one gatherer. Decisions that belong to the decision policy
+ * must not be made here.
  */
 package sprucehold.node;
--- a/gatherer/src/main/java/sprucehold/simulation/MalformedBatchException.java
+++ b/gatherer/src/main/java/sprucehold/simulation/MalformedBatchException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The input is no valid batch; the message says why, in one line. */
+/** Thrown when the input isn't a valid batch; the message states the reason in one line. */
 public final class MalformedBatchException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
@@ -19,9 +19,9 @@
 import sprucehold.decision.Event;
 
 /**
- * Runs many instances of the decision policy in the bench's simulation: a line in holds a batch of
- * their events, a line out their commands. Names on the wire are {@link WireReader}'s and {@link
- * WireWriter}'s.
+ * Runs many instances of the decision policy in the simulation. Each input line contains a batch of
+ * events of the instances, and each output line the resulting commands. {@link WireReader} and
+ * {@link WireWriter} define the names of the wire format.
  */
 public final class SimulationAdapter {
     private static final int BUFFER_BYTES = 1 << 16;
@@ -29,10 +29,10 @@
     private final DecisionPolicy.Factory factory;
     private final Map<Integer, Instance> instances = new HashMap<>();
 
-    /** The endpoint lists last received, by their number; they serve all instances. */
+    /** The last received endpoint lists, by their number; all instances share them. */
     private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
 
-    /** One instance of the policy, how its events are read, and those of this batch. */
+    /** An instance of the policy, with the reader of its events and its events of this batch. */
     private static final class Instance {
         private final DecisionPolicy policy;
         private final WireReader reader;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Makes an adapter whose instances are started by a factory. */
+    /** Creates an adapter whose instances are started by a factory. */
     public SimulationAdapter(DecisionPolicy.Factory factory) {
         this.factory = factory;
     }
@@ -52,7 +52,7 @@
     /**
      * Answers batches until the input ends.
      *
-     * @throws MalformedBatchException at the first line that is no valid batch
+     * @throws MalformedBatchException at the first line that isn't a valid batch
      */
     public void run(InputStream in, OutputStream out) throws IOException {
         var lines =
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Takes in all messages of a batch; returns the instances to call, in the order of the batch.
+     * Handles all messages of a batch; returns the instances to call, in the order of the batch.
      */
     private Map<Integer, Instance> receive(JsonNode batch) throws MalformedBatchException {
         Map<Integer, Instance> called = new LinkedHashMap<>();
@@ -132,7 +132,7 @@
         try {
             commands = instance.policy.decide(nowMs, List.copyOf(instance.events));
         } catch (RuntimeException | StackOverflowError e) {
-            // A fault of one instance is reported as its panic; the others go on.
+            // An exception of one instance is reported as its panic; the other instances continue.
             commands = List.of();
             panic = describe(e);
         }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** The exception and the place where it was thrown. */
+    /** Returns the exception's text and the place where it was thrown. */
     private static String describe(Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
         return e + (trace.length > 0 ? " at " + trace[0] : "");
--- a/gatherer/src/main/java/sprucehold/simulation/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireReader.java
@@ -20,17 +20,18 @@
 import sprucehold.deployment.InvalidSettingsException;
 
 /**
- * Reads what the simulation sends. An object of this class reads the events of one instance, whose
- * deployment it knows; what concerns a batch as a whole is static. Unknown fields are skipped,
- * absent ones are zero or empty.
+ * Reads the messages of the simulation. An object of this class reads the events of one instance
+ * and stores the deployment of that instance; the methods for a whole batch are static. Unknown
+ * fields are skipped, absent ones are zero or empty.
  *
- * <p>A batch has the simulated time {@code tsMs} in milliseconds, and in {@code parts} for each
- * instance its number {@code who} and its messages {@code msgs}. A message is an object with one
- * field: its name, with its fields.
+ * <p>A batch contains the simulated time {@code tsMs} in milliseconds. Its {@code parts} contain,
+ * for each instance, the instance's number {@code who} and its messages {@code msgs}. A message is
+ * an object with one field, whose name is the message's name and whose value contains the message's
+ * fields.
  *
  * <table>
- * <caption>Names on the wire</caption>
- * <tr><th>wire</th><th>our type or field</th></tr>
+ * <caption>Names in the wire format</caption>
+ * <tr><th>wire</th><th>type or field in the source</th></tr>
  * <tr><td>{@code PowerOn}: {@code rngSeed}, {@code params}</td>
  *     <td>{@link MessageKind#START}: seed, {@link DeploymentSettings}</td></tr>
  * <tr><td>{@code CrashNow}</td><td>{@link MessageKind#CRASH}</td></tr>
@@ -52,8 +53,8 @@
  * <tr><td>{@code rc} 0, 13, 8, 4, 14, 10, 1, 9</td>
  *     <td>{@link AttemptOutcome}: COMPLETED, ERROR, OVERLOADED, TIMED_OUT, UNREACHABLE, RESET,
  *     CANCELLED, NEVER_SENT</td></tr>
- * <tr><td>{@code stats}: {@code rif}, {@code q}, {@code busy}, in the order that the settings
- *     give</td><td>{@link LoadReport}: held, queued, busy</td></tr>
+ * <tr><td>{@code stats}: {@code rif}, {@code q}, {@code busy}, in the order that the
+ *     settings define</td><td>{@link LoadReport}: held, queued, busy</td></tr>
  * <tr><td>{@code Aborted}: {@code id}</td><td>{@link Event.ClientDisconnected}: queryId</td></tr>
  * <tr><td>{@code Registry} of kind {@code unavailable}</td>
  *     <td>{@link Event.EndpointsUnavailable}</td></tr>
@@ -62,23 +63,23 @@
  * <tr><td>{@code CheckResult}: {@code server}, {@code rc}, {@code elapsedMs}, {@code stats}</td>
  *     <td>{@link Event.HealthCheckEnded}: server, outcome, durationMs, load</td></tr>
  * <tr><td>{@code Bell}</td><td>{@link Event.WakeUp}</td></tr>
- * <tr><td>{@code Flowing}, {@code Peer}</td><td>none: they mean nothing to a gatherer</td></tr>
+ * <tr><td>{@code Flowing}, {@code Peer}</td><td>none: they have no meaning for a gatherer</td></tr>
  * </table>
  */
 final class WireReader {
-    /** What a message concerns. */
+    /** Kind of a message. */
     enum MessageKind {
-        /** An instance is started, in place of one that runs. */
+        /** Starts an instance, which replaces a running one with the same number. */
         START,
-        /** An instance is gone with all that it knew. */
+        /** Removes an instance together with its state. */
         CRASH,
-        /** A numbered endpoint list, to which later events of any instance refer. */
+        /** Defines a numbered endpoint list, to which later events of any instance refer. */
         ENDPOINT_LIST,
-        /** An event of an instance that runs. */
+        /** Contains an event of a running instance. */
         EVENT
     }
 
-    /** A message with its fields, which only this class reads. */
+    /** A message with its fields; only this class reads the fields. */
     record Message(String wireName, JsonNode fields) {
         MessageKind kind() {
             return switch (wireName) {
@@ -97,7 +98,7 @@
     private final Map<String, QueryClass> queryClasses = new HashMap<>();
     private final Map<String, Tenant> tenants = new HashMap<>();
 
-    /** Makes a reader for the instance that a message starts. */
+    /** Creates a reader for the instance that a message starts. */
     WireReader(Message start) throws MalformedBatchException {
         try {
             settings = DeploymentSettings.read(start.fields().path("params"));
@@ -110,7 +111,7 @@
         settings.deployment().tenants().forEach(tenant -> tenants.put(tenant.name(), tenant));
     }
 
-    /** Reads a batch, of which only its outer form is checked. */
+    /** Reads a batch; checks only its outermost structure. */
     static JsonNode batch(String line) throws MalformedBatchException {
         JsonNode batch;
         try {
@@ -124,17 +125,17 @@
         return batch;
     }
 
-    /** The simulated time of a batch, in milliseconds. */
+    /** Returns the simulated time of a batch, in milliseconds. */
     static double timeMs(JsonNode batch) {
         return batch.get("tsMs").doubleValue();
     }
 
-    /** The parts of a batch, each for one instance. */
+    /** Returns the parts of a batch, each for one instance. */
     static Iterable<JsonNode> parts(JsonNode batch) {
         return batch.get("parts");
     }
 
-    /** The number of the instance that a part of a batch is for. */
+    /** Returns the number of the instance that a part of a batch belongs to. */
     static int instance(JsonNode part) throws MalformedBatchException {
         if (!part.path("who").isInt() || !part.path("msgs").isArray()) {
             throw new MalformedBatchException("a part of a batch needs who and msgs");
@@ -142,7 +143,7 @@
         return part.get("who").intValue();
     }
 
-    /** The messages of a part of a batch, whose number was read. */
+    /** Returns the messages of a part of a batch; {@link #instance} has checked the part before. */
     static Iterable<JsonNode> messages(JsonNode part) {
         return part.get("msgs");
     }
@@ -155,17 +156,17 @@
         return new Message(named.getKey(), named.getValue());
     }
 
-    /** The seed of an instance that is started. */
+    /** Returns the seed of an instance that is started. */
     static long seed(Message start) {
         return start.fields().path("rngSeed").longValue();
     }
 
-    /** The number of an endpoint list. */
+    /** Returns the number of an endpoint list. */
     static int listNumber(Message message) {
         return message.fields().path("slot").intValue();
     }
 
-    /** The entries of an endpoint list. */
+    /** Returns the entries of an endpoint list. */
     static List<Endpoint> endpoints(Message list) throws MalformedBatchException {
         var endpoints = new ArrayList<Endpoint>();
         for (JsonNode host : list.fields().path("hosts")) {
@@ -189,15 +190,15 @@
         };
     }
 
-    /** The deployment of the instance. */
+    /** Returns the deployment of the instance. */
     Deployment deployment() {
         return settings.deployment();
     }
 
     /**
-     * Reads an event; null for one that means nothing to a gatherer.
+     * Reads an event; returns null for a message that has no meaning for a gatherer.
      *
-     * @param endpointLists the endpoint lists by number, as they are at this message
+     * @param endpointLists the endpoint lists by number, as of this message
      */
     Event event(Message message, Map<Integer, List<Endpoint>> endpointLists)
             throws MalformedBatchException {
@@ -264,7 +265,7 @@
         return new Event.EndpointsUpdated(!kind.equals("update"), endpoints);
     }
 
-    /** The load that a shard server reports; null if it reports none. */
+    /** Returns the load that a shard server reports; null if it reports none. */
     private LoadReport load(JsonNode fields) {
         JsonNode stats = fields.path("stats");
         if (settings.loadFields().isEmpty() || !stats.isArray()) {
--- a/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireWriter.java
@@ -8,13 +8,13 @@
 import sprucehold.decision.Command;
 
 /**
- * Writes the answer to one batch: in {@code parts} for each instance that commands something its
- * number {@code who} and its messages {@code outbox}. A message is an object with one field: its
- * name, with its fields.
+ * Writes the answer to one batch. Its {@code parts} contain, for each instance with commands, the
+ * instance's number {@code who} and its messages {@code outbox}. A message is an object with one
+ * field, whose name is the message's name and whose value contains the message's fields.
  *
  * <table>
- * <caption>Names on the wire</caption>
- * <tr><th>our type and fields</th><th>wire</th></tr>
+ * <caption>Names in the wire format</caption>
+ * <tr><th>type and fields in the source</th><th>wire</th></tr>
  * <tr><td>{@link Command.SendAttempt}: partId, server, timeoutMs</td>
  *     <td>{@code Attempt}: {@code id}, {@code server}, {@code timeoutMs}</td></tr>
  * <tr><td>{@link Command.CancelAttempt}: partId, attemptNumber</td>
@@ -30,7 +30,7 @@
  * <tr><td>{@link Command.SubscribeToEndpoints}</td>
  *     <td>{@code KeepInformed}: {@code complete} always true</td></tr>
  * <tr><td>{@link Command.LogMessage}: text</td><td>{@code Record}: {@code line}</td></tr>
- * <tr><td>an exception of the decisions</td><td>{@code Panic}: {@code line}</td></tr>
+ * <tr><td>an exception of the decision policy</td><td>{@code Panic}: {@code line}</td></tr>
  * </table>
  */
 final class WireWriter implements AutoCloseable {
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Writes what one instance commands.
+     * Writes the commands of one instance.
      *
-     * @param instance its number
-     * @param panic the text of an exception of its decisions, or null
+     * @param instance the number of the instance
+     * @param panic the text of an exception of its decision policy, or null
      */
     void write(int instance, List<Command> commands, String panic) throws IOException {
         json.writeStartObject();
@@ -111,7 +111,7 @@
             begin("Record");
             json.writeStringField("line", message.text());
         } else {
-            // Shared limits exist among gatherers on sockets only.
+            // Shared limits exist only for gatherers that serve on sockets, not in the simulation.
             throw new IllegalArgumentException("no wire form for " + command);
         }
         end();
--- a/gatherer/src/main/java/sprucehold/simulation/package-info.java
+++ b/gatherer/src/main/java/sprucehold/simulation/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The adapter between the bench's simulation and the decision policy; the entry point is {@link
- * sprucehold.simulation.SimulationAdapter}. Names on the wire are known to {@link
- * sprucehold.simulation.WireReader} and {@link sprucehold.simulation.WireWriter} alone. It must
- * never decide anything.
+ * Adapter between the simulation and the decision policy; the entry point is {@link
+ * sprucehold.simulation.SimulationAdapter}. Only {@link sprucehold.simulation.WireReader} and
+ * {@link sprucehold.simulation.WireWriter} use the names of the wire format. The adapter must not
+ * make any decision itself.
  */
 package sprucehold.simulation;
--- a/gatherer/src/test/java/sprucehold/TestLoop.java
+++ b/gatherer/src/test/java/sprucehold/TestLoop.java
@@ -11,8 +11,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The event loop that what is tested runs on, asked from the test's own thread. Every wait ends, in
- * failure if need be.
+ * Event loop of the code under test, controlled from the test's thread. Every wait has a timeout,
+ * after which the test fails.
  */
 public final class TestLoop {
     private final Context context;
@@ -21,12 +21,12 @@
         this.context = vertx.getOrCreateContext();
     }
 
-    /** Runs it on the loop, some time. */
+    /** Submits work to the loop without waiting for it. */
     public void run(Runnable work) {
         context.runOnContext(none -> work.run());
     }
 
-    /** Runs it on the loop and returns what it returned. */
+    /** Runs work on the loop and returns its result. */
     public <T> T call(Callable<T> work) throws Exception {
         var done = new CompletableFuture<T>();
         run(
@@ -40,7 +40,7 @@
         return done.get(10, TimeUnit.SECONDS);
     }
 
-    /** Runs it on the loop and waits until it has run. */
+    /** Runs work on the loop and waits until it has run. */
     public void act(Runnable work) throws Exception {
         call(
                 () -> {
@@ -49,32 +49,32 @@
                 });
     }
 
-    /** Waits until something holds on the loop. */
-    public void until(BooleanSupplier holds) throws Exception {
+    /** Waits until a condition, which is evaluated on the loop, is true. */
+    public void until(BooleanSupplier condition) throws Exception {
         double end = System.nanoTime() + 10e9;
-        while (!call(holds::getAsBoolean)) {
-            assertTrue(System.nanoTime() < end, "it does not come to hold");
+        while (!call(condition::getAsBoolean)) {
+            assertTrue(System.nanoTime() < end, "condition not met within 10 s");
         }
     }
 
     /**
-     * Has the loop stand still until what is returned is run, and then do this before it looks at
-     * its sockets.
+     * Blocks the loop until the returned action is run. The loop then runs {@code then} before it
+     * reads its sockets again.
      */
     public Runnable hold(Runnable then) throws InterruptedException {
-        var held = new CountDownLatch(1);
-        var free = new CountDownLatch(1);
+        var blocked = new CountDownLatch(1);
+        var released = new CountDownLatch(1);
         run(
                 () -> {
-                    held.countDown();
+                    blocked.countDown();
                     try {
-                        free.await(10, TimeUnit.SECONDS);
+                        released.await(10, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                     then.run();
                 });
-        assertTrue(held.await(10, TimeUnit.SECONDS));
-        return free::countDown;
+        assertTrue(blocked.await(10, TimeUnit.SECONDS));
+        return released::countDown;
     }
 }
--- a/gatherer/src/test/java/sprucehold/command/ClosedWhileHeldUpTest.java
+++ b/gatherer/src/test/java/sprucehold/command/ClientDisconnectDuringStallTest.java
@@ -21,32 +21,39 @@
 import org.testng.annotations.Test;
 
 /**
- * A gatherer in a process of its own that is stopped while its clients ask and close. Afterwards
- * none of its attempts may begin over 0.1 s after its client's close, whatever it is that begins
- * it, and none may tell its shard server more time than its client has left.
+ * Tests of a gatherer process that is stopped by SIGSTOP while its clients send queries and
+ * disconnect. After SIGCONT no attempt of any kind may begin more than 0.1 s after its client's
+ * close, and no attempt may send its shard server a longer timeout than the time left to its
+ * client.
  */
-public class ClosedWhileHeldUpTest {
+public class ClientDisconnectDuringStallTest {
     private static final int CLIENTS = 40;
 
-    /** Few enough to be out at two servers at once, of which little is known yet. */
-    private static final int RETRIED = 6;
+    /**
+     * Number of queries to retry. It is small enough that their attempts can all be in flight at
+     * two servers of which the gatherer has few results yet.
+     */
+    private static final int RETRIED_QUERIES = 6;
 
     /**
-     * The stop goes on so long after the last close: longer than the 0.1 s in which an attempt may
-     * still begin.
+     * Time for which the process stays stopped after the last close, in milliseconds. It is longer
+     * than the 0.1 s within which an attempt may still begin.
      */
-    private static final long HELD_UP_MS = 150;
+    private static final long STALL_MS = 150;
 
-    /** More than one pass over the listener accepts. */
-    private static final int NEWCOMERS = 100;
+    /** Number of new connections, more than one pass over the listener accepts. */
+    private static final int NEW_CONNECTIONS = 100;
 
     private static final double DEADLINE_MS = 2500;
 
-    /** So long newcomers wait in the backlog. */
-    private static final long WAITED_MS = 1000;
+    /** Time that new connections wait in the backlog, in milliseconds. */
+    private static final long BACKLOG_MS = 1000;
 
-    /** What an attempt may tell beyond what its client has left, in milliseconds. */
-    private static final double TOLD_SLACK_MS = 150;
+    /**
+     * Time by which the timeout of an attempt may exceed the time left to its client, in
+     * milliseconds.
+     */
+    private static final double TIMEOUT_SLACK_MS = 150;
 
     private RecordingShardServer first;
     private RecordingShardServer second;
@@ -100,7 +107,7 @@
         rest.setDaemon(true);
         rest.start();
         for (int i = 0; i < 50; i++) {
-            assertEquals(ask("warm" + i), "HTTP/1.1 200 OK");
+            assertEquals(sendAndReadStatus("warm" + i), "HTTP/1.1 200 OK");
         }
     }
 
@@ -143,7 +150,7 @@
                                 .getBytes(StandardCharsets.UTF_8));
     }
 
-    private String ask(String id) throws IOException {
+    private String sendAndReadStatus(String id) throws IOException {
         try (Socket socket = connect()) {
             send(socket, id);
             return new BufferedReader(
@@ -160,10 +167,10 @@
                 0);
     }
 
-    /** Attempts of queries whose ids begin so, at both servers. */
+    /** Returns the attempts at both servers for queries whose ids begin with {@code prefix}. */
     private List<String> attempts(String prefix) {
-        var all = new ArrayList<>(first.came());
-        all.addAll(second.came());
+        var all = new ArrayList<>(first.received());
+        all.addAll(second.received());
         return all.stream()
                 .map(RecordingShardServer.Part::query)
                 .filter(query -> query.startsWith(prefix))
@@ -171,30 +178,31 @@
                 .toList();
     }
 
-    private List<Socket> connected(int clients) throws IOException {
+    private List<Socket> openConnections(int clients) throws IOException {
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < clients; i++) {
             sockets.add(connect());
         }
-        // Answered on a connection that was opened after them: the gatherer holds all of them.
-        assertEquals(ask("held" + sockets.get(0).getLocalPort()), "HTTP/1.1 200 OK");
+        // This query is answered on a connection that was opened after the others, so the gatherer
+        // has accepted all of them.
+        assertEquals(sendAndReadStatus("held" + sockets.get(0).getLocalPort()), "HTTP/1.1 200 OK");
         return sockets;
     }
 
-    private void goOn() throws Exception {
-        Thread.sleep(HELD_UP_MS);
+    private void resumeAfterStall() throws Exception {
+        Thread.sleep(STALL_MS);
         signal("CONT");
-        // Queries are decided upon in the order in which they came, so once these are answered all
-        // before them were.
+        // Queries are decided in the order of their receipt, so once these are answered all earlier
+        // ones have been decided.
         for (int i = 0; i < 10; i++) {
-            String status = ask("after" + i);
+            String status = sendAndReadStatus("after" + i);
             assertTrue(status != null && status.matches("HTTP/1.1 (200|503) .*"), status);
         }
     }
 
     @Test
-    public void noFirstAttemptBeginsForAClientWhoseCloseLayUnread() throws Exception {
-        List<Socket> sockets = connected(CLIENTS);
+    public void noFirstAttemptBeginsIfClientDisconnectedDuringStall() throws Exception {
+        List<Socket> sockets = openConnections(CLIENTS);
         signal("STOP");
         for (int i = 0; i < CLIENTS; i++) {
             send(sockets.get(i), "gone" + i);
@@ -202,53 +210,54 @@
         for (Socket socket : sockets) {
             socket.close();
         }
-        goOn();
+        resumeAfterStall();
         assertEquals(attempts("gone"), List.of());
     }
 
     @DataProvider
-    Object[][] ends() {
+    Object[][] failedOutcomes() {
         return new Object[][] {{"fault"}, {"overload"}};
     }
 
-    @Test(dataProvider = "ends")
-    public void noRetryBeginsForAClientWhoseCloseLayUnread(String endsAs) throws Exception {
-        List<Socket> sockets = connected(RETRIED);
-        for (int i = 0; i < RETRIED; i++) {
+    @Test(dataProvider = "failedOutcomes")
+    public void noRetryBeginsIfClientDisconnectedDuringStall(String outcome) throws Exception {
+        List<Socket> sockets = openConnections(RETRIED_QUERIES);
+        for (int i = 0; i < RETRIED_QUERIES; i++) {
             send(sockets.get(i), "wait" + i);
         }
         long end = System.nanoTime() + 30_000_000_000L;
-        while (attempts("wait").size() < RETRIED) {
+        while (attempts("wait").size() < RETRIED_QUERIES) {
             assertTrue(
-                    System.nanoTime() < end, "only " + attempts("wait").size() + " attempts came");
+                    System.nanoTime() < end,
+                    "only " + attempts("wait").size() + " attempts received");
             Thread.onSpinWait();
         }
         List<String> before = attempts("wait");
         signal("STOP");
         for (RecordingShardServer server : List.of(first, second)) {
-            for (RecordingShardServer.Part part : server.kept()) {
-                part.end(endsAs);
+            for (RecordingShardServer.Part part : server.pending()) {
+                part.complete(outcome);
             }
         }
         for (Socket socket : sockets) {
             socket.close();
         }
-        goOn();
+        resumeAfterStall();
         assertEquals(attempts("wait"), before);
     }
 
     @Test
-    public void timeInTheBacklogIsTakenFromTheClientsTime() throws Exception {
+    public void timeInBacklogIsSubtractedFromTimeLeft() throws Exception {
         signal("STOP");
         var sockets = new ArrayList<Socket>();
         var sentNanos = new HashMap<String, Long>();
-        for (int i = 0; i < NEWCOMERS; i++) {
+        for (int i = 0; i < NEW_CONNECTIONS; i++) {
             Socket socket = connect();
             sockets.add(socket);
             sentNanos.put("new" + i, System.nanoTime());
             send(socket, "new" + i);
         }
-        Thread.sleep(WAITED_MS);
+        Thread.sleep(BACKLOG_MS);
         signal("CONT");
         for (Socket socket : sockets) {
             String status =
@@ -259,22 +268,22 @@
             assertTrue(status != null && status.matches("HTTP/1.1 (200|502|503) .*"), status);
             socket.close();
         }
-        var parts = new ArrayList<>(first.came());
-        parts.addAll(second.came());
+        var parts = new ArrayList<>(first.received());
+        parts.addAll(second.received());
         parts.removeIf(part -> !sentNanos.containsKey(part.query()));
-        assertTrue(!parts.isEmpty(), "none was sent on");
-        List<String> toldTooMuch =
+        assertTrue(!parts.isEmpty(), "no part was sent to a shard server");
+        List<String> excessiveTimeouts =
                 parts.stream()
                         .filter(
                                 part ->
-                                        part.toldMs()
+                                        part.timeoutMs()
                                                 > leftMs(
                                                                 sentNanos.get(part.query()),
-                                                                part.cameNanos())
-                                                        + TOLD_SLACK_MS)
+                                                                part.receivedNanos())
+                                                        + TIMEOUT_SLACK_MS)
                         .map(RecordingShardServer.Part::toString)
                         .toList();
-        assertEquals(toldTooMuch, List.of());
+        assertEquals(excessiveTimeouts, List.of());
     }
 
     private static double leftMs(long sentNanos, long atNanos) {
--- a/gatherer/src/test/java/sprucehold/command/MainTest.java
+++ b/gatherer/src/test/java/sprucehold/command/MainTest.java
@@ -12,10 +12,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What commands do with arguments and files that can't be used. */
+/** Tests of commands with invalid arguments and files. */
 public class MainTest {
     @DataProvider
-    Object[][] commands() {
+    Object[][] invalidCommands() {
         return new Object[][] {
             {new String[] {}, 2},
             {new String[] {"what"}, 2},
@@ -27,8 +27,8 @@
         };
     }
 
-    @Test(dataProvider = "commands")
-    public void whatCantBeDoneIsOneLineAndAnExitCode(String[] arguments, int exit)
+    @Test(dataProvider = "invalidCommands")
+    public void failedCommandPrintsOneLineAndReturnsExitCode(String[] arguments, int exit)
             throws IOException {
         Path empty = Files.createTempFile("empty", ".json");
         for (int i = 0; i < arguments.length; i++) {
--- a/gatherer/src/test/java/sprucehold/command/RecordingShardServer.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingShardServer.java
@@ -13,47 +13,47 @@
 import java.util.function.Function;
 
 /**
- * A shard server of a test: it keeps the ids of all queries of which a part came, and ends each
- * part as it is told.
+ * Shard server for tests. It records every part that it receives, and completes each part with the
+ * outcome that the test chooses.
  */
 final class RecordingShardServer implements AutoCloseable {
-    private static final int LONGEST_FRAME = 1 << 20;
+    private static final int MAX_FRAME_BYTES = 1 << 20;
 
     /**
-     * A part that came.
+     * A part that was received.
      *
-     * @param toldMs how long its answer is waited for, as the frame says
-     * @param cameNanos when it came, on the clock of {@link System#nanoTime}
+     * @param timeoutMs how long the gatherer waits for its answer, as stated in the frame
+     * @param receivedNanos the time of its receipt, on the clock of {@link System#nanoTime}
      */
-    record Part(String id, double toldMs, long cameNanos, OutputStream to) {
+    record Part(String id, double timeoutMs, long receivedNanos, OutputStream output) {
         String query() {
             return id.substring(0, id.indexOf('.'));
         }
 
-        /** Ends it: {@code hit}, {@code fault} or {@code overload}. */
-        void end(String as) throws IOException {
+        /** Sends its outcome: {@code hit}, {@code fault} or {@code overload}. */
+        void complete(String outcome) throws IOException {
             byte[] frame =
-                    ("E" + id + " " + as + " 0 -\n" + (as.equals("hit") ? "value" : ""))
+                    ("E" + id + " " + outcome + " 0 -\n" + (outcome.equals("hit") ? "value" : ""))
                             .getBytes(StandardCharsets.US_ASCII);
-            synchronized (to) {
-                to.write(new byte[] {(byte) frame.length, (byte) (frame.length >> 8), 0, 0});
-                to.write(frame);
-                to.flush();
+            synchronized (output) {
+                output.write(new byte[] {(byte) frame.length, (byte) (frame.length >> 8), 0, 0});
+                output.write(frame);
+                output.flush();
             }
         }
     }
 
     private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final List<Part> came = new ArrayList<>();
-    private final List<Part> kept = new ArrayList<>();
-    private final Function<String, String> ends;
+    private final List<Part> received = new ArrayList<>();
+    private final List<Part> pending = new ArrayList<>();
+    private final Function<String, String> outcomeOf;
 
     /**
-     * @param ends how the parts of a query end by its id; null for one whose parts are kept until
-     *     the test ends them
+     * @param outcomeOf returns the outcome of the parts of a query by the query's id; null for
+     *     parts that stay pending until the test completes them
      */
-    RecordingShardServer(Function<String, String> ends) throws IOException {
-        this.ends = ends;
+    RecordingShardServer(Function<String, String> outcomeOf) throws IOException {
+        this.outcomeOf = outcomeOf;
         daemon(
                 () -> {
                     while (true) {
@@ -74,7 +74,7 @@
                             try {
                                 work.run();
                             } catch (IOException e) {
-                                // The other side, or the test, has ended.
+                                // The gatherer has closed the connection, or the test has ended.
                             }
                         },
                         "shard server");
@@ -86,29 +86,29 @@
         var in = new DataInputStream(connection.getInputStream());
         while (true) {
             int length = Integer.reverseBytes(in.readInt());
-            if (length < 1 || length > LONGEST_FRAME) {
+            if (length < 1 || length > MAX_FRAME_BYTES) {
                 throw new IOException("a frame of " + length + " bytes");
             }
             byte[] frame = in.readNBytes(length);
             if (frame[0] == 'A') {
-                call(
+                receiveCall(
                         new String(frame, 1, length - 1, StandardCharsets.US_ASCII),
                         connection.getOutputStream());
             }
         }
     }
 
-    private void call(String lines, OutputStream to) throws IOException {
+    private void receiveCall(String lines, OutputStream output) throws IOException {
         int at = 0;
         while (at < lines.length()) {
             int end = lines.indexOf('\n', at);
             String[] words = lines.substring(at, end).split(" ", -1);
             at = end + 1 + Integer.parseInt(words[3]);
-            take(new Part(words[0], toldMs(words[2]), System.nanoTime(), to));
+            receive(new Part(words[0], timeoutMs(words[2]), System.nanoTime(), output));
         }
     }
 
-    private static double toldMs(String options) {
+    private static double timeoutMs(String options) {
         return Arrays.stream(options.split(",", -1))
                 .filter(option -> option.startsWith("d="))
                 .findFirst()
@@ -116,16 +116,16 @@
                 .orElseThrow();
     }
 
-    private void take(Part part) throws IOException {
-        String as = ends.apply(part.query());
+    private void receive(Part part) throws IOException {
+        String outcome = outcomeOf.apply(part.query());
         synchronized (this) {
-            came.add(part);
-            if (as == null) {
-                kept.add(part);
+            received.add(part);
+            if (outcome == null) {
+                pending.add(part);
             }
         }
-        if (as != null) {
-            part.end(as);
+        if (outcome != null) {
+            part.complete(outcome);
         }
     }
 
@@ -133,14 +133,14 @@
         return listener.getLocalPort();
     }
 
-    /** The parts that came, one for each attempt. */
-    synchronized List<Part> came() {
-        return List.copyOf(came);
+    /** Returns the parts that were received, one for each attempt. */
+    synchronized List<Part> received() {
+        return List.copyOf(received);
     }
 
-    /** The parts that wait for the test to end them. */
-    synchronized List<Part> kept() {
-        return List.copyOf(kept);
+    /** Returns the parts that the test has to complete. */
+    synchronized List<Part> pending() {
+        return List.copyOf(pending);
     }
 
     @Override
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -17,9 +17,9 @@
 import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
-/** Recording as an operator switches it on. */
+/** Tests of the recording of policy calls. */
 public class RecordingTest {
-    private static final Deployment FACTS =
+    private static final Deployment DEPLOYMENT =
             new Deployment(
                     1,
                     "a",
@@ -34,23 +34,23 @@
                     new Deployment.EndpointSubscription(true, 1000));
 
     @Test
-    public void switchedOnByAFileItRecordsTheModulesEveryCallWithSeedAndFacts() throws IOException {
+    public void recordingContainsEveryPolicyCallWithSeedAndDeployment() throws IOException {
         Path folder = Files.createTempDirectory("recording");
         Path file = Files.writeString(folder.resolve("recording.json"), "{\"folder\": \".\"}");
         Recording recording = Recording.read(file, "g7");
-        DecisionPolicy module = recording.of(QueryScheduler::new).start(77, FACTS);
-        module.decide(5, List.of(new Event.EndpointsUpdated(true, List.of())));
-        module.decide(6, List.of(new Event.EndpointsUnavailable()));
+        DecisionPolicy policy = recording.wrap(QueryScheduler::new).start(77, DEPLOYMENT);
+        policy.decide(5, List.of(new Event.EndpointsUpdated(true, List.of())));
+        policy.decide(6, List.of(new Event.EndpointsUnavailable()));
         recording.end();
         try (Stream<Path> files = Files.list(folder);
                 TraceReader reader =
                         TraceReader.open(
-                                files.filter(of -> of.toString().endsWith(".trace"))
+                                files.filter(path -> path.toString().endsWith(".trace"))
                                         .findFirst()
                                         .orElseThrow())) {
             assertEquals(reader.header().sources().get(0).gatherer(), "g7");
             assertEquals(reader.header().sources().get(0).seed(), 77);
-            assertEquals(reader.header().sources().get(0).deployment(), FACTS);
+            assertEquals(reader.header().sources().get(0).deployment(), DEPLOYMENT);
             TraceCursor cursor = reader.all();
             assertEquals(((PolicyCall) cursor.next()).commands().size(), 1);
             assertEquals(cursor.next().nowMs(), 6.0);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void fileThatCantBeUsedKeepsTheGathererFromStarting() throws IOException {
+    public void invalidSettingsFileIsRejected() throws IOException {
         Path file = Files.writeString(Files.createTempFile("recording", ".json"), "{\"files\": 3}");
         assertThrows(IOException.class, () -> Recording.read(file, "g7"));
     }
--- a/gatherer/src/test/java/sprucehold/command/ServeEndTest.java
+++ b/gatherer/src/test/java/sprucehold/command/ServeShutdownTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The end of the process itself, by signals, as its clients see it. */
-public class ServeEndTest {
+/** Tests of the shutdown of a gatherer process by signals, as its clients observe it. */
+public class ServeShutdownTest {
     private final BlockingQueue<String> log = new LinkedBlockingQueue<>();
 
     private Process start(Path config, boolean options, Path classes) throws IOException {
@@ -81,7 +81,10 @@
                 0);
     }
 
-    /** Started with SIGHUP ignored, as under nohup, a JVM keeps it so. */
+    /**
+     * Whether the process ignores SIGHUP. A JVM that is started with SIGHUP ignored, as under
+     * nohup, keeps ignoring it.
+     */
     private static boolean ignoresHangUp(Process process) throws IOException {
         String ignored =
                 Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
@@ -92,7 +95,7 @@
         return (Long.parseUnsignedLong(ignored, 16) & 1) != 0;
     }
 
-    private static String ask(int port, String id) throws IOException {
+    private static String sendAndReadStatus(int port, String id) throws IOException {
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
         try (var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.setSoTimeout(10_000);
@@ -113,13 +116,13 @@
     }
 
     @DataProvider
-    Object[][] ways() {
+    Object[][] configurationSources() {
         return new Object[][] {{true, "gatherer n in"}, {false, "gatherer n-env in"}};
     }
 
-    @Test(dataProvider = "ways")
-    public void whoComesAfterSigtermIsAnsweredAndFurtherSignalsChangeNothing(
-            boolean options, String says) throws Exception {
+    @Test(dataProvider = "configurationSources")
+    public void queriesAfterSigtermAreAnsweredDespiteFurtherSignals(
+            boolean options, String summaryStart) throws Exception {
         int port;
         try (var free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
@@ -137,26 +140,27 @@
         Path classes = Files.createTempFile("classes", ".txt");
         Process process = start(config, options, classes);
         try {
-            awaitLine(says);
+            awaitLine(summaryStart);
             awaitLine("listening at");
-            assertTrue(ask(port, "before").startsWith("HTTP/1.1 503"));
+            assertTrue(sendAndReadStatus(port, "before").startsWith("HTTP/1.1 503"));
             signal(process, "TERM");
             awaitLine("draining");
-            // The configuration is read again, and the second SIGTERM finds the end under way.
+            // SIGHUP reads the configuration again, and the second SIGTERM arrives during the
+            // shutdown.
             if (!ignoresHangUp(process)) {
                 signal(process, "HUP");
                 awaitLine("SIGHUP");
             }
             signal(process, "TERM");
             for (String id : List.of("one", "two")) {
-                String status = ask(port, id);
+                String status = sendAndReadStatus(port, id);
                 assertTrue(status != null && status.startsWith("HTTP/1.1 503"), status);
             }
             awaitLine("ended: queries_received=3, open_queries=0");
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-            // 128 and the signal's number: nobody killed it.
+            // 128 plus the number of SIGTERM: the process wasn't killed by SIGKILL.
             assertEquals(process.exitValue(), 143);
-            // Where no options are given, what reads them isn't loaded.
+            // Without options the classes that parse options aren't loaded.
             assertEquals(Files.readString(classes).contains("picocli.CommandLine$Model"), options);
         } finally {
             process.destroyForcibly();
--- a/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
@@ -32,10 +32,12 @@
 import sprucehold.policy.QueryScheduler;
 import sprucehold.standin.StandIns;
 
-/** A gatherer among stand-ins, under load, changed through its admin server. */
+/**
+ * Tests of configuration changes through the admin server, on a gatherer with stubs and under load.
+ */
 public class ConfigurationChangesTest {
     private static final String TOKEN = "a token of some letters";
-    private static final java.net.http.HttpClient CALLS =
+    private static final java.net.http.HttpClient HTTP_CLIENT =
             java.net.http.HttpClient.newBuilder()
                     .version(java.net.http.HttpClient.Version.HTTP_1_1)
                     .build();
@@ -55,15 +57,15 @@
     private Path folder;
     private GathererNode node;
     private int port;
-    private long load;
-    private final AtomicInteger asked = new AtomicInteger();
+    private long loadTimer;
+    private final AtomicInteger sent = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
 
     @BeforeMethod
     public void start() throws Exception {
         vertx = Service.vertx();
         folder = Files.createTempDirectory("changes");
-        asked.set(0);
+        sent.set(0);
         answered.set(0);
         node = serve();
     }
@@ -83,7 +85,7 @@
                                         true)
                                 .compose(
                                         discovery -> {
-                                            var moved =
+                                            var nodeConfig =
                                                     new NodeConfig(
                                                             "n",
                                                             config.listen(),
@@ -97,7 +99,7 @@
                                                 var serving =
                                                         new GathererNode(
                                                                 vertx,
-                                                                moved,
+                                                                nodeConfig,
                                                                 QueryScheduler::new,
                                                                 new AdminConfig(
                                                                         "127.0.0.1",
@@ -127,7 +129,7 @@
 
     @AfterMethod
     public void stop() throws Exception {
-        loadEnds();
+        stopLoad();
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none ->
@@ -137,13 +139,13 @@
         vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     }
 
-    private void load() {
+    private void startLoad() {
         HttpClient client = vertx.createHttpClient();
-        load =
+        loadTimer =
                 vertx.setPeriodic(
                         5,
                         id -> {
-                            int number = asked.incrementAndGet();
+                            int number = sent.incrementAndGet();
                             String body =
                                     "{\"buckets\":[{\"bucket\":"
                                             + number % 4
@@ -163,23 +165,23 @@
     }
 
     /**
-     * Asks no more, and waits for the last answer: a request that crosses the close of its
-     * connection would have none.
+     * Stops the load and waits for the last answer. A request that is sent while the gatherer
+     * closes the connection would have no answer.
      */
-    private void loadEnds() throws Exception {
+    private void stopLoad() throws Exception {
         var cancelled = new CompletableFuture<Boolean>();
-        vertx.runOnContext(none -> cancelled.complete(vertx.cancelTimer(load)));
+        vertx.runOnContext(none -> cancelled.complete(vertx.cancelTimer(loadTimer)));
         cancelled.get(5, TimeUnit.SECONDS);
         long until = System.nanoTime() + 5_000_000_000L;
-        while (answered.get() < asked.get() && System.nanoTime() < until) {
+        while (answered.get() < sent.get() && System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        assertEquals(answered.get(), asked.get(), "each query has one answer");
+        assertEquals(answered.get(), sent.get(), "each query has one answer");
     }
 
     private HttpResponse<String> call(String method, String path, String token, String body)
             throws Exception {
-        return CALLS.send(
+        return HTTP_CLIENT.send(
                 HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.adminPort() + path))
                         .header("Authorization", "Bearer " + token)
                         .method(method, HttpRequest.BodyPublishers.ofString(body))
@@ -222,15 +224,15 @@
 
     @Test
     public void harmfulChangeUnderLoadIsRolledBackWithinFiveSeconds() throws Exception {
-        load();
+        startLoad();
         while (answered.get() < 400) {
             Thread.onSpinWait();
         }
         ObjectNode document = document();
-        // No answer can come so soon: all of them count as late from now on.
+        // No answer can be completed within 0.001 ms: all of them count as late from now on.
         ((ObjectNode) document.get("tableTypes").get(0)).put("targetMs", 0.001);
-        HttpResponse<String> taken = propose("p1", 1, document);
-        assertEquals(taken.statusCode(), 202, taken.body());
+        HttpResponse<String> accepted = propose("p1", 1, document);
+        assertEquals(accepted.statusCode(), 202, accepted.body());
         long live = System.nanoTime();
         await("live", 3);
         assertTrue(
@@ -244,8 +246,8 @@
     }
 
     @Test
-    public void harmlessChangeIsConfirmedAndOutlivesARestart() throws Exception {
-        load();
+    public void harmlessChangeIsConfirmedAndSurvivesRestart() throws Exception {
+        startLoad();
         while (answered.get() < 400) {
             Thread.onSpinWait();
         }
@@ -255,7 +257,7 @@
         assertEquals(propose("p1", 1, document).statusCode(), 202);
         await("confirmed", 2);
         assertEquals(propose("p1", 1, document).statusCode(), 200, "the same proposal again");
-        loadEnds();
+        stopLoad();
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none ->
@@ -268,7 +270,7 @@
     }
 
     @DataProvider
-    Object[][] refused() {
+    Object[][] invalidRequests() {
         return new Object[][] {
             // method, path, token, body, status
             {"GET", "/change/status", "wrong", "", 401},
@@ -284,27 +286,27 @@
         };
     }
 
-    @Test(dataProvider = "refused")
-    public void invalidRequestIsRefusedAndChangesNothing(
+    @Test(dataProvider = "invalidRequests")
+    public void invalidRequestIsRejectedAndChangesNothing(
             String method, String path, String token, String body, int status) throws Exception {
         try {
             HttpResponse<String> response = call(method, path, token, body);
             assertEquals(response.statusCode(), status, response.body());
             assertTrue(MAPPER.readTree(response.body()).isObject(), response.body());
         } catch (IOException e) {
-            // Closed while the rest of it was still on its way.
+            // The connection was closed while the rest of the request was still being sent.
             assertTrue(status == 413 || status == 401, e.toString());
         }
         assertEquals(get("/change/status").get("live").asInt(), 1);
     }
 
     @Test
-    public void floodOfAdminConnectionsLeavesServerAndClientsServed() throws Exception {
+    public void manyAdminConnectionsDoNotBlockAdminServerOrClients() throws Exception {
         var sockets = new ArrayList<Socket>();
         for (int i = 0; i < 60; i++) {
             sockets.add(new Socket(InetAddress.getLoopbackAddress(), node.adminPort()));
         }
-        load();
+        startLoad();
         while (answered.get() < 50) {
             Thread.onSpinWait();
         }
@@ -315,7 +317,7 @@
     }
 
     @Test
-    public void secondOperatorIsToldWhatChangedMeanwhile() throws Exception {
+    public void proposalBasedOnOutdatedVersionIsRejectedWithInterveningChanges() throws Exception {
         ObjectNode one = document();
         ObjectNode two = document();
         ((ObjectNode) one.get("limits")).put("maxOpen", 450);
--- a/gatherer/src/test/java/sprucehold/node/DecisionLoopTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionLoopTest.java
@@ -24,24 +24,24 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Event;
 
-/** When the decisions of a whole gatherer are called, and with what. */
+/** Tests when the decision policy of a whole gatherer is called, and with which events. */
 public class DecisionLoopTest extends GathererTestBed {
     /**
-     * Decisions that stand still at each query until they are told to go on, and then for longer
-     * than a turn may last.
+     * Decision policy that blocks at each query until the test releases a permit, and then for
+     * longer than the maximum duration of a turn.
      */
-    private static final class Halting implements DecisionPolicy {
-        final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
+    private static final class BlockingPolicy implements DecisionPolicy {
+        final BlockingQueue<String> receivedIds = new LinkedBlockingQueue<>();
         final Map<String, Double> timeLeftMs = new ConcurrentHashMap<>();
-        final Semaphore goOn = new Semaphore(0);
+        final Semaphore permits = new Semaphore(0);
 
         @Override
         public List<Command> decide(double nowMs, List<Event> events) {
             for (Event event : events) {
                 if (event instanceof Event.QueryReceived query) {
                     timeLeftMs.put(query.id(), query.timeLeftMs());
-                    taken.add(query.id());
-                    goOn.acquireUninterruptibly();
+                    receivedIds.add(query.id());
+                    permits.acquireUninterruptibly();
                     long turnEnds =
                             System.nanoTime()
                                     + TimeUnit.MILLISECONDS.toNanos(
@@ -56,22 +56,26 @@
     }
 
     @Test
-    public void clientThatLeavesWhileOthersAreDecidedUponGetsNothingSentOn() throws Exception {
-        var halting = new Halting();
-        GathererNode node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
-        Socket stays = connected(port);
-        Socket leaves = connected(port);
-        Socket first = ask(port, "first");
-        assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "first");
-        // Both are read in one pass over the sockets, and both wait to be decided upon.
-        ask(stays, "stays");
-        ask(leaves, "leaves");
-        halting.goOn.release();
-        assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "stays");
+    public void queryIsDroppedWhenItsClientDisconnectsWhileOtherQueriesAreDecided()
+            throws Exception {
+        var policy = new BlockingPolicy();
+        GathererNode node =
+                startNode(
+                        (seed, deployment) -> policy, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
+        Socket stays = openConnection(port);
+        Socket leaves = openConnection(port);
+        Socket first = sendQuery(port, "first");
+        assertEquals(policy.receivedIds.poll(10, TimeUnit.SECONDS), "first");
+        // Both requests are read in one pass over the sockets, and both queries wait for their
+        // decision.
+        sendQuery(stays, "stays");
+        sendQuery(leaves, "leaves");
+        policy.permits.release();
+        assertEquals(policy.receivedIds.poll(10, TimeUnit.SECONDS), "stays");
         leaves.close();
-        halting.goOn.release(3);
-        Socket last = ask(port, "last");
-        assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "last");
+        policy.permits.release(3);
+        Socket last = sendQuery(port, "last");
+        assertEquals(policy.receivedIds.poll(10, TimeUnit.SECONDS), "last");
         for (Socket socket : List.of(first, stays, last)) {
             socket.close();
         }
@@ -79,20 +83,22 @@
     }
 
     @Test
-    public void timeInWhichARequestLayUnreadIsNotGrantedToIt() throws Exception {
-        var halting = new Halting();
-        GathererNode node = node((seed, deployment) -> halting, PLACE, SETTINGS, KNOWN);
-        Socket unread = connected(port);
-        Socket first = ask(port, "first");
-        assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "first");
-        // It lies in the system's buffer for as long as the first is decided upon.
-        ask(unread, "unread");
+    public void timeWhileRequestIsUnreadIsSubtractedFromTimeLeft() throws Exception {
+        var policy = new BlockingPolicy();
+        GathererNode node =
+                startNode(
+                        (seed, deployment) -> policy, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
+        Socket unread = openConnection(port);
+        Socket first = sendQuery(port, "first");
+        assertEquals(policy.receivedIds.poll(10, TimeUnit.SECONDS), "first");
+        // The request stays in the socket's receive buffer while the first query is decided.
+        sendQuery(unread, "unread");
         long writtenAt = System.nanoTime();
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(50));
         double unreadMs = (System.nanoTime() - writtenAt) / 1e6;
-        halting.goOn.release(2);
-        assertEquals(halting.taken.poll(10, TimeUnit.SECONDS), "unread");
-        double timeLeftMs = halting.timeLeftMs.get("unread");
+        policy.permits.release(2);
+        assertEquals(policy.receivedIds.poll(10, TimeUnit.SECONDS), "unread");
+        double timeLeftMs = policy.timeLeftMs.get("unread");
         assertTrue(
                 timeLeftMs <= 30_000 - unreadMs,
                 timeLeftMs + " ms left after " + unreadMs + " ms unread");
@@ -102,8 +108,8 @@
     }
 
     @Test
-    public void requestsOnTheHeelsOfAnAnswerAreWokenFor() throws Exception {
-        // The first query is answered at once, the second only when the decisions are woken.
+    public void scheduledWakeUpFiresForRequestPipelinedBehindAnsweredOne() throws Exception {
+        // The first query is answered at once, the second only on the wake-up of the policy.
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
@@ -119,7 +125,7 @@
                                     ? List.of(new Command.RejectQuery("b", 500))
                                     : List.of();
                         };
-        node(factory, PLACE, SETTINGS, KNOWN);
+        startNode(factory, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"\"}";
         String request =
                 "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Class: q\r\nX-Deadline-Ms: 9000\r\n"
@@ -145,11 +151,11 @@
     }
 
     /**
-     * Of what comes while the loop is stalled, nothing may look late because something else was
-     * read first.
+     * Answers that arrive while the loop is stalled are read one after the other, and none of them
+     * may look late because another one was read first.
      */
     @Test
-    public void answersThatAreThereTogetherAreDecidedUponTogether() throws Exception {
+    public void answersThatArriveDuringStallReachPolicyInOneCall() throws Exception {
         var outcomes = new LinkedBlockingQueue<Integer>();
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
@@ -180,16 +186,16 @@
             b.setSoTimeout(10_000);
             String entry =
                     "{\"name\":\"%s\",\"address\":\"127.0.0.1:%d\",\"group\":0,\"status\":\"active\"}";
-            node(
+            startNode(
                     factory,
-                    PLACE,
+                    NODE_FIELDS,
                     SETTINGS,
                     "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":["
                             + entry.formatted("a", a.getLocalPort())
                             + ","
                             + entry.formatted("b", b.getLocalPort())
                             + "]}");
-            ask(
+            sendQuery(
                     "s",
                     "{\"buckets\":[{\"bucket\":0,\"part\":0.5},{\"bucket\":1,\"part\":0.5}],\"body\":\"\"}");
             try (Socket first = a.accept();
@@ -216,22 +222,22 @@
     }
 
     /**
-     * What a query waits for its decision is no longer left to its client, and no shard server may
-     * be told that it is.
+     * The time that a query waits for its decision counts against its client's deadline, and must
+     * not be included in the time that is sent to shard servers.
      */
     @Test
-    public void timeInTheQueueOfDecisionsIsTakenFromTheClientsTime() throws Exception {
-        var left = new LinkedBlockingQueue<Double>();
+    public void timeInDecisionQueueIsSubtractedFromTimeLeft() throws Exception {
+        var timesLeftMs = new LinkedBlockingQueue<Double>();
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
                             var commands = new ArrayList<Command>();
                             for (Event event : events) {
                                 if (event instanceof Event.QueryReceived query) {
-                                    left.add(query.timeLeftMs());
+                                    timesLeftMs.add(query.timeLeftMs());
                                     commands.add(new Command.RejectQuery(query.id(), 0));
-                                    // The first decision takes this long, and the second query
-                                    // waits for it.
+                                    // The first decision takes 60 ms, and the second query waits
+                                    // for it.
                                     long end = System.nanoTime() + 60_000_000;
                                     while (System.nanoTime() < end) {
                                         Thread.onSpinWait();
@@ -240,11 +246,12 @@
                             }
                             return commands;
                         };
-        node(factory, PLACE, SETTINGS, KNOWN);
+        startNode(factory, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"\"}";
         try (var one = new Socket(InetAddress.getLoopbackAddress(), port);
                 var other = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            // Both connections are up, so that what comes on them in the hold is read in one pass.
+            // Both connections are accepted, so that the requests that arrive on them while the
+            // loop is blocked are read in one pass.
             for (Socket socket : List.of(one, other)) {
                 socket.setSoTimeout(10_000);
                 socket.getOutputStream()
@@ -266,8 +273,8 @@
                                         .getBytes(StandardCharsets.UTF_8));
             }
             free.run();
-            double first = left.poll(10, TimeUnit.SECONDS);
-            double second = left.poll(10, TimeUnit.SECONDS);
+            double first = timesLeftMs.poll(10, TimeUnit.SECONDS);
+            double second = timesLeftMs.poll(10, TimeUnit.SECONDS);
             assertTrue(second <= first - 55, first + " and then " + second);
         }
     }
--- a/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionQueueTest.java
@@ -13,24 +13,24 @@
 import sprucehold.coordinator.Commands;
 
 public class DecisionQueueTest {
-    private final List<String> made = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
     private double now;
 
     @BeforeMethod
-    public void begin() {
-        made.clear();
+    public void setUp() {
+        calls.clear();
         now = 0;
     }
 
-    private Supplier<Commands> call(String name, double tookMs) {
+    private Supplier<Commands> call(String name, double durationMs) {
         return () -> {
-            made.add(name);
-            now += tookMs;
+            calls.add(name);
+            now += durationMs;
             return null;
         };
     }
 
-    private void turn(DecisionQueue queue) {
+    private void runTurn(DecisionQueue queue) {
         queue.beginTurn(now);
         for (Supplier<Commands> call = queue.next(now); call != null; call = queue.next(now)) {
             assertNull(call.get());
@@ -38,25 +38,25 @@
     }
 
     @Test
-    public void turnThatHasLastedLongEnoughLeavesTheRestToTheNext() {
+    public void callsBeyondMaximumTurnDurationRunInNextTurn() {
         var queue = new DecisionQueue();
         queue.add(call("a", DecisionQueue.MAX_TURN_MS - 1));
         queue.add(call("b", 1));
         queue.add(call("c", 1));
-        turn(queue);
-        assertEquals(made, List.of("a", "b"));
-        turn(queue);
-        assertEquals(made, List.of("a", "b", "c"));
+        runTurn(queue);
+        assertEquals(calls, List.of("a", "b"));
+        runTurn(queue);
+        assertEquals(calls, List.of("a", "b", "c"));
         assertTrue(queue.isEmpty());
     }
 
     @Test
-    public void eachTurnMakesACallHoweverLongItTakes() {
+    public void eachTurnRunsAtLeastOneCallHoweverLong() {
         var queue = new DecisionQueue();
         queue.add(call("a", 100));
         queue.add(call("b", 100));
-        turn(queue);
-        assertEquals(made, List.of("a"));
+        runTurn(queue);
+        assertEquals(calls, List.of("a"));
         queue.beginTurn(now);
         assertNotNull(queue.next(now));
         assertNull(queue.next(now));
--- a/gatherer/src/test/java/sprucehold/node/DrainStateMachineTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DrainStateMachineTest.java
@@ -6,31 +6,31 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The end of a gatherer, on a clock of its own. */
+/** Tests of the drain phases, with a simulated clock. */
 public class DrainStateMachineTest {
     private static final DrainSchedule SCHEDULE = new DrainSchedule(3000, 3300, 3700);
 
     @DataProvider
     Object[][] moments() {
-        var nothing = new DrainStateMachine.Outstanding(0, 0, 0);
+        var none = new DrainStateMachine.Outstanding(0, 0, 0);
         return new Object[][] {
-            // ms since it was told, what is owed, the phase, when it is looked at again
-            {0, nothing, DrainStateMachine.Phase.SERVING, 3000},
-            {2999.5, nothing, DrainStateMachine.Phase.SERVING, 1},
+            // ms since the start of the drain, outstanding work, phase, ms until the next check
+            {0, none, DrainStateMachine.Phase.SERVING, 3000},
+            {2999.5, none, DrainStateMachine.Phase.SERVING, 1},
             {
                 2000,
                 new DrainStateMachine.Outstanding(5, 1, 2),
                 DrainStateMachine.Phase.SERVING,
                 1000
             },
-            {3000, nothing, DrainStateMachine.Phase.REDIRECTING, 300},
+            {3000, none, DrainStateMachine.Phase.REDIRECTING, 300},
             {
                 3299,
                 new DrainStateMachine.Outstanding(1, 0, 0),
                 DrainStateMachine.Phase.REDIRECTING,
                 1
             },
-            {3300, nothing, DrainStateMachine.Phase.COMPLETE, 10},
+            {3300, none, DrainStateMachine.Phase.COMPLETE, 10},
             {
                 3300,
                 new DrainStateMachine.Outstanding(1, 0, 0),
@@ -65,14 +65,14 @@
     }
 
     @Test(dataProvider = "moments")
-    public void drainIsOverOnceNothingIsOwedAndNoSooner(
-            double passed,
-            DrainStateMachine.Outstanding owed,
+    public void phaseFollowsFromTimeAndOutstandingWork(
+            double elapsedMs,
+            DrainStateMachine.Outstanding outstanding,
             DrainStateMachine.Phase phase,
-            long again) {
+            long nextCheckMs) {
         var drain = new DrainStateMachine(SCHEDULE, 1000);
-        assertEquals(drain.phase(1000 + passed, owed), phase);
-        assertEquals(drain.nextCheckMs(1000 + passed), again);
+        assertEquals(drain.phase(1000 + elapsedMs, outstanding), phase);
+        assertEquals(drain.nextCheckMs(1000 + elapsedMs), nextCheckMs);
     }
 
     @DataProvider
@@ -81,10 +81,11 @@
     }
 
     /**
-     * SIGKILL comes no sooner than the longest query timeout, 3 s at most, and 0.7 s after SIGTERM.
+     * SIGKILL follows SIGTERM no sooner than after the longest query timeout, but at most 3 s, plus
+     * 0.7 s.
      */
     @Test(dataProvider = "timeouts")
-    public void everyScanTakenIsAnsweredBeforeTheProcessMayBeKilled(double longestMs) {
+    public void everyReceivedQueryIsAnsweredBeforeProcessMayBeKilled(double longestMs) {
         DrainSchedule schedule = DrainSchedule.forLongestDeadline(longestMs);
         var drain = new DrainStateMachine(schedule, 0);
         double killMs = Math.min(longestMs, 3000) + 700;
--- a/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
+++ b/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 import sprucehold.clients.ConnectionArrival;
 
-/** The passes and stalls that the monitor sees, on a clock and timers of the test's own. */
+/** Tests of the event loop monitor, with a simulated clock and simulated timers. */
 public class EventLoopMonitorTest {
     private record Timer(double at, Runnable work) {}
 
@@ -19,7 +19,7 @@
     private EventLoopMonitor monitor;
 
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         now = 1000;
         timers = new ArrayList<>();
         monitor =
@@ -28,23 +28,23 @@
     }
 
     /**
-     * Since when something may have lain unread that is read on a connection which the loop has
-     * read for long.
+     * Returns since when data may have been unread that is read on a connection which was opened
+     * long ago.
      */
     private double unreadSince(double nowMs) {
         return monitor.unreadSince(nowMs, new ConnectionArrival(0, 0));
     }
 
-    /** A pass at a moment: the sockets are read, then the timers that are due fire. */
+    /** Simulates a pass: the sockets are read, then the expired timers fire. */
     private void pass(double at) {
         now = at;
-        List<Timer> due = timers.stream().filter(timer -> timer.at <= now).toList();
-        timers.removeAll(due);
-        due.forEach(timer -> timer.work.run());
+        List<Timer> expired = timers.stream().filter(timer -> timer.at <= now).toList();
+        timers.removeAll(expired);
+        expired.forEach(timer -> timer.work.run());
     }
 
     @Test
-    public void whatIsReadWhileTheLoopIsOnTimeLayUnreadForNoTime() {
+    public void unreadSinceIsTimeOfReadWithoutStall() {
         for (int i = 1; i <= 20; i++) {
             pass(1000.0 + i * EventLoopMonitor.HEARTBEAT_MS);
         }
@@ -53,38 +53,38 @@
     }
 
     @Test
-    public void whatIsReadAfterAStallMayHaveLainUnreadSinceBeforeIt() {
+    public void unreadSinceIsBeforeStallForDataReadRightAfterIt() {
         pass(1020);
         pass(1040);
-        // Stalled from 1041 on. The pass at 1040 asked the system after the heartbeat before it was
-        // set, at 1020.
+        // The loop stalls from 1041 on. The pass at 1040 polled the system after 1020, when the
+        // heartbeat that fired in this pass was scheduled.
         assertEquals(unreadSince(1191), 1020.0);
         pass(1191);
-        // The pass at 1191 is known to have asked after 1040 only, so what it left may be as old;
-        // the next one has asked after 1191.
+        // The pass at 1191 is only known to have polled after 1040, so data that it left unread may
+        // be as old as that; the next pass polled after 1191.
         assertEquals(unreadSince(1192), 1040.0);
         pass(1192);
         assertEquals(unreadSince(1193), 1193.0);
     }
 
     @DataProvider
-    Object[][] newcomers() {
+    Object[][] newConnections() {
         return new Object[][] {
-            // Connected since, opened at, and since when its first request that is read at 1200 may
-            // have lain unread.
-            {"waited to be accepted for longer than the loop did not read", 300, 1195, 300},
-            {"waited as long as is on time", 1160, 1195, 1200},
-            {"opened before the last whole pass, which found nothing", 300, 1170, 1200},
+            // Case, time of the connect, time of the accept, and expected time since when the first
+            // request, which is read at 1200, may have been unread.
+            {"in the backlog for longer than the loop read no sockets", 300, 1195, 300},
+            {"in the backlog for less than a normal pass", 1160, 1195, 1200},
+            {"accepted before the last whole pass, which found nothing to read", 300, 1170, 1200},
         };
     }
 
     /**
-     * As after a stall of the whole process: the loop was on time again before the listener came to
-     * accept.
+     * Case that occurs after a stall of the whole process: the loop has normal passes again before
+     * the listener accepts the connection.
      */
-    @Test(dataProvider = "newcomers")
-    public void whatIsReadFirstOnAConnectionMayHaveComeWhileItWaitedToBeAccepted(
-            String which, double connectedSince, double openedAt, double expected) {
+    @Test(dataProvider = "newConnections")
+    public void unreadSinceOfNewConnectionIncludesItsTimeInBacklog(
+            String testCase, double connectedSince, double openedAt, double expected) {
         pass(1020);
         pass(1150);
         for (double at = 1170; at <= 1200; at += 10) {
@@ -93,11 +93,11 @@
         assertEquals(
                 monitor.unreadSince(1200, new ConnectionArrival(connectedSince, openedAt)),
                 expected,
-                which);
+                testCase);
     }
 
     @Test
-    public void stallsAreCountedAndTheLongestIsKept() {
+    public void summaryCountsStallsAndReportsLongest() {
         pass(1020 + EventLoopMonitor.STALL_MS - 1);
         assertEquals(monitor.summary(), "stalls=0, longest_stall_ms=0");
         pass(now + EventLoopMonitor.HEARTBEAT_MS + 150);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    public void workAfterTheNextPassKnowsThatItsPassAskedAfterItWasHandedOver() {
+    public void afterNextPassUpdatesTimeOfLastPollBeforeWorkRuns() {
         pass(1020);
         now = 1100;
         var done = new ArrayList<Double>();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    public void aStoppedHeartbeatSetsNoFurtherTimer() {
+    public void stoppedMonitorSchedulesNoTimer() {
         monitor.stop();
         pass(1020);
         assertTrue(timers.isEmpty());
