--- a/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
@@ -21,12 +21,12 @@
 import sprucehold.decision.Event;
 import sprucehold.standin.StandIns;
 
-/** A whole gatherer with scripted decisions: what it serves, and from when on. */
+/** Tests of a whole gatherer with a scripted decision policy. */
 public class GathererNodeTest extends GathererTestBed {
     @Test
     public void queryIsAnsweredThroughTheWholeGatherer() throws Exception {
         var lines = new ArrayList<String>();
-        // The scripted decisions send every part and answer when one is completed.
+        // The scripted policy sends every part and answers once one is completed.
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
@@ -40,7 +40,9 @@
                             }
                             return commands;
                         };
-        assertTrue(SmokeTest.run(config(PLACE, SETTINGS, KNOWN), factory, lines::add));
+        assertTrue(
+                SmokeTest.run(
+                        config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS), factory, lines::add));
         assertEquals(
                 lines,
                 List.of(
@@ -48,11 +50,11 @@
     }
 
     /**
-     * What discovery's agent has counts as told from a process's first moment, so an endpoint list
-     * from before may already be forbidden.
+     * The list in discovery's agent counts as received by a process from its start on, so the
+     * gatherer may already be forbidden to use the older list in its configuration.
      */
     @Test
-    public void whatIsKnownFromBeforeIsCheckedBeforeAnythingIsServed() throws Exception {
+    public void gathererListensOnlyOnceDiscoveryHasAnswered() throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
         var lists = new LinkedBlockingQueue<Event.EndpointsUpdated>();
         DecisionPolicy.Factory factory =
@@ -63,30 +65,33 @@
                                     .forEach(list -> lists.add((Event.EndpointsUpdated) list));
                             return List.of();
                         };
-        int free;
+        int unusedPort;
         try (var socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            free = socket.getLocalPort();
+            unusedPort = socket.getLocalPort();
         }
-        Begun begun =
-                begin(asking(calls, new NodeConfig.Address("127.0.0.1", free)), factory, List.of());
+        StartingNode starting =
+                startAsync(
+                        configWithDiscovery(calls, new NodeConfig.Address("127.0.0.1", unusedPort)),
+                        factory,
+                        List.of());
         HttpServerRequest call = calls.poll(10, TimeUnit.SECONDS);
         assertEquals(call.uri(), "/discovery/hosts");
         assertThrows(
                 ConnectException.class,
-                () -> new Socket(InetAddress.getLoopbackAddress(), free).close());
+                () -> new Socket(InetAddress.getLoopbackAddress(), unusedPort).close());
         assertTrue(lists.isEmpty());
         call.response()
                 .end(
                         "{\"index\":9,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\",\"address\":\"127.0.0.1:8100\","
                                 + "\"group\":0,\"status\":\"leaving\"}]}");
-        assertTrue(await(begun.start()).ready());
+        assertTrue(await(starting.start()).ready());
         Event.EndpointsUpdated list = lists.poll(10, TimeUnit.SECONDS);
         assertEquals(list.endpoints().get(0).state(), Endpoint.State.DRAINING);
         assertTrue(lists.isEmpty());
     }
 
     @Test
-    public void idleClientsThatFillTheDescriptorsLeaveRoomForDiscoveryTheServersAndWhoAsks()
+    public void idleClientsLeaveDescriptorsForDiscoveryShardServersAndQueries()
             throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
         var lists = new LinkedBlockingQueue<Event.EndpointsUpdated>();
@@ -111,19 +116,23 @@
                 await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1"))
                         .actualPort();
         int server = await(StandIns.shardServerAt(vertx, "127.0.0.1"));
-        NodeConfig told = config(PLACE, SETTINGS, KNOWN.replace("8100", String.valueOf(server)));
-        // Discovery is silent: the list is the one from before.
+        NodeConfig base =
+                config(
+                        NODE_FIELDS,
+                        SETTINGS,
+                        KNOWN_ENDPOINTS.replace("8100", String.valueOf(server)));
+        // Discovery doesn't answer: the list is the one in the configuration.
         GathererNode node =
                 await(
-                        begin(
+                        startAsync(
                                         new NodeConfig(
                                                 "n",
-                                                told.listen(),
+                                                base.listen(),
                                                 new NodeConfig.Address("127.0.0.1", discovery),
                                                 5,
                                                 40,
-                                                told.knownEndpoints(),
-                                                told.settings()),
+                                                base.knownEndpoints(),
+                                                base.settings()),
                                         factory,
                                         List.of())
                                 .start());
@@ -132,16 +141,16 @@
             idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         for (String id : List.of("s", "t")) {
-            Socket asks = ask(port, id);
+            Socket queryConnection = sendQuery(port, id);
             assertEquals(
-                    asks.getInputStream().readNBytes(12),
+                    queryConnection.getInputStream().readNBytes(12),
                     "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII));
-            asks.close();
+            queryConnection.close();
         }
         lists.clear();
         Event.EndpointsUpdated list = null;
         while (list == null) {
-            // The earliest calls may have been given up by now; one that is open is answered.
+            // The earliest calls may have timed out by now; a call that is still open is answered.
             calls.poll(10, TimeUnit.SECONDS)
                     .response()
                     .end("{\"index\":9,\"snapshot\":true,\"endpoints\":[]}");
--- a/gatherer/src/test/java/sprucehold/node/GathererTestBed.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererTestBed.java
@@ -22,18 +22,21 @@
 import sprucehold.TestLoop;
 import sprucehold.decision.DecisionPolicy;
 
-/** A gatherer on an event loop of its own with scripted decisions, and clients of it. */
+/**
+ * Fixture of tests that run a gatherer with a scripted decision policy on its own event loop, and
+ * clients of the gatherer.
+ */
 abstract class GathererTestBed {
     static final String SETTINGS =
             "\"settings\":{\"classes\":[{\"name\":\"q\",\"semantics\":\"retryable\","
                     + "\"aimMs\":100,\"giveUpMs\":300}],\"familyInfo\":{\"ranges\":4,\"sets\":2},"
                     + "\"limits\":{\"dialTimeoutMs\":5000,\"idleCloseMs\":15000,\"streamsPerConn\":32}}";
 
-    static final String KNOWN =
+    static final String KNOWN_ENDPOINTS =
             "\"known\":{\"index\":7,\"snapshot\":true,\"endpoints\":[{\"name\":\"a\","
                     + "\"address\":\"127.0.0.1:8100\",\"group\":0,\"status\":\"active\"}]}";
 
-    static final String PLACE =
+    static final String NODE_FIELDS =
             "\"name\":\"n\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\","
                     + "\"seed\":\"ffffffffffffffff\"";
 
@@ -42,8 +45,8 @@
     Vertx vertx;
 
     /**
-     * Held for as long as a test lasts: Vert.x closes a client that nobody holds once it is
-     * collected, and its requests with it.
+     * Referenced for the duration of a test: Vert.x closes an unreferenced client, together with
+     * its requests, once the client is garbage-collected.
      */
     HttpClient client;
 
@@ -73,21 +76,26 @@
         return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
-    GathererNode node(DecisionPolicy.Factory factory, String... members) throws Exception {
-        return await(begin(config(members), factory, List.of()).start());
+    GathererNode startNode(DecisionPolicy.Factory factory, String... members) throws Exception {
+        return await(startAsync(config(members), factory, List.of()).start());
     }
 
-    record Begun(GathererNode node, Future<GathererNode> start) {}
+    record StartingNode(GathererNode node, Future<GathererNode> start) {}
 
-    /** Makes a node, and returns it with what is over once it listens. */
-    Begun begin(
-            NodeConfig config, DecisionPolicy.Factory factory, List<NodeExtension.Factory> beside)
+    /**
+     * Creates a node and starts it; returns the node with the future of its start, which completes
+     * once the node listens.
+     */
+    StartingNode startAsync(
+            NodeConfig config,
+            DecisionPolicy.Factory factory,
+            List<NodeExtension.Factory> extensions)
             throws Exception {
         loop = new TestLoop(vertx);
         return loop.call(
                 () -> {
-                    var node = new GathererNode(vertx, config, factory, null, beside);
-                    return new Begun(
+                    var node = new GathererNode(vertx, config, factory, null, extensions);
+                    return new StartingNode(
                             node,
                             node.start()
                                     .map(
@@ -99,36 +107,37 @@
     }
 
     /**
-     * The configuration of one that knows a list, and asks a discovery that hands its calls over.
+     * Returns the configuration of a gatherer that has an endpoint list, and whose discovery is a
+     * server that adds its requests to {@code calls}.
      */
-    NodeConfig asking(BlockingQueue<HttpServerRequest> calls, NodeConfig.Address listen)
-            throws Exception {
+    NodeConfig configWithDiscovery(
+            BlockingQueue<HttpServerRequest> calls, NodeConfig.Address listen) throws Exception {
         int discovery =
                 await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1"))
                         .actualPort();
-        NodeConfig told = config(PLACE, SETTINGS, KNOWN);
+        NodeConfig base = config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         return new NodeConfig(
                 "n",
                 listen,
                 new NodeConfig.Address("127.0.0.1", discovery),
                 5,
-                told.maxDescriptors(),
-                told.knownEndpoints(),
-                told.settings());
+                base.maxDescriptors(),
+                base.knownEndpoints(),
+                base.settings());
     }
 
-    void end(GathererNode node, DrainSchedule how) throws Exception {
-        await(loop.call(() -> node.end(how)));
+    void end(GathererNode node, DrainSchedule schedule) throws Exception {
+        await(loop.call(() -> node.end(schedule)));
     }
 
-    static Socket ask(int port, String id) throws IOException {
+    static Socket sendQuery(int port, String id) throws IOException {
         var socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(10_000);
-        ask(socket, id);
+        sendQuery(socket, id);
         return socket;
     }
 
-    static void ask(Socket socket, String id) throws IOException {
+    static void sendQuery(Socket socket, String id) throws IOException {
         String body = "{\"buckets\":[{\"bucket\":0,\"part\":1.0}],\"body\":\"c4\"}";
         socket.getOutputStream()
                 .write(
@@ -143,10 +152,10 @@
     }
 
     /**
-     * A connection that the gatherer has accepted and answered on, so that what is written to it
-     * next needs only to be read.
+     * Returns a connection on which the gatherer has answered a request, so that the gatherer has
+     * accepted the connection and only needs to read the next request.
      */
-    static Socket connected(int port) throws IOException {
+    static Socket openConnection(int port) throws IOException {
         var socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(10_000);
         socket.getOutputStream()
@@ -160,11 +169,11 @@
         return socket;
     }
 
-    Future<Integer> ask(String id) {
-        return ask(id, "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"\"}");
+    Future<Integer> sendQuery(String id) {
+        return sendQuery(id, "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"\"}");
     }
 
-    Future<Integer> ask(String id, String body) {
+    Future<Integer> sendQuery(String id, String body) {
         return client.request(HttpMethod.POST, port, "127.0.0.1", "/q")
                 .compose(
                         request ->
--- a/gatherer/src/test/java/sprucehold/node/GracefulShutdownTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GracefulShutdownTest.java
@@ -17,28 +17,32 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Event;
 
-/** How a whole gatherer ends. */
+/** Tests of the shutdown of a whole gatherer. */
 public class GracefulShutdownTest extends GathererTestBed {
     @Test
-    public void gathererThatIsToldToEndBeforeItListensNeverListens() throws Exception {
+    public void gathererThatEndsBeforeListeningNeverListens() throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
-        Begun begun =
-                begin(
-                        asking(calls, new NodeConfig.Address("127.0.0.1", 0)),
+        StartingNode starting =
+                startAsync(
+                        configWithDiscovery(calls, new NodeConfig.Address("127.0.0.1", 0)),
                         (seed, deployment) -> (now, events) -> List.of(),
                         List.of());
         HttpServerRequest call = calls.poll(10, TimeUnit.SECONDS);
-        // Nothing is owed to anybody, so it doesn't serve on.
-        end(begun.node(), new DrainSchedule(60_000, 60_000, 90_000));
+        // No client waits for an answer, so the gatherer ends without a drain.
+        end(starting.node(), new DrainSchedule(60_000, 60_000, 90_000));
         call.response().end("{\"index\":9,\"snapshot\":true,\"endpoints\":[]}");
-        assertThrows(ExecutionException.class, () -> await(begun.start()));
-        assertFalse(begun.node().ready());
+        assertThrows(ExecutionException.class, () -> await(starting.start()));
+        assertFalse(starting.node().ready());
     }
 
     @Test
-    public void whoIsToldToEndTwiceEndsOnceAndAsItWasToldFirst() throws Exception {
+    public void secondEndReturnsFutureOfFirstAndKeepsItsSchedule() throws Exception {
         GathererNode node =
-                node((seed, deployment) -> (now, events) -> List.of(), PLACE, SETTINGS, KNOWN);
+                startNode(
+                        (seed, deployment) -> (now, events) -> List.of(),
+                        NODE_FIELDS,
+                        SETTINGS,
+                        KNOWN_ENDPOINTS);
         assertTrue(
                 loop.call(
                         () ->
@@ -48,12 +52,12 @@
     }
 
     @Test
-    public void gathererThatEndsAnswersWhatItReceivedAndRejectsWhatComesTooLate() throws Exception {
-        var taken = new CompletableFuture<Void>();
+    public void drainingGathererAnswersReceivedQueriesAndRejectsLateOnes() throws Exception {
+        var received = new CompletableFuture<Void>();
         var late = new CompletableFuture<Integer>();
         var between = new CompletableFuture<Double>();
-        // The first query is held until the late one has its answer; the late one isn't asked
-        // about.
+        // The policy keeps the first query open until the late one has its answer; the late one
+        // doesn't reach the policy.
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
@@ -66,35 +70,35 @@
                                             new Command.ScheduleWakeUp(10));
                                 } else if (event instanceof Event.QueryReceived query) {
                                     assertEquals(query.id(), "s");
-                                    taken.complete(null);
+                                    received.complete(null);
                                 }
                             }
-                            return !taken.isDone()
+                            return !received.isDone()
                                     ? List.of()
                                     : List.of(
                                             late.isDone()
                                                     ? new Command.FailQuery("s")
                                                     : new Command.ScheduleWakeUp(10));
                         };
-        GathererNode node = node(factory, PLACE, SETTINGS, KNOWN);
+        GathererNode node = startNode(factory, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         assertTrue(node.ready());
-        Future<Integer> status = ask("s");
-        taken.get(10, TimeUnit.SECONDS);
-        var lingered = new CompletableFuture<Void>();
+        Future<Integer> status = sendQuery("s");
+        received.get(10, TimeUnit.SECONDS);
+        var rejecting = new CompletableFuture<Void>();
         var ended = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none -> {
                     node.end(new DrainSchedule(2000, 2200, 9000))
                             .onComplete(ended::complete, ended::completeExceptionally);
-                    vertx.setTimer(2300, timer -> lingered.complete(null));
+                    vertx.setTimer(2300, timer -> rejecting.complete(null));
                 });
-        // Who is told to leave serves on for a while, but promises no answer for when it may have
-        // been killed.
-        assertEquals((int) await(ask("between")), 503);
+        // A gatherer that drains still serves for a while, but reduces the time left of a query so
+        // that the answer is sent before the process may be killed.
+        assertEquals((int) await(sendQuery("between")), 503);
         assertTrue(between.get() <= 8800, String.valueOf(between));
-        lingered.get(10, TimeUnit.SECONDS);
+        rejecting.get(10, TimeUnit.SECONDS);
         assertFalse(node.ready());
-        late.complete(await(ask("late")));
+        late.complete(await(sendQuery("late")));
         ended.get(10, TimeUnit.SECONDS);
         assertEquals((int) late.get(), 503);
         assertEquals((int) await(status), 502);
--- a/gatherer/src/test/java/sprucehold/node/JsonLogFormatterTest.java
+++ b/gatherer/src/test/java/sprucehold/node/JsonLogFormatterTest.java
@@ -11,10 +11,10 @@
 import java.util.logging.LogRecord;
 import org.testng.annotations.Test;
 
-/** Log records as JSON lines. */
+/** Tests of log records as JSON lines. */
 public class JsonLogFormatterTest {
     @Test
-    public void lineIsOneJsonObjectWithItsFieldsAndNoNewLineWithin() throws IOException {
+    public void recordIsFormattedAsOneLineWithItsFields() throws IOException {
         var line = new LogRecord(Level.WARNING, "two\nlines \"quoted\" and {0}");
         line.setLoggerName("sprucehold.x");
         line.setParameters(
--- a/gatherer/src/test/java/sprucehold/node/NodeConfigTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeConfigTest.java
@@ -8,31 +8,39 @@
 import org.testng.annotations.Test;
 import sprucehold.deployment.InvalidSettingsException;
 
-/** How the configuration of a gatherer is read. */
+/** Tests of reading the configuration of a gatherer. */
 public class NodeConfigTest extends GathererTestBed {
     @DataProvider
     Object[][] malformed() {
         return new Object[][] {
-            {new String[] {PLACE}},
+            {new String[] {NODE_FIELDS}},
             {new String[] {SETTINGS}},
-            {new String[] {PLACE, SETTINGS, "x"}},
-            {new String[] {SETTINGS, PLACE.replace("127.0.0.1:0", "127.0.0.1")}},
-            {new String[] {SETTINGS, PLACE.replace("127.0.0.1:1", ":1")}},
-            {new String[] {SETTINGS, PLACE.replace("ffffffffffffffff", "seed")}},
-            {new String[] {PLACE, SETTINGS.replace("retryable", "odd")}},
-            {new String[] {PLACE, SETTINGS.replace("\"sets\"", "\"classFetch\":[2],\"sets\"")}},
-            {new String[] {PLACE, SETTINGS, KNOWN.replace("\"name\"", "\"other\"")}},
+            {new String[] {NODE_FIELDS, SETTINGS, "x"}},
+            {new String[] {SETTINGS, NODE_FIELDS.replace("127.0.0.1:0", "127.0.0.1")}},
+            {new String[] {SETTINGS, NODE_FIELDS.replace("127.0.0.1:1", ":1")}},
+            {new String[] {SETTINGS, NODE_FIELDS.replace("ffffffffffffffff", "seed")}},
+            {new String[] {NODE_FIELDS, SETTINGS.replace("retryable", "odd")}},
+            {
+                new String[] {
+                    NODE_FIELDS, SETTINGS.replace("\"sets\"", "\"classFetch\":[2],\"sets\"")
+                }
+            },
+            {
+                new String[] {
+                    NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS.replace("\"name\"", "\"other\"")
+                }
+            },
         };
     }
 
     @Test(dataProvider = "malformed")
-    public void fileThatCantBeUsedIsRefused(String[] members) {
+    public void malformedFileIsRejected(String[] members) {
         assertThrows(InvalidSettingsException.class, () -> config(members));
     }
 
     @Test
-    public void environmentWinsOverTheFile() throws IOException {
-        NodeConfig config = config(PLACE, SETTINGS, KNOWN);
+    public void argumentsTakePrecedenceOverFile() throws IOException {
+        NodeConfig config = config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         assertEquals(config.seed(), -1L);
         assertEquals(config.knownEndpoints().index(), 7);
         assertEquals(config.settings().shards(), 4);
--- a/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
@@ -29,60 +29,61 @@
 import sprucehold.decision.SharedLimit;
 import sprucehold.standin.StandIns;
 
-/** What an extension of a gatherer hears and permits. */
+/** Tests of the calls of an extension by a gatherer, and of the permits that it grants. */
 public class NodeExtensionsTest extends GathererTestBed {
     /**
-     * Grants units to so many attempts, or withdraws them again before the write, and records its
-     * calls.
+     * Extension that grants a limited number of units to attempts, may withdraw them before the
+     * write, and records its calls.
      */
-    private static final class LendingExtension implements NodeExtension {
-        final List<String> heard = new ArrayList<>();
+    private static final class ScriptedExtension implements NodeExtension {
+        final List<String> calls = new ArrayList<>();
         int units;
         boolean withdrawn;
-        boolean panics;
-        ClusterView next;
+        boolean throwing;
+        ClusterView nextView;
 
         @Override
         public String name() {
-            return "lender";
+            return "scripted";
         }
 
         @Override
         public Future<Void> start() {
-            heard.add("start");
+            calls.add("start");
             return Future.succeededFuture();
         }
 
         @Override
         public void queryReceived(double nowMs, Query query) {
-            heard.add("taken " + query.id());
+            calls.add("received " + query.id());
         }
 
         @Override
         public void observed(double nowMs, Observation observation) {
             if (observation instanceof Observation.AttemptEnded ended) {
-                heard.add("ended " + ended.result().getClass().getSimpleName());
+                calls.add("ended " + ended.result().getClass().getSimpleName());
             }
         }
 
         @Override
         public void attemptStarting(double nowMs, Attempt attempt) {
-            heard.add("sent " + attempt.partId());
-            if (panics) {
+            calls.add("sent " + attempt.partId());
+            if (throwing) {
                 throw new IllegalStateException("scripted");
             }
         }
 
         @Override
         public ClusterView clusterView(double nowMs) {
-            ClusterView told = next;
-            next = null;
-            return told;
+            ClusterView view = nextView;
+            nextView = null;
+            return view;
         }
 
         @Override
-        public BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use) {
-            units -= use.units();
+        public BooleanSupplier consumeAllowance(
+                double nowMs, Command.ConsumeAllowance consumption) {
+            units -= consumption.units();
             return units < 0 ? null : () -> !withdrawn;
         }
 
@@ -93,7 +94,7 @@
 
         @Override
         public Future<Void> end() {
-            heard.add("end");
+            calls.add("end");
             return Future.succeededFuture();
         }
     }
@@ -101,46 +102,46 @@
     @DataProvider
     Object[][] allowances() {
         return new Object[][] {
-            // units it has, whether it withdraws them before the write, how the attempt that
-            // takes one ends, what it hears
+            // available units, whether they are withdrawn before the write, outcome of the attempt
+            // that needs one unit, recorded calls of the extension
             {
                 1,
                 false,
                 AttemptOutcome.COMPLETED,
-                List.of("start", "taken s", "sent s.0", "ended Completed", "end")
+                List.of("start", "received s", "sent s.0", "ended Completed", "end")
             },
             {
                 0,
                 false,
                 AttemptOutcome.NEVER_SENT,
-                List.of("start", "taken s", "ended Cancelled", "end")
+                List.of("start", "received s", "ended Cancelled", "end")
             },
             {
                 1,
                 true,
                 AttemptOutcome.NEVER_SENT,
-                List.of("start", "taken s", "sent s.0", "ended Cancelled", "end")
+                List.of("start", "received s", "sent s.0", "ended Cancelled", "end")
             },
         };
     }
 
     @Test(dataProvider = "allowances")
-    public void allowanceOfAnAttemptIsConsumedAndAskedForAgainBeforeItsWrite(
-            int units, boolean withdrawn, AttemptOutcome outcome, List<String> heard)
+    public void allowanceOfAttemptIsConsumedAndCheckedAgainBeforeWrite(
+            int units, boolean withdrawn, AttemptOutcome outcome, List<String> calls)
             throws Exception {
-        var extension = new LendingExtension();
+        var extension = new ScriptedExtension();
         extension.units = units;
         extension.withdrawn = withdrawn;
-        extension.next = new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of());
+        extension.nextView = new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of());
         var outcomes = new CompletableFuture<AttemptOutcome>();
-        var told = new CompletableFuture<ClusterView>();
+        var receivedView = new CompletableFuture<ClusterView>();
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
                             var commands = new ArrayList<Command>();
                             for (Event event : events) {
                                 if (event instanceof Event.ClusterViewChanged changed) {
-                                    told.complete(changed.view());
+                                    receivedView.complete(changed.view());
                                 } else if (event instanceof Event.PartReceived part) {
                                     commands.add(
                                             new Command.ConsumeAllowance(SharedLimit.RETRIES, 1));
@@ -152,14 +153,14 @@
                             }
                             return commands;
                         };
-        NodeConfig config = config(PLACE, SETTINGS, KNOWN);
+        NodeConfig config = config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         int discovery =
                 await(
                         StandIns.start(
                                 vertx, "127.0.0.1", 0, config.knownEndpoints().servers(), true));
         GathererNode node =
                 await(
-                        begin(
+                        startAsync(
                                         new NodeConfig(
                                                 "n",
                                                 config.listen(),
@@ -185,16 +186,16 @@
                         .compose(response -> response.body()));
         assertEquals(outcomes.get(10, TimeUnit.SECONDS), outcome);
         assertEquals(
-                told.get(10, TimeUnit.SECONDS),
+                receivedView.get(10, TimeUnit.SECONDS),
                 new ClusterView(3, Map.of(SharedLimit.RETRIES, units), Map.of()));
         end(node, DrainSchedule.IMMEDIATE);
-        assertEquals(extension.heard, heard);
+        assertEquals(extension.calls, calls);
     }
 
     @Test
-    public void commandThatFailsLosesNoAnswer() throws Exception {
-        var extension = new LendingExtension();
-        extension.panics = true;
+    public void failedCommandDoesNotPreventAnswersOfOthers() throws Exception {
+        var extension = new ScriptedExtension();
+        extension.throwing = true;
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
@@ -212,19 +213,19 @@
                         };
         GathererNode node =
                 await(
-                        begin(
-                                        config(PLACE, SETTINGS, KNOWN),
+                        startAsync(
+                                        config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS),
                                         factory,
                                         List.of((on, at, clock) -> extension))
                                 .start());
-        Socket owed = ask(port, "s");
-        loop.until(() -> extension.heard.contains("taken s"));
-        Socket other = ask(port, "t");
+        Socket pending = sendQuery(port, "s");
+        loop.until(() -> extension.calls.contains("received s"));
+        Socket other = sendQuery(port, "t");
         assertEquals(
-                owed.getInputStream().readNBytes(12),
+                pending.getInputStream().readNBytes(12),
                 "HTTP/1.1 503".getBytes(StandardCharsets.US_ASCII));
-        assertTrue(extension.heard.contains("sent t.0"));
-        owed.close();
+        assertTrue(extension.calls.contains("sent t.0"));
+        pending.close();
         other.close();
         end(node, DrainSchedule.IMMEDIATE);
     }
--- a/gatherer/src/test/java/sprucehold/node/SignalsTest.java
+++ b/gatherer/src/test/java/sprucehold/node/SignalsTest.java
@@ -9,10 +9,10 @@
 import org.testng.SkipException;
 import org.testng.annotations.Test;
 
-/** Signals that the process takes over. */
+/** Tests of the signal handlers. */
 public class SignalsTest {
     @Test
-    public void hangUpIsTakenOverEachTime() throws Exception {
+    public void actionRunsOnEachSighup() throws Exception {
         String ignored =
                 Files.readAllLines(Path.of("/proc/self/status")).stream()
                         .filter(line -> line.startsWith("SigIgn:"))
@@ -23,13 +23,13 @@
             throw new SkipException(
                     "started with SIGHUP ignored, as under nohup, which the JVM keeps");
         }
-        var hungUp = new Semaphore(0);
-        Signals.onHangUp(hungUp::release);
+        var actionRuns = new Semaphore(0);
+        Signals.onHangUp(actionRuns::release);
         for (int i = 0; i < 2; i++) {
             new ProcessBuilder("kill", "-HUP", String.valueOf(ProcessHandle.current().pid()))
                     .start()
                     .waitFor();
-            assertTrue(hungUp.tryAcquire(10, TimeUnit.SECONDS));
+            assertTrue(actionRuns.tryAcquire(10, TimeUnit.SECONDS));
         }
     }
 }
--- a/gatherer/src/test/java/sprucehold/node/WarmUpTest.java
+++ b/gatherer/src/test/java/sprucehold/node/WarmUpTest.java
@@ -15,10 +15,10 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Event;
 
-/** Both ways of warming up. */
+/** Tests of both kinds of warm-up. */
 public class WarmUpTest extends GathererTestBed {
     @Test
-    public void warmUpRunsQueriesThroughTheDecisionsAndLeavesNothing() throws Exception {
+    public void warmUpRunsQueriesThroughPolicyAndLeavesNoFiles() throws Exception {
         var answered = new AtomicInteger();
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
@@ -38,7 +38,7 @@
                             return commands;
                         };
         Set<String> before = files();
-        WarmUp.run(config(PLACE, SETTINGS), factory);
+        WarmUp.run(config(NODE_FIELDS, SETTINGS), factory);
         assertTrue(answered.get() > 100, String.valueOf(answered));
         Set<String> left = files();
         left.removeAll(before);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void withoutSocketsQueriesAreRunThroughDecisionsAndCodecs() throws Exception {
+    public void stubWarmUpRunsQueriesThroughPolicyAndCodecs() throws Exception {
         var parts = new AtomicInteger();
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
@@ -65,7 +65,7 @@
                             }
                             return commands;
                         };
-        int answered = StubWarmUp.run(config(PLACE, SETTINGS), factory);
+        int answered = StubWarmUp.run(config(NODE_FIELDS, SETTINGS), factory);
         assertEquals(answered, 3);
         assertTrue(parts.get() >= 3 * 4, String.valueOf(parts));
     }
--- a/gatherer/src/test/java/sprucehold/simulation/SimulationAdapterTest.java
+++ b/gatherer/src/test/java/sprucehold/simulation/SimulationAdapterTest.java
@@ -17,13 +17,16 @@
 import sprucehold.decision.Event;
 import sprucehold.policy.QueryScheduler;
 
-/** The adapter on batches of the simulation, with scripted decisions and the real ones. */
+/**
+ * Tests of the adapter with batches of the simulation, with a scripted and with the real decision
+ * policy.
+ */
 public class SimulationAdapterTest {
-    private static final String ON =
+    private static final String START_MESSAGE =
             "{\"PowerOn\":{\"rngSeed\":5,\"params\":{\"balancers\":2,\"new\":[1],\"classes\":"
                     + "[{\"name\":\"q\",\"semantics\":\"dedup\",\"aimMs\":100}],\"familyInfo\":{\"sets\":2}}}}";
 
-    private static String play(DecisionPolicy.Factory factory, String... lines) throws IOException {
+    private static String run(DecisionPolicy.Factory factory, String... lines) throws IOException {
         var out = new ByteArrayOutputStream();
         byte[] in = (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
         new SimulationAdapter(factory).run(new ByteArrayInputStream(in), out);
@@ -43,14 +46,14 @@
             {"{\"tsMs\":1,\"parts\":[{}]}"},
             {"{\"tsMs\":1,\"parts\":[]} 2"},
             {batch("{\"Bell\":{}}")},
-            {batch(ON + ",{\"What\":{}}")},
-            {batch(ON + ",{}")},
-            {batch(ON + ",{\"Registry\":{\"kind\":\"replace\",\"slot\":4}}")},
+            {batch(START_MESSAGE + ",{\"What\":{}}")},
+            {batch(START_MESSAGE + ",{}")},
+            {batch(START_MESSAGE + ",{\"Registry\":{\"kind\":\"replace\",\"slot\":4}}")},
         };
     }
 
     @Test(dataProvider = "malformed")
-    public void malformedInputEndsTheRunWithNothingWritten(String line) {
+    public void malformedInputEndsRunWithoutOutput(String line) {
         var out = new ByteArrayOutputStream();
         byte[] in = (line + "\n").getBytes(StandardCharsets.UTF_8);
         assertThrows(
@@ -62,8 +65,8 @@
     }
 
     @Test
-    public void everyActionHasItsWireForm() throws IOException {
-        List<Command> actions =
+    public void everyCommandHasAWireForm() throws IOException {
+        List<Command> commands =
                 List.of(
                         new Command.SendAttempt("p", "s", 2),
                         new Command.CancelAttempt("p", 1),
@@ -75,7 +78,7 @@
                         new Command.SubscribeToEndpoints(),
                         new Command.LogMessage("n"));
         assertEquals(
-                play((seed, deployment) -> (now, events) -> actions, batch(ON)),
+                run((seed, deployment) -> (now, events) -> commands, batch(START_MESSAGE)),
                 "{\"parts\":[{\"who\":3,\"outbox\":[{\"Attempt\":{\"id\":\"p\",\"server\":\"s\",\"timeoutMs\":2.0}},"
                         + "{\"UndoSend\":{\"id\":\"p\",\"sendNo\":1}},{\"Assemble\":{\"id\":\"q\",\"complete\":true}},"
                         + "{\"Busy\":{\"id\":\"q\",\"comeBackMs\":5.0}},{\"GiveUp\":{\"id\":\"q\"}},"
@@ -86,12 +89,12 @@
     @Test
     public void exceptionBecomesPanicOfThatInstance() throws IOException {
         String reply =
-                play(
+                run(
                         (seed, deployment) ->
                                 (now, events) -> {
                                     throw new IllegalStateException("lost");
                                 },
-                        batch(ON));
+                        batch(START_MESSAGE));
         assertTrue(
                 reply.startsWith(
                         "{\"parts\":[{\"who\":3,\"outbox\":[{\"Panic\":{\"line\":\"java.lang."
@@ -100,23 +103,23 @@
     }
 
     @Test
-    public void eventsComeDecodedInOrderWithTablesResolvedWhereTheyStand() throws IOException {
-        var seen = new ArrayList<Event>();
+    public void eventsAreDecodedInOrderWithEndpointListAsOfTheirPosition() throws IOException {
+        var receivedEvents = new ArrayList<Event>();
         DecisionPolicy.Factory factory =
                 (seed, deployment) ->
                         (now, events) -> {
-                            seen.addAll(events);
+                            receivedEvents.addAll(events);
                             return List.of();
                         };
         String table =
                 "{\"Table\":{\"slot\":0,\"hosts\":[{\"server\":\"%s\",\"mode\":\"Running\",\"site\":\"z\"}]}}";
         String list = ",{\"Registry\":{\"kind\":\"restored\",\"slot\":0}},";
-        play(
+        run(
                 factory,
                 batch(
-                        ON
+                        START_MESSAGE
                                 + ",{\"Bell\":{}},{\"CrashNow\":{}},"
-                                + ON
+                                + START_MESSAGE
                                 + ","
                                 + table.formatted("a")
                                 + list
@@ -125,27 +128,31 @@
                                 + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":9,"
                                 + "\"wholeNo\":4,\"rangeNo\":-1}},{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}},"
                                 + "{\"Outcome\":{\"id\":\"p1\",\"rc\":14}},{\"Aborted\":{\"id\":\"q1\"}}"));
-        assertEquals(seen.size(), 6);
-        assertEquals(((Event.EndpointsUpdated) seen.get(0)).endpoints().get(0).server(), "a");
-        assertEquals(((Event.EndpointsUpdated) seen.get(1)).endpoints().get(0).server(), "b");
-        assertEquals(((Event.QueryReceived) seen.get(2)).queryClass().latencyObjectiveMs(), 100.0);
-        assertEquals(((Event.PartReceived) seen.get(3)).queryNumber(), 4);
-        assertTrue(((Event.AttemptEnded) seen.get(4)).outcome().provesNeverRan());
-        assertEquals(((Event.ClientDisconnected) seen.get(5)).queryId(), "q1");
+        assertEquals(receivedEvents.size(), 6);
+        assertEquals(
+                ((Event.EndpointsUpdated) receivedEvents.get(0)).endpoints().get(0).server(), "a");
+        assertEquals(
+                ((Event.EndpointsUpdated) receivedEvents.get(1)).endpoints().get(0).server(), "b");
+        assertEquals(
+                ((Event.QueryReceived) receivedEvents.get(2)).queryClass().latencyObjectiveMs(),
+                100.0);
+        assertEquals(((Event.PartReceived) receivedEvents.get(3)).queryNumber(), 4);
+        assertTrue(((Event.AttemptEnded) receivedEvents.get(4)).outcome().provesNeverRan());
+        assertEquals(((Event.ClientDisconnected) receivedEvents.get(5)).queryId(), "q1");
     }
 
     @Test
-    public void sameEventsBringTheSameActions() throws IOException {
+    public void sameEventsProduceSameCommands() throws IOException {
         String[] lines = {
             batch(
-                    ON
+                    START_MESSAGE
                             + ",{\"Table\":{\"slot\":0,\"hosts\":[{\"server\":\"a\",\"mode\":\"Running\"},"
                             + "{\"server\":\"b\",\"mode\":\"Running\"}]}},{\"Registry\":{\"kind\":\"restored\",\"slot\":0}},"
                             + "{\"Order\":{\"id\":\"q1\",\"kind\":\"q\",\"timeBudgetMs\":90,\"wholeNo\":4,\"rangeNo\":-1}},"
                             + "{\"Order\":{\"id\":\"p1\",\"wholeNo\":4,\"measure\":1}}")
         };
-        String first = play(QueryScheduler::new, lines);
+        String first = run(QueryScheduler::new, lines);
         assertTrue(first.contains("Attempt"), first);
-        assertEquals(play(QueryScheduler::new, lines), first);
+        assertEquals(run(QueryScheduler::new, lines), first);
     }
 }
