--- a/gatherer/src/main/java/sprucehold/command/Serve.java
+++ b/gatherer/src/main/java/sprucehold/command/Serve.java
@@ -26,7 +26,7 @@
     private static final String QUERY_LOG_VARIABLE = "SPRUCEHOLD_LOG_SCANS";
 
     /** Format of the log lines; the constants are named like the values on the command line. */
-    enum LogForm {
+    enum LogFormat {
         text,
         json
     }
@@ -63,7 +63,7 @@
             paramLabel = "FORM",
             defaultValue = "text",
             description = "text, or json for a JSON object a line (default: text)")
-    private LogForm logForm;
+    private LogFormat logFormat;
 
     @Option(
             names = "--log-scans",
@@ -93,14 +93,14 @@
      */
     static Serve fromEnvironment() {
         var serve = new Serve();
-        serve.logForm = LogForm.text;
+        serve.logFormat = LogFormat.text;
         serve.node = NodeOptions.fromEnvironment();
         return serve;
     }
 
     @Override
     public Integer call() throws IOException, StartFailedException {
-        if (logForm == LogForm.json) {
+        if (logFormat == LogFormat.json) {
             JsonLogFormatter.enable();
         }
         if (logQueries) {
--- a/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
+++ b/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
@@ -79,7 +79,7 @@
         try {
             command.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "panic: a command could not be carried out", e);
+            LOG.log(Level.SEVERE, "panic: a command failed", e);
             failed = true;
         }
     }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -56,7 +56,7 @@
             AdminConfig settings,
             JournalFile journal,
             Clock clock,
-            ConfigurationChanges.Apply apply) {
+            ConfigurationChanges.DeploymentApplier apply) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.settings = settings;
@@ -118,7 +118,7 @@
             journal.write(entry);
         } catch (IOException e) {
             LOG.warning(
-                    "cannot write to the journal of versions, this change will be lost on a restart: "
+                    "cannot write to the journal of versions; this change will be lost on a restart: "
                             + e);
         }
     }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationChanges.java
@@ -28,7 +28,8 @@
     private static final Logger LOG = Logger.getLogger(ConfigurationChanges.class.getName());
 
     /**
-     * Length of a time window, in milliseconds. A harmful change is visible within a few windows.
+     * Length of a time window of the health watch, in milliseconds. The harm of a change is visible
+     * within a few windows.
      */
     static final long WINDOW_MS = 250;
 
@@ -37,7 +38,7 @@
     private final Journal journal;
     private final double watchDurationMs;
     private final long minimumQueries;
-    private final Apply apply;
+    private final DeploymentApplier apply;
     private final EndpointOverrideFilter overrides = new EndpointOverrideFilter();
     private final QueryHealthRecorder queries = new QueryHealthRecorder();
     private final Baseline baseline = new Baseline();
@@ -48,7 +49,7 @@
     private long watchedVersion;
 
     /** Puts a deployment into effect between two decisions. */
-    interface Apply {
+    interface DeploymentApplier {
         void apply(Deployment deployment);
     }
 
@@ -75,7 +76,7 @@
             Journal journal,
             double watchDurationMs,
             long minimumQueries,
-            Apply apply) {
+            DeploymentApplier apply) {
         this.initial = initial;
         this.history = new VersionHistory(start);
         this.journal = journal;
@@ -126,7 +127,9 @@
         handle(nowMs, new VersionEvent.RollbackRequested(version, author));
     }
 
-    /** Puts a staged version into effect. To be called between two decisions. */
+    /**
+     * Puts the staged version, if there is one, into effect. To be called between two decisions.
+     */
     void betweenDecisions(double nowMs) {
         if (history.staged() != null) {
             handle(nowMs, new VersionEvent.BetweenDecisions());
--- a/gatherer/src/main/java/sprucehold/node/DecisionLoop.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionLoop.java
@@ -62,7 +62,7 @@
         this.executor = commandExecutor;
     }
 
-    /** Passes an observation to the coordinator in the next turn. */
+    /** Passes an observation to the coordinator, in the next turn at the latest. */
     void observe(Observation observation) {
         observations.add(observation);
         requestTurnUnlessInTurn();
@@ -100,7 +100,7 @@
         try {
             runTurn();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "panic: commands could not be carried out", e);
+            LOG.log(Level.SEVERE, "panic: a turn of the decision loop failed", e);
             decideAgainNow();
         } finally {
             inTurn = false;
--- a/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
+++ b/gatherer/src/main/java/sprucehold/node/DecisionQueue.java
@@ -6,11 +6,11 @@
 import sprucehold.coordinator.Commands;
 
 /**
- * Queue of pending calls of the decision policy, which are made in turns of bounded duration.
+ * Queue of pending calls of the query coordinator, which are made in turns of bounded duration.
  * Between two turns the event loop reads its sockets. So if a client disconnects while a hundred
- * queries are being decided, its close is read before the next attempt for it begins, and answers
- * of shard servers don't look late because they were still unread. The class uses no sockets,
- * threads or clock; callers pass the time.
+ * queries wait for their decisions, the close of its connection is read before the next attempt for
+ * that client begins. Answers of shard servers don't look late because they were still unread. The
+ * class uses no sockets, threads or clock; callers pass the time.
  */
 final class DecisionQueue {
     /**
--- a/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainSchedule.java
@@ -26,8 +26,8 @@
     static final DrainSchedule IMMEDIATE = new DrainSchedule(1, 1, Double.POSITIVE_INFINITY);
 
     /**
-     * Returns the schedule for a deployment. SIGKILL follows the shutdown signal no sooner than
-     * after the longest query timeout, but at most 3 s, plus 0.7 s.
+     * Returns the schedule for a deployment. SIGKILL doesn't follow the shutdown signal before 0.7
+     * s plus the longest query timeout have passed. A timeout longer than 3 s counts as 3 s.
      */
     static DrainSchedule forLongestDeadline(double longestTimeoutMs) {
         double killMs = Math.min(longestTimeoutMs, 3000) + LATE_CONNECTION_MS;
--- a/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
+++ b/gatherer/src/main/java/sprucehold/node/DrainStateMachine.java
@@ -7,7 +7,10 @@
  * milliseconds and the outstanding work.
  */
 final class DrainStateMachine {
-    /** Phase of the drain. The actions of a phase continue in all later ones. */
+    /**
+     * Phase of the drain. What begins in a phase continues in all later ones, except that new
+     * queries are served only before {@link #REJECTING}.
+     */
     enum Phase {
         /**
          * The gatherer reports that it isn't ready, so new clients avoid it; all queries are
--- a/gatherer/src/main/java/sprucehold/node/EndpointSource.java
+++ b/gatherer/src/main/java/sprucehold/node/EndpointSource.java
@@ -40,9 +40,10 @@
     }
 
     /**
-     * Starts following discovery. The future succeeds once discovery has answered or its answer
-     * timed out. If no list was received by then, the configured endpoint list is used: it may be
-     * out of date, but without a list no query can be served.
+     * Starts following discovery, if it is configured. The future succeeds once the first request
+     * to discovery has been answered, has failed or has timed out. If no list was received by then,
+     * the configured endpoint list is used: it may be out of date, but without a list no query can
+     * be served.
      */
     Future<Void> start() {
         if (withoutDiscovery) {
--- a/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
+++ b/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
@@ -16,13 +16,13 @@
     private static final Logger LOG = Logger.getLogger(EventLoopMonitor.class.getName());
 
     /**
-     * Interval of the heartbeat in milliseconds. While the loop is idle, the time of the last known
-     * pass becomes as old as this.
+     * Interval of the heartbeat, in milliseconds. While the loop is idle, the last pass that the
+     * monitor has recorded was at most this long ago.
      */
     static final long HEARTBEAT_MS = 20;
 
     /**
-     * Duration in milliseconds that normal passes and heartbeats stay below. It is a third of the
+     * Duration, in milliseconds, that normal passes and heartbeats stay below. It is a third of the
      * time by which the timeout that an attempt sends to its shard server may exceed the time left
      * to its client.
      */
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -57,9 +57,9 @@
      * Creates a gatherer.
      *
      * @param adminConfig the configuration of the admin server; null for a gatherer without one
-     * @param extensionFactories create the gatherer's extensions
+     * @param extensionFactories the factories of the gatherer's extensions
      * @throws IOException if the journal of configuration versions can't be opened
-     * @throws StartFailedException if an extension doesn't fit the configuration
+     * @throws StartFailedException if an extension isn't compatible with the configuration
      */
     GathererNode(
             Vertx vertx,
@@ -206,10 +206,12 @@
     }
 
     /**
-     * Starts the gatherer and returns the port on which it serves clients. It listens only once
-     * discovery was asked for the endpoint list, since the configured list may be out of date. The
-     * list in discovery's agent counts as received by a process from its start on, so the gatherer
-     * may already be forbidden to use an older one.
+     * Starts the gatherer and returns the port on which it serves clients. The gatherer listens
+     * only after its first request to discovery has been answered, has failed or has timed out,
+     * since the configured endpoint list may be out of date. The list that discovery's agent has
+     * counts as received by the gatherer as soon as its process has started, even before the
+     * gatherer has requested the list. So no new attempt may be sent to a server that is draining
+     * in the agent's list, even if the server is running in the configured list.
      */
     Future<Integer> start() {
         LOG.info(config.summary());
@@ -234,8 +236,7 @@
     private Future<Void> failIfEnding() {
         return drain.started()
                 ? Future.failedFuture(
-                        new StartFailedException(
-                                "shutdown requested before the gatherer listened"))
+                        new StartFailedException("shutdown requested before the gatherer listened"))
                 : Future.succeededFuture();
     }
 
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -21,7 +21,7 @@
  * @param seed the seed of the decision policy's random draws
  * @param maxDescriptors the maximum number of file descriptors that the process may have open
  * @param knownEndpoints the last known endpoint list at the time of the configuration, which may be
- *     out of date, or null
+ *     out of date; null if the configuration contains none
  * @param settings the settings of the deployment
  */
 public record NodeConfig(
@@ -55,7 +55,7 @@
             if (colon <= 0
                     || !text.substring(colon + 1).matches("[0-9]{1,5}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
-                throw new InvalidSettingsException(setting + " needs HOST:PORT");
+                throw new InvalidSettingsException(setting + " must be HOST:PORT");
             }
             return new Address(
                     text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
--- a/gatherer/src/main/java/sprucehold/node/NodeExtension.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -34,13 +34,17 @@
     /** Starts the extension; the gatherer listens once the future has succeeded. */
     Future<Void> start();
 
-    /** Called when a query was received. */
+    /** Called when a query was received, unless the gatherer drains and rejects it. */
     void queryReceived(double nowMs, Query query);
 
     /** Called for each observation, before the decision policy receives it. */
     void observed(double nowMs, Observation observation);
 
-    /** Called when an attempt is about to be written. */
+    /**
+     * Called right before an attempt is sent, after it has consumed its units of shared limits. The
+     * attempt may still end without being written, for example because its units are withdrawn
+     * before its write.
+     */
     void attemptStarting(double nowMs, Attempt attempt);
 
     /**
--- a/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
@@ -85,8 +85,7 @@
         for (Command.ConsumeAllowance consumption : attempt.consumed()) {
             extensions.forEach(
                     extension ->
-                            permissions.add(
-                                    extension.consumeAllowance(clock.now(), consumption)));
+                            permissions.add(extension.consumeAllowance(clock.now(), consumption)));
         }
         if (permissions.contains(null)) {
             return false;
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -19,8 +19,8 @@
 import sprucehold.standin.StandIns;
 
 /**
- * Process of a gatherer: creates its event loop, reloads its configuration on SIGHUP, and shuts it
- * down on SIGTERM.
+ * Process of a gatherer: creates its event loop, applies a changed address of discovery on SIGHUP,
+ * and shuts the gatherer down on SIGTERM.
  */
 public final class Service {
     private static final Logger LOG = Logger.getLogger(Service.class.getName());
@@ -40,9 +40,10 @@
      * @param warmUpPolicy creates the decision policy of the warm-up
      * @param policy creates the decision policy that serves
      * @param admin the configuration of the admin server; null for a gatherer without one
-     * @param extensions create the gatherer's extensions
+     * @param extensions the factories of the gatherer's extensions
      * @param reload reads the configuration again on SIGHUP
-     * @param afterEnd is called once all queries are answered, on the thread of the shutdown hook
+     * @param afterEnd is called once the gatherer has answered all queries and ended, or its
+     *     shutdown has failed or timed out; it runs on the thread of the shutdown hook
      */
     public record Options(
             NodeConfig config,
@@ -159,8 +160,9 @@
     }
 
     /**
-     * Reads the configuration again and applies it. It runs on the signal's thread. Calls are
-     * serialized, so that the configuration that was read last takes effect.
+     * Reads the configuration again and passes it to the gatherer, which applies only the address
+     * of discovery. The method runs on the signal's thread. Calls are serialized, so that the
+     * configuration that was read last takes effect.
      */
     private static synchronized void reconfigure(
             Vertx vertx, GathererNode node, Callable<NodeConfig> reload) {
@@ -171,7 +173,7 @@
         } catch (Exception e) {
             LOG.log(
                     Level.WARNING,
-                    "configuration rejected, the current one stays: " + e.getMessage());
+                    "configuration rejected, keeping the current one: " + e.getMessage());
         }
     }
 
@@ -192,7 +194,7 @@
         try {
             ended.get((long) longestDeadlineMs + SHUTDOWN_MARGIN_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            LOG.log(Level.WARNING, "ended before all queries were answered", e);
+            LOG.log(Level.WARNING, "shutdown failed or timed out, queries may be unanswered", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/gatherer/src/main/java/sprucehold/node/SmokeTest.java
+++ b/gatherer/src/main/java/sprucehold/node/SmokeTest.java
@@ -42,7 +42,8 @@
      * Runs the test and returns whether each query was completed.
      *
      * @param report receives one line for each answer
-     * @throws StartFailedException if the gatherer or a stub can't be started, or time runs out
+     * @throws StartFailedException if the gatherer or a stub can't be started, or the test times
+     *     out
      */
     public static boolean run(
             NodeConfig config, DecisionPolicy.Factory policyFactory, Consumer<String> report)
--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -76,11 +76,11 @@
         long startedNanos = System.nanoTime();
         int queries = 0;
         try {
-            queries = unixSocketsGranted() ? runOverSockets(config, policyFactory) : 0;
+            queries = unixSocketsAvailable() ? runOverSockets(config, policyFactory) : 0;
             queries = queries > 0 ? queries : StubWarmUp.run(config, policyFactory);
         } catch (RuntimeException e) {
-            // The gatherer starts without the rest of its warm-up; the log line below shows the
-            // number of queries that were run.
+            // The gatherer starts without the rest of its warm-up; the log line below then reports
+            // 0 queries.
         } finally {
             logger.setLevel(null);
         }
@@ -92,7 +92,7 @@
     }
 
     /** Whether the platform lets the process open Unix domain sockets. */
-    private static boolean unixSocketsGranted() {
+    private static boolean unixSocketsAvailable() {
         try (var probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return probe.isOpen();
         } catch (IOException | UnsupportedOperationException e) {
@@ -128,7 +128,7 @@
             try {
                 Files.deleteIfExists(directory.resolve(name));
             } catch (IOException e) {
-                LOG.log(Level.FINE, "warm-up files not removed", e);
+                LOG.log(Level.FINE, "cannot remove a file of the warm-up", e);
             }
         }
     }
@@ -201,7 +201,10 @@
         return closed.future();
     }
 
-    /** Whether the last byte ends the body of an answer, whether it is a completed one or not. */
+    /**
+     * Whether the last byte ends the body of an answer. A completed answer ends with a brace, a
+     * rejected or failed one with a line feed.
+     */
     private static boolean endsAnswer(Buffer bytes) {
         byte last = bytes.getByte(bytes.length() - 1);
         return last == '}' || last == '\n';
--- a/gatherer/src/test/java/sprucehold/command/ClientDisconnectDuringStallTest.java
+++ b/gatherer/src/test/java/sprucehold/command/ClientDisconnectDuringStallTest.java
@@ -30,8 +30,9 @@
     private static final int CLIENTS = 40;
 
     /**
-     * Number of queries to retry. It is small enough that their attempts can all be in flight at
-     * two servers of which the gatherer has few results yet.
+     * Number of queries to retry. It is small enough that their attempts can all be pending at the
+     * two servers at once. The gatherer's concurrency limit for a server starts at 4 attempts, and
+     * the queries that were sent one at a time before don't raise it.
      */
     private static final int RETRIED_QUERIES = 6;
 
--- a/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
+++ b/gatherer/src/test/java/sprucehold/node/ConfigurationChangesTest.java
@@ -233,11 +233,11 @@
         ((ObjectNode) document.get("tableTypes").get(0)).put("targetMs", 0.001);
         HttpResponse<String> accepted = propose("p1", 1, document);
         assertEquals(accepted.statusCode(), 202, accepted.body());
-        long live = System.nanoTime();
+        long acceptedNanos = System.nanoTime();
         await("live", 3);
         assertTrue(
-                System.nanoTime() - live < 5_000_000_000L,
-                (System.nanoTime() - live) / 1_000_000 + " ms");
+                System.nanoTime() - acceptedNanos < 5_000_000_000L,
+                (System.nanoTime() - acceptedNanos) / 1_000_000 + " ms");
         JsonNode history = get("/change/history");
         assertEquals(history.get(1).get("state").asText(), "undone");
         assertTrue(
--- a/gatherer/src/test/java/sprucehold/node/DecisionLoopTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionLoopTest.java
@@ -60,8 +60,7 @@
             throws Exception {
         var policy = new BlockingPolicy();
         GathererNode node =
-                startNode(
-                        (seed, deployment) -> policy, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
+                startNode((seed, deployment) -> policy, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         Socket stays = openConnection(port);
         Socket leaves = openConnection(port);
         Socket first = sendQuery(port, "first");
@@ -86,8 +85,7 @@
     public void timeWhileRequestIsUnreadIsSubtractedFromTimeLeft() throws Exception {
         var policy = new BlockingPolicy();
         GathererNode node =
-                startNode(
-                        (seed, deployment) -> policy, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
+                startNode((seed, deployment) -> policy, NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS);
         Socket unread = openConnection(port);
         Socket first = sendQuery(port, "first");
         assertEquals(policy.receivedIds.poll(10, TimeUnit.SECONDS), "first");
@@ -202,7 +200,7 @@
                     Socket second = b.accept()) {
                 first.getInputStream().read();
                 second.getInputStream().read();
-                Runnable free = loop.hold(() -> {});
+                Runnable unblock = loop.hold(() -> {});
                 first.getOutputStream()
                         .write(
                                 Buffer.buffer()
@@ -215,7 +213,7 @@
                                         .appendIntLE(14)
                                         .appendString("Es.1 hit 5 -\nv")
                                         .getBytes());
-                free.run();
+                unblock.run();
                 assertEquals((int) outcomes.poll(5, TimeUnit.SECONDS), 2);
             }
         }
@@ -260,7 +258,7 @@
                                         .getBytes(StandardCharsets.UTF_8));
                 assertEquals(socket.getInputStream().read(), 'H');
             }
-            Runnable free = loop.hold(() -> {});
+            Runnable unblock = loop.hold(() -> {});
             for (Socket socket : List.of(one, other)) {
                 socket.getOutputStream()
                         .write(
@@ -272,7 +270,7 @@
                                                 + body)
                                         .getBytes(StandardCharsets.UTF_8));
             }
-            free.run();
+            unblock.run();
             double first = timesLeftMs.poll(10, TimeUnit.SECONDS);
             double second = timesLeftMs.poll(10, TimeUnit.SECONDS);
             assertTrue(second <= first - 55, first + " and then " + second);
--- a/gatherer/src/test/java/sprucehold/node/DrainStateMachineTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DrainStateMachineTest.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * SIGKILL follows SIGTERM no sooner than after the longest query timeout, but at most 3 s, plus
-     * 0.7 s.
+     * SIGKILL doesn't follow SIGTERM before 0.7 s plus the longest query timeout have passed. A
+     * timeout longer than 3 s counts as 3 s.
      */
     @Test(dataProvider = "timeouts")
     public void everyReceivedQueryIsAnsweredBeforeProcessMayBeKilled(double longestMs) {
--- a/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
@@ -41,8 +41,7 @@
                             return commands;
                         };
         assertTrue(
-                SmokeTest.run(
-                        config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS), factory, lines::add));
+                SmokeTest.run(config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS), factory, lines::add));
         assertEquals(
                 lines,
                 List.of(
@@ -50,8 +49,10 @@
     }
 
     /**
-     * The list in discovery's agent counts as received by a process from its start on, so the
-     * gatherer may already be forbidden to use the older list in its configuration.
+     * The list that discovery's agent has counts as received by the gatherer as soon as its process
+     * has started, even before the gatherer has requested the list. So no new attempt may be sent
+     * to a server that is draining in the agent's list, even if the server is running in the older
+     * list in the configuration.
      */
     @Test
     public void gathererListensOnlyOnceDiscoveryHasAnswered() throws Exception {
@@ -91,8 +92,7 @@
     }
 
     @Test
-    public void idleClientsLeaveDescriptorsForDiscoveryShardServersAndQueries()
-            throws Exception {
+    public void idleClientsLeaveDescriptorsForDiscoveryShardServersAndQueries() throws Exception {
         var calls = new LinkedBlockingQueue<HttpServerRequest>();
         var lists = new LinkedBlockingQueue<Event.EndpointsUpdated>();
         DecisionPolicy.Factory factory =
--- a/gatherer/src/test/java/sprucehold/node/GathererTestBed.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererTestBed.java
@@ -23,8 +23,8 @@
 import sprucehold.decision.DecisionPolicy;
 
 /**
- * Fixture of tests that run a gatherer with a scripted decision policy on its own event loop, and
- * clients of the gatherer.
+ * Fixture of tests that run a gatherer on an event loop of a separate Vert.x instance, with a
+ * scripted decision policy. It contains the clients of the gatherer, too.
  */
 abstract class GathererTestBed {
     static final String SETTINGS =
--- a/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
@@ -170,7 +170,7 @@
                                                 null,
                                                 config.settings()),
                                         factory,
-                                        List.of((on, at, clock) -> extension))
+                                        List.of((nodeVertx, nodeConfig, clock) -> extension))
                                 .start());
         loop.until(node::ready);
         HttpClient client = vertx.createHttpClient();
@@ -216,7 +216,7 @@
                         startAsync(
                                         config(NODE_FIELDS, SETTINGS, KNOWN_ENDPOINTS),
                                         factory,
-                                        List.of((on, at, clock) -> extension))
+                                        List.of((nodeVertx, nodeConfig, clock) -> extension))
                                 .start());
         Socket pending = sendQuery(port, "s");
         loop.until(() -> extension.calls.contains("received s"));
