--- a/gatherer/src/main/java/sprucehold/clients/ChannelCloser.java
+++ b/gatherer/src/main/java/sprucehold/clients/ChannelCloser.java
@@ -6,9 +6,9 @@
 import io.vertx.core.http.impl.HttpServerConnection;
 import sprucehold.sockets.UnreadInput;
 
-/** Closes clients' connections below the HTTP server. */
+/** Closes clients' connections at the channel, below the HTTP server. */
 final class ChannelCloser implements ClientConnections.Closer<HttpConnection> {
-    /** The channel under a connection. */
+    /** Returns the channel of a connection. */
     static Channel channel(HttpConnection connection) {
         return ((HttpServerConnection) connection).channelHandlerContext().channel();
     }
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Not by way of the HTTP server: what isn't read and who waits behind must not hold up the
-     * close.
+     * Bypasses the HTTP server, so that unread answers and pipelined requests that still wait don't
+     * delay the close.
      */
     @Override
     public void close(HttpConnection connection) {
--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -8,69 +8,87 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The one owner of when a client's connection ends: how many there may be, and which are closed for
- * holding a place without need. Whoever else wants one closed asks here; <em>how</em> it is closed
- * is {@link LingeringClose}'s.
+ * Decides when clients' connections are closed: it limits their number and closes those that await
+ * a request or are idle for too long. Other classes close a connection only through this class;
+ * {@link LingeringClose} implements <em>how</em> it is closed.
  *
  * <pre>
  *              head of a request          whole request         answer written
  *   AWAITING ---------------------&gt; AWAITING ---------&gt; BUSY ----------------&gt; IDLE --head--&gt; AWAITING
  *      |  too old, or too many of them                    |  last answer           |  too old, crowded, or draining
  *      v                                                  v                        v
- *   CLOSING &lt;------------- written, or too old ----- LAST ANSWER               CLOSING --closed--&gt; forgotten
+ *   CLOSING &lt;------------- written, or too old ----- LAST ANSWER               CLOSING --closed--&gt; removed
  * </pre>
  *
- * Nothing is closed by its age before the sockets were read once more ({@link #markOverdue}, then
- * {@link #closeMarked}): a request that lies whole in the system's buffer has been received, and
- * its connection isn't idle. Pure: no sockets, no threads. Times are in milliseconds.
+ * No connection is closed because of its age before the sockets have been read once more ({@link
+ * #markOverdue}, then {@link #closeMarked}): a request that is complete in the kernel's receive
+ * buffer counts as received, and its connection as not idle. This class uses no sockets and no
+ * threads. Times are in milliseconds.
  *
- * @param <C> stands for a connection
+ * @param <C> type of a connection
  */
 final class ClientConnections<C> {
     /**
-     * Who hasn't sent a whole request after this time is closed, with time to spare to the 3 s of
-     * the protocol.
+     * Time after which a connection without a complete request is closed. It leaves a margin to the
+     * 3 s of the protocol.
      */
     static final double REQUEST_TIMEOUT_MS = 2500;
 
     /**
-     * How long an idle connection is kept. The protocol allows a close after 2 s; with room to
-     * spare there is no hurry.
+     * Time after which an idle connection is closed. The protocol allows a close after 2 s, but
+     * while few connections are open an early close gains nothing.
      */
     static final double KEEP_ALIVE_MS = 20_000;
 
-    /** How long an idle connection is kept where there is little room. */
+    /**
+     * Time after which an idle connection is closed while more than half of the maximum number of
+     * connections are in use.
+     */
     static final double KEEP_ALIVE_CROWDED_MS = 2000;
 
-    /** Who opens a connection to ask does so at once: some passes over the sockets, and the way. */
+    /**
+     * Time after the accept within which the first request is expected. A client that opens a
+     * connection for a request sends it at once; the time covers the network delay and some passes
+     * over the sockets.
+     */
     private static final double ARRIVING_AFTER_ACCEPT_MS = 20;
 
-    /** What is done to a connection. */
+    /** Operations on a connection. */
     interface Closer<C> {
-        /** Reads what lies unread on it, so that what its client sent before now is told of. */
+        /**
+         * Reads all unread input of the connection, so that requests its client has sent up to now
+         * are reported.
+         */
         void readUnread(C connection);
 
         /**
-         * Ends it so that what was written still arrives; {@link ClientConnections#closed} follows.
+         * Closes the connection so that answers already written are still delivered. {@link
+         * ClientConnections#closed} is called when this is done.
          */
         void close(C connection);
 
-        /** Ends it at once, whatever becomes of what was written. */
+        /** Closes the connection at once. Answers already written may be lost. */
         void closeNow(C connection);
     }
 
-    /** What is known of an open connection. */
+    /** State of an open connection. */
     private static final class State {
-        /** Since when it awaits a request or is idle. */
+        /**
+         * Time since which the connection awaits a request, is idle, or has its last answer being
+         * written.
+         */
         double sinceMs;
 
-        /** What else it sends is not heard: its next answer is its last. */
-        boolean unheard;
+        /** Whether further input is ignored, which makes the next answer the last. */
+        boolean inputIgnored;
 
-        /** That answer is on the way. */
+        /** Whether the last answer is being written. */
         boolean lastAnswer;
 
-        /** To be closed unless the next pass over the sockets brings something of it. */
+        /**
+         * Whether the connection is to be closed unless the next pass over the sockets reads a
+         * request from it.
+         */
         boolean marked;
 
         final ConnectionArrival arrival;
@@ -86,19 +104,25 @@
     private final Closer<C> closer;
     private final Map<C, State> open = new HashMap<>();
 
-    /** No whole request has come, or the last answer is on the way; the longest-standing first. */
+    /**
+     * Connections without a complete request, and those whose last answer is being written; the
+     * longest-waiting first.
+     */
     private final Set<C> awaiting = new LinkedHashSet<>();
 
-    /** Answered and kept open for a next request, the longest-standing first. */
+    /**
+     * Connections whose requests are answered and that are kept open for another request; the
+     * longest-idle first.
+     */
     private final Set<C> idle = new LinkedHashSet<>();
 
     /**
-     * Being closed, which takes the other side's close or a bounded time; the longest-standing
+     * Connections being closed, until the client closes too or a time limit ends; the oldest close
      * first.
      */
     private final Set<C> closing = new LinkedHashSet<>();
 
-    /** Those on which a request has begun to come in and isn't whole. */
+    /** Connections on which a request has been received in part. */
     private final Set<C> receiving = new LinkedHashSet<>();
 
     ClientConnections(int maxConnections, DoubleSupplier clock, Closer<C> closer) {
@@ -108,62 +132,69 @@
     }
 
     /**
-     * Takes a connection in; true if there are too many now and {@link #closeSurplus} is due once
-     * they have been read.
+     * Adds an accepted connection. Returns true if there are too many connections now; the caller
+     * then calls {@link #closeSurplus} after the sockets have been read.
      *
-     * @param connectedSinceMs since when it may have been connected: before it was accepted it
-     *     waited in the backlog
+     * @param connectedSinceMs earliest time at which the connection can have been established; it
+     *     may have waited in the listen backlog before it was accepted
      */
     boolean opened(C connection, double connectedSinceMs) {
         open.put(
                 connection,
                 new State(new ConnectionArrival(connectedSinceMs, clock.getAsDouble())));
         awaiting.add(connection);
-        return heldConnections() > maxConnections;
+        return connectionCount() > maxConnections;
     }
 
-    private int heldConnections() {
+    private int connectionCount() {
         return open.size() + closing.size();
     }
 
     /**
-     * Closes what is beyond the most: those being closed already, whose other side had its time;
-     * then those that await a request the longest, since who means to ask does so at once; then
-     * idle ones that may be closed by now.
+     * Closes the connections in excess of the maximum. First it ends the lingering closes, the
+     * oldest first. Then it closes the connections that have awaited a request the longest, since a
+     * client that opens a connection for a request sends it at once. Then it closes idle
+     * connections that the protocol allows to be closed.
      */
     void closeSurplus() {
-        while (heldConnections() > maxConnections && !closing.isEmpty()) {
+        while (connectionCount() > maxConnections && !closing.isEmpty()) {
             C oldest = closing.iterator().next();
             closing.remove(oldest);
             closer.closeNow(oldest);
         }
-        int surplus = heldConnections() - maxConnections;
+        int surplus = connectionCount() - maxConnections;
         for (int i = 0; i < surplus && !awaiting.isEmpty(); i++) {
-            closeUnlessHeard(awaiting.iterator().next(), awaiting);
+            closeIfStillIn(awaiting.iterator().next(), awaiting);
         }
         while (open.size() > maxConnections
                 && !idle.isEmpty()
-                && standingMs(idle.iterator().next()) >= KEEP_ALIVE_CROWDED_MS) {
-            closeUnlessHeard(idle.iterator().next(), idle);
+                && timeInStateMs(idle.iterator().next()) >= KEEP_ALIVE_CROWDED_MS) {
+            closeIfStillIn(idle.iterator().next(), idle);
         }
     }
 
-    /** Closes one of these, unless what has come on it up to this moment makes it none of them. */
-    private void closeUnlessHeard(C connection, Set<C> these) {
+    /**
+     * Closes a connection of the given set, unless input received up to now removes it from the
+     * set.
+     */
+    private void closeIfStillIn(C connection, Set<C> group) {
         closer.readUnread(connection);
-        if (these.contains(connection)) {
+        if (group.contains(connection)) {
             close(connection);
         }
     }
 
-    private double standingMs(C connection) {
+    private double timeInStateMs(C connection) {
         return clock.getAsDouble() - open.get(connection).sinceMs;
     }
 
-    /** The head of a request has come; false if nothing more is taken from this connection. */
+    /**
+     * Records that the headers of a request were received. Returns false if the connection's input
+     * is ignored.
+     */
     boolean requestBegun(C connection) {
         State state = open.get(connection);
-        if (state == null || state.unheard) {
+        if (state == null || state.inputIgnored) {
             return false;
         }
         if (idle.remove(connection)) {
@@ -175,7 +206,7 @@
         return true;
     }
 
-    /** A request has come in whole. */
+    /** Records that a complete request was received. */
     void requestReceived(C connection) {
         State state = open.get(connection);
         if (state != null) {
@@ -185,7 +216,7 @@
         }
     }
 
-    /** The answer is written out. */
+    /** Records that an answer was completely written. */
     void answered(C connection) {
         State state = open.get(connection);
         if (state != null && !state.lastAnswer) {
@@ -197,24 +228,24 @@
     }
 
     /**
-     * More was sent than may wait: what else it sends is not heard, and its next answer is its
-     * last.
+     * Records that the client exceeded the input buffer limit. Further input is ignored, and the
+     * next answer is the last.
      */
-    void flooded(C connection) {
+    void inputOverflowed(C connection) {
         State state = open.get(connection);
         if (state != null) {
-            state.unheard = true;
+            state.inputIgnored = true;
             if (idle.contains(connection)) {
                 close(connection);
             }
         }
     }
 
-    /** Its last answer is being written; what else it sends is not heard. */
+    /** Records that the connection's last answer is being written. Further input is ignored. */
     void lastAnswerBegun(C connection) {
         State state = open.get(connection);
         if (state != null && !state.lastAnswer) {
-            state.unheard = true;
+            state.inputIgnored = true;
             state.lastAnswer = true;
             state.sinceMs = clock.getAsDouble();
             idle.remove(connection);
@@ -222,28 +253,28 @@
         }
     }
 
-    /** When it came. */
+    /** Returns when the connection was established and accepted. */
     ConnectionArrival arrival(C connection) {
         return open.get(connection).arrival;
     }
 
-    /** Whether its next answer has to be its last. */
-    boolean isUnheard(C connection) {
+    /** Returns whether further input is ignored, so that the next answer has to be the last. */
+    boolean isInputIgnored(C connection) {
         State state = open.get(connection);
-        return state == null || state.unheard;
+        return state == null || state.inputIgnored;
     }
 
     /**
-     * Whether so many are held that clients are asked to close after an answer, which loses
-     * nothing.
+     * Returns whether more than half of the maximum number of connections are in use. Each answer
+     * then asks its client to close the connection, which loses no request.
      */
     boolean isCrowded() {
-        return heldConnections() > maxConnections / 2;
+        return connectionCount() > maxConnections / 2;
     }
 
     /**
-     * Marks those that await a request or are idle for too long; true if {@link #closeMarked} is
-     * due once the sockets have been read.
+     * Marks the connections that have awaited a request or been idle for too long. Returns true if
+     * there are any; the caller then calls {@link #closeMarked} after the sockets have been read.
      */
     boolean markOverdue() {
         boolean anyAwaiting = mark(awaiting, REQUEST_TIMEOUT_MS);
@@ -251,7 +282,10 @@
         return anyAwaiting || anyIdle;
     }
 
-    /** Marks all idle ones; true if {@link #closeMarked} is due once the sockets have been read. */
+    /**
+     * Marks all idle connections. Returns true if there are any; the caller then calls {@link
+     * #closeMarked} after the sockets have been read.
+     */
     boolean markIdle() {
         return mark(idle, 0);
     }
@@ -259,7 +293,7 @@
     private boolean mark(Set<C> connections, double afterMs) {
         boolean any = false;
         for (C connection : connections) {
-            if (standingMs(connection) < afterMs) {
+            if (timeInStateMs(connection) < afterMs) {
                 break;
             }
             open.get(connection).marked = true;
@@ -268,7 +302,10 @@
         return any;
     }
 
-    /** Closes those that are marked and of which nothing has come up to this moment. */
+    /**
+     * Closes the marked connections from which no request has been received in the meantime. Unread
+     * input is read first.
+     */
     void closeMarked() {
         for (C connection : List.copyOf(open.keySet())) {
             if (isMarked(connection)) {
@@ -286,30 +323,30 @@
     }
 
     /**
-     * Ends it: neither answers that aren't read nor requests that wait behind hold up its end for
-     * long.
+     * Closes a connection. Neither an answer that the client doesn't read nor requests that wait in
+     * the pipeline delay the close beyond its time limit.
      */
     void close(C connection) {
-        if (forget(connection)) {
+        if (removeOpen(connection)) {
             closing.add(connection);
             closer.close(connection);
         }
     }
 
-    /** The HTTP server itself ends it, as its client asked. */
+    /** Records that the HTTP server itself closes the connection, as its client asked. */
     void closingByHttpServer(C connection) {
-        if (forget(connection)) {
+        if (removeOpen(connection)) {
             closing.add(connection);
         }
     }
 
-    /** It is closed. */
+    /** Records that the connection is closed. */
     void closed(C connection) {
-        forget(connection);
+        removeOpen(connection);
         closing.remove(connection);
     }
 
-    private boolean forget(C connection) {
+    private boolean removeOpen(C connection) {
         awaiting.remove(connection);
         idle.remove(connection);
         receiving.remove(connection);
@@ -317,22 +354,22 @@
     }
 
     /**
-     * Connections on which a request has begun to come in, or that are so new that one is most
-     * likely on its way.
+     * Returns the number of connections on which a request has been received in part, or that are
+     * so new that a request is probably on its way.
      */
     int arriving() {
         int arriving = receiving.size();
         for (C connection : awaiting) {
             if (!receiving.contains(connection)
-                    && standingMs(connection) < ARRIVING_AFTER_ACCEPT_MS) {
+                    && timeInStateMs(connection) < ARRIVING_AFTER_ACCEPT_MS) {
                 arriving++;
             }
         }
         return arriving;
     }
 
-    /** Those that are open or being closed. */
+    /** Returns the number of connections that are open or being closed. */
     int size() {
-        return heldConnections();
+        return connectionCount();
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -24,56 +24,58 @@
 import sprucehold.sockets.UnreadInput;
 
 /**
- * The HTTP server that clients reach. It reads requests into queries, hands them to a {@link
- * QueryHandler} and writes their answers; by itself it answers only health checks and what can't be
- * a query. Runs on one event loop.
+ * HTTP server for clients. It reads requests into queries, passes them to a {@link QueryHandler}
+ * and writes their answers. By itself it answers only health checks, requests that aren't valid
+ * queries, and requests that failed with an exception. Runs on one event loop.
  *
  * <table>
  *   <caption>Paths and statuses</caption>
- *   <tr><th>there</th><th>our term</th></tr>
+ *   <tr><th>in HTTP</th><th>meaning</th></tr>
  *   <tr><td>{@code GET /up}: 200, 503</td><td>ready, not ready</td></tr>
- *   <tr><td>{@code POST /CLASS}</td><td>a query of a query class; {@link QueryReader} has its
- *       headers and body</td></tr>
- *   <tr><td>200</td><td>{@link Answer.Completed}; {@link AnswerWriter} has its body</td></tr>
- *   <tr><td>503 {@code throttled}, perhaps with {@code Retry-After}</td>
+ *   <tr><td>{@code POST /CLASS}</td><td>a query of a query class; {@link QueryReader} lists
+ *       its headers and keys</td></tr>
+ *   <tr><td>200</td><td>{@link Answer.Completed}; {@link AnswerWriter} lists the keys of
+ *       its body</td></tr>
+ *   <tr><td>503 {@code throttled}, optionally with {@code Retry-After}</td>
  *       <td>{@link Answer.Rejected}</td></tr>
  *   <tr><td>502 {@code abandoned}</td><td>{@link Answer.Failed}</td></tr>
- *   <tr><td>400, 404, 405, 413, 414, 431, 501</td><td>no query can be read</td></tr>
+ *   <tr><td>400, 404, 405, 413, 414, 431, 501</td><td>the request isn't a valid query</td></tr>
  *   <tr><td>500</td><td>an exception in this program</td></tr>
  * </table>
  */
 public final class ClientServer {
     private static final Logger LOG = Logger.getLogger(ClientServer.class.getName());
-    private static final int LONGEST_BODY_BYTES = 64 * 1024;
-    private static final int LONGEST_LENGTH_DIGITS = 9;
-    private static final String TOO_LONG = "a body holds at most 64 KiB";
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_LENGTH_DIGITS = 9;
+    private static final String BODY_TOO_LONG = "a body holds at most 64 KiB";
 
     /**
-     * How often connections are looked after; with it, who says nothing is closed well inside 3 s.
+     * Interval of {@link #sweep}, in milliseconds. It is short enough that a connection without a
+     * request is closed well within the 3 s of the protocol.
      */
-    private static final int SWEEP_MS = 250;
+    private static final int SWEEP_INTERVAL_MS = 250;
 
     private final HttpServer server;
     private final QueryHandler handler;
     private final QueryReader reader;
     private final DoubleSupplier clock;
-    private final ReadingPasses passes;
+    private final ReadPassTracker readPasses;
     private final ClientConnections<HttpConnection> connections;
     private final ConnectionAdmission admission;
     private final ResponseWriter responses;
 
-    /** Requests whose queries have no answer yet. Queries are told apart by identity. */
+    /** Requests whose queries have no answer yet. Queries are compared by identity. */
     private final IdentityHashMap<Query, HttpServerRequest> openRequests = new IdentityHashMap<>();
 
     private boolean draining;
     private long clientsFoundGone;
 
     /**
-     * @param vertx on whose event loop all is called
-     * @param shards how many shards there are
-     * @param maxConnections how many connections clients may hold
-     * @param handler takes the queries
-     * @param clock the time in milliseconds
+     * @param vertx its event loop runs all calls
+     * @param shards number of shards
+     * @param maxConnections maximum number of client connections
+     * @param handler processes the queries
+     * @param clock current time in milliseconds
      */
     public ClientServer(
             Vertx vertx,
@@ -93,7 +95,7 @@
             long lingerMs) {
         this.handler = handler;
         this.clock = clock;
-        this.passes = new ReadingPasses(clock);
+        this.readPasses = new ReadPassTracker(clock);
         this.reader = new QueryReader(shards);
         this.connections = new ClientConnections<>(maxConnections, clock, new ChannelCloser());
         this.responses = new ResponseWriter(connections);
@@ -103,41 +105,43 @@
                         .setHandle100ContinueAutomatically(true)
                         .setHttp2ClearTextEnabled(false);
         this.admission =
-                new ConnectionAdmission(vertx, connections, passes, clock, options, lingerMs);
+                new ConnectionAdmission(vertx, connections, readPasses, clock, options, lingerMs);
         this.server = vertx.createHttpServer(options);
         server.connectionHandler(admission::opened);
         server.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
-        server.requestHandler(request -> guarded(request, () -> requested(request)));
-        server.invalidRequestHandler(this::unreadable);
-        vertx.setPeriodic(SWEEP_MS, timer -> sweep());
+        server.requestHandler(request -> runGuarded(request, () -> handleRequest(request)));
+        server.invalidRequestHandler(this::rejectUnreadable);
+        vertx.setPeriodic(SWEEP_INTERVAL_MS, timer -> sweep());
     }
 
-    /** How many connections sent more at once than may wait. */
-    long floods() {
-        return admission.floods();
+    /** Returns how many connections have exceeded the input buffer limit. */
+    long overflows() {
+        return admission.overflows();
     }
 
-    /** Looks after connections that stand too long. */
+    /**
+     * Schedules the closing of connections that have awaited a request or been idle for too long.
+     */
     void sweep() {
         admission.closeMarkedIf(connections.markOverdue());
     }
 
-    /** Begins to listen. */
-    public Future<HttpServer> listen(SocketAddress at) {
-        return server.listen(at);
+    /** Starts listening on an address. */
+    public Future<HttpServer> listen(SocketAddress address) {
+        return server.listen(address);
     }
 
-    private void requested(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         if (!connections.requestBegun(request.connection())) {
             return;
         }
         List<String> encodings = request.headers().getAll(HttpHeaders.TRANSFER_ENCODING);
         if (!encodings.isEmpty()
                 && (encodings.size() > 1 || !encodings.get(0).equalsIgnoreCase("chunked"))) {
-            // Where its body ends can't be told.
-            responses.rejectLast(request, 501, "the only Transfer-Encoding is chunked");
+            // The end of the request's body can't be determined.
+            responses.rejectAndClose(request, 501, "the only Transfer-Encoding is chunked");
         } else if (isTooLong(request.getHeader(HttpHeaders.CONTENT_LENGTH))) {
-            responses.rejectLast(request, 413, TOO_LONG);
+            responses.rejectAndClose(request, 413, BODY_TOO_LONG);
         } else {
             receive(request);
         }
@@ -145,29 +149,30 @@
 
     private static boolean isTooLong(String length) {
         return length != null
-                && (length.length() > LONGEST_LENGTH_DIGITS
-                        || Integer.parseInt(length) > LONGEST_BODY_BYTES);
+                && (length.length() > MAX_LENGTH_DIGITS
+                        || Integer.parseInt(length) > MAX_BODY_BYTES);
     }
 
-    /** Collects the body of a request whose head has come. */
+    /** Collects the body of a request whose headers have been received. */
     private void receive(HttpServerRequest request) {
-        double sentAtMs =
-                handler.unreadSince(passes.beganAtMs(), connections.arrival(request.connection()));
+        double earliestArrivalMs =
+                handler.unreadSince(
+                        readPasses.passBeganAtMs(), connections.arrival(request.connection()));
         var body = Buffer.buffer();
         request.handler(
                 bytes -> {
-                    if (body.length() + bytes.length() > LONGEST_BODY_BYTES) {
-                        responses.rejectLast(request, 413, TOO_LONG);
+                    if (body.length() + bytes.length() > MAX_BODY_BYTES) {
+                        responses.rejectAndClose(request, 413, BODY_TOO_LONG);
                     } else {
                         body.appendBuffer(bytes);
                     }
                 });
-        // Chunks that can't be read; the HTTP server closes the connection next. A client that
-        // disconnected needs no answer.
+        // Called for malformed chunks, after which the HTTP server closes the connection, and for a
+        // client that disconnected, which needs no answer.
         request.exceptionHandler(
                 failure -> {
                     if (!(failure instanceof HttpClosedException)) {
-                        responses.rejectLast(request, 400, "not a body that can be read");
+                        responses.rejectAndClose(request, 400, "not a body that can be read");
                     }
                 });
         request.endHandler(
@@ -176,15 +181,15 @@
                         return;
                     }
                     connections.requestReceived(request.connection());
-                    guarded(request, () -> route(request, body, sentAtMs));
+                    runGuarded(request, () -> route(request, body, earliestArrivalMs));
                 });
     }
 
     /**
-     * A request that fails is answered as such, and ends its connection: its client must not wait
-     * for nobody.
+     * Runs a step of a request. If the step throws, the client gets an error answer and its
+     * connection is closed, so that it doesn't wait for an answer that would never be sent.
      */
-    private void guarded(HttpServerRequest request, Runnable step) {
+    private void runGuarded(HttpServerRequest request, Runnable step) {
         try {
             step.run();
         } catch (RuntimeException e) {
@@ -194,11 +199,11 @@
                     .map(Map.Entry::getKey)
                     .findAny()
                     .ifPresent(this::disconnected);
-            responses.rejectLast(request, 500, "this request failed");
+            responses.rejectAndClose(request, 500, "this request failed");
         }
     }
 
-    private void route(HttpServerRequest request, Buffer body, double sentAtMs) {
+    private void route(HttpServerRequest request, Buffer body, double earliestArrivalMs) {
         String path = request.path() == null ? "" : request.path();
         if (path.equals("/up")) {
             answerHealthCheck(request);
@@ -210,7 +215,7 @@
         } else if (!request.method().equals(HttpMethod.POST)) {
             responses.rejectMethod(request, "POST only", "POST");
         } else {
-            receiveQuery(request, queryClass, body, sentAtMs);
+            receiveQuery(request, queryClass, body, earliestArrivalMs);
         }
     }
 
@@ -225,10 +230,10 @@
     }
 
     private void receiveQuery(
-            HttpServerRequest request, String queryClass, Buffer body, double sentAtMs) {
+            HttpServerRequest request, String queryClass, Buffer body, double earliestArrivalMs) {
         Query query;
         try {
-            double spentMs = clock.getAsDouble() - sentAtMs;
+            double spentMs = clock.getAsDouble() - earliestArrivalMs;
             query = reader.read(queryClass, request.headers(), body.getBytes(), spentMs);
         } catch (QueryReader.MalformedException e) {
             responses.end(request, 400, e.getMessage());
@@ -250,9 +255,10 @@
     }
 
     /**
-     * Whether the client of a query that has no answer still waits, by all that has reached its
-     * connection up to this moment: what lies unread there is read first. One that has closed is
-     * reported as disconnected right now, before its connection's end is told by the loop.
+     * Returns whether the client of an unanswered query is still connected, judged by all input
+     * received on its connection up to now; unread input is read first. If the client has
+     * disconnected, this is reported to the {@link QueryHandler} at once, before the event loop
+     * reports the end of the connection.
      */
     public boolean clientWaits(Query query) {
         HttpServerRequest request = openRequests.get(query);
@@ -268,14 +274,14 @@
     }
 
     /**
-     * How many clients were found to have disconnected right before an attempt for them would have
-     * begun.
+     * Returns how many clients were found to have disconnected right before an attempt for them
+     * would have been written.
      */
     public long clientsFoundGone() {
         return clientsFoundGone;
     }
 
-    /** Sends the final answer of a query; one whose client has disconnected gets none. */
+    /** Sends the final answer of a query, unless its client has disconnected. */
     public void answer(Query query, Answer answer) {
         HttpServerRequest request = openRequests.remove(query);
         if (request != null) {
@@ -283,48 +289,62 @@
         }
     }
 
-    /** What can't be read as a request; nobody knows where a next one would begin. */
-    private void unreadable(HttpServerRequest request) {
+    /**
+     * Rejects input that can't be read as a request. The connection is closed, since the start of
+     * the next request is unknown.
+     */
+    private void rejectUnreadable(HttpServerRequest request) {
         if (connections.requestBegun(request.connection())) {
-            int status = unreadableStatus(request.decoderResult().cause());
-            responses.rejectLast(request, status, "not a request that can be read");
+            int status = statusOfUnreadable(request.decoderResult().cause());
+            responses.rejectAndClose(request, status, "not a request that can be read");
         }
     }
 
-    private static int unreadableStatus(Throwable why) {
-        if (why instanceof TooLongHttpLineException) {
+    private static int statusOfUnreadable(Throwable cause) {
+        if (cause instanceof TooLongHttpLineException) {
             return 414;
         }
-        return why instanceof TooLongHttpHeaderException ? 431 : 400;
+        return cause instanceof TooLongHttpHeaderException ? 431 : 400;
     }
 
-    /** From now on answers ask clients to go elsewhere. */
+    /**
+     * Makes every answer from now on the last on its connection, so that clients connect to another
+     * gatherer.
+     */
     public void drain() {
         draining = true;
         responses.drain();
     }
 
-    /** Closes connections that have no request under way. */
+    /** Schedules the closing of idle connections. */
     public void closeIdleConnections() {
         admission.closeMarkedIf(connections.markIdle());
     }
 
-    /** Connections on which a request is most likely coming in, which will want an answer. */
+    /**
+     * Returns the number of connections on which a request is probably arriving, which will need an
+     * answer.
+     */
     public int arrivingRequests() {
         return connections.arriving();
     }
 
-    /** Connections that are open or being closed. */
+    /** Returns the number of connections that are open or being closed. */
     public int connections() {
         return connections.size();
     }
 
-    /** Requests that have no answer yet, or one that isn't written out. */
+    /**
+     * Returns the number of requests that have no answer yet or whose answer isn't completely
+     * written.
+     */
     public int pendingAnswers() {
-        return openRequests.size() + responses.writing();
+        return openRequests.size() + responses.pendingWrites();
     }
 
-    /** Ends the listener and all connections, each so that what was written still arrives. */
+    /**
+     * Closes the listening socket and all connections. Answers already written are still delivered.
+     */
     public Future<Void> close() {
         return server.close();
     }
--- a/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
@@ -11,114 +11,121 @@
 import sprucehold.sockets.AcceptingTransport;
 
 /**
- * Sets up each connection that a client opens, and has those that {@link ClientConnections} finds
- * too many or too old closed a pass over the sockets later, so that what they have sent is read
- * first.
+ * Sets up each connection that a client opens. Connections that {@link ClientConnections} selects
+ * for closing, because there are too many or they are too old, are closed one event loop pass
+ * later, so that the bytes their clients have sent are read first.
  */
 final class ConnectionAdmission {
     private static final Logger LOG = Logger.getLogger(ConnectionAdmission.class.getName());
 
-    /** How much is read at once: a request of the usual size several times over. */
+    /** Size of one read, in bytes; several times a request of typical size. */
     private static final int READ_BYTES = 4096;
 
     /**
-     * What a connection brings into one pass over the sockets: others are read and decided upon
-     * between two parts of a flood.
+     * Limit on the reads from one connection per event loop pass. It lets the event loop read and
+     * process other connections' requests while one client sends a large amount of data.
      */
-    private static final int READS_A_PASS = 2;
+    private static final int READS_PER_PASS = 2;
 
-    /** The shortest timer; it comes after the sockets were read once. */
-    private static final int NEXT_PASS_MS = 1;
+    /**
+     * Delay that ends after the next pass over the sockets, in milliseconds; the shortest possible
+     * timer.
+     */
+    private static final int NEXT_PASS_DELAY_MS = 1;
 
     private static final String HTTP_DECODER = "httpDecoder";
 
     private final Vertx vertx;
     private final ClientConnections<HttpConnection> connections;
-    private final ReadingPasses passes;
+    private final ReadPassTracker readPasses;
     private final DoubleSupplier clock;
     private final HttpServerOptions options;
     private final long lingerMs;
-    private boolean surplusCloseDue;
-    private boolean markedCloseDue;
-    private long floods;
+    private boolean surplusCloseScheduled;
+    private boolean markedCloseScheduled;
+    private long overflows;
 
-    /**
-     * @param lingerMs how long a close waits for the other side's, in milliseconds
-     */
+    /** @param lingerMs time limit for the client's close, in milliseconds */
     ConnectionAdmission(
             Vertx vertx,
             ClientConnections<HttpConnection> connections,
-            ReadingPasses passes,
+            ReadPassTracker readPasses,
             DoubleSupplier clock,
             HttpServerOptions options,
             long lingerMs) {
         this.vertx = vertx;
         this.connections = connections;
-        this.passes = passes;
+        this.readPasses = readPasses;
         this.clock = clock;
         this.options = options;
         this.lingerMs = lingerMs;
     }
 
-    /** Takes a connection that was accepted. */
+    /** Sets up an accepted connection. */
     void opened(HttpConnection connection) {
         Channel channel = ChannelCloser.channel(connection);
-        // A size of its own: one that adapts would shrink with each look at a socket that has
-        // nothing.
+        // A fixed size: an adaptive one would shrink with each read from an empty socket.
         channel.config()
                 .setRecvByteBufAllocator(
-                        new FixedRecvByteBufAllocator(READ_BYTES).maxMessagesPerRead(READS_A_PASS));
+                        new FixedRecvByteBufAllocator(READ_BYTES)
+                                .maxMessagesPerRead(READS_PER_PASS));
         connection.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
         connection.closeHandler(none -> connections.closed(connection));
         var closing =
                 new LingeringClose(
                         lingerMs,
-                        () -> passes.reading(channel.eventLoop()),
-                        () -> flooded(connection),
+                        () -> readPasses.onRead(channel.eventLoop()),
+                        () -> inputOverflowed(connection),
                         () -> connections.closingByHttpServer(connection));
         channel.pipeline()
                 .addFirst(closing)
                 .replace(HTTP_DECODER, HTTP_DECODER, new StrictDecoder(options));
         double connectedSinceMs =
-                clock.getAsDouble() - AcceptingTransport.backlogSeenEmptyMsAgo(channel);
+                clock.getAsDouble() - AcceptingTransport.msSinceBacklogEmpty(channel);
         if (connections.opened(connection, connectedSinceMs)) {
             closeSurplusInNextPass();
         }
     }
 
-    /** A burst isn't a flood: what the connections have sent is read first. */
+    /**
+     * Schedules the closing of surplus connections after the next pass over the sockets. A short
+     * burst of connections is legitimate, so the bytes that they have sent are read first.
+     */
     private void closeSurplusInNextPass() {
-        if (!surplusCloseDue) {
-            surplusCloseDue = true;
+        if (!surplusCloseScheduled) {
+            surplusCloseScheduled = true;
             vertx.setTimer(
-                    NEXT_PASS_MS,
+                    NEXT_PASS_DELAY_MS,
                     timer -> {
-                        surplusCloseDue = false;
+                        surplusCloseScheduled = false;
                         connections.closeSurplus();
                     });
         }
     }
 
-    /** Has marked connections closed a pass over the sockets later, if there are any. */
+    /**
+     * Schedules the closing of marked connections after the next pass over the sockets, if there
+     * are any.
+     */
     void closeMarkedIf(boolean anyMarked) {
-        if (anyMarked && !markedCloseDue) {
-            markedCloseDue = true;
+        if (anyMarked && !markedCloseScheduled) {
+            markedCloseScheduled = true;
             vertx.setTimer(
-                    NEXT_PASS_MS,
+                    NEXT_PASS_DELAY_MS,
                     timer -> {
-                        markedCloseDue = false;
+                        markedCloseScheduled = false;
                         connections.closeMarked();
                     });
         }
     }
 
-    private void flooded(HttpConnection connection) {
-        floods++;
-        connections.flooded(connection);
+    private void inputOverflowed(HttpConnection connection) {
+        overflows++;
+        connections.inputOverflowed(connection);
     }
 
-    /** How many connections sent more at once than may wait. */
-    long floods() {
-        return floods;
+    /** Returns how many connections have exceeded the input buffer limit. */
+    long overflows() {
+        return overflows;
     }
 }
--- a/gatherer/src/main/java/sprucehold/clients/ConnectionArrival.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionArrival.java
@@ -1,10 +1,11 @@
 package sprucehold.clients;
 
 /**
- * When a client's connection came, in milliseconds of the gatherer's clock.
+ * Times at which a client's connection was established and accepted, in milliseconds of the
+ * gatherer's clock.
  *
- * @param connectedSinceMs the earliest moment at which it can have come up: it may have waited in
- *     the backlog of the system, and what its client sent meanwhile with it
- * @param openedAtMs when it was accepted and the event loop began to read it
+ * @param connectedSinceMs earliest time at which the connection can have been established; it may
+ *     have waited in the listen backlog, and so may bytes that its client sent in the meantime
+ * @param openedAtMs time at which the connection was accepted and the event loop began to read it
  */
 public record ConnectionArrival(double connectedSinceMs, double openedAtMs) {}
--- a/gatherer/src/main/java/sprucehold/clients/LingeringClose.java
+++ b/gatherer/src/main/java/sprucehold/clients/LingeringClose.java
@@ -11,69 +11,75 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The one way in which a client's connection is closed from our side, whoever asks for it: what was
- * written is flushed, the output is shut, and what still comes is read and dropped until the other
- * side closes too, for a bounded time and number of bytes. A close over unread bytes resets the
- * connection, and the system then drops the answer that it had not yet delivered. Nothing that is
- * read after the shutdown reaches the HTTP server, so it is never sent on.
+ * Performs every close of a client's connection that the gatherer initiates. It flushes the written
+ * output and shuts the output down. Then it reads and discards further input until the client
+ * closes too, up to a time limit and a byte limit. Closing a socket with unread bytes would reset
+ * the connection, and the kernel would then drop an answer that it had not yet delivered. Input
+ * read after the shutdown never reaches the HTTP server, so no query from it is processed.
  *
- * <p>It stands first in the pipeline, where every close passes. Before the shutdown it also reads
- * on where the HTTP server has stopped reading, because requests wait behind another on the
- * connection: a client that leaves would otherwise be noticed only once its requests were sent on,
- * one after the other.
+ * <p>It is the first handler in the pipeline, so every close passes through it. Before the shutdown
+ * it also continues to read when the HTTP server has stopped reading because pipelined requests
+ * wait behind another request on the connection. Otherwise the disconnection of a client would be
+ * detected only after its waiting requests had been processed one by one.
  */
 final class LingeringClose extends ChannelDuplexHandler {
     /**
-     * Long for a client on the same network that has the answer before it; short for one that never
+     * Default time limit for the close of the client, in milliseconds. It is long enough for a
+     * client on the same network that has received the answer, and short for a client that never
      * closes.
      */
     static final long LINGER_MS = 500;
 
-    /** Four of the longest bodies: who sends more after the end doesn't listen. */
-    private static final int MAX_DROPPED_BYTES = 256 * 1024;
+    /**
+     * Limit on the bytes that are discarded, four times the longest request body. A client that
+     * sends more after the shutdown is not reading its answer.
+     */
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     /**
-     * What may wait unread behind a request. Clients ask one thing at a time on a connection, and
-     * 16 KiB hold dozens of requests of the usual size; times all connections it stays far below
-     * what the process may hold.
+     * Limit on the input that is buffered behind a request. Clients send one request at a time on a
+     * connection, and 16 KiB is enough for dozens of requests of typical size. Multiplied by the
+     * number of connections it stays far below the memory limit of the process.
      */
-    static final int MAX_HELD_BYTES = 16 * 1024;
+    static final int MAX_BUFFERED_BYTES = 16 * 1024;
 
     private enum State {
         OPEN,
-        /** The output is shut; what comes is dropped. */
+        /** The output is shut down; input is discarded. */
         LINGERING,
         CLOSED
     }
 
-    private final Runnable onFlood;
+    private final Runnable onOverflow;
     private final Runnable onClosing;
     private final Runnable onRead;
 
     private final long lingerMs;
     private State state = State.OPEN;
 
-    /** What came and the HTTP server doesn't read yet. */
-    private ByteBuf heldBytes = Unpooled.EMPTY_BUFFER;
+    /** Input that the HTTP server has not asked for yet. */
+    private ByteBuf bufferedBytes = Unpooled.EMPTY_BUFFER;
 
     private boolean delivering;
-    private boolean flooding;
-    private int droppedBytes;
+    private boolean overflowed;
+    private int discardedBytes;
 
     /**
-     * @param lingerMs how long it waits for the other side's close, in milliseconds
-     * @param onRead is told of each read before anything is made of it
-     * @param onFlood is told that more was sent at once than may wait, all of which is dropped
-     * @param onClosing is told when its close begins, whoever asked for it
+     * @param lingerMs time limit for the client's close, in milliseconds
+     * @param onRead called on each read, before the bytes are processed
+     * @param onOverflow called when the client has sent more than the buffer limit; the buffered
+     *     bytes and all later ones are discarded
+     * @param onClosing called when the close begins, whichever side or component initiated it
      */
-    LingeringClose(long lingerMs, Runnable onRead, Runnable onFlood, Runnable onClosing) {
+    LingeringClose(long lingerMs, Runnable onRead, Runnable onOverflow, Runnable onClosing) {
         this.lingerMs = lingerMs;
         this.onRead = onRead;
-        this.onFlood = onFlood;
+        this.onOverflow = onOverflow;
         this.onClosing = onClosing;
     }
 
-    // Netty tells a failed write or close through the channel, whose end is what counts here.
+    // Netty reports a failed write or close through the channel, and only the channel's end matters
+    // here.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
@@ -82,7 +88,7 @@
             return;
         }
         state = State.LINGERING;
-        dropHeld();
+        dropBuffered();
         onClosing.run();
         if (!context.channel().isActive() || !(context.channel() instanceof DuplexChannel)) {
             closeNow(context);
@@ -105,13 +111,14 @@
         context.read();
     }
 
-    /** Closes for good. */
-    // Netty tells a failed write or close through the channel, whose end is what counts here.
+    /** Closes the socket at once, without lingering. */
+    // Netty reports a failed write or close through the channel, and only the channel's end matters
+    // here.
     @SuppressWarnings("FutureReturnValueIgnored")
     void closeNow(ChannelHandlerContext context) {
         if (state != State.CLOSED) {
             state = State.CLOSED;
-            dropHeld();
+            dropBuffered();
             context.close(context.newPromise());
         }
     }
@@ -120,41 +127,41 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         onRead.run();
         if (state != State.OPEN) {
-            droppedBytes += ((ByteBuf) message).readableBytes();
+            discardedBytes += ((ByteBuf) message).readableBytes();
             ReferenceCountUtil.release(message);
-            if (droppedBytes > MAX_DROPPED_BYTES) {
+            if (discardedBytes > MAX_DISCARDED_BYTES) {
                 closeNow(context);
             }
-        } else if (flooding) {
+        } else if (overflowed) {
             ReferenceCountUtil.release(message);
-        } else if (context.channel().config().isAutoRead() && !heldBytes.isReadable()) {
+        } else if (context.channel().config().isAutoRead() && !bufferedBytes.isReadable()) {
             context.fireChannelRead(message);
         } else {
-            hold((ByteBuf) message);
+            bufferInput((ByteBuf) message);
         }
     }
 
-    /** Keeps bytes until the HTTP server reads again. */
-    private void hold(ByteBuf bytes) {
+    /** Buffers bytes until the HTTP server reads again. */
+    private void bufferInput(ByteBuf bytes) {
         try {
-            if (heldBytes.readableBytes() + bytes.readableBytes() > MAX_HELD_BYTES) {
-                flooding = true;
-                dropHeld();
-                onFlood.run();
+            if (bufferedBytes.readableBytes() + bytes.readableBytes() > MAX_BUFFERED_BYTES) {
+                overflowed = true;
+                dropBuffered();
+                onOverflow.run();
             } else {
-                if (!heldBytes.isReadable()) {
-                    heldBytes = Unpooled.buffer(bytes.readableBytes());
+                if (!bufferedBytes.isReadable()) {
+                    bufferedBytes = Unpooled.buffer(bytes.readableBytes());
                 }
-                heldBytes.writeBytes(bytes);
+                bufferedBytes.writeBytes(bytes);
             }
         } finally {
             bytes.release();
         }
     }
 
-    private void dropHeld() {
-        heldBytes.release();
-        heldBytes = Unpooled.EMPTY_BUFFER;
+    private void dropBuffered() {
+        bufferedBytes.release();
+        bufferedBytes = Unpooled.EMPTY_BUFFER;
     }
 
     @Override
@@ -162,26 +169,26 @@
         if (state == State.OPEN) {
             context.fireChannelReadComplete();
         }
-        // Whether or not the HTTP server wants more now, the other side's close has to be seen.
+        // Keep reading even when the HTTP server doesn't, in order to detect the client's close.
         if (state != State.CLOSED && !context.channel().config().isAutoRead()) {
             context.read();
         }
     }
 
-    /** The HTTP server reads again: first what it has been spared. */
+    /** Called when the HTTP server reads again; delivers the buffered bytes first. */
     @Override
     public void read(ChannelHandlerContext context) {
-        if (heldBytes.isReadable() && !delivering) {
+        if (bufferedBytes.isReadable() && !delivering) {
             delivering = true;
             context.executor()
                     .execute(
                             () -> {
                                 delivering = false;
                                 if (state == State.OPEN
-                                        && heldBytes.isReadable()
+                                        && bufferedBytes.isReadable()
                                         && context.channel().config().isAutoRead()) {
-                                    ByteBuf bytes = heldBytes;
-                                    heldBytes = Unpooled.EMPTY_BUFFER;
+                                    ByteBuf bytes = bufferedBytes;
+                                    bufferedBytes = Unpooled.EMPTY_BUFFER;
                                     context.fireChannelRead(bytes);
                                     context.fireChannelReadComplete();
                                 }
@@ -193,13 +200,13 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         state = State.CLOSED;
-        dropHeld();
+        dropBuffered();
         context.fireChannelInactive();
     }
 
     /**
-     * While it lingers only a broken connection ends it: the HTTP server fires what it could not
-     * read once more, after its answer.
+     * While the close lingers, only an I/O error ends it: after its answer the HTTP server fires
+     * the exception for the unreadable request a second time.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
@@ -2,31 +2,34 @@
 
 import sprucehold.coordinator.Query;
 
-/** Takes the queries that clients ask. */
+/** Processes clients' queries. */
 public interface QueryHandler {
-    /** Whether queries can be served: an endpoint list is held, and the gatherer isn't draining. */
+    /**
+     * Returns whether queries can be served: an endpoint list has been received, and the gatherer
+     * isn't draining.
+     */
     boolean ready();
 
-    /** Whether a query class of this name is served. */
+    /** Returns whether a query class of this name is configured. */
     boolean isQueryClass(String name);
 
-    /** Whether a query of this id is open. */
+    /** Returns whether a query with the same id is open. */
     boolean isOpen(Query query);
 
     /**
-     * Since when what is read on a connection in a pass over the sockets that begins now may have
-     * lain unread: a time at or before {@code nowMs}. It is earlier where the event loop comes
-     * straight from other work, in which it did not look at its sockets, and where the connection
-     * waited to be accepted and is read for the first time.
+     * Returns the earliest time at which bytes read in the event loop pass that began at {@code
+     * nowMs} can have arrived on the connection, in milliseconds. The result is earlier than {@code
+     * nowMs} in two cases: the event loop was busy with other work just before and did not read its
+     * sockets, or the connection waited to be accepted and is read for the first time.
      */
     double unreadSince(double nowMs, ConnectionArrival arrival);
 
     /**
-     * Takes a query; its answer comes through {@link ClientServer#answer}, perhaps before this
-     * returns.
+     * Processes a query. Its answer is sent by {@link ClientServer#answer}, possibly before this
+     * method returns.
      */
     void receive(Query query);
 
-    /** The client of a query has disconnected before it had its answer. */
+    /** Reports that the client of a query has disconnected before it received its answer. */
     void disconnected(Query query);
 }
--- a/gatherer/src/main/java/sprucehold/clients/QueryReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -20,16 +20,18 @@
 import sprucehold.coordinator.Query;
 
 /**
- * Reads a client's query from its headers and body. Nothing is guessed: what two readers might take
- * differently is no query.
+ * Reads a client's query from the headers and body of a request. Ambiguous input, which two parsers
+ * might read differently, is rejected.
  *
  * <table>
  *   <caption>Headers and keys of a query</caption>
- *   <tr><th>there</th><th>our term</th></tr>
- *   <tr><td>path and header {@code X-Class}, which agree</td><td>{@code queryClass}</td></tr>
+ *   <tr><th>in HTTP</th><th>term in the code</th></tr>
+ *   <tr><td>path and header {@code X-Class}, which must be equal</td>
+ *       <td>{@code queryClass}</td></tr>
  *   <tr><td>header {@code X-Request-Id}</td><td>{@code id}</td></tr>
  *   <tr><td>header {@code X-Tenant}</td><td>{@code tenant}</td></tr>
- *   <tr><td>header {@code X-Deadline-Ms}</td><td>{@code timeLeftMs}, less what is spent</td></tr>
+ *   <tr><td>header {@code X-Deadline-Ms}</td><td>{@code timeLeftMs}, after
+ *       subtraction of the time already spent</td></tr>
  *   <tr><td>header {@code Idempotency-Key}</td><td>{@code idempotencyKey}</td></tr>
  *   <tr><td>key {@code buckets[]}</td><td>{@code parts}</td></tr>
  *   <tr><td>key {@code buckets[].bucket}</td><td>{@code shard} of a part</td></tr>
@@ -52,18 +54,21 @@
     private static final List<String> SINGLE_HEADERS =
             List.of(REQUEST_ID, QUERY_CLASS, TENANT, DEADLINE, IDEMPOTENCY_KEY);
 
-    /** What the weights may add up to beside 1, since they are rounded on the way. */
+    /** Tolerance of the sum of the weights around 1, since clients send rounded weights. */
     private static final double WEIGHT_TOLERANCE = 0.01;
 
     /**
-     * What fits as a value into the list of a frame's line, where commas and spaces separate: 1 to
-     * 128 characters.
+     * Characters allowed in a value of the list in a frame's line, where commas and spaces are
+     * separators; 1 to 128 characters.
      */
     private static final Pattern LIST_VALUE = Pattern.compile("[!-+\\--~]{1,128}");
 
     private final int shards;
 
-    /** The request can't be read as a query; the message says why, for its client. */
+    /**
+     * Thrown if a request can't be read as a query. The message states the reason and is sent to
+     * the client.
+     */
     static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -72,9 +77,7 @@
         }
     }
 
-    /**
-     * @param shards how many shards there are
-     */
+    /** @param shards number of shards */
     QueryReader(int shards) {
         this.shards = shards;
     }
@@ -82,12 +85,12 @@
     /**
      * Reads a query.
      *
-     * @param queryClass the query class that the path names
-     * @param headers the headers of the request
-     * @param body the body of the request
-     * @param spentMs how much of the client's time went by since the request began to come in, in
-     *     milliseconds
-     * @throws MalformedException if it isn't a query
+     * @param queryClass query class named by the path
+     * @param headers headers of the request
+     * @param body body of the request
+     * @param spentMs time since the request began to arrive, in milliseconds; it is subtracted from
+     *     the client's deadline
+     * @throws MalformedException if the request isn't a valid query
      */
     Query read(String queryClass, MultiMap headers, byte[] body, double spentMs)
             throws MalformedException {
@@ -148,7 +151,7 @@
                 throw new MalformedException(
                         "each bucket must be one of " + shards + " and stand once");
             }
-            // Weights that were rounded on the way still make a whole.
+            // Normalise the weights, so that rounded ones add up to 1.
             parts.add(new Query.Part(shard, bucket.get("part").doubleValue() / totalWeight));
         }
         return parts;
--- a/gatherer/src/main/java/sprucehold/clients/ResponseWriter.java
+++ b/gatherer/src/main/java/sprucehold/clients/ResponseWriter.java
@@ -6,12 +6,12 @@
 import io.vertx.core.http.HttpServerResponse;
 import sprucehold.coordinator.Answer;
 
-/** Writes responses, and decides with each whether it is the last on its connection. */
+/** Writes responses, and decides for each whether it is the last on its connection. */
 final class ResponseWriter {
     private final ClientConnections<HttpConnection> connections;
 
-    /** Responses that aren't written out. */
-    private int writing;
+    /** Number of responses that aren't completely written. */
+    private int pendingWrites;
 
     private boolean draining;
 
@@ -19,14 +19,14 @@
         this.connections = connections;
     }
 
-    /** From now on each response is the last on its connection. */
+    /** Makes every response from now on the last on its connection. */
     void drain() {
         draining = true;
     }
 
-    /** How many responses aren't written out. */
-    int writing() {
-        return writing;
+    /** Returns the number of responses that aren't completely written. */
+    int pendingWrites() {
+        return pendingWrites;
     }
 
     /** Writes the final answer of a query. */
@@ -45,19 +45,22 @@
         }
     }
 
-    /** Writes a line of text. */
+    /** Writes a response with a line of text. */
     void end(HttpServerRequest request, int status, String line) {
         end(request, status, Buffer.buffer(line + "\n"));
     }
 
-    /** Rejects the method of a request. */
+    /** Rejects a request because of its method. */
     void rejectMethod(HttpServerRequest request, String line, String allowed) {
         request.response().putHeader("Allow", allowed);
         end(request, 405, line);
     }
 
-    /** Rejects a request of which more may come, and all else on its connection. */
-    void rejectLast(HttpServerRequest request, int status, String line) {
+    /**
+     * Rejects a request of which more input may follow, ignores all further input on its
+     * connection, and closes it.
+     */
+    void rejectAndClose(HttpServerRequest request, int status, String line) {
         if (!request.response().ended()) {
             end(request, status, Buffer.buffer(line + "\n"), true);
         }
@@ -65,7 +68,9 @@
 
     private void end(HttpServerRequest request, int status, Buffer body) {
         boolean last =
-                draining || connections.isCrowded() || connections.isUnheard(request.connection());
+                draining
+                        || connections.isCrowded()
+                        || connections.isInputIgnored(request.connection());
         end(request, status, body, last);
     }
 
@@ -79,12 +84,12 @@
             response.putHeader("Connection", "close");
             connections.lastAnswerBegun(connection);
         }
-        writing++;
+        pendingWrites++;
         response.setStatusCode(status)
                 .end(body)
                 .onComplete(
                         done -> {
-                            writing--;
+                            pendingWrites--;
                             if (last) {
                                 connections.close(connection);
                             } else {
--- a/gatherer/src/main/java/sprucehold/clients/StrictDecoder.java
+++ b/gatherer/src/main/java/sprucehold/clients/StrictDecoder.java
@@ -5,8 +5,9 @@
 import io.vertx.core.http.impl.VertxHttpRequestDecoder;
 
 /**
- * Reads requests as Vert.x does, but none whose end two headers tell differently: the one who reads
- * it by the other header would find a second request in its body.
+ * HTTP decoder of Vert.x that also rejects a request with both Transfer-Encoding and
+ * Content-Length. An intermediary that used the other header would find a second request in its
+ * body (request smuggling).
  */
 final class StrictDecoder extends VertxHttpRequestDecoder {
     StrictDecoder(HttpServerOptions options) {
--- a/gatherer/src/main/java/sprucehold/clients/StubClient.java
+++ b/gatherer/src/main/java/sprucehold/clients/StubClient.java
@@ -12,25 +12,23 @@
 import sprucehold.coordinator.Query;
 
 /**
- * Runs the code that a client's query passes in this package, without a socket: for a warm-up where
- * no sockets are granted.
+ * Runs this package's code for reading a query and writing its answer without a socket. Used for
+ * the warm-up where the process may not open sockets.
  */
 public final class StubClient {
     private final EmbeddedChannel decoder =
             new EmbeddedChannel(new StrictDecoder(new HttpServerOptions()));
     private final QueryReader reader;
 
-    /**
-     * @param shards how many shards there are
-     */
+    /** @param shards number of shards */
     public StubClient(int shards) {
         this.reader = new QueryReader(shards);
     }
 
     /**
-     * Reads a request as one that came whole.
+     * Reads a query from a complete HTTP request.
      *
-     * @throws IllegalArgumentException if it isn't a query
+     * @throws IllegalArgumentException if the request isn't a valid query
      */
     public Query read(String request) {
         decoder.writeInbound(Unpooled.copiedBuffer(request, StandardCharsets.UTF_8));
@@ -53,7 +51,7 @@
         }
     }
 
-    /** Writes an answer as one that goes out, to nobody. */
+    /** Formats the body of a completed answer and discards it. */
     public void write(Answer answer) {
         if (answer instanceof Answer.Completed completed) {
             AnswerWriter.body(completed);
--- a/gatherer/src/main/java/sprucehold/clients/package-info.java
+++ b/gatherer/src/main/java/sprucehold/clients/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The HTTP server: requests are read into queries, answers are written. The entry point is {@link
- * sprucehold.clients.ClientServer}; {@code QueryReader} and {@code AnswerWriter} are the only
- * places that know the headers and keys. It must never hold a request back, or answer one by itself
- * except to say that it can't be read.
+ * HTTP server that reads clients' requests into queries and writes their answers. The entry point
+ * is {@link sprucehold.clients.ClientServer}; {@code QueryReader} and {@code AnswerWriter} are the
+ * only classes that depend on the headers and JSON keys. This package must never delay a request.
+ * It answers a request by itself only if it is a health check, can't be read as a query, or failed
+ * with an exception in this program.
  */
 package sprucehold.clients;
--- a/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
+++ b/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
@@ -4,23 +4,23 @@
 import sprucehold.coordinator.Query;
 
 /**
- * Stands between an attempt that is decided and its first byte, for whatever reason it is made and
- * however long it waited: asked by the one method that writes attempts, with nothing between the
- * answer and the write.
+ * Callbacks around the write of an attempt. The only method that writes attempts asks {@link
+ * #clientWaits} directly before each write, whatever the reason for the attempt and however long it
+ * has waited, so that no attempt is written for a client that has disconnected.
  */
 public interface AttemptGate {
     /**
-     * Whether the query's client still waits, by all that has reached its connection up to this
-     * moment.
+     * Returns whether the query's client is still connected, judged by all input received on its
+     * connection up to now.
      */
     boolean clientWaits(Query query);
 
-    /** The frame of the attempt was handed to its connection just now. */
+    /** Reports that the frame of an attempt has just been written to its connection. */
     void begun(Attempt attempt);
 
     /**
-     * Attempts wait that can be written now: {@link ShardServers#writeWaiting} is due in a turn of
-     * the decisions.
+     * Reports that waiting attempts can be written now. The receiver then calls {@link
+     * ShardServers#writeWaiting} in the next turn of the decision loop.
      */
     void turnWanted();
 }
--- a/gatherer/src/main/java/sprucehold/shards/FrameReader.java
+++ b/gatherer/src/main/java/sprucehold/shards/FrameReader.java
@@ -4,77 +4,84 @@
 import io.vertx.core.parsetools.RecordParser;
 import java.util.function.Consumer;
 
-/** Cuts what a shard server sends into frames, wherever it is split. */
+/**
+ * Splits the byte stream of a shard server into frames, however the bytes are divided into packets.
+ */
 final class FrameReader {
     private static final int LENGTH_BYTES = 4;
 
-    /** Twice the longest answer that a client may get, so no sound value is longer. */
-    private static final int LONGEST_FRAME_BYTES = 128 * 1024;
+    /**
+     * Maximum frame length in bytes, twice the longest answer that a client may get, so that every
+     * valid value fits.
+     */
+    private static final int MAX_FRAME_BYTES = 128 * 1024;
 
     private final RecordParser parser = RecordParser.newFixed(LENGTH_BYTES);
-    private final Consumer<ShardFrame> frames;
-    private final Consumer<String> malformed;
+    private final Consumer<ShardFrame> onFrame;
+    private final Consumer<String> onMalformed;
     private boolean inFrame;
-    private boolean broken;
+    private boolean failed;
     private double receivedAtMs;
 
     /**
-     * @param frames takes each frame
-     * @param malformed is told once why what comes can't be read; nothing is read after that
+     * @param onFrame receives each frame
+     * @param onMalformed called once with the reason if the stream can't be read; nothing is read
+     *     after that
      */
-    FrameReader(Consumer<ShardFrame> frames, Consumer<String> malformed) {
-        this.frames = frames;
-        this.malformed = malformed;
-        parser.handler(this::record);
+    FrameReader(Consumer<ShardFrame> onFrame, Consumer<String> onMalformed) {
+        this.onFrame = onFrame;
+        this.onMalformed = onMalformed;
+        parser.handler(this::handleRecord);
     }
 
-    /** Takes bytes as they came. */
+    /** Processes received bytes. */
     void handle(Buffer bytes, double nowMs) {
         receivedAtMs = nowMs;
-        if (!broken) {
+        if (!failed) {
             parser.handle(bytes);
         }
     }
 
     /**
-     * Whether a frame has begun and nothing more of it came for so long: its length doesn't fit.
+     * Returns whether the rest of a partly received frame has been missing for longer than the
+     * given time. The length of such a frame is wrong.
      */
     boolean isStalled(double nowMs, double silenceMs) {
-        return inFrame && !broken && nowMs - receivedAtMs > silenceMs;
+        return inFrame && !failed && nowMs - receivedAtMs > silenceMs;
     }
 
-    private void record(Buffer bytes) {
-        if (broken) {
+    private void handleRecord(Buffer bytes) {
+        if (failed) {
             return;
         }
         if (inFrame) {
-            frame(bytes);
+            handleFrame(bytes);
         } else {
-            length(bytes.getIntLE(0));
+            handleLength(bytes.getIntLE(0));
         }
     }
 
-    private void length(int length) {
-        if (length < 1 || length > LONGEST_FRAME_BYTES) {
-            fail("a frame of " + length + " bytes");
+    private void handleLength(int length) {
+        if (length < 1 || length > MAX_FRAME_BYTES) {
+            fail("invalid frame length: " + length + " bytes");
             return;
         }
         inFrame = true;
         parser.fixedSizeMode(length);
     }
 
-    private void frame(Buffer bytes) {
+    private void handleFrame(Buffer bytes) {
         inFrame = false;
         parser.fixedSizeMode(LENGTH_BYTES);
         try {
-            frames.accept(ShardFrame.decode(bytes));
+            onFrame.accept(ShardFrame.decode(bytes));
         } catch (ShardFrame.MalformedException e) {
             fail(e.getMessage());
         }
     }
 
-    private void fail(String why) {
-        broken = true;
-        malformed.accept(why);
+    private void fail(String reason) {
+        failed = true;
+        onMalformed.accept(reason);
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
@@ -7,22 +7,23 @@
 import sprucehold.coordinator.Query;
 
 /**
- * The frames that a gatherer sends. A frame is the length of what follows (4 bytes, little endian),
- * a letter and the rest:
+ * Encodes the frames that a gatherer sends to shard servers. A frame consists of the length of the
+ * remaining bytes (4 bytes, little endian), a letter for its type, and its content:
  *
  * <table>
  *   <caption>Frames to shard servers</caption>
- *   <tr><th>letter</th><th>our term</th><th>rest</th></tr>
+ *   <tr><th>letter</th><th>meaning</th><th>content</th></tr>
  *   <tr><td>{@code A}</td><td>attempts of parts of one query</td>
- *       <td>for each part a line {@code PART SHARD LIST LENGTH}, then LENGTH bytes of the query's
- *       body</td></tr>
+ *       <td>one line {@code PART SHARD LIST LENGTH} per part, each followed by LENGTH bytes
+ *       of the query's body</td></tr>
  *   <tr><td>{@code B}</td><td>cancellation of an attempt</td><td>the part's id</td></tr>
  *   <tr><td>{@code C}</td><td>health check</td><td>nothing</td></tr>
  *   <tr><td>{@code D}</td><td>health check that asks for a load report</td><td>nothing</td></tr>
  * </table>
  *
- * LIST holds, separated by commas: {@code d=}, the milliseconds that the part is still waited for;
- * {@code k=}, the idempotency key, where the client sent one.
+ * LIST is a comma-separated list. {@code d=} is the remaining time in milliseconds until the
+ * gatherer stops waiting for the part. {@code k=} is the idempotency key, present if the client
+ * sent one.
  */
 final class GathererFrame {
     private static final char ATTEMPTS = 'A';
@@ -34,16 +35,16 @@
     private GathererFrame() {}
 
     /**
-     * Attempts of parts of one query. The timeout told counts from the write, which a connection
-     * that comes up late puts off.
+     * Encodes attempts of parts of one query. The timeout in the frame counts from the time of the
+     * write, which may be delayed until the connection is established.
      */
     static Buffer attempts(List<Attempt> attempts, double nowMs) {
-        Buffer rest = Buffer.buffer();
+        Buffer content = Buffer.buffer();
         for (Attempt attempt : attempts) {
             byte[] body = attempt.query().body().bytes();
-            rest.appendString(line(attempt, body.length, nowMs)).appendBytes(body);
+            content.appendString(line(attempt, body.length, nowMs)).appendBytes(body);
         }
-        return frame(ATTEMPTS, rest);
+        return frame(ATTEMPTS, content);
     }
 
     private static String line(Attempt attempt, int bodyLength, double nowMs) {
@@ -62,7 +63,7 @@
         return "d=" + timeLeftMs + query.idempotencyKey().map(key -> ",k=" + key).orElse("");
     }
 
-    /** The answer to a part isn't wanted any more. */
+    /** Encodes the cancellation of an attempt. */
     static Buffer cancellation(String partId) {
         return frame(CANCELLATION, Buffer.buffer(partId.getBytes(StandardCharsets.UTF_8)));
     }
@@ -75,10 +76,10 @@
         return frame(HEALTH_CHECK_WITH_LOAD, Buffer.buffer());
     }
 
-    private static Buffer frame(char letter, Buffer rest) {
-        return Buffer.buffer(LENGTH_BYTES + 1 + rest.length())
-                .appendIntLE(1 + rest.length())
+    private static Buffer frame(char letter, Buffer content) {
+        return Buffer.buffer(LENGTH_BYTES + 1 + content.length())
+                .appendIntLE(1 + content.length())
                 .appendByte((byte) letter)
-                .appendBuffer(rest);
+                .appendBuffer(content);
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/InFlightAttempt.java
+++ b/gatherer/src/main/java/sprucehold/shards/InFlightAttempt.java
@@ -4,7 +4,7 @@
 import sprucehold.coordinator.Attempt;
 
 /**
- * An attempt whose frame was handed to a connection. Compared by identity.
+ * Attempt whose frame was written to a connection. Compared by identity.
  *
  * @see InFlightAttempts
  */
@@ -12,7 +12,7 @@
     final Attempt attempt;
     final double writtenAtMs;
 
-    /** Succeeds once the last byte of its frame is handed over; fails if that never came to be. */
+    /** Succeeds when the kernel has accepted the last byte of the frame; fails if it never does. */
     final Future<Void> write;
 
     InFlightAttempt(Attempt attempt, double writtenAtMs, Future<Void> write) {
--- a/gatherer/src/main/java/sprucehold/shards/InFlightAttempts.java
+++ b/gatherer/src/main/java/sprucehold/shards/InFlightAttempts.java
@@ -6,21 +6,24 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The parts that were written to one connection and whose answers may still come on it. */
+/** Attempts that were written to one connection and whose answers may still arrive on it. */
 final class InFlightAttempts {
-    /** More than a server of the usual size runs and queues, for all gatherers together. */
+    /**
+     * Maximum number of cancelled parts remembered. It exceeds the number of parts that a shard
+     * server of typical size runs and queues for all gatherers together.
+     */
     private static final int MAX_CANCELLED = 1024;
 
     private final Map<String, InFlightAttempt> byPartId = new LinkedHashMap<>();
 
     /**
-     * Parts cancelled whose answers may still come, the longest-standing first. A server that stood
-     * still for minutes answers all that it held, and that is no fault; so not time bounds them but
-     * their number.
+     * Ids of cancelled parts whose answers may still arrive, the earliest cancelled first. Their
+     * number is limited rather than their age: a shard server that was stopped for minutes answers
+     * all its parts when it resumes, which is not a fault.
      */
     private final Set<String> cancelledPartIds = new LinkedHashSet<>();
 
-    /** How many aren't cancelled. */
+    /** Returns the number of attempts that aren't cancelled. */
     int size() {
         return byPartId.size();
     }
@@ -29,7 +32,7 @@
         return byPartId.isEmpty();
     }
 
-    /** Whether an answer to the part may come, wanted or not. */
+    /** Returns whether an answer to the part may still arrive, even if the part is cancelled. */
     boolean mayBeAnswered(String partId) {
         return byPartId.containsKey(partId) || cancelledPartIds.contains(partId);
     }
@@ -38,22 +41,25 @@
         byPartId.put(inFlight.attempt.partId(), inFlight);
     }
 
-    /** The attempt of a part that isn't cancelled, or null. */
+    /** Returns the attempt of a part that isn't cancelled, or null. */
     InFlightAttempt find(String partId) {
         return byPartId.get(partId);
     }
 
-    /** Takes out the attempt of a part that isn't cancelled; null if there is none. */
+    /**
+     * Removes and returns the attempt of a part that isn't cancelled, or returns null if there is
+     * none.
+     */
     InFlightAttempt remove(String partId) {
         return byPartId.remove(partId);
     }
 
-    /** Takes out this very attempt; false if it isn't in here. */
+    /** Removes this attempt, compared by identity. Returns false if it isn't contained. */
     boolean remove(InFlightAttempt inFlight) {
         return byPartId.remove(inFlight.attempt.partId(), inFlight);
     }
 
-    /** The answer to a part isn't wanted any more, and may come all the same. */
+    /** Marks a part as cancelled; its answer may still arrive. */
     void cancel(String partId) {
         byPartId.remove(partId);
         cancelledPartIds.add(partId);
@@ -62,24 +68,30 @@
         }
     }
 
-    /** Takes out a cancelled part; false if it isn't in here. */
+    /** Removes a cancelled part. Returns false if it isn't contained. */
     boolean removeCancelled(String partId) {
         return cancelledPartIds.remove(partId);
     }
 
-    /** Takes out all that aren't cancelled, in the order written. */
+    /**
+     * Removes and returns all attempts that aren't cancelled, in the order in which they were
+     * written.
+     */
     List<InFlightAttempt> removeAll() {
         List<InFlightAttempt> all = List.copyOf(byPartId.values());
         byPartId.clear();
         return all;
     }
 
-    /** Whether one was written at that moment or after it, and longer ago than a time. */
-    boolean anyWrittenSince(double sinceMs, double nowMs, double longerAgoMs) {
+    /**
+     * Returns whether any attempt was written at or after {@code sinceMs} and more than {@code
+     * minAgeMs} before {@code nowMs}.
+     */
+    boolean anyWrittenSince(double sinceMs, double nowMs, double minAgeMs) {
         return byPartId.values().stream()
                 .anyMatch(
                         inFlight ->
                                 inFlight.writtenAtMs >= sinceMs
-                                        && nowMs - inFlight.writtenAtMs > longerAgoMs);
+                                        && nowMs - inFlight.writtenAtMs > minAgeMs);
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/PendingHealthChecks.java
+++ b/gatherer/src/main/java/sprucehold/shards/PendingHealthChecks.java
@@ -4,45 +4,50 @@
 import java.util.List;
 import java.util.Queue;
 
-/** The health checks of one connection that have no answer yet; they are answered in order. */
+/**
+ * Health checks of one connection that have no answer yet. The shard server answers them in order.
+ */
 final class PendingHealthChecks {
-    /** When each that was written was written, in milliseconds. */
+    /** Times at which the unanswered health checks were written, in milliseconds. */
     private final Queue<Double> writtenAtMs = new ArrayDeque<>();
 
-    /** How many wait for the connection to come up. */
+    /** Number of health checks that wait for the connection to be established. */
     private int waiting;
 
-    void await() {
+    void addWaiting() {
         waiting++;
     }
 
-    /** How many wait for the connection to come up. */
+    /** Returns the number of health checks that wait for the connection to be established. */
     int waiting() {
         return waiting;
     }
 
-    /** The connection is up: hands over how many waited for it. */
+    /** Returns the number of health checks that waited for the connection, and resets it to 0. */
     int takeWaiting() {
         int taken = waiting;
         waiting = 0;
         return taken;
     }
 
-    void written(double nowMs) {
+    void addWritten(double nowMs) {
         writtenAtMs.add(nowMs);
     }
 
-    /** Whether none that was written is without an answer. */
-    boolean noneWritten() {
+    /** Returns whether every health check that was written is answered. */
+    boolean allAnswered() {
         return writtenAtMs.isEmpty();
     }
 
-    /** The one written first is answered: how long it took, in milliseconds. */
-    double answered(double nowMs) {
+    /**
+     * Removes the health check that was written first, and returns how long its answer took, in
+     * milliseconds.
+     */
+    double removeAnswered(double nowMs) {
         return nowMs - writtenAtMs.poll();
     }
 
-    /** When each that has no answer was written, in milliseconds. */
+    /** Returns the times at which the unanswered health checks were written, in milliseconds. */
     List<Double> writtenAtMs() {
         return List.copyOf(writtenAtMs);
     }
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -20,42 +20,42 @@
 import sprucehold.sockets.UnsentOutput;
 
 /**
- * One connection to a shard server, from its dial to its end, with the attempts and health checks
- * on it. Attempts wait until the connection is up and the system has taken what was written before;
- * then they are written in a turn of the decisions. Each attempt and each health check ends exactly
- * once, by {@link Owner}. Runs on one event loop.
+ * Connection to a shard server, with the attempts and health checks on it. Attempts wait until the
+ * connection is established and the kernel has accepted all earlier writes. Then they are written
+ * in a turn of the decision loop. Exactly one result of each attempt and of each health check is
+ * reported to the {@link Owner}. Runs on one event loop.
  */
 final class ShardConnection {
     private static final Logger LOG = Logger.getLogger(ShardConnection.class.getName());
 
-    /** What a connection asks and tells its owner. */
+    /** Callbacks of a connection to its owner. */
     interface Owner {
         double nowMs();
 
-        boolean clientWaits(Query query);
+        boolean isClientConnected(Query query);
 
-        void begun(Attempt attempt);
+        void attemptWritten(Attempt attempt);
 
         void attemptEnded(Attempt attempt, AttemptResult result);
 
         void healthCheckEnded(AttemptResult result, double durationMs);
 
-        /** The connection has come up. */
-        void connected();
+        /** Reports that the connection is established. */
+        void connectionEstablished();
 
         /**
-         * Attempts wait on it that can be written now: {@link #writeWaiting} is due in the next
-         * turn.
+         * Reports that attempts waiting on the connection can be written now. The owner then has
+         * {@link #writeWaiting} called in the next turn of the decision loop.
          */
-        void turnWanted(ShardConnection connection);
+        void writeTurnRequested(ShardConnection connection);
 
         /**
-         * The connection is over.
+         * Reports that the connection is closed.
          *
-         * @param dialFailed whether it never came up
-         * @param why what ended it; null where that was our own wish
+         * @param connectFailed whether the connection was never established
+         * @param reason why the connection was closed; null if the gatherer closed it as idle
          */
-        void closed(ShardConnection connection, boolean dialFailed, String why);
+        void closed(ShardConnection connection, boolean connectFailed, String reason);
     }
 
     private final Owner owner;
@@ -64,8 +64,8 @@
     private final boolean loadByHealthCheck;
 
     /**
-     * Calls that wait for the connection to come up, or for the system to take what was written
-     * before; each with parts of one query.
+     * Calls that wait for the connection to be established, or for the kernel to accept earlier
+     * writes. Each call has parts of one query.
      */
     private final Queue<List<Attempt>> waitingCalls = new ArrayDeque<>();
 
@@ -76,19 +76,22 @@
     private NetSocket socket;
     private FrameReader reader;
 
-    /** When a frame came last, or the connection came up. */
-    private double heardAtMs;
+    /** Time at which the last frame was received, or at which the connection was established. */
+    private double lastFrameAtMs;
 
-    /** Since when no part is in flight, while none is. */
+    /** Time since which no part is in flight; meaningful only while none is. */
     private double idleSinceMs;
 
-    /** Whether it is silent for so long that the server's machine may have vanished. */
+    /**
+     * Whether the shard server has been silent for so long that its host may be down or
+     * unreachable.
+     */
     private boolean suspect;
 
     private boolean closed;
 
-    /** Whether what came can't be read, so that nobody knows which part it was meant for. */
-    private boolean unreadable;
+    /** Whether malformed input was received, for which the part that it belongs to is unknown. */
+    private boolean receivedMalformed;
 
     ShardConnection(Owner owner, String address, int maxParts, boolean loadByHealthCheck) {
         this.owner = owner;
@@ -97,37 +100,37 @@
         this.loadByHealthCheck = loadByHealthCheck;
     }
 
-    /** Takes the dial over. */
-    void dialled(Future<NetSocket> dial) {
-        dial.onComplete(this::opened, failure -> close(true, failure.getMessage()));
+    /** Sets the pending connect operation of this connection. */
+    void setPendingConnect(Future<NetSocket> pendingConnect) {
+        pendingConnect.onComplete(this::established, failure -> close(true, failure.getMessage()));
     }
 
-    /** Host and port that were dialled. */
+    /** Returns the address that this connection connects to. */
     String address() {
         return address;
     }
 
-    private void opened(NetSocket opened) {
+    private void established(NetSocket newSocket) {
         if (closed) {
-            opened.close();
+            newSocket.close();
             return;
         }
-        socket = opened;
-        heardAtMs = owner.nowMs();
-        idleSinceMs = heardAtMs;
+        socket = newSocket;
+        lastFrameAtMs = owner.nowMs();
+        idleSinceMs = lastFrameAtMs;
         socket.exceptionHandler(
                 failure -> LOG.log(Level.FINE, "connection to " + address, failure));
-        socket.closeHandler(none -> close(false, "closed by the other side"));
-        reader = new FrameReader(this::received, this::receivedUnreadable);
-        socket.handler(this::receivedBytes);
-        owner.connected();
+        socket.closeHandler(none -> close(false, "closed by the shard server"));
+        reader = new FrameReader(this::frameReceived, this::closeAfterMalformedInput);
+        socket.handler(this::bytesReceived);
+        owner.connectionEstablished();
         for (int i = healthChecks.takeWaiting(); i > 0; i--) {
             checkHealth();
         }
         requestTurn();
     }
 
-    private void receivedBytes(Buffer bytes) {
+    private void bytesReceived(Buffer bytes) {
         try {
             reader.handle(bytes, owner.nowMs());
         } catch (RuntimeException e) {
@@ -141,11 +144,11 @@
 
     private void requestTurn() {
         if (!closed && !waitingCalls.isEmpty()) {
-            owner.turnWanted(this);
+            owner.writeTurnRequested(this);
         }
     }
 
-    /** Whether a call can go out on it, now or when it is up. */
+    /** Returns whether a call can be sent on this connection, now or once it is established. */
     boolean canTake(List<Attempt> call) {
         boolean blocked = socket != null && (suspect || socket.writeQueueFull());
         return !closed
@@ -155,8 +158,8 @@
     }
 
     /**
-     * Sends attempts of parts of one query. To be called in a turn of the decisions, as {@link
-     * #writeWaiting} is.
+     * Sends attempts of parts of one query. Must be called in a turn of the decision loop, as
+     * {@link #writeWaiting} is.
      */
     void send(List<Attempt> call) {
         waitingCalls.add(new ArrayList<>(call));
@@ -165,11 +168,12 @@
     }
 
     /**
-     * Writes what waits, as far as the system takes it. To be called in a turn of the decisions,
-     * once they know all that had come when the turn began: what comes up, or is written out, in
-     * the middle of a pass over the sockets knows nothing of an endpoint update that tells of a
-     * drain and lies unread on another. Nothing waits in the process behind other frames: it could
-     * not be taken back.
+     * Writes waiting calls until the kernel stops accepting writes. Must be called in a turn of the
+     * decision loop, after the decisions have processed all input received before the turn began. A
+     * connection that is established, or whose output is sent, in the middle of a pass over the
+     * sockets must not write at once: an endpoint update that reports the shard server as draining
+     * may still be unread on another connection. A frame is never queued in the process behind
+     * other frames, since it could not be cancelled there.
      */
     void writeWaiting() {
         while (socket != null
@@ -178,7 +182,7 @@
                 && UnsentOutput.isEmpty(channel())) {
             List<Attempt> call = waitingCalls.poll();
             waitingParts -= call.size();
-            write(call);
+            writeCall(call);
         }
     }
 
@@ -186,49 +190,52 @@
         return ((NetSocketInternal) socket).channelHandlerContext().channel();
     }
 
-    private Future<Void> put(Buffer frame) {
+    private Future<Void> writeFrame(Buffer frame) {
         Future<Void> write = socket.write(frame);
         write.onComplete(taken -> requestTurn());
         return write;
     }
 
     /**
-     * Whether the server has kept it open, by all that has come up to now: what is written to one
-     * whose end lies unread would count as reset, and may not be tried again where the effect might
-     * happen twice. One that isn't up yet may still come up.
+     * Returns whether the connection is open, judged by all input received up to now. An attempt
+     * written to a connection whose close is still unread would count as reset, and could not be
+     * retried where its effect might happen twice. A connection that isn't established yet counts
+     * as open.
      */
-    boolean isOpenStill() {
+    boolean isStillOpen() {
         return socket == null || (UnreadInput.readAll(channel()) && !closed);
     }
 
-    /** The one place at which attempts are written; the parts of a call are of one query. */
-    private void write(List<Attempt> waited) {
+    /** Writes a call, whose parts all belong to one query. No other method writes attempts. */
+    private void writeCall(List<Attempt> waitingCall) {
         double nowMs = owner.nowMs();
-        List<Attempt> call = writable(waited, nowMs);
+        List<Attempt> call = writable(waitingCall, nowMs);
         if (call.isEmpty()) {
             return;
         }
         Buffer frame = GathererFrame.attempts(call, nowMs);
-        // Last, so that a hold-up in all that comes before it changes nothing.
-        if (!owner.clientWaits(call.get(0).query())) {
+        // Check the client last, so that a delay in the steps before can't make the result
+        // outdated.
+        if (!owner.isClientConnected(call.get(0).query())) {
             call.forEach(this::endUnwrittenAsCancelled);
             return;
         }
-        Future<Void> write = put(frame);
+        Future<Void> write = writeFrame(frame);
         List<InFlightAttempt> written =
                 call.stream().map(attempt -> new InFlightAttempt(attempt, nowMs, write)).toList();
         written.forEach(inFlight::add);
-        call.forEach(owner::begun);
+        call.forEach(owner::attemptWritten);
         write.onFailure(failure -> written.forEach(this::writeFailed));
     }
 
     /**
-     * Those that may still be written: while the call waited the list may have said that its server
-     * drains, or its time have run out.
+     * Returns the attempts that may still be written, and ends the others. While the call waited,
+     * an endpoint update may have reported its shard server as draining, or the time of an attempt
+     * may have run out.
      */
-    private List<Attempt> writable(List<Attempt> waited, double nowMs) {
+    private List<Attempt> writable(List<Attempt> waitingCall, double nowMs) {
         var call = new ArrayList<Attempt>();
-        for (Attempt attempt : waited) {
+        for (Attempt attempt : waitingCall) {
             if (!attempt.mayBeWritten(nowMs)) {
                 endUnwrittenAsCancelled(attempt);
             } else if (attempt.server().running()) {
@@ -255,11 +262,12 @@
     }
 
     /**
-     * The connection is over. A frame whose last byte was never handed over has not run; that may
-     * be known only after the close.
+     * Ends an attempt in flight after the connection was closed. A part whose frame was not
+     * completely written has not run; whether the write was complete may be known only after the
+     * close.
      */
     private void connectionLost(InFlightAttempt written) {
-        if (unreadable) {
+        if (receivedMalformed) {
             owner.attemptEnded(written.attempt, new AttemptResult.Failed(null));
             return;
         }
@@ -272,7 +280,7 @@
                                         : WriteProgress.PARTLY_WRITTEN));
     }
 
-    /** Cancels an attempt; false if it isn't on this connection. */
+    /** Cancels an attempt. Returns false if it isn't on this connection. */
     boolean cancel(Attempt attempt) {
         for (List<Attempt> call : waitingCalls) {
             if (call.remove(attempt)) {
@@ -286,36 +294,41 @@
             return false;
         }
         inFlight.cancel(attempt.partId());
-        put(GathererFrame.cancellation(attempt.partId()));
-        noteIfIdle();
+        writeFrame(GathererFrame.cancellation(attempt.partId()));
+        updateIdleSince();
         owner.attemptEnded(attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         return true;
     }
 
-    /** Checks the server's health, now or once the connection is up. */
+    /** Sends a health check, now or once the connection is established. */
     void checkHealth() {
         if (socket == null) {
-            healthChecks.await();
+            healthChecks.addWaiting();
             return;
         }
-        healthChecks.written(owner.nowMs());
-        put(loadByHealthCheck ? GathererFrame.healthCheckWithLoad() : GathererFrame.healthCheck());
+        healthChecks.addWritten(owner.nowMs());
+        writeFrame(
+                loadByHealthCheck
+                        ? GathererFrame.healthCheckWithLoad()
+                        : GathererFrame.healthCheck());
     }
 
     /**
-     * What the server sent can't be read or isn't the answer to anything, so nothing that follows
-     * can be trusted. One of the parts in flight was meant, or all are answered and it came on top.
+     * Closes the connection after malformed input or a result of a part that is not in flight,
+     * since no later input can be trusted either. If parts are in flight, the input may have been
+     * the answer to any of them, so all of them fail. If none is in flight, only the connection is
+     * lost.
      */
-    private void receivedUnreadable(String why) {
+    private void closeAfterMalformedInput(String reason) {
         if (!closed) {
-            LOG.warning("malformed frame received: shard server at " + address + ", " + why);
-            unreadable = true;
-            close(false, why);
+            LOG.warning("malformed frame received: shard server at " + address + ", " + reason);
+            receivedMalformed = true;
+            close(false, reason);
         }
     }
 
-    private void received(ShardFrame frame) {
-        heardAtMs = owner.nowMs();
+    private void frameReceived(ShardFrame frame) {
+        lastFrameAtMs = owner.nowMs();
         suspect = false;
         if (closed) {
             return;
@@ -323,28 +336,28 @@
         if (frame instanceof ShardFrame.PartEnded ended) {
             partEnded(ended);
         } else if (frame instanceof ShardFrame.HealthCheckAnswered answered
-                && !healthChecks.noneWritten()) {
+                && !healthChecks.allAnswered()) {
             healthCheckAnswered(answered);
         } else if (frame instanceof ShardFrame.FrameRefused refused) {
             LOG.warning("frame refused: shard server at " + address + ", " + refused.reason());
-            close(false, "a frame could not be used");
+            close(false, "frame refused");
         }
     }
 
     private void partEnded(ShardFrame.PartEnded ended) {
         InFlightAttempt written = inFlight.remove(ended.partId());
         if (written == null && !inFlight.removeCancelled(ended.partId())) {
-            receivedUnreadable("the end of a part that isn't out");
+            closeAfterMalformedInput("result of a part that is not in flight");
             return;
         }
-        noteIfIdle();
+        updateIdleSince();
         if (written != null) {
             owner.attemptEnded(written.attempt, ended.result());
         }
     }
 
     private void healthCheckAnswered(ShardFrame.HealthCheckAnswered answered) {
-        double durationMs = healthChecks.answered(owner.nowMs());
+        double durationMs = healthChecks.removeAnswered(owner.nowMs());
         owner.healthCheckEnded(
                 answered.passed()
                         ? new AttemptResult.Completed(Payload.EMPTY, answered.load())
@@ -352,19 +365,19 @@
                 durationMs);
     }
 
-    private void noteIfIdle() {
+    private void updateIdleSince() {
         if (inFlight.isEmpty()) {
             idleSinceMs = owner.nowMs();
         }
     }
 
     /**
-     * Looks after the connection from time to time. One on which a part was written and nothing
-     * heard for as long as a dial may take is suspect: its machine may have vanished, and a new
-     * dial tells.
+     * Checks the connection; called at a fixed interval. A connection is suspect if an attempt was
+     * written and no frame has been received since then for longer than the connect timeout. The
+     * host of the shard server may be down, and opening a new connection shows whether it is.
      *
-     * @param silenceMs how long a dial may take, in milliseconds
-     * @param idleMs how long an idle connection is kept, in milliseconds
+     * @param silenceMs connect timeout, in milliseconds
+     * @param idleMs time after which an idle connection is closed, in milliseconds
      */
     void sweep(double silenceMs, double idleMs) {
         if (socket == null) {
@@ -372,29 +385,32 @@
         }
         double nowMs = owner.nowMs();
         if (reader.isStalled(nowMs, silenceMs) || isSilent(nowMs, silenceMs)) {
-            // After a hold-up it may have answered long ago.
+            // If this process was paused, the answer may have arrived long ago and still be unread.
             UnreadInput.readAll(channel());
         }
         if (closed) {
             return;
         }
         if (reader.isStalled(nowMs, silenceMs)) {
-            receivedUnreadable("a frame that doesn't end");
+            closeAfterMalformedInput("incomplete frame");
             return;
         }
         suspect |= isSilent(nowMs, silenceMs);
-        boolean idle = inFlight.isEmpty() && healthChecks.noneWritten() && waitingCalls.isEmpty();
+        boolean idle = inFlight.isEmpty() && healthChecks.allAnswered() && waitingCalls.isEmpty();
         if (idle && (suspect || nowMs - idleSinceMs > idleMs)) {
             close(false, null);
         }
     }
 
-    /** Whether the last that there was on the connection is a part that was written so long ago. */
+    /**
+     * Returns whether an attempt was written longer ago than {@code silenceMs} and no frame has
+     * been received since.
+     */
     private boolean isSilent(double nowMs, double silenceMs) {
-        return inFlight.anyWrittenSince(heardAtMs, nowMs, silenceMs);
+        return inFlight.anyWrittenSince(lastFrameAtMs, nowMs, silenceMs);
     }
 
-    private void close(boolean dialFailed, String why) {
+    private void close(boolean connectFailed, String reason) {
         if (closed) {
             return;
         }
@@ -402,7 +418,7 @@
         if (socket != null) {
             socket.close();
         }
-        owner.closed(this, dialFailed, why);
+        owner.closed(this, connectFailed, reason);
         List<Attempt> unwritten = waitingCalls.stream().flatMap(List::stream).toList();
         waitingCalls.clear();
         List<InFlightAttempt> written = inFlight.removeAll();
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -9,56 +9,57 @@
 import sprucehold.decision.LoadReport;
 
 /**
- * The frames that a shard server sends. A frame is the length of what follows (4 bytes, little
- * endian), a letter and the rest:
+ * Frames that a shard server sends. A frame consists of the length of the remaining bytes (4 bytes,
+ * little endian), a letter for its type, and its content:
  *
  * <table>
  *   <caption>Frames of shard servers</caption>
- *   <tr><th>letter</th><th>our term</th><th>rest</th></tr>
+ *   <tr><th>letter</th><th>term in the code</th><th>content</th></tr>
  *   <tr><td>{@code E}</td><td>{@link PartEnded}</td>
- *       <td>a line {@code PART END WORK LOAD}, then the value; WORK is a number that isn't
- *       used</td></tr>
+ *       <td>a line {@code PART END WORK LOAD}, then the value; WORK is a number that the
+ *       gatherer ignores</td></tr>
  *   <tr><td>{@code C}, {@code D}</td><td>{@link HealthCheckAnswered}</td>
  *       <td>{@code hit}, {@code fault}, or LOAD</td></tr>
- *   <tr><td>{@code F}</td><td>{@link FrameRefused}</td><td>words</td></tr>
+ *   <tr><td>{@code F}</td><td>{@link FrameRefused}</td><td>the reason as text</td></tr>
  * </table>
  *
  * <table>
  *   <caption>END and LOAD</caption>
- *   <tr><th>there</th><th>our term</th></tr>
+ *   <tr><th>in the frame</th><th>term in the code</th></tr>
  *   <tr><td>{@code hit}</td><td>{@link AttemptResult.Completed}</td></tr>
  *   <tr><td>{@code fault}</td><td>{@link AttemptResult.Failed}</td></tr>
  *   <tr><td>{@code overload}</td><td>{@link AttemptResult.Rejected}</td></tr>
  *   <tr><td>LOAD, such as {@code inflight=7,util=0.61}, or {@code -}</td>
  *       <td>{@link LoadReport}: {@code inflight} is {@code held}, {@code queue} is {@code queued},
- *       {@code util} is {@code busy}; null where none of them can be read</td></tr>
+ *       {@code util} is {@code busy}; null if none of them can be parsed</td></tr>
  * </table>
  */
 sealed interface ShardFrame {
     /**
-     * A part ended at the shard server.
+     * Result of an attempt at the shard server.
      *
-     * @param partId the part
-     * @param result how it ended
+     * @param partId id of the part
+     * @param result result of the attempt
      */
     record PartEnded(String partId, AttemptResult result) implements ShardFrame {}
 
     /**
-     * The answer to a health check.
+     * Answer to a health check.
      *
-     * @param passed whether the server says that it is well
-     * @param load what it told of its load, or null
+     * @param passed whether the shard server reports that it is healthy
+     * @param load reported load, or null
      */
     record HealthCheckAnswered(boolean passed, LoadReport load) implements ShardFrame {}
 
     /**
-     * The shard server could not use a frame of ours, and closes the connection.
+     * Report of the shard server that it could not process a frame of the gatherer and closes the
+     * connection.
      *
-     * @param reason what it said
+     * @param reason reason given by the shard server
      */
     record FrameRefused(String reason) implements ShardFrame {}
 
-    /** The frame can't be read. */
+    /** Thrown if a frame can't be parsed. */
     final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Reads a frame, its length not included.
+     * Parses a frame without its length field.
      *
-     * @throws MalformedException if it has not the form of a frame
+     * @throws MalformedException if the bytes are not a valid frame
      */
     static ShardFrame decode(Buffer frame) throws MalformedException {
         char letter = (char) frame.getByte(0);
@@ -78,7 +79,7 @@
             case 'E' -> partEnded(frame);
             case 'C', 'D' -> healthCheckAnswered(text(frame));
             case 'F' -> new FrameRefused(text(frame));
-            default -> throw new MalformedException("unknown letter " + (int) letter);
+            default -> throw new MalformedException("unknown frame type " + (int) letter);
         };
     }
 
@@ -92,11 +93,11 @@
             lineEnd++;
         }
         if (lineEnd == frame.length()) {
-            throw new MalformedException("a part's end without its line");
+            throw new MalformedException("result of a part without a terminated line");
         }
         String[] fields = frame.getString(1, lineEnd).split(" ", -1);
         if (fields.length != 4 || fields[0].isEmpty() || !fields[2].matches("-?[0-9.]{1,40}")) {
-            throw new MalformedException("a part's line that isn't one");
+            throw new MalformedException("malformed line in the result of a part");
         }
         LoadReport load = load(fields[3]);
         AttemptResult result =
@@ -110,19 +111,21 @@
                         value(frame, lineEnd + 1);
                         yield new AttemptResult.Rejected(load);
                     }
-                    default -> throw new MalformedException("a part's unknown end");
+                    default ->
+                            throw new MalformedException("unknown outcome in the result of a part");
                 };
         return new PartEnded(fields[0], result);
     }
 
     /**
-     * The value, checked whatever the end is: a value is text, and no text holds a zero byte, while
-     * a frame whose length is too large holds those of the next one's length.
+     * Extracts the value, and checks it whatever the result of the attempt is. A value is text and
+     * has no zero bytes. A frame whose length field is too large also contains the length field of
+     * the next frame, which has zero bytes, and so is rejected.
      */
     private static Payload value(Buffer frame, int from) throws MalformedException {
         byte[] bytes = frame.getBytes(from, frame.length());
         if (!isTextWithoutZero(bytes)) {
-            throw new MalformedException("a value that isn't text");
+            throw new MalformedException("value is not UTF-8 text without zero bytes");
         }
         return Payload.owning(bytes);
     }
@@ -165,11 +168,11 @@
                 default -> {}
             }
         }
-        boolean nothing = Double.isNaN(held) && Double.isNaN(queued) && Double.isNaN(busy);
-        return nothing ? null : new LoadReport(held, queued, busy);
+        boolean noneReported = Double.isNaN(held) && Double.isNaN(queued) && Double.isNaN(busy);
+        return noneReported ? null : new LoadReport(held, queued, busy);
     }
 
-    /** A finite number from 0, or NaN. */
+    /** Parses a finite number that is at least 0; returns NaN for any other text. */
     private static double loadValue(String text) {
         try {
             double value = Double.parseDouble(text);
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -25,17 +25,21 @@
 import sprucehold.deployment.ConnectionSettings;
 
 /**
- * The connections to all shard servers: one each, a further one only when that can take no more.
- * Each attempt sent ends by exactly one {@link Observation.AttemptEnded}, each health check by one
- * {@link Observation.HealthCheckEnded}. All of it runs on one event loop.
+ * Connections to all shard servers. Each shard server has one connection, and gets a further one
+ * only when no existing connection can take a call. Each attempt sent ends with exactly one {@link
+ * Observation.AttemptEnded}, and each health check with exactly one {@link
+ * Observation.HealthCheckEnded}. Runs on one event loop.
  */
 public final class ShardServers {
     private static final Logger LOG = Logger.getLogger(ShardServers.class.getName());
 
-    /** How many dials' time is left for the way and the sweep before a server closes itself. */
-    private static final int IDLE_RESERVE_DIALS = 2;
+    /**
+     * Margin, in multiples of the connect timeout, between closing an idle connection and the idle
+     * timeout of the shard server. It covers the network delay and the interval between sweeps.
+     */
+    private static final int IDLE_RESERVE_TIMEOUTS = 2;
 
-    /** Closes an idle connection whatever its age. */
+    /** Maximum idle time that closes every idle connection, however short it has been idle. */
     private static final double NO_IDLE_TIME_MS = -1;
 
     private final NetClient client;
@@ -45,20 +49,23 @@
     private final DoubleSupplier clock;
     private final Consumer<Observation> observations;
     private final AttemptGate gate;
-    private final Map<ShardServer, Peer> peers = new HashMap<>();
+    private final Map<ShardServer, ServerConnections> connectionsByServer = new HashMap<>();
 
-    /** Connections on which attempts wait that can be written in the next turn. */
+    /** Connections whose waiting attempts can be written in the next turn of the decision loop. */
     private final Set<ShardConnection> writable = new LinkedHashSet<>();
 
-    /** The connections to one shard server. */
-    private final class Peer implements ShardConnection.Owner {
+    /** Connections to one shard server. */
+    private final class ServerConnections implements ShardConnection.Owner {
         final ShardServer server;
         final List<ShardConnection> connections = new ArrayList<>();
 
-        /** Whether the last dial failed; told to operators once. */
+        /**
+         * Whether the last connect failed. Its failure is logged once until a connection is
+         * established again.
+         */
         boolean unreachable;
 
-        Peer(ShardServer server) {
+        ServerConnections(ShardServer server) {
             this.server = server;
         }
 
@@ -68,12 +75,12 @@
         }
 
         @Override
-        public boolean clientWaits(Query query) {
+        public boolean isClientConnected(Query query) {
             return gate.clientWaits(query);
         }
 
         @Override
-        public void begun(Attempt attempt) {
+        public void attemptWritten(Attempt attempt) {
             gate.begun(attempt);
         }
 
@@ -88,7 +95,7 @@
         }
 
         @Override
-        public void connected() {
+        public void connectionEstablished() {
             if (unreachable) {
                 unreachable = false;
                 LOG.info("shard server reachable again: " + server);
@@ -96,26 +103,26 @@
         }
 
         @Override
-        public void turnWanted(ShardConnection connection) {
+        public void writeTurnRequested(ShardConnection connection) {
             writable.add(connection);
             gate.turnWanted();
         }
 
         @Override
-        public void closed(ShardConnection connection, boolean dialFailed, String why) {
+        public void closed(ShardConnection connection, boolean connectFailed, String reason) {
             connections.remove(connection);
-            if (dialFailed && !unreachable) {
+            if (connectFailed && !unreachable) {
                 unreachable = true;
-                LOG.warning("shard server unreachable: " + server + ", " + why);
+                LOG.warning("shard server unreachable: " + server + ", " + reason);
             }
         }
 
-        /** A connection that can take the call: an open one or a new one. */
+        /** Returns a connection that can take the call: an existing one or a new one. */
         ShardConnection connectionFor(List<Attempt> call) {
             for (ShardConnection connection : List.copyOf(connections)) {
                 if (connection.address().equals(server.address())
                         && connection.canTake(call)
-                        && connection.isOpenStill()) {
+                        && connection.isStillOpen()) {
                     return connection;
                 }
             }
@@ -123,22 +130,23 @@
                     new ShardConnection(
                             this, server.address(), settings.maxPartsInFlight(), loadByHealthCheck);
             connections.add(connection);
-            connection.dialled(dial(server.address()));
+            connection.setPendingConnect(connect(server.address()));
             return connection;
         }
     }
 
-    /** The parts of one query that go to one shard server at one moment. */
+    /** Shard server and query of a group of attempts that are sent together. */
     private record Destination(ShardServer server, Query query) {}
 
     /**
-     * @param vertx on whose event loop all is called
-     * @param settings how connections are used
-     * @param maxPartsPerCall the most parts of one query that share a call
+     * @param vertx its event loop runs all calls
+     * @param settings timeouts and limits of the connections
+     * @param maxPartsPerCall maximum number of parts of one query in a call
      * @param loadByHealthCheck whether health checks ask for a load report
-     * @param clock the time in milliseconds
-     * @param observations is told how attempts and health checks ended
-     * @param gate is asked right before an attempt is written
+     * @param clock current time in milliseconds
+     * @param observations receives the results of attempts and health checks
+     * @param gate called directly before and after the write of an attempt, and when waiting
+     *     attempts can be written
      */
     public ShardServers(
             Vertx vertx,
@@ -154,14 +162,16 @@
         this.loadByHealthCheck = loadByHealthCheck;
         this.clock = clock;
         this.observations = observations;
-        int dialMs = Math.max(1, (int) settings.connectTimeoutMs());
+        int connectTimeoutMs = Math.max(1, (int) settings.connectTimeoutMs());
         this.client =
                 vertx.createNetClient(
-                        new NetClientOptions().setConnectTimeout(dialMs).setTcpNoDelay(true));
-        vertx.setPeriodic(dialMs, timer -> sweep(dialMs));
+                        new NetClientOptions()
+                                .setConnectTimeout(connectTimeoutMs)
+                                .setTcpNoDelay(true));
+        vertx.setPeriodic(connectTimeoutMs, timer -> sweep(connectTimeoutMs));
     }
 
-    private Future<NetSocket> dial(String address) {
+    private Future<NetSocket> connect(String address) {
         if (address.startsWith("/")) {
             return client.connect(SocketAddress.domainSocketAddress(address));
         }
@@ -173,19 +183,26 @@
     }
 
     /**
-     * Looks after all connections. Idle ones are closed well before the other side may; a server
-     * that isn't listed any more gets nothing new, so its idle ones only hold descriptors.
+     * Checks all connections. Idle connections are closed well before the shard server may close
+     * them. A shard server that no longer runs according to the endpoint list gets no more
+     * attempts, so its idle connections are closed at once to free their file descriptors.
      */
-    void sweep(double dialMs) {
-        double keptIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_DIALS * dialMs;
-        for (Peer peer : peers.values()) {
-            double idleMs = peer.server.running() ? keptIdleMs : NO_IDLE_TIME_MS;
-            List.copyOf(peer.connections).forEach(connection -> connection.sweep(dialMs, idleMs));
+    void sweep(double connectTimeoutMs) {
+        double keptIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_TIMEOUTS * connectTimeoutMs;
+        for (ServerConnections target : connectionsByServer.values()) {
+            double idleMs = target.server.running() ? keptIdleMs : NO_IDLE_TIME_MS;
+            List.copyOf(target.connections)
+                    .forEach(connection -> connection.sweep(connectTimeoutMs, idleMs));
         }
-        peers.values().removeIf(peer -> peer.connections.isEmpty() && !peer.server.running());
+        connectionsByServer
+                .values()
+                .removeIf(target -> target.connections.isEmpty() && !target.server.running());
     }
 
-    /** Sends attempts decided at one moment; those of one query to one server share calls. */
+    /**
+     * Sends attempts that were decided together. Attempts of one query to one shard server share
+     * calls.
+     */
     public void send(List<Attempt> attempts) {
         var byDestination = new LinkedHashMap<Destination, List<Attempt>>();
         for (Attempt attempt : attempts) {
@@ -199,46 +216,49 @@
     }
 
     private void sendInCalls(Destination destination, List<Attempt> attempts) {
-        int most = Math.min(maxPartsPerCall, settings.maxPartsInFlight());
-        for (int from = 0; from < attempts.size(); from += most) {
-            List<Attempt> call = attempts.subList(from, Math.min(attempts.size(), from + most));
+        int maxParts = Math.min(maxPartsPerCall, settings.maxPartsInFlight());
+        for (int from = 0; from < attempts.size(); from += maxParts) {
+            List<Attempt> call = attempts.subList(from, Math.min(attempts.size(), from + maxParts));
             if (destination.server.running()) {
-                peers.computeIfAbsent(destination.server, Peer::new).connectionFor(call).send(call);
+                connectionsByServer
+                        .computeIfAbsent(destination.server, ServerConnections::new)
+                        .connectionFor(call)
+                        .send(call);
             } else {
-                call.forEach(this::endUnwritten);
+                call.forEach(this::reportNotWritten);
             }
         }
     }
 
-    private void endUnwritten(Attempt attempt) {
+    private void reportNotWritten(Attempt attempt) {
         observations.accept(
                 new Observation.AttemptEnded(
                         attempt, new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN)));
     }
 
     /**
-     * Writes attempts that waited for a connection. To be called in a turn, once the decisions know
-     * all that had come when it began.
+     * Writes attempts that waited for a connection. Must be called in a turn of the decision loop,
+     * after the decisions have processed all input received before the turn began.
      */
     public void writeWaiting() {
         List<ShardConnection> connections = List.copyOf(writable);
         writable.clear();
         connections.stream()
-                .filter(ShardConnection::isOpenStill)
+                .filter(ShardConnection::isStillOpen)
                 .forEach(ShardConnection::writeWaiting);
     }
 
     /** Cancels attempts. */
     public void cancel(List<Attempt> attempts) {
         for (Attempt attempt : attempts) {
-            Peer peer = peers.get(attempt.server());
+            ServerConnections target = connectionsByServer.get(attempt.server());
             boolean found =
-                    peer != null
-                            && List.copyOf(peer.connections).stream()
+                    target != null
+                            && List.copyOf(target.connections).stream()
                                     .anyMatch(connection -> connection.cancel(attempt));
             if (!found) {
-                // Only after a panic is one on no connection and not observed to have ended; nobody
-                // knows whether it was written.
+                // Only after a panic can an attempt be on no connection without its end having been
+                // reported. Whether it was written is unknown, so it is reported as written.
                 observations.accept(
                         new Observation.AttemptEnded(
                                 attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN)));
@@ -246,15 +266,20 @@
         }
     }
 
-    /** Checks the health of shard servers. */
+    /** Sends health checks to shard servers. */
     public void checkHealth(List<ShardServer> servers) {
         for (ShardServer server : servers) {
-            peers.computeIfAbsent(server, Peer::new).connectionFor(List.of()).checkHealth();
+            connectionsByServer
+                    .computeIfAbsent(server, ServerConnections::new)
+                    .connectionFor(List.of())
+                    .checkHealth();
         }
     }
 
-    /** How many connections are open or being dialled. */
+    /** Returns the number of connections that are open or being established. */
     public int connections() {
-        return peers.values().stream().mapToInt(peer -> peer.connections.size()).sum();
+        return connectionsByServer.values().stream()
+                .mapToInt(target -> target.connections.size())
+                .sum();
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
@@ -7,14 +7,14 @@
 import sprucehold.coordinator.Observation;
 
 /**
- * Runs the code that parts pass in this package, without a socket: for a warm-up where no sockets
- * are granted.
+ * Runs this package's code for writing attempts and reading their answers without a socket. Used
+ * for the warm-up where the process may not open sockets.
  */
 public final class StubShardServers {
     private final List<ShardFrame> frames = new ArrayList<>();
-    private final FrameReader reader = new FrameReader(frames::add, why -> {});
+    private final FrameReader reader = new FrameReader(frames::add, reason -> {});
 
-    /** Writes attempts as if they went out, and reads an answer to each. */
+    /** Encodes the frame of each attempt and decodes a scripted answer to it. */
     public List<Observation> answered(List<Attempt> attempts, double nowMs) {
         var observations = new ArrayList<Observation>();
         for (Attempt attempt : attempts) {
--- a/gatherer/src/main/java/sprucehold/sockets/AcceptingServerChannel.java
+++ b/gatherer/src/main/java/sprucehold/sockets/AcceptingServerChannel.java
@@ -12,30 +12,35 @@
 import java.util.logging.Logger;
 
 /**
- * A listener that knows how long a connection may have waited in the backlog of the system before
- * it was accepted: since the backlog was last seen empty. Whole requests wait there while accepts
- * fail, while the process stands still and while more connections come than a pass accepts. At rest
- * the backlog is looked at from time to time, so that the knowledge stays fresh.
+ * Listening channel that bounds how long each connection can have waited in the listen backlog
+ * before it was accepted: it records when the backlog was last observed empty. Connections wait
+ * there, with whole requests already sent on them, while accepts fail, while the process is
+ * stopped, and while more connections are opened than one pass of the event loop accepts. While no
+ * connections arrive, the channel polls the backlog at a fixed interval to keep this time recent.
  *
- * <p>It goes on right after a failed accept (accept(2): ECONNABORTED, EMFILE, ENFILE, ENOBUFS,
- * ENOMEM). Netty's own listener stops accepting for a second after each.
+ * <p>After a failed accept (accept(2): ECONNABORTED, EMFILE, ENFILE, ENOBUFS, ENOMEM) it retries
+ * within milliseconds. Netty's own listening channel stops accepting for one second after each
+ * failure.
  */
 class AcceptingServerChannel extends NioServerSocketChannel {
     private static final Logger LOG = Logger.getLogger(AcceptingServerChannel.class.getName());
 
     /**
-     * How old the knowledge of an empty backlog becomes at rest. One system call each, under a
-     * thousandth of a core.
+     * Interval between polls of the backlog, in milliseconds. Each poll is one system call; all
+     * polls together take under a thousandth of a core.
      */
     static final long BACKLOG_CHECK_MS = 20;
 
-    /** Where descriptors are short, trying without a pause would only spend the core. */
+    /**
+     * Pause after a failed accept, in milliseconds. While file descriptors are exhausted, retrying
+     * without a pause would only use up CPU time.
+     */
     private static final long RETRY_MS = 10;
 
     private static final long LOG_INTERVAL_NANOS = 1_000_000_000L;
 
     /**
-     * The moment at which the backlog was last seen empty before the connection was accepted, by
+     * Time at which the backlog was last observed empty before the connection was accepted, by
      * {@link System#nanoTime}.
      */
     private static final AttributeKey<Long> BACKLOG_EMPTY_AT_NANOS =
@@ -47,12 +52,13 @@
     private long loggedAtNanos = System.nanoTime() - LOG_INTERVAL_NANOS;
 
     /**
-     * When the backlog was last seen empty before a connection was accepted, by {@link
-     * System#nanoTime}; now for one of another listener.
+     * Returns when the backlog was last observed empty before the connection was accepted, by
+     * {@link System#nanoTime}. For a connection that another kind of listening channel accepted it
+     * returns the current time.
      */
-    static long backlogSeenEmptyAt(Channel connection) {
-        Long at = connection.attr(BACKLOG_EMPTY_AT_NANOS).get();
-        return at == null ? System.nanoTime() : at;
+    static long backlogEmptyAtNanos(Channel connection) {
+        Long emptyAtNanos = connection.attr(BACKLOG_EMPTY_AT_NANOS).get();
+        return emptyAtNanos == null ? System.nanoTime() : emptyAtNanos;
     }
 
     @Override
@@ -76,7 +82,10 @@
         super.doClose();
     }
 
-    /** Accepts what waits, which is nothing most of the time, unless an accept has just failed. */
+    /**
+     * Accepts the connections waiting in the backlog, if any. Does nothing during the pause after a
+     * failed accept.
+     */
     private void checkBacklog() {
         if (isActive() && config().isAutoRead()) {
             unsafe().read();
@@ -86,42 +95,43 @@
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
         int before = accepted.size();
-        long askedAt = System.nanoTime();
+        long acceptStartedAtNanos = System.nanoTime();
         int read;
         try {
             read = accept(accepted);
         } catch (IOException e) {
-            failed(e);
+            acceptFailed(e);
             return 0;
         }
         if (accepted.size() == before) {
-            backlogEmptyAtNanos = askedAt;
+            backlogEmptyAtNanos = acceptStartedAtNanos;
         } else {
             accepted.subList(before, accepted.size())
                     .forEach(
-                            one ->
-                                    ((Channel) one)
+                            connection ->
+                                    ((Channel) connection)
                                             .attr(BACKLOG_EMPTY_AT_NANOS)
                                             .set(backlogEmptyAtNanos));
         }
         return read;
     }
 
-    /** Takes the next connection that waits, if one does. */
+    /** Accepts the next connection from the backlog, if there is one. */
     int accept(List<Object> accepted) throws Exception {
         return super.doReadMessages(accepted);
     }
 
-    // The task can fail only once the channel is closed, and then nothing is accepted any more.
+    // The scheduled task can fail only after the channel is closed, when no more connections are
+    // accepted.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void failed(IOException why) {
+    private void acceptFailed(IOException cause) {
         long now = System.nanoTime();
         failures++;
         if (now - loggedAtNanos >= LOG_INTERVAL_NANOS) {
             loggedAtNanos = now;
             LOG.log(
                     Level.WARNING,
-                    "accept failed: " + failures + " failures so far, " + why.getMessage());
+                    "accept failed: " + failures + " failures so far, " + cause.getMessage());
         }
         config().setAutoRead(false);
         eventLoop().schedule(() -> config().setAutoRead(true), RETRY_MS, TimeUnit.MILLISECONDS);
--- a/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
+++ b/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
@@ -8,8 +8,8 @@
 import io.vertx.core.transport.Transport;
 
 /**
- * The usual transport, with listeners that go on right after a failed accept and loops that wait
- * for their timers without polling.
+ * NIO transport whose listening channels retry soon after a failed accept, and whose event loops
+ * wait for their timers without busy polling.
  */
 public final class AcceptingTransport implements Transport {
     private static final double NANOS_PER_MS = 1e6;
@@ -18,7 +18,7 @@
             new NioTransport() {
                 @Override
                 public IoHandlerFactory ioHandlerFactory() {
-                    return RoundedUpWaits.around(super.ioHandlerFactory());
+                    return RoundedUpWaits.wrap(super.ioHandlerFactory());
                 }
 
                 @Override
@@ -31,12 +31,13 @@
             };
 
     /**
-     * How long ago the backlog was last seen empty before a connection was accepted, in
-     * milliseconds: what is read first on the connection may have come at any time since.
+     * Returns how long ago, in milliseconds, the backlog was last observed empty before the
+     * connection was accepted. The first bytes read on the connection may have arrived at any time
+     * since then.
      */
-    public static double backlogSeenEmptyMsAgo(Channel connection) {
-        long seenEmptyAt = AcceptingServerChannel.backlogSeenEmptyAt(connection);
-        return (System.nanoTime() - seenEmptyAt) / NANOS_PER_MS;
+    public static double msSinceBacklogEmpty(Channel connection) {
+        long emptyAtNanos = AcceptingServerChannel.backlogEmptyAtNanos(connection);
+        return (System.nanoTime() - emptyAtNanos) / NANOS_PER_MS;
     }
 
     @Override
--- a/gatherer/src/main/java/sprucehold/sockets/RoundedUpWaits.java
+++ b/gatherer/src/main/java/sprucehold/sockets/RoundedUpWaits.java
@@ -8,22 +8,26 @@
 import io.netty.util.concurrent.ThreadAwareExecutor;
 
 /**
- * Has an event loop wait for its next timer in whole milliseconds, rounded up. The system's wait
- * takes whole milliseconds; Netty's own handler rounds to the nearest one, and polls its sockets
- * without a pause for the last half millisecond before each timer. On a spent share of a core that
- * polling is what holds the process up.
+ * I/O handler whose event loop rounds the wait for its next timer up to whole milliseconds. The
+ * system call takes its timeout in whole milliseconds. Netty's own handler rounds to the nearest
+ * millisecond, and so polls its sockets without a pause for up to the last half millisecond before
+ * each timer. Where the process gets only a share of a CPU core, this polling uses up the share,
+ * and the process is then not scheduled for a while.
  */
 final class RoundedUpWaits implements IoHandler {
     private static final long NANOS_PER_MS = 1_000_000;
 
     private final IoHandler delegate;
 
-    private RoundedUpWaits(IoHandler sockets) {
-        this.delegate = sockets;
+    private RoundedUpWaits(IoHandler delegate) {
+        this.delegate = delegate;
     }
 
-    /** Makes handlers that wait so around those of another factory. */
-    static IoHandlerFactory around(IoHandlerFactory factory) {
+    /**
+     * Returns a factory that wraps the handlers of another factory so that they round up their
+     * waits.
+     */
+    static IoHandlerFactory wrap(IoHandlerFactory factory) {
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor loop) {
@@ -38,17 +42,18 @@
     }
 
     /**
-     * The wait for a timer that is due in so many nanoseconds: never shorter, under a millisecond
-     * longer; none where it is due.
+     * Returns the wait, in nanoseconds, for a timer that expires in the given number of
+     * nanoseconds. The wait is never shorter than that and less than a millisecond longer. A timer
+     * that has expired gets no wait.
      */
-    static long roundedUp(long nanos) {
+    static long roundUpToMillis(long nanos) {
         if (nanos <= 0 || nanos > Long.MAX_VALUE - NANOS_PER_MS) {
             return nanos;
         }
         return (nanos + NANOS_PER_MS - 1) / NANOS_PER_MS * NANOS_PER_MS;
     }
 
-    private record Waits(IoHandlerContext loop) implements IoHandlerContext {
+    private record RoundingContext(IoHandlerContext loop) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return loop.canBlock();
@@ -56,7 +61,7 @@
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            return roundedUp(loop.delayNanos(currentTimeNanos));
+            return roundUpToMillis(loop.delayNanos(currentTimeNanos));
         }
 
         @Override
@@ -77,7 +82,7 @@
 
     @Override
     public int run(IoHandlerContext loop) {
-        return delegate.run(new Waits(loop));
+        return delegate.run(new RoundingContext(loop));
     }
 
     @Override
--- a/gatherer/src/main/java/sprucehold/sockets/UnreadInput.java
+++ b/gatherer/src/main/java/sprucehold/sockets/UnreadInput.java
@@ -4,26 +4,27 @@
 import io.netty.channel.nio.AbstractNioChannel;
 
 /**
- * What the system holds of a connection and the event loop has not come to yet. The loop reads each
- * socket once a pass, and the end of a stream only in the pass after the bytes before it; whatever
- * rests on the other side's presence has to read first.
+ * Reads the input of a connection that is in the kernel's receive buffer and that the event loop
+ * has not read yet. The event loop reads each socket once per pass, and reads the end of a stream
+ * only in the pass after the bytes before it. A decision that depends on whether the other side is
+ * still connected must therefore read this input first.
  */
 public final class UnreadInput {
     /**
-     * The most that the system holds of a connection unread (Linux, tcp_rmem: 6 MiB unless it is
-     * set otherwise), with room to spare. So all that lay unread at the call is read, and a sender
-     * that is faster than the reader does not keep it here.
+     * Limit on the bytes read in one call. It exceeds the kernel's maximum receive buffer of a
+     * connection (Linux, tcp_rmem: 6 MiB by default), so everything that was unread at the time of
+     * the call is read. It also ends the call when the sender is faster than the reader.
      */
     private static final int MAX_BYTES = 8 * 1024 * 1024;
 
     private UnreadInput() {}
 
     /**
-     * Reads until the system has nothing more, the end or failure of the stream included, and hands
-     * it to the connection's handlers as any read does. To be called on the connection's event
-     * loop, and not from within a read of the same connection.
+     * Reads until the receive buffer is empty, including the end or failure of the stream, and
+     * passes the input to the channel's handlers as any other read does. Must be called on the
+     * connection's event loop, and not during a read of the same connection.
      *
-     * @return whether the connection is open by all that had come up to this moment
+     * @return whether the connection is open, judged by all input received up to now
      */
     public static boolean readAll(Channel channel) {
         if (channel.unsafe() instanceof AbstractNioChannel.NioUnsafe unsafe) {
--- a/gatherer/src/main/java/sprucehold/sockets/package-info.java
+++ b/gatherer/src/main/java/sprucehold/sockets/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What sockets need beyond what Vert.x does for them: reading what lies unread on one connection at
- * a chosen moment, and a listener that goes on after a failed accept. Entry points: {@link
- * sprucehold.sockets.UnreadInput} and {@link sprucehold.sockets.AcceptingTransport}. Knows nothing
- * of queries, and must never wait.
+ * Socket functions that Vert.x doesn't provide: reading all unread input of one connection on
+ * demand, checking whether all output was sent, a listening channel that retries soon after a
+ * failed accept, and event loops that wait for their timers without busy polling. Entry points:
+ * {@link sprucehold.sockets.UnreadInput} and {@link sprucehold.sockets.AcceptingTransport}. This
+ * package has no dependency on queries, and must never block.
  */
 package sprucehold.sockets;
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -11,20 +11,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** When connections of clients end, without any. */
+/** Tests when clients' connections are closed, without sockets. */
 public class ClientConnectionsTest {
-    /** So long each connection may have waited to be accepted. */
+    /** Time that each connection may have waited in the listen backlog, in milliseconds. */
     private static final double BACKLOG_MS = 30;
 
     private double now;
-    private final List<String> done = new ArrayList<>();
+    private final List<String> closes = new ArrayList<>();
     private ClientConnections<String> connections;
 
     @BeforeMethod
     public void open() {
         now = 0;
         unread = null;
-        done.clear();
+        closes.clear();
         connections =
                 new ClientConnections<>(
                         4,
@@ -41,19 +41,24 @@
 
                             @Override
                             public void close(String connection) {
-                                done.add("shut " + connection);
+                                closes.add("shut " + connection);
                             }
 
                             @Override
                             public void closeNow(String connection) {
-                                done.add("cut " + connection);
+                                closes.add("cut " + connection);
                             }
                         });
     }
 
-    /** The connection on which a whole request lies unread. */
+    /** Connection on which a complete request is unread, or null. */
     private String unread;
 
+    /**
+     * Runs one step: a call on the connections, with the connection's name after it, or an advance
+     * of the clock by a number of milliseconds. "shut" in {@link #closes} is a lingering close, and
+     * "cut" an immediate one.
+     */
     private void step(String step) {
         String[] words = step.split(" ", -1);
         String c = words.length > 1 ? words[1] : "";
@@ -62,7 +67,7 @@
             case "head" -> connections.requestBegun(c);
             case "whole" -> connections.requestReceived(c);
             case "answered" -> connections.answered(c);
-            case "flooded" -> connections.flooded(c);
+            case "flooded" -> connections.inputOverflowed(c);
             case "last" -> connections.lastAnswerBegun(c);
             case "ends" -> connections.close(c);
             case "shutting" -> connections.closingByHttpServer(c);
@@ -77,9 +82,9 @@
     }
 
     @DataProvider
-    Object[][] days() {
+    Object[][] scenarios() {
         return new Object[][] {
-            // What happens, or how much time passes; and what is done.
+            // Steps, where a number is the elapsed time in milliseconds; then the expected closes.
             {"open a, 2499, sweep, settle", ""},
             {"open a, 2500, sweep, settle", "shut a"},
             {"open a, head a, 2500, sweep, settle", "shut a"},
@@ -120,16 +125,17 @@
         };
     }
 
-    @Test(dataProvider = "days")
-    public void connectionsEndWhenTheyHoldAPlaceWithoutNeedAndNoSooner(String steps, String ends) {
+    @Test(dataProvider = "scenarios")
+    public void connectionsAreClosedWhenOverdueIdleOrSurplusAndNotEarlier(
+            String steps, String expectedCloses) {
         for (String step : steps.split(", ", -1)) {
             step(step);
         }
-        assertEquals(String.join(", ", done), ends);
+        assertEquals(String.join(", ", closes), expectedCloses);
     }
 
     @DataProvider
-    Object[][] heard() {
+    Object[][] inputStates() {
         return new Object[][] {
             {"open a", true},
             {"open a, head a, whole a, answered a", true},
@@ -140,13 +146,13 @@
         };
     }
 
-    @Test(dataProvider = "heard")
-    public void nothingMoreIsTakenFromWhoHasHadItsLastAnswer(String steps, boolean taken) {
+    @Test(dataProvider = "inputStates")
+    public void requestsAfterTheLastAnswerAreIgnored(String steps, boolean accepted) {
         for (String step : steps.split(", ", -1)) {
             step(step);
         }
-        assertEquals(connections.requestBegun("a"), taken);
-        assertEquals(connections.isUnheard("a"), !taken);
+        assertEquals(connections.requestBegun("a"), accepted);
+        assertEquals(connections.isInputIgnored("a"), !accepted);
     }
 
     @DataProvider
@@ -163,7 +169,7 @@
     }
 
     @Test(dataProvider = "arriving")
-    public void requestsThatAreComingInAreCounted(String steps, int arriving) {
+    public void arrivingRequestsAreCounted(String steps, int arriving) {
         for (String step : steps.split(", ", -1)) {
             step(step);
         }
@@ -171,7 +177,7 @@
     }
 
     @Test
-    public void whenAConnectionCameStaysKnownThroughItsRequests() {
+    public void arrivalTimeIsKeptAcrossRequests() {
         for (String step :
                 List.of("100", "open a", "head a", "whole a", "7", "answered a", "5", "head a")) {
             step(step);
@@ -186,11 +192,11 @@
     }
 
     /**
-     * Whatever happens in whatever order: none is shut twice, none is cut that wasn't shut, and
-     * none is forgotten.
+     * For events in random order: no connection is closed twice, none is closed at once without an
+     * earlier lingering close, and none stays registered.
      */
     @Test
-    public void anyOrderOfEventsEndsEachConnectionOnce() {
+    public void eventsInRandomOrderCloseEachConnectionOnce() {
         String[] events = {
             "open",
             "head",
@@ -209,17 +215,17 @@
         };
         for (long seed = 0; seed < 300; seed++) {
             open();
-            var chance = new Random(seed);
+            var random = new Random(seed);
             var opened = new ArrayList<String>();
             var shutting = new HashSet<String>();
             for (int i = 0; i < 200; i++) {
-                String event = events[chance.nextInt(events.length)];
+                String event = events[random.nextInt(events.length)];
                 String c =
                         event.equals("open")
                                 ? "c" + opened.size()
                                 : opened.isEmpty()
                                         ? "c0"
-                                        : opened.get(chance.nextInt(opened.size()));
+                                        : opened.get(random.nextInt(opened.size()));
                 if (event.equals("open")) {
                     opened.add(c);
                 }
@@ -229,12 +235,15 @@
                 step(event.matches("trim|sweep|rests|settle|700") ? event : event + " " + c);
             }
             assertEquals(
-                    done.stream().distinct().count(), done.size(), "seed " + seed + ": " + done);
-            for (String end : done) {
-                // What is cut was shut before, by us or by its client's wish.
+                    closes.stream().distinct().count(),
+                    closes.size(),
+                    "seed " + seed + ": " + closes);
+            for (String end : closes) {
+                // A connection closed at once was being closed before, by the gatherer or at its
+                // client's request.
                 assertTrue(
                         !end.startsWith("cut")
-                                || done.contains(end.replace("cut", "shut"))
+                                || closes.contains(end.replace("cut", "shut"))
                                 || shutting.contains(end.substring(4)),
                         "seed " + seed);
             }
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -33,28 +33,32 @@
 import sprucehold.coordinator.Payload;
 import sprucehold.coordinator.Query;
 
-/** The HTTP server with a handler that is scripted, asked over plain sockets. */
+/** Tests the HTTP server with a scripted handler, over plain sockets. */
 public class ClientServerTest {
     private static final String BODY = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
     private static final Answer HIT =
             new Answer.Completed(true, List.of(new Answer.Value(0, Payload.ofText("v"))));
 
-    /** How many connections clients may hold. */
-    private static final int MOST = 6;
+    /** Maximum number of client connections. */
+    private static final int MAX_CONNECTIONS = 6;
 
     /**
-     * No test is so slow that it would meet the end of a connection's lingering unless it means to.
+     * Time limit of a lingering close, in milliseconds. It exceeds the duration of every test that
+     * doesn't test the limit itself.
      */
-    private static final long LONG_MS = 60_000;
+    private static final long LINGER_MS = 60_000;
 
-    /** Some 44 KB, far more than anybody asks at once. */
-    private static final int FLOOD_REQUESTS = 400;
+    /**
+     * Number of pipelined requests, about 44 KB together, far more than a client normally sends at
+     * once.
+     */
+    private static final int PIPELINED_REQUESTS = 400;
 
     /**
-     * What one connection may take of a pass, so that others' sockets are read soon: two reads, and
-     * the rest of a request before them.
+     * Limit on the bytes processed from one connection in an event loop pass, so that other sockets
+     * are read soon: two reads, and the rest of a request from the pass before.
      */
-    private static final int MOST_BYTES_A_PASS = 8 * 1024 + 512;
+    private static final int MAX_BYTES_PER_PASS = 8 * 1024 + 512;
 
     private Vertx vertx;
     private TestLoop loop;
@@ -62,27 +66,27 @@
     private int port;
     private volatile boolean ready;
     private volatile double now;
-    private volatile Answer atOnce;
-    private volatile double heldUpMs;
+    private volatile Answer immediateAnswer;
+    private volatile double unreadForMs;
     private BlockingQueue<Query> received;
     private BlockingQueue<Query> disconnected;
     private BlockingQueue<ConnectionArrival> arrivals;
     private boolean inPass;
-    private int requestsOfPass;
-    private volatile int mostRequestsOfAPass;
+    private int requestsInPass;
+    private volatile int maxRequestsInPass;
 
     @BeforeMethod
     public void start() throws Exception {
-        start(LONG_MS);
+        start(LINGER_MS);
     }
 
     private void start(long lingerMs) throws Exception {
         ready = true;
         now = 0;
-        atOnce = null;
-        heldUpMs = 0;
+        immediateAnswer = null;
+        unreadForMs = 0;
         inPass = false;
-        mostRequestsOfAPass = 0;
+        maxRequestsInPass = 0;
         received = new LinkedBlockingQueue<>();
         disconnected = new LinkedBlockingQueue<>();
         arrivals = new LinkedBlockingQueue<>();
@@ -109,7 +113,7 @@
                     public double unreadSince(double nowMs, ConnectionArrival arrival) {
                         arrivals.add(arrival);
                         countInPass();
-                        return nowMs - heldUpMs;
+                        return nowMs - unreadForMs;
                     }
 
                     @Override
@@ -118,8 +122,8 @@
                         if (query.id().equals("panic")) {
                             throw new IllegalStateException("scripted");
                         }
-                        if (atOnce != null) {
-                            server.answer(query, atOnce);
+                        if (immediateAnswer != null) {
+                            server.answer(query, immediateAnswer);
                         }
                     }
 
@@ -131,7 +135,9 @@
         var listening = new CompletableFuture<HttpServer>();
         loop.run(
                 () -> {
-                    server = new ClientServer(vertx, 10, MOST, handler, () -> now, lingerMs);
+                    server =
+                            new ClientServer(
+                                    vertx, 10, MAX_CONNECTIONS, handler, () -> now, lingerMs);
                     server.listen(SocketAddress.inetSocketAddress(0, "127.0.0.1"))
                             .onComplete(listening::complete, listening::completeExceptionally);
                 });
@@ -139,16 +145,17 @@
     }
 
     /**
-     * Work that is handed over while sockets are read is done once the pass over them is through.
+     * Counts the requests of the current event loop pass. A task submitted while sockets are read
+     * runs after the pass, and so marks its end.
      */
     private void countInPass() {
         if (!inPass) {
             inPass = true;
-            requestsOfPass = 0;
+            requestsInPass = 0;
             Vertx.currentContext().runOnContext(none -> inPass = false);
         }
-        requestsOfPass++;
-        mostRequestsOfAPass = Math.max(mostRequestsOfAPass, requestsOfPass);
+        requestsInPass++;
+        maxRequestsInPass = Math.max(maxRequestsInPass, requestsInPass);
     }
 
     @AfterMethod
@@ -176,22 +183,22 @@
     }
 
     @Test
-    public void whoSendsMuchAtOnceTakesABoundedPartOfEachPass() throws Exception {
+    public void clientThatPipelinesManyRequestsGetsABoundedShareOfEachPass() throws Exception {
         String request = post("/none", "f", "");
         try (Socket client = connect(request)) {
             assertTrue(response(client).startsWith("HTTP/1.1 404"));
-            Runnable goOn = loop.hold(() -> {});
+            Runnable unblock = loop.hold(() -> {});
             client.getOutputStream()
-                    .write(request.repeat(FLOOD_REQUESTS).getBytes(StandardCharsets.UTF_8));
-            goOn.run();
-            for (int i = 0; i < FLOOD_REQUESTS; i++) {
+                    .write(request.repeat(PIPELINED_REQUESTS).getBytes(StandardCharsets.UTF_8));
+            unblock.run();
+            for (int i = 0; i < PIPELINED_REQUESTS; i++) {
                 assertTrue(response(client).startsWith("HTTP/1.1 404"), "request " + i);
             }
         }
-        assertTrue(mostRequestsOfAPass > 0, "no pass was counted");
+        assertTrue(maxRequestsInPass > 0, "no pass was counted");
         assertTrue(
-                mostRequestsOfAPass * request.length() <= MOST_BYTES_A_PASS,
-                mostRequestsOfAPass + " requests in one pass");
+                maxRequestsInPass * request.length() <= MAX_BYTES_PER_PASS,
+                maxRequestsInPass + " requests in one pass");
     }
 
     /** Reads one response, headers and sized body. */
@@ -212,16 +219,16 @@
         return text + new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    /** Waits until the server holds so many connections. */
-    private void accepted(int connections) throws Exception {
+    /** Waits until the server has the given number of connections. */
+    private void awaitConnections(int connections) throws Exception {
         loop.until(() -> server.connections() == connections);
     }
 
     /**
-     * Waits until the server itself counts all its answers as written, which it may do after the
-     * client has read them.
+     * Waits until the server counts all its answers as written, which may happen after the client
+     * has read them.
      */
-    private void settled() throws Exception {
+    private void awaitAnswersWritten() throws Exception {
         loop.until(() -> server.pendingAnswers() == 0);
     }
 
@@ -230,9 +237,9 @@
     }
 
     @Test
-    public void timeThatARequestLayUnreadIsTimeThatItsClientHasWaited() throws Exception {
-        heldUpMs = 200;
-        atOnce = HIT;
+    public void timeThatARequestWasUnreadIsSubtractedFromItsDeadline() throws Exception {
+        unreadForMs = 200;
+        immediateAnswer = HIT;
         try (Socket socket = connect(post("/q", "s", BODY))) {
             assertTrue(response(socket).startsWith("HTTP/1.1 200 "));
         }
@@ -240,7 +247,7 @@
     }
 
     @DataProvider
-    Object[][] refused() {
+    Object[][] rejected() {
         return new Object[][] {
             {post("/other", "s", BODY), 404, "no such table type"},
             {post("/", "s", BODY), 404, ""},
@@ -252,22 +259,22 @@
         };
     }
 
-    @Test(dataProvider = "refused")
-    public void whatCantBeTakenIsRefusedWithItsReason(String request, int status, String says)
+    @Test(dataProvider = "rejected")
+    public void invalidRequestIsRejectedWithItsReason(String request, int status, String reason)
             throws IOException {
         try (Socket socket = connect(request)) {
             String response = response(socket);
             assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
-            assertTrue(response.contains(says), response);
+            assertTrue(response.contains(reason), response);
             assertTrue(received.isEmpty());
         }
     }
 
-    private static String framed(String headers, String rest) {
+    private static String framed(String headers, String content) {
         return "POST /q HTTP/1.1\r\nHost: h\r\nX-Request-Id: s\r\nX-Class: q\r\nX-Deadline-Ms: 480\r\n"
                 + headers
                 + "\r\n\r\n"
-                + rest;
+                + content;
     }
 
     @DataProvider
@@ -298,18 +305,18 @@
     }
 
     @Test(dataProvider = "unreadable")
-    public void whatCantBeReadIsTheLastOfItsConnection(String request, int status)
+    public void unreadableRequestGetsTheLastAnswerOfItsConnection(String request, int status)
             throws Exception {
         try (Socket socket = connect(request + post("/q", "hidden", BODY))) {
-            String response = rest(socket);
+            String response = readToEnd(socket);
             assertTrue(response.matches("(?s)HTTP/1.[01] " + status + " .*"), response);
             assertEquals(response.split("HTTP/1", -1).length, 2, response);
             assertTrue(received.isEmpty(), String.valueOf(received));
         }
     }
 
-    /** What comes until the other side closes; a reset fails. */
-    private static String rest(Socket socket) throws IOException {
+    /** Reads until the server closes the connection; a reset throws. */
+    private static String readToEnd(Socket socket) throws IOException {
         var bytes = new ByteArrayOutputStream();
         socket.getInputStream().transferTo(bytes);
         return bytes.toString(StandardCharsets.UTF_8);
@@ -319,7 +326,7 @@
     Object[][] lastAnswers() {
         String length = "Content-Length: ";
         return new Object[][] {
-            // What comes, the status, and what is sent before that answer is read.
+            // The request, the status of its answer, and the bytes sent before the answer is read.
             {framed(length + (1 << 20), ""), 413, " ".repeat(1 << 17)},
             {"nothing\r\n\r\n", 400, " ".repeat(1 << 17)},
             {framed("Transfer-Encoding: gzip", ""), 501, " ".repeat(1 << 17)},
@@ -338,19 +345,19 @@
     }
 
     /**
-     * A close over unread bytes resets the connection, and the answer that is on its way goes with
-     * it.
+     * A close with unread input would reset the connection, and the kernel would drop an answer
+     * that it is still delivering.
      */
     @Test(dataProvider = "lastAnswers")
-    public void lastAnswerArrivesWhateverLiesUnreadBehindIt(String request, int status, String more)
-            throws Exception {
-        atOnce = HIT;
+    public void lastAnswerIsDeliveredDespiteUnreadInputBehindTheRequest(
+            String request, int status, String more) throws Exception {
+        immediateAnswer = HIT;
         try (Socket socket = connect(request + more)) {
-            String response = rest(socket);
+            String response = readToEnd(socket);
             assertTrue(response.matches("(?s)HTTP/1.[01] " + status + " .*"), response);
-            // The other side has shut its output and reads on: what is sent now does not reset it,
-            // and reaches nobody. A
-            // reset would come between the two.
+            // The server has shut its output down and continues to read: requests sent now neither
+            // reset the connection nor reach the handler. A reset would arrive between the two
+            // writes.
             for (int i = 0; i < 2; i++) {
                 socket.getOutputStream()
                         .write(post("/q", "u", BODY).getBytes(StandardCharsets.UTF_8));
@@ -365,81 +372,84 @@
     }
 
     @Test
-    public void connectionThatIsShutIsClosedAfterATime() throws Exception {
+    public void lingeringConnectionIsClosedAfterItsTimeLimit() throws Exception {
         stop();
         start(100);
         try (Socket silent = connect("nothing\r\n\r\n")) {
-            assertTrue(rest(silent).contains(" 400 "));
-            accepted(0);
+            assertTrue(readToEnd(silent).contains(" 400 "));
+            awaitConnections(0);
         }
     }
 
     @Test
-    public void connectionThatIsShutIsClosedAfterSoManyBytes() throws Exception {
+    public void lingeringConnectionIsClosedAfterItsByteLimit() throws Exception {
         try (Socket loud = connect("nothing\r\n\r\n")) {
-            assertTrue(rest(loud).contains(" 400 "));
-            accepted(1);
+            assertTrue(readToEnd(loud).contains(" 400 "));
+            awaitConnections(1);
             byte[] noise = new byte[64 * 1024];
             assertThrows(
                     IOException.class,
                     () -> {
-                        // Many times what is read and dropped, and what the buffers of both ends
-                        // hold.
+                        // Many times the limit on discarded bytes and the size of the buffers of
+                        // both ends.
                         for (int i = 0; i < 1024; i++) {
                             loud.getOutputStream().write(noise);
                         }
                     });
-            accepted(0);
+            awaitConnections(0);
         }
     }
 
     /**
-     * A request that is whole in the system's buffer has been received; its connection isn't idle,
-     * however long unread.
+     * A request that is complete in the kernel's receive buffer counts as received, and its
+     * connection as not idle, however long the request has been unread.
      */
-    @Test(dataProvider = "aged")
-    public void requestThatLiesUnreadWhenItsConnectionIsOldIsAnswered(String before, double age)
+    @Test(dataProvider = "overdue")
+    public void unreadRequestOnAnOverdueConnectionIsAnswered(String before, double age)
             throws Exception {
-        atOnce = HIT;
+        immediateAnswer = HIT;
         try (Socket socket = connect(before)) {
-            accepted(1);
+            awaitConnections(1);
             if (!before.isEmpty()) {
                 response(socket);
-                settled();
+                awaitAnswersWritten();
             }
-            // The loop stands still while the request comes and the time passes, and then sweeps
+            // The event loop is blocked while the request arrives and time passes; then it sweeps
             // before it reads.
-            Runnable free = loop.hold(() -> server.sweep());
+            Runnable unblock = loop.hold(() -> server.sweep());
             socket.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
             double later = now + age;
             now = later;
-            free.run();
+            unblock.run();
             assertTrue(response(socket).startsWith("HTTP/1.1 200 "));
         }
     }
 
     @DataProvider
-    Object[][] aged() {
+    Object[][] overdue() {
         return new Object[][] {{"", 2600}, {post("/q", "s", BODY), 20_100}};
     }
 
     @DataProvider
-    Object[][] crowds() {
-        // How many requests stand in line behind the first, and how long each is.
+    Object[][] pipelines() {
+        // Number of requests pipelined behind the first, and the additional length of each.
         return new Object[][] {{1, 0}, {12, 0}, {40, 0}, {3, 20_000}, {200, 100}};
     }
 
     /**
-     * Behind a request that waits the HTTP server reads no further, so it would see the close only
-     * once all were sent on.
+     * The HTTP server stops reading while pipelined requests wait behind an open one, so by itself
+     * it would detect the close only after all of them had been processed.
      */
-    @Test(dataProvider = "crowds")
-    public void clientThatLeavesWhileItsRequestsStandInLineHasLeftAllOfThem(int behind, int longer)
-            throws Exception {
+    @Test(dataProvider = "pipelines")
+    public void clientThatDisconnectsWithPipelinedRequestsHasNoneOfThemProcessed(
+            int behind, int additionalLength) throws Exception {
         var requests = new StringBuilder(post("/q", "s", BODY));
         for (int i = 0; i < behind; i++) {
             requests.append(
-                    post("/q", "behind" + i, BODY.replace("c4", "c4".repeat(1 + longer / 2))));
+                    post(
+                            "/q",
+                            "behind" + i,
+                            BODY.replace("c4", "c4".repeat(1 + additionalLength / 2))));
         }
         Socket socket = connect(requests.toString());
         Query query = received.poll(5, TimeUnit.SECONDS);
@@ -447,29 +457,30 @@
         socket.close();
         assertEquals(disconnected.poll(5, TimeUnit.SECONDS), query);
         answer(query, HIT);
-        accepted(0);
+        awaitConnections(0);
         assertTrue(received.isEmpty(), String.valueOf(received));
     }
 
     @Test
-    public void whoSendsFarTooMuchAtOnceGetsOneAnswerAndNoMore() throws Exception {
+    public void clientThatExceedsTheInputBufferGetsOneLastAnswer() throws Exception {
         try (Socket socket =
                 connect(
                         post("/q", "s", BODY)
                                 + post("/q", "t", BODY.replace("c4", "c4".repeat(2_000_000))))) {
             Query query = received.poll(5, TimeUnit.SECONDS);
-            // Read on until it was too much.
-            loop.until(() -> server.floods() > 0);
+            // Wait until the input has exceeded the buffer limit.
+            loop.until(() -> server.overflows() > 0);
             answer(query, HIT);
-            String rest = rest(socket);
+            String response = readToEnd(socket);
             assertTrue(
-                    rest.startsWith("HTTP/1.1 200 ") && rest.contains("Connection: close"), rest);
+                    response.startsWith("HTTP/1.1 200 ") && response.contains("Connection: close"),
+                    response);
             assertTrue(received.isEmpty(), String.valueOf(received));
         }
     }
 
     @DataProvider
-    Object[][] unfinished() {
+    Object[][] incomplete() {
         return new Object[][] {
             {""},
             {"POST /q HT"},
@@ -478,39 +489,40 @@
         };
     }
 
-    @Test(dataProvider = "unfinished")
-    public void requestThatDoesntComeInTimeClosesItsConnectionAlone(String bytes) throws Exception {
+    @Test(dataProvider = "incomplete")
+    public void incompleteRequestAfterTheTimeoutClosesOnlyItsConnection(String bytes)
+            throws Exception {
         try (Socket other = connect(post("/q", "s", BODY));
                 Socket socket = connect(bytes)) {
             Query query = received.poll(5, TimeUnit.SECONDS);
-            accepted(2);
+            awaitConnections(2);
             now = 2400;
             answer(query, HIT);
             assertTrue(response(other).startsWith("HTTP/1.1 200 "));
             now = 2501;
-            assertEquals(rest(socket), "");
-            atOnce = HIT;
+            assertEquals(readToEnd(socket), "");
+            immediateAnswer = HIT;
             other.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
             assertTrue(response(other).startsWith("HTTP/1.1 200 "));
         }
     }
 
     @Test
-    public void silentConnectionsGiveWayToNewOnesAndScansThatAreOpenStay() throws Exception {
+    public void surplusSilentConnectionsAreClosedAndOpenQueriesAreAnswered() throws Exception {
         var sockets = new ArrayList<Socket>();
         try (Socket busy = connect(post("/q", "s", BODY))) {
             Query query = received.poll(5, TimeUnit.SECONDS);
-            for (int i = 0; i < 2 * MOST; i++) {
+            for (int i = 0; i < 2 * MAX_CONNECTIONS; i++) {
                 sockets.add(connect(""));
             }
-            assertEquals(rest(sockets.get(0)), "");
+            assertEquals(readToEnd(sockets.get(0)), "");
             sockets.add(connect(post("/q", "t", BODY)));
             assertEquals(received.poll(5, TimeUnit.SECONDS).id(), "t");
             answer(query, HIT);
             String response = response(busy);
             assertTrue(response.startsWith("HTTP/1.1 200 "), response);
             assertTrue(response.contains("Connection: close"), response);
-            assertEquals(rest(busy), "");
+            assertEquals(readToEnd(busy), "");
         } finally {
             for (Socket socket : sockets) {
                 socket.close();
@@ -519,29 +531,31 @@
     }
 
     @DataProvider
-    Object[][] kept() {
-        return new Object[][] {{MOST / 2, 19_900, 20_001}, {MOST / 2 + 1, 1900, 2001}};
+    Object[][] idleTimes() {
+        return new Object[][] {
+            {MAX_CONNECTIONS / 2, 19_900, 20_001}, {MAX_CONNECTIONS / 2 + 1, 1900, 2001}
+        };
     }
 
-    @Test(dataProvider = "kept")
-    public void keptConnectionsAreClosedOnceIdleAndSoonerWhenThereAreMany(
-            int connections, double stays, double goes) throws Exception {
-        atOnce = HIT;
+    @Test(dataProvider = "idleTimes")
+    public void idleConnectionsAreClosedAfterTheirTimeoutAndEarlierWhenCrowded(
+            int connections, double reusedAfterMs, double closedAfterMs) throws Exception {
+        immediateAnswer = HIT;
         try (Socket first = connect(post("/q", "s", BODY))) {
             response(first);
-            settled();
-            now = stays;
+            awaitAnswersWritten();
+            now = reusedAfterMs;
             var others = new ArrayList<Socket>();
             for (int i = 1; i < connections; i++) {
                 others.add(connect(""));
             }
-            accepted(connections);
+            awaitConnections(connections);
             first.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
             assertTrue(response(first).startsWith("HTTP/1.1 200 "));
-            settled();
-            double later = now + goes;
+            awaitAnswersWritten();
+            double later = now + closedAfterMs;
             now = later;
-            assertEquals(rest(first), "");
+            assertEquals(readToEnd(first), "");
             for (Socket other : others) {
                 other.close();
             }
@@ -559,30 +573,30 @@
     }
 
     @Test(dataProvider = "answers")
-    public void answersHaveTheirForms(Answer answer, String status, String holds)
+    public void answerHasItsStatusAndText(Answer answer, String status, String text)
             throws IOException {
-        atOnce = answer;
+        immediateAnswer = answer;
         try (Socket socket = connect(post("/q/more", "s", BODY))) {
             String response = response(socket);
             assertTrue(response.startsWith("HTTP/1.1 " + status + " "), response);
-            assertTrue(response.contains(holds), response);
-            assertEquals(response.contains("Retry-After"), holds.startsWith("Retry-After"));
+            assertTrue(response.contains(text), response);
+            assertEquals(response.contains("Retry-After"), text.startsWith("Retry-After"));
         }
     }
 
     @Test
-    public void upTellsWhetherScansCanBeTaken() throws IOException {
-        for (boolean is : new boolean[] {true, false}) {
-            ready = is;
+    public void healthCheckReportsWhetherQueriesCanBeServed() throws IOException {
+        for (boolean serving : new boolean[] {true, false}) {
+            ready = serving;
             try (Socket socket = connect("GET /up HTTP/1.1\r\nHost: h\r\n\r\n")) {
-                assertTrue(response(socket).startsWith(is ? "HTTP/1.1 200" : "HTTP/1.1 503"));
+                assertTrue(response(socket).startsWith(serving ? "HTTP/1.1 200" : "HTTP/1.1 503"));
             }
         }
     }
 
     @Test
-    public void chunkedAndPipelinedRequestsAreAllTaken() throws IOException {
-        atOnce = HIT;
+    public void chunkedAndPipelinedRequestsAreAllAnsweredInOrder() throws IOException {
+        immediateAnswer = HIT;
         String chunked =
                 String.join(
                         "\r\n",
@@ -660,10 +674,11 @@
         };
     }
 
-    /** Whatever form of the protocol a client chooses, and however its bytes fall into packets. */
+    /** Every valid form of a request is accepted, however its bytes are divided into packets. */
     @Test(dataProvider = "forms")
-    public void requestOfAnyFormIsTakenOnceAlsoByteByByte(String request) throws Exception {
-        atOnce = HIT;
+    public void requestOfEveryValidFormIsProcessedOnceWholeAndByteByByte(String request)
+            throws Exception {
+        immediateAnswer = HIT;
         try (Socket whole = connect(request);
                 Socket pieces = connect("")) {
             assertTrue(response(whole).startsWith("HTTP/1.1 200 "));
@@ -677,7 +692,7 @@
     }
 
     @Test
-    public void clientThatClosesHasLeft() throws Exception {
+    public void closeBeforeTheAnswerIsReportedAsDisconnection() throws Exception {
         Socket socket = connect(post("/q", "s", BODY));
         assertEquals(received.poll(5, TimeUnit.SECONDS).id(), "s");
         socket.close();
@@ -685,8 +700,8 @@
     }
 
     @Test
-    public void clientThatClosesAfterItsAnswerHasNotLeftAScan() throws Exception {
-        atOnce = HIT;
+    public void closeAfterTheAnswerIsNotReportedAsDisconnection() throws Exception {
+        immediateAnswer = HIT;
         try (Socket socket = connect(post("/q", "s", BODY))) {
             response(socket);
         }
@@ -697,7 +712,7 @@
     }
 
     @Test
-    public void panicEndsItsConnectionAlone() throws Exception {
+    public void panicClosesOnlyItsConnection() throws Exception {
         try (Socket other = connect(post("/q", "s", BODY))) {
             Query query = received.poll(5, TimeUnit.SECONDS);
             try (Socket socket = connect(post("/q", "panic", BODY))) {
@@ -710,13 +725,13 @@
     }
 
     @Test
-    public void drainClosesIdleConnectionsAndSendsOthersElsewhereAfterTheirAnswer()
+    public void drainClosesIdleConnectionsAndOthersAfterTheirAnswer()
             throws Exception {
-        atOnce = HIT;
+        immediateAnswer = HIT;
         try (Socket idle = connect(post("/q", "i", BODY))) {
             response(idle);
-            settled();
-            atOnce = null;
+            awaitAnswersWritten();
+            immediateAnswer = null;
             try (Socket busy = connect(post("/q", "s", BODY))) {
                 received.poll(5, TimeUnit.SECONDS);
                 Query query = received.poll(5, TimeUnit.SECONDS);
@@ -739,7 +754,7 @@
     }
 
     @Test
-    public void aCloseThatLiesUnreadIsReadWhenItIsAskedWhetherTheClientWaits() throws Exception {
+    public void unreadCloseIsDetectedWhenTheServerIsAskedWhetherTheClientWaits() throws Exception {
         Socket stays = connect(post("/q", "stays", BODY));
         Socket leaves = connect(post("/q", "leaves", BODY));
         var queries = new HashMap<String, Query>();
@@ -749,7 +764,7 @@
         }
         var waits = new HashMap<String, Boolean>();
         var asked = new CountDownLatch(1);
-        Runnable free =
+        Runnable unblock =
                 loop.hold(
                         () -> {
                             queries.values()
@@ -759,17 +774,17 @@
                                                             query.id(), server.clientWaits(query)));
                             asked.countDown();
                         });
-        // Bytes before the end: it is not the first thing that is read.
+        // Bytes before the end of the stream, so that the end is not read first.
         leaves.getOutputStream().write("POST /q HTTP/1.1\r\n".getBytes(StandardCharsets.UTF_8));
         leaves.close();
-        free.run();
+        unblock.run();
         assertTrue(asked.await(5, TimeUnit.SECONDS));
         assertEquals(waits, Map.of("stays", true, "leaves", false));
         assertEquals(disconnected.poll(5, TimeUnit.SECONDS).id(), "leaves");
         assertEquals((long) loop.call(() -> server.clientsFoundGone()), 1L);
         loop.act(() -> server.answer(queries.get("stays"), new Answer.Rejected(0)));
         assertTrue(response(stays).startsWith("HTTP/1.1 503"));
-        // Its end, which the loop tells of later, is told once.
+        // The disconnection, which the event loop detects again later, is reported only once.
         loop.until(() -> server.connections() <= 1);
         assertTrue(disconnected.isEmpty());
         stays.close();
--- a/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
@@ -26,7 +26,7 @@
         if (deadline != null) {
             headers.add("X-Deadline-Ms", deadline);
         }
-        // A single byte for what isn't ASCII, which is no UTF-8.
+        // Encode each character outside ASCII as a single byte, which is not valid UTF-8.
         return new QueryReader(10)
                 .read("q", headers, body.getBytes(StandardCharsets.ISO_8859_1), 30);
     }
@@ -79,14 +79,14 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void malformedQueriesAreRefused(
+    public void malformedQueryIsRejected(
             String id, String queryClass, String deadline, String body) {
         assertThrows(
                 QueryReader.MalformedException.class, () -> read(id, queryClass, deadline, body));
     }
 
     @Test
-    public void headerThatStandsTwiceIsRefused() {
+    public void repeatedHeaderIsRejected() {
         for (String name :
                 List.of(
                         "X-Request-Id",
@@ -132,17 +132,17 @@
     }
 
     @DataProvider
-    Object[][] keysThatFitNoFrame() {
+    Object[][] invalidKeys() {
         return new Object[][] {{""}, {"a,d=1"}, {"a b"}, {"a\n"}, {"\u00e9"}, {"k".repeat(129)}};
     }
 
-    @Test(dataProvider = "keysThatFitNoFrame")
-    public void idempotencyKeyThatWouldChangeTheFrameIsRefused(String key) {
+    @Test(dataProvider = "invalidKeys")
+    public void idempotencyKeyWithSeparatorsOrTooLongIsRejected(String key) {
         assertThrows(QueryReader.MalformedException.class, () -> withKey(key));
     }
 
     @Test
-    public void queryIsReadWithItsWeightsMadeWhole() throws Exception {
+    public void queryIsReadWithNormalisedWeights() throws Exception {
         Query query =
                 read(
                         "s",
@@ -166,12 +166,12 @@
     }
 
     @Test(dataProvider = "seconds")
-    public void adviceKeepsItsDecimals(double ms, String text) {
+    public void retryAfterIsWrittenInSecondsWithMillisecondPrecision(double ms, String text) {
         assertEquals(AnswerWriter.seconds(ms), text);
     }
 
     @Test
-    public void valuesStandInTheAnswerAsTheyCame() {
+    public void answerBodyHasValuesUnchanged() {
         var values = List.of(new Answer.Value(3, Payload.ofText("5b\"é")));
         assertEquals(
                 new String(
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void whatCantBeReadIsSaid(String text) {
+    public void malformedFrameThrows(String text) {
         assertThrows(
                 ShardFrame.MalformedException.class, () -> ShardFrame.decode(Buffer.buffer(text)));
     }
@@ -61,7 +61,7 @@
     }
 
     @Test(dataProvider = "loads")
-    public void loadIsReadAsFarAsItCanBe(String report, LoadReport load) throws Exception {
+    public void validFieldsOfALoadReportAreRead(String report, LoadReport load) throws Exception {
         var ended =
                 (ShardFrame.PartEnded)
                         ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void framesAreReadWhereverTheyAreSplit() {
+    public void framesAreReadHoweverTheBytesAreSplit() {
         Buffer bytes =
                 frame("Ep.1 hit 18 -\nva\nlue")
                         .appendBuffer(frame("Chit"))
@@ -84,8 +84,8 @@
             var reader =
                     new FrameReader(
                             frames::add,
-                            why -> {
-                                throw new AssertionError(why);
+                            reason -> {
+                                throw new AssertionError(reason);
                             });
             for (int from = 0; from < bytes.length(); from += cut) {
                 reader.handle(bytes.getBuffer(from, Math.min(bytes.length(), from + cut)), 0);
@@ -103,14 +103,14 @@
     }
 
     @Test
-    public void framesToShardServersAreThoseOfEarlierBuilds() {
+    public void framesToShardServersAreUnchangedFromEarlierBuilds() {
         assertEquals(GathererFrame.cancellation("q.3"), Buffer.buffer("\4\0\0\0Bq.3"));
         assertEquals(GathererFrame.healthCheck(), Buffer.buffer("\1\0\0\0C"));
         assertEquals(GathererFrame.healthCheckWithLoad(), Buffer.buffer("\1\0\0\0D"));
     }
 
     @Test
-    public void callsToShardServersAreThoseOfEarlierBuilds() {
+    public void callFrameIsUnchangedFromEarlierBuilds() {
         var type =
                 new QueryClass("t", QueryClass.Idempotence.DEDUPLICATED, 100, 1, 0, 1000, 1, 1, 0);
         var deployment =
@@ -175,17 +175,17 @@
     }
 
     @Test(dataProvider = "lengths")
-    public void absurdLengthsEndTheReadingForGood(int length) {
-        var why = new ArrayList<String>();
-        var reader = new FrameReader(frame -> why.add("frame"), why::add);
+    public void invalidLengthEndsTheReadingPermanently(int length) {
+        var reasons = new ArrayList<String>();
+        var reader = new FrameReader(frame -> reasons.add("frame"), reasons::add);
         reader.handle(Buffer.buffer().appendIntLE(length).appendBuffer(frame("Chit")), 0);
         reader.handle(frame("Chit"), 0);
-        assertEquals(why.size(), 1);
-        assertTrue(why.get(0).contains(String.valueOf(length)));
+        assertEquals(reasons.size(), 1);
+        assertTrue(reasons.get(0).contains(String.valueOf(length)));
     }
 
     @Test
-    public void framesOfAGathererAreAsTheProtocolSays() {
+    public void framesOfAGathererMatchTheProtocol() {
         assertEquals(
                 GathererFrame.cancellation("s.3"),
                 Buffer.buffer(new byte[] {4, 0, 0, 0, 'B', 's', '.', '3'}));
