--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -46,20 +46,20 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.deployment.ConnectionSettings;
 
-/** The connections to shard servers against scripted ones on loopback. */
+/** Tests the connections to shard servers with scripted shard servers on the loopback interface. */
 public class ShardServersTest {
-    /** More than the buffers of both ends hold together. */
-    private static final int BIG = 64 << 20;
+    /** Size of a query body in bytes that exceeds the socket buffers of both ends together. */
+    private static final int LARGE_BODY_BYTES = 64 << 20;
 
     private Vertx vertx;
     private ShardServers shards;
     private QueryCoordinator coordinator;
     private NetServer server;
     private volatile double now;
-    private volatile boolean panics;
-    private QueryClass.Idempotence repeat;
-    private BlockingQueue<Observation> reports;
-    private BlockingQueue<String> heard;
+    private volatile boolean throwsOnce;
+    private QueryClass.Idempotence idempotence;
+    private BlockingQueue<Observation> observations;
+    private BlockingQueue<String> receivedByServer;
     private TestLoop loop;
     private volatile boolean clientWaits;
     private final AttemptGate gate =
@@ -71,37 +71,37 @@
 
                 @Override
                 public void begun(Attempt attempt) {
-                    begun.add(attempt.partId());
+                    writtenPartIds.add(attempt.partId());
                 }
 
                 @Override
                 public void turnWanted() {
-                    turnsWanted.incrementAndGet();
-                    if (!holdsTurns) {
+                    requestedTurns.incrementAndGet();
+                    if (!turnsAreManual) {
                         vertx.runOnContext(none -> shards.writeWaiting());
                     }
                 }
             };
 
-    /** Turns come when the test says so. */
-    private volatile boolean holdsTurns;
+    /** Whether the test itself calls {@link ShardServers#writeWaiting} instead of the gate. */
+    private volatile boolean turnsAreManual;
 
-    private final AtomicInteger turnsWanted = new AtomicInteger();
-    private final List<String> begun = new CopyOnWriteArrayList<>();
+    private final AtomicInteger requestedTurns = new AtomicInteger();
+    private final List<String> writtenPartIds = new CopyOnWriteArrayList<>();
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx();
         loop = new TestLoop(vertx);
-        reports = new LinkedBlockingQueue<>();
-        heard = new LinkedBlockingQueue<>();
+        observations = new LinkedBlockingQueue<>();
+        receivedByServer = new LinkedBlockingQueue<>();
         now = 0;
-        panics = false;
+        throwsOnce = false;
         clientWaits = true;
-        holdsTurns = false;
-        turnsWanted.set(0);
-        begun.clear();
-        repeat = QueryClass.Idempotence.IDEMPOTENT;
+        turnsAreManual = false;
+        requestedTurns.set(0);
+        writtenPartIds.clear();
+        idempotence = QueryClass.Idempotence.IDEMPOTENT;
     }
 
     @AfterMethod
@@ -110,7 +110,8 @@
     }
 
     /**
-     * Starts a server that does this with what it is sent, and connections that hold so many parts.
+     * Starts a shard server that runs the script on received bytes, and connections to it that take
+     * at most the given number of parts.
      */
     private void start(int parts, int callParts, BiConsumer<NetSocket, String> script)
             throws Exception {
@@ -120,7 +121,7 @@
                 socket ->
                         socket.handler(
                                 bytes -> {
-                                    heard.add(bytes.toString());
+                                    receivedByServer.add(bytes.toString());
                                     script.accept(socket, bytes.toString());
                                 }));
     }
@@ -142,9 +143,9 @@
                                         callParts,
                                         false,
                                         () -> now,
-                                        this::reported,
+                                        this::observed,
                                         gate));
-        var type = new QueryClass("q", repeat, 100, 1, 0, 150, 1, 1, 0);
+        var type = new QueryClass("q", idempotence, 100, 1, 0, 150, 1, 1, 0);
         coordinator =
                 new QueryCoordinator(
                         (time, events) ->
@@ -193,12 +194,12 @@
         list(EndpointUpdate.State.RUNNING, port);
     }
 
-    private void reported(Observation observation) {
-        if (panics) {
-            panics = false;
+    private void observed(Observation observation) {
+        if (throwsOnce) {
+            throwsOnce = false;
             throw new IllegalStateException("scripted");
         }
-        reports.add(observation);
+        observations.add(observation);
     }
 
     private void list(EndpointUpdate.State state, int port) {
@@ -239,7 +240,7 @@
     }
 
     private AttemptResult outcome(Attempt attempt) throws Exception {
-        var ended = (Observation.AttemptEnded) reports.poll(5, TimeUnit.SECONDS);
+        var ended = (Observation.AttemptEnded) observations.poll(5, TimeUnit.SECONDS);
         assertEquals(ended.attempt(), attempt);
         return ended.result();
     }
@@ -269,7 +270,8 @@
     }
 
     @Test(dataProvider = "answers")
-    public void whatComesBackIsTheOutcome(String frame, String outcome) throws Exception {
+    public void answerOfTheShardServerDeterminesTheResult(String frame, String outcome)
+            throws Exception {
         start(
                 32,
                 1,
@@ -291,12 +293,12 @@
         assertTrue(outcome(sent.get(0)).toString().startsWith(outcome));
         String call = "As.0 0 d=240 4\ntext";
         assertEquals(
-                heard.poll(5, TimeUnit.SECONDS),
+                receivedByServer.poll(5, TimeUnit.SECONDS),
                 Buffer.buffer().appendIntLE(call.length()).appendString(call).toString());
     }
 
     @Test
-    public void idempotencyKeyOfItsClientGoesWithEachPart() throws Exception {
+    public void idempotencyKeyOfTheClientIsSentWithEachPart() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
         var query =
                 new Query(
@@ -310,16 +312,16 @@
         send(coordinator.submit(now, query).send());
         String call = "As.0 0 d=240,k=b086b1d5 4\ntext";
         assertEquals(
-                heard.poll(5, TimeUnit.SECONDS),
+                receivedByServer.poll(5, TimeUnit.SECONDS),
                 Buffer.buffer().appendIntLE(call.length()).appendString(call).toString());
     }
 
     /**
-     * As it comes once a sound answer is followed by noise or by a copy of itself: only the
-     * connection is lost.
+     * A valid answer that is followed by a duplicate or by malformed input loses only the
+     * connection.
      */
     @Test
-    public void whatComesOnTopOfASoundAnswerEndsTheConnectionAlone() throws Exception {
+    public void inputAfterAValidAnswerClosesOnlyTheConnection() throws Exception {
         start(
                 32,
                 1,
@@ -331,11 +333,11 @@
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
         loop.until(() -> shards.connections() == 0);
-        assertTrue(reports.isEmpty());
+        assertTrue(observations.isEmpty());
     }
 
     @Test
-    public void frameThatDoesntEndFailsWhatIsOutOnceNothingMoreComes() throws Exception {
+    public void incompleteFrameFailsThePartsInFlightAfterASilence() throws Exception {
         start(
                 32,
                 1,
@@ -346,20 +348,20 @@
                                         .appendString("Es.0 hit 5 -\nvalue")));
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.until(
                 () -> {
                     double later = now + 301;
                     now = later;
                     shards.sweep(300);
-                    return !reports.isEmpty();
+                    return !observations.isEmpty();
                 });
         assertEquals(outcome(sent.get(0)), new AttemptResult.Failed(null));
         assertEquals(connections(), 0);
     }
 
     @Test
-    public void panicClosesItsConnectionAndAllThatIsOutOnItIsLost() throws Exception {
+    public void panicClosesItsConnectionAndLosesItsPartsInFlight() throws Exception {
         start(
                 32,
                 1,
@@ -369,15 +371,15 @@
                     }
                 });
         List<Attempt> sent = attempts("s", 2, "text");
-        panics = true;
+        throwsOnce = true;
         send(sent);
         assertEquals(outcome(sent.get(1)), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
         assertEquals(connections(), 0);
     }
 
     /**
-     * A closed listener is gone only once its loop has looked at its sockets again; until then
-     * connections come up.
+     * Waits until connections to the port are refused. A closed listening socket accepts
+     * connections until its event loop has run its next pass.
      */
     private static void untilRefused(int port) throws IOException {
         for (int tries = 0; tries < 10_000; tries++) {
@@ -391,7 +393,7 @@
     }
 
     @Test
-    public void refusedConnectionProvesThatNothingRan() throws Exception {
+    public void refusedConnectionIsReportedAsNotWritten() throws Exception {
         start(32, 1, (socket, bytes) -> {});
         int port = server.actualPort();
         server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
@@ -403,8 +405,9 @@
     }
 
     @Test
-    public void frameCutOffBeforeItsLastByteProvesThatNothingRan() throws Exception {
-        // More than the socket's buffers hold, to a server that reads none of it and then resets.
+    public void frameCutOffBeforeItsLastByteIsReportedAsPartlyWritten() throws Exception {
+        // A frame larger than the socket buffers, sent to a server that doesn't read it and then
+        // resets the connection.
         serve(
                 32,
                 1,
@@ -412,7 +415,7 @@
                     socket.pause();
                     vertx.setTimer(100, timer -> socket.close());
                 });
-        List<Attempt> sent = attempts("s", 1, "x".repeat(BIG));
+        List<Attempt> sent = attempts("s", 1, "x".repeat(LARGE_BODY_BYTES));
         send(sent);
         assertEquals(
                 outcome(sent.get(0)),
@@ -420,7 +423,7 @@
     }
 
     @Test
-    public void partGivenUpIsToldAndItsLateAnswerIsDropped() throws Exception {
+    public void cancelledPartIsSentToTheServerAndItsLateAnswerIsIgnored() throws Exception {
         start(
                 32,
                 1,
@@ -432,16 +435,19 @@
                 });
         List<Attempt> sent = attempts("s", 2, "text");
         send(sent);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         cancel(List.of(sent.get(0)));
         assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertTrue(outcome(sent.get(1)) instanceof AttemptResult.Completed);
         assertEquals(connections(), 1);
     }
 
-    /** A server that stood still for minutes answers all that it held; none of that is noise. */
+    /**
+     * A shard server that was stopped for minutes answers all its parts when it resumes. These
+     * answers are not malformed input.
+     */
     @Test
-    public void answerToAPartGivenUpLongAgoSpoilsNothingElse() throws Exception {
+    public void answerToALongCancelledPartDoesNotAffectOtherParts() throws Exception {
         start(
                 32,
                 1,
@@ -453,10 +459,10 @@
                 });
         List<Attempt> first = attempts("s", 1, "text");
         send(first);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         cancel(first);
         outcome(first.get(0));
-        // Swept as often as time passes, but never idle for so long that the connection is closed.
+        // Time passes without the connection being idle for so long that a sweep closes it.
         now = 14_000;
         List<Attempt> between = attempts("u", 1, "text");
         send(between);
@@ -480,14 +486,14 @@
                 });
         Observation.AttemptEnded ended;
         do {
-            ended = (Observation.AttemptEnded) reports.poll(5, TimeUnit.SECONDS);
+            ended = (Observation.AttemptEnded) observations.poll(5, TimeUnit.SECONDS);
         } while (ended.attempt() != second.get(0));
         assertTrue(ended.result() instanceof AttemptResult.Completed, ended.toString());
         assertEquals(connections(), 1);
     }
 
     @Test
-    public void partCalledOffBeforeTheConnectionIsUpIsNeverWritten() throws Exception {
+    public void partCancelledBeforeTheConnectionIsEstablishedIsNeverWritten() throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 2, "text");
         loop.act(
@@ -496,17 +502,19 @@
                     shards.cancel(List.of(sent.get(0)));
                 });
         assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.1"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.1"));
     }
 
     /**
-     * Has what was sent wait for its connection until so much time has passed and this was done.
+     * Sends attempts whose connection is established only after the time has been set to {@code at}
+     * and {@code meanwhile} has run.
      */
     private void sendAndComeUpLate(List<Attempt> attempts, double at, Runnable meanwhile)
             throws Exception {
         loop.act(
                 () -> {
-                    // Both in one task of the loop, so that the connection comes up after it.
+                    // All in one task of the event loop, so that the connection is established
+                    // after it.
                     shards.send(attempts);
                     now = at;
                     meanwhile.run();
@@ -519,25 +527,28 @@
     }
 
     @Test(dataProvider = "lateWrites")
-    public void serverIsToldHowLongItsAnswerIsStillWaitedForWhenThePartIsWritten(
-            double at, String told) throws Exception {
+    public void writtenPartHasTheTimeLeftAtTheWrite(
+            double at, String expectedTimeLeft) throws Exception {
         start(32, 1, (socket, bytes) -> {});
         sendAndComeUpLate(attempts("s", 1, "text"), at, () -> {});
-        String call = heard.poll(5, TimeUnit.SECONDS);
-        assertTrue(call.contains("As.0 0 " + told), call);
+        String call = receivedByServer.poll(5, TimeUnit.SECONDS);
+        assertTrue(call.contains("As.0 0 " + expectedTimeLeft), call);
     }
 
     @DataProvider
     Object[][] tooLate() {
         return new Object[][] {
-            // When the connection is up, and what happened by then.
+            // When the connection is established, in milliseconds, and what happened before.
             {241.0, "nothing"}, {100.0, "left"}, {100.0, "abandoned"},
         };
     }
 
-    /** The decisions may not be allowed to call anything off, or not have been woken in time. */
+    /**
+     * No attempt is written too late even if the decision policy may not cancel attempts or was not
+     * woken in time.
+     */
     @Test(dataProvider = "tooLate")
-    public void nothingIsWrittenToAConnectionThatComesUpAfterThePartIsOver(
+    public void attemptIsNotWrittenWhenItsPartEndsBeforeTheConnectionIsEstablished(
             double at, String happened) throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
@@ -557,14 +568,15 @@
                     }
                 });
         assertEquals(outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
-        assertNull(heard.poll());
+        assertNull(receivedByServer.poll());
     }
 
     @DataProvider
-    Object[][] repeats() {
+    Object[][] secondAttempts() {
         return new Object[][] {
-            // How the part may repeat, how its first attempt ended, when the connection of the
-            // second is up, whether it goes out.
+            // Idempotence of the query class, result of the first attempt, time in milliseconds
+            // when the connection of the second attempt is established, whether the second attempt
+            // is written.
             {
                 QueryClass.Idempotence.DEDUPLICATED,
                 new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
@@ -607,14 +619,14 @@
     }
 
     /**
-     * A repeat was ordered inside the time in which repeats are dropped; its connection takes
-     * longer.
+     * A second attempt is decided within the deduplication window, but its connection may be
+     * established only after it.
      */
-    @Test(dataProvider = "repeats")
-    public void repeatIsWrittenOnlyWhileItDoesNoHarm(
-            QueryClass.Idempotence kind, AttemptResult first, double at, boolean goes)
+    @Test(dataProvider = "secondAttempts")
+    public void secondAttemptIsWrittenOnlyIfItCannotTakeEffectTwice(
+            QueryClass.Idempotence kind, AttemptResult first, double at, boolean written)
             throws Exception {
-        repeat = kind;
+        idempotence = kind;
         start(32, 1, (socket, bytes) -> {});
         Attempt one = attempts("s", 1, "text").get(0);
         if (first != null) {
@@ -622,22 +634,22 @@
         }
         List<Attempt> sent = coordinator.tick(1).send();
         sendAndComeUpLate(sent, at, () -> {});
-        if (goes) {
-            assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        if (written) {
+            assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         } else {
             assertEquals(
                     outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
-            assertNull(heard.poll());
+            assertNull(receivedByServer.poll());
         }
     }
 
     @DataProvider
-    Object[][] closedStates() {
+    Object[][] notRunningStates() {
         return new Object[][] {{EndpointUpdate.State.DRAINING}, {EndpointUpdate.State.GONE}};
     }
 
-    @Test(dataProvider = "closedStates")
-    public void nothingGoesToAServerThatBeganToDrainWhileTheConnectionCameUp(
+    @Test(dataProvider = "notRunningStates")
+    public void attemptIsNotWrittenToAServerThatStoppedRunningDuringTheConnect(
             EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
@@ -648,16 +660,16 @@
                 });
         assertEquals(
                 outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
-        assertNull(heard.poll());
+        assertNull(receivedByServer.poll());
     }
 
-    @Test(dataProvider = "closedStates")
-    public void serverThatIsNotWantedAnyMoreKeepsItsConnectionOnlyWhileSomethingIsOut(
+    @Test(dataProvider = "notRunningStates")
+    public void connectionToAServerNotRunningIsClosedOnceNoPartIsInFlight(
             EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         for (int left : new int[] {1, 0}) {
             loop.act(
                     () -> {
@@ -670,22 +682,22 @@
     }
 
     @Test
-    public void furtherConnectionIsOpenedOnlyWhenOneIsFull() throws Exception {
+    public void furtherConnectionIsOpenedOnlyWhenTheFirstIsFull() throws Exception {
         start(2, 1, (socket, bytes) -> {});
         send(attempts("s", 3, "text"));
         send(attempts("t", 1, "text"));
         for (int i = 0; i < 2; i++) {
-            assertTrue(heard.poll(5, TimeUnit.SECONDS) != null);
+            assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS) != null);
         }
         assertEquals(connections(), 2);
     }
 
     @Test
-    public void sameIdGoesOutOnAnotherConnectionWhileItsFirstAnswerMayCome() throws Exception {
+    public void samePartIdIsSentOnAnotherConnectionWhileTheFirstAnswerMayArrive() throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         loop.act(
                 () -> {
                     shards.cancel(sent);
@@ -695,33 +707,33 @@
     }
 
     @Test
-    public void partsOfOneScanShareCallsAndOthersNever() throws Exception {
+    public void onlyPartsOfOneQueryShareCalls() throws Exception {
         start(32, 2, (socket, bytes) -> {});
         var all = new ArrayList<>(attempts("s", 3, "one"));
         all.addAll(attempts("t", 1, "two"));
         send(all);
         var bytes = new StringBuilder();
         while (!bytes.toString().contains("two")) {
-            bytes.append(heard.poll(5, TimeUnit.SECONDS));
+            bytes.append(receivedByServer.poll(5, TimeUnit.SECONDS));
         }
         assertEquals(bytes.toString().split("A[st]\\.", -1).length, 4, bytes.toString());
         assertTrue(bytes.toString().contains("As.0 0 d=240 3\nones.1 1 d=240 3\none"));
     }
 
     @Test
-    public void silentConnectionGetsNoFurtherPartsAndIsClosedOnceNothingIsOutOnIt()
+    public void silentConnectionGetsNoFurtherPartsAndIsClosedOnceNoPartIsInFlight()
             throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> first = attempts("s", 1, "text");
         send(first);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         now = 301;
         loop.act(
                 () -> {
                     shards.sweep(300);
                     shards.send(attempts("t", 1, "text"));
                 });
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("At.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("At.0"));
         assertEquals(connections(), 2);
         loop.act(
                 () -> {
@@ -732,7 +744,7 @@
     }
 
     @Test
-    public void idleConnectionIsClosedBeforeTheServerMay() throws Exception {
+    public void idleConnectionIsClosedBeforeTheServerMayCloseIt() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
@@ -745,9 +757,9 @@
     }
 
     @Test
-    public void noAttemptIsWrittenForAClientThatIsGoneHoweverItWaited() throws Exception {
+    public void attemptIsNotWrittenForADisconnectedClient() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
-        // One that waits for its connection, and then one that finds it up.
+        // The first attempt waits for its connection; the second finds it established.
         clientWaits = false;
         for (String id : List.of("t", "u")) {
             List<Attempt> sent = attempts(id, 1, "text");
@@ -759,11 +771,11 @@
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
-        assertTrue(heard.poll(5, TimeUnit.SECONDS).contains("As.0"));
-        assertEquals(begun, List.of("s.0"));
+        assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
+        assertEquals(writtenPartIds, List.of("s.0"));
     }
 
-    /** Reads a whole frame and answers the part that it asks for. */
+    /** Reads one frame with an attempt of the given part, and answers it. */
     private static void serveOne(Socket connection, String partId) throws IOException {
         connection.setSoTimeout(10_000);
         int length =
@@ -780,8 +792,8 @@
     }
 
     @Test
-    public void aConnectionWhoseEndLiesUnreadIsNotWrittenTo() throws Exception {
-        repeat = QueryClass.Idempotence.NON_IDEMPOTENT;
+    public void attemptIsNotWrittenToAConnectionWithAnUnreadClose() throws Exception {
+        idempotence = QueryClass.Idempotence.NON_IDEMPOTENT;
         start(32, 1, (socket, bytes) -> {});
         try (var listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(10_000);
@@ -792,9 +804,9 @@
             serveOne(connection, "s.0");
             assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
             List<Attempt> second = attempts("t", 1, "text");
-            Runnable free = loop.hold(() -> shards.send(second));
+            Runnable unblock = loop.hold(() -> shards.send(second));
             connection.close();
-            free.run();
+            unblock.run();
             try (Socket further = listener.accept()) {
                 serveOne(further, "t.0");
                 assertTrue(outcome(second.get(0)) instanceof AttemptResult.Completed);
@@ -803,27 +815,27 @@
     }
 
     /**
-     * What comes up in the middle of a pass knows nothing of a list that lies unread and tells of a
-     * drain.
+     * A connection that is established in the middle of a pass is not written to at once, since an
+     * endpoint update that reports the shard server as draining may still be unread.
      */
     @Test
-    public void aConnectionThatComesUpIsWrittenToInTheNextTurnOnly() throws Exception {
-        holdsTurns = true;
+    public void attemptIsWrittenToANewConnectionOnlyInTheNextTurn() throws Exception {
+        turnsAreManual = true;
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
-        loop.until(() -> turnsWanted.get() > 0);
-        assertEquals(begun, List.of());
+        loop.until(() -> requestedTurns.get() > 0);
+        assertEquals(writtenPartIds, List.of());
         list(EndpointUpdate.State.DRAINING, server.actualPort());
         loop.act(() -> shards.writeWaiting());
         assertEquals(
                 outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
-        assertEquals(begun, List.of());
+        assertEquals(writtenPartIds, List.of());
     }
 
     /**
-     * A server that reads nothing until its connections, which are returned as they come up, are
-     * resumed.
+     * Starts a shard server that reads nothing until its connections are resumed. The connections
+     * are added to the returned list as they are accepted.
      */
     private List<NetSocket> serveUnread() throws Exception {
         var connections = new CopyOnWriteArrayList<NetSocket>();
@@ -839,43 +851,43 @@
     }
 
     @Test
-    public void noAttemptWaitsInTheProcessBehindWhatTheSystemHasNotTaken() throws Exception {
+    public void attemptIsNotQueuedBehindAnUnsentFrame() throws Exception {
         List<NetSocket> connections = serveUnread();
-        List<Attempt> big = attempts("s", 1, "x".repeat(BIG));
+        List<Attempt> big = attempts("s", 1, "x".repeat(LARGE_BODY_BYTES));
         List<Attempt> small = attempts("t", 1, "text");
         loop.act(
                 () -> {
                     shards.send(big);
                     shards.send(small);
                 });
-        loop.until(() -> !connections.isEmpty() && begun.contains("s.0"));
-        assertEquals(begun, List.of("s.0"));
+        loop.until(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
+        assertEquals(writtenPartIds, List.of("s.0"));
         clientWaits = false;
         connections.get(0).resume();
         assertEquals(outcome(small.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
-        assertEquals(begun, List.of("s.0"));
+        assertEquals(writtenPartIds, List.of("s.0"));
     }
 
     @Test
-    public void whatWaitedBehindAnotherFrameIsWrittenOnceThatIsTaken() throws Exception {
+    public void waitingAttemptIsWrittenOnceTheFrameBeforeItIsSent() throws Exception {
         List<NetSocket> connections = serveUnread();
         loop.act(
                 () -> {
-                    shards.send(attempts("s", 1, "x".repeat(BIG)));
+                    shards.send(attempts("s", 1, "x".repeat(LARGE_BODY_BYTES)));
                     shards.send(attempts("t", 1, "text"));
                 });
-        loop.until(() -> !connections.isEmpty() && begun.contains("s.0"));
+        loop.until(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
         connections.get(0).resume();
-        loop.until(() -> begun.equals(List.of("s.0", "t.0")));
+        loop.until(() -> writtenPartIds.equals(List.of("s.0", "t.0")));
         assertEquals(connections(), 1);
     }
 
     /**
-     * As after a hold-up: the time is over by which it should have answered, and its answer lies
-     * unread.
+     * The gatherer was paused until after the time limit for silence, and the answer that arrived
+     * in the meantime is unread.
      */
     @Test
-    public void aServerWhoseAnswerLiesUnreadIsNotTakenForSilent() throws Exception {
+    public void serverWithAnUnreadAnswerIsNotTreatedAsSilent() throws Exception {
         start(32, 1, (socket, bytes) -> {});
         try (var listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             listener.setSoTimeout(10_000);
@@ -883,9 +895,9 @@
             List<Attempt> first = attempts("s", 1, "text");
             send(first);
             try (Socket connection = listener.accept()) {
-                loop.until(() -> begun.contains("s.0"));
+                loop.until(() -> writtenPartIds.contains("s.0"));
                 List<Attempt> second = attempts("t", 1, "text");
-                Runnable free =
+                Runnable unblock =
                         loop.hold(
                                 () -> {
                                     now = 220;
@@ -893,7 +905,7 @@
                                     shards.send(second);
                                 });
                 serveOne(connection, "s.0");
-                free.run();
+                unblock.run();
                 assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
                 serveOne(connection, "t.0");
                 assertTrue(outcome(second.get(0)) instanceof AttemptResult.Completed);
--- a/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
@@ -24,25 +24,29 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A listener whose accepts fail as the system's do. */
+/** Tests the listening channel with accepts that fail as the system call does. */
 public class AcceptingServerChannelTest {
-    /** For so long Netty's own listener accepts nothing after a failure. */
+    /**
+     * Time for which Netty's own listening channel accepts nothing after a failure, in
+     * milliseconds.
+     */
     private static final double NETTY_PAUSE_MS = 1000;
 
-    /** More than one pass accepts. */
-    private static final int CROWD = 40;
+    /** Number of connections that exceeds what one event loop pass accepts. */
+    private static final int MANY_CONNECTIONS = 40;
 
     private final AtomicInteger failures = new AtomicInteger();
 
-    /** When each accept of this test's listener began. */
-    private final BlockingQueue<Long> askedAt = new LinkedBlockingQueue<>();
+    /** Start times of the accepts, by {@link System#nanoTime}. */
+    private final BlockingQueue<Long> acceptStartTimes = new LinkedBlockingQueue<>();
 
     private BlockingQueue<Accepted> accepted;
     private EventLoopGroup loop;
     private InetSocketAddress address;
 
-    /** A connection that was accepted, and the moments by {@link System#nanoTime}. */
-    private record Accepted(long atNanos, long seenEmptyNanos, double seenEmptyMsAgo) {}
+    /** When a connection was accepted and when the backlog was last observed empty before that. */
+    private record Accepted(
+            long acceptedAtNanos, long backlogEmptyAtNanos, double msSinceBacklogEmpty) {}
 
     @BeforeMethod
     public void listen() {
@@ -57,7 +61,7 @@
                                         new AcceptingServerChannel() {
                                             @Override
                                             int accept(List<Object> into) throws Exception {
-                                                askedAt.add(System.nanoTime());
+                                                acceptStartTimes.add(System.nanoTime());
                                                 if (failures.getAndUpdate(
                                                                 left -> Math.max(0, left - 1))
                                                         > 0) {
@@ -74,9 +78,9 @@
                                         accepted.add(
                                                 new Accepted(
                                                         System.nanoTime(),
-                                                        AcceptingServerChannel.backlogSeenEmptyAt(
+                                                        AcceptingServerChannel.backlogEmptyAtNanos(
                                                                 connection),
-                                                        AcceptingTransport.backlogSeenEmptyMsAgo(
+                                                        AcceptingTransport.msSinceBacklogEmpty(
                                                                 connection)));
                                     }
                                 })
@@ -93,69 +97,79 @@
 
     private Accepted connect() throws Exception {
         try (var client = new Socket(address.getAddress(), address.getPort())) {
-            Accepted one = accepted.poll(10, TimeUnit.SECONDS);
-            assertNotNull(one, "not accepted, from " + client.getLocalPort());
-            return one;
+            Accepted connection = accepted.poll(10, TimeUnit.SECONDS);
+            assertNotNull(connection, "not accepted, from " + client.getLocalPort());
+            return connection;
         }
     }
 
     @Test
-    public void aConnectionIsAcceptedSoonAfterFailuresAndItsWaitIsKnown() throws Exception {
+    public void connectionAfterFailedAcceptsIsAcceptedSoonWithBacklogTimeBeforeTheFailures()
+            throws Exception {
         failures.set(5);
         long failingSince = System.nanoTime();
-        Accepted one = connect();
-        assertTrue((one.atNanos() - failingSince) / 1e6 < NETTY_PAUSE_MS, "accepted late");
+        Accepted connection = connect();
         assertTrue(
-                one.seenEmptyNanos() <= failingSince,
+                (connection.acceptedAtNanos() - failingSince) / 1e6 < NETTY_PAUSE_MS,
+                "accepted late");
+        assertTrue(
+                connection.backlogEmptyAtNanos() <= failingSince,
                 "seen empty "
-                        + (one.seenEmptyNanos() - failingSince)
+                        + (connection.backlogEmptyAtNanos() - failingSince)
                         + " ns after it began to fail");
         assertEquals(failures.get(), 0);
     }
 
     @Test
-    public void aBacklogAtRestIsLookedAtFromTimeToTime() throws Exception {
-        askedAt.clear();
-        long first = askedAt.poll(10, TimeUnit.SECONDS);
-        long second = askedAt.poll(10, TimeUnit.SECONDS);
+    public void backlogIsPolledAtIntervalsWhileNoConnectionsArrive() throws Exception {
+        acceptStartTimes.clear();
+        long first = acceptStartTimes.poll(10, TimeUnit.SECONDS);
+        long second = acceptStartTimes.poll(10, TimeUnit.SECONDS);
         assertTrue(
                 second - first >= AcceptingServerChannel.BACKLOG_CHECK_MS * 1_000_000L / 2,
-                "looked again after " + (second - first) + " ns");
-        // A look that has begun may itself accept what connects now; once the next one has begun,
-        // the second is known to have found nothing.
-        assertNotNull(askedAt.poll(10, TimeUnit.SECONDS));
-        Accepted one = connect();
-        assertTrue(one.seenEmptyNanos() > first, "the second look was forgotten");
+                "polled again after " + (second - first) + " ns");
+        // A poll that has begun may itself accept a connection that is opened now. Once the third
+        // poll has begun, the second one has ended without a connection.
+        assertNotNull(acceptStartTimes.poll(10, TimeUnit.SECONDS));
+        Accepted connection = connect();
+        assertTrue(connection.backlogEmptyAtNanos() > first, "the second poll was not recorded");
         assertTrue(
-                one.seenEmptyMsAgo() >= (one.atNanos() - one.seenEmptyNanos()) / 1e6,
-                "seen empty " + one.seenEmptyMsAgo() + " ms ago");
+                connection.msSinceBacklogEmpty()
+                        >= (connection.acceptedAtNanos() - connection.backlogEmptyAtNanos()) / 1e6,
+                "seen empty " + connection.msSinceBacklogEmpty() + " ms ago");
     }
 
-    /** The loop stands still, as a stopped process does, while more connect than a pass accepts. */
+    /**
+     * The event loop is blocked, as in a stopped process, while more connections are opened than
+     * one pass accepts.
+     */
     @Test
-    public void eachOfACrowdMayHaveWaitedSinceBeforeTheHoldUp() throws Exception {
-        var heldUp = new CountDownLatch(1);
-        var goOn = new CountDownLatch(1);
+    public void connectionsOpenedWhileTheLoopIsBlockedHaveABacklogTimeBeforeTheBlock()
+            throws Exception {
+        var blocked = new CountDownLatch(1);
+        var unblock = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    heldUp.countDown();
+                    blocked.countDown();
                     try {
-                        goOn.await(10, TimeUnit.SECONDS);
+                        unblock.await(10, TimeUnit.SECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        assertTrue(heldUp.await(10, TimeUnit.SECONDS));
-        long heldUpAt = System.nanoTime();
+        assertTrue(blocked.await(10, TimeUnit.SECONDS));
+        long blockedAt = System.nanoTime();
         var clients = new ArrayList<Socket>();
-        for (int i = 0; i < CROWD; i++) {
+        for (int i = 0; i < MANY_CONNECTIONS; i++) {
             clients.add(new Socket(address.getAddress(), address.getPort()));
         }
-        goOn.countDown();
-        for (int i = 0; i < CROWD; i++) {
-            Accepted one = accepted.poll(10, TimeUnit.SECONDS);
-            assertNotNull(one);
-            assertTrue(one.seenEmptyNanos() <= heldUpAt, "connection " + i + " of the crowd");
+        unblock.countDown();
+        for (int i = 0; i < MANY_CONNECTIONS; i++) {
+            Accepted connection = accepted.poll(10, TimeUnit.SECONDS);
+            assertNotNull(connection);
+            assertTrue(
+                    connection.backlogEmptyAtNanos() <= blockedAt,
+                    "connection " + i + " of those opened during the block");
         }
         for (Socket client : clients) {
             client.close();
--- a/gatherer/src/test/java/sprucehold/sockets/RoundedUpWaitsTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/RoundedUpWaitsTest.java
@@ -11,10 +11,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How the transport's loop waits for its timers. */
+/** Tests how the transport's event loop waits for its timers. */
 public class RoundedUpWaitsTest {
-    /** Under half a millisecond, for which Netty's own handler does not wait at all. */
-    private static final long DUE_IN_NANOS = 400_000;
+    /**
+     * Time until the timer expires, in nanoseconds. It is under half a millisecond, for which
+     * Netty's own handler does not wait at all.
+     */
+    private static final long EXPIRES_IN_NANOS = 400_000;
 
     private static final int PASSES = 50;
 
@@ -47,8 +50,8 @@
         handler.destroy();
     }
 
-    /** A loop with nothing to do but a timer that is due at a moment by {@link System#nanoTime}. */
-    private record TimerDue(long deadlineNanos) implements IoHandlerContext {
+    /** An event loop whose only work is a timer that expires at a given {@link System#nanoTime}. */
+    private record PendingTimer(long deadlineNanos) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
             return true;
@@ -61,18 +64,18 @@
     }
 
     @Test
-    public void aPassWithoutWorkLastsUntilTheNextTimerIsDue() {
+    public void passWithoutWorkLastsUntilTheNextTimerExpires() {
         for (int i = 0; i < PASSES; i++) {
-            long dueAt = System.nanoTime() + DUE_IN_NANOS;
-            handler.run(new TimerDue(dueAt));
-            long early = dueAt - System.nanoTime();
+            long expiresAt = System.nanoTime() + EXPIRES_IN_NANOS;
+            handler.run(new PendingTimer(expiresAt));
+            long early = expiresAt - System.nanoTime();
             assertTrue(
                     early <= 0,
                     "pass "
                             + i
                             + " ended "
                             + early
-                            + " ns before its timer was due, so the loop polls until then");
+                            + " ns before its timer expired, so the loop polls until then");
         }
     }
 
@@ -92,7 +95,7 @@
     }
 
     @Test(dataProvider = "waits")
-    public void aWaitIsNeverShorterAndNoneIsMadeWhereATimerIsDue(long dueInNanos, long waitNanos) {
-        assertEquals(RoundedUpWaits.roundedUp(dueInNanos), waitNanos);
+    public void waitIsRoundedUpAndSkippedForAnExpiredTimer(long expiresInNanos, long waitNanos) {
+        assertEquals(RoundedUpWaits.roundUpToMillis(expiresInNanos), waitNanos);
     }
 }
--- a/gatherer/src/test/java/sprucehold/sockets/UnreadInputTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/UnreadInputTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A connection on which much lies unread, and its end behind that. */
+/** Tests a connection with unread input that is followed by the end of the stream. */
 public class UnreadInputTest {
     private static final int RECEIVE_BUFFER = 1 << 20;
     private static final int READ_BYTES = 4096;
@@ -38,12 +38,12 @@
     private EventLoopGroup loop;
     private InetSocketAddress address;
     private BlockingQueue<Channel> accepted;
-    private AtomicLong read;
+    private AtomicLong bytesRead;
 
     @BeforeMethod
     public void listen() {
         accepted = new LinkedBlockingQueue<>();
-        read = new AtomicLong();
+        bytesRead = new AtomicLong();
         loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         address =
                 (InetSocketAddress)
@@ -67,7 +67,7 @@
                                                                             ChannelHandlerContext
                                                                                     ctx,
                                                                             Object bytes) {
-                                                                        read.addAndGet(
+                                                                        bytesRead.addAndGet(
                                                                                 ((ByteBuf) bytes)
                                                                                         .readableBytes());
                                                                         ((ByteBuf) bytes).release();
@@ -93,9 +93,9 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void theEndIsSeenHoweverMuchLiesUnreadBeforeIt(int bytes) throws Exception {
-        var held = new CountDownLatch(1);
-        var free = new CountDownLatch(1);
+    public void endOfStreamIsReadBehindAnyAmountOfUnreadInput(int bytes) throws Exception {
+        var loopBlocked = new CountDownLatch(1);
+        var unblock = new CountDownLatch(1);
         Future<Boolean> open;
         try (var client = new Socket(address.getAddress(), address.getPort())) {
             Channel connection = accepted.poll(10, TimeUnit.SECONDS);
@@ -103,17 +103,18 @@
             open =
                     loop.submit(
                             () -> {
-                                held.countDown();
-                                assertTrue(free.await(10, TimeUnit.SECONDS));
+                                loopBlocked.countDown();
+                                assertTrue(unblock.await(10, TimeUnit.SECONDS));
                                 return UnreadInput.readAll(connection);
                             });
-            assertTrue(held.await(10, TimeUnit.SECONDS));
+            assertTrue(loopBlocked.await(10, TimeUnit.SECONDS));
             client.getOutputStream().write(new byte[bytes]);
-            // The close returns once the other side's system has all, the end included.
+            // With SO_LINGER the close returns once the receiver's kernel has acknowledged all
+            // bytes and the end of the stream.
             client.setSoLinger(true, 10);
         }
-        free.countDown();
+        unblock.countDown();
         assertFalse(open.get(10, TimeUnit.SECONDS), "it looks open");
-        assertEquals(read.get(), bytes);
+        assertEquals(bytesRead.get(), bytes);
     }
 }
