--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -29,8 +29,8 @@
  */
 final class ClientConnections<C> {
     /**
-     * Time after which a connection without a complete request is closed. It leaves a margin to the
-     * 3 s of the protocol.
+     * Time after which a connection without a complete request is closed. The protocol's limit for
+     * this close is 3 s; the difference is a margin.
      */
     static final double REQUEST_TIMEOUT_MS = 2500;
 
@@ -74,8 +74,8 @@
     /** State of an open connection. */
     private static final class State {
         /**
-         * Time since which the connection awaits a request, is idle, or has its last answer being
-         * written.
+         * Time at which the connection began to await a request, became idle, or began to have its
+         * last answer written, whichever was the latest.
          */
         double sinceMs;
 
@@ -303,8 +303,8 @@
     }
 
     /**
-     * Closes the marked connections from which no request has been received in the meantime. Unread
-     * input is read first.
+     * Closes the marked connections from which no request has been received since they were marked.
+     * Unread input is read first.
      */
     void closeMarked() {
         for (C connection : List.copyOf(open.keySet())) {
@@ -333,7 +333,10 @@
         }
     }
 
-    /** Records that the HTTP server itself closes the connection, as its client asked. */
+    /**
+     * Records that the HTTP server itself closes the connection, for example at the client's
+     * request. Has no effect on a connection that is already being closed.
+     */
     void closingByHttpServer(C connection) {
         if (removeOpen(connection)) {
             closing.add(connection);
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -51,7 +51,7 @@
 
     /**
      * Interval of {@link #sweep}, in milliseconds. It is short enough that a connection without a
-     * request is closed well within the 3 s of the protocol.
+     * complete request is closed well within 3 s, the protocol's limit for this close.
      */
     private static final int SWEEP_INTERVAL_MS = 250;
 
@@ -71,7 +71,7 @@
     private long clientsFoundGone;
 
     /**
-     * @param vertx its event loop runs all calls
+     * @param vertx Vert.x instance; all methods are called on its event loop
      * @param shards number of shards
      * @param maxConnections maximum number of client connections
      * @param handler processes the queries
@@ -108,7 +108,8 @@
                 new ConnectionAdmission(vertx, connections, readPasses, clock, options, lingerMs);
         this.server = vertx.createHttpServer(options);
         server.connectionHandler(admission::opened);
-        server.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
+        server.exceptionHandler(
+                failure -> LOG.log(Level.FINE, "exception on a client connection", failure));
         server.requestHandler(request -> runGuarded(request, () -> handleRequest(request)));
         server.invalidRequestHandler(this::rejectUnreadable);
         vertx.setPeriodic(SWEEP_INTERVAL_MS, timer -> sweep());
@@ -187,7 +188,7 @@
 
     /**
      * Runs a step of a request. If the step throws, the client gets an error answer and its
-     * connection is closed, so that it doesn't wait for an answer that would never be sent.
+     * connection is closed, so that the client doesn't wait for an answer that would never be sent.
      */
     private void runGuarded(HttpServerRequest request, Runnable step) {
         try {
--- a/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
@@ -64,12 +64,14 @@
     /** Sets up an accepted connection. */
     void opened(HttpConnection connection) {
         Channel channel = ChannelCloser.channel(connection);
-        // A fixed size: an adaptive one would shrink with each read from an empty socket.
+        // The size of a read is fixed, since an adaptive size would shrink with each read from an
+        // empty socket.
         channel.config()
                 .setRecvByteBufAllocator(
                         new FixedRecvByteBufAllocator(READ_BYTES)
                                 .maxMessagesPerRead(READS_PER_PASS));
-        connection.exceptionHandler(failure -> LOG.log(Level.FINE, "client connection", failure));
+        connection.exceptionHandler(
+                failure -> LOG.log(Level.FINE, "exception on a client connection", failure));
         connection.closeHandler(none -> connections.closed(connection));
         var closing =
                 new LingeringClose(
@@ -89,7 +91,7 @@
 
     /**
      * Schedules the closing of surplus connections after the next pass over the sockets. A short
-     * burst of connections is legitimate, so the bytes that they have sent are read first.
+     * burst of connections is legitimate, so the bytes that their clients have sent are read first.
      */
     private void closeSurplusInNextPass() {
         if (!surplusCloseScheduled) {
--- a/gatherer/src/main/java/sprucehold/clients/LingeringClose.java
+++ b/gatherer/src/main/java/sprucehold/clients/LingeringClose.java
@@ -37,9 +37,9 @@
     private static final int MAX_DISCARDED_BYTES = 256 * 1024;
 
     /**
-     * Limit on the input that is buffered behind a request. Clients send one request at a time on a
-     * connection, and 16 KiB is enough for dozens of requests of typical size. Multiplied by the
-     * number of connections it stays far below the memory limit of the process.
+     * Limit on the input in bytes that is buffered behind a request. Clients send one request at a
+     * time on a connection, and 16 KiB is enough for dozens of requests of typical size. Multiplied
+     * by the number of connections it stays far below the memory limit of the process.
      */
     static final int MAX_BUFFERED_BYTES = 16 * 1024;
 
@@ -60,7 +60,7 @@
     /** Input that the HTTP server has not asked for yet. */
     private ByteBuf bufferedBytes = Unpooled.EMPTY_BUFFER;
 
-    private boolean delivering;
+    private boolean deliveryScheduled;
     private boolean overflowed;
     private int discardedBytes;
 
@@ -69,7 +69,8 @@
      * @param onRead called on each read, before the bytes are processed
      * @param onOverflow called when the client has sent more than the buffer limit; the buffered
      *     bytes and all later ones are discarded
-     * @param onClosing called when the close begins, whichever side or component initiated it
+     * @param onClosing called when a lingering close begins, whether {@link ClientConnections} or
+     *     the HTTP server initiated it; not called when the client closes first
      */
     LingeringClose(long lingerMs, Runnable onRead, Runnable onOverflow, Runnable onClosing) {
         this.lingerMs = lingerMs;
@@ -78,8 +79,8 @@
         this.onClosing = onClosing;
     }
 
-    // Netty reports a failed write or close through the channel, and only the channel's end matters
-    // here.
+    // The returned futures are ignored: Netty also reports a failed write or close through the
+    // channel. Only the end of the channel matters here, and channelInactive handles it.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
@@ -112,8 +113,8 @@
     }
 
     /** Closes the socket at once, without lingering. */
-    // Netty reports a failed write or close through the channel, and only the channel's end matters
-    // here.
+    // The returned futures are ignored: Netty also reports a failed write or close through the
+    // channel. Only the end of the channel matters here, and channelInactive handles it.
     @SuppressWarnings("FutureReturnValueIgnored")
     void closeNow(ChannelHandlerContext context) {
         if (state != State.CLOSED) {
@@ -178,12 +179,12 @@
     /** Called when the HTTP server reads again; delivers the buffered bytes first. */
     @Override
     public void read(ChannelHandlerContext context) {
-        if (bufferedBytes.isReadable() && !delivering) {
-            delivering = true;
+        if (bufferedBytes.isReadable() && !deliveryScheduled) {
+            deliveryScheduled = true;
             context.executor()
                     .execute(
                             () -> {
-                                delivering = false;
+                                deliveryScheduled = false;
                                 if (state == State.OPEN
                                         && bufferedBytes.isReadable()
                                         && context.channel().config().isAutoRead()) {
@@ -205,8 +206,9 @@
     }
 
     /**
-     * While the close lingers, only an I/O error ends it: after its answer the HTTP server fires
-     * the exception for the unreadable request a second time.
+     * While the close lingers, only an I/O error closes the socket at once. Other exceptions are
+     * ignored: after the HTTP server has answered an unreadable request, it fires the exception for
+     * that request a second time.
      */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
--- a/gatherer/src/main/java/sprucehold/clients/QueryReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -58,8 +58,8 @@
     private static final double WEIGHT_TOLERANCE = 0.01;
 
     /**
-     * Characters allowed in a value of the list in a frame's line, where commas and spaces are
-     * separators; 1 to 128 characters.
+     * Valid idempotency keys: 1 to 128 visible ASCII characters without commas. A frame to a shard
+     * server has the key in a comma-separated list on a line whose fields are separated by spaces.
      */
     private static final Pattern LIST_VALUE = Pattern.compile("[!-+\\--~]{1,128}");
 
--- a/gatherer/src/main/java/sprucehold/clients/StrictDecoder.java
+++ b/gatherer/src/main/java/sprucehold/clients/StrictDecoder.java
@@ -16,6 +16,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("both Transfer-Encoding and Content-Length");
+        throw new IllegalArgumentException("request has both Transfer-Encoding and Content-Length");
     }
 }
--- a/gatherer/src/main/java/sprucehold/shards/FrameReader.java
+++ b/gatherer/src/main/java/sprucehold/shards/FrameReader.java
@@ -11,8 +11,8 @@
     private static final int LENGTH_BYTES = 4;
 
     /**
-     * Maximum frame length in bytes, twice the longest answer that a client may get, so that every
-     * valid value fits.
+     * Maximum frame length in bytes, twice the maximum length of an answer to a client, so that
+     * every valid value fits.
      */
     private static final int MAX_FRAME_BYTES = 128 * 1024;
 
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Returns whether the rest of a partly received frame has been missing for longer than the
-     * given time. The length of such a frame is wrong.
+     * Returns whether a frame was received in part, and no further bytes have been received for
+     * longer than the given time. The length field of such a frame is taken to be wrong.
      */
     boolean isStalled(double nowMs, double silenceMs) {
         return inFrame && !failed && nowMs - receivedAtMs > silenceMs;
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -79,7 +79,10 @@
     /** Time at which the last frame was received, or at which the connection was established. */
     private double lastFrameAtMs;
 
-    /** Time since which no part is in flight; meaningful only while none is. */
+    /**
+     * Time of the last answer or cancellation that left no part in flight, or at which the
+     * connection was established. Used only while no part is in flight.
+     */
     private double idleSinceMs;
 
     /**
@@ -90,7 +93,7 @@
 
     private boolean closed;
 
-    /** Whether malformed input was received, for which the part that it belongs to is unknown. */
+    /** Whether malformed input was received. It is unknown which part such input belongs to. */
     private boolean receivedMalformed;
 
     ShardConnection(Owner owner, String address, int maxParts, boolean loadByHealthCheck) {
@@ -119,7 +122,11 @@
         lastFrameAtMs = owner.nowMs();
         idleSinceMs = lastFrameAtMs;
         socket.exceptionHandler(
-                failure -> LOG.log(Level.FINE, "connection to " + address, failure));
+                failure ->
+                        LOG.log(
+                                Level.FINE,
+                                "exception on the connection to the shard server at " + address,
+                                failure));
         socket.closeHandler(none -> close(false, "closed by the shard server"));
         reader = new FrameReader(this::frameReceived, this::closeAfterMalformedInput);
         socket.handler(this::bytesReceived);
@@ -169,7 +176,7 @@
 
     /**
      * Writes waiting calls until the kernel stops accepting writes. Must be called in a turn of the
-     * decision loop, after the decisions have processed all input received before the turn began. A
+     * decision loop, after all input received before the turn began has been processed. A
      * connection that is established, or whose output is sent, in the middle of a pass over the
      * sockets must not write at once: an endpoint update that reports the shard server as draining
      * may still be unread on another connection. A frame is never queued in the process behind
@@ -192,15 +199,15 @@
 
     private Future<Void> writeFrame(Buffer frame) {
         Future<Void> write = socket.write(frame);
-        write.onComplete(taken -> requestTurn());
+        write.onComplete(done -> requestTurn());
         return write;
     }
 
     /**
      * Returns whether the connection is open, judged by all input received up to now. An attempt
-     * written to a connection whose close is still unread would count as reset, and could not be
-     * retried where its effect might happen twice. A connection that isn't established yet counts
-     * as open.
+     * written to a connection whose close is still unread would be reported as lost after its
+     * write, and could not be retried if its effect might then happen twice. For a connection that
+     * isn't established yet the result is true.
      */
     boolean isStillOpen() {
         return socket == null || (UnreadInput.readAll(channel()) && !closed);
@@ -214,8 +221,8 @@
             return;
         }
         Buffer frame = GathererFrame.attempts(call, nowMs);
-        // Check the client last, so that a delay in the steps before can't make the result
-        // outdated.
+        // Check the client last, so that a delay in the steps above can't make the result of the
+        // check outdated.
         if (!owner.isClientConnected(call.get(0).query())) {
             call.forEach(this::endUnwrittenAsCancelled);
             return;
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -139,7 +139,7 @@
     private record Destination(ShardServer server, Query query) {}
 
     /**
-     * @param vertx its event loop runs all calls
+     * @param vertx Vert.x instance; all methods are called on its event loop
      * @param settings timeouts and limits of the connections
      * @param maxPartsPerCall maximum number of parts of one query in a call
      * @param loadByHealthCheck whether health checks ask for a load report
@@ -188,9 +188,9 @@
      * attempts, so its idle connections are closed at once to free their file descriptors.
      */
     void sweep(double connectTimeoutMs) {
-        double keptIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_TIMEOUTS * connectTimeoutMs;
+        double maxIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_TIMEOUTS * connectTimeoutMs;
         for (ServerConnections target : connectionsByServer.values()) {
-            double idleMs = target.server.running() ? keptIdleMs : NO_IDLE_TIME_MS;
+            double idleMs = target.server.running() ? maxIdleMs : NO_IDLE_TIME_MS;
             List.copyOf(target.connections)
                     .forEach(connection -> connection.sweep(connectTimeoutMs, idleMs));
         }
@@ -238,7 +238,7 @@
 
     /**
      * Writes attempts that waited for a connection. Must be called in a turn of the decision loop,
-     * after the decisions have processed all input received before the turn began.
+     * after all input received before the turn began has been processed.
      */
     public void writeWaiting() {
         List<ShardConnection> connections = List.copyOf(writable);
@@ -257,8 +257,9 @@
                             && List.copyOf(target.connections).stream()
                                     .anyMatch(connection -> connection.cancel(attempt));
             if (!found) {
-                // Only after a panic can an attempt be on no connection without its end having been
-                // reported. Whether it was written is unknown, so it is reported as written.
+                // An attempt whose end has not been reported is on a connection, except after a
+                // panic. It is unknown then whether the attempt was written, so it is reported as
+                // written.
                 observations.accept(
                         new Observation.AttemptEnded(
                                 attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN)));
--- a/gatherer/src/main/java/sprucehold/sockets/UnreadInput.java
+++ b/gatherer/src/main/java/sprucehold/sockets/UnreadInput.java
@@ -6,7 +6,7 @@
 /**
  * Reads the input of a connection that is in the kernel's receive buffer and that the event loop
  * has not read yet. The event loop reads each socket once per pass, and reads the end of a stream
- * only in the pass after the bytes before it. A decision that depends on whether the other side is
+ * only in the pass after the bytes before it. A decision that depends on whether the remote end is
  * still connected must therefore read this input first.
  */
 public final class UnreadInput {
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -67,16 +67,16 @@
             case "head" -> connections.requestBegun(c);
             case "whole" -> connections.requestReceived(c);
             case "answered" -> connections.answered(c);
-            case "flooded" -> connections.inputOverflowed(c);
-            case "last" -> connections.lastAnswerBegun(c);
-            case "ends" -> connections.close(c);
-            case "shutting" -> connections.closingByHttpServer(c);
-            case "gone" -> connections.closed(c);
-            case "trim" -> connections.closeSurplus();
+            case "overflow" -> connections.inputOverflowed(c);
+            case "lastAnswer" -> connections.lastAnswerBegun(c);
+            case "close" -> connections.close(c);
+            case "serverClose" -> connections.closingByHttpServer(c);
+            case "closed" -> connections.closed(c);
+            case "closeSurplus" -> connections.closeSurplus();
             case "unread" -> unread = c;
             case "sweep" -> connections.markOverdue();
-            case "rests" -> connections.markIdle();
-            case "settle" -> connections.closeMarked();
+            case "markIdle" -> connections.markIdle();
+            case "closeMarked" -> connections.closeMarked();
             default -> now += Double.parseDouble(words[0]);
         }
     }
@@ -85,43 +85,52 @@
     Object[][] scenarios() {
         return new Object[][] {
             // Steps, where a number is the elapsed time in milliseconds; then the expected closes.
-            {"open a, 2499, sweep, settle", ""},
-            {"open a, 2500, sweep, settle", "shut a"},
-            {"open a, head a, 2500, sweep, settle", "shut a"},
-            {"open a, 2500, sweep, head a, whole a, settle", ""},
-            {"open a, head a, whole a, 9000, sweep, settle", ""},
-            {"open a, head a, whole a, answered a, 19999, sweep, settle", ""},
-            {"open a, head a, whole a, answered a, 20000, sweep, settle", "shut a"},
-            {"open a, head a, whole a, answered a, 20000, sweep, head a, settle", ""},
-            {"open a, head a, whole a, answered a, 20000, sweep, unread a, settle", ""},
-            {"open a, 2500, sweep, unread a, settle", ""},
-            {"open a, open b, open c, head a, whole a, answered a, 2000, sweep, settle", "shut a"},
-            {"open a, head a, whole a, answered a, rests, settle", "shut a"},
-            {"open a, head a, whole a, answered a, rests, head a, settle", ""},
-            {"open a, head a, whole a, rests, settle", ""},
-            {"open a, open b, open c, open d, open e, trim", "shut a"},
-            {"open a, open b, open c, open d, open e, trim, open f, trim", "shut a, cut a, shut b"},
-            {"open a, open b, open c, open d, open e, unread a, trim", ""},
+            {"open a, 2499, sweep, closeMarked", ""},
+            {"open a, 2500, sweep, closeMarked", "shut a"},
+            {"open a, head a, 2500, sweep, closeMarked", "shut a"},
+            {"open a, 2500, sweep, head a, whole a, closeMarked", ""},
+            {"open a, head a, whole a, 9000, sweep, closeMarked", ""},
+            {"open a, head a, whole a, answered a, 19999, sweep, closeMarked", ""},
+            {"open a, head a, whole a, answered a, 20000, sweep, closeMarked", "shut a"},
+            {"open a, head a, whole a, answered a, 20000, sweep, head a, closeMarked", ""},
+            {"open a, head a, whole a, answered a, 20000, sweep, unread a, closeMarked", ""},
+            {"open a, 2500, sweep, unread a, closeMarked", ""},
+            {
+                "open a, open b, open c, head a, whole a, answered a, 2000, sweep, closeMarked",
+                "shut a"
+            },
+            {"open a, head a, whole a, answered a, markIdle, closeMarked", "shut a"},
+            {"open a, head a, whole a, answered a, markIdle, head a, closeMarked", ""},
+            {"open a, head a, whole a, markIdle, closeMarked", ""},
+            {"open a, open b, open c, open d, open e, closeSurplus", "shut a"},
+            {
+                "open a, open b, open c, open d, open e, closeSurplus, open f, closeSurplus",
+                "shut a, cut a, shut b"
+            },
+            {"open a, open b, open c, open d, open e, unread a, closeSurplus", ""},
             {
                 "open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
-                        + "open e, head e, whole e, 2000, unread a, trim",
+                        + "open e, head e, whole e, 2000, unread a, closeSurplus",
                 ""
             },
             {
                 "open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
-                        + "open e, head e, whole e, 2000, trim",
+                        + "open e, head e, whole e, 2000, closeSurplus",
+                "shut a"
+            },
+            {
+                "open a, open b, open c, open d, open e, closeSurplus, closed a, closeSurplus",
                 "shut a"
             },
-            {"open a, open b, open c, open d, open e, trim, gone a, trim", "shut a"},
-            {"open a, head a, whole a, open b, open c, open d, open e, trim", "shut b"},
-            {"open a, head a, whole a, last a, 2499, sweep, settle", ""},
-            {"open a, head a, whole a, last a, 2500, sweep, settle", "shut a"},
-            {"open a, head a, whole a, last a, ends a, ends a", "shut a"},
-            {"open a, head a, whole a, flooded a, 9000, sweep, settle", ""},
-            {"open a, head a, whole a, answered a, flooded a", "shut a"},
-            {"open a, head a, whole a, answered a, shutting a, rests, settle", ""},
-            {"open a, shutting a, open b, open c, open d, open e, trim", "cut a"},
-            {"open a, ends a, gone a, ends a, 9000, sweep, settle", "shut a"},
+            {"open a, head a, whole a, open b, open c, open d, open e, closeSurplus", "shut b"},
+            {"open a, head a, whole a, lastAnswer a, 2499, sweep, closeMarked", ""},
+            {"open a, head a, whole a, lastAnswer a, 2500, sweep, closeMarked", "shut a"},
+            {"open a, head a, whole a, lastAnswer a, close a, close a", "shut a"},
+            {"open a, head a, whole a, overflow a, 9000, sweep, closeMarked", ""},
+            {"open a, head a, whole a, answered a, overflow a", "shut a"},
+            {"open a, head a, whole a, answered a, serverClose a, markIdle, closeMarked", ""},
+            {"open a, serverClose a, open b, open c, open d, open e, closeSurplus", "cut a"},
+            {"open a, close a, closed a, close a, 9000, sweep, closeMarked", "shut a"},
         };
     }
 
@@ -139,10 +148,10 @@
         return new Object[][] {
             {"open a", true},
             {"open a, head a, whole a, answered a", true},
-            {"open a, flooded a", false},
-            {"open a, head a, whole a, last a", false},
-            {"open a, ends a", false},
-            {"open a, gone a", false},
+            {"open a, overflow a", false},
+            {"open a, head a, whole a, lastAnswer a", false},
+            {"open a, close a", false},
+            {"open a, closed a", false},
         };
     }
 
@@ -163,7 +172,7 @@
             {"open a, head a, 2000", 1},
             {"open a, head a, whole a", 0},
             {"open a, head a, whole a, answered a", 0},
-            {"open a, head a, gone a", 0},
+            {"open a, head a, closed a", 0},
             {"open a, open b, head b, 15", 2},
         };
     }
@@ -202,22 +211,22 @@
             "head",
             "whole",
             "answered",
-            "flooded",
-            "last",
-            "ends",
-            "shutting",
-            "gone",
-            "trim",
+            "overflow",
+            "lastAnswer",
+            "close",
+            "serverClose",
+            "closed",
+            "closeSurplus",
             "sweep",
-            "rests",
-            "settle",
+            "markIdle",
+            "closeMarked",
             "700"
         };
         for (long seed = 0; seed < 300; seed++) {
             open();
             var random = new Random(seed);
             var opened = new ArrayList<String>();
-            var shutting = new HashSet<String>();
+            var closedByServer = new HashSet<String>();
             for (int i = 0; i < 200; i++) {
                 String event = events[random.nextInt(events.length)];
                 String c =
@@ -229,10 +238,13 @@
                 if (event.equals("open")) {
                     opened.add(c);
                 }
-                if (event.equals("shutting")) {
-                    shutting.add(c);
+                if (event.equals("serverClose")) {
+                    closedByServer.add(c);
                 }
-                step(event.matches("trim|sweep|rests|settle|700") ? event : event + " " + c);
+                step(
+                        event.matches("closeSurplus|sweep|markIdle|closeMarked|700")
+                                ? event
+                                : event + " " + c);
             }
             assertEquals(
                     closes.stream().distinct().count(),
@@ -244,10 +256,10 @@
                 assertTrue(
                         !end.startsWith("cut")
                                 || closes.contains(end.replace("cut", "shut"))
-                                || shutting.contains(end.substring(4)),
+                                || closedByServer.contains(end.substring(4)),
                         "seed " + seed);
             }
-            opened.forEach(c -> step("gone " + c));
+            opened.forEach(c -> step("closed " + c));
             assertEquals(connections.size(), 0, "seed " + seed);
         }
     }
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -383,17 +383,17 @@
 
     @Test
     public void lingeringConnectionIsClosedAfterItsByteLimit() throws Exception {
-        try (Socket loud = connect("nothing\r\n\r\n")) {
-            assertTrue(readToEnd(loud).contains(" 400 "));
+        try (Socket client = connect("nothing\r\n\r\n")) {
+            assertTrue(readToEnd(client).contains(" 400 "));
             awaitConnections(1);
-            byte[] noise = new byte[64 * 1024];
+            byte[] bytes = new byte[64 * 1024];
             assertThrows(
                     IOException.class,
                     () -> {
                         // Many times the limit on discarded bytes and the size of the buffers of
                         // both ends.
                         for (int i = 0; i < 1024; i++) {
-                            loud.getOutputStream().write(noise);
+                            client.getOutputStream().write(bytes);
                         }
                     });
             awaitConnections(0);
@@ -725,8 +725,7 @@
     }
 
     @Test
-    public void drainClosesIdleConnectionsAndOthersAfterTheirAnswer()
-            throws Exception {
+    public void drainClosesIdleConnectionsAndOthersAfterTheirAnswer() throws Exception {
         immediateAnswer = HIT;
         try (Socket idle = connect(post("/q", "i", BODY))) {
             response(idle);
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -389,7 +389,7 @@
                 return;
             }
         }
-        throw new AssertionError("connections to port " + port + " still come up");
+        throw new AssertionError("connections to port " + port + " are still accepted");
     }
 
     @Test
@@ -506,17 +506,17 @@
     }
 
     /**
-     * Sends attempts whose connection is established only after the time has been set to {@code at}
-     * and {@code meanwhile} has run.
+     * Sends attempts whose connection is established only after the time has been set to {@code
+     * establishedAtMs} and {@code meanwhile} has run.
      */
-    private void sendAndComeUpLate(List<Attempt> attempts, double at, Runnable meanwhile)
-            throws Exception {
+    private void sendAndConnectLate(
+            List<Attempt> attempts, double establishedAtMs, Runnable meanwhile) throws Exception {
         loop.act(
                 () -> {
                     // All in one task of the event loop, so that the connection is established
                     // after it.
                     shards.send(attempts);
-                    now = at;
+                    now = establishedAtMs;
                     meanwhile.run();
                 });
     }
@@ -528,9 +528,9 @@
 
     @Test(dataProvider = "lateWrites")
     public void writtenPartHasTheTimeLeftAtTheWrite(
-            double at, String expectedTimeLeft) throws Exception {
+            double establishedAtMs, String expectedTimeLeft) throws Exception {
         start(32, 1, (socket, bytes) -> {});
-        sendAndComeUpLate(attempts("s", 1, "text"), at, () -> {});
+        sendAndConnectLate(attempts("s", 1, "text"), establishedAtMs, () -> {});
         String call = receivedByServer.poll(5, TimeUnit.SECONDS);
         assertTrue(call.contains("As.0 0 " + expectedTimeLeft), call);
     }
@@ -549,17 +549,17 @@
      */
     @Test(dataProvider = "tooLate")
     public void attemptIsNotWrittenWhenItsPartEndsBeforeTheConnectionIsEstablished(
-            double at, String happened) throws Exception {
+            double establishedAtMs, String happened) throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
-        sendAndComeUpLate(
+        sendAndConnectLate(
                 sent,
-                at,
+                establishedAtMs,
                 () -> {
                     switch (happened) {
                         case "left" ->
                                 coordinator.observe(
-                                        at,
+                                        establishedAtMs,
                                         List.of(
                                                 new Observation.ClientDisconnected(
                                                         sent.get(0).query())));
@@ -574,9 +574,9 @@
     @DataProvider
     Object[][] secondAttempts() {
         return new Object[][] {
-            // Idempotence of the query class, result of the first attempt, time in milliseconds
-            // when the connection of the second attempt is established, whether the second attempt
-            // is written.
+            // Idempotence of the query class, result of the first attempt (null while it is in
+            // flight), time in milliseconds when the connection of the second attempt is
+            // established, whether the second attempt is written.
             {
                 QueryClass.Idempotence.DEDUPLICATED,
                 new AttemptResult.ConnectionLost(WriteProgress.WRITTEN),
@@ -624,16 +624,19 @@
      */
     @Test(dataProvider = "secondAttempts")
     public void secondAttemptIsWrittenOnlyIfItCannotTakeEffectTwice(
-            QueryClass.Idempotence kind, AttemptResult first, double at, boolean written)
+            QueryClass.Idempotence kind,
+            AttemptResult firstResult,
+            double establishedAtMs,
+            boolean written)
             throws Exception {
         idempotence = kind;
         start(32, 1, (socket, bytes) -> {});
-        Attempt one = attempts("s", 1, "text").get(0);
-        if (first != null) {
-            coordinator.observe(1, List.of(new Observation.AttemptEnded(one, first)));
+        Attempt first = attempts("s", 1, "text").get(0);
+        if (firstResult != null) {
+            coordinator.observe(1, List.of(new Observation.AttemptEnded(first, firstResult)));
         }
         List<Attempt> sent = coordinator.tick(1).send();
-        sendAndComeUpLate(sent, at, () -> {});
+        sendAndConnectLate(sent, establishedAtMs, () -> {});
         if (written) {
             assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         } else {
--- a/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
@@ -114,9 +114,9 @@
                 "accepted late");
         assertTrue(
                 connection.backlogEmptyAtNanos() <= failingSince,
-                "seen empty "
+                "backlog observed empty "
                         + (connection.backlogEmptyAtNanos() - failingSince)
-                        + " ns after it began to fail");
+                        + " ns after the accepts began to fail");
         assertEquals(failures.get(), 0);
     }
 
@@ -136,7 +136,7 @@
         assertTrue(
                 connection.msSinceBacklogEmpty()
                         >= (connection.acceptedAtNanos() - connection.backlogEmptyAtNanos()) / 1e6,
-                "seen empty " + connection.msSinceBacklogEmpty() + " ms ago");
+                "backlog observed empty " + connection.msSinceBacklogEmpty() + " ms ago");
     }
 
     /**
--- a/gatherer/src/test/java/sprucehold/sockets/UnreadInputTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/UnreadInputTest.java
@@ -114,7 +114,7 @@
             client.setSoLinger(true, 10);
         }
         unblock.countDown();
-        assertFalse(open.get(10, TimeUnit.SECONDS), "it looks open");
+        assertFalse(open.get(10, TimeUnit.SECONDS), "the connection is reported as open");
         assertEquals(bytesRead.get(), bytes);
     }
 }
