--- a/gatherer/src/main/java/sprucehold/clients/package-info.java
+++ b/gatherer/src/main/java/sprucehold/clients/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The HTTP server: requests are read into queries, answers are written. The entry point is {@link
- * sprucehold.clients.ClientServer}; {@code QueryReader} and {@code AnswerWriter} are the only
- * places that know the headers and keys. It must never hold a request back, or answer one by itself
- * except to say that it can't be read.
+ * HTTP server that reads clients' requests into queries and writes their answers. The entry point
+ * is {@link sprucehold.clients.ClientServer}; {@code QueryReader} and {@code AnswerWriter} are the
+ * only classes that depend on the headers and JSON keys. This package must never delay a request.
+ * It answers a request by itself only if the request is a health check, isn't a valid query, has
+ * the id of an open query, or failed with an exception in this program.
  */
 package sprucehold.clients;
--- a/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientConnectionsTest.java
@@ -11,20 +11,20 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** When connections of clients end, without any. */
+/** Tests when clients' connections are closed, without sockets. */
 public class ClientConnectionsTest {
-    /** So long each connection may have waited to be accepted. */
+    /** Time that each connection may have waited in the listen backlog, in milliseconds. */
     private static final double BACKLOG_MS = 30;
 
     private double now;
-    private final List<String> done = new ArrayList<>();
+    private final List<String> closes = new ArrayList<>();
     private ClientConnections<String> connections;
 
     @BeforeMethod
     public void open() {
         now = 0;
         unread = null;
-        done.clear();
+        closes.clear();
         connections =
                 new ClientConnections<>(
                         4,
@@ -41,19 +41,24 @@
 
                             @Override
                             public void close(String connection) {
-                                done.add("shut " + connection);
+                                closes.add("shut " + connection);
                             }
 
                             @Override
                             public void closeNow(String connection) {
-                                done.add("cut " + connection);
+                                closes.add("cut " + connection);
                             }
                         });
     }
 
-    /** The connection on which a whole request lies unread. */
+    /** Connection on which a complete request is unread, or null. */
     private String unread;
 
+    /**
+     * Runs one step: a call on the connections, with the connection's name after it, or an advance
+     * of the clock by a number of milliseconds. "shut" in {@link #closes} is a lingering close, and
+     * "cut" an immediate one.
+     */
     private void step(String step) {
         String[] words = step.split(" ", -1);
         String c = words.length > 1 ? words[1] : "";
@@ -62,91 +67,101 @@
             case "head" -> connections.requestBegun(c);
             case "whole" -> connections.requestReceived(c);
             case "answered" -> connections.answered(c);
-            case "flooded" -> connections.flooded(c);
-            case "last" -> connections.lastAnswerBegun(c);
-            case "ends" -> connections.close(c);
-            case "shutting" -> connections.closingByHttpServer(c);
-            case "gone" -> connections.closed(c);
-            case "trim" -> connections.closeSurplus();
+            case "overflow" -> connections.inputOverflowed(c);
+            case "lastAnswer" -> connections.lastAnswerBegun(c);
+            case "close" -> connections.close(c);
+            case "serverClose" -> connections.closingByHttpServer(c);
+            case "closed" -> connections.closed(c);
+            case "closeSurplus" -> connections.closeSurplus();
             case "unread" -> unread = c;
             case "sweep" -> connections.markOverdue();
-            case "rests" -> connections.markIdle();
-            case "settle" -> connections.closeMarked();
+            case "markIdle" -> connections.markIdle();
+            case "closeMarked" -> connections.closeMarked();
             default -> now += Double.parseDouble(words[0]);
         }
     }
 
     @DataProvider
-    Object[][] days() {
+    Object[][] scenarios() {
         return new Object[][] {
-            // What happens, or how much time passes; and what is done.
-            {"open a, 2499, sweep, settle", ""},
-            {"open a, 2500, sweep, settle", "shut a"},
-            {"open a, head a, 2500, sweep, settle", "shut a"},
-            {"open a, 2500, sweep, head a, whole a, settle", ""},
-            {"open a, head a, whole a, 9000, sweep, settle", ""},
-            {"open a, head a, whole a, answered a, 19999, sweep, settle", ""},
-            {"open a, head a, whole a, answered a, 20000, sweep, settle", "shut a"},
-            {"open a, head a, whole a, answered a, 20000, sweep, head a, settle", ""},
-            {"open a, head a, whole a, answered a, 20000, sweep, unread a, settle", ""},
-            {"open a, 2500, sweep, unread a, settle", ""},
-            {"open a, open b, open c, head a, whole a, answered a, 2000, sweep, settle", "shut a"},
-            {"open a, head a, whole a, answered a, rests, settle", "shut a"},
-            {"open a, head a, whole a, answered a, rests, head a, settle", ""},
-            {"open a, head a, whole a, rests, settle", ""},
-            {"open a, open b, open c, open d, open e, trim", "shut a"},
-            {"open a, open b, open c, open d, open e, trim, open f, trim", "shut a, cut a, shut b"},
-            {"open a, open b, open c, open d, open e, unread a, trim", ""},
+            // Steps, where a number is the elapsed time in milliseconds; then the expected closes.
+            {"open a, 2499, sweep, closeMarked", ""},
+            {"open a, 2500, sweep, closeMarked", "shut a"},
+            {"open a, head a, 2500, sweep, closeMarked", "shut a"},
+            {"open a, 2500, sweep, head a, whole a, closeMarked", ""},
+            {"open a, head a, whole a, 9000, sweep, closeMarked", ""},
+            {"open a, head a, whole a, answered a, 19999, sweep, closeMarked", ""},
+            {"open a, head a, whole a, answered a, 20000, sweep, closeMarked", "shut a"},
+            {"open a, head a, whole a, answered a, 20000, sweep, head a, closeMarked", ""},
+            {"open a, head a, whole a, answered a, 20000, sweep, unread a, closeMarked", ""},
+            {"open a, 2500, sweep, unread a, closeMarked", ""},
+            {
+                "open a, open b, open c, head a, whole a, answered a, 2000, sweep, closeMarked",
+                "shut a"
+            },
+            {"open a, head a, whole a, answered a, markIdle, closeMarked", "shut a"},
+            {"open a, head a, whole a, answered a, markIdle, head a, closeMarked", ""},
+            {"open a, head a, whole a, markIdle, closeMarked", ""},
+            {"open a, open b, open c, open d, open e, closeSurplus", "shut a"},
+            {
+                "open a, open b, open c, open d, open e, closeSurplus, open f, closeSurplus",
+                "shut a, cut a, shut b"
+            },
+            {"open a, open b, open c, open d, open e, unread a, closeSurplus", ""},
             {
                 "open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
-                        + "open e, head e, whole e, 2000, unread a, trim",
+                        + "open e, head e, whole e, 2000, unread a, closeSurplus",
                 ""
             },
             {
                 "open a, head a, whole a, answered a, open b, head b, whole b, open c, head c, whole c, open d, head d, whole d, "
-                        + "open e, head e, whole e, 2000, trim",
+                        + "open e, head e, whole e, 2000, closeSurplus",
+                "shut a"
+            },
+            {
+                "open a, open b, open c, open d, open e, closeSurplus, closed a, closeSurplus",
                 "shut a"
             },
-            {"open a, open b, open c, open d, open e, trim, gone a, trim", "shut a"},
-            {"open a, head a, whole a, open b, open c, open d, open e, trim", "shut b"},
-            {"open a, head a, whole a, last a, 2499, sweep, settle", ""},
-            {"open a, head a, whole a, last a, 2500, sweep, settle", "shut a"},
-            {"open a, head a, whole a, last a, ends a, ends a", "shut a"},
-            {"open a, head a, whole a, flooded a, 9000, sweep, settle", ""},
-            {"open a, head a, whole a, answered a, flooded a", "shut a"},
-            {"open a, head a, whole a, answered a, shutting a, rests, settle", ""},
-            {"open a, shutting a, open b, open c, open d, open e, trim", "cut a"},
-            {"open a, ends a, gone a, ends a, 9000, sweep, settle", "shut a"},
+            {"open a, head a, whole a, open b, open c, open d, open e, closeSurplus", "shut b"},
+            {"open a, head a, whole a, lastAnswer a, 2499, sweep, closeMarked", ""},
+            {"open a, head a, whole a, lastAnswer a, 2500, sweep, closeMarked", "shut a"},
+            {"open a, head a, whole a, lastAnswer a, close a, close a", "shut a"},
+            {"open a, head a, whole a, overflow a, 9000, sweep, closeMarked", ""},
+            {"open a, head a, whole a, answered a, overflow a", "shut a"},
+            {"open a, head a, whole a, answered a, serverClose a, markIdle, closeMarked", ""},
+            {"open a, serverClose a, open b, open c, open d, open e, closeSurplus", "cut a"},
+            {"open a, close a, closed a, close a, 9000, sweep, closeMarked", "shut a"},
         };
     }
 
-    @Test(dataProvider = "days")
-    public void connectionsEndWhenTheyHoldAPlaceWithoutNeedAndNoSooner(String steps, String ends) {
+    @Test(dataProvider = "scenarios")
+    public void connectionsAreClosedWhenOverdueIdleOrSurplusAndNotEarlier(
+            String steps, String expectedCloses) {
         for (String step : steps.split(", ", -1)) {
             step(step);
         }
-        assertEquals(String.join(", ", done), ends);
+        assertEquals(String.join(", ", closes), expectedCloses);
     }
 
     @DataProvider
-    Object[][] heard() {
+    Object[][] inputStates() {
         return new Object[][] {
             {"open a", true},
             {"open a, head a, whole a, answered a", true},
-            {"open a, flooded a", false},
-            {"open a, head a, whole a, last a", false},
-            {"open a, ends a", false},
-            {"open a, gone a", false},
+            {"open a, overflow a", false},
+            {"open a, head a, whole a, lastAnswer a", false},
+            {"open a, close a", false},
+            {"open a, closed a", false},
         };
     }
 
-    @Test(dataProvider = "heard")
-    public void nothingMoreIsTakenFromWhoHasHadItsLastAnswer(String steps, boolean taken) {
+    @Test(dataProvider = "inputStates")
+    public void requestsAfterTheLastAnswerAreIgnored(String steps, boolean accepted) {
         for (String step : steps.split(", ", -1)) {
             step(step);
         }
-        assertEquals(connections.requestBegun("a"), taken);
-        assertEquals(connections.isUnheard("a"), !taken);
+        assertEquals(connections.requestBegun("a"), accepted);
+        assertEquals(connections.isInputIgnored("a"), !accepted);
     }
 
     @DataProvider
@@ -157,13 +172,13 @@
             {"open a, head a, 2000", 1},
             {"open a, head a, whole a", 0},
             {"open a, head a, whole a, answered a", 0},
-            {"open a, head a, gone a", 0},
+            {"open a, head a, closed a", 0},
             {"open a, open b, head b, 15", 2},
         };
     }
 
     @Test(dataProvider = "arriving")
-    public void requestsThatAreComingInAreCounted(String steps, int arriving) {
+    public void arrivingRequestsAreCounted(String steps, int arriving) {
         for (String step : steps.split(", ", -1)) {
             step(step);
         }
@@ -171,7 +186,7 @@
     }
 
     @Test
-    public void whenAConnectionCameStaysKnownThroughItsRequests() {
+    public void arrivalTimeIsKeptAcrossRequests() {
         for (String step :
                 List.of("100", "open a", "head a", "whole a", "7", "answered a", "5", "head a")) {
             step(step);
@@ -186,59 +201,65 @@
     }
 
     /**
-     * Whatever happens in whatever order: none is shut twice, none is cut that wasn't shut, and
-     * none is forgotten.
+     * For events in random order: no connection is closed twice, none is closed at once without an
+     * earlier lingering close, and none stays registered.
      */
     @Test
-    public void anyOrderOfEventsEndsEachConnectionOnce() {
+    public void eventsInRandomOrderCloseEachConnectionOnce() {
         String[] events = {
             "open",
             "head",
             "whole",
             "answered",
-            "flooded",
-            "last",
-            "ends",
-            "shutting",
-            "gone",
-            "trim",
+            "overflow",
+            "lastAnswer",
+            "close",
+            "serverClose",
+            "closed",
+            "closeSurplus",
             "sweep",
-            "rests",
-            "settle",
+            "markIdle",
+            "closeMarked",
             "700"
         };
         for (long seed = 0; seed < 300; seed++) {
             open();
-            var chance = new Random(seed);
+            var random = new Random(seed);
             var opened = new ArrayList<String>();
-            var shutting = new HashSet<String>();
+            var closedByServer = new HashSet<String>();
             for (int i = 0; i < 200; i++) {
-                String event = events[chance.nextInt(events.length)];
+                String event = events[random.nextInt(events.length)];
                 String c =
                         event.equals("open")
                                 ? "c" + opened.size()
                                 : opened.isEmpty()
                                         ? "c0"
-                                        : opened.get(chance.nextInt(opened.size()));
+                                        : opened.get(random.nextInt(opened.size()));
                 if (event.equals("open")) {
                     opened.add(c);
                 }
-                if (event.equals("shutting")) {
-                    shutting.add(c);
+                if (event.equals("serverClose")) {
+                    closedByServer.add(c);
                 }
-                step(event.matches("trim|sweep|rests|settle|700") ? event : event + " " + c);
+                step(
+                        event.matches("closeSurplus|sweep|markIdle|closeMarked|700")
+                                ? event
+                                : event + " " + c);
             }
             assertEquals(
-                    done.stream().distinct().count(), done.size(), "seed " + seed + ": " + done);
-            for (String end : done) {
-                // What is cut was shut before, by us or by its client's wish.
+                    closes.stream().distinct().count(),
+                    closes.size(),
+                    "seed " + seed + ": " + closes);
+            for (String end : closes) {
+                // A connection closed at once was being closed before, by the gatherer or at its
+                // client's request.
                 assertTrue(
                         !end.startsWith("cut")
-                                || done.contains(end.replace("cut", "shut"))
-                                || shutting.contains(end.substring(4)),
+                                || closes.contains(end.replace("cut", "shut"))
+                                || closedByServer.contains(end.substring(4)),
                         "seed " + seed);
             }
-            opened.forEach(c -> step("gone " + c));
+            opened.forEach(c -> step("closed " + c));
             assertEquals(connections.size(), 0, "seed " + seed);
         }
     }
