--- a/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminConfig.java
@@ -40,8 +40,8 @@
     /**
      * Reads the settings file and the token file that it names.
      *
-     * @throws IOException if a file can't be read or is invalid; the message lists all errors in one
-     *     line
+     * @throws IOException if a file can't be read or is invalid; the message lists all errors in
+     *     one line
      */
     public static AdminConfig read(Path file) throws IOException {
         JsonNode node = SettingsFile.read(file, SCHEMA);
--- a/gatherer/src/main/java/sprucehold/admin/AdminRoutes.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminRoutes.java
@@ -24,7 +24,8 @@
  * <tr><td>GET /change/document</td><td>the live document</td></tr>
  * <tr><td>GET /change/history</td><td>the status of each version</td></tr>
  * <tr><td>GET /change/proposal/ID</td><td>the version created from a proposal</td></tr>
- * <tr><td>POST /change/check</td><td>the changes made by a document, or its errors</td></tr>
+ * <tr><td>POST /change/check</td><td>the differences between the live document and the document in
+ *     the request, or the errors of the latter; nothing is changed</td></tr>
  * <tr><td>POST /change/propose</td><td>the version created from a document, or its errors</td></tr>
  * <tr><td>POST /change/confirm</td><td>the state, after the watched version is confirmed</td></tr>
  * <tr><td>POST /change/undo</td><td>the state, after the watched version is rolled back or the
--- a/gatherer/src/main/java/sprucehold/admin/AdminServer.java
+++ b/gatherer/src/main/java/sprucehold/admin/AdminServer.java
@@ -18,9 +18,9 @@
 import sprucehold.change.document.DocumentReader;
 
 /**
- * HTTP server for operators ({@code --door}). Each request and each response has one JSON value as
- * its body. The server limits connections and request sizes and rejects requests without the token;
- * {@link AdminRoutes} handles the others.
+ * HTTP server for operators ({@code --door}). Each response, and each request other than a GET
+ * request, has one JSON value as its body. The server limits connections and request sizes and
+ * rejects requests without the token; {@link AdminRoutes} handles the others.
  */
 public final class AdminServer {
     private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
@@ -124,7 +124,8 @@
                 });
     }
 
-    private static HttpServerResponse withHeaders(HttpServerRequest request, AdminResponse response) {
+    private static HttpServerResponse withHeaders(
+            HttpServerRequest request, AdminResponse response) {
         return request.response()
                 .setStatusCode(response.status())
                 .putHeader("Content-Type", "application/json");
--- a/gatherer/src/main/java/sprucehold/clustering/ClusterConfig.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterConfig.java
@@ -61,7 +61,8 @@
         for (JsonNode member : node.get("members")) {
             String name = member.get("name").asText();
             PeerMessagingSettings.Address address =
-                    parseAddress(file, "members[" + index + "].address", member.get("address").asText());
+                    parseAddress(
+                            file, "members[" + index + "].address", member.get("address").asText());
             PeerMessagingSettings.Address listen =
                     member.has("listen")
                             ? parseAddress(
@@ -109,8 +110,7 @@
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1));
         if (port < 1 || port > 65_535) {
-            throw new IOException(
-                    file + ", " + path + ": port " + port + "; expected 1 to 65535");
+            throw new IOException(file + ", " + path + ": port " + port + "; expected 1 to 65535");
         }
         return new PeerMessagingSettings.Address(text.substring(0, colon), port);
     }
--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -41,15 +41,17 @@
 
     /**
      * Time after which a rate reported by another gatherer has half its weight, in milliseconds.
-     * Load surges build up and end in about this time.
+     * Load surges build up and end in about this time, so an older rate says little about the
+     * current load.
      */
     private static final double RATE_HALF_LIFE_MS = 5000;
 
     /**
-     * Longest time between the decision to send an attempt and its write, in milliseconds. Consumed
-     * units count as used for this additional time. Therefore the value is no larger than the delay
-     * of a busy event loop plus a typical connect within an installation. An attempt that would
-     * be written later is sent to another replica instead.
+     * Longest time between the decision to send an attempt and its write, in milliseconds. Each use
+     * of a shared limit counts for this time in addition to the window of the limit. Therefore the
+     * value is no larger than the delay of a busy event loop plus a typical connect within an
+     * installation. An attempt that isn't written within this time is cancelled, and the decision
+     * policy can retry its part at another replica.
      */
     private static final double MAX_SEND_DELAY_MS = 100;
 
@@ -76,8 +78,8 @@
     private boolean isolated;
 
     /**
-     * @throws IllegalArgumentException if the cluster settings don't name this gatherer; the message
-     *     is one line
+     * @throws IllegalArgumentException if the cluster settings don't name this gatherer; the
+     *     message is one line
      */
     public ClusterMember(Vertx vertx, NodeConfig config, Clock clock, ClusterConfig clusterConfig) {
         this.vertx = vertx;
@@ -102,7 +104,8 @@
         double wallMs = clock.wallMs();
         this.session =
                 new CoordinationSession(
-                        new SessionSettings(Map.of(), clusterConfig.messagesPerSecond(), RATE_HALF_LIFE_MS),
+                        new SessionSettings(
+                                Map.of(), clusterConfig.messagesPerSecond(), RATE_HALF_LIFE_MS),
                         self,
                         own.site(),
                         (long) wallMs,
@@ -194,8 +197,8 @@
             isolated = session.isolated();
             LOG.warning(
                     isolated
-                            ? "no other gatherer answers: this gatherer continues within the"
-                                    + " limits that it may use alone"
+                            ? "no other gatherer answers: this gatherer continues with the units"
+                                    + " of the shared limits that it may use alone"
                             : "other gatherers answer again");
         }
     }
@@ -263,7 +266,10 @@
         boolean decreased =
                 !view.allowances().keySet().equals(passedAllowances.keySet())
                         || view.allowances().entrySet().stream()
-                                .anyMatch(entry -> entry.getValue() < passedAllowances.get(entry.getKey()));
+                                .anyMatch(
+                                        entry ->
+                                                entry.getValue()
+                                                        < passedAllowances.get(entry.getKey()));
         boolean changed =
                 !view.failureScores().equals(lastView.failureScores())
                         || view.gatherers() != lastView.gatherers()
@@ -279,10 +285,12 @@
     }
 
     @Override
-    public BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance use) {
-        passedAllowances.computeIfPresent(use.limit(), (limit, units) -> units - use.units());
+    public BooleanSupplier consumeAllowance(double nowMs, Command.ConsumeAllowance command) {
+        passedAllowances.computeIfPresent(
+                command.limit(), (limit, units) -> units - command.units());
         Grant grant =
-                allowances.consume(clock.monotonicMs(), clock.wallMs(), use.limit(), use.units());
+                allowances.consume(
+                        clock.monotonicMs(), clock.wallMs(), command.limit(), command.units());
         return grant == null
                 ? null
                 : () -> allowances.isValid(clock.monotonicMs(), clock.wallMs(), grant);
--- a/gatherer/src/main/java/sprucehold/discovery/EndpointListReader.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointListReader.java
@@ -73,7 +73,8 @@
                 || !node.path("index").isIntegralNumber()
                 || !node.path("snapshot").isBoolean()
                 || !node.path("endpoints").isArray()) {
-            throw new MalformedException("a list needs index, snapshot and endpoints");
+            throw new MalformedException(
+                    "index, snapshot or endpoints is missing or has the wrong type");
         }
         var servers = new ArrayList<EndpointUpdate>();
         for (JsonNode endpoint : node.get("endpoints")) {
@@ -89,13 +90,14 @@
             throws MalformedException {
         String name = endpoint.path("name").asText();
         if (name.isEmpty()) {
-            throw new MalformedException("an endpoint without a name");
+            throw new MalformedException("an endpoint has no name");
         }
         int group = endpoint.path("group").asInt(-1);
         String address = endpoint.path("address").asText();
         Optional<EndpointUpdate.State> state = parseStatus(endpoint.path("status").asText());
         boolean hasValidLocation = group >= 0 && group < replicaGroups && isAddress(address);
-        boolean usable = state.isPresent() && (hasValidLocation || state.get() == EndpointUpdate.State.GONE);
+        boolean usable =
+                state.isPresent() && (hasValidLocation || state.get() == EndpointUpdate.State.GONE);
         if (!usable) {
             LOG.warning("invalid endpoint, no attempts are sent to it: shard server " + name);
         }
--- a/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
@@ -20,9 +20,9 @@
 import sprucehold.coordinator.Observation;
 
 /**
- * Follows the endpoint list over HTTP by carrying out the steps of {@link EndpointWatchStateMachine}. A
- * failed call is reported as an observation. The next call is made when {@link #poll} is called, or
- * after the retry delay of the state machine.
+ * Follows the endpoint list over HTTP by carrying out the steps of {@link
+ * EndpointWatchStateMachine}. A failed call is reported as an observation. The next call is made
+ * when {@link #poll} is called, or after the retry delay of the state machine.
  */
 public final class EndpointWatch {
     private static final Logger LOG = Logger.getLogger(EndpointWatch.class.getName());
@@ -60,7 +60,9 @@
      * @param replicaGroups number of replica groups of the deployment
      * @param polled true if the list is polled, so that each call puts load on discovery; false if
      *     discovery pushes the list to an agent nearby
-     * @param maxPollIntervalMs longest delay between calls of a polled list, in milliseconds
+     * @param maxPollIntervalMs delay before a polled list is requested again after a failure if
+     *     {@link #poll} isn't called, in milliseconds; values below one second are raised to one
+     *     second
      * @param clock returns the time in milliseconds
      * @param observations receives the endpoint lists and the failures
      */
@@ -80,10 +82,10 @@
         this.stateMachine =
                 new EndpointWatchStateMachine(
                         !polled, Math.max(SHORTEST_POLL_INTERVAL_MS, maxPollIntervalMs));
-        connectTo(host, port);
+        setAddress(host, port);
     }
 
-    private void connectTo(String newHost, int newPort) {
+    private void setAddress(String newHost, int newPort) {
         host = newHost;
         port = newPort;
         client =
@@ -98,7 +100,7 @@
                                                 failure ->
                                                         LOG.log(
                                                                 Level.FINE,
-                                                                "connection to discovery",
+                                                                "connection to discovery failed",
                                                                 failure)))
                         .build();
     }
@@ -114,8 +116,8 @@
         }
         LOG.info("discovery address changed: " + newHost + ":" + newPort);
         HttpClient old = client;
-        connectTo(newHost, newPort);
-        carryOut(stateMachine.moved(clock.getAsDouble()));
+        setAddress(newHost, newPort);
+        carryOut(stateMachine.addressChanged(clock.getAsDouble()));
         old.close();
     }
 
@@ -204,7 +206,7 @@
                                                     response.statusCode() == 200
                                                             ? response.body()
                                                             : Future.failedFuture(
-                                                                    "status "
+                                                                    "HTTP status "
                                                                             + response
                                                                                     .statusCode()));
                         })
--- a/gatherer/src/main/java/sprucehold/discovery/EndpointWatchStateMachine.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointWatchStateMachine.java
@@ -7,11 +7,13 @@
  * State machine that follows the endpoint list by long polling. It does no I/O: its methods take
  * the time and the results of calls, and return the steps to carry out.
  *
- * <p>One call is kept open whenever possible. When discovery is reachable again after an outage, it answers
- * the open call at once. The changes in that response count as delivered to the gatherer at that
- * moment, so a gatherer without an open call would act on them too late. A call whose connection is
- * broken can't be told from a call that waits for a change. Therefore the timeouts depend on the
- * way the list is obtained:
+ * <p>One call is kept open whenever possible. When discovery is reachable again after an outage, it
+ * answers the open call at once. The gatherer counts as notified of the changes in that response
+ * from that moment on, so without an open call it would act on them too late: it could still send
+ * attempts to a shard server whose drain grace period has ended.
+ *
+ * <p>A call whose connection was lost without a reset can't be distinguished from a call that waits
+ * for a change. Therefore the timeouts depend on the way the list is obtained:
  *
  * <ul>
  *   <li>If the list is pushed to an agent nearby, calls put no load on discovery and wait for a
@@ -25,28 +27,31 @@
     static final int POLLED_WAIT_MS = 20_000;
 
     /**
-     * Longest time that the agent may keep a call open, in milliseconds. A change that isn't
-     * delivered because the connection of a call is broken counts as delivered six seconds after
-     * the connection broke. This time and {@link #TRANSIT_MS} together use half of that, so that a
-     * second call can still deliver the change in time.
+     * Longest time that the agent may keep a call open, in milliseconds. If the connection of a
+     * call is lost without a reset, the gatherer counts as notified of the changes that the call
+     * didn't deliver six seconds after the loss. This time and {@link #TRANSIT_MS} together are
+     * three seconds, so that a second call can still deliver the changes in time.
      */
     static final int PUSHED_WAIT_MS = 2000;
 
-    /** Shortest time that a call can wait, in milliseconds; it returns the current changes. */
+    /** Shortest wait of a call, in milliseconds; its response contains the changes so far. */
     private static final int SHORTEST_WAIT_MS = 1;
 
-    /** Time that a response may take on the network beyond the wait of its call, in milliseconds. */
+    /**
+     * Time that a response may take on the network beyond the wait of its call, in milliseconds.
+     */
     static final int TRANSIT_MS = 1000;
 
     /**
-     * Timeout of a call to the agent, in milliseconds. It is longer than the time after which two
-     * further calls have replaced the call.
+     * Timeout of a call to the agent, in milliseconds. It is longer than the time after which an
+     * overdue call is dropped, which happens when the next call is overdue too.
      */
     private static final int PUSHED_TIMEOUT_MS = 20_000;
 
     /**
-     * Delay before the next call, in milliseconds. Discovery ends a watch if no call follows within
-     * 200 ms; this delay is well below that limit.
+     * Delay before the next call after the first failure of a pushed list, and after a response
+     * without a change that came in less than this time; in milliseconds. Discovery ends the watch
+     * of a gatherer if no call follows within 200 ms; this delay is well below that limit.
      */
     private static final int RETRY_PAUSE_MS = 50;
 
@@ -68,7 +73,10 @@
         }
     }
 
-    /** Step to carry out; the steps of a list are carried out in its order. */
+    /**
+     * Step that the caller carries out. Each method returns its steps in the order in which they
+     * must be carried out.
+     */
     sealed interface Step {
         /** Makes a call. */
         record MakeCall(Call call) implements Step {}
@@ -80,8 +88,8 @@
         record Report(EndpointList list) implements Step {}
 
         /**
-         * Reports that the list is unavailable. The decision policy, which receives the report,
-         * decides when to poll again.
+         * Reports that the list is unavailable. The decision policy receives the report and may
+         * request a poll. Without a poll, the state machine makes the next call itself.
          *
          * @param reason cause of the failure
          */
@@ -186,21 +194,21 @@
 
     /** Handles the response to a call. */
     List<Step> answered(double nowMs, long number, EndpointList list) {
-        boolean ofCurrent = current != null && number == current.number;
-        if (!ofCurrent && (overdue == null || number != overdue.number)) {
+        boolean isCurrent = current != null && number == current.number;
+        if (!isCurrent && (overdue == null || number != overdue.number)) {
             return List.of();
         }
         if (list.index() < index) {
             // The version decreased, so later changes from discovery don't apply to the list that
             // this gatherer has.
-            current = ofCurrent ? null : current;
-            overdue = ofCurrent ? overdue : null;
+            current = isCurrent ? null : current;
+            overdue = isCurrent ? overdue : null;
             dropCalls();
             index = -1;
             fail(nowMs, "list index decreased");
             return takeSteps();
         }
-        boolean newer = list.index() > index || (ofCurrent && !list.servers().isEmpty());
+        boolean newer = list.index() > index || (isCurrent && !list.servers().isEmpty());
         index = list.index();
         if (unavailable) {
             unavailable = false;
@@ -209,7 +217,7 @@
         if (newer) {
             steps.add(new Step.Report(list));
         }
-        if (!ofCurrent) {
+        if (!isCurrent) {
             overdue = null;
             return takeSteps();
         }
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
@@ -33,21 +33,23 @@
     private static final Logger LOG = Logger.getLogger(PeerMessaging.class.getName());
 
     /**
-     * Maximum number of datagrams read per second. It is about ten times the rate at which a hundred
-     * gatherers send to one gatherer during failures. Further datagrams are dropped unread, so that a
-     * flood doesn't keep the event loop from serving clients.
+     * Maximum number of datagrams read per second. It is about ten times the rate at which a
+     * hundred gatherers send to one gatherer during failures. Further datagrams are dropped unread,
+     * so that a flood doesn't keep the event loop from serving clients.
      */
     private static final double MAX_DATAGRAMS_PER_SECOND = 5000;
 
     /**
-     * Maximum number of concurrent incoming connections for long messages. A sender whose connection
-     * is rejected compares membership tables again two seconds later.
+     * Maximum number of concurrent incoming connections for long messages. The message of a
+     * rejected connection is lost. Its sender compares membership tables again two seconds later,
+     * so the tables are exchanged then if they still differ.
      */
     private static final int MAX_STREAMS = 8;
 
     /**
-     * Time after which an incoming or outgoing connection is closed, in seconds. A long message
-     * takes far less time.
+     * Time after which a connection is closed, in seconds. For an incoming connection it counts
+     * from the accept, for an outgoing one from the last traffic. A long message takes far less
+     * time.
      */
     private static final int STREAM_TIMEOUT_S = 2;
 
@@ -67,7 +69,10 @@
         private long foreign;
         private long notRead;
 
-        /** Returns the number of messages sent. */
+        /**
+         * Returns the number of messages sent, including long messages for which no connection was
+         * established afterwards.
+         */
         public long sent() {
             return sent;
         }
@@ -140,12 +145,13 @@
     }
 
     /**
-     * Starts listening; the future returns the port. If the address can't be bound, the future fails
-     * with a message of one line.
+     * Starts listening; the future returns the port. If the address can't be bound, the future
+     * fails with a message of one line.
      */
     public Future<Integer> open() {
         datagrams = vertx.createDatagramSocket();
-        datagrams.exceptionHandler(failure -> LOG.log(Level.FINE, "peer messaging", failure));
+        datagrams.exceptionHandler(
+                failure -> LOG.log(Level.FINE, "peer messaging: datagram socket failed", failure));
         server =
                 vertx.createNetServer(new NetServerOptions().setIdleTimeout(STREAM_TIMEOUT_S))
                         .connectHandler(this::streamAccepted);
@@ -190,13 +196,23 @@
         if (bytes.length <= Codec.MAX_DATAGRAM_BYTES) {
             datagrams
                     .send(Buffer.buffer(bytes), address.port(), address.host())
-                    .onFailure(failure -> LOG.log(Level.FINE, "peer messaging", failure));
+                    .onFailure(
+                            failure ->
+                                    LOG.log(
+                                            Level.FINE,
+                                            "peer messaging: sending a datagram failed",
+                                            failure));
         } else {
             client.connect(SocketAddress.inetSocketAddress(address.port(), address.host()))
                     .onComplete(
                             socket -> {
                                 socket.exceptionHandler(
-                                        failure -> LOG.log(Level.FINE, "peer messaging", failure));
+                                        failure ->
+                                                LOG.log(
+                                                        Level.FINE,
+                                                        "peer messaging: outgoing connection"
+                                                                + " failed",
+                                                        failure));
                                 socket.write(
                                                 Buffer.buffer(4 + bytes.length)
                                                         .appendInt(bytes.length)
@@ -230,10 +246,12 @@
         }
         streams.add(socket);
         // The timeout covers the whole message, so that a sender that trickles bytes can't occupy
-        // one of the connections.
+        // one of the connections for longer.
         long timeout = vertx.setTimer(1000L * STREAM_TIMEOUT_S, none -> socket.close());
         var bytes = Buffer.buffer();
-        socket.exceptionHandler(failure -> LOG.log(Level.FINE, "peer messaging", failure));
+        socket.exceptionHandler(
+                failure ->
+                        LOG.log(Level.FINE, "peer messaging: incoming connection failed", failure));
         socket.closeHandler(
                 none -> {
                     vertx.cancelTimer(timeout);
@@ -299,7 +317,11 @@
                                 + refused.reason());
             }
         } else if (LOG.isLoggable(Level.FINE)) {
-            LOG.fine("not a message from a known gatherer, from " + sender + ": " + received);
+            LOG.fine(
+                    "received bytes from "
+                            + sender
+                            + " that are no message from a known gatherer: "
+                            + received);
         }
     }
 
--- a/gatherer/src/test/java/sprucehold/clustering/ClusterConfigTest.java
+++ b/gatherer/src/test/java/sprucehold/clustering/ClusterConfigTest.java
@@ -37,7 +37,8 @@
                         new PeerMessagingSettings.Address("10.0.0.1", 8700),
                         new PeerMessagingSettings.Address("10.0.0.1", 8700)));
         assertEquals(
-                config.members().get("b").listen(), new PeerMessagingSettings.Address("0.0.0.0", 9));
+                config.members().get("b").listen(),
+                new PeerMessagingSettings.Address("0.0.0.0", 9));
         assertEquals(config.shared(), Set.of(SharedLimit.Kind.SLOW_START));
     }
 
--- a/gatherer/src/test/java/sprucehold/discovery/EndpointWatchStateMachineTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchStateMachineTest.java
@@ -14,23 +14,23 @@
 
 /**
  * Compares, on a virtual clock, the time at which the gatherer receives each change of the endpoint
- * list with the time at which the change counts as delivered to the gatherer.
+ * list with the time from which the gatherer counts as notified of the change.
  */
 public class EndpointWatchStateMachineTest {
     /** Network delay of a request or a response, in milliseconds. */
     private static final double TRANSIT_MS = 1;
 
     /**
-     * Shortest drain grace period of any deployment, in milliseconds. A gatherer may still send to a
-     * shard server for this time after the drain was delivered.
+     * Shortest drain grace period of any deployment, in milliseconds. A gatherer may still send to
+     * a shard server for this time after it counts as notified of the drain.
      */
     private static final double GRACE_MS = 250;
 
     private record ScheduledAction(double atMs, long order, Runnable action) {}
 
     /**
-     * Simulation of an agent of discovery and of the state machine of one gatherer. The agent behaves as the
-     * discovery protocol and the fault-injection test bed define.
+     * Simulation of an agent of discovery and of the state machine of one gatherer. The agent
+     * behaves as the discovery protocol and the fault-injection test bed define.
      */
     private static final class Simulation {
         private final PriorityQueue<ScheduledAction> scheduled =
@@ -160,7 +160,12 @@
             List.copyOf(waitingCalls.keySet())
                     .forEach(
                             number ->
-                                    end(number, () -> carryOut(stateMachine.failed(nowMs, number, "reset"))));
+                                    end(
+                                            number,
+                                            () ->
+                                                    carryOut(
+                                                            stateMachine.failed(
+                                                                    nowMs, number, "reset"))));
         }
 
         void setDown(boolean newDown) {
@@ -187,7 +192,9 @@
             at(0, () -> carryOut(stateMachine.poll(nowMs)));
             int steps = 0;
             while (!scheduled.isEmpty() && scheduled.peek().atMs <= untilMs) {
-                assertTrue(++steps < 100_000, "the state machine schedules steps without end at " + nowMs);
+                assertTrue(
+                        ++steps < 100_000,
+                        "the state machine schedules steps without end at " + nowMs);
                 ScheduledAction next = scheduled.poll();
                 nowMs = next.atMs;
                 next.action.run();
@@ -202,12 +209,14 @@
     Object[][] changes() {
         var rows = new ArrayList<Object[]>();
         // Each row: the disturbance at START_MS, the time from START_MS to the change of the list,
-        // and the time from START_MS after which the change counts as delivered.
+        // and the time from START_MS after which the gatherer counts as notified of the change, all
+        // in milliseconds.
         for (double after : new double[] {0, 1, 60, 199, 900, 2500, 5900, 7000, 20_500}) {
             rows.add(new Object[] {"no disturbance", after, after});
             rows.add(new Object[] {"reset", after, after});
-            // A call that fell silent delays delivery by up to six seconds, independent of its
-            // start and of its wait time.
+            // After a call fell silent, the gatherer counts as notified of a change six seconds
+            // after the silence began, or at the change if that is later. The start and the wait
+            // time of the call make no difference.
             rows.add(new Object[] {"silence", after, Math.max(6000, after)});
             rows.add(
                     new Object[] {
@@ -222,8 +231,8 @@
     }
 
     @Test(dataProvider = "changes")
-    public void changeDuringDisturbanceIsReceivedBeforeTheGracePeriodAfterItsDeliveryEnds(
-            String disturbance, double after, double delivered) {
+    public void changeDuringDisturbanceIsReceivedBeforeTheGracePeriodAfterNotificationEnds(
+            String disturbance, double after, double notified) {
         // Covers all phases of the sequence of calls.
         for (double phase = 0; phase < 2200; phase += 37) {
             var simulation = new Simulation(true);
@@ -233,7 +242,8 @@
                     () -> {
                         switch (disturbance) {
                             case "reset" -> simulation.resetWaitingCalls();
-                            case "silence", "silence and down for 8 s" -> simulation.silenceWaitingCalls();
+                            case "silence", "silence and down for 8 s" ->
+                                    simulation.silenceWaitingCalls();
                             case "address change" -> simulation.changeAddress();
                             default -> {}
                         }
@@ -245,22 +255,22 @@
                         }
                     });
             if (disturbance.contains("of all")) {
-                for (double at = 0; at < 1000; at += 5) {
-                    simulation.at(start + at, simulation::silenceWaitingCalls);
+                for (double offsetMs = 0; offsetMs < 1000; offsetMs += 5) {
+                    simulation.at(start + offsetMs, simulation::silenceWaitingCalls);
                 }
             }
             simulation.at(start + after, simulation::changeList);
             simulation.run(start + 60_000);
             double received = simulation.receivedAtMs.get(2L) - start;
             assertTrue(
-                    received <= delivered + GRACE_MS,
+                    received <= notified + GRACE_MS,
                     disturbance
                             + ", phase "
                             + phase
                             + ": received after "
                             + received
-                            + " ms, counts as delivered after "
-                            + delivered
+                            + " ms, counts as notified after "
+                            + notified
                             + " ms");
         }
     }
@@ -279,8 +289,8 @@
     }
 
     /**
-     * A change counts as delivered six seconds after discovery had it and was reachable. Calls that
-     * failed or timed out before must not delay it further.
+     * The gatherer counts as notified of a change six seconds after discovery had the change and
+     * was reachable. Calls that failed or timed out before don't extend this time.
      */
     @Test(dataProvider = "outages")
     public void changeAfterFailedCallsIsReceivedWithinSixSecondsOfDiscoveryBeingReachable(
@@ -299,24 +309,24 @@
             simulation.at(start + after, simulation::changeList);
             simulation.run(start + 80_000);
             double received = simulation.receivedAtMs.get(2L) - start;
-            double delivered = Math.max(downMs, after) + 6000;
+            double notified = Math.max(downMs, after) + 6000;
             assertTrue(
-                    received <= delivered,
+                    received <= notified,
                     "pushed "
                             + pushed
                             + ", phase "
                             + phase
                             + ": received after "
                             + received
-                            + " ms, counts as delivered after "
-                            + delivered
+                            + " ms, counts as notified after "
+                            + notified
                             + " ms");
         }
     }
 
     /**
-     * The list of the agent counts as delivered from the start of the process. A list that the agent
-     * receives at the end of an outage counts as delivered at once.
+     * A gatherer counts as notified of the list of the agent from the start of the process. If the
+     * agent receives a list at the end of an outage, the gatherer counts as notified of it at once.
      */
     @Test
     public void processStartedDuringAnOutageReceivesTheListAtItsEnd() {
@@ -338,7 +348,9 @@
             simulation.run(60_000);
             // One call for the complete list, then one every 2 s if pushed or every 20 s if polled.
             assertTrue(
-                    pushed ? simulation.callsMade >= 29 && simulation.callsMade <= 32 : simulation.callsMade == 4,
+                    pushed
+                            ? simulation.callsMade >= 29 && simulation.callsMade <= 32
+                            : simulation.callsMade == 4,
                     String.valueOf(simulation.callsMade));
         }
     }
@@ -353,9 +365,15 @@
                 stateMachine.answered(3002, 3, new EndpointList(4, false, List.of()));
         assertEquals(steps.get(0), new EndpointWatchStateMachine.Step.DropCall(2));
         assertTrue(
-                steps.contains(new EndpointWatchStateMachine.Step.ReportUnavailable("list index decreased")),
+                steps.contains(
+                        new EndpointWatchStateMachine.Step.ReportUnavailable(
+                                "list index decreased")),
                 steps.toString());
-        assertEquals(((EndpointWatchStateMachine.Step.MakeCall) stateMachine.poll(3010).get(0)).call().after(), -1);
+        assertEquals(
+                ((EndpointWatchStateMachine.Step.MakeCall) stateMachine.poll(3010).get(0))
+                        .call()
+                        .after(),
+                -1);
     }
 
     @Test
@@ -377,7 +395,8 @@
         stateMachine.poll(0);
         long open = 1;
         for (int i = 0; i < 20; i++) {
-            List<EndpointWatchStateMachine.Step> steps = stateMachine.timerFired(stateMachine.timerAtMs());
+            List<EndpointWatchStateMachine.Step> steps =
+                    stateMachine.timerFired(stateMachine.timerAtMs());
             open +=
                     steps.stream()
                             .filter(EndpointWatchStateMachine.Step.MakeCall.class::isInstance)
--- a/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
@@ -225,7 +225,8 @@
         first.response().end(list(7, true, endpoint(",\"name\":\"new\"")));
         assertEquals(((Observation.EndpointsUpdated) nextReport()).updates().get(0).name(), "new");
         assertEquals(
-                callsAtNewAddress.poll(5, TimeUnit.SECONDS).uri(), "/discovery/hosts?after=7&wait_ms=2000");
+                callsAtNewAddress.poll(5, TimeUnit.SECONDS).uri(),
+                "/discovery/hosts?after=7&wait_ms=2000");
         assertTrue(reports.isEmpty());
     }
 
@@ -265,8 +266,8 @@
         Future<Void> first = watch.start();
         nextCall("/discovery/hosts");
         first.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-        // A call stays open, since a list counts as delivered as soon as discovery can send it
-        // again.
+        // A call stays open, since the gatherer counts as notified of the list as soon as discovery
+        // can answer again.
         nextCall("/discovery/hosts").response().end(list(41, true, endpoint("")));
         assertTrue(nextReport() instanceof Observation.EndpointsUnavailable);
         assertTrue(nextReport() instanceof Observation.EndpointsUpdated);
@@ -307,7 +308,8 @@
     }
 
     @Test(dataProvider = "failures")
-    public void failedCallOfAPolledListIsReportedAndRepeatedByPoll(String failure) throws Exception {
+    public void failedCallOfAPolledListIsReportedAndRepeatedByPoll(String failure)
+            throws Exception {
         watch.stop();
         watch = newWatch(port, true);
         HttpServerRequest request = startAtVersion41(20_000);
@@ -326,7 +328,8 @@
                         failure.equals("index decreased")
                                 ? "/discovery/hosts"
                                 : "/discovery/hosts?after=41&wait_ms=1");
-        request.response().end(list(40 + (failure.equals("index decreased") ? 0 : 2), true, endpoint("")));
+        request.response()
+                .end(list(40 + (failure.equals("index decreased") ? 0 : 2), true, endpoint("")));
         assertTrue(nextReport() instanceof Observation.EndpointsUpdated);
     }
 }
--- a/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
+++ b/gatherer/src/test/java/sprucehold/messaging/PeerMessagingTest.java
@@ -79,8 +79,18 @@
         toB.clear();
         portA = freePort();
         portB = freePort();
-        a = openMessaging("a", portA, Map.of("b", new PeerMessagingSettings.Address(LOOPBACK_HOST, portB)), toA);
-        b = openMessaging("b", portB, Map.of("a", new PeerMessagingSettings.Address(LOOPBACK_HOST, portA)), toB);
+        a =
+                openMessaging(
+                        "a",
+                        portA,
+                        Map.of("b", new PeerMessagingSettings.Address(LOOPBACK_HOST, portB)),
+                        toA);
+        b =
+                openMessaging(
+                        "b",
+                        portB,
+                        Map.of("a", new PeerMessagingSettings.Address(LOOPBACK_HOST, portA)),
+                        toB);
     }
 
     private PeerMessaging openMessaging(
@@ -94,9 +104,11 @@
                     var messaging =
                             new PeerMessaging(
                                     vertx,
-                                    new PeerMessagingSettings(self, LOOPBACK_HOST, port, peers, 100_000),
+                                    new PeerMessagingSettings(
+                                            self, LOOPBACK_HOST, port, peers, 100_000),
                                     () -> now,
-                                    (from, message) -> received.add(new ReceivedMessage(from, message)));
+                                    (from, message) ->
+                                            received.add(new ReceivedMessage(from, message)));
                     return messaging.open().map(messaging);
                 });
     }
@@ -141,9 +153,13 @@
     }
 
     @Test(dataProvider = "messages")
-    public void messageIsReceivedAsItWasSent(String description, ClusterMessage message) throws Exception {
+    public void messageIsReceivedAsItWasSent(String description, ClusterMessage message)
+            throws Exception {
         send(a, "b", message);
-        assertEquals(toB.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", message), description);
+        assertEquals(
+                toB.poll(TIMEOUT_S, TimeUnit.SECONDS),
+                new ReceivedMessage("a", message),
+                description);
     }
 
     @DataProvider
@@ -172,9 +188,11 @@
                             bytes, bytes.length, new InetSocketAddress(LOOPBACK, portB)));
             byte[] valid = new Codec("a").write("b", PING, 1);
             socket.send(
-                    new DatagramPacket(valid, valid.length, new InetSocketAddress(LOOPBACK, portB)));
+                    new DatagramPacket(
+                            valid, valid.length, new InetSocketAddress(LOOPBACK, portB)));
         }
-        assertEquals(toB.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", PING), description);
+        assertEquals(
+                toB.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", PING), description);
         assertTrue(toB.isEmpty(), description);
     }
 
@@ -196,18 +214,22 @@
 
     @Test(dataProvider = "invalidStreams")
     public void connectionWithoutValidMessageIsClosedAndTheNextMessageIsRead(
-            String description, byte[] bytes)
-            throws Exception {
+            String description, byte[] bytes) throws Exception {
         try (var socket = new Socket(LOOPBACK, portB)) {
             socket.getOutputStream().write(bytes);
             if (bytes.length > 4 && bytes.length < 100) {
                 socket.setSoTimeout(1000 * TIMEOUT_S);
                 assertEquals(
-                        socket.getInputStream().read(), -1, "closed by the other side: " + description);
+                        socket.getInputStream().read(),
+                        -1,
+                        "closed by the other side: " + description);
             }
         }
         send(a, "b", membershipTable(200));
-        assertEquals(toB.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", membershipTable(200)), description);
+        assertEquals(
+                toB.poll(TIMEOUT_S, TimeUnit.SECONDS),
+                new ReceivedMessage("a", membershipTable(200)),
+                description);
         assertTrue(toB.isEmpty(), description);
     }
 
@@ -236,7 +258,9 @@
         long rejected = runOnEventLoop(() -> Future.succeededFuture(b.counters().notRead()));
         // Fewer than 12 are rejected only if the first connections timed out before the last ones
         // were made.
-        assertTrue(rejected > 0 && rejected <= 12, "eight are accepted at a time; rejected: " + rejected);
+        assertTrue(
+                rejected > 0 && rejected <= 12,
+                "eight are accepted at a time; rejected: " + rejected);
     }
 
     @Test
@@ -249,11 +273,14 @@
                     return Future.succeededFuture();
                 });
         int size = new Codec("a").write("b", PING, 1).length;
-        assertEquals((long) runOnEventLoop(() -> Future.succeededFuture(a.counters().sent())), 100_000L / size);
+        assertEquals(
+                (long) runOnEventLoop(() -> Future.succeededFuture(a.counters().sent())),
+                100_000L / size);
         now = 1000;
         send(a, "b", PING);
         assertEquals(
-                (long) runOnEventLoop(() -> Future.succeededFuture(a.counters().sent())), 100_000L / size + 1);
+                (long) runOnEventLoop(() -> Future.succeededFuture(a.counters().sent())),
+                100_000L / size + 1);
     }
 
     @Test
@@ -268,10 +295,14 @@
                 for (int i = 0; i < 200; i++) {
                     socket.send(
                             new DatagramPacket(
-                                    encoded, encoded.length, new InetSocketAddress(LOOPBACK, portB)));
+                                    encoded,
+                                    encoded.length,
+                                    new InetSocketAddress(LOOPBACK, portB)));
                 }
             }
-            assertEquals((long) runOnEventLoop(() -> Future.succeededFuture(b.counters().received())), 5000L);
+            assertEquals(
+                    (long) runOnEventLoop(() -> Future.succeededFuture(b.counters().received())),
+                    5000L);
             now = 1000;
             toB.clear();
             socket.send(
@@ -300,11 +331,13 @@
             }
             byte[] valid = new Codec("a").write("b", PING, 1);
             socket.send(
-                    new DatagramPacket(valid, valid.length, new InetSocketAddress(LOOPBACK, portB)));
+                    new DatagramPacket(
+                            valid, valid.length, new InetSocketAddress(LOOPBACK, portB)));
             var refusal = new DatagramPacket(new byte[1500], 1500);
             socket.receive(refusal);
             assertEquals(
-                    new String(refusal.getData(), 7, refusal.getLength() - 7, StandardCharsets.UTF_8),
+                    new String(
+                            refusal.getData(), 7, refusal.getLength() - 7, StandardCharsets.UTF_8),
                     "version 9 can't be read here, 1 to 1 can");
             assertEquals(toB.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", PING));
             // All three messages were read before the valid one, so a second refusal would have
@@ -343,7 +376,8 @@
                 socket.send(
                         new DatagramPacket(
                                 encoded, encoded.length, new InetSocketAddress(LOOPBACK, port)));
-                assertEquals(received.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", PING));
+                assertEquals(
+                        received.poll(TIMEOUT_S, TimeUnit.SECONDS), new ReceivedMessage("a", PING));
             }
         }
     }
@@ -355,7 +389,8 @@
                 none ->
                         new PeerMessaging(
                                         vertx,
-                                        new PeerMessagingSettings("d", LOOPBACK_HOST, portB, Map.of(), 1e6),
+                                        new PeerMessagingSettings(
+                                                "d", LOOPBACK_HOST, portB, Map.of(), 1e6),
                                         () -> now,
                                         (from, message) -> {})
                                 .open()
