--- a/change/src/main/java/sprucehold/change/document/ChangeList.java
+++ b/change/src/main/java/sprucehold/change/document/ChangeList.java
@@ -7,7 +7,10 @@
 import sprucehold.change.document.DocumentDifference.Change;
 import sprucehold.change.document.DocumentDifference.Risk;
 
-/** Collects changes, and describes and rates those of single numbers and flags. */
+/**
+ * Collects the changes between two documents. It describes changes of single numbers and flags and
+ * rates their risk.
+ */
 final class ChangeList {
     /** A reduction of at least this fraction is {@link Risk#HIGH}. */
     private static final double LARGE_REDUCTION = 0.25;
@@ -15,13 +18,13 @@
     /** A reduction of at most this fraction is {@link Risk#LOW}. */
     private static final double SMALL_REDUCTION = 0.05;
 
-    /** Keeps the division defined where a value is 0. */
+    /** Lower limit of the divisor of a reduction, as a value may be 0. */
     private static final double SMALLEST_DIVISOR = 1e-9;
 
-    /** Whole numbers from here on are written with an exponent. */
+    /** Whole numbers from this magnitude on are written with an exponent. */
     private static final double LARGEST_PLAIN_NUMBER = 1e15;
 
-    /** Which direction of a number's change takes something away. */
+    /** Direction in which a change of a number restricts service. */
     enum Restrictive {
         WHEN_LOWER,
         WHEN_HIGHER
@@ -34,10 +37,10 @@
     }
 
     /**
-     * Adds the change of a number, if it changed.
+     * Adds a change if the number differs.
      *
-     * @param subject what the number is, as the sentence's subject
-     * @param unit with a space before it; empty for none
+     * @param subject name of the number, as the subject of the description
+     * @param unit the unit with a space before it; empty for none
      */
     void compareNumbers(
             String path,
@@ -56,7 +59,10 @@
                 risk(reduction(before, after, restrictive)));
     }
 
-    /** The fraction that is taken away, negative if something is added. */
+    /**
+     * Returns the fraction by which the number became more restrictive; negative if it became less
+     * restrictive.
+     */
     private static double reduction(double before, double after, Restrictive restrictive) {
         return restrictive == Restrictive.WHEN_LOWER
                 ? (before - after) / Math.max(Math.abs(before), SMALLEST_DIVISOR)
@@ -70,7 +76,7 @@
         return reduction > SMALL_REDUCTION ? Risk.MIDDLE : Risk.LOW;
     }
 
-    /** Adds the change of a permission, if it changed. */
+    /** Adds a change if the permission differs. */
     void compareFlags(String path, String subject, boolean before, boolean after) {
         if (before != after) {
             add(
@@ -80,14 +86,17 @@
         }
     }
 
-    /** All changes, the riskiest first; changes of one risk stay in the order of their adding. */
+    /**
+     * Returns all changes, the riskiest first; changes of equal risk stay in the order in which
+     * they were added.
+     */
     DocumentDifference toDifference() {
         changes.sort(Comparator.comparing(Change::risk).reversed());
         Risk greatest = changes.isEmpty() ? Risk.NONE : changes.get(0).risk();
         return new DocumentDifference(List.copyOf(changes), greatest);
     }
 
-    /** Whole numbers without a fraction, others with four significant digits. */
+    /** Formats whole numbers without a fraction, and others with four significant digits. */
     static String format(double value) {
         return value == Math.rint(value) && Math.abs(value) < LARGEST_PLAIN_NUMBER
                 ? Long.toString((long) value)
--- a/change/src/main/java/sprucehold/change/document/ConfigurationDocument.java
+++ b/change/src/main/java/sprucehold/change/document/ConfigurationDocument.java
@@ -10,17 +10,18 @@
 import sprucehold.decision.Tenant;
 
 /**
- * A snapshot of all that may change while a gatherer serves. What a deployment is built on (its
- * gatherers, zones and replica groups) is not part of it. {@link DocumentReader} has its JSON.
+ * Snapshot of all settings that may change while a gatherer serves. The structure of the deployment
+ * (its gatherers, zones and replica groups) can't change and is not part of it. {@link
+ * DocumentReader} reads and writes its JSON form.
  *
  * @param queryClasses the query classes that are served
  * @param tenants the tenants and their quotas
  * @param limits the limits of one gatherer
- * @param retryBudget the budget of retries, {@link Deployment.RetryBudget#NONE} if unlimited
- * @param slowStart how warming servers are treated
+ * @param retryBudget the retry budget, {@link Deployment.RetryBudget#NONE} if retries are unlimited
+ * @param slowStart the slow-start rule for shard servers that are warming up
  * @param drainedServers names of shard servers that operators have drained
- * @param discovery HOST:PORT of discovery; empty for the address given at start
- * @param recording the settings file of the recording; empty for none
+ * @param discovery HOST:PORT of discovery; empty for the address that was configured at startup
+ * @param recording the settings file of trace recording; empty if nothing is recorded
  * @param logLevel the name of a {@link java.util.logging.Level}
  */
 public record ConfigurationDocument(
@@ -37,35 +38,38 @@
     /**
      * A query class and the deadline of its queries.
      *
-     * @param queryClass what the decisions know of the class
-     * @param deadlineMs the longest time that its clients may wait, in milliseconds; above the
+     * @param queryClass the properties of the class that the decision policy uses
+     * @param deadlineMs longest time that its clients may wait, in milliseconds; greater than the
      *     latency objective
      */
     public record QueryClassSettings(QueryClass queryClass, double deadlineMs) {
-        /** The name of the query class. */
+        /** Returns the name of the query class. */
         public String name() {
             return queryClass.name();
         }
     }
 
-    /** Copies its collections. */
+    /** Copies the collections. */
     public ConfigurationDocument {
         queryClasses = List.copyOf(queryClasses);
         tenants = List.copyOf(tenants);
         drainedServers = Collections.unmodifiableSortedSet(new TreeSet<>(drainedServers));
     }
 
-    /** The query class of this name, if it is served. */
+    /** Returns the query class of this name, if it is served. */
     public Optional<QueryClassSettings> queryClass(String name) {
         return queryClasses.stream().filter(settings -> settings.name().equals(name)).findFirst();
     }
 
-    /** The tenant of this name, if it has a quota. */
+    /** Returns the tenant of this name, if it has a quota. */
     public Optional<Tenant> tenant(String name) {
         return tenants.stream().filter(tenant -> tenant.name().equals(name)).findFirst();
     }
 
-    /** The deployment with this document's values; what no document can change stays. */
+    /**
+     * Returns a deployment with the values of this document; the values that no document contains
+     * are taken from {@code before}.
+     */
     public Deployment applyTo(Deployment before) {
         return new Deployment(
                 before.gatherers(),
--- a/change/src/main/java/sprucehold/change/document/DocumentComparison.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentComparison.java
@@ -12,7 +12,10 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
-/** Compares two documents, section by section; paths and terms of its texts are the document's. */
+/**
+ * Compares two documents section by section. Descriptions use the paths and terms of the JSON
+ * document.
+ */
 final class DocumentComparison {
     private final ConfigurationDocument before;
     private final ConfigurationDocument after;
@@ -47,7 +50,7 @@
             } else {
                 compareIdempotence(former.queryClass(), now.queryClass());
                 compareTimes(former, now);
-                compareWorth(former.queryClass(), now.queryClass());
+                compareWeightsAndCoverage(former.queryClass(), now.queryClass());
             }
         }
         for (QueryClassSettings former : before.queryClasses()) {
@@ -103,7 +106,7 @@
                 WHEN_LOWER);
     }
 
-    private void compareWorth(QueryClass former, QueryClass now) {
+    private void compareWeightsAndCoverage(QueryClass former, QueryClass now) {
         String path = queryClassPath(now.name());
         String name = "'" + now.name() + "'";
         changes.compareNumbers(
--- a/change/src/main/java/sprucehold/change/document/DocumentDifference.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentDifference.java
@@ -4,35 +4,38 @@
 import java.util.List;
 
 /**
- * What a change from one document to another means, one sentence each, and how risky it is. Names
- * in annotations are the keys of its JSON.
+ * Changes from one document to another and their greatest risk. Names in annotations are the keys
+ * of the JSON form.
  *
  * @param changes the changes, the riskiest first
  * @param risk the greatest risk of all changes
  */
 public record DocumentDifference(@JsonProperty("words") List<Change> changes, Risk risk) {
-    /** How much a change may harm service. The names are those of its JSON. */
+    /**
+     * Degree to which a change may harm service. The names of the constants are written to JSON.
+     */
     public enum Risk {
-        /** Nothing that is served depends on it. */
+        /** No query depends on the change. */
         NONE,
-        /** It loosens a limit, or tightens one by little. */
+        /** The change loosens a limit, or tightens one by little. */
         LOW,
-        /** It takes capacity, time or quota from some queries. */
+        /** The change takes capacity, time or quota from some queries. */
         MIDDLE,
-        /** It takes much of them, or changes which parts may run twice. */
+        /** The change takes much capacity, time or quota, or changes which parts may run twice. */
         HIGH
     }
 
     /**
      * One change.
      *
-     * @param path the place in the document that changes; list elements are named, not numbered
-     * @param description what it means, one sentence
-     * @param risk how much it may harm
+     * @param path path of the changed value in the document; list elements appear by name, not by
+     *     index
+     * @param description effect of the change, one sentence
+     * @param risk degree to which the change may harm service
      */
     public record Change(String path, @JsonProperty("words") String description, Risk risk) {}
 
-    /** Compares two documents. */
+    /** Returns the changes from one document to another. */
     public static DocumentDifference between(
             ConfigurationDocument before, ConfigurationDocument after) {
         return new DocumentComparison(before, after).difference();
--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -16,12 +16,13 @@
 import sprucehold.decision.Tenant;
 
 /**
- * The edge to JSON: reads and writes documents of the form {@code deploy/change.schema.json}. Key
- * names are used nowhere else but in paths of errors and changes.
+ * Reads and writes configuration documents as JSON that conforms to {@code
+ * deploy/change.schema.json}. Outside this class, the names of JSON keys appear only in the paths
+ * of errors and changes.
  *
  * <table>
- * <caption>JSON keys and what they are here</caption>
- * <tr><th>JSON</th><th>here</th></tr>
+ * <caption>JSON keys and their names in the code</caption>
+ * <tr><th>JSON</th><th>code</th></tr>
  * <tr><td>tableTypes[]</td><td>{@link ConfigurationDocument#queryClasses()}</td></tr>
  * <tr><td>- name</td><td>{@link QueryClass#name()}</td></tr>
  * <tr><td>- repeat: replayable, keyed, non-replayable</td><td>{@link
@@ -48,7 +49,7 @@
  * <tr><td>- startShare, warmAfterMs, multiple, windowMs</td><td>startShare, warmAfterMs,
  *     overloadFactor, windowMs</td></tr>
  * <tr><td>serversOut[]</td><td>{@link ConfigurationDocument#drainedServers()}</td></tr>
- * <tr><td>discovery, recording, logLevel</td><td>of the same names</td></tr>
+ * <tr><td>discovery, recording, logLevel</td><td>the same names</td></tr>
  * </table>
  */
 public final class DocumentReader {
@@ -57,24 +58,24 @@
 
     private DocumentReader() {}
 
-    /** A document, or all errors of its form. */
+    /** A document, or all violations of the JSON schema. */
     public sealed interface ReadResult {
         /**
-         * The form is sound; the values may still contradict each other.
+         * The JSON conforms to the schema; its values may still contradict each other.
          *
-         * @param document what was read
+         * @param document the document that was read
          */
         record Valid(ConfigurationDocument document) implements ReadResult {}
 
         /**
-         * The form is not sound.
+         * The bytes are no JSON document that conforms to the schema.
          *
          * @param errors all errors, ordered by path
          */
         record Invalid(List<ValidationError> errors) implements ReadResult {}
     }
 
-    /** Reads bytes that may be anything. */
+    /** Reads a document from untrusted bytes. */
     public static ReadResult read(byte[] json) {
         DocumentSchema.Parsed parsed = DocumentSchema.parse(json);
         if (parsed instanceof DocumentSchema.Parsed.Invalid invalid) {
@@ -124,7 +125,7 @@
         return StoredEnum.ofName(QueryClass.Idempotence.class, storedName).orElseThrow();
     }
 
-    /** The name of an idempotence in documents. */
+    /** Returns the name of an idempotence in documents. */
     static String documentName(QueryClass.Idempotence idempotence) {
         return idempotence.storedName().toLowerCase(Locale.ROOT).replace('_', '-');
     }
@@ -172,7 +173,7 @@
         return names;
     }
 
-    /** The document as JSON; equal documents yield the same bytes. */
+    /** Returns the document as JSON; equal documents result in the same bytes. */
     public static byte[] write(ConfigurationDocument document) {
         ObjectNode node = DocumentSchema.STRICT_MAPPER.createObjectNode();
         putQueryClasses(node, document);
--- a/change/src/main/java/sprucehold/change/document/DocumentSchema.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentSchema.java
@@ -18,11 +18,14 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Parses bytes from anywhere within bounds, and validates them against the JSON schema. */
+/**
+ * Parses untrusted bytes within limits of size and nesting, and validates them against the JSON
+ * schema.
+ */
 final class DocumentSchema {
     /**
-     * Longest document in bytes; a thousand query classes and tenants take a tenth of it, so a
-     * longer one is a mistake or an attack.
+     * Longest document, in bytes. A document with a thousand query classes and tenants needs a
+     * tenth of it, so a longer document is a mistake or an attack.
      */
     static final int MAX_BYTES = 1 << 20;
 
@@ -32,7 +35,7 @@
     private static final int MAX_STRING_LENGTH = 10_000;
     private static final int MAX_NUMBER_LENGTH = 40;
 
-    /** A mapper that rejects duplicate keys and anything after the document. */
+    /** Mapper that rejects duplicate keys and any content after the document. */
     static final ObjectMapper STRICT_MAPPER =
             JsonMapper.builder(
                             new JsonFactoryBuilder()
@@ -59,7 +62,7 @@
         }
     }
 
-    /** A JSON object that conforms to the schema, or all errors. */
+    /** A JSON object that conforms to the schema, or all errors in the bytes. */
     sealed interface Parsed {
         record Conforming(JsonNode node) implements Parsed {}
 
@@ -93,7 +96,7 @@
                 : new Parsed.Invalid(List.copyOf(errors));
     }
 
-    /** An error of the document as a whole. */
+    /** Returns an error of the document as a whole. */
     private static Parsed invalid(String problem, String remedy) {
         return new Parsed.Invalid(List.of(new ValidationError("", problem, remedy)));
     }
@@ -106,7 +109,7 @@
                 "see change.schema.json");
     }
 
-    /** Turns a JSON path such as {@code $.limits[0]} into a JSON pointer. */
+    /** Converts a JSON path such as {@code $.limits[0]} to a JSON pointer. */
     private static String pointer(String jsonPath) {
         return jsonPath.replace('$', ' ')
                 .trim()
--- a/change/src/main/java/sprucehold/change/document/RunningState.java
+++ b/change/src/main/java/sprucehold/change/document/RunningState.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * What runs at the moment a document is validated.
+ * State of the gatherer at the moment a document is validated.
  *
  * @param openQueriesByClass number of open queries, by query class
  * @param openQueriesByTenant number of open queries, by tenant
@@ -16,6 +16,6 @@
         Map<String, Integer> openQueriesByTenant,
         int openItems,
         Map<Integer, Set<String>> replicasByShard) {
-    /** No query and no server, as before the start. */
+    /** State without open queries and running servers, as before startup. */
     public static final RunningState IDLE = new RunningState(Map.of(), Map.of(), 0, Map.of());
 }
--- a/change/src/main/java/sprucehold/change/document/SemanticValidator.java
+++ b/change/src/main/java/sprucehold/change/document/SemanticValidator.java
@@ -13,17 +13,21 @@
 import sprucehold.decision.Tenant;
 
 /**
- * Checks what the JSON schema can't: whether the values of a document fit each other and what runs.
- * All errors are reported, not only the first; their paths and terms are the document's.
+ * Checks what the JSON schema can't express: whether the values of a document are consistent with
+ * each other and with the running state of the gatherer. All errors are reported, not only the
+ * first. Errors use the paths and terms of the JSON document.
  */
 public final class SemanticValidator {
     /**
-     * Largest retry budget for each query; three retries are what one part may be sent under the
-     * usual limit of four attempts, so a larger budget would limit nothing.
+     * Largest retry budget per query. The usual limit of four attempts allows three retries of a
+     * part, so a larger budget would limit nothing.
      */
     private static final double MAX_RETRIES_PER_QUERY = 3;
 
-    /** Shards without a replica that an error names; of further ones it gives the number. */
+    /**
+     * Number of shards without a replica that an error lists by number; for the others it states
+     * only how many they are.
+     */
     private static final int MAX_SHARDS_NAMED = 8;
 
     private final ConfigurationDocument document;
@@ -33,30 +37,30 @@
         this.document = document;
     }
 
-    /** All contradictions within a document, ordered by path. */
+    /** Returns all contradictions within a document, ordered by path. */
     public static List<ValidationError> validate(ConfigurationDocument document) {
         var validator = new SemanticValidator(document);
-        validator.checkWithin();
+        validator.checkDocument();
         return List.copyOf(validator.errors);
     }
 
     /**
-     * All contradictions within a document, and with what runs, ordered by path.
+     * Returns all contradictions within a document and with the running state, ordered by path.
      *
      * @param live the document that is live
-     * @param running what runs now
+     * @param running the running state of the gatherer
      */
     public static List<ValidationError> validateAgainst(
             ConfigurationDocument document, ConfigurationDocument live, RunningState running) {
         var validator = new SemanticValidator(document);
-        validator.checkWithin();
+        validator.checkDocument();
         validator.checkOpenQueries(live, running);
         validator.checkOpenItems(running);
         validator.checkReplicas(running);
         return List.copyOf(validator.errors);
     }
 
-    private void checkWithin() {
+    private void checkDocument() {
         checkQueryClasses();
         checkTenants();
         checkLimits();
@@ -235,13 +239,13 @@
         }
         uncovered.sort(null);
         int further = uncovered.size() - MAX_SHARDS_NAMED;
-        String named =
+        String shardList =
                 further > 0
                         ? uncovered.subList(0, MAX_SHARDS_NAMED) + " and " + further + " more"
                         : uncovered.toString();
         report(
                 "/serversOut",
-                "segments " + named + " would have no holder left",
+                "segments " + shardList + " would have no holder left",
                 "leave one of their servers in");
     }
 }
--- a/change/src/main/java/sprucehold/change/document/ValidationError.java
+++ b/change/src/main/java/sprucehold/change/document/ValidationError.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One thing that is wrong with a document. Ordered by path, then by problem. Names in annotations
- * are the keys of its JSON.
+ * An error in a document. Errors are ordered by path, then by problem. Names in annotations are the
+ * keys of the JSON form.
  *
- * @param path a JSON pointer to the place; empty for the document as a whole
- * @param problem what is wrong there
- * @param remedy what to do about it
+ * @param path JSON pointer to the invalid value; empty for the document as a whole
+ * @param problem description of the error
+ * @param remedy instruction for correcting the error
  */
 public record ValidationError(
         String path, @JsonProperty("what") String problem, @JsonProperty("mend") String remedy)
--- a/change/src/main/java/sprucehold/change/journal/JournalFile.java
+++ b/change/src/main/java/sprucehold/change/journal/JournalFile.java
@@ -14,12 +14,12 @@
 import sprucehold.change.version.JournalEntry;
 
 /**
- * A write-ahead journal: one line an entry, appended and synced. One process owns the file by a
- * lock. The journal ends at the first damaged line; when it is opened, that line and all after it
- * are cut off. Not safe for threads.
+ * Write-ahead journal file with one line per entry. Each entry is appended and synced to disk. The
+ * file is locked, so that only one process uses it. When the journal is opened, it is truncated
+ * before the first damaged line. Not thread-safe.
  */
 public final class JournalFile implements Closeable {
-    /** Largest file that is read, in bytes; a thousand versions of large documents take less. */
+    /** Largest file that is read, in bytes; a thousand versions of large documents need less. */
     private static final long MAX_BYTES = 1L << 30;
 
     private final FileChannel channel;
@@ -45,7 +45,8 @@
     /**
      * Opens a journal and reads its entries; creates the file if there is none.
      *
-     * @throws IOException if the file can't be read or written, or another process owns it
+     * @throws IOException if the file can't be read or written, or it is already locked by this or
+     *     another process
      */
     public static JournalFile open(Path file) throws IOException {
         return new JournalFile(file);
@@ -53,17 +54,17 @@
 
     private void lock(Path file) throws IOException {
         if (!tryLock()) {
-            throw new IOException(file + " is another gatherer's: each needs a journal of its own");
+            throw new IOException(file + " is locked: each gatherer needs a journal of its own");
         }
     }
 
     private boolean tryLock() throws IOException {
         try {
-            // Held until the channel is closed.
+            // The lock lasts until the channel is closed.
             FileLock lock = channel.tryLock();
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // Held by this process.
+            // This process already has the lock.
             return false;
         }
     }
@@ -81,7 +82,7 @@
                         file
                                 + ", line "
                                 + lineNumber
-                                + ": not whole; it and what comes after it is left out";
+                                + ": damaged; this line and all lines after it are cut off";
                 break;
             }
             entries.add(entry.get());
@@ -110,7 +111,7 @@
         return bytes.array();
     }
 
-    /** The index of the next line feed, or the length if there is none. */
+    /** Returns the index of the next line feed, or the length of the array if there is none. */
     private static int endOfLine(byte[] bytes, int start) {
         int end = start;
         while (end < bytes.length && bytes[end] != '\n') {
@@ -119,20 +120,23 @@
         return end;
     }
 
-    /** The entries that the file held when it was opened, in order. */
+    /** Returns the entries that were read when the file was opened, in order. */
     public List<JournalEntry> entries() {
         return List.copyOf(entries);
     }
 
-    /** What was cut off when the file was opened, as one sentence; null if nothing was. */
+    /**
+     * Returns a sentence that states where the file was truncated when it was opened, or null if it
+     * was not truncated.
+     */
     public String cutOff() {
         return cutOff;
     }
 
     /**
-     * Appends an entry and waits until the disk has it.
+     * Appends an entry and waits until it is synced to disk.
      *
-     * @throws IOException if it can't be written; how much of it is in the file is unknown then
+     * @throws IOException if the entry can't be written; it may then be in the file in part
      */
     public void write(JournalEntry entry) throws IOException {
         ByteBuffer line = JournalLine.encode(entry);
--- a/change/src/main/java/sprucehold/change/journal/JournalLine.java
+++ b/change/src/main/java/sprucehold/change/journal/JournalLine.java
@@ -14,12 +14,12 @@
 import sprucehold.change.version.Version;
 
 /**
- * The edge to the journal's stored form: one line an entry. A line is the CRC-32C of its JSON in
- * eight hexadecimal digits, a space, the JSON, and a line feed.
+ * Converts journal entries to and from their stored form, one line per entry. A line is the CRC-32C
+ * of its JSON in eight hexadecimal digits, a space, the JSON, and a line feed.
  *
  * <table>
- * <caption>JSON of an entry and what it is here</caption>
- * <tr><th>JSON</th><th>here</th></tr>
+ * <caption>JSON keys of an entry and their names in the code</caption>
+ * <tr><th>JSON</th><th>code</th></tr>
  * <tr><td>accepted, madeFrom, by, undoes, document</td><td>{@link Version}: number, basedOn, author,
  *     rollsBack, document</td></tr>
  * <tr><td>id</td><td>{@link JournalEntry.Accepted#proposalId()}</td></tr>
@@ -36,15 +36,18 @@
     private static final int CHECKSUM_LENGTH = 8;
     private static final int HEXADECIMAL = 16;
 
-    /** Length of the checksum and the space. */
+    /** Length of the checksum and the space after it. */
     private static final int PREFIX_LENGTH = CHECKSUM_LENGTH + 1;
 
-    /** The shortest JSON is {@code {}}. */
+    /** Length of the shortest line without its line feed; the shortest JSON is {@code {}}. */
     private static final int MIN_LENGTH = PREFIX_LENGTH + 2;
 
     private JournalLine() {}
 
-    /** The entry's line, its line feed included, ready to be written. */
+    /**
+     * Returns the entry's line, including the line feed, in a buffer ready to be written to a
+     * channel.
+     */
     static ByteBuffer encode(JournalEntry entry) throws IOException {
         byte[] json = MAPPER.writeValueAsBytes(toJson(entry));
         String prefix = String.format("%08x ", checksum(json, 0, json.length));
@@ -55,15 +58,18 @@
                 .flip();
     }
 
-    /** The entry between two indices, or empty if the line is damaged or unknown. */
+    /**
+     * Returns the entry in the bytes from {@code from} (inclusive) to {@code to} (exclusive), or
+     * empty if the line is damaged or of an unknown kind.
+     */
     static Optional<JournalEntry> decode(byte[] bytes, int from, int to) {
         if (to - from < MIN_LENGTH || bytes[from + CHECKSUM_LENGTH] != ' ') {
             return Optional.empty();
         }
         int start = from + PREFIX_LENGTH;
         try {
-            String stated = new String(bytes, from, CHECKSUM_LENGTH, StandardCharsets.US_ASCII);
-            if (Integer.parseUnsignedInt(stated, HEXADECIMAL) != checksum(bytes, start, to)) {
+            String stored = new String(bytes, from, CHECKSUM_LENGTH, StandardCharsets.US_ASCII);
+            if (Integer.parseUnsignedInt(stored, HEXADECIMAL) != checksum(bytes, start, to)) {
                 return Optional.empty();
             }
             return fromJson(MAPPER.readTree(bytes, start, to - start));
--- a/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
+++ b/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
@@ -12,20 +12,21 @@
 import sprucehold.decision.Event;
 
 /**
- * Applies operators' overrides to the endpoint list on its way from discovery to the policy. A
- * server that operators drained is draining, whatever discovery says; one that is draining or gone
- * by discovery stays so, whatever operators say. A server that operators return counts as freshly
- * started, so that slow start applies to it.
+ * Applies operator overrides to endpoint updates from discovery before they reach the decision
+ * policy. A server that operators drained is draining, unless discovery reports it as gone. A
+ * server that discovery reports as draining or gone keeps that state, whatever override is set. A
+ * server that operators return to service counts as freshly started, so that slow start applies to
+ * it.
  */
 public final class EndpointOverrides {
     private final Map<String, Endpoint> discovered = new HashMap<>();
     private final Map<String, Double> returnedAtMs = new HashMap<>();
     private Set<String> drained = Set.of();
 
-    /** Takes an endpoint update of discovery and returns it with the overrides applied. */
+    /** Records an endpoint update from discovery and returns it with the overrides applied. */
     public Event.EndpointsUpdated applyTo(Event.EndpointsUpdated update) {
         if (update.complete()) {
-            forgetAllBut(update.endpoints());
+            retainListed(update.endpoints());
         }
         var overridden = new ArrayList<Endpoint>(update.endpoints().size());
         for (Endpoint endpoint : update.endpoints()) {
@@ -40,11 +41,11 @@
         return new Event.EndpointsUpdated(update.complete(), List.copyOf(overridden));
     }
 
-    private void forgetAllBut(List<Endpoint> endpoints) {
+    private void retainListed(List<Endpoint> endpoints) {
         var listed = new HashSet<String>();
         endpoints.forEach(endpoint -> listed.add(endpoint.server()));
         discovered.keySet().retainAll(listed);
-        // A server that comes back to the list later is fresh by its own start time.
+        // The start time of a server that is listed again later marks it as freshly started.
         returnedAtMs.keySet().retainAll(listed);
     }
 
@@ -52,8 +53,8 @@
      * Replaces the set of drained servers.
      *
      * @param servers all servers that operators drain from now on
-     * @param nowMs Unix time in milliseconds, by the clock of the servers' start times
-     * @return the endpoints whose override changed, for the policy; empty if none did
+     * @param nowMs Unix time in milliseconds, by the same clock as the servers' start times
+     * @return the endpoints whose override changed, to be passed to the decision policy
      */
     public List<Endpoint> setDrained(SortedSet<String> servers, double nowMs) {
         var changed = new TreeSet<String>(servers);
@@ -84,19 +85,22 @@
                 drainedByOperators ? Endpoint.State.DRAINING : endpoint.state());
     }
 
-    /** Servers that discovery reports as running, by replica group, overrides left out. */
+    /**
+     * Returns the servers that discovery reports as running, by replica group, without regard to
+     * overrides.
+     */
     public Map<Integer, Set<String>> runningByReplicaGroup() {
         Map<Integer, Set<String>> servers = new HashMap<>();
         for (Endpoint endpoint : discovered.values()) {
             if (endpoint.state() == Endpoint.State.RUNNING) {
-                servers.computeIfAbsent(endpoint.replicaGroup(), none -> new HashSet<>())
+                servers.computeIfAbsent(endpoint.replicaGroup(), group -> new HashSet<>())
                         .add(endpoint.server());
             }
         }
         return servers;
     }
 
-    /** Listed servers that may be sent attempts, overrides applied. */
+    /** Returns the listed servers to which attempts may be sent, with overrides applied. */
     public SortedSet<String> routableServers() {
         var servers = new TreeSet<String>();
         for (Endpoint endpoint : discovered.values()) {
--- a/change/src/main/java/sprucehold/change/override/package-info.java
+++ b/change/src/main/java/sprucehold/change/override/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What discovery and operators say of shard servers, joined so that the stricter holds: {@link
- * sprucehold.change.override.EndpointOverrides}. Pure. It must never lift a drain that discovery
- * reported.
+ * Operator overrides of the endpoint list: {@link sprucehold.change.override.EndpointOverrides}
+ * combines the state that discovery reports for a shard server with the operators' override, and
+ * the stricter of both applies. The package is purely functional. It must never cancel a drain that
+ * discovery reported.
  */
 package sprucehold.change.override;
--- a/change/src/main/java/sprucehold/change/rollout/Rollout.java
+++ b/change/src/main/java/sprucehold/change/rollout/Rollout.java
@@ -10,14 +10,18 @@
 import sprucehold.change.rollout.RolloutState.Phase;
 
 /**
- * The state machine of a rollout, a staged (canary) deployment: a wave begins when every gatherer
- * of the wave before has confirmed the change. A gatherer that rejects it or rolls it back halts
- * the rollout, and each gatherer that accepted it is asked to revert. A gatherer that doesn't
- * answer is asked again and holds up its wave; it is never skipped, and never counted as anything
- * it isn't known to be. Requests are idempotent, as proposals carry the rollout's id.
+ * State machine of a rollout, a staged (canary) deployment. A wave begins when every gatherer of
+ * the previous wave has confirmed the change. If a gatherer rejects the change or rolls it back,
+ * the rollout is halted, and each gatherer that may have accepted the change is asked to revert it.
+ * A request to a gatherer that doesn't answer is repeated, and its wave waits for the answer. Such
+ * a gatherer is never skipped, and no state is assumed that the gatherer has not reported. Requests
+ * are idempotent, as proposals carry the rollout's id.
  */
 public final class Rollout {
-    /** Unanswered requests to one gatherer before it is given up; a restart takes less. */
+    /**
+     * Number of unanswered requests to one gatherer before it is given up. At one request per
+     * second this is longer than a restart of a gatherer takes.
+     */
     private static final int MAX_REQUESTS = 60;
 
     private static final double REQUEST_INTERVAL_MS = 1000;
@@ -28,63 +32,65 @@
     private List<RolloutAction> actions = new ArrayList<>();
 
     /**
-     * @param state a new one, or the one saved by a process that ended before the rollout did
+     * @param state the state of a new rollout, or the state saved by a process that ended before
+     *     the rollout was finished
      */
     public Rollout(RolloutState state) {
         this.state = state;
     }
 
-    /** The state now. */
+    /** Returns the current state. */
     public RolloutState state() {
         return state;
     }
 
-    /** Whether nothing more is to be done. */
+    /** Returns whether the rollout is over, so that no action follows. */
     public boolean finished() {
         return state.phase() == Phase.DONE || state.phase() == Phase.HALTED;
     }
 
     /**
-     * Lets time pass; to be called about once a second.
+     * Sends due requests; must be called about once a second.
      *
-     * @param nowMs the time now in milliseconds, by any clock
-     * @return what is to be done, in order
+     * @param nowMs the current time in milliseconds, by any clock
+     * @return the actions to carry out, in order
      */
     public List<RolloutAction> tick(double nowMs) {
         actions = new ArrayList<>();
         if (!finished() && nowMs >= nextRequestMs) {
             nextRequestMs = nowMs + REQUEST_INTERVAL_MS;
-            request();
+            sendRequests();
         }
         return actions;
     }
 
     /**
-     * Takes a gatherer's answer.
+     * Processes a gatherer's answer.
      *
      * @param gatherer its address
-     * @param answered its state; never {@link GathererState#NOT_PROPOSED} or {@link
+     * @param newState the state that it reports; never {@link GathererState#NOT_PROPOSED} or {@link
      *     GathererState#PROPOSED}, which only the rollout sets
      * @param reason the gatherer's reason, if it rejected the change or rolled it back
-     * @return what is to be done, in order
+     * @return the actions to carry out, in order
      */
-    public List<RolloutAction> answered(String gatherer, GathererState answered, String reason) {
+    public List<RolloutAction> answered(String gatherer, GathererState newState, String reason) {
         actions = new ArrayList<>();
         GathererState before = state.gathererStates().get(gatherer);
         if (before == null || finished()) {
             return actions;
         }
         unansweredRequests.remove(gatherer);
-        // An answer that crossed the request to revert is out of date.
-        boolean accepted = answered == GathererState.WATCHED || answered == GathererState.CONFIRMED;
+        // The gatherer sent this answer before it received the request to revert, so the answer
+        // is out of date.
+        boolean accepted = newState == GathererState.WATCHED || newState == GathererState.CONFIRMED;
         if (before == GathererState.REVERTING && accepted) {
             return actions;
         }
-        if (answered != before) {
-            setGathererState(gatherer, answered);
-            if (state.phase() == Phase.ROLLING && answered == GathererState.REJECTED) {
+        if (newState != before) {
+            setGathererState(gatherer, newState);
+            if (state.phase() == Phase.ROLLING && newState == GathererState.REJECTED) {
                 halt(gatherer + " turned it down: " + reason);
-            } else if (state.phase() == Phase.ROLLING && answered == GathererState.ROLLED_BACK) {
+            } else if (state.phase() == Phase.ROLLING && newState == GathererState.ROLLED_BACK) {
                 halt(gatherer + " undid it: " + reason);
             }
         }
@@ -92,15 +98,15 @@
         return actions;
     }
 
-    private void request() {
-        // Requests may replace the state; each gatherer's is read when its turn comes.
+    private void sendRequests() {
+        // A request may replace the state, so each gatherer's state is read before its request.
         for (String gatherer : state.gathererStates().keySet()) {
             switch (state.gathererStates().get(gatherer)) {
                 case NOT_PROPOSED -> propose(gatherer);
-                case PROPOSED -> repeat(gatherer, new RolloutAction.Propose(gatherer, state.id()));
+                case PROPOSED -> resend(gatherer, new RolloutAction.Propose(gatherer, state.id()));
                 case WATCHED ->
-                        repeat(gatherer, new RolloutAction.QueryStatus(gatherer, state.id()));
-                case REVERTING -> repeat(gatherer, new RolloutAction.Revert(gatherer, state.id()));
+                        resend(gatherer, new RolloutAction.QueryStatus(gatherer, state.id()));
+                case REVERTING -> resend(gatherer, new RolloutAction.Revert(gatherer, state.id()));
                 default -> {}
             }
         }
@@ -114,7 +120,7 @@
         }
     }
 
-    private void repeat(String gatherer, RolloutAction action) {
+    private void resend(String gatherer, RolloutAction action) {
         if (unansweredRequests.merge(gatherer, 1, Integer::sum) <= MAX_REQUESTS) {
             actions.add(action);
         } else if (state.phase() == Phase.ROLLING) {
@@ -137,7 +143,7 @@
     private void setState(
             int wave, SortedMap<String, GathererState> gathererStates, Phase phase, String reason) {
         state = new RolloutState(state.id(), state.waves(), wave, gathererStates, phase, reason);
-        // Only the latest state has to be saved, and before any action that rests on it.
+        // Only the latest state has to be saved, before any action that depends on it.
         actions.removeIf(RolloutAction.SaveState.class::isInstance);
         actions.add(0, new RolloutAction.SaveState(state));
     }
@@ -161,7 +167,7 @@
                 || gathererState == GathererState.PROPOSED;
     }
 
-    /** Gatherers that were asked to revert and have not answered, in order. */
+    /** Returns the gatherers that were asked to revert and have not answered, in order. */
     private List<String> reverting() {
         return state.gathererStates().entrySet().stream()
                 .filter(entry -> entry.getValue() == GathererState.REVERTING)
@@ -203,13 +209,13 @@
     }
 
     private String haltedReport() {
-        List<String> unknown = reverting();
+        List<String> unanswered = reverting();
         return "ended: "
                 + state.reason()
-                + (unknown.isEmpty()
+                + (unanswered.isEmpty()
                         ? "; all others serve what they served before"
                         : "; not known of "
-                                + String.join(", ", unknown)
+                                + String.join(", ", unanswered)
                                 + ", which have to be looked at");
     }
 }
--- a/change/src/main/java/sprucehold/change/rollout/RolloutAction.java
+++ b/change/src/main/java/sprucehold/change/rollout/RolloutAction.java
@@ -1,6 +1,6 @@
 package sprucehold.change.rollout;
 
-/** What a rollout wants done. Actions are carried out in order. */
+/** Action that a rollout requests. Actions are carried out in order. */
 public sealed interface RolloutAction {
     /**
      * Save the state before the next action is carried out.
@@ -26,7 +26,7 @@
     record QueryStatus(String gatherer, String id) implements RolloutAction {}
 
     /**
-     * Have a gatherer go back to what it served before.
+     * Ask a gatherer to revert to the version that it served before the rollout.
      *
      * @param gatherer its address
      * @param id the rollout's id
--- a/change/src/main/java/sprucehold/change/rollout/RolloutState.java
+++ b/change/src/main/java/sprucehold/change/rollout/RolloutState.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * The whole state of a rollout, as a value that is saved after each step and resumed from. Its JSON
- * is the rollout's state file; names in annotations are those of the file.
+ * Complete state of a rollout, as a value that is saved after each step and can be resumed from.
+ * Its JSON form is the rollout's state file; names in annotations are those of the file.
  *
- * @param id the rollout's own id; a gatherer recognises a repeated proposal by it
+ * @param id id of the rollout, by which a gatherer recognises a repeated proposal
  * @param waves the gatherers of each wave, in order
  * @param wave index of the current wave, from 0
- * @param gathererStates what is known of each gatherer
- * @param phase what the rollout is doing
- * @param reason why it was halted; empty while it was not
+ * @param gathererStates last known state of each gatherer
+ * @param phase current phase of the rollout
+ * @param reason reason why the rollout was halted; empty unless it was halted
  */
 public record RolloutState(
         String id,
@@ -26,30 +26,33 @@
         Phase phase,
         @JsonProperty("why") String reason) {
 
-    /** What is known of one gatherer. */
+    /** Last known state of one gatherer. */
     public enum GathererState {
-        /** Nothing was proposed yet: it serves its former version. */
+        /** The change was not yet proposed to the gatherer, which serves its former version. */
         @JsonProperty("UNTOUCHED")
         NOT_PROPOSED("UNTOUCHED"),
-        /** Proposed and not answered yet: whether it accepted is unknown, so it is asked again. */
+        /**
+         * The change was proposed and the gatherer has not answered. Whether it accepted the change
+         * is unknown, so the proposal is repeated.
+         */
         @JsonProperty("ASKED")
         PROPOSED("ASKED"),
-        /** It accepted the change and watches it. */
+        /** The gatherer accepted the change and watches it. */
         @JsonProperty("WATCHED")
         WATCHED("WATCHED"),
-        /** It confirmed the change. */
+        /** The gatherer confirmed the change. */
         @JsonProperty("CONFIRMED")
         CONFIRMED("CONFIRMED"),
-        /** It rejected the change and serves its former version. */
+        /** The gatherer rejected the change and serves its former version. */
         @JsonProperty("TURNED_DOWN")
         REJECTED("TURNED_DOWN"),
-        /** It rolled the change back by itself. */
+        /** The gatherer rolled the change back without a request from the rollout. */
         @JsonProperty("UNDONE")
         ROLLED_BACK("UNDONE"),
-        /** Asked to revert and not answered yet. */
+        /** The gatherer was asked to revert the change and has not answered. */
         @JsonProperty("TAKING_BACK")
         REVERTING("TAKING_BACK"),
-        /** It reverted the change when asked to. */
+        /** The gatherer reverted the change on request. */
         @JsonProperty("TAKEN_BACK")
         REVERTED("TAKEN_BACK");
 
@@ -59,36 +62,41 @@
             this.storedName = storedName;
         }
 
-        /** The name in state files and in what the command line prints. */
+        /** Returns the name in state files and in the output of the command line. */
         public String storedName() {
             return storedName;
         }
     }
 
-    /** What the rollout is doing. */
+    /** Phase of a rollout. */
     public enum Phase {
-        /** Proposing the change, wave by wave. */
+        /** The change is proposed to the gatherers, wave by wave. */
         @JsonProperty("ROLLING")
         ROLLING,
-        /** Halted: gatherers that may have the change are asked to revert it. */
+        /**
+         * The rollout was halted, and gatherers that may have accepted the change are asked to
+         * revert it.
+         */
         @JsonProperty("TAKING_BACK")
         REVERTING,
-        /** Over: every gatherer confirmed the change. */
+        /** The rollout is over: every gatherer confirmed the change. */
         @JsonProperty("DONE")
         DONE,
-        /** Over: halted, and every revert was answered or given up. */
+        /**
+         * The rollout is over: it was halted, and every revert request was answered or given up.
+         */
         @JsonProperty("HALTED")
         HALTED
     }
 
-    /** Copies its collections. */
+    /** Copies the collections. */
     public RolloutState {
         waves = waves.stream().map(List::copyOf).toList();
         gathererStates = Collections.unmodifiableSortedMap(new TreeMap<>(gathererStates));
     }
 
     /**
-     * The state of a rollout that has not begun.
+     * Returns the state of a rollout that has not begun.
      *
      * @throws IllegalArgumentException if a gatherer is listed twice
      */
@@ -97,7 +105,7 @@
         for (List<String> wave : waves) {
             for (String gatherer : wave) {
                 if (states.put(gatherer, GathererState.NOT_PROPOSED) != null) {
-                    throw new IllegalArgumentException("gatherer " + gatherer + " stands twice");
+                    throw new IllegalArgumentException("gatherer " + gatherer + " is listed twice");
                 }
             }
         }
@@ -105,10 +113,11 @@
     }
 
     /**
-     * Splits a fleet into waves: one gatherer first, then twice as many each time, so that a
-     * harmful change reaches few before it shows.
+     * Splits the gatherers into waves. The first wave is one gatherer, and each further wave is
+     * twice as large as the one before, so that a harmful change is detected while few gatherers
+     * have it.
      *
-     * @param gatherers in the order of their turn
+     * @param gatherers the gatherers, in the order of the rollout
      */
     public static List<List<String>> waves(List<String> gatherers) {
         var waves = new ArrayList<List<String>>();
--- a/change/src/main/java/sprucehold/change/rollout/package-info.java
+++ b/change/src/main/java/sprucehold/change/rollout/package-info.java
@@ -1,5 +1,6 @@
 /**
- * One change brought to many gatherers in waves: {@link sprucehold.change.rollout.Rollout}, answers
- * in, actions out. Its whole state is a value that is saved and resumed from. Pure.
+ * Rollout of one change to many gatherers in waves: {@link sprucehold.change.rollout.Rollout} takes
+ * the gatherers' answers and returns actions. Its whole state is a value that can be saved and
+ * resumed from. The package is purely functional.
  */
 package sprucehold.change.rollout;
--- a/change/src/main/java/sprucehold/change/version/JournalEntry.java
+++ b/change/src/main/java/sprucehold/change/version/JournalEntry.java
@@ -1,6 +1,9 @@
 package sprucehold.change.version;
 
-/** One transition of the version history, as it is written down before it takes effect. */
+/**
+ * A transition of the version history; the entry is written to the journal before the transition
+ * takes effect.
+ */
 public sealed interface JournalEntry {
     /**
      * A version was accepted; it is not live yet.
@@ -13,26 +16,26 @@
     /**
      * A version goes live.
      *
-     * @param number its number
+     * @param number the version's number
      */
     record Live(long number) implements JournalEntry {}
 
     /**
      * A version is confirmed.
      *
-     * @param number its number
+     * @param number the version's number
      */
     record Confirmed(long number) implements JournalEntry {}
 
     /**
      * A version is withdrawn, rolled back or quarantined.
      *
-     * @param number its number
-     * @param reason why
+     * @param number the version's number
+     * @param reason reason for the transition
      */
     record Dropped(long number, String reason) implements JournalEntry {}
 
-    /** The process ends in order, so the version that is live did not crash it. */
+    /** The process shuts down cleanly, so the live version did not crash it. */
     record ShutDown() implements JournalEntry {}
 
     /**
--- a/change/src/main/java/sprucehold/change/version/JournalReplay.java
+++ b/change/src/main/java/sprucehold/change/version/JournalReplay.java
@@ -4,30 +4,31 @@
 import java.util.List;
 import java.util.Map;
 
-/** Replays the journal of earlier processes: which versions they knew and how far they came. */
+/** Replays the journal of earlier processes and restores the versions and their states. */
 final class JournalReplay {
     /**
-     * Begins the reason of a quarantined version in the journal, and tells its entry from that of a
-     * version rolled back.
+     * Prefix of the reason in the journal entry of a quarantined version; it distinguishes the
+     * entry from that of a version rolled back.
      */
     static final String QUARANTINE_REASON = "set aside";
 
     private final VersionRegistry registry;
     private final Map<Long, Version> accepted = new HashMap<>();
     private final Map<Long, Integer> crashes = new HashMap<>();
-    private final boolean endsInOrder;
+    private final boolean endedCleanly;
     private Version confirmed;
     private Version unresolved;
     private long highestLive;
 
     /**
-     * @param registry takes up the versions and their states
+     * @param registry the registry that receives the versions and their states
      * @param first the version that is confirmed before the first entry
+     * @param journal the entries, in order
      */
     JournalReplay(VersionRegistry registry, Version first, List<JournalEntry> journal) {
         this.registry = registry;
         this.confirmed = first;
-        this.endsInOrder =
+        this.endedCleanly =
                 !journal.isEmpty()
                         && journal.get(journal.size() - 1) instanceof JournalEntry.ShutDown;
         journal.forEach(this::replay);
@@ -47,7 +48,7 @@
         } else if (entry instanceof JournalEntry.Dropped dropped) {
             replayDropped(dropped);
         } else if (entry instanceof JournalEntry.ShutDown && unresolved != null) {
-            // The version that was live until the process ended in order did not crash it.
+            // The version that was live until the clean shutdown did not crash the process.
             crashes.remove(unresolved.number());
         }
     }
@@ -81,28 +82,34 @@
         }
     }
 
-    /** The version that was confirmed last. */
+    /** Returns the version that was confirmed last. */
     Version confirmed() {
         return confirmed;
     }
 
-    /** The version that was live and neither confirmed nor dropped, or null if there was none. */
+    /**
+     * Returns the version that was live and neither confirmed nor dropped, or null if there was
+     * none.
+     */
     Version unresolved() {
         return unresolved;
     }
 
-    /** The highest number that was live and watched, 0 for none. */
+    /** Returns the highest number of a version that was live and watched; 0 if there was none. */
     long highestLive() {
         return highestLive;
     }
 
-    /** Whether the last process ended in order. */
-    boolean endsInOrder() {
-        return endsInOrder;
+    /** Returns whether the last process shut down cleanly. */
+    boolean endedCleanly() {
+        return endedCleanly;
     }
 
-    /** How often in a row the process died under this version, the last time included. */
+    /**
+     * Returns the number of consecutive crashes of the process under this version, including the
+     * last end of the process if that was a crash.
+     */
     int crashes(Version version) {
-        return crashes.getOrDefault(version.number(), 0) + (endsInOrder ? 0 : 1);
+        return crashes.getOrDefault(version.number(), 0) + (endedCleanly ? 0 : 1);
     }
 }
--- a/change/src/main/java/sprucehold/change/version/ProposalReview.java
+++ b/change/src/main/java/sprucehold/change/version/ProposalReview.java
@@ -6,14 +6,17 @@
 import sprucehold.change.document.SemanticValidator;
 import sprucehold.change.document.ValidationError;
 
-/** The reasons for which a proposal is rejected. Errors of no certain place have an empty path. */
+/**
+ * Checks proposals and describes why they are rejected. Errors that concern no particular value
+ * have an empty path.
+ */
 final class ProposalReview {
     private ProposalReview() {}
 
     /**
-     * A proposal that was made from a version which is no longer the newest.
+     * Rejects a proposal that was made from a version which is no longer the newest.
      *
-     * @param basis the version it was made from, or null if that is unknown
+     * @param basis the version that the proposal was made from, or null if it is unknown
      */
     static VersionCommand.Rejected outdated(
             VersionEvent.Proposed proposed, Version newest, Version basis) {
@@ -33,8 +36,8 @@
     }
 
     /**
-     * A proposal while another version is pending. With two changes at a time nobody could tell
-     * which of them degraded service.
+     * Rejects a proposal while another version is pending. If two changes were made at the same
+     * time, the health watch couldn't determine which of them degraded service.
      */
     static VersionCommand.Rejected busy(
             VersionEvent.Proposed proposed, Version pending, boolean watched) {
@@ -48,7 +51,7 @@
         return new VersionCommand.Rejected(proposed.proposalId(), List.of(error), null);
     }
 
-    /** All errors of a document that is proposed in the place of the live one. */
+    /** Returns all errors of a document that is proposed to replace the live document. */
     static List<ValidationError> validate(
             VersionEvent.Proposed proposed, Version live, List<VersionStatus> statuses) {
         List<ValidationError> errors =
--- a/change/src/main/java/sprucehold/change/version/VersionCommand.java
+++ b/change/src/main/java/sprucehold/change/version/VersionCommand.java
@@ -4,10 +4,11 @@
 import sprucehold.change.document.DocumentDifference;
 import sprucehold.change.document.ValidationError;
 
-/** What the version history wants done. Commands are carried out in order. */
+/** Command that the version history issues. Commands are carried out in order. */
 public sealed interface VersionCommand {
     /**
-     * Write an entry to the journal; it is on the disk before the next command is carried out.
+     * Write an entry to the journal. The entry must be on the disk before the next command is
+     * carried out.
      *
      * @param entry the entry
      */
@@ -18,16 +19,16 @@
      *
      * @param proposalId the proposal's id
      * @param version the version that it became
-     * @param difference what changes with it
+     * @param difference changes from the live version
      */
     record Accepted(String proposalId, Version version, DocumentDifference difference)
             implements VersionCommand {}
 
     /**
-     * Answer a proposal that is known, or whose document is live.
+     * Answer a proposal that was accepted before, or whose document is already live.
      *
      * @param proposalId the proposal's id
-     * @param number the version that it became, or that is live
+     * @param number number of the version that the proposal became, or of the live version
      */
     record AlreadyKnown(String proposalId, long number) implements VersionCommand {}
 
@@ -35,31 +36,32 @@
      * Answer a proposal that was not accepted.
      *
      * @param proposalId the proposal's id
-     * @param errors what is wrong with it
-     * @param changesSince what changed since the version it was made from; null if nothing did
+     * @param errors errors of the proposal
+     * @param changesSince changes since the version that the proposal was made from; null if the
+     *     proposal isn't outdated or that version is unknown
      */
     record Rejected(
             String proposalId, List<ValidationError> errors, DocumentDifference changesSince)
             implements VersionCommand {}
 
     /**
-     * Put a version's document in force, in one step.
+     * Apply a version's document in one step.
      *
      * @param version the version
      */
     record Apply(Version version) implements VersionCommand {}
 
     /**
-     * Watch service and compare it with the service before.
+     * Start the health watch, which compares service with the baseline.
      *
-     * @param number the version that went live
+     * @param number number of the version that went live
      */
     record StartWatch(long number) implements VersionCommand {}
 
     /**
-     * End the watch.
+     * Stop the health watch.
      *
-     * @param number the version that was watched
+     * @param number number of the version that was watched
      */
     record StopWatch(long number) implements VersionCommand {}
 
--- a/change/src/main/java/sprucehold/change/version/VersionEvent.java
+++ b/change/src/main/java/sprucehold/change/version/VersionEvent.java
@@ -4,16 +4,17 @@
 import sprucehold.change.document.ConfigurationDocument;
 import sprucehold.change.document.RunningState;
 
-/** Something that the version history reacts to. */
+/** Event that the version history processes. */
 public sealed interface VersionEvent {
     /**
      * An operator proposes a document.
      *
-     * @param proposalId the proposal's id; the same id again is the same proposal
-     * @param author who proposes it
-     * @param basedOn the number of the version that it was made from
+     * @param proposalId the proposal's id; a proposal with the same id is a repetition of the same
+     *     proposal
+     * @param author the operator who proposes it
+     * @param basedOn number of the version that it was made from
      * @param document the proposed document
-     * @param running what runs now
+     * @param running the running state of the gatherer
      */
     record Proposed(
             String proposalId,
@@ -23,35 +24,36 @@
             RunningState running)
             implements VersionEvent {}
 
-    /** The policy is between two decisions: a staged version may be applied. */
+    /** The decision policy is between two decisions, so a staged version may be applied. */
     record BetweenDecisions() implements VersionEvent {}
 
     /**
      * The health watch has decided.
      *
      * @param version the version that it watched
-     * @param degraded whether service degraded; otherwise it held throughout the watch
-     * @param evidence what the decision rests on, one sentence
+     * @param degraded whether service degraded; false if it did not degrade throughout the watch
+     * @param evidence evidence for the decision, one sentence
      */
     record WatchDecided(long version, boolean degraded, String evidence) implements VersionEvent {}
 
     /**
      * An operator confirms the watched version.
      *
-     * @param version its number
-     * @param author who asks
+     * @param version the version's number
+     * @param author the operator who requests it
      */
     record ConfirmRequested(long version, String author) implements VersionEvent {}
 
     /**
-     * An operator wants the watched version rolled back, or the staged one withdrawn.
+     * An operator requests that the watched version is rolled back, or the staged version
+     * withdrawn.
      *
-     * @param version its number
-     * @param author who asks
+     * @param version the version's number
+     * @param author the operator who requests it
      */
     record RollbackRequested(long version, String author) implements VersionEvent {}
 
-    /** The process ends in order. */
+    /** The process shuts down cleanly. */
     record ShuttingDown() implements VersionEvent {}
 
     /**
--- a/change/src/main/java/sprucehold/change/version/VersionHistory.java
+++ b/change/src/main/java/sprucehold/change/version/VersionHistory.java
@@ -7,17 +7,17 @@
 import sprucehold.change.document.ValidationError;
 
 /**
- * The state machine of one gatherer's versions: events in, commands out. Every transition is
- * written to the journal before it takes effect (write-ahead logging), so a process that was killed
- * between any two commands restarts with one whole version. A rollback is a version of its own with
- * the document last confirmed, so that numbers never go back.
+ * State machine of one gatherer's versions: it takes events and returns commands. Every transition
+ * is written to the journal before it takes effect (write-ahead logging), so a process that was
+ * killed between any two commands restarts with one complete version. A rollback creates a new
+ * version with the document last confirmed, so that version numbers never decrease.
  *
  * <table>
- * <caption>Transitions; an event that a state does not name changes nothing</caption>
+ * <caption>Transitions; an event without a row for the current state has no effect</caption>
  * <tr><th>state</th><th>event</th><th>next state</th><th>commands</th></tr>
  * <tr><td>Confirmed</td><td>Proposed, valid</td><td>Staged</td><td>WriteJournal(Accepted),
  *     Accepted</td></tr>
- * <tr><td>any</td><td>Proposed, known or equal to what is live</td><td>the same</td><td>
+ * <tr><td>any</td><td>Proposed, known or equal to the live version</td><td>the same</td><td>
  *     AlreadyKnown</td></tr>
  * <tr><td>any</td><td>Proposed, outdated, invalid or while another is pending</td><td>the same</td>
  *     <td>Rejected</td></tr>
@@ -31,17 +31,17 @@
  *     WriteJournal(Confirmed), Apply, Log</td></tr>
  * <tr><td>any</td><td>ShuttingDown</td><td>the same</td><td>WriteJournal(ShutDown)</td></tr>
  * <tr><td>Confirmed</td><td>Started: nothing unresolved</td><td>Confirmed</td><td>Apply</td></tr>
- * <tr><td>Confirmed</td><td>Started: killed within a rollback</td><td>Confirmed, under a new number
+ * <tr><td>Confirmed</td><td>Started: killed during a rollback</td><td>Confirmed, under a new number
  *     </td><td>WriteJournal(Accepted), WriteJournal(Confirmed), Apply</td></tr>
  * <tr><td>Confirmed</td><td>Started: a version was watched</td><td>Watched</td><td>
  *     WriteJournal(Retried) after a crash, Apply, StartWatch, Log</td></tr>
- * <tr><td>Confirmed</td><td>Started: the process died under it repeatedly</td><td>Confirmed, under
- *     a new number; the other is quarantined</td><td>WriteJournal(Dropped), WriteJournal(Accepted),
- *     WriteJournal(Confirmed), Apply, Log</td></tr>
+ * <tr><td>Confirmed</td><td>Started: the process crashed repeatedly under the watched version</td>
+ *     <td>Confirmed, under a new number; the watched version is quarantined</td><td>
+ *     WriteJournal(Dropped), WriteJournal(Accepted), WriteJournal(Confirmed), Apply, Log</td></tr>
  * </table>
  */
 public final class VersionHistory {
-    /** A version under which the process died this often in a row is quarantined. */
+    /** Number of consecutive crashes of the process after which the live version is quarantined. */
     private static final int MAX_CRASHES = 2;
 
     private final VersionRegistry registry = new VersionRegistry();
@@ -49,7 +49,8 @@
     private List<VersionCommand> commands = new ArrayList<>();
 
     /**
-     * @param first the document that the process was started with; it is version 1 and confirmed
+     * @param first the document that the process was started with; it becomes version 1 and is
+     *     confirmed
      */
     public VersionHistory(ConfigurationDocument first) {
         var version = new Version(registry.nextNumber(), 0, first, "start", 0);
@@ -57,7 +58,7 @@
         registry.setState(version, VersionStatus.State.CONFIRMED, "");
     }
 
-    /** Takes one event and returns the commands to be carried out, in order. */
+    /** Processes an event and returns the commands to carry out, in order. */
     public List<VersionCommand> handle(VersionEvent event) {
         commands = new ArrayList<>();
         if (event instanceof VersionEvent.Proposed proposed) {
@@ -90,10 +91,10 @@
     }
 
     private void propose(VersionEvent.Proposed proposed) {
-        Long known = registry.versionOfProposal(proposed.proposalId());
+        Long knownNumber = registry.versionOfProposal(proposed.proposalId());
         Version newest = staged() != null ? staged() : live();
-        if (known != null) {
-            commands.add(new VersionCommand.AlreadyKnown(proposed.proposalId(), known));
+        if (knownNumber != null) {
+            commands.add(new VersionCommand.AlreadyKnown(proposed.proposalId(), knownNumber));
         } else if (proposed.basedOn() != newest.number()) {
             VersionStatus basis = registry.status(proposed.basedOn());
             commands.add(
@@ -152,7 +153,7 @@
     }
 
     private void endWatch(VersionEvent.WatchDecided decided) {
-        // The decision may cross an operator's request, or be of a version that is gone.
+        // The version may have been confirmed or rolled back by an operator in the meantime.
         if (state instanceof VersionState.Watched watched
                 && watched.live().number() == decided.version()) {
             if (decided.degraded()) {
@@ -198,7 +199,10 @@
                         + reason);
     }
 
-    /** Makes the document last confirmed live again, under a new number and unwatched. */
+    /**
+     * Makes the document last confirmed live again, under a new version number and without a health
+     * watch.
+     */
     private void restoreConfirmed(long rolledBack, String author) {
         Version former = confirmed();
         var restored =
@@ -220,8 +224,8 @@
     }
 
     /**
-     * Resumes from the journal. A version accepted and not yet live is dropped: nobody was promised
-     * that it would go live.
+     * Resumes from the journal. A version that was accepted and not yet live is dropped, as the
+     * answer to its proposal does not promise that it goes live.
      */
     private void recover(List<JournalEntry> journal) {
         var replay = new JournalReplay(registry, confirmed(), journal);
@@ -230,9 +234,9 @@
         if (unresolved != null && replay.crashes(unresolved) >= MAX_CRASHES) {
             quarantine(unresolved, replay.crashes(unresolved));
         } else if (unresolved != null) {
-            watchAgain(unresolved, replay.endsInOrder());
+            watchAgain(unresolved, replay.endedCleanly());
         } else if (replay.highestLive() > live().number()) {
-            // Killed in the midst of a rollback, which is completed.
+            // The process was killed during a rollback, which is completed now.
             restoreConfirmed(replay.highestLive(), "restart");
         } else {
             commands.add(new VersionCommand.Apply(live()));
@@ -260,40 +264,40 @@
                         + " is live");
     }
 
-    private void watchAgain(Version version, boolean endedInOrder) {
-        if (!endedInOrder) {
+    private void watchAgain(Version version, boolean endedCleanly) {
+        if (!endedCleanly) {
             write(new JournalEntry.Retried(version.number()));
         }
         watch(version);
         log("version " + version.number() + " is live and watched again after a restart");
     }
 
-    /** The version in force. */
+    /** Returns the version whose document is applied. */
     public Version live() {
         return state.live();
     }
 
-    /** The version that a rollback returns to. */
+    /** Returns the version that a rollback restores. */
     public Version confirmed() {
         return state.confirmed();
     }
 
-    /** The version that goes live next, or null if there is none. */
+    /** Returns the version that goes live next, or null if there is none. */
     public Version staged() {
         return state instanceof VersionState.Staged staged ? staged.staged() : null;
     }
 
-    /** The number of the version that a proposal became, or null if none was accepted. */
+    /** Returns the number of the version that a proposal became, or null if it was not accepted. */
     public Long versionOfProposal(String proposalId) {
         return registry.versionOfProposal(proposalId);
     }
 
-    /** Whether the live version is watched and not yet confirmed. */
+    /** Returns whether the live version is watched and not yet confirmed. */
     public boolean watched() {
         return state instanceof VersionState.Watched;
     }
 
-    /** The status of each version, the oldest first. */
+    /** Returns the status of each version, the oldest first. */
     public List<VersionStatus> statuses() {
         return registry.statuses();
     }
--- a/change/src/main/java/sprucehold/change/version/VersionRegistry.java
+++ b/change/src/main/java/sprucehold/change/version/VersionRegistry.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** All versions by number, with their status, and the proposals that they came from. */
+/** Registry of versions and their status by number, and of the version numbers of proposals. */
 final class VersionRegistry {
-    /** Statuses kept for operators' queries; the journal holds all. */
+    /** Number of statuses kept for operators' requests; the journal contains all versions. */
     private static final int MAX_STATUSES = 1000;
 
     private final Map<Long, VersionStatus> statuses = new LinkedHashMap<>();
     private final Map<String, Long> versionOfProposal = new HashMap<>();
     private long lastNumber;
 
-    /** The number of a new version; numbers rise by one. */
+    /** Returns the number of a new version; numbers increase by one. */
     long nextNumber() {
         lastNumber++;
         return lastNumber;
     }
 
-    /** Keeps a number from being given to a new version. */
+    /** Ensures that neither this number nor a lower one is assigned to a new version. */
     void reserveNumber(long number) {
         lastNumber = Math.max(lastNumber, number);
     }
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Marks a version as no longer the confirmed one. */
+    /** Marks a version as superseded by a later confirmed version. */
     void supersede(Version version, long byNumber) {
         setState(version, VersionStatus.State.SUPERSEDED, "by version " + byNumber);
     }
@@ -41,17 +41,17 @@
         versionOfProposal.put(proposalId, number);
     }
 
-    /** The number of the version that a proposal became, or null if none was accepted. */
+    /** Returns the number of the version that a proposal became, or null if it was not accepted. */
     Long versionOfProposal(String proposalId) {
         return versionOfProposal.get(proposalId);
     }
 
-    /** The status of a version, or null if it is unknown or forgotten. */
+    /** Returns the status of a version, or null if it is unknown or was discarded. */
     VersionStatus status(long number) {
         return statuses.get(number);
     }
 
-    /** All statuses, the oldest first. */
+    /** Returns all statuses, the oldest first. */
     List<VersionStatus> statuses() {
         return List.copyOf(statuses.values());
     }
--- a/change/src/main/java/sprucehold/change/version/VersionState.java
+++ b/change/src/main/java/sprucehold/change/version/VersionState.java
@@ -1,14 +1,14 @@
 package sprucehold.change.version;
 
 /**
- * A state of {@link VersionHistory}, which has the table of transitions. At any moment exactly one
- * whole version is live.
+ * State of {@link VersionHistory}, which documents the transitions. At any moment exactly one
+ * complete version is live.
  */
 sealed interface VersionState {
-    /** The version that a rollback returns to. */
+    /** Returns the version that a rollback restores. */
     Version confirmed();
 
-    /** The version in force. */
+    /** Returns the version whose document is applied. */
     Version live();
 
     /** The confirmed version is live and nothing is pending. */
@@ -27,6 +27,6 @@
         }
     }
 
-    /** {@code live} is in force and watched; {@code confirmed} is what a rollback returns to. */
+    /** {@code live} is live and watched; a rollback restores {@code confirmed}. */
     record Watched(Version confirmed, Version live) implements VersionState {}
 }
--- a/change/src/main/java/sprucehold/change/version/VersionStatus.java
+++ b/change/src/main/java/sprucehold/change/version/VersionStatus.java
@@ -1,26 +1,32 @@
 package sprucehold.change.version;
 
 /**
- * The state of one version.
+ * Status of a version.
  *
  * @param version the version
- * @param state its state now
- * @param reason how it came to the state; empty if there is nothing to say
+ * @param state its current state
+ * @param reason reason for the state; empty if there is none
  */
 public record VersionStatus(Version version, State state, String reason) {
-    /** States of a version; {@link VersionHistory} has the table of transitions. */
+    /** State of a version; {@link VersionHistory} documents the transitions. */
     public enum State {
-        /** Accepted; goes live between two decisions. */
+        /** Accepted; goes live between two decisions of the policy. */
         STAGED("staged"),
-        /** Live, not confirmed; its service is compared with the service before. */
+        /** Live and not yet confirmed; service is compared with the service before. */
         WATCHED("watched"),
-        /** Live and kept, until the next version is confirmed. */
+        /** Confirmed last; a rollback restores its document. */
         CONFIRMED("confirmed"),
-        /** Was confirmed; a later version was confirmed in its place. */
+        /** Confirmed before, and replaced by a later confirmed version. */
         SUPERSEDED("replaced"),
-        /** Withdrawn before it went live, or live and replaced by the document confirmed before. */
+        /**
+         * Withdrawn before it went live, or live and then replaced by the document confirmed
+         * before.
+         */
         ROLLED_BACK("undone"),
-        /** The process died under it repeatedly; its document is not accepted again. */
+        /**
+         * The process crashed repeatedly while the version was live; its document is not accepted
+         * again.
+         */
         QUARANTINED("set_aside");
 
         private final String storedName;
@@ -29,7 +35,7 @@
             this.storedName = storedName;
         }
 
-        /** The name that the admin server answers with. */
+        /** Returns the name in answers of the admin server. */
         public String storedName() {
             return storedName;
         }
--- a/change/src/main/java/sprucehold/change/version/package-info.java
+++ b/change/src/main/java/sprucehold/change/version/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The state machine of configuration versions: {@link sprucehold.change.version.VersionHistory},
- * events in, commands out. At any moment exactly one whole version is live. It must never use a
- * file, a clock or a thread, and must never let a version's number go back.
+ * State machine of configuration versions: {@link sprucehold.change.version.VersionHistory} takes
+ * events and returns commands. At any moment exactly one complete version is live. The package must
+ * never use a file, a clock or a thread, and version numbers must never decrease.
  */
 package sprucehold.change.version;
--- a/change/src/main/java/sprucehold/change/watch/Baseline.java
+++ b/change/src/main/java/sprucehold/change/watch/Baseline.java
@@ -7,21 +7,26 @@
 import sprucehold.change.watch.TimeWindow.ServiceLevel;
 
 /**
- * Service of the last minutes, kept at all times so that it is known when a version goes live. What
- * a watch expects of a segment is its worst recent interval rather than its mean: a fault that
- * began before a change must not be held against the change.
+ * Service level of the last two minutes, recorded at all times so that a baseline is available when
+ * a version goes live. A watch compares a segment with its worst recent interval rather than its
+ * mean, so that a fault that began before a change does not cause the change to be rolled back.
  */
 public final class Baseline {
-    /** Length of the baseline; covers several oscillations of a typical fault. */
+    /**
+     * Length of the baseline, in milliseconds; it covers several oscillations of a typical fault.
+     */
     private static final double LENGTH_MS = 120_000;
 
-    /** Length of the intervals of which the worst counts; in shorter ones chance prevails. */
+    /**
+     * Length of the intervals that are searched for the worst service level, in milliseconds. In
+     * shorter intervals random variation dominates the level.
+     */
     private static final double INTERVAL_MS = 10_000;
 
-    /** An interval with fewer queries doesn't count. */
+    /** Intervals with fewer queries are ignored in the search for the worst service level. */
     private static final long MIN_INTERVAL_QUERIES = 20;
 
-    /** Shortest time over which the rate of queries is computed. */
+    /** Shortest time over which the rate of queries is computed, in milliseconds. */
     private static final double MIN_SPAN_MS = 1000;
 
     private static final double MS_PER_SECOND = 1000;
@@ -29,18 +34,18 @@
     private final ArrayDeque<TimeWindow> windows = new ArrayDeque<>();
 
     /**
-     * Service of one segment within the baseline.
+     * Statistics of one segment over the baseline.
      *
-     * @param meanLevel the service level over all of it, from 0 to 1
-     * @param worstLevel the service level in its worst interval, from 0 to 1
-     * @param queriesPerSecond the rate of queries
-     * @param queries the number of queries
+     * @param meanLevel service level over the whole baseline, from 0 to 1
+     * @param worstLevel service level in the worst interval, from 0 to 1
+     * @param queriesPerSecond rate of queries
+     * @param queries number of queries
      */
     record Statistics(double meanLevel, double worstLevel, double queriesPerSecond, long queries) {}
 
-    /** Takes the next time window. */
+    /** Appends the next time window and drops windows older than the baseline. */
     public void add(TimeWindow window) {
-        // After a clock that went back nothing can be compared.
+        // Ages can't be computed across a clock that was set back, so the baseline starts anew.
         if (!windows.isEmpty() && window.endsMs() < windows.peekLast().endsMs()) {
             windows.clear();
         }
@@ -50,7 +55,7 @@
         }
     }
 
-    /** The statistics of each segment; empty if nothing was seen. */
+    /** Returns the statistics of each segment; empty if no window was added. */
     Map<Segment, Statistics> statistics() {
         if (windows.isEmpty()) {
             return Map.of();
@@ -60,14 +65,14 @@
         Map<Segment, ServiceLevel> totals = new HashMap<>();
         Map<Segment, Map<Long, ServiceLevel>> intervals = new HashMap<>();
         for (TimeWindow window : windows) {
-            // Counted back from the end, so that the latest interval is a whole one.
+            // Intervals are counted back from the end, so that the latest interval has full length.
             long interval = (long) ((endMs - window.endsMs()) / INTERVAL_MS);
             window.levels()
                     .forEach(
                             (segment, level) -> {
                                 totals.merge(segment, level, ServiceLevel::plus);
                                 intervals
-                                        .computeIfAbsent(segment, none -> new HashMap<>())
+                                        .computeIfAbsent(segment, key -> new HashMap<>())
                                         .merge(interval, level, ServiceLevel::plus);
                             });
         }
--- a/change/src/main/java/sprucehold/change/watch/BettingTest.java
+++ b/change/src/main/java/sprucehold/change/watch/BettingTest.java
@@ -3,21 +3,24 @@
 /**
  * An anytime-valid sequential test of whether the mean of values from 0 to 1 lies below a bound:
  * testing by betting (Waudby-Smith and Ramdas, "Estimating means of bounded random variables by
- * betting", 2024; Shafer and Vovk). It bets against "the mean is at least the bound". Each stake is
- * fixed in advance, so under that hypothesis the wealth is an e-process, a nonnegative
- * supermartingale from 1, and by Ville's inequality (1939) it ever reaches 1/alpha with a
- * probability of at most alpha, however often it is looked at. The wealth of several stakes is
- * averaged, which keeps the bound: large stakes detect a large fall soon, small ones a small fall
- * at last.
+ * betting", 2024; Shafer and Vovk). It bets against the null hypothesis "the mean is at least the
+ * bound". Each stake is fixed in advance, so under the null hypothesis the wealth is an e-process,
+ * a nonnegative supermartingale that starts at 1, and by Ville's inequality (1939) the probability
+ * that it ever reaches 1/alpha is at most alpha, however often it is checked. The wealth of several
+ * stakes is averaged, which preserves this guarantee. Large stakes detect a large fall quickly;
+ * small stakes detect a small fall after more values.
  */
 public final class BettingTest {
-    /** Fractions of the largest admissible stake, about doubling. */
+    /** Stakes as fractions of the largest admissible stake; each is about twice the one before. */
     private static final double[] STAKES = {0.03, 0.06, 0.12, 0.25, 0.5, 0.9};
 
-    /** Keeps the largest admissible stake finite for a bound of 1, which can't lose. */
+    /**
+     * Lower limit of the greatest possible loss. It keeps the largest admissible stake finite for a
+     * bound of 1, against which no value loses.
+     */
     private static final double SMALLEST_LOSS = 0.05;
 
-    /** Largest stake of all. */
+    /** Upper limit of the largest admissible stake, whatever the bound. */
     private static final double MAX_STAKE = 5;
 
     private final double bound;
@@ -26,19 +29,19 @@
 
     /**
      * @param bound above 0, at most 1
-     * @throws IllegalArgumentException for another bound
+     * @throws IllegalArgumentException if the bound is outside this range
      */
     public BettingTest(double bound) {
         if (!(bound > 0 && bound <= 1)) {
             throw new IllegalArgumentException(
-                    "a bound of " + bound + ", above 0 and at most 1 was expected");
+                    "bound " + bound + " is out of range: above 0 and at most 1 expected");
         }
         this.bound = bound;
     }
 
-    /** Takes the next value, from 0 to 1. */
+    /** Adds the next value, from 0 to 1. */
     public void add(double value) {
-        // A value of 1 loses most, and 1 + stake * (bound - 1) has to stay above 0.
+        // A value of 1 loses the most, and 1 + stake * (bound - 1) has to stay above 0.
         double largestStake = 1 / Math.max(1 - bound, SMALLEST_LOSS);
         for (int i = 0; i < STAKES.length; i++) {
             logWealth[i] +=
@@ -47,9 +50,9 @@
         greatestLogWealth = Math.max(greatestLogWealth, logWealth());
     }
 
-    /** The natural logarithm of the average wealth, 0 at the beginning. */
+    /** Returns the natural logarithm of the average wealth; 0 before the first value. */
     public double logWealth() {
-        // Scaled by the greatest, so that the sum can't overflow.
+        // Scales by the greatest wealth, so that the sum can't overflow.
         double greatest = Double.NEGATIVE_INFINITY;
         for (double wealth : logWealth) {
             greatest = Math.max(greatest, wealth);
@@ -62,9 +65,10 @@
     }
 
     /**
-     * Whether the mean was found to lie below the bound.
+     * Returns whether the test found that the mean lies below the bound.
      *
-     * @param alpha the probability with which this may ever be said wrongly
+     * @param alpha greatest probability that the test ever finds this although the mean is at least
+     *     the bound
      */
     public boolean meanIsBelowBound(double alpha) {
         return greatestLogWealth >= -Math.log(alpha);
--- a/change/src/main/java/sprucehold/change/watch/HealthWatch.java
+++ b/change/src/main/java/sprucehold/change/watch/HealthWatch.java
@@ -7,28 +7,36 @@
 import sprucehold.change.watch.TimeWindow.ServiceLevel;
 
 /**
- * Watches service after a version went live, and decides whether it degraded. Each segment with
- * enough queries before is tested by itself against its baseline, less the baseline's own error and
- * a tolerance. All tests together raise a false alarm with a probability of at most {@link
- * #FALSE_ALARM_RATE} (Bonferroni's correction), as long as service is no worse than in the worst
- * interval before.
+ * Compares service after a version went live with the baseline, and decides whether it degraded.
+ * Each segment with enough queries in the baseline has a test of its own. The bound of the test is
+ * the service level in the segment's worst baseline interval, less the sampling error of the
+ * baseline and a tolerance. All tests together raise a false alarm with a probability of at most
+ * {@link #FALSE_ALARM_RATE} (Bonferroni correction), as long as service is no worse than in the
+ * worst interval of the baseline.
  */
 public final class HealthWatch {
-    /** Probability that a harmless change is rolled back. */
+    /** Greatest probability that a harmless change is rolled back. */
     public static final double FALSE_ALARM_RATE = 0.001;
 
-    /** A segment with fewer queries before is judged only among all queries. */
+    /**
+     * A segment with fewer queries in the baseline has no test of its own; its queries are tested
+     * only as part of all queries.
+     */
     private static final long MIN_BASELINE_QUERIES = 60;
 
     /**
-     * Share of the false-alarm rate that the test of all queries has; the others share the rest.
+     * Fraction of the false-alarm rate assigned to the test of all queries; the remaining fraction
+     * is divided equally among the other tests.
      */
     private static final double ALL_QUERIES_SHARE = 0.5;
 
-    /** A lower bound can't be told from no service at all. */
+    /**
+     * A segment with a lower bound is not tested, as its level can't be distinguished from no
+     * service at all.
+     */
     private static final double MIN_BOUND = 0.05;
 
-    /** A longer time between two windows is a step of the clock. */
+    /** A longer time between two windows, in milliseconds, is treated as a jump of the clock. */
     private static final double MAX_WINDOW_MS = 10_000;
 
     private static final double MS_PER_SECOND = 1000;
@@ -40,23 +48,23 @@
     private double watchedMs;
     private long queries;
 
-    /** What the watch has decided. */
+    /** Result of the watch so far. */
     public sealed interface Verdict {
-        /** Nothing yet. */
+        /** The watch has not decided yet. */
         record Pending() implements Verdict {}
 
         /**
          * Service degraded.
          *
-         * @param segment whose service
-         * @param evidence how much, one sentence
+         * @param segment the segment whose service degraded
+         * @param evidence by how much service degraded, one sentence
          */
         record Degraded(Segment segment, String evidence) implements Verdict {}
 
         /**
-         * Service held throughout the watch.
+         * Service did not degrade throughout the watch.
          *
-         * @param evidence what was seen
+         * @param evidence number of queries and length of the watch
          */
         record Healthy(String evidence) implements Verdict {}
     }
@@ -67,7 +75,8 @@
      * @param baseline service until now
      * @param nowMs the time now, by the clock of the windows
      * @param confirmAfterMs length of the watch, in milliseconds
-     * @param minimumQueries queries that have to be seen before service counts as healthy
+     * @param minimumQueries number of queries that have to end during the watch before service
+     *     counts as healthy
      */
     public HealthWatch(
             Baseline baseline, double nowMs, double confirmAfterMs, long minimumQueries) {
@@ -97,14 +106,14 @@
         }
     }
 
-    /** Takes the next time window. */
+    /** Adds the next time window to the tests and returns the verdict. */
     public Verdict add(TimeWindow window) {
         advanceClock(window.endsMs());
         ServiceLevel all = window.levels().get(Segment.ALL);
         queries += all == null ? 0 : all.queries();
         for (var entry : tests.entrySet()) {
             ServiceLevel level = window.levels().get(entry.getKey());
-            // A window without queries tells nothing.
+            // A window without queries has no service level.
             if (level != null && level.queries() > 0) {
                 entry.getValue().add(level);
             }
@@ -125,7 +134,8 @@
     }
 
     /**
-     * Counts plausible steps only: a clock that jumps must neither end the watch nor prolong it.
+     * Adds the time since the last window to the length of the watch. Negative and implausibly long
+     * times are ignored, so that a jump of the clock neither ends nor prolongs the watch.
      */
     private void advanceClock(double nowMs) {
         double passedMs = nowMs - latestMs;
@@ -148,14 +158,15 @@
     }
 
     /**
-     * Whether a segment of several tenants degraded only by tenants that flood: then the other
-     * tenants that are tested are served as before.
+     * Returns whether a segment of several tenants degraded only because of tenants whose query
+     * rate rose far above the baseline. This is the case if the other tested tenants are served as
+     * well as before.
      */
     private boolean explainedByFloods(Segment segment) {
         if (segment.kind() == Segment.Kind.TENANT) {
             return false;
         }
-        boolean anyFlood = false;
+        boolean anyFlooded = false;
         double offered = 0;
         double earned = 0;
         double expected = 0;
@@ -165,13 +176,13 @@
                 continue;
             }
             if (test.flooded(watchedSeconds())) {
-                anyFlood = true;
+                anyFlooded = true;
             } else {
                 offered += test.total().offeredWeight();
                 earned += test.total().earnedWeight();
                 expected += test.total().offeredWeight() * test.baseline().worstLevel();
             }
         }
-        return anyFlood && (offered == 0 || earned >= expected - SegmentTest.TOLERANCE * offered);
+        return anyFlooded && (offered == 0 || earned >= expected - SegmentTest.TOLERANCE * offered);
     }
 }
--- a/change/src/main/java/sprucehold/change/watch/SegmentTest.java
+++ b/change/src/main/java/sprucehold/change/watch/SegmentTest.java
@@ -2,21 +2,27 @@
 
 import sprucehold.change.watch.TimeWindow.ServiceLevel;
 
-/** The test of whether one segment's service lies below its baseline. */
+/** Test of whether one segment's service level has fallen below its baseline. */
 final class SegmentTest {
-    /** Fall of the service level that is tolerated: ordinary variation. */
+    /** Fall of the service level that is tolerated as ordinary variation. */
     static final double TOLERANCE = 0.02;
 
-    /** A rate of queries above this multiple of the baseline's is a flood. */
+    /** A segment whose query rate exceeds this multiple of the baseline's rate is flooded. */
     private static final double FLOOD_FACTOR = 1.5;
 
-    /** Standard errors of the count by which a flood has to exceed chance. */
+    /**
+     * Number of standard errors by which the number of queries has to exceed the multiple of the
+     * expected number, so that random variation does not count as a flood.
+     */
     private static final double FLOOD_STANDARD_ERRORS = 4;
 
-    /** Standard errors that are allowed for, as the baseline is itself an estimate. */
+    /**
+     * Number of standard errors by which the bound is lowered, as the baseline is itself an
+     * estimate.
+     */
     private static final double BASELINE_STANDARD_ERRORS = 2;
 
-    /** Smallest variance of a service level that is assumed. */
+    /** Lower limit of the assumed variance of a service level. */
     private static final double MIN_VARIANCE = 0.01;
 
     /** Length of the interval whose queries the worst level was estimated from, in seconds. */
@@ -28,9 +34,9 @@
     private ServiceLevel total = new ServiceLevel(0, 0, 0);
 
     /**
-     * @param bound the service level below which service is degraded
+     * @param bound the service level below which service counts as degraded
      * @param alpha the probability of a false alarm
-     * @param baseline the segment's statistics before
+     * @param baseline the segment's statistics before the version went live
      */
     SegmentTest(double bound, double alpha, Baseline.Statistics baseline) {
         this.test = new BettingTest(bound);
@@ -38,7 +44,7 @@
         this.baseline = baseline;
     }
 
-    /** The service level below which service counts as degraded; may be negative. */
+    /** Returns the service level below which service counts as degraded; may be negative. */
     static double bound(Baseline.Statistics baseline) {
         double worst = baseline.worstLevel();
         double variance = Math.max(MIN_VARIANCE, worst * (1 - worst));
@@ -52,11 +58,11 @@
         return worst - TOLERANCE - error;
     }
 
-    /** Takes the segment's service in the next window, of at least one query. */
+    /** Adds the segment's service level in the next window, which has at least one query. */
     void add(ServiceLevel level) {
         total = total.plus(level);
-        // One value a window, however many queries: those of one moment fail together, so they are
-        // one observation.
+        // Queries of the same window tend to fail together, so that they aren't independent. Each
+        // window therefore counts as one value, however many queries it has.
         test.add(level.fraction());
     }
 
@@ -65,9 +71,10 @@
     }
 
     /**
-     * Whether the segment has asked so much more than before that it fails by its own flood.
+     * Returns whether the segment's queries have become so much more frequent than in the baseline
+     * that the overload explains its degradation.
      *
-     * @param seconds how long it was watched
+     * @param seconds time that the segment was watched, in seconds
      */
     boolean flooded(double seconds) {
         double expected = baseline.queriesPerSecond() * Math.max(1, seconds);
@@ -75,7 +82,7 @@
                 > FLOOD_FACTOR * expected + FLOOD_STANDARD_ERRORS * Math.sqrt(expected + 1);
     }
 
-    /** All service since the watch began. */
+    /** Returns the service level since the watch began. */
     ServiceLevel total() {
         return total;
     }
--- a/change/src/main/java/sprucehold/change/watch/TimeWindow.java
+++ b/change/src/main/java/sprucehold/change/watch/TimeWindow.java
@@ -4,34 +4,38 @@
 import java.util.Map;
 
 /**
- * Service in a short stretch of time, by segment. A query counts in the window in which it ended;
- * one that was not answered in time counts when its time was over.
+ * Service level of each segment in a short time window. A query is counted in the window in which
+ * it ended. A query that was not answered in time is counted in the window in which its deadline
+ * passed.
  *
- * @param endsMs when the window ended, in milliseconds
- * @param levels the service level of each segment that had a query
+ * @param endsMs end of the window, in milliseconds
+ * @param levels service level of each segment with at least one query in the window
  */
 public record TimeWindow(double endsMs, Map<Segment, ServiceLevel> levels) {
     /**
-     * A part of all queries that is watched by itself.
+     * A subset of all queries that is tested on its own.
      *
-     * @param kind what the queries have in common
-     * @param name of the query class or tenant; empty for all
+     * @param kind the property that the queries have in common
+     * @param name name of the query class or tenant; empty for {@link Kind#ALL}
      */
     public record Segment(Kind kind, String name) {
         /** All queries. */
         public static final Segment ALL = new Segment(Kind.ALL, "");
 
-        /** What the queries of a segment have in common. */
+        /** The property that the queries of a segment have in common. */
         public enum Kind {
-            /** Nothing: all queries. */
+            /** No common property: the segment contains all queries. */
             ALL,
-            /** The query class. */
+            /** All queries of the segment have the same query class. */
             QUERY_CLASS,
-            /** The tenant. */
+            /** All queries of the segment have the same tenant. */
             TENANT
         }
 
-        /** In the terms of the journal and of operators' answers, where it is part of reasons. */
+        /**
+         * Returns the segment in the terms of the journal and of answers to operators, where it is
+         * part of reasons.
+         */
         @Override
         public String toString() {
             return switch (kind) {
@@ -43,14 +47,15 @@
     }
 
     /**
-     * The priority weight of a segment's queries, and the part of it that was earned.
+     * Total priority weight of a segment's queries, and the part of it that was earned by
+     * completing queries within the latency objective.
      *
      * @param queries number of queries
-     * @param offeredWeight the sum of the weights of all queries
-     * @param earnedWeight the sum of the weights of those completed within the latency objective
+     * @param offeredWeight sum of the weights of all queries
+     * @param earnedWeight sum of the weights of the queries completed within the latency objective
      */
     public record ServiceLevel(long queries, double offeredWeight, double earnedWeight) {
-        /** Service of two windows together. */
+        /** Returns the sum of two service levels. */
         ServiceLevel plus(ServiceLevel other) {
             return new ServiceLevel(
                     queries + other.queries,
@@ -58,42 +63,49 @@
                     earnedWeight + other.earnedWeight);
         }
 
-        /** The earned part of the offered weight, from 0 to 1; 1 if nothing was offered. */
+        /**
+         * Returns the earned fraction of the offered weight, from 0 to 1; 1 if no weight was
+         * offered.
+         */
         double fraction() {
             return offeredWeight <= 0 ? 1 : Math.max(0, Math.min(1, earnedWeight / offeredWeight));
         }
     }
 
-    /** Copies its map. */
+    /** Copies the map of service levels. */
     public TimeWindow {
         levels = Map.copyOf(levels);
     }
 
-    /** Collects the queries of one window after the other. */
+    /** Collects the queries of the current window; reusable for the next window. */
     public static final class Builder {
         private final Map<Segment, ServiceLevel> levels = new HashMap<>();
 
         /**
          * Counts one query.
          *
-         * @param queryClass its query class
-         * @param tenant its tenant, or null if it has none
+         * @param queryClass name of its query class
+         * @param tenant name of its tenant, or null if it has none
          * @param weight its priority weight
          * @param withinObjective whether it was completed within the latency objective
          */
         public Builder add(
                 String queryClass, String tenant, double weight, boolean withinObjective) {
-            var one = new ServiceLevel(1, weight, withinObjective ? weight : 0);
-            levels.merge(Segment.ALL, one, ServiceLevel::plus);
+            var level = new ServiceLevel(1, weight, withinObjective ? weight : 0);
+            levels.merge(Segment.ALL, level, ServiceLevel::plus);
             levels.merge(
-                    new Segment(Segment.Kind.QUERY_CLASS, queryClass), one, ServiceLevel::plus);
+                    new Segment(Segment.Kind.QUERY_CLASS, queryClass), level, ServiceLevel::plus);
             if (tenant != null) {
-                levels.merge(new Segment(Segment.Kind.TENANT, tenant), one, ServiceLevel::plus);
+                levels.merge(new Segment(Segment.Kind.TENANT, tenant), level, ServiceLevel::plus);
             }
             return this;
         }
 
-        /** Ends the window and begins the next. */
+        /**
+         * Ends the current window, returns it and begins the next.
+         *
+         * @param endsMs end of the window, in milliseconds
+         */
         public TimeWindow take(double endsMs) {
             var window = new TimeWindow(endsMs, levels);
             levels.clear();
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -24,11 +24,11 @@
     }
 
     @Test
-    public void documentIsWrittenAndReadAsItWas() {
+    public void writtenDocumentIsReadUnchanged() {
         ConfigurationDocument document =
                 Documents.with(
-                        Documents.usual().queryClasses(),
-                        Documents.usual().tenants(),
+                        Documents.basic().queryClasses(),
+                        Documents.basic().tenants(),
                         150,
                         "s-2",
                         "s-1");
@@ -41,48 +41,48 @@
 
     @DataProvider
     Object[][] malformed() {
-        String sound = new String(DocumentReader.write(Documents.usual()), StandardCharsets.UTF_8);
+        String valid = new String(DocumentReader.write(Documents.basic()), StandardCharsets.UTF_8);
         return new Object[][] {
             {"", "JSON"},
             {"[1]", "no JSON object"},
             {"{\"limits\": ", "line 1"},
             {"{} x", "line 1"},
             {"[".repeat(100_000), "nest"},
-            {sound.replaceFirst("\"limits\"", "\"limits\":{},\"limits\""), "Duplicate"},
-            {sound.replace("\"maxOpen\" : 200", "\"maxOpen\" : \"many\""), "limits/maxOpen"},
-            {sound.replace("\"targetMs\" : 800.0", "\"targetMs\" : -1"), "tableTypes/0/targetMs"},
-            {sound.replace("replayable", "whenever"), "tableTypes/0/repeat"},
-            {sound.replace("\"logLevel\"", "\"loglevel\""), "loglevel"},
+            {valid.replaceFirst("\"limits\"", "\"limits\":{},\"limits\""), "Duplicate"},
+            {valid.replace("\"maxOpen\" : 200", "\"maxOpen\" : \"many\""), "limits/maxOpen"},
+            {valid.replace("\"targetMs\" : 800.0", "\"targetMs\" : -1"), "tableTypes/0/targetMs"},
+            {valid.replace("replayable", "whenever"), "tableTypes/0/repeat"},
+            {valid.replace("\"logLevel\"", "\"loglevel\""), "loglevel"},
             {" ".repeat(DocumentReader.MAX_BYTES + 1), "bytes"},
         };
     }
 
     @Test(dataProvider = "malformed")
-    public void malformedDocumentIsReportedByItsPlace(String json, String said) {
+    public void malformedDocumentIsReportedWithItsPosition(String json, String expected) {
         var read = (DocumentReader.ReadResult.Invalid) read(json);
         assertTrue(
-                read.errors().stream().anyMatch(error -> error.toString().contains(said)),
+                read.errors().stream().anyMatch(error -> error.toString().contains(expected)),
                 read.errors().toString());
         assertTrue(read.errors().stream().allMatch(error -> error.toString().length() < 1000));
     }
 
     @Test
-    public void everyErrorOfTheFormIsReportedAtOnce() {
-        String sound = new String(DocumentReader.write(Documents.usual()), StandardCharsets.UTF_8);
+    public void allSchemaViolationsAreReportedAtOnce() {
+        String valid = new String(DocumentReader.write(Documents.basic()), StandardCharsets.UTF_8);
         var read =
                 (DocumentReader.ReadResult.Invalid)
                         read(
-                                sound.replace("\"maxOpen\" : 200", "\"maxOpen\" : 0")
+                                valid.replace("\"maxOpen\" : 200", "\"maxOpen\" : 0")
                                         .replace("\"startShare\" : 0.2", "\"startShare\" : 7"));
         assertEquals(read.errors().size(), 2, read.errors().toString());
     }
 
     @DataProvider
     Object[][] contradictory() {
-        QueryClass.Idempotence replayable = QueryClass.Idempotence.IDEMPOTENT;
-        var least =
+        QueryClass.Idempotence idempotent = QueryClass.Idempotence.IDEMPOTENT;
+        var minimumAboveComplete =
                 new ConfigurationDocument.QueryClassSettings(
-                        new QueryClass("offers", replayable, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
+                        new QueryClass("offers", idempotent, 800, 1, 0, 0, 0.5, 0.75, 0), 2000);
         var withoutWindow =
                 new ConfigurationDocument.QueryClassSettings(
                         new QueryClass(
@@ -98,21 +98,21 @@
                         2000);
         return new Object[][] {
             {
-                List.of(Documents.type("offers", replayable, 2000, 2000)),
+                List.of(Documents.type("offers", idempotent, 2000, 2000)),
                 List.of(),
                 "/tableTypes/0/targetMs"
             },
-            {List.of(least), List.of(), "/tableTypes/0/leastShare"},
+            {List.of(minimumAboveComplete), List.of(), "/tableTypes/0/leastShare"},
             {List.of(withoutWindow), List.of(), "/tableTypes/0/keyedWindowMs"},
             {
                 List.of(
-                        Documents.type("a", replayable, 1, 2),
-                        Documents.type("a", replayable, 1, 2)),
+                        Documents.type("a", idempotent, 1, 2),
+                        Documents.type("a", idempotent, 1, 2)),
                 List.of(),
                 "/tableTypes/1/name"
             },
             {
-                List.of(Documents.type("a", replayable, 1, 2)),
+                List.of(Documents.type("a", idempotent, 1, 2)),
                 List.of(new Tenant("c", 1), new Tenant("c", 2)),
                 "/customers/1/name"
             },
@@ -120,7 +120,7 @@
     }
 
     @Test(dataProvider = "contradictory")
-    public void contradictionIsReportedByItsPath(
+    public void contradictionIsReportedWithItsPath(
             List<ConfigurationDocument.QueryClassSettings> types,
             List<Tenant> tenants,
             String path) {
@@ -130,10 +130,11 @@
     }
 
     @DataProvider
-    Object[][] unfit() {
-        var offersOnly = List.of(Documents.usual().queryClasses().get(0));
+    Object[][] conflicting() {
+        var offersOnly = List.of(Documents.basic().queryClasses().get(0));
         return new Object[][] {
-            // document, open by type, open, replicas of shard 3, path of the error (null: none)
+            // document, open queries by class, open items, replicas of shard 3, path of the error
+            // or null
             {
                 Documents.with(offersOnly, List.of(), 200),
                 Map.of("stamps", 2),
@@ -152,23 +153,23 @@
             {Documents.number(-195), Map.of(), 5, Set.of("s-1"), null},
             {Documents.number(0, "s-1", "s-2"), Map.of(), 5, Set.of("s-1", "s-2"), "/serversOut"},
             {Documents.number(0, "s-1"), Map.of(), 5, Set.of("s-1", "s-2"), null},
-            // A shard that has no holder anyway isn't this change's doing.
+            // The shard has no replica before the change either, so this is no error.
             {Documents.number(0, "s-1"), Map.of(), 5, Set.of(), null},
         };
     }
 
-    @Test(dataProvider = "unfit")
-    public void conflictWithWhatRunsIsReportedByItsPath(
+    @Test(dataProvider = "conflicting")
+    public void conflictWithRunningStateIsReportedWithItsPath(
             ConfigurationDocument document,
-            Map<String, Integer> byType,
-            int open,
+            Map<String, Integer> openByClass,
+            int openItems,
             Set<String> replicas,
             String path) {
         List<ValidationError> errors =
                 SemanticValidator.validateAgainst(
                         document,
-                        Documents.usual(),
-                        new RunningState(byType, Map.of(), open, Map.of(3, replicas)));
+                        Documents.basic(),
+                        new RunningState(openByClass, Map.of(), openItems, Map.of(3, replicas)));
         assertEquals(
                 errors.stream().map(ValidationError::path).toList(),
                 path == null ? List.of() : List.of(path));
@@ -176,29 +177,29 @@
 
     @DataProvider
     Object[][] differences() {
-        var types = Documents.usual().queryClasses();
-        var tenants = Documents.usual().tenants();
-        var freed =
+        var types = Documents.basic().queryClasses();
+        var tenants = Documents.basic().tenants();
+        var madeIdempotent =
                 List.of(
                         types.get(0),
                         Documents.type("stamps", QueryClass.Idempotence.IDEMPOTENT, 800, 2000));
-        var halved =
+        var halvedObjective =
                 List.of(
                         Documents.type("offers", QueryClass.Idempotence.IDEMPOTENT, 400, 2000),
                         types.get(1));
         return new Object[][] {
-            {Documents.usual(), DocumentDifference.Risk.NONE, ""},
+            {Documents.basic(), DocumentDifference.Risk.NONE, ""},
             {Documents.number(10), DocumentDifference.Risk.LOW, "rises from 200 to 210"},
             {Documents.number(-9), DocumentDifference.Risk.LOW, "falls from 200 to 191"},
             {Documents.number(-40), DocumentDifference.Risk.MIDDLE, "falls from 200 to 160"},
             {Documents.number(-100), DocumentDifference.Risk.HIGH, "falls from 200 to 100"},
             {
-                Documents.with(freed, tenants, 200),
+                Documents.with(madeIdempotent, tenants, 200),
                 DocumentDifference.Risk.HIGH,
                 "what is out stays non-replayable"
             },
             {
-                Documents.with(halved, tenants, 200),
+                Documents.with(halvedObjective, tenants, 200),
                 DocumentDifference.Risk.HIGH,
                 "the target time of 'offers' falls"
             },
@@ -222,9 +223,9 @@
     }
 
     @Test(dataProvider = "differences")
-    public void differenceIsDescribedWithItsRisk(
+    public void differenceIsDescribedAndItsRiskRated(
             ConfigurationDocument after, DocumentDifference.Risk risk, String description) {
-        DocumentDifference difference = DocumentDifference.between(Documents.usual(), after);
+        DocumentDifference difference = DocumentDifference.between(Documents.basic(), after);
         assertEquals(difference.risk(), risk);
         assertTrue(
                 difference.changes().stream()
--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -7,27 +7,30 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.Tenant;
 
-/** Documents to vary. */
+/** Configuration documents for tests. */
 final class Documents {
     private Documents() {}
 
     static ConfigurationDocument.QueryClassSettings type(
-            String name, QueryClass.Idempotence idempotence, double target, double timeout) {
+            String name,
+            QueryClass.Idempotence idempotence,
+            double objectiveMs,
+            double deadlineMs) {
         return new ConfigurationDocument.QueryClassSettings(
                 new QueryClass(
                         name,
                         idempotence,
-                        target,
+                        objectiveMs,
                         1,
                         0.1,
                         idempotence == QueryClass.Idempotence.DEDUPLICATED ? 3000 : 0,
                         1,
                         0.5,
                         0),
-                timeout);
+                deadlineMs);
     }
 
-    static ConfigurationDocument usual() {
+    static ConfigurationDocument basic() {
         return with(
                 List.of(
                         type("offers", QueryClass.Idempotence.IDEMPOTENT, 800, 2000),
@@ -40,21 +43,21 @@
             List<ConfigurationDocument.QueryClassSettings> types,
             List<Tenant> tenants,
             int maxOpen,
-            String... out) {
+            String... drained) {
         return new ConfigurationDocument(
                 types,
                 tenants,
                 new Deployment.Limits(4, maxOpen, true, true, 1000),
                 new Deployment.RetryBudget(10, 0.2, 10_000),
                 new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
-                new TreeSet<>(List.of(out)),
+                new TreeSet<>(List.of(drained)),
                 "",
                 "",
                 "INFO");
     }
 
-    /** Told apart by how much may be open. */
-    static ConfigurationDocument number(int n, String... out) {
-        return with(usual().queryClasses(), usual().tenants(), 200 + n, out);
+    /** Returns a document that differs from the basic one in the number of open items allowed. */
+    static ConfigurationDocument number(int increase, String... drained) {
+        return with(basic().queryClasses(), basic().tenants(), 200 + increase, drained);
     }
 }
--- a/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
+++ b/change/src/test/java/sprucehold/change/EndpointOverridesTest.java
@@ -17,8 +17,8 @@
     private static final List<Endpoint.State> STATES =
             List.of(Endpoint.State.RUNNING, Endpoint.State.DRAINING, Endpoint.State.GONE);
 
-    private static Endpoint endpoint(String server, Endpoint.State mode, double started) {
-        return new Endpoint(server, 0, "z", started, mode);
+    private static Endpoint endpoint(String server, Endpoint.State state, double startedAtMs) {
+        return new Endpoint(server, 0, "z", startedAtMs, state);
     }
 
     private static Event.EndpointsUpdated update(boolean complete, Endpoint... servers) {
@@ -28,7 +28,7 @@
     @DataProvider
     Object[][] overrides() {
         return new Object[][] {
-            // discovery's word, whether the operator has it out, what the module hears
+            // state from discovery, whether operators drained the server, state for the policy
             {Endpoint.State.RUNNING, false, Endpoint.State.RUNNING},
             {Endpoint.State.RUNNING, true, Endpoint.State.DRAINING},
             {Endpoint.State.DRAINING, false, Endpoint.State.DRAINING},
@@ -39,20 +39,21 @@
     }
 
     @Test(dataProvider = "overrides")
-    public void stricterStateHolds(Endpoint.State discovered, boolean out, Endpoint.State seen) {
+    public void stricterOfDiscoveryAndOverrideApplies(
+            Endpoint.State discovered, boolean drained, Endpoint.State expected) {
         var overrides = new EndpointOverrides();
-        overrides.setDrained(out ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
+        overrides.setDrained(drained ? new TreeSet<>(List.of("s")) : new TreeSet<>(), 1);
         assertEquals(
                 overrides
                         .applyTo(update(true, endpoint("s", discovered, 0)))
                         .endpoints()
                         .get(0)
                         .state(),
-                seen);
+                expected);
     }
 
     @Test
-    public void serverDrainedByOperatorsWhileDrainingDrainsOnAfterARollback() {
+    public void serverDrainingInDiscoveryStaysDrainingWhenOperatorsLiftTheirDrain() {
         var overrides = new EndpointOverrides();
         overrides.applyTo(update(true, endpoint("s", Endpoint.State.RUNNING, 0)));
         overrides.applyTo(update(false, endpoint("s", Endpoint.State.DRAINING, 0)));
@@ -67,9 +68,9 @@
         var overrides = new EndpointOverrides();
         overrides.applyTo(update(true, endpoint("s", Endpoint.State.RUNNING, 5)));
         overrides.setDrained(new TreeSet<>(List.of("s")), 1000);
-        List<Endpoint> back = overrides.setDrained(new TreeSet<>(), 2000);
-        assertEquals(back, List.of(endpoint("s", Endpoint.State.RUNNING, 2000)));
-        // Discovery repeats what it knows, and must not make the server look warm again.
+        List<Endpoint> returned = overrides.setDrained(new TreeSet<>(), 2000);
+        assertEquals(returned, List.of(endpoint("s", Endpoint.State.RUNNING, 2000)));
+        // A repeated update from discovery must not undo the server's later start time.
         assertEquals(
                 overrides
                         .applyTo(update(false, endpoint("s", Endpoint.State.RUNNING, 5)))
@@ -87,39 +88,44 @@
     }
 
     @Test
-    public void noOrderOfUpdatesAndOverridesLiftsADrain() {
+    public void noOrderOfUpdatesAndOverridesCancelsADrain() {
         var random = new Random(4);
-        for (int play = 0; play < 2000; play++) {
+        for (int run = 0; run < 2000; run++) {
             var overrides = new EndpointOverrides();
-            Endpoint.State[] modes = {Endpoint.State.RUNNING, Endpoint.State.RUNNING};
-            var seen = new ArrayList<>(List.of(Endpoint.State.GONE, Endpoint.State.GONE));
-            boolean[] out = new boolean[2];
+            Endpoint.State[] discovered = {Endpoint.State.RUNNING, Endpoint.State.RUNNING};
+            var policyStates = new ArrayList<>(List.of(Endpoint.State.GONE, Endpoint.State.GONE));
+            boolean[] drained = new boolean[2];
             for (int step = 0; step < 20; step++) {
                 int server = random.nextInt(2);
-                List<Endpoint> said;
+                List<Endpoint> updated;
                 if (random.nextBoolean()) {
-                    modes[server] = STATES.get(random.nextInt(STATES.size()));
-                    said =
+                    discovered[server] = STATES.get(random.nextInt(STATES.size()));
+                    updated =
                             overrides
                                     .applyTo(
-                                            update(false, endpoint("s" + server, modes[server], 0)))
+                                            update(
+                                                    false,
+                                                    endpoint("s" + server, discovered[server], 0)))
                                     .endpoints();
                 } else {
-                    out[server] = random.nextBoolean();
-                    var set = new TreeSet<String>();
+                    drained[server] = random.nextBoolean();
+                    var drainedServers = new TreeSet<String>();
                     for (int i = 0; i < 2; i++) {
-                        if (out[i]) {
-                            set.add("s" + i);
+                        if (drained[i]) {
+                            drainedServers.add("s" + i);
                         }
                     }
-                    said = overrides.setDrained(set, step);
+                    updated = overrides.setDrained(drainedServers, step);
                 }
-                said.forEach(of -> seen.set(of.server().charAt(1) - '0', of.state()));
+                updated.forEach(
+                        endpoint ->
+                                policyStates.set(
+                                        endpoint.server().charAt(1) - '0', endpoint.state()));
                 for (int i = 0; i < 2; i++) {
-                    if (seen.get(i) == Endpoint.State.RUNNING) {
+                    if (policyStates.get(i) == Endpoint.State.RUNNING) {
                         assertTrue(
-                                modes[i] == Endpoint.State.RUNNING && !out[i],
-                                "play " + play + ", step " + step);
+                                discovered[i] == Endpoint.State.RUNNING && !drained[i],
+                                "run " + run + ", step " + step);
                     }
                 }
             }
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -23,29 +23,29 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * Visits every state of a bounded world: three changes, two servers, a drain, a return, crashes
- * between any two steps, a slow query. A state is rebuilt by playing its steps again, as the pure
- * parts are deterministic.
+ * Explores every state that a model reaches within a bounded number of steps. The model has three
+ * changes, two servers that are drained and returned, crashes between any two steps, and a slow
+ * query. A state is rebuilt by replaying its steps, as the tested classes are deterministic.
  */
 public class ExplorerTest {
-    /** What is put wrong on purpose. */
+    /** Fault that is injected to check that the invariants detect it. */
     private enum Mutation {
         NONE,
         CONFIRMED_NOT_WRITTEN,
         APPLIED_BEFORE_WRITTEN,
         DRAIN_FORGOTTEN_ON_ROLLBACK,
-        OPERATORS_OVERRIDE_ALONE,
+        DISCOVERY_DRAIN_IGNORED,
         QUERY_TAKES_NEW_CLASS,
         NUMBERS_FORGOTTEN_ON_RESTART,
-        RESTART_TAKES_STAGED,
+        RESTART_APPLIES_STAGED,
         RETURNED_AS_WARM
     }
 
     private static final QueryClass NON_IDEMPOTENT_CLASS =
-            Documents.usual().queryClasses().get(1).queryClass();
-    private static final ConfigurationDocument FIRST = Documents.usual();
-    private static final ConfigurationDocument SERVER_OUT = Documents.number(1, "s1");
-    private static final ConfigurationDocument FREED =
+            Documents.basic().queryClasses().get(1).queryClass();
+    private static final ConfigurationDocument FIRST = Documents.basic();
+    private static final ConfigurationDocument DRAINED = Documents.number(1, "s1");
+    private static final ConfigurationDocument LOOSENED =
             Documents.with(
                     List.of(
                             FIRST.queryClasses().get(0),
@@ -53,37 +53,37 @@
                     FIRST.tenants(),
                     200);
     private static final ConfigurationDocument SMALLER = Documents.number(-1);
-    private static final List<ConfigurationDocument> CHANGES = List.of(SERVER_OUT, FREED, SMALLER);
+    private static final List<ConfigurationDocument> CHANGES = List.of(DRAINED, LOOSENED, SMALLER);
 
-    /** One state, built by steps from the beginning. */
-    private static final class World {
+    /** State of the model, reached by steps from the initial state. */
+    private static final class Model {
         final Mutation mutation;
         VersionHistory history = new VersionHistory(FIRST);
         EndpointOverrides overrides = new EndpointOverrides();
         final List<JournalEntry> journal = new ArrayList<>();
         int writtenBefore;
-        ConfigurationDocument inForce = FIRST;
+        ConfigurationDocument applied = FIRST;
         final TreeMap<String, Endpoint.State> discovered = new TreeMap<>();
-        final TreeMap<String, Endpoint> seen = new TreeMap<>();
+        final TreeMap<String, Endpoint> policyView = new TreeMap<>();
         final TreeSet<String> drained = new TreeSet<>();
         final TreeMap<String, Double> returnedAt = new TreeMap<>();
-        QueryClass slow;
+        QueryClass slowQueryClass;
         int proposed;
         int updates;
         int crashes;
         int rollbacks;
         int slowQueries;
-        long greatest = 1;
-        long confirmedSeen = 1;
+        long highestLive = 1;
+        long highestConfirmed = 1;
         double now = 1;
-        String broken;
+        String violation;
 
-        World(Mutation mutation) {
+        Model(Mutation mutation) {
             this.mutation = mutation;
-            list();
+            sendFullList();
         }
 
-        private void list() {
+        private void sendFullList() {
             var servers = new ArrayList<Endpoint>();
             for (String server : List.of("s1", "s2")) {
                 Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
@@ -91,27 +91,27 @@
                     servers.add(new Endpoint(server, 0, "z", 0, mode));
                 }
             }
-            seen.clear();
+            policyView.clear();
             overrides
                     .applyTo(new Event.EndpointsUpdated(true, servers))
                     .endpoints()
-                    .forEach(of -> seen.put(of.server(), of));
+                    .forEach(endpoint -> policyView.put(endpoint.server(), endpoint));
         }
 
-        List<String> enabled() {
+        List<String> enabledSteps() {
             var steps = new ArrayList<String>();
             if (proposed < CHANGES.size()) {
                 steps.add("propose");
             }
             if (history.staged() != null) {
-                steps.add("moment");
+                steps.add("apply");
             }
             if (history.watched()) {
-                steps.add("fell");
-                steps.add("held");
+                steps.add("degraded");
+                steps.add("healthy");
             }
             if (rollbacks < 1 && (history.watched() || history.staged() != null)) {
-                steps.add("undo");
+                steps.add("rollback");
             }
             if (updates < 3) {
                 for (String server : List.of("s1", "s2")) {
@@ -127,7 +127,7 @@
                 steps.add("slow");
             }
             if (crashes < 2) {
-                // Killed after any part of what the last step wrote; less was not on the disk.
+                // The process may be killed after any of the entries that the last step wrote.
                 for (int kept = writtenBefore; kept <= journal.size(); kept++) {
                     steps.add("crash " + kept);
                 }
@@ -139,13 +139,13 @@
             now++;
             if (step.startsWith("crash")) {
                 crash(Integer.parseInt(step.substring(6)));
-                check(step);
+                checkInvariants(step);
                 return;
             }
             writtenBefore = journal.size();
             switch (step) {
                 case "propose" -> {
-                    on(
+                    handle(
                             new VersionEvent.Proposed(
                                     "p" + proposed,
                                     "o",
@@ -156,14 +156,18 @@
                                     RunningState.IDLE));
                     proposed++;
                 }
-                case "moment" -> on(new VersionEvent.BetweenDecisions());
-                case "fell" ->
-                        on(new VersionEvent.WatchDecided(history.live().number(), true, "fell"));
-                case "held" ->
-                        on(new VersionEvent.WatchDecided(history.live().number(), false, "held"));
-                case "undo" -> {
+                case "apply" -> handle(new VersionEvent.BetweenDecisions());
+                case "degraded" ->
+                        handle(
+                                new VersionEvent.WatchDecided(
+                                        history.live().number(), true, "fell"));
+                case "healthy" ->
+                        handle(
+                                new VersionEvent.WatchDecided(
+                                        history.live().number(), false, "held"));
+                case "rollback" -> {
                     rollbacks++;
-                    on(
+                    handle(
                             new VersionEvent.RollbackRequested(
                                     history.staged() != null
                                             ? history.staged().number()
@@ -172,7 +176,7 @@
                 }
                 case "slow" -> {
                     slowQueries++;
-                    slow = inForce.queryClass("stamps").orElseThrow().queryClass();
+                    slowQueryClass = applied.queryClass("stamps").orElseThrow().queryClass();
                 }
                 default -> {
                     String server = step.substring(step.length() - 2);
@@ -182,7 +186,7 @@
                                     : Endpoint.State.RUNNING;
                     updates++;
                     discovered.put(server, mode);
-                    see(
+                    updatePolicy(
                             overrides
                                     .applyTo(
                                             new Event.EndpointsUpdated(
@@ -191,22 +195,23 @@
                                     .endpoints());
                 }
             }
-            check(step);
+            checkInvariants(step);
         }
 
-        private void see(List<Endpoint> update) {
-            for (Endpoint of : update) {
+        private void updatePolicy(List<Endpoint> update) {
+            for (Endpoint endpoint : update) {
                 Endpoint.State mode =
-                        mutation == Mutation.OPERATORS_OVERRIDE_ALONE
-                                        && !drained.contains(of.server())
+                        mutation == Mutation.DISCOVERY_DRAIN_IGNORED
+                                        && !drained.contains(endpoint.server())
                                 ? Endpoint.State.RUNNING
-                                : of.state();
-                double started = mutation == Mutation.RETURNED_AS_WARM ? 0 : of.startedAtMs();
-                seen.put(of.server(), new Endpoint(of.server(), 0, "z", started, mode));
+                                : endpoint.state();
+                double started = mutation == Mutation.RETURNED_AS_WARM ? 0 : endpoint.startedAtMs();
+                policyView.put(
+                        endpoint.server(), new Endpoint(endpoint.server(), 0, "z", started, mode));
             }
         }
 
-        private void on(VersionEvent event) {
+        private void handle(VersionEvent event) {
             List<VersionCommand> commands = new ArrayList<>(history.handle(event));
             for (VersionCommand command : commands) {
                 if (command instanceof VersionCommand.WriteJournal write) {
@@ -215,14 +220,14 @@
                         journal.add(write.entry());
                     }
                 } else if (command instanceof VersionCommand.Apply apply) {
-                    boolean back = apply.version().rollsBack() > 0;
-                    inForce = apply.version().document();
-                    if (slow != null) {
-                        slow =
+                    boolean rollback = apply.version().rollsBack() > 0;
+                    applied = apply.version().document();
+                    if (slowQueryClass != null) {
+                        slowQueryClass =
                                 mutation == Mutation.QUERY_TAKES_NEW_CLASS
-                                        ? inForce.queryClass("stamps").orElseThrow().queryClass()
-                                        : slow.restrictedBy(
-                                                inForce.queryClasses().stream()
+                                        ? applied.queryClass("stamps").orElseThrow().queryClass()
+                                        : slowQueryClass.restrictedBy(
+                                                applied.queryClasses().stream()
                                                         .map(
                                                                 ConfigurationDocument
                                                                                 .QueryClassSettings
@@ -230,13 +235,13 @@
                                                         .toList());
                     }
                     for (String server : drained) {
-                        if (!inForce.drainedServers().contains(server)) {
+                        if (!applied.drainedServers().contains(server)) {
                             returnedAt.put(server, now);
                         }
                     }
                     drained.clear();
-                    drained.addAll(inForce.drainedServers());
-                    if (mutation == Mutation.DRAIN_FORGOTTEN_ON_ROLLBACK && back) {
+                    drained.addAll(applied.drainedServers());
+                    if (mutation == Mutation.DRAIN_FORGOTTEN_ON_ROLLBACK && rollback) {
                         overrides.applyTo(
                                 new Event.EndpointsUpdated(
                                         false,
@@ -244,19 +249,19 @@
                                                 new Endpoint(
                                                         "s1", 0, "z", 0, Endpoint.State.RUNNING))));
                     }
-                    see(overrides.setDrained(inForce.drainedServers(), now));
-                    if (apply.version().number() < greatest) {
-                        broken = "version " + apply.version().number() + " after " + greatest;
+                    updatePolicy(overrides.setDrained(applied.drainedServers(), now));
+                    if (apply.version().number() < highestLive) {
+                        violation = "version " + apply.version().number() + " after " + highestLive;
                     }
-                    greatest = Math.max(greatest, apply.version().number());
-                    // A crash right after it must find it on the disk.
+                    highestLive = Math.max(highestLive, apply.version().number());
+                    // The entry must be on the disk if a crash follows; the mutation loses it.
                     if (mutation == Mutation.APPLIED_BEFORE_WRITTEN && !journal.isEmpty()) {
                         journal.remove(journal.size() - 1);
                     }
                 }
             }
             if (!history.watched()) {
-                confirmedSeen = Math.max(confirmedSeen, history.confirmed().number());
+                highestConfirmed = Math.max(highestConfirmed, history.confirmed().number());
             }
         }
 
@@ -265,55 +270,57 @@
             boolean lastStepLost = kept < journal.size();
             journal.subList(kept, journal.size()).clear();
             if (lastStepLost) {
-                // Nobody was discovered of what the last step had not finished.
-                confirmedSeen =
+                // The result of the unfinished last step was not reported to anybody.
+                highestConfirmed =
                         Math.min(
-                                confirmedSeen,
+                                highestConfirmed,
                                 journal.stream()
                                         .filter(JournalEntry.Confirmed.class::isInstance)
-                                        .mapToLong(of -> ((JournalEntry.Confirmed) of).number())
+                                        .mapToLong(
+                                                entry -> ((JournalEntry.Confirmed) entry).number())
                                         .max()
                                         .orElse(1));
-                // Written before it is applied: what isn't written never was in force.
-                greatest =
+                // Entries are written before a version is applied, so a version without an entry
+                // was never live.
+                highestLive =
                         Math.min(
-                                greatest,
+                                highestLive,
                                 journal.stream()
                                         .mapToLong(
-                                                of ->
-                                                        of instanceof JournalEntry.Live live
+                                                entry ->
+                                                        entry instanceof JournalEntry.Live live
                                                                 ? live.number()
-                                                                : of
+                                                                : entry
                                                                                 instanceof
                                                                                 JournalEntry
                                                                                                 .Confirmed
-                                                                                        sure
-                                                                        ? sure.number()
+                                                                                        confirmed
+                                                                        ? confirmed.number()
                                                                         : 1)
                                         .max()
                                         .orElse(1));
             }
-            slow = null;
+            slowQueryClass = null;
             drained.clear();
             returnedAt.clear();
             history = new VersionHistory(FIRST);
             overrides = new EndpointOverrides();
-            list();
+            sendFullList();
             writtenBefore = journal.size();
             List<JournalEntry> read =
                     mutation == Mutation.NUMBERS_FORGOTTEN_ON_RESTART
                             ? journal.stream()
                                     .filter(
-                                            of ->
-                                                    !(of instanceof JournalEntry.Accepted a)
+                                            entry ->
+                                                    !(entry instanceof JournalEntry.Accepted a)
                                                             || a.version().rollsBack() == 0)
                                     .toList()
                             : List.copyOf(journal);
-            long before = greatest;
-            greatest = 1;
-            on(new VersionEvent.Started(read));
-            greatest = Math.max(before, greatest);
-            if (mutation == Mutation.RESTART_TAKES_STAGED
+            long before = highestLive;
+            highestLive = 1;
+            handle(new VersionEvent.Started(read));
+            highestLive = Math.max(before, highestLive);
+            if (mutation == Mutation.RESTART_APPLIES_STAGED
                     && journal.stream().anyMatch(JournalEntry.Accepted.class::isInstance)) {
                 var last =
                         (JournalEntry.Accepted)
@@ -321,82 +328,82 @@
                                         .filter(JournalEntry.Accepted.class::isInstance)
                                         .reduce((a, b) -> b)
                                         .orElseThrow();
-                inForce = last.version().document();
+                applied = last.version().document();
             }
-            if (history.confirmed().number() < confirmedSeen) {
-                broken =
+            if (history.confirmed().number() < highestConfirmed) {
+                violation =
                         "version "
-                                + confirmedSeen
+                                + highestConfirmed
                                 + " was confirmed and is "
                                 + history.confirmed().number()
                                 + " after the crash";
             }
         }
 
-        private void check(String step) {
-            if (!inForce.equals(history.live().document())) {
-                broken = "in force isn't what is live";
+        private void checkInvariants(String step) {
+            if (!applied.equals(history.live().document())) {
+                violation = "the applied document isn't the live one";
             }
-            if (!inForce.equals(FIRST) && !CHANGES.contains(inForce)) {
-                broken = "a mixture is in force";
+            if (!applied.equals(FIRST) && !CHANGES.contains(applied)) {
+                violation = "the applied document is no complete version";
             }
             for (String server : List.of("s1", "s2")) {
-                Endpoint of = seen.get(server);
+                Endpoint endpoint = policyView.get(server);
                 Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
-                if (of != null
-                        && of.state() == Endpoint.State.RUNNING
+                if (endpoint != null
+                        && endpoint.state() == Endpoint.State.RUNNING
                         && (mode != Endpoint.State.RUNNING
-                                || inForce.drainedServers().contains(server))) {
-                    broken = server + " may be sent to against a drain";
+                                || applied.drainedServers().contains(server))) {
+                    violation = server + " is routable despite a drain";
                 }
-                if (of != null
-                        && of.state() == Endpoint.State.DRAINING
+                if (endpoint != null
+                        && endpoint.state() == Endpoint.State.DRAINING
                         && mode == Endpoint.State.RUNNING
-                        && !inForce.drainedServers().contains(server)) {
-                    broken = server + " is held out though nobody wants it";
+                        && !applied.drainedServers().contains(server)) {
+                    violation = server + " is drained without a request";
                 }
-                if (of != null
-                        && of.state() == Endpoint.State.RUNNING
+                if (endpoint != null
+                        && endpoint.state() == Endpoint.State.RUNNING
                         && returnedAt.containsKey(server)
-                        && of.startedAtMs() < returnedAt.get(server)) {
-                    broken = server + " was given back as if warm";
+                        && endpoint.startedAtMs() < returnedAt.get(server)) {
+                    violation = server + " was returned without slow start";
                 }
             }
-            if (slow != null
-                    && slow.idempotence() != QueryClass.Idempotence.NON_IDEMPOTENT
+            if (slowQueryClass != null
+                    && slowQueryClass.idempotence() != QueryClass.Idempotence.NON_IDEMPOTENT
                     && slowReceivedAsNonIdempotent) {
-                broken = "a part in flight was freed";
+                violation = "the query class of an open query was loosened";
             }
             if (history.staged() != null && history.watched()) {
-                broken = "two changes at a time";
+                violation = "two changes are pending";
             }
-            if (history.live().number() < greatest && !step.startsWith("crash")) {
-                broken = "number " + history.live().number() + " after " + greatest;
+            if (history.live().number() < highestLive && !step.startsWith("crash")) {
+                violation = "number " + history.live().number() + " after " + highestLive;
             }
         }
 
-        /** Whether the slow query was taken while its type was non-replayable. */
+        /** Whether the slow query was received while its query class was non-idempotent. */
         boolean slowReceivedAsNonIdempotent;
 
-        /** Every change can still come to its end from here. */
-        void checkEnds() {
+        /** Checks that every pending change can still be completed from this state. */
+        void checkChangesCanEnd() {
             if (history.staged() != null) {
-                on(new VersionEvent.BetweenDecisions());
+                handle(new VersionEvent.BetweenDecisions());
             }
             if (history.watched()) {
-                on(new VersionEvent.WatchDecided(history.live().number(), true, "end"));
+                handle(new VersionEvent.WatchDecided(history.live().number(), true, "end"));
             }
             if (history.staged() != null || history.watched()) {
-                broken = "a change without an end";
+                violation = "a pending change can't be completed";
             }
         }
 
         String key() {
-            return inForce.limits().maxOpen()
+            return applied.limits().maxOpen()
                     + "|"
-                    + inForce.drainedServers()
+                    + applied.drainedServers()
                     + "|"
-                    + inForce.queryClasses().get(1).queryClass().idempotence()
+                    + applied.queryClasses().get(1).queryClass().idempotence()
                     + "|"
                     + history.watched()
                     + "|"
@@ -413,80 +420,82 @@
                     + "|"
                     + discovered
                     + "|"
-                    + seen.values().stream()
-                            .map(of -> of.state() + "" + (of.startedAtMs() > 0))
+                    + policyView.values().stream()
+                            .map(endpoint -> endpoint.state() + "" + (endpoint.startedAtMs() > 0))
                             .toList()
                     + "|"
-                    + (slow == null ? "" : slow.idempotence())
+                    + (slowQueryClass == null ? "" : slowQueryClass.idempotence())
                     + proposed
                     + updates
                     + crashes
                     + rollbacks
                     + slowQueries
                     + slowReceivedAsNonIdempotent
-                    + greatest
-                    + confirmedSeen;
+                    + highestLive
+                    + highestConfirmed;
         }
     }
 
-    private record Explored(int states, String broken, List<String> steps) {}
+    private record Explored(int states, String violation, List<String> steps) {}
 
-    private static World play(Mutation mutation, List<String> steps) {
-        var world = new World(mutation);
+    private static Model replay(Mutation mutation, List<String> steps) {
+        var model = new Model(mutation);
         for (String step : steps) {
             if (step.equals("slow")) {
-                world.slowReceivedAsNonIdempotent =
-                        world.inForce
+                model.slowReceivedAsNonIdempotent =
+                        model.applied
                                 .queryClass("stamps")
                                 .orElseThrow()
                                 .queryClass()
                                 .equals(NON_IDEMPOTENT_CLASS);
             }
-            world.step(step);
+            model.step(step);
         }
-        return world;
+        return model;
     }
 
-    /** Breadth first, so that the first trouble found has the fewest steps. */
+    /**
+     * Explores the states breadth first, so that the first violation found has the fewest steps.
+     */
     private static Explored explore(Mutation mutation, int depth) {
-        Set<String> seen = new HashSet<>();
+        Set<String> visited = new HashSet<>();
         var queue = new ArrayDeque<List<String>>();
         queue.add(List.of());
-        seen.add(play(mutation, List.of()).key());
+        visited.add(replay(mutation, List.of()).key());
         while (!queue.isEmpty()) {
             List<String> steps = queue.poll();
-            World at = play(mutation, steps);
-            for (String step : at.enabled()) {
+            Model current = replay(mutation, steps);
+            for (String step : current.enabledSteps()) {
                 var next = new ArrayList<>(steps);
                 next.add(step);
-                World world = play(mutation, next);
-                if (world.broken == null && seen.add(world.key())) {
+                Model successor = replay(mutation, next);
+                if (successor.violation == null && visited.add(successor.key())) {
                     if (next.size() < depth) {
                         queue.add(next);
                     }
-                    World end = play(mutation, next);
-                    end.checkEnds();
-                    world.broken = end.broken;
+                    Model completed = replay(mutation, next);
+                    completed.checkChangesCanEnd();
+                    successor.violation = completed.violation;
                 }
-                if (world.broken != null) {
-                    return new Explored(seen.size(), world.broken, next);
+                if (successor.violation != null) {
+                    return new Explored(visited.size(), successor.violation, next);
                 }
             }
         }
-        return new Explored(seen.size(), null, List.of());
+        return new Explored(visited.size(), null, List.of());
     }
 
     @Test
-    public void noInterleavingBreaksAnInvariant() {
-        long begun = System.nanoTime();
+    public void noInterleavingViolatesAnInvariant() {
+        long startNs = System.nanoTime();
         Explored explored = explore(Mutation.NONE, 9);
-        assertTrue(explored.broken == null, explored.broken + " by " + explored.steps);
+        assertTrue(explored.violation == null, explored.violation + " by " + explored.steps);
         assertTrue(explored.states > 10_000, explored.states + " states");
         System.out.println(
                 "explored "
                         + explored.states
                         + " states in "
-                        + (System.nanoTime() - begun) / 1_000_000
+                        + (System.nanoTime() - startNs) / 1_000_000
                         + " ms");
     }
 
@@ -502,10 +511,10 @@
     }
 
     @Test(dataProvider = "mutations")
-    public void everyMutationIsCaught(Mutation mutation) {
+    public void everyMutationIsDetected(Mutation mutation) {
         Explored explored = explore(mutation, 7);
         assertTrue(
-                explored.broken != null,
-                mutation + " was not caught in " + explored.states + " states");
+                explored.violation != null,
+                mutation + " was not detected in " + explored.states + " states");
     }
 }
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -26,11 +26,11 @@
                     new JournalEntry.Retried(2),
                     new JournalEntry.Dropped(2, "fell\nby much"),
                     new JournalEntry.Accepted(
-                            new Version(3, 2, Documents.usual(), "watch", 2), "undo-2"),
+                            new Version(3, 2, Documents.basic(), "watch", 2), "undo-2"),
                     new JournalEntry.Confirmed(3),
                     new JournalEntry.ShutDown());
 
-    private static Path written() throws IOException {
+    private static Path writeEntries() throws IOException {
         Path file = Files.createTempFile("journal", ".log");
         try (JournalFile journal = JournalFile.open(file)) {
             for (JournalEntry entry : ENTRIES) {
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void writtenEntriesAreReadAndAppendedTo() throws IOException {
-        Path file = written();
+    public void reopenedJournalReturnsItsEntriesAndIsAppendedTo() throws IOException {
+        Path file = writeEntries();
         assertEquals(read(file), ENTRIES);
         try (JournalFile journal = JournalFile.open(file)) {
             assertNull(journal.cutOff());
@@ -58,41 +58,42 @@
     }
 
     @Test
-    public void journalCutOffAtAnyByteHoldsAllWholeLinesAndIsAppendedTo() throws IOException {
-        byte[] all = Files.readAllBytes(written());
+    public void journalTruncatedAtAnyByteReturnsAllCompleteLinesAndIsAppendedTo()
+            throws IOException {
+        byte[] written = Files.readAllBytes(writeEntries());
         Path file = Files.createTempFile("journal", ".log");
-        for (int length = 0; length < all.length; length++) {
-            Files.write(file, Arrays.copyOf(all, length));
-            long whole = 0;
+        for (int length = 0; length < written.length; length++) {
+            Files.write(file, Arrays.copyOf(written, length));
+            long completeLines = 0;
             for (int i = 0; i < length; i++) {
-                whole += all[i] == '\n' ? 1 : 0;
+                completeLines += written[i] == '\n' ? 1 : 0;
             }
             try (JournalFile journal = JournalFile.open(file)) {
-                assertEquals(journal.entries(), ENTRIES.subList(0, (int) whole));
-                assertEquals(journal.cutOff() == null, length == 0 || all[length - 1] == '\n');
+                assertEquals(journal.entries(), ENTRIES.subList(0, (int) completeLines));
+                assertEquals(journal.cutOff() == null, length == 0 || written[length - 1] == '\n');
                 journal.write(new JournalEntry.Live(9));
             }
             List<JournalEntry> after = read(file);
-            assertEquals(after.size(), whole + 1);
+            assertEquals(after.size(), completeLines + 1);
             assertEquals(after.get(after.size() - 1), new JournalEntry.Live(9));
         }
     }
 
     @Test
-    public void everyFlippedBitEndsTheJournalBeforeItsLine() throws IOException {
-        byte[] all = Files.readAllBytes(written());
+    public void journalWithAFlippedBitReturnsOnlyUndamagedEntries() throws IOException {
+        byte[] written = Files.readAllBytes(writeEntries());
         Path file = Files.createTempFile("journal", ".log");
-        for (int bit = 0; bit < 8 * all.length; bit += 3) {
-            byte[] flipped = all.clone();
+        for (int bit = 0; bit < 8 * written.length; bit += 3) {
+            byte[] flipped = written.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file, flipped);
             List<JournalEntry> read = read(file);
-            // A hex digit in capitals is the same number; everything else ends it.
+            // A bit that only changes the case of a hexadecimal digit leaves the checksum valid.
             assertEquals(read, ENTRIES.subList(0, read.size()), "bit " + bit);
         }
     }
 
-    /** Written by an earlier build: {@link #ENTRIES}. */
+    /** Returns a journal file with {@link #ENTRIES} that an earlier build wrote. */
     private static byte[] golden() throws IOException {
         try (InputStream in =
                 JournalFileTest.class.getResourceAsStream("/golden-versions.journal")) {
@@ -101,16 +102,16 @@
     }
 
     @Test
-    public void aJournalOfAnEarlierBuildIsReadAndWrittenByteForByte() throws IOException {
+    public void journalOfAnEarlierBuildIsReadAndWrittenByteForByte() throws IOException {
         Path file = Files.createTempFile("journal", ".log");
         Files.write(file, golden());
         assertEquals(read(file), ENTRIES);
-        assertEquals(Files.readString(written()), Files.readString(file));
+        assertEquals(Files.readString(writeEntries()), Files.readString(file));
     }
 
     @Test
-    public void secondOwnerIsRefused() throws IOException {
-        Path file = written();
+    public void openingALockedJournalFails() throws IOException {
+        Path file = writeEntries();
         try (JournalFile journal = JournalFile.open(file)) {
             assertNotNull(journal);
             assertThrows(IOException.class, () -> JournalFile.open(file));
--- a/change/src/test/java/sprucehold/change/RolloutTest.java
+++ b/change/src/test/java/sprucehold/change/RolloutTest.java
@@ -19,54 +19,54 @@
     private static final List<String> FLEET = List.of("a", "b", "c", "d", "e");
 
     /**
-     * Gatherers that take the change and confirm it, but for one that does something else; answers
-     * get lost.
+     * Gatherers that accept and confirm the change, except for one that deviates. The deviating
+     * gatherer reaches another state, or never answers if that state is null. Answers may get lost.
      */
     private static final class Fleet {
-        final Map<String, GathererState> really = new HashMap<>();
-        final String odd;
-        final GathererState oddEnds;
+        final Map<String, GathererState> actual = new HashMap<>();
+        final String deviating;
+        final GathererState deviatingState;
         final Random loss;
 
-        Fleet(String odd, GathererState oddEnds, Random loss) {
-            this.odd = odd;
-            this.oddEnds = oddEnds;
+        Fleet(String deviating, GathererState deviatingState, Random loss) {
+            this.deviating = deviating;
+            this.deviatingState = deviatingState;
             this.loss = loss;
         }
 
-        /** What comes back, or null where nothing does. */
+        /** Returns the answer to a request, or null if no answer arrives. */
         GathererState answer(RolloutAction action) {
             if (action instanceof RolloutAction.Propose propose) {
-                return lost() ? null : took(propose.gatherer());
-            } else if (action instanceof RolloutAction.QueryStatus ask) {
+                return lost() ? null : accept(propose.gatherer());
+            } else if (action instanceof RolloutAction.QueryStatus query) {
                 if (lost()) {
                     return null;
                 }
-                GathererState ends =
-                        ask.gatherer().equals(odd) && oddEnds != null
-                                ? oddEnds
+                GathererState newState =
+                        query.gatherer().equals(deviating) && deviatingState != null
+                                ? deviatingState
                                 : GathererState.CONFIRMED;
-                really.put(ask.gatherer(), ends);
-                return lost() ? null : ends;
-            } else if (action instanceof RolloutAction.Revert back) {
-                if ((back.gatherer().equals(odd) && oddEnds == null) || lost()) {
+                actual.put(query.gatherer(), newState);
+                return lost() ? null : newState;
+            } else if (action instanceof RolloutAction.Revert revert) {
+                if ((revert.gatherer().equals(deviating) && deviatingState == null) || lost()) {
                     return null;
                 }
-                really.put(back.gatherer(), GathererState.REVERTED);
+                actual.put(revert.gatherer(), GathererState.REVERTED);
                 return lost() ? null : GathererState.REVERTED;
             }
             return null;
         }
 
-        private GathererState took(String gatherer) {
-            if (gatherer.equals(odd) && oddEnds == null) {
+        private GathererState accept(String gatherer) {
+            if (gatherer.equals(deviating) && deviatingState == null) {
                 return null;
             }
-            if (gatherer.equals(odd) && oddEnds == GathererState.REJECTED) {
+            if (gatherer.equals(deviating) && deviatingState == GathererState.REJECTED) {
                 return GathererState.REJECTED;
             }
-            really.putIfAbsent(gatherer, GathererState.WATCHED);
-            return lost() ? null : really.get(gatherer);
+            actual.putIfAbsent(gatherer, GathererState.WATCHED);
+            return lost() ? null : actual.get(gatherer);
         }
 
         private boolean lost() {
@@ -74,23 +74,25 @@
         }
     }
 
-    /** Plays to the end; the tool dies at some steps and takes the kept state up again. */
-    private static RolloutState play(Fleet fleet, Random deaths) {
+    /**
+     * Runs the rollout to its end. The tool crashes at some steps and resumes from the saved state.
+     */
+    private static RolloutState run(Fleet fleet, Random crashes) {
         var rollout = new Rollout(RolloutState.of("r1", RolloutState.waves(FLEET)));
-        RolloutState kept = rollout.state();
+        RolloutState saved = rollout.state();
         double now = 0;
         for (int step = 0; step < 20_000 && !rollout.finished(); step++) {
             var queue = new ArrayDeque<>(rollout.tick(now));
             now += 1000;
             while (!queue.isEmpty()) {
                 RolloutAction action = queue.poll();
-                if (action instanceof RolloutAction.SaveState keep) {
-                    kept = keep.state();
+                if (action instanceof RolloutAction.SaveState save) {
+                    saved = save.state();
                     continue;
                 }
-                if (deaths != null && deaths.nextInt(6) == 0) {
-                    // Killed between two actions: what was kept is all that is left.
-                    rollout = new Rollout(kept);
+                if (crashes != null && crashes.nextInt(6) == 0) {
+                    // The tool is killed between two actions, and only the saved state remains.
+                    rollout = new Rollout(saved);
                     queue.clear();
                     break;
                 }
@@ -99,10 +101,10 @@
                     String gatherer =
                             action instanceof RolloutAction.Propose propose
                                     ? propose.gatherer()
-                                    : action instanceof RolloutAction.QueryStatus ask
-                                            ? ask.gatherer()
+                                    : action instanceof RolloutAction.QueryStatus query
+                                            ? query.gatherer()
                                             : ((RolloutAction.Revert) action).gatherer();
-                    queue.addAll(rollout.answered(gatherer, answer, "so it is"));
+                    queue.addAll(rollout.answered(gatherer, answer, "reason"));
                 }
             }
         }
@@ -111,23 +113,23 @@
     }
 
     @Test
-    public void firstWaveIsOneAndEachNextTwiceAsMany() {
+    public void firstWaveHasOneGathererAndEachFurtherWaveTwiceAsMany() {
         assertEquals(
                 RolloutState.waves(FLEET),
                 List.of(List.of("a"), List.of("b", "c"), List.of("d", "e")));
     }
 
     @Test
-    public void soundChangeReachesAll() {
-        RolloutState end = play(new Fleet("none", null, null), null);
+    public void harmlessChangeIsConfirmedByAllGatherers() {
+        RolloutState end = run(new Fleet("none", null, null), null);
         assertEquals(end.phase(), Phase.DONE);
         assertTrue(
                 end.gathererStates().values().stream().allMatch(GathererState.CONFIRMED::equals));
     }
 
     @Test
-    public void changeRolledBackByTheFirstReachesNobodyElse() {
-        RolloutState end = play(new Fleet("a", GathererState.ROLLED_BACK, null), null);
+    public void changeRolledBackInTheFirstWaveIsProposedToNoOtherGatherer() {
+        RolloutState end = run(new Fleet("a", GathererState.ROLLED_BACK, null), null);
         assertEquals(end.phase(), Phase.HALTED);
         assertEquals(end.gathererStates().get("a"), GathererState.ROLLED_BACK);
         assertTrue(
@@ -138,42 +140,42 @@
     @Test
     public void changeRolledBackInTheSecondWaveIsRevertedWhereItWasConfirmed() {
         var fleet = new Fleet("c", GathererState.ROLLED_BACK, null);
-        RolloutState end = play(fleet, null);
+        RolloutState end = run(fleet, null);
         assertEquals(end.phase(), Phase.HALTED);
-        assertEquals(fleet.really.get("a"), GathererState.REVERTED);
+        assertEquals(fleet.actual.get("a"), GathererState.REVERTED);
         assertEquals(end.gathererStates().get("d"), GathererState.NOT_PROPOSED);
     }
 
     @Test
-    public void gathererThatNeverAnswersHaltsTheRolloutAndIsReported() {
-        RolloutState end = play(new Fleet("b", null, null), null);
+    public void gathererThatNeverAnswersHaltsTheRolloutAndStaysReverting() {
+        RolloutState end = run(new Fleet("b", null, null), null);
         assertEquals(end.phase(), Phase.HALTED);
         assertEquals(end.gathererStates().get("b"), GathererState.REVERTING);
         assertEquals(end.gathererStates().get("a"), GathererState.REVERTED);
     }
 
     @Test
-    public void withAnswersLostAndTheToolDyingEveryGathererEndsInAKnownState() {
+    public void recordedStatesAreTrueDespiteLostAnswersAndCrashesOfTheTool() {
         for (int seed = 0; seed < 300; seed++) {
-            GathererState[] odd = {
+            GathererState[] finalStates = {
                 GathererState.CONFIRMED, GathererState.ROLLED_BACK, GathererState.REJECTED
             };
-            var fleet = new Fleet("c", odd[seed % 3], new Random(seed));
-            RolloutState end = play(fleet, new Random(seed + 1000));
+            var fleet = new Fleet("c", finalStates[seed % 3], new Random(seed));
+            RolloutState end = run(fleet, new Random(seed + 1000));
             for (String gatherer : FLEET) {
                 GathererState known = end.gathererStates().get(gatherer);
-                GathererState really = fleet.really.get(gatherer);
+                GathererState actual = fleet.actual.get(gatherer);
                 if (known == GathererState.CONFIRMED
                         || known == GathererState.REVERTED
                         || known == GathererState.ROLLED_BACK) {
-                    assertEquals(really, known, "seed " + seed + ", " + gatherer);
+                    assertEquals(actual, known, "seed " + seed + ", " + gatherer);
                 } else if (known == GathererState.NOT_PROPOSED) {
-                    assertEquals(really, null, "seed " + seed + ", " + gatherer);
+                    assertEquals(actual, null, "seed " + seed + ", " + gatherer);
                 }
             }
             assertEquals(
                     end.phase(),
-                    odd[seed % 3] == GathererState.CONFIRMED ? Phase.DONE : Phase.HALTED,
+                    finalStates[seed % 3] == GathererState.CONFIRMED ? Phase.DONE : Phase.HALTED,
                     "seed " + seed);
         }
     }
--- a/change/src/test/java/sprucehold/change/StoredFormsTest.java
+++ b/change/src/test/java/sprucehold/change/StoredFormsTest.java
@@ -14,14 +14,17 @@
 import sprucehold.change.rollout.RolloutState.GathererState;
 import sprucehold.change.rollout.RolloutState.Phase;
 
-/** JSON that files and the command line hold, as earlier builds write it. */
+/**
+ * Tests that the JSON in files and in the output of the command line is the same as that of earlier
+ * builds.
+ */
 public class StoredFormsTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private static RolloutState everyState(Phase phase) {
+    private static RolloutState withAllStates(Phase phase) {
         var states = new TreeMap<String, GathererState>();
-        for (GathererState one : GathererState.values()) {
-            states.put("g" + states.size(), one);
+        for (GathererState state : GathererState.values()) {
+            states.put("g" + states.size(), state);
         }
         return new RolloutState(
                 "r1", List.of(List.of("g0"), List.of("g1", "g2")), 1, states, phase, "fell");
@@ -48,22 +51,22 @@
                             + "\"phase\":\""
                             + phases.get(phase)
                             + "\",\"why\":\"fell\"}";
-            assertEquals(MAPPER.writeValueAsString(everyState(phase)), stored);
-            assertEquals(MAPPER.readValue(stored, RolloutState.class), everyState(phase));
+            assertEquals(MAPPER.writeValueAsString(withAllStates(phase)), stored);
+            assertEquals(MAPPER.readValue(stored, RolloutState.class), withAllStates(phase));
         }
     }
 
     @Test
-    public void differenceIsPrintedWithTheKeysOfEarlierBuilds() throws Exception {
+    public void differenceIsWrittenWithTheKeysOfEarlierBuilds() throws Exception {
         assertEquals(
                 MAPPER.writeValueAsString(
-                        DocumentDifference.between(Documents.usual(), Documents.number(-40))),
+                        DocumentDifference.between(Documents.basic(), Documents.number(-40))),
                 "{\"words\":[{\"path\":\"/limits/maxOpen\",\"words\":\"what may be open at once falls"
                         + " from 200 to 160\",\"risk\":\"MIDDLE\"}],\"risk\":\"MIDDLE\"}");
     }
 
     @Test
-    public void validationErrorIsPrintedWithTheKeysOfEarlierBuilds() throws Exception {
+    public void validationErrorIsWrittenWithTheKeysOfEarlierBuilds() throws Exception {
         assertEquals(
                 MAPPER.writeValueAsString(new ValidationError("/limits", "wrong", "mend it")),
                 "{\"path\":\"/limits\",\"what\":\"wrong\",\"mend\":\"mend it\"}");
--- a/change/src/test/java/sprucehold/change/VersionHistoryTest.java
+++ b/change/src/test/java/sprucehold/change/VersionHistoryTest.java
@@ -16,9 +16,9 @@
 import sprucehold.change.version.VersionStatus;
 
 public class VersionHistoryTest {
-    private VersionHistory history = new VersionHistory(Documents.usual());
+    private VersionHistory history = new VersionHistory(Documents.basic());
     private List<JournalEntry> journal = new ArrayList<>();
-    private ConfigurationDocument inForce = Documents.usual();
+    private ConfigurationDocument applied = Documents.basic();
 
     private List<VersionCommand> handle(VersionEvent event) {
         List<VersionCommand> commands = history.handle(event);
@@ -26,39 +26,39 @@
             if (command instanceof VersionCommand.WriteJournal write) {
                 journal.add(write.entry());
             } else if (command instanceof VersionCommand.Apply apply) {
-                inForce = apply.version().document();
+                applied = apply.version().document();
             }
         }
         return commands;
     }
 
-    private List<VersionCommand> propose(String id, long from, ConfigurationDocument document) {
-        return handle(new VersionEvent.Proposed(id, "operator", from, document, RunningState.IDLE));
+    private List<VersionCommand> propose(String id, long base, ConfigurationDocument document) {
+        return handle(new VersionEvent.Proposed(id, "operator", base, document, RunningState.IDLE));
     }
 
-    private void fresh() {
-        history = new VersionHistory(Documents.usual());
+    private void reset() {
+        history = new VersionHistory(Documents.basic());
         journal = new ArrayList<>();
-        inForce = Documents.usual();
+        applied = Documents.basic();
     }
 
-    private static <A extends VersionCommand> List<A> of(
-            List<VersionCommand> commands, Class<A> kind) {
-        return commands.stream().filter(kind::isInstance).map(kind::cast).toList();
+    private static <C extends VersionCommand> List<C> ofType(
+            List<VersionCommand> commands, Class<C> type) {
+        return commands.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
     @Test
     public void changeIsStagedAppliedWatchedAndConfirmed() {
-        fresh();
+        reset();
         assertEquals(
-                of(propose("a", 1, Documents.number(1)), VersionCommand.Accepted.class)
+                ofType(propose("a", 1, Documents.number(1)), VersionCommand.Accepted.class)
                         .get(0)
                         .version()
                         .number(),
                 2);
-        assertEquals(inForce, Documents.usual(), "not before the decision is over");
+        assertEquals(applied, Documents.basic(), "not applied before the decision ends");
         handle(new VersionEvent.BetweenDecisions());
-        assertEquals(inForce, Documents.number(1));
+        assertEquals(applied, Documents.number(1));
         assertTrue(history.watched());
         handle(new VersionEvent.WatchDecided(2, false, "held"));
         assertFalse(history.watched());
@@ -67,50 +67,52 @@
 
     @Test
     public void harmfulChangeIsRolledBackUnderANewNumber() {
-        fresh();
+        reset();
         propose("a", 1, Documents.number(1));
         handle(new VersionEvent.BetweenDecisions());
         handle(new VersionEvent.WatchDecided(2, true, "fell"));
-        assertEquals(inForce, Documents.usual());
+        assertEquals(applied, Documents.basic());
         assertEquals(history.live().number(), 3);
         assertEquals(history.live().rollsBack(), 2);
-        // The watch's late word handle a version that is gone changes nothing.
+        // A late verdict on a version that was already rolled back has no effect.
         assertTrue(handle(new VersionEvent.WatchDecided(2, true, "fell")).isEmpty());
         assertTrue(handle(new VersionEvent.ConfirmRequested(2, "late operator")).isEmpty());
-        assertEquals(inForce, Documents.usual());
+        assertEquals(applied, Documents.basic());
     }
 
     @Test
-    public void secondOfTwoOperatorsIsRejectedAndToldWhatChangedSince() {
-        fresh();
+    public void outdatedProposalIsRejectedWithTheChangesSinceItsBase() {
+        reset();
         propose("a", 1, Documents.number(1));
         List<VersionCommand> second = propose("b", 1, Documents.number(2));
-        VersionCommand.Rejected rejected = of(second, VersionCommand.Rejected.class).get(0);
+        VersionCommand.Rejected rejected = ofType(second, VersionCommand.Rejected.class).get(0);
         assertTrue(
                 rejected.changesSince().changes().get(0).description().contains("from 200 to 201"),
                 rejected.toString());
         handle(new VersionEvent.BetweenDecisions());
-        assertEquals(inForce, Documents.number(1));
+        assertEquals(applied, Documents.number(1));
     }
 
     @Test
-    public void secondChangeDuringTheWatchIsRejected() {
-        fresh();
+    public void proposalDuringTheWatchIsRejected() {
+        reset();
         propose("a", 1, Documents.number(1));
         handle(new VersionEvent.BetweenDecisions());
         assertEquals(
-                of(propose("b", 2, Documents.number(2)), VersionCommand.Rejected.class).size(), 1);
+                ofType(propose("b", 2, Documents.number(2)), VersionCommand.Rejected.class).size(),
+                1);
         handle(new VersionEvent.WatchDecided(2, false, "held"));
         assertEquals(
-                of(propose("c", 2, Documents.number(2)), VersionCommand.Accepted.class).size(), 1);
+                ofType(propose("c", 2, Documents.number(2)), VersionCommand.Accepted.class).size(),
+                1);
     }
 
     @Test
-    public void sameProposalTwiceIsOneAlsoAfterARestart() {
-        fresh();
+    public void repeatedProposalIsAcceptedOnceEvenAfterARestart() {
+        reset();
         propose("a", 1, Documents.number(1));
         assertEquals(
-                of(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
+                ofType(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
                         .get(0)
                         .number(),
                 2);
@@ -118,22 +120,22 @@
         handle(new VersionEvent.ConfirmRequested(2, "operator"));
         restart();
         assertEquals(
-                of(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
+                ofType(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
                         .get(0)
                         .number(),
                 2);
-        assertEquals(inForce, Documents.number(1));
+        assertEquals(applied, Documents.number(1));
     }
 
     private void restart() {
-        history = new VersionHistory(Documents.usual());
-        inForce = null;
+        history = new VersionHistory(Documents.basic());
+        applied = null;
         handle(new VersionEvent.Started(List.copyOf(journal)));
     }
 
     @Test
-    public void killedBetweenAnyTwoStepsItStartsWithOneWholeVersion() {
-        fresh();
+    public void processKilledBetweenAnyTwoStepsRestartsWithOneCompleteVersion() {
+        reset();
         propose("a", 1, Documents.number(1));
         handle(new VersionEvent.BetweenDecisions());
         handle(new VersionEvent.WatchDecided(2, false, "held"));
@@ -142,20 +144,20 @@
         handle(new VersionEvent.WatchDecided(3, true, "fell"));
         propose("c", 4, Documents.number(3));
         handle(new VersionEvent.BetweenDecisions());
-        List<JournalEntry> all = List.copyOf(journal);
-        List<ConfigurationDocument> whole =
+        List<JournalEntry> entries = List.copyOf(journal);
+        List<ConfigurationDocument> documents =
                 List.of(
-                        Documents.usual(),
+                        Documents.basic(),
                         Documents.number(1),
                         Documents.number(2),
                         Documents.number(3));
-        for (int cut = 0; cut <= all.size(); cut++) {
-            journal = new ArrayList<>(all.subList(0, cut));
+        for (int cut = 0; cut <= entries.size(); cut++) {
+            journal = new ArrayList<>(entries.subList(0, cut));
             restart();
-            assertTrue(whole.contains(inForce), "after " + cut + " steps");
-            assertEquals(inForce, history.live().document());
+            assertTrue(documents.contains(applied), "after " + cut + " steps");
+            assertEquals(applied, history.live().document());
             // A version that was confirmed before the kill is never lost.
-            for (JournalEntry entry : all.subList(0, cut)) {
+            for (JournalEntry entry : entries.subList(0, cut)) {
                 if (entry instanceof JournalEntry.Confirmed confirmed) {
                     assertTrue(history.confirmed().number() >= confirmed.number());
                 }
@@ -163,28 +165,28 @@
             long last = history.live().number();
             propose("after-" + cut, history.live().number(), Documents.number(50 + cut));
             if (history.staged() != null) {
-                assertTrue(history.staged().number() > last, "numbers never go back");
+                assertTrue(history.staged().number() > last, "version numbers must not decrease");
             }
         }
     }
 
     @Test
-    public void versionUnderWhichTheProcessDiedTwiceIsQuarantined() {
-        fresh();
+    public void versionUnderWhichTheProcessCrashedTwiceIsQuarantined() {
+        reset();
         propose("a", 1, Documents.number(1));
         handle(new VersionEvent.BetweenDecisions());
         restart();
-        assertEquals(inForce, Documents.number(1), "once may have been chance");
+        assertEquals(applied, Documents.number(1), "one crash may not be caused by the version");
         assertTrue(history.watched());
         restart();
-        assertEquals(inForce, Documents.usual());
+        assertEquals(applied, Documents.basic());
         assertTrue(
                 history.statuses().stream()
-                        .anyMatch(of -> of.state() == VersionStatus.State.QUARANTINED));
+                        .anyMatch(status -> status.state() == VersionStatus.State.QUARANTINED));
         restart();
-        assertEquals(inForce, Documents.usual(), "and stays so");
+        assertEquals(applied, Documents.basic(), "must stay quarantined after another restart");
         VersionCommand.Rejected rejected =
-                of(
+                ofType(
                                 propose("again", history.live().number(), Documents.number(1)),
                                 VersionCommand.Rejected.class)
                         .get(0);
@@ -192,25 +194,25 @@
     }
 
     @Test
-    public void shutdownInOrderIsNoCrash() {
-        fresh();
+    public void cleanShutdownIsNotCountedAsACrash() {
+        reset();
         propose("a", 1, Documents.number(1));
         handle(new VersionEvent.BetweenDecisions());
         for (int i = 0; i < 5; i++) {
             handle(new VersionEvent.ShuttingDown());
             restart();
-            assertEquals(inForce, Documents.number(1));
+            assertEquals(applied, Documents.number(1));
             assertTrue(history.watched());
         }
     }
 
     @Test
     public void versionWithdrawnWhileStagedNeverGoesLive() {
-        fresh();
+        reset();
         propose("a", 1, Documents.number(1));
         handle(new VersionEvent.RollbackRequested(2, "operator"));
         handle(new VersionEvent.BetweenDecisions());
-        assertEquals(inForce, Documents.usual());
+        assertEquals(applied, Documents.basic());
         assertEquals(history.statuses().get(1).state(), VersionStatus.State.ROLLED_BACK);
     }
 }
