--- a/standin/src/main/java/sprucehold/standin/StandInDiscovery.java
+++ b/standin/src/main/java/sprucehold/standin/StandInDiscovery.java
@@ -10,7 +10,7 @@
 
 /** A stand-in for discovery, with an endpoint list that never changes. */
 final class StandInDiscovery {
-    /** The number of the list. */
+    /** Index of the endpoint list, which never changes. */
     private static final int INDEX = 1;
 
     private static final int NOT_FOUND = 404;
@@ -42,7 +42,7 @@
             request.response().end(fullList);
         } else {
             long waitMs = Long.parseLong(request.getParam("wait_ms", "1"));
-            vertx.setTimer(Math.max(1, waitMs), waited -> request.response().end(noUpdate));
+            vertx.setTimer(Math.max(1, waitMs), timerId -> request.response().end(noUpdate));
         }
     }
 }
--- a/standin/src/main/java/sprucehold/standin/StandInShardServer.java
+++ b/standin/src/main/java/sprucehold/standin/StandInShardServer.java
@@ -11,22 +11,22 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A stand-in for a shard server: it answers every attempt at once and in time, with a value of the
+ * A stand-in for a shard server. It answers every attempt immediately; the value consists of the
  * shard and the attempt's text.
  *
  * <table>
- * <caption>Frames, by their first letter</caption>
+ * <caption>Frames by their first letter</caption>
  * <tr><th>from the gatherer</th><th>answer</th></tr>
- * <tr><td>A: attempts, a line each (number, shard, time, length of the text) and the text</td><td>E
- *     for each: its outcome and value</td></tr>
+ * <tr><td>A: attempts; for each a line (number, shard, time, length of the text) and the text</td>
+ *     <td>E for each attempt, with its outcome and value</td></tr>
  * <tr><td>B: cancel an attempt</td><td>none</td></tr>
  * <tr><td>C: health check</td><td>C</td></tr>
  * <tr><td>D: load report</td><td>D</td></tr>
- * <tr><td>any other</td><td>F: error, and the connection is closed</td></tr>
+ * <tr><td>any other</td><td>F: error; then the connection is closed</td></tr>
  * </table>
  */
 final class StandInShardServer {
-    /** Each frame is preceded by its length, little-endian. */
+    /** Size of the length field before each frame, in bytes; the length is little-endian. */
     private static final int LENGTH_BYTES = 4;
 
     private final Vertx vertx;
--- a/standin/src/main/java/sprucehold/standin/StandIns.java
+++ b/standin/src/main/java/sprucehold/standin/StandIns.java
@@ -11,16 +11,20 @@
 import java.util.List;
 import sprucehold.coordinator.EndpointUpdate;
 
-/** Starts discovery and shard servers on this machine, without faults, to try a gatherer with. */
+/**
+ * Starts stand-ins for discovery and shard servers on the local machine, without faults, for trying
+ * out a gatherer.
+ */
 public final class StandIns {
     private StandIns() {}
 
     /**
-     * Starts a shard server for each endpoint, and then discovery with their list.
+     * Starts a shard server for each endpoint, and then discovery with the list of these endpoints.
      *
-     * @param host where discovery listens
-     * @param port where discovery listens, 0 for any free port
-     * @param anyPorts whether shard servers take any free port in place of the one listed
+     * @param host host at which discovery listens
+     * @param port port at which discovery listens, 0 for any free port
+     * @param servers endpoints for which shard servers are started
+     * @param anyPorts whether shard servers listen at any free port instead of the listed port
      * @return the port of discovery
      */
     public static Future<Integer> start(
@@ -29,24 +33,24 @@
         Future<?> started = Future.succeededFuture();
         for (EndpointUpdate server : servers) {
             started =
-                    started.compose(before -> startServer(vertx, server, anyPorts))
+                    started.compose(ignored -> startServer(vertx, server, anyPorts))
                             .map(address -> endpoints.add(endpoint(server, address)));
         }
-        return started.compose(all -> new StandInDiscovery(vertx, endpoints).listen(host, port))
+        return started.compose(ignored -> new StandInDiscovery(vertx, endpoints).listen(host, port))
                 .map(HttpServer::actualPort);
     }
 
-    /** Starts the shard server of an endpoint; the result is its address. */
+    /** Starts the shard server of an endpoint. The future completes with its address. */
     private static Future<String> startServer(Vertx vertx, EndpointUpdate server, boolean anyPort) {
         int colon = server.address().lastIndexOf(':');
         String host = server.address().substring(0, colon);
         int listedPort = Integer.parseInt(server.address().substring(colon + 1));
         return new StandInShardServer(vertx)
                 .listen(SocketAddress.inetSocketAddress(anyPort ? 0 : listedPort, host))
-                .map(listening -> host + ":" + listening.actualPort());
+                .map(listener -> host + ":" + listener.actualPort());
     }
 
-    /** Starts a shard server at any free port of a host; the result is the port. */
+    /** Starts a shard server at any free port of a host. The future completes with the port. */
     public static Future<Integer> shardServerAt(Vertx vertx, String host) {
         return new StandInShardServer(vertx)
                 .listen(SocketAddress.inetSocketAddress(0, host))
--- a/standin/src/main/java/sprucehold/standin/ledger/Ledger.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Ledger.java
@@ -4,17 +4,20 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** All observations of a run. Safe for threads: clients and servers add at the same time. */
+/** All observations of a run. Thread-safe, as clients and servers add observations concurrently. */
 public final class Ledger {
-    private final List<Seen> all = new ArrayList<>();
+    private final List<Seen> observations = new ArrayList<>();
 
     /** Adds an observation. */
     public synchronized void add(Seen seen) {
-        all.add(seen);
+        observations.add(seen);
     }
 
-    /** All so far, by time; observations of the same time stay in the order of their adding. */
+    /**
+     * Returns all observations so far, ordered by time; observations of the same time stay in the
+     * order in which they were added.
+     */
     public synchronized List<Seen> inOrder() {
-        return all.stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
+        return observations.stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
     }
 }
--- a/standin/src/main/java/sprucehold/standin/ledger/Seen.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Seen.java
@@ -4,8 +4,9 @@
 import sprucehold.decision.Endpoint;
 
 /**
- * One observation of somebody outside a gatherer. Names of records, components and constants are
- * those of ledger files, which the test bed writes; so they keep the wire's terms.
+ * One observation by a client, a shard server, discovery or the run itself, outside the gatherers.
+ * Records, components and constants have the names used in ledger files, which the test bed writes,
+ * so they keep the terms of the wire.
  *
  * <table>
  * <caption>Names in ledger files and what they are in the code</caption>
@@ -16,18 +17,18 @@
  * </table>
  */
 public sealed interface Seen {
-    /** When it was observed, in milliseconds by the one clock of the run. */
+    /** Returns the time of the observation, in milliseconds by the one clock of the run. */
     double atMs();
 
     /**
      * A client has written the last byte of a query.
      *
-     * @param atMs when
-     * @param gatherer whom it asked
+     * @param atMs time of the observation, in milliseconds
+     * @param gatherer the gatherer to which the client sent the query
      * @param scan the query's id
      * @param tableType the query class
-     * @param timeLeftMs how long the client waits from then on, in milliseconds
-     * @param weights the weight of each part, by shard
+     * @param timeLeftMs time that the client waits from then on, in milliseconds
+     * @param weights weight of each part, by shard
      */
     record Asked(
             double atMs,
@@ -38,13 +39,13 @@
             Map<Integer, Double> weights)
             implements Seen {}
 
-    /** How a client's query ended. */
+    /** Final result of a client's query. */
     enum Answer {
-        /** Answered with values. */
+        /** The query was answered with values. */
         COMPLETED,
-        /** Rejected: asked to come again. */
+        /** The query was rejected, and the client was asked to retry later. */
         THROTTLED,
-        /** Failed: answered without a promise. */
+        /** The query failed; the answer doesn't promise that no non-idempotent part of it ran. */
         ABANDONED,
         /** The connection was closed without an answer. */
         CLOSED
@@ -53,20 +54,20 @@
     /**
      * A client has read the last byte of an answer, or its connection was closed without one.
      *
-     * @param atMs when
+     * @param atMs time of the observation, in milliseconds
      * @param scan the query's id
-     * @param answer the kind of answer
-     * @param whole whether the answer calls itself complete
-     * @param values the value of each part that it holds, by shard
+     * @param answer the final result
+     * @param whole whether the answer states that it is complete
+     * @param values value of each part that the answer contains, by shard
      */
     record Answered(
             double atMs, String scan, Answer answer, boolean whole, Map<Integer, String> values)
             implements Seen {}
 
     /**
-     * A client has closed its connection before it had an answer.
+     * A client has closed its connection before it received an answer.
      *
-     * @param atMs when
+     * @param atMs time of the observation, in milliseconds
      * @param scan the query's id
      */
     record Left(double atMs, String scan) implements Seen {}
@@ -74,55 +75,56 @@
     /**
      * The last byte of an attempt's frame has arrived at a shard server.
      *
-     * @param atMs when
-     * @param gatherer who sent it
+     * @param atMs time of the observation, in milliseconds
+     * @param gatherer the gatherer that sent the attempt
      * @param server the shard server
      * @param scan the query's id
-     * @param segment the part's shard
-     * @param toldMs how long its answer is waited for, as the frame says, in milliseconds
+     * @param segment shard of the part
+     * @param toldMs time that the gatherer waits for the answer according to the frame, in
+     *     milliseconds
      */
     record Arrived(
             double atMs, String gatherer, String server, String scan, int segment, double toldMs)
             implements Seen {}
 
     /**
-     * A shard server has run a part: its effect has happened.
+     * A shard server has run a part, so that the effect of the part has happened.
      *
-     * @param atMs when
+     * @param atMs time of the observation, in milliseconds
      * @param server the shard server
      * @param scan the query's id
-     * @param segment the part's shard
-     * @param value what it returned
+     * @param segment shard of the part
+     * @param value the value that the shard server returned
      */
     record Ran(double atMs, String server, String scan, int segment, String value)
             implements Seen {}
 
     /**
-     * A warming shard server was overloaded and fell over.
+     * A shard server that was warming up was overloaded and crashed.
      *
-     * @param atMs when
+     * @param atMs time of the observation, in milliseconds
      * @param server the shard server
-     * @param workByGatherer the work that each gatherer sent it within the rule's window, in
-     *     milliseconds on one core; empty if that isn't known
+     * @param workByGatherer work that each gatherer sent to it within the window of the slow-start
+     *     rule, in milliseconds on one core; empty if unknown
      */
     record FellOver(double atMs, String server, Map<String, Double> workByGatherer)
             implements Seen {}
 
     /**
-     * A gatherer was killed or paused by the run itself.
+     * The run itself killed or paused a gatherer.
      *
-     * @param atMs from when
-     * @param untilMs until when, in milliseconds
-     * @param gatherer which one
-     * @param killed whether it was killed; otherwise it was paused
+     * @param atMs begin of the outage, in milliseconds
+     * @param untilMs end of the outage, in milliseconds
+     * @param gatherer the gatherer
+     * @param killed whether the gatherer was killed; false if it was paused
      */
     record HeldUp(double atMs, double untilMs, String gatherer, boolean killed) implements Seen {}
 
     /**
      * Discovery has written an update of an endpoint to a gatherer.
      *
-     * @param atMs when
-     * @param gatherer whom it told
+     * @param atMs time of the observation, in milliseconds
+     * @param gatherer the gatherer that discovery sent the update to
      * @param server the shard server
      * @param mode the endpoint's state
      */
--- a/standin/src/main/java/sprucehold/standin/rules/DrainCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/DrainCheck.java
@@ -7,18 +7,21 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Checks {@link Rule#DRAINS}: nothing new is sent to a draining or gone server once the gatherer
- * was told.
+ * Checks {@link Rule#DRAINS}: no new attempt is sent to a draining or gone server after discovery
+ * has reported that state to the gatherer.
  *
- * <p>Slack: {@link RuleTerms#drainGraceMs()} and {@link RuleTerms#transitMs()}.
+ * <p>Tolerance: {@link RuleTerms#drainGraceMs()} and {@link RuleTerms#transitMs()}.
  */
 final class DrainCheck implements RuleCheck {
     private final RuleTerms terms;
     private final Violations violations;
-    private final Map<KnownServer, Double> drainingSinceMs = new HashMap<>();
+    private final Map<GathererAndServer, Double> drainingSinceMs = new HashMap<>();
 
-    /** A server, as one gatherer knows it. */
-    private record KnownServer(String gatherer, String server) {}
+    /**
+     * A pair of a gatherer and a shard server, as discovery reports states to each gatherer
+     * separately.
+     */
+    private record GathererAndServer(String gatherer, String server) {}
 
     DrainCheck(RuleTerms terms, Violations violations) {
         this.terms = terms;
@@ -26,18 +29,19 @@
     }
 
     @Override
-    public void endpointTold(Seen.Told told) {
-        var key = new KnownServer(told.gatherer(), told.server());
-        if (told.mode() == Endpoint.State.RUNNING) {
+    public void endpointUpdateSent(Seen.Told update) {
+        var key = new GathererAndServer(update.gatherer(), update.server());
+        if (update.mode() == Endpoint.State.RUNNING) {
             drainingSinceMs.remove(key);
         } else {
-            drainingSinceMs.putIfAbsent(key, told.atMs());
+            drainingSinceMs.putIfAbsent(key, update.atMs());
         }
     }
 
     @Override
     public void attemptArrived(QueryRecord query, Seen.Arrived arrived, List<Double> earlierMs) {
-        Double sinceMs = drainingSinceMs.get(new KnownServer(arrived.gatherer(), arrived.server()));
+        Double sinceMs =
+                drainingSinceMs.get(new GathererAndServer(arrived.gatherer(), arrived.server()));
         if (sinceMs != null
                 && arrived.atMs() > sinceMs + terms.drainGraceMs() + terms.transitMs()) {
             violations.report(
--- a/standin/src/main/java/sprucehold/standin/rules/FallOverCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/FallOverCheck.java
@@ -2,7 +2,10 @@
 
 import sprucehold.standin.ledger.Seen;
 
-/** Checks {@link Rule#COLD}: a warming server never falls over. No slack. */
+/**
+ * Checks {@link Rule#COLD}: no shard server that is warming up crashes from overload. The check has
+ * no tolerance.
+ */
 final class FallOverCheck implements RuleCheck {
     private final Violations violations;
 
--- a/standin/src/main/java/sprucehold/standin/rules/GathererOutages.java
+++ b/standin/src/main/java/sprucehold/standin/rules/GathererOutages.java
@@ -6,52 +6,56 @@
 import java.util.Map;
 import sprucehold.standin.ledger.Seen;
 
-/** When gatherers were killed or paused by the run itself, which excuses what they missed. */
-final class HoldUps {
-    private final Map<String, List<Seen.HeldUp>> byGatherer = new HashMap<>();
+/**
+ * Times at which the run itself killed or paused gatherers. Answers missed because of that are not
+ * violations.
+ */
+final class GathererOutages {
+    private final Map<String, List<Seen.HeldUp>> outagesByGatherer = new HashMap<>();
 
-    HoldUps(List<Seen> ledger) {
+    GathererOutages(List<Seen> ledger) {
         for (Seen seen : ledger) {
-            if (seen instanceof Seen.HeldUp heldUp) {
-                byGatherer
-                        .computeIfAbsent(heldUp.gatherer(), name -> new ArrayList<>())
-                        .add(heldUp);
+            if (seen instanceof Seen.HeldUp outage) {
+                outagesByGatherer
+                        .computeIfAbsent(outage.gatherer(), name -> new ArrayList<>())
+                        .add(outage);
             }
         }
     }
 
     /**
-     * Whether a query's gatherer was killed at some moment between its begin and its end: what it
-     * held is no longer its duty.
+     * Returns whether a query's gatherer was down after a kill at some time between the begin and
+     * the end of the query. Such a gatherer no longer has to answer the query.
      */
     boolean wasKilled(QueryRecord query, double endMs) {
-        return of(query).stream()
+        return outagesOf(query).stream()
                 .anyMatch(
-                        heldUp ->
-                                heldUp.killed()
-                                        && heldUp.atMs() <= endMs
-                                        && heldUp.untilMs() >= query.asked().atMs());
+                        outage ->
+                                outage.killed()
+                                        && outage.atMs() <= endMs
+                                        && outage.untilMs() >= query.asked().atMs());
     }
 
     /**
-     * Until when a query has to be answered. A gatherer that is paused at the deadline can't answer
-     * before it goes on.
+     * Returns the time by which a query has to be answered, in milliseconds. A gatherer that is
+     * paused at the deadline can't answer before it resumes.
      *
-     * @param slackMs how long after that an answer still counts
+     * @param slackMs time after the deadline or the end of the pause within which an answer still
+     *     counts, in milliseconds
      */
-    double dueMs(QueryRecord query, double slackMs) {
+    double latestAnswerMs(QueryRecord query, double slackMs) {
         double deadlineMs = query.deadlineMs();
         return slackMs
-                + of(query).stream()
+                + outagesOf(query).stream()
                         .filter(
-                                heldUp ->
-                                        heldUp.atMs() <= deadlineMs + slackMs
-                                                && heldUp.untilMs() >= deadlineMs)
+                                outage ->
+                                        outage.atMs() <= deadlineMs + slackMs
+                                                && outage.untilMs() >= deadlineMs)
                         .mapToDouble(Seen.HeldUp::untilMs)
                         .reduce(deadlineMs, Math::max);
     }
 
-    private List<Seen.HeldUp> of(QueryRecord query) {
-        return byGatherer.getOrDefault(query.asked().gatherer(), List.of());
+    private List<Seen.HeldUp> outagesOf(QueryRecord query) {
+        return outagesByGatherer.getOrDefault(query.asked().gatherer(), List.of());
     }
 }
--- a/standin/src/main/java/sprucehold/standin/rules/HonestAnswerCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/HonestAnswerCheck.java
@@ -4,13 +4,15 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Checks {@link Rule#HONEST}: an answer has the minimum coverage, is complete if it says so, and
- * holds only values that a shard server made for it.
+ * Checks {@link Rule#HONEST}: an answer has at least the minimum coverage, is complete if it states
+ * so, and contains only values that a shard server returned for the query.
  *
- * <p>Slack: {@link #COVERAGE_SLACK}, as weights are sent rounded.
+ * <p>Tolerance: {@link #COVERAGE_SLACK}, as weights are sent rounded.
  */
 final class HonestAnswerCheck implements RuleCheck {
-    /** By how much a sum of rounded weights may fall short. */
+    /**
+     * Greatest amount by which a sum of rounded weights may fall short of the required coverage.
+     */
     private static final double COVERAGE_SLACK = 1e-4;
 
     private final Violations violations;
--- a/standin/src/main/java/sprucehold/standin/rules/NoEffectTwiceCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/NoEffectTwiceCheck.java
@@ -5,11 +5,11 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Checks {@link Rule#NO_EFFECT_TWICE}: a non-idempotent part runs once, a deduplicated one is not
- * sent again after its window, and a query is rejected only if none of its non-idempotent parts can
- * have run.
+ * Checks {@link Rule#NO_EFFECT_TWICE}: a non-idempotent part runs at most once, a deduplicated part
+ * is not sent again after its deduplication window, and a query is rejected only if none of its
+ * non-idempotent parts can have run.
  *
- * <p>Slack: {@link RuleTerms#transitMs()} for the deduplication window; none for the others.
+ * <p>Tolerance: {@link RuleTerms#transitMs()} for the deduplication window; none otherwise.
  */
 final class NoEffectTwiceCheck implements RuleCheck {
     private final RuleTerms terms;
@@ -61,7 +61,10 @@
         }
     }
 
-    /** Checked at the end, as a part that was sent may run after the query was rejected. */
+    /**
+     * Checks rejected queries at the end of the run, as a part that was sent may run after the
+     * query was rejected.
+     */
     @Override
     public void runEnded(QueryRecord query, double endMs) {
         if (query.answered() != null
--- a/standin/src/main/java/sprucehold/standin/rules/OneAnswerCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/OneAnswerCheck.java
@@ -7,21 +7,22 @@
 
 /**
  * Checks {@link Rule#ONE_ANSWER}: each query that was received gets exactly one final answer before
- * its deadline, and no part of it is sent after that.
+ * its deadline, and none of its parts is sent after the answer.
  *
- * <p>Slack: {@link RuleTerms#answerSlackMs()} for the answer, {@link RuleTerms#transitMs()} for
- * attempts under way when the query was over, {@link RuleTerms#timeoutSlackMs()} for the time that
- * an attempt tells. A gatherer that the run killed or paused is excused.
+ * <p>Tolerances: {@link RuleTerms#answerSlackMs()} for the answer, {@link RuleTerms#transitMs()}
+ * for attempts in transit when the query ended, {@link RuleTerms#timeoutSlackMs()} for the timeout
+ * in an attempt's frame. Answers that a gatherer missed because the run killed or paused it are not
+ * violations.
  */
 final class OneAnswerCheck implements RuleCheck {
     private final RuleTerms terms;
-    private final HoldUps holdUps;
+    private final GathererOutages outages;
     private final Violations violations;
     private final Set<String> unanswered = new HashSet<>();
 
-    OneAnswerCheck(RuleTerms terms, HoldUps holdUps, Violations violations) {
+    OneAnswerCheck(RuleTerms terms, GathererOutages outages, Violations violations) {
         this.terms = terms;
-        this.holdUps = holdUps;
+        this.outages = outages;
         this.violations = violations;
     }
 
@@ -43,12 +44,12 @@
 
     @Override
     public void queryAnswered(QueryRecord query, Seen.Answered answered) {
-        if (holdUps.wasKilled(query, answered.atMs())) {
+        if (outages.wasKilled(query, answered.atMs())) {
             return;
         }
         if (answered.answer() == Seen.Answer.CLOSED) {
             report(answered.atMs(), "scan " + query.id() + " was closed without an answer");
-        } else if (answered.atMs() > holdUps.dueMs(query, terms.answerSlackMs())) {
+        } else if (answered.atMs() > outages.latestAnswerMs(query, terms.answerSlackMs())) {
             report(
                     answered.atMs(),
                     "scan "
@@ -62,15 +63,15 @@
 
     @Override
     public void attemptArrived(QueryRecord query, Seen.Arrived arrived, List<Double> earlierMs) {
-        // A pause excuses neither: what a gatherer sends when it goes on, it sends by what has
-        // reached it until then.
-        if (arrived.atMs() > query.overMs() + terms.transitMs()) {
+        // A pause of the gatherer excuses neither violation below: when it resumes, it must process
+        // what it has received in the meantime before it sends.
+        if (arrived.atMs() > query.endedMs() + terms.transitMs()) {
             report(
                     arrived.atMs(),
                     "a part of scan "
                             + query.id()
                             + " came "
-                            + (arrived.atMs() - query.overMs())
+                            + (arrived.atMs() - query.endedMs())
                             + " ms after it was over");
         }
         double leftMs = query.deadlineMs() - arrived.atMs();
@@ -89,15 +90,15 @@
 
     @Override
     public void runEnded(QueryRecord query, double endMs) {
-        double dueMs = query.deadlineMs() + terms.answerSlackMs();
-        boolean paused = holdUps.dueMs(query, terms.answerSlackMs()) > dueMs;
+        double latestAnswerMs = query.deadlineMs() + terms.answerSlackMs();
+        boolean paused = outages.latestAnswerMs(query, terms.answerSlackMs()) > latestAnswerMs;
         if (query.answered() == null
-                && query.disconnectedMs() > dueMs
-                && dueMs <= endMs
+                && query.disconnectedMs() > latestAnswerMs
+                && latestAnswerMs <= endMs
                 && !paused
-                && !holdUps.wasKilled(query, dueMs)
+                && !outages.wasKilled(query, latestAnswerMs)
                 && unanswered.add(query.id())) {
-            report(dueMs, "scan " + query.id() + " had no answer");
+            report(latestAnswerMs, "scan " + query.id() + " had no answer");
         }
     }
 }
--- a/standin/src/main/java/sprucehold/standin/rules/QueryRecord.java
+++ b/standin/src/main/java/sprucehold/standin/rules/QueryRecord.java
@@ -7,7 +7,7 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.standin.ledger.Seen;
 
-/** All that was seen of one query so far. */
+/** Observations of one query so far. */
 final class QueryRecord {
     private final Seen.Asked asked;
     private final QueryClass queryClass;
@@ -33,12 +33,12 @@
         return asked.scan();
     }
 
-    /** When the query's client stops waiting. */
+    /** Returns the time until which the query's client waits. */
     double deadlineMs() {
         return asked.atMs() + asked.timeLeftMs();
     }
 
-    /** The answer, or null if there is none yet. */
+    /** Returns the first answer, or null if there is none yet. */
     Seen.Answered answered() {
         return answered;
     }
@@ -47,7 +47,7 @@
         this.answered = answer;
     }
 
-    /** When the client closed its connection, infinite if it did not. */
+    /** Returns the time at which the client closed its connection; infinite if it did not. */
     double disconnectedMs() {
         return disconnectedMs;
     }
@@ -56,23 +56,26 @@
         this.disconnectedMs = atMs;
     }
 
-    /** When the query was over, by an answer or the client's close; infinite if it isn't. */
-    double overMs() {
+    /**
+     * Returns the time at which the query ended by an answer or the client's disconnect; infinite
+     * if it has not ended.
+     */
+    double endedMs() {
         double answeredMs = answered == null ? Double.POSITIVE_INFINITY : answered.atMs();
         return Math.min(answeredMs, disconnectedMs);
     }
 
-    /** When attempts of a part arrived; may be added to. */
+    /** Returns the modifiable list of the arrival times of attempts of a part. */
     List<Double> arrivals(int shard) {
-        return arrivalsByShard.computeIfAbsent(shard, none -> new ArrayList<>());
+        return arrivalsByShard.computeIfAbsent(shard, key -> new ArrayList<>());
     }
 
-    /** Where a part ran; may be added to. */
+    /** Returns the modifiable list of the runs of a part. */
     List<Seen.Ran> runs(int shard) {
-        return runsByShard.computeIfAbsent(shard, none -> new ArrayList<>());
+        return runsByShard.computeIfAbsent(shard, key -> new ArrayList<>());
     }
 
-    /** Whether any part has run. */
+    /** Returns whether any part has run. */
     boolean anyPartRan() {
         return runsByShard.values().stream().anyMatch(runs -> !runs.isEmpty());
     }
--- a/standin/src/main/java/sprucehold/standin/rules/RetryBudgetCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RetryBudgetCheck.java
@@ -11,11 +11,12 @@
  * Checks {@link Rule#BUDGET}: in any window, the retries and hedged requests of each gatherer, and
  * of all gatherers together, stay within their budgets.
  *
- * <p>Slack: {@link RuleTerms#transitMs()}, as two attempts that were sent a window apart may arrive
- * closer together, and a query may have been received earlier than its retry arrives.
+ * <p>Tolerance: {@link RuleTerms#transitMs()}, as two attempts that were sent one window apart may
+ * arrive closer together, and as a query is received earlier than its retry arrives at the shard
+ * server.
  */
 final class RetryBudgetCheck implements RuleCheck {
-    /** Error of the floating-point sum. */
+    /** Rounding error that is tolerated in the floating-point sum of the budget. */
     private static final double ROUNDING = 1e-9;
 
     private final RuleTerms terms;
@@ -23,7 +24,10 @@
     private final Map<String, Window> windows = new HashMap<>();
     private final ArrayDeque<Double> fleetRetriesMs = new ArrayDeque<>();
 
-    /** When a gatherer's queries were received and its retries arrived, within the window. */
+    /**
+     * Times within the window at which a gatherer's queries were sent to it and its retries arrived
+     * at shard servers.
+     */
     private static final class Window {
         final ArrayDeque<Double> queriesMs = new ArrayDeque<>();
         final ArrayDeque<Double> retriesMs = new ArrayDeque<>();
@@ -39,7 +43,7 @@
     }
 
     @Override
-    public void queryAsked(Seen.Asked asked) {
+    public void querySent(Seen.Asked asked) {
         windowOf(asked.gatherer()).queriesMs.add(asked.atMs());
     }
 
--- a/standin/src/main/java/sprucehold/standin/rules/Rule.java
+++ b/standin/src/main/java/sprucehold/standin/rules/Rule.java
@@ -1,10 +1,10 @@
 package sprucehold.standin.rules;
 
-/** The six rules. Verdicts of runs print the names. */
+/** The six rules. Their names are printed in the verdicts of runs. */
 public enum Rule {
     /**
-     * Each query that was received gets exactly one final answer before its deadline, and no part
-     * of it is sent after that. Checked by {@link OneAnswerCheck}.
+     * Each query that was received gets exactly one final answer before its deadline, and none of
+     * its parts is sent after the answer. Checked by {@link OneAnswerCheck}.
      */
     ONE_ANSWER,
     /**
@@ -13,17 +13,15 @@
      */
     NO_EFFECT_TWICE,
     /**
-     * Nothing new is sent to a draining or gone server after the grace. Checked by {@link
+     * No new attempt is sent to a draining or gone server after the grace period. Checked by {@link
      * DrainCheck}.
      */
     DRAINS,
-    /**
-     * A warming server is never overloaded until it falls over. Checked by {@link FallOverCheck}.
-     */
+    /** No server that is warming up crashes from overload. Checked by {@link FallOverCheck}. */
     COLD,
     /**
-     * No answer has less than the minimum coverage, is called complete without being so, or holds a
-     * value that no server made. Checked by {@link HonestAnswerCheck}.
+     * No answer has less than the minimum coverage, is called complete without being complete, or
+     * contains a value that no shard server returned. Checked by {@link HonestAnswerCheck}.
      */
     HONEST,
     /** Retries stay within their budgets. Checked by {@link RetryBudgetCheck}. */
--- a/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
@@ -7,8 +7,9 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Checks a run's ledger against the six rules: reads it once, in the order of time, keeps what was
- * seen of each query, and passes it on to one {@link RuleCheck} for each rule.
+ * Checks a run's ledger against the six rules. It processes the observations once, in the order of
+ * time, records those of each query in a {@link QueryRecord}, and passes them to one {@link
+ * RuleCheck} for each rule.
  */
 public final class RuleChecker {
     private final RuleTerms terms;
@@ -16,12 +17,12 @@
     private final Map<String, QueryRecord> queries = new HashMap<>();
     private final OneAnswerCheck oneAnswer;
 
-    /** In the order in which the violations of one entry are reported. */
+    /** The checks, in the order in which violations by the same observation are reported. */
     private final List<RuleCheck> checks;
 
-    private RuleChecker(RuleTerms terms, HoldUps holdUps) {
+    private RuleChecker(RuleTerms terms, GathererOutages outages) {
         this.terms = terms;
-        this.oneAnswer = new OneAnswerCheck(terms, holdUps, violations);
+        this.oneAnswer = new OneAnswerCheck(terms, outages, violations);
         this.checks =
                 List.of(
                         oneAnswer,
@@ -35,46 +36,47 @@
     /**
      * Checks a ledger.
      *
-     * @param terms the figures that the rules are checked by
-     * @param ledger all that was seen, in the order of time
-     * @param endMs when the run ended: queries whose deadline is over by then must have an answer
+     * @param terms settings and tolerances of the checks
+     * @param ledger all observations, in the order of time
+     * @param endMs end of the run, in milliseconds; queries whose deadline is not later must have
+     *     an answer
      * @return all violations, in the order in which they were found
      */
     public static List<Violation> check(RuleTerms terms, List<Seen> ledger, double endMs) {
-        var checker = new RuleChecker(terms, new HoldUps(ledger));
-        ledger.forEach(checker::read);
+        var checker = new RuleChecker(terms, new GathererOutages(ledger));
+        ledger.forEach(checker::process);
         for (QueryRecord query : checker.queries.values()) {
-            checker.tell(check -> check.runEnded(query, endMs));
+            checker.notifyChecks(check -> check.runEnded(query, endMs));
         }
         return checker.violations.all();
     }
 
-    private void tell(Consumer<RuleCheck> entry) {
-        checks.forEach(entry);
+    private void notifyChecks(Consumer<RuleCheck> notification) {
+        checks.forEach(notification);
     }
 
-    private void read(Seen seen) {
+    private void process(Seen seen) {
         if (seen instanceof Seen.Asked asked) {
             queries.put(
                     asked.scan(),
                     new QueryRecord(asked, terms.queryClasses().get(asked.tableType())));
-            tell(check -> check.queryAsked(asked));
+            notifyChecks(check -> check.querySent(asked));
         } else if (seen instanceof Seen.Answered answered) {
-            readAnswered(answered);
+            processAnswered(answered);
         } else if (seen instanceof Seen.Left left) {
-            readLeft(left);
+            processLeft(left);
         } else if (seen instanceof Seen.Arrived arrived) {
-            readArrived(arrived);
+            processArrived(arrived);
         } else if (seen instanceof Seen.Ran ran) {
-            readRan(ran);
+            processRan(ran);
         } else if (seen instanceof Seen.FellOver fellOver) {
-            tell(check -> check.serverFellOver(fellOver));
-        } else if (seen instanceof Seen.Told told) {
-            tell(check -> check.endpointTold(told));
+            notifyChecks(check -> check.serverFellOver(fellOver));
+        } else if (seen instanceof Seen.Told update) {
+            notifyChecks(check -> check.endpointUpdateSent(update));
         }
     }
 
-    private void readAnswered(Seen.Answered answered) {
+    private void processAnswered(Seen.Answered answered) {
         QueryRecord query = queries.get(answered.scan());
         if (query == null) {
             oneAnswer.unknownQueryAnswered(answered);
@@ -82,33 +84,33 @@
             oneAnswer.answeredAgain(answered);
         } else {
             query.setAnswered(answered);
-            tell(check -> check.queryAnswered(query, answered));
+            notifyChecks(check -> check.queryAnswered(query, answered));
         }
     }
 
-    private void readLeft(Seen.Left left) {
+    private void processLeft(Seen.Left left) {
         QueryRecord query = queries.get(left.scan());
         if (query != null) {
             query.setDisconnectedMs(left.atMs());
         }
     }
 
-    private void readArrived(Seen.Arrived arrived) {
+    private void processArrived(Seen.Arrived arrived) {
         QueryRecord query = queries.get(arrived.scan());
         if (query == null) {
             oneAnswer.attemptOfUnknownQueryArrived(arrived);
             return;
         }
         List<Double> earlierMs = query.arrivals(arrived.segment());
-        tell(check -> check.attemptArrived(query, arrived, earlierMs));
+        notifyChecks(check -> check.attemptArrived(query, arrived, earlierMs));
         earlierMs.add(arrived.atMs());
     }
 
-    private void readRan(Seen.Ran ran) {
+    private void processRan(Seen.Ran ran) {
         QueryRecord query = queries.get(ran.scan());
         if (query != null) {
             List<Seen.Ran> earlier = query.runs(ran.segment());
-            tell(check -> check.partRan(query, ran, earlier));
+            notifyChecks(check -> check.partRan(query, ran, earlier));
             earlier.add(ran);
         }
     }
--- a/standin/src/main/java/sprucehold/standin/rules/RuleTerms.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleTerms.java
@@ -5,18 +5,19 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * The figures that the rules are checked by. Times are in milliseconds.
+ * Settings and tolerances with which the rules are checked. Times are in milliseconds.
  *
  * @param queryClasses the query classes, by name
  * @param retryBudget the retry budget of each gatherer, {@link Deployment.RetryBudget#NONE} if none
  *     is stated
  * @param fleetRetryBudget the retry budget of all gatherers, or null if none is stated
- * @param answerSlackMs how long after a query's deadline an answer still counts as in time
- * @param drainGraceMs how long after it was told of a drain a gatherer may still send
- * @param transitMs how long a message may be under way that was written before an answer, a
- *     client's close or a drain
- * @param timeoutSlackMs by how much the time that an attempt tells its shard server may exceed what
- *     the query's client has left
+ * @param answerSlackMs time after a query's deadline within which an answer still counts as in time
+ * @param drainGraceMs time after discovery reported a drain to a gatherer within which the gatherer
+ *     may still send attempts to the server
+ * @param transitMs longest time that a message is in transit; a message that was written before an
+ *     answer, a client's disconnect or a drain may arrive that much later
+ * @param timeoutSlackMs amount by which the timeout in an attempt's frame may exceed the time that
+ *     the query's client still waits
  */
 public record RuleTerms(
         Map<String, QueryClass> queryClasses,
@@ -30,12 +31,12 @@
     /**
      * A retry budget of all gatherers together.
      *
-     * @param retries attempts beyond each part's first
-     * @param windowMs in any window of so many milliseconds
+     * @param retries number of allowed attempts beyond the first attempt of each part
+     * @param windowMs length of the sliding window to which the number applies, in milliseconds
      */
     public record FleetRetryBudget(int retries, double windowMs) {}
 
-    /** Terms without a retry budget of the fleet. */
+    /** Creates terms without a retry budget of all gatherers. */
     public RuleTerms(
             Map<String, QueryClass> queryClasses,
             Deployment.RetryBudget retryBudget,
--- a/standin/src/main/java/sprucehold/standin/rules/package-info.java
+++ b/standin/src/main/java/sprucehold/standin/rules/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The checker of the six rules: {@link sprucehold.standin.rules.RuleChecker} reads after a run what
- * clients, servers and discovery saw; one class checks each {@link sprucehold.standin.rules.Rule}.
- * It knows nothing of a gatherer's inside and must never be told by one.
+ * Checker of the six rules: after a run, {@link sprucehold.standin.rules.RuleChecker} processes the
+ * observations of clients, shard servers and discovery. Each {@link sprucehold.standin.rules.Rule}
+ * is checked by one class. The checks must depend neither on the internal state of a gatherer nor
+ * on data that a gatherer reports about itself.
  */
 package sprucehold.standin.rules;
--- a/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
+++ b/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
@@ -13,7 +13,7 @@
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
 
-/** Runs that keep the rules, and runs that break each on purpose. */
+/** Checks runs that comply with all rules, and runs that violate one rule each. */
 public class RuleCheckerTest {
     private static final RuleTerms TERMS =
             new RuleTerms(
@@ -57,16 +57,16 @@
                     20,
                     30);
 
-    private static Seen.Asked asked(String type, double at) {
-        return new Seen.Asked(at, "g", "s", type, 1000, Map.of(1, 0.5, 2, 0.5));
+    private static Seen.Asked asked(String queryClass, double at) {
+        return new Seen.Asked(at, "g", "s", queryClass, 1000, Map.of(1, 0.5, 2, 0.5));
     }
 
     private static Seen.Arrived arrived(double at, String server, int segment) {
         return new Seen.Arrived(at, "g", server, "s", segment, 500);
     }
 
-    private static Seen.Arrived told(double at, double toldMs) {
-        return new Seen.Arrived(at, "g", "a", "s", 1, toldMs);
+    private static Seen.Arrived arrivedWithTimeout(double at, double timeoutMs) {
+        return new Seen.Arrived(at, "g", "a", "s", 1, timeoutMs);
     }
 
     private static Seen.Ran ran(double at, String server, int segment) {
@@ -77,28 +77,28 @@
         return new Seen.Answered(at, "s", Seen.Answer.COMPLETED, whole, values);
     }
 
-    private static Seen.Answered ended(double at, Seen.Answer how) {
-        return new Seen.Answered(at, "s", how, false, Map.of());
+    private static Seen.Answered ended(double at, Seen.Answer answer) {
+        return new Seen.Answered(at, "s", answer, false, Map.of());
     }
 
-    private static Seen.Told told(double at, Endpoint.State mode) {
-        return new Seen.Told(at, "g", "a", mode);
+    private static Seen.Told endpointUpdate(double at, Endpoint.State state) {
+        return new Seen.Told(at, "g", "a", state);
     }
 
     private static final Map<Integer, String> BOTH = Map.of(1, "v1", 2, "v2");
 
-    private static List<Seen> run(String type, Seen... more) {
-        var run = new ArrayList<Seen>(List.of(asked(type, 0)));
-        run.addAll(List.of(more));
+    private static List<Seen> run(String queryClass, Seen... further) {
+        var run = new ArrayList<Seen>(List.of(asked(queryClass, 0)));
+        run.addAll(List.of(further));
         return run;
     }
 
     @DataProvider
     Object[][] runs() {
         return new Object[][] {
-            // what, run, rules broken
+            // description, run, violated rules
             {
-                "a whole answer",
+                "a complete answer",
                 run(
                         "any",
                         arrived(1, "a", 1),
@@ -109,7 +109,7 @@
                 List.of()
             },
             {
-                "half an answer that says so",
+                "a partial answer that is marked as partial",
                 run(
                         "any",
                         arrived(1, "a", 1),
@@ -118,7 +118,7 @@
                 List.of()
             },
             {
-                "a client that left",
+                "a client that disconnected",
                 run("any", arrived(1, "a", 1), new Seen.Left(3, "s")),
                 List.of()
             },
@@ -129,29 +129,37 @@
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "a late answer",
+                "an answer after the tolerance",
                 run("any", ended(1101, Seen.Answer.ABANDONED)),
                 List.of(Rule.ONE_ANSWER)
             },
-            {"an answer just in time", run("any", ended(1100, Seen.Answer.ABANDONED)), List.of()},
-            {"a close", run("any", ended(5, Seen.Answer.CLOSED)), List.of(Rule.ONE_ANSWER)},
             {
-                "a part after the answer",
+                "an answer at the end of the tolerance",
+                run("any", ended(1100, Seen.Answer.ABANDONED)),
+                List.of()
+            },
+            {
+                "a connection closed without an answer",
+                run("any", ended(5, Seen.Answer.CLOSED)),
+                List.of(Rule.ONE_ANSWER)
+            },
+            {
+                "an attempt sent after the answer",
                 run("any", ended(5, Seen.Answer.THROTTLED), arrived(26, "a", 1)),
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "a part on its way when it was answered",
+                "an attempt in transit when the query was answered",
                 run("any", ended(5, Seen.Answer.THROTTLED), arrived(24, "a", 1)),
                 List.of()
             },
             {
-                "a part after the client left",
+                "an attempt sent after the client disconnected",
                 run("any", new Seen.Left(3, "s"), arrived(30, "a", 1)),
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "a part after the client left, as its gatherer went on",
+                "an attempt sent after the client disconnected, when the gatherer resumed",
                 run(
                         "any",
                         new Seen.Left(3, "s"),
@@ -160,37 +168,37 @@
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "told as much as is left",
-                run("any", told(10, 1040), ended(20, Seen.Answer.ABANDONED)),
+                "a timeout at the end of the tolerance",
+                run("any", arrivedWithTimeout(10, 1040), ended(20, Seen.Answer.ABANDONED)),
                 List.of()
             },
             {
-                "told more than is left",
-                run("any", told(10, 1041), ended(20, Seen.Answer.ABANDONED)),
+                "a timeout beyond the tolerance",
+                run("any", arrivedWithTimeout(10, 1041), ended(20, Seen.Answer.ABANDONED)),
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "closed as it was paused",
+                "a connection closed without an answer after a pause",
                 run("any", new Seen.HeldUp(3, 4, "g", false), ended(5, Seen.Answer.CLOSED)),
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "no answer though a pause was over in time",
+                "no answer although a pause ended in time",
                 run("any", new Seen.HeldUp(3, 900, "g", false)),
                 List.of(Rule.ONE_ANSWER)
             },
             {
-                "sent to a draining server as it went on",
+                "an attempt to a draining server when the gatherer resumed",
                 run(
                         "any",
-                        told(1, Endpoint.State.DRAINING),
+                        endpointUpdate(1, Endpoint.State.DRAINING),
                         new Seen.HeldUp(1, 79, "g", false),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of(Rule.DRAINS)
             },
             {
-                "an effect twice",
+                "a non-idempotent part that ran twice",
                 run(
                         "once",
                         arrived(1, "a", 1),
@@ -201,7 +209,7 @@
                 List.of(Rule.NO_EFFECT_TWICE)
             },
             {
-                "a further try of what never ran",
+                "a retry of a non-idempotent part that never ran",
                 run(
                         "once",
                         arrived(1, "a", 1),
@@ -211,12 +219,12 @@
                 List.of()
             },
             {
-                "throttled though it ran, later",
+                "a rejected query whose non-idempotent part ran later",
                 run("once", arrived(1, "a", 1), ended(9, Seen.Answer.THROTTLED), ran(500, "a", 1)),
                 List.of(Rule.NO_EFFECT_TWICE)
             },
             {
-                "keyed beyond its window",
+                "a deduplicated part sent again after its window",
                 run(
                         "keyed",
                         arrived(1, "a", 1),
@@ -226,7 +234,7 @@
                 List.of(Rule.NO_EFFECT_TWICE)
             },
             {
-                "keyed inside its window",
+                "a deduplicated part sent again within its window",
                 run(
                         "keyed",
                         arrived(1, "a", 1),
@@ -236,65 +244,65 @@
                 List.of()
             },
             {
-                "sent to a draining server",
+                "an attempt to a draining server",
                 run(
                         "any",
-                        told(1, Endpoint.State.DRAINING),
+                        endpointUpdate(1, Endpoint.State.DRAINING),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of(Rule.DRAINS)
             },
             {
-                "sent within the grace",
+                "an attempt to a draining server within the grace period",
                 run(
                         "any",
-                        told(1, Endpoint.State.DRAINING),
+                        endpointUpdate(1, Endpoint.State.DRAINING),
                         arrived(60, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of()
             },
             {
-                "told of a drain twice, the first counts",
+                "an attempt after two drain updates, the first of which counts",
                 run(
                         "any",
-                        told(1, Endpoint.State.DRAINING),
-                        told(40, Endpoint.State.GONE),
+                        endpointUpdate(1, Endpoint.State.DRAINING),
+                        endpointUpdate(40, Endpoint.State.GONE),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of(Rule.DRAINS)
             },
             {
-                "sent when it was back",
+                "an attempt to a server that runs again",
                 run(
                         "any",
-                        told(1, Endpoint.State.GONE),
-                        told(50, Endpoint.State.RUNNING),
+                        endpointUpdate(1, Endpoint.State.GONE),
+                        endpointUpdate(50, Endpoint.State.RUNNING),
                         arrived(80, "a", 1),
                         ended(90, Seen.Answer.ABANDONED)),
                 List.of()
             },
             {
-                "pushed over",
+                "a warming server that crashed from overload",
                 run("any", new Seen.FellOver(3, "a", Map.of()), ended(9, Seen.Answer.THROTTLED)),
                 List.of(Rule.COLD)
             },
             {
-                "under the least share",
+                "an answer below the minimum coverage",
                 run("any", completed(9, false, Map.of())),
                 List.of(Rule.HONEST)
             },
             {
-                "called whole",
+                "a partial answer that is marked as complete",
                 run("any", arrived(1, "a", 1), ran(5, "a", 1), completed(9, true, Map.of(1, "v1"))),
                 List.of(Rule.HONEST)
             },
             {
-                "a value nobody made",
+                "a value that no shard server returned",
                 run("any", arrived(1, "a", 1), ran(5, "a", 1), completed(9, false, Map.of(1, "x"))),
                 List.of(Rule.HONEST)
             },
             {
-                "a segment nobody asked for",
+                "a shard that is not part of the query",
                 run(
                         "any",
                         arrived(1, "a", 1),
@@ -303,7 +311,7 @@
                 List.of(Rule.HONEST)
             },
             {
-                "further dispatches beyond the budget",
+                "retries beyond the budget",
                 run(
                         "any",
                         arrived(1, "a", 1),
@@ -314,7 +322,7 @@
                 List.of(Rule.BUDGET)
             },
             {
-                "further dispatches within it",
+                "retries within the budget",
                 run(
                         "any",
                         arrived(1, "a", 1),
@@ -327,10 +335,10 @@
     }
 
     @DataProvider
-    Object[][] fleets() {
+    Object[][] fleetRetries() {
         return new Object[][] {
-            // when further dispatches of three gatherers arrive, whether they are more than two in
-            // 100 ms, 20 ms on the way allowed
+            // arrival times in ms of retries of different gatherers, whether more than two of them
+            // were sent within 100 ms if a message may be in transit for 20 ms
             {new double[] {10, 20}, false},
             {new double[] {10, 20, 30}, true},
             {new double[] {10, 20, 89}, true},
@@ -339,8 +347,9 @@
         };
     }
 
-    @Test(dataProvider = "fleets")
-    public void furtherDispatchesAreAddedUpOverAllGatherers(double[] at, boolean breaks) {
+    @Test(dataProvider = "fleetRetries")
+    public void retriesOfAllGatherersCountAgainstTheFleetBudget(
+            double[] arrivalsMs, boolean violated) {
         var terms =
                 new RuleTerms(
                         TERMS.queryClasses(),
@@ -351,14 +360,14 @@
                         20,
                         30);
         var run = new ArrayList<Seen>();
-        for (int i = 0; i < at.length; i++) {
+        for (int i = 0; i < arrivalsMs.length; i++) {
             run.add(new Seen.Asked(i / 10.0, "g" + i, "s" + i, "any", 1000, Map.of(1, 1.0)));
             run.add(new Seen.Arrived(1 + i / 10.0, "g" + i, "a", "s" + i, 1, 500));
         }
-        for (int i = 0; i < at.length; i++) {
-            run.add(new Seen.Arrived(at[i], "g" + i, "b", "s" + i, 1, 500));
+        for (int i = 0; i < arrivalsMs.length; i++) {
+            run.add(new Seen.Arrived(arrivalsMs[i], "g" + i, "b", "s" + i, 1, 500));
         }
-        for (int i = 0; i < at.length; i++) {
+        for (int i = 0; i < arrivalsMs.length; i++) {
             run.add(new Seen.Answered(500, "s" + i, Seen.Answer.THROTTLED, false, Map.of()));
         }
         List<Rule> rules =
@@ -366,22 +375,24 @@
                         .map(Violation::rule)
                         .distinct()
                         .toList();
-        assertEquals(rules, breaks ? List.of(Rule.BUDGET) : List.of());
+        assertEquals(rules, violated ? List.of(Rule.BUDGET) : List.of());
     }
 
     @Test(dataProvider = "runs")
-    public void eachBreachIsToldAndNothingElse(String what, List<Seen> run, List<Rule> rules) {
-        List<Violation> broken = RuleChecker.check(TERMS, run, 10_000);
-        assertEquals(broken.stream().map(Violation::rule).toList(), rules, broken.toString());
+    public void exactlyTheViolatedRulesAreReported(
+            String description, List<Seen> run, List<Rule> rules) {
+        List<Violation> violations = RuleChecker.check(TERMS, run, 10_000);
+        assertEquals(
+                violations.stream().map(Violation::rule).toList(), rules, violations.toString());
     }
 
     @Test
-    public void scanStillOpenWhenTheRunEndsIsNoBreach() {
+    public void queryStillOpenAtTheEndOfTheRunIsNoViolation() {
         assertEquals(RuleChecker.check(TERMS, run("any"), 1000), List.of());
     }
 
     @Test
-    public void ledgerTellsInOrderOfTime() {
+    public void ledgerReturnsObservationsInOrderOfTime() {
         var ledger = new Ledger();
         ledger.add(ended(9, Seen.Answer.THROTTLED));
         ledger.add(asked("any", 0));
