--- a/change/src/main/java/sprucehold/change/watch/HealthWatch.java
+++ b/change/src/main/java/sprucehold/change/watch/HealthWatch.java
@@ -73,7 +73,7 @@
      * Begins a watch.
      *
      * @param baseline service until now
-     * @param nowMs the time now, by the clock of the windows
+     * @param nowMs the current time in milliseconds, by the clock of the windows
      * @param confirmAfterMs length of the watch, in milliseconds
      * @param minimumQueries number of queries that have to end during the watch before service
      *     counts as healthy
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -86,9 +86,9 @@
         private void sendFullList() {
             var servers = new ArrayList<Endpoint>();
             for (String server : List.of("s1", "s2")) {
-                Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
-                if (mode != Endpoint.State.GONE) {
-                    servers.add(new Endpoint(server, 0, "z", 0, mode));
+                Endpoint.State state = discovered.getOrDefault(server, Endpoint.State.RUNNING);
+                if (state != Endpoint.State.GONE) {
+                    servers.add(new Endpoint(server, 0, "z", 0, state));
                 }
             }
             policyView.clear();
@@ -115,8 +115,8 @@
             }
             if (updates < 3) {
                 for (String server : List.of("s1", "s2")) {
-                    Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
-                    if (mode == Endpoint.State.RUNNING) {
+                    Endpoint.State state = discovered.getOrDefault(server, Endpoint.State.RUNNING);
+                    if (state == Endpoint.State.RUNNING) {
                         steps.add("drain " + server);
                     } else {
                         steps.add("return " + server);
@@ -180,18 +180,18 @@
                 }
                 default -> {
                     String server = step.substring(step.length() - 2);
-                    Endpoint.State mode =
+                    Endpoint.State state =
                             step.startsWith("drain")
                                     ? Endpoint.State.DRAINING
                                     : Endpoint.State.RUNNING;
                     updates++;
-                    discovered.put(server, mode);
+                    discovered.put(server, state);
                     updatePolicy(
                             overrides
                                     .applyTo(
                                             new Event.EndpointsUpdated(
                                                     false,
-                                                    List.of(new Endpoint(server, 0, "z", 0, mode))))
+                                                    List.of(new Endpoint(server, 0, "z", 0, state))))
                                     .endpoints());
                 }
             }
@@ -200,14 +200,14 @@
 
         private void updatePolicy(List<Endpoint> update) {
             for (Endpoint endpoint : update) {
-                Endpoint.State mode =
+                Endpoint.State state =
                         mutation == Mutation.DISCOVERY_DRAIN_IGNORED
                                         && !drained.contains(endpoint.server())
                                 ? Endpoint.State.RUNNING
                                 : endpoint.state();
                 double started = mutation == Mutation.RETURNED_AS_WARM ? 0 : endpoint.startedAtMs();
                 policyView.put(
-                        endpoint.server(), new Endpoint(endpoint.server(), 0, "z", started, mode));
+                        endpoint.server(), new Endpoint(endpoint.server(), 0, "z", started, state));
             }
         }
 
@@ -349,16 +349,16 @@
             }
             for (String server : List.of("s1", "s2")) {
                 Endpoint endpoint = policyView.get(server);
-                Endpoint.State mode = discovered.getOrDefault(server, Endpoint.State.RUNNING);
+                Endpoint.State state = discovered.getOrDefault(server, Endpoint.State.RUNNING);
                 if (endpoint != null
                         && endpoint.state() == Endpoint.State.RUNNING
-                        && (mode != Endpoint.State.RUNNING
+                        && (state != Endpoint.State.RUNNING
                                 || applied.drainedServers().contains(server))) {
                     violation = server + " is routable despite a drain";
                 }
                 if (endpoint != null
                         && endpoint.state() == Endpoint.State.DRAINING
-                        && mode == Endpoint.State.RUNNING
+                        && state == Endpoint.State.RUNNING
                         && !applied.drainedServers().contains(server)) {
                     violation = server + " is drained without a request";
                 }
--- a/standin/src/main/java/sprucehold/standin/ledger/Seen.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Seen.java
@@ -9,7 +9,7 @@
  * so they keep the terms of the wire.
  *
  * <table>
- * <caption>Names in ledger files and what they are in the code</caption>
+ * <caption>Names in ledger files and in the code</caption>
  * <tr><th>ledger</th><th>code</th></tr>
  * <tr><td>scan, tableType, segment</td><td>query, query class, shard</td></tr>
  * <tr><td>whole; THROTTLED, ABANDONED</td><td>complete; rejected, failed</td></tr>
