--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -191,7 +191,8 @@
                                     .applyTo(
                                             new Event.EndpointsUpdated(
                                                     false,
-                                                    List.of(new Endpoint(server, 0, "z", 0, state))))
+                                                    List.of(
+                                                            new Endpoint(server, 0, "z", 0, state))))
                                     .endpoints());
                 }
             }
