--- a/change/src/main/java/sprucehold/change/document/DocumentDifference.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentDifference.java
@@ -15,13 +15,22 @@
      * Degree to which a change may harm service. The names of the constants are written to JSON.
      */
     public enum Risk {
-        /** No query depends on the change. */
+        /** The change does not affect queries. */
         NONE,
-        /** The change loosens a limit, or tightens one by little. */
+        /**
+         * The change takes little or nothing from queries. For example, it loosens a limit or
+         * tightens one slightly.
+         */
         LOW,
-        /** The change takes capacity, time or quota from some queries. */
+        /**
+         * The change takes capacity, time or quota from some queries, or changes the address of
+         * discovery.
+         */
         MIDDLE,
-        /** The change takes much capacity, time or quota, or changes which parts may run twice. */
+        /**
+         * The change takes a large part of the capacity, time or quota from some queries, changes
+         * which parts may run twice, or lets more attempts be sent to servers that are warming up.
+         */
         HIGH
     }
 
--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -68,7 +68,7 @@
         record Valid(ConfigurationDocument document) implements ReadResult {}
 
         /**
-         * The bytes are no JSON document that conforms to the schema.
+         * The bytes are not a JSON document that conforms to the schema.
          *
          * @param errors all errors, ordered by path
          */
@@ -191,7 +191,7 @@
                     .writerWithDefaultPrettyPrinter()
                     .writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a document has no JSON form", e);
+            throw new IllegalStateException("cannot write the configuration document as JSON", e);
         }
     }
 
--- a/change/src/main/java/sprucehold/change/document/DocumentSchema.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentSchema.java
@@ -62,7 +62,7 @@
         }
     }
 
-    /** A JSON object that conforms to the schema, or all errors in the bytes. */
+    /** A JSON object that conforms to the schema, or all errors that were found. */
     sealed interface Parsed {
         record Conforming(JsonNode node) implements Parsed {}
 
--- a/change/src/main/java/sprucehold/change/journal/JournalFile.java
+++ b/change/src/main/java/sprucehold/change/journal/JournalFile.java
@@ -99,9 +99,9 @@
                     file
                             + " has "
                             + channel.size()
-                            + " bytes, at most "
+                            + " bytes, but at most "
                             + MAX_BYTES
-                            + " were expected");
+                            + " are read");
         }
         ByteBuffer bytes = ByteBuffer.allocate((int) channel.size());
         int read = 0;
@@ -136,7 +136,7 @@
     /**
      * Appends an entry and waits until it is synced to disk.
      *
-     * @throws IOException if the entry can't be written; it may then be in the file in part
+     * @throws IOException if the entry can't be written; the file may then contain a part of it
      */
     public void write(JournalEntry entry) throws IOException {
         ByteBuffer line = JournalLine.encode(entry);
--- a/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
+++ b/change/src/main/java/sprucehold/change/override/EndpointOverrides.java
@@ -45,7 +45,8 @@
         var listed = new HashSet<String>();
         endpoints.forEach(endpoint -> listed.add(endpoint.server()));
         discovered.keySet().retainAll(listed);
-        // The start time of a server that is listed again later marks it as freshly started.
+        // A server that is listed again later counts as freshly started by its own start time, so
+        // the time of its return is no longer needed.
         returnedAtMs.keySet().retainAll(listed);
     }
 
--- a/change/src/main/java/sprucehold/change/rollout/Rollout.java
+++ b/change/src/main/java/sprucehold/change/rollout/Rollout.java
@@ -13,9 +13,10 @@
  * State machine of a rollout, a staged (canary) deployment. A wave begins when every gatherer of
  * the previous wave has confirmed the change. If a gatherer rejects the change or rolls it back,
  * the rollout is halted, and each gatherer that may have accepted the change is asked to revert it.
- * A request to a gatherer that doesn't answer is repeated, and its wave waits for the answer. Such
- * a gatherer is never skipped, and no state is assumed that the gatherer has not reported. Requests
- * are idempotent, as proposals carry the rollout's id.
+ * A request to a gatherer that doesn't answer is repeated, and its wave waits for the answer. After
+ * a limited number of unanswered requests the rollout is halted. Such a gatherer is never skipped,
+ * and no state is assumed that the gatherer has not reported. Requests are idempotent, as proposals
+ * carry the rollout's id.
  */
 public final class Rollout {
     /**
--- a/change/src/main/java/sprucehold/change/version/JournalReplay.java
+++ b/change/src/main/java/sprucehold/change/version/JournalReplay.java
@@ -48,7 +48,8 @@
         } else if (entry instanceof JournalEntry.Dropped dropped) {
             replayDropped(dropped);
         } else if (entry instanceof JournalEntry.ShutDown && unresolved != null) {
-            // The version that was live until the clean shutdown did not crash the process.
+            // The version that was live until the clean shutdown did not crash the process, so its
+            // series of consecutive crashes ends.
             crashes.remove(unresolved.number());
         }
     }
--- a/change/src/main/java/sprucehold/change/version/VersionHistory.java
+++ b/change/src/main/java/sprucehold/change/version/VersionHistory.java
@@ -17,7 +17,8 @@
  * <tr><th>state</th><th>event</th><th>next state</th><th>commands</th></tr>
  * <tr><td>Confirmed</td><td>Proposed, valid</td><td>Staged</td><td>WriteJournal(Accepted),
  *     Accepted</td></tr>
- * <tr><td>any</td><td>Proposed, known or equal to the live version</td><td>the same</td><td>
+ * <tr><td>any</td><td>Proposed, known</td><td>the same</td><td>AlreadyKnown</td></tr>
+ * <tr><td>Confirmed</td><td>Proposed, equal to the live version</td><td>the same</td><td>
  *     AlreadyKnown</td></tr>
  * <tr><td>any</td><td>Proposed, outdated, invalid or while another is pending</td><td>the same</td>
  *     <td>Rejected</td></tr>
@@ -38,6 +39,8 @@
  * <tr><td>Confirmed</td><td>Started: the process crashed repeatedly under the watched version</td>
  *     <td>Confirmed, under a new number; the watched version is quarantined</td><td>
  *     WriteJournal(Dropped), WriteJournal(Accepted), WriteJournal(Confirmed), Apply, Log</td></tr>
+ * <tr><td>Confirmed</td><td>Started: a version was staged</td><td>the same as without the staged
+ *     version</td><td>the same as without the staged version, then WriteJournal(Dropped)</td></tr>
  * </table>
  */
 public final class VersionHistory {
--- a/change/src/main/java/sprucehold/change/version/VersionState.java
+++ b/change/src/main/java/sprucehold/change/version/VersionState.java
@@ -19,7 +19,9 @@
         }
     }
 
-    /** The confirmed version is live; {@code staged} goes live between two decisions. */
+    /**
+     * The confirmed version is live; {@code staged} goes live between two decisions of the policy.
+     */
     record Staged(Version confirmed, Version staged) implements VersionState {
         @Override
         public Version live() {
--- a/change/src/main/java/sprucehold/change/version/VersionStatus.java
+++ b/change/src/main/java/sprucehold/change/version/VersionStatus.java
@@ -12,7 +12,7 @@
     public enum State {
         /** Accepted; goes live between two decisions of the policy. */
         STAGED("staged"),
-        /** Live and not yet confirmed; service is compared with the service before. */
+        /** Live and not yet confirmed; the health watch compares service with the baseline. */
         WATCHED("watched"),
         /** Confirmed last; a rollback restores its document. */
         CONFIRMED("confirmed"),
--- a/change/src/main/java/sprucehold/change/watch/Baseline.java
+++ b/change/src/main/java/sprucehold/change/watch/Baseline.java
@@ -13,7 +13,8 @@
  */
 public final class Baseline {
     /**
-     * Length of the baseline, in milliseconds; it covers several oscillations of a typical fault.
+     * Length of the baseline, in milliseconds. It is long enough to contain several oscillations of
+     * a typical fault.
      */
     private static final double LENGTH_MS = 120_000;
 
--- a/change/src/main/java/sprucehold/change/watch/HealthWatch.java
+++ b/change/src/main/java/sprucehold/change/watch/HealthWatch.java
@@ -31,8 +31,8 @@
     private static final double ALL_QUERIES_SHARE = 0.5;
 
     /**
-     * A segment with a lower bound is not tested, as its level can't be distinguished from no
-     * service at all.
+     * A segment is tested only if its bound is above this value. A service level below a smaller
+     * bound can't be distinguished from no service at all.
      */
     private static final double MIN_BOUND = 0.05;
 
@@ -72,7 +72,7 @@
     /**
      * Begins a watch.
      *
-     * @param baseline service until now
+     * @param baseline service before the version went live
      * @param nowMs the current time in milliseconds, by the clock of the windows
      * @param confirmAfterMs length of the watch, in milliseconds
      * @param minimumQueries number of queries that have to end during the watch before service
--- a/change/src/main/java/sprucehold/change/watch/SegmentTest.java
+++ b/change/src/main/java/sprucehold/change/watch/SegmentTest.java
@@ -35,7 +35,7 @@
 
     /**
      * @param bound the service level below which service counts as degraded
-     * @param alpha the probability of a false alarm
+     * @param alpha greatest probability of a false alarm
      * @param baseline the segment's statistics before the version went live
      */
     SegmentTest(double bound, double alpha, Baseline.Statistics baseline) {
--- a/change/src/main/java/sprucehold/change/watch/TimeWindow.java
+++ b/change/src/main/java/sprucehold/change/watch/TimeWindow.java
@@ -5,8 +5,8 @@
 
 /**
  * Service level of each segment in a short time window. A query is counted in the window in which
- * it ended. A query that was not answered in time is counted in the window in which its deadline
- * passed.
+ * it ended. A query that was not answered before its deadline is counted in the window in which the
+ * deadline passed.
  *
  * @param endsMs end of the window, in milliseconds
  * @param levels service level of each segment with at least one query in the window
--- a/change/src/test/java/sprucehold/change/DocumentTest.java
+++ b/change/src/test/java/sprucehold/change/DocumentTest.java
@@ -149,12 +149,12 @@
                 Set.of("s-1"),
                 null
             },
-            {Documents.number(-196), Map.of(), 5, Set.of("s-1"), "/limits/maxOpen"},
-            {Documents.number(-195), Map.of(), 5, Set.of("s-1"), null},
-            {Documents.number(0, "s-1", "s-2"), Map.of(), 5, Set.of("s-1", "s-2"), "/serversOut"},
-            {Documents.number(0, "s-1"), Map.of(), 5, Set.of("s-1", "s-2"), null},
+            {Documents.variant(-196), Map.of(), 5, Set.of("s-1"), "/limits/maxOpen"},
+            {Documents.variant(-195), Map.of(), 5, Set.of("s-1"), null},
+            {Documents.variant(0, "s-1", "s-2"), Map.of(), 5, Set.of("s-1", "s-2"), "/serversOut"},
+            {Documents.variant(0, "s-1"), Map.of(), 5, Set.of("s-1", "s-2"), null},
             // The shard has no replica before the change either, so this is no error.
-            {Documents.number(0, "s-1"), Map.of(), 5, Set.of(), null},
+            {Documents.variant(0, "s-1"), Map.of(), 5, Set.of(), null},
         };
     }
 
@@ -189,10 +189,10 @@
                         types.get(1));
         return new Object[][] {
             {Documents.basic(), DocumentDifference.Risk.NONE, ""},
-            {Documents.number(10), DocumentDifference.Risk.LOW, "rises from 200 to 210"},
-            {Documents.number(-9), DocumentDifference.Risk.LOW, "falls from 200 to 191"},
-            {Documents.number(-40), DocumentDifference.Risk.MIDDLE, "falls from 200 to 160"},
-            {Documents.number(-100), DocumentDifference.Risk.HIGH, "falls from 200 to 100"},
+            {Documents.variant(10), DocumentDifference.Risk.LOW, "rises from 200 to 210"},
+            {Documents.variant(-9), DocumentDifference.Risk.LOW, "falls from 200 to 191"},
+            {Documents.variant(-40), DocumentDifference.Risk.MIDDLE, "falls from 200 to 160"},
+            {Documents.variant(-100), DocumentDifference.Risk.HIGH, "falls from 200 to 100"},
             {
                 Documents.with(madeIdempotent, tenants, 200),
                 DocumentDifference.Risk.HIGH,
@@ -213,9 +213,13 @@
                 DocumentDifference.Risk.HIGH,
                 "falls from 20 to 2 scans/s"
             },
-            {Documents.number(0, "s-1"), DocumentDifference.Risk.MIDDLE, "nothing new goes to s-1"},
             {
-                Documents.number(0, "s-1", "s-2"),
+                Documents.variant(0, "s-1"),
+                DocumentDifference.Risk.MIDDLE,
+                "nothing new goes to s-1"
+            },
+            {
+                Documents.variant(0, "s-1", "s-2"),
                 DocumentDifference.Risk.HIGH,
                 "nothing new goes to s-1, s-2"
             },
--- a/change/src/test/java/sprucehold/change/Documents.java
+++ b/change/src/test/java/sprucehold/change/Documents.java
@@ -56,8 +56,13 @@
                 "INFO");
     }
 
-    /** Returns a document that differs from the basic one in the number of open items allowed. */
-    static ConfigurationDocument number(int increase, String... drained) {
+    /**
+     * Returns a variant of the basic document.
+     *
+     * @param increase number by which the limit of open items is raised
+     * @param drained names of the drained servers
+     */
+    static ConfigurationDocument variant(int increase, String... drained) {
         return with(basic().queryClasses(), basic().tenants(), 200 + increase, drained);
     }
 }
--- a/change/src/test/java/sprucehold/change/ExplorerTest.java
+++ b/change/src/test/java/sprucehold/change/ExplorerTest.java
@@ -44,7 +44,7 @@
     private static final QueryClass NON_IDEMPOTENT_CLASS =
             Documents.basic().queryClasses().get(1).queryClass();
     private static final ConfigurationDocument FIRST = Documents.basic();
-    private static final ConfigurationDocument DRAINED = Documents.number(1, "s1");
+    private static final ConfigurationDocument DRAINED = Documents.variant(1, "s1");
     private static final ConfigurationDocument LOOSENED =
             Documents.with(
                     List.of(
@@ -52,7 +52,7 @@
                             Documents.type("stamps", QueryClass.Idempotence.IDEMPOTENT, 800, 2000)),
                     FIRST.tenants(),
                     200);
-    private static final ConfigurationDocument SMALLER = Documents.number(-1);
+    private static final ConfigurationDocument SMALLER = Documents.variant(-1);
     private static final List<ConfigurationDocument> CHANGES = List.of(DRAINED, LOOSENED, SMALLER);
 
     /** State of the model, reached by steps from the initial state. */
@@ -192,7 +192,8 @@
                                             new Event.EndpointsUpdated(
                                                     false,
                                                     List.of(
-                                                            new Endpoint(server, 0, "z", 0, state))))
+                                                            new Endpoint(
+                                                                    server, 0, "z", 0, state))))
                                     .endpoints());
                 }
             }
--- a/change/src/test/java/sprucehold/change/HealthWatchTest.java
+++ b/change/src/test/java/sprucehold/change/HealthWatchTest.java
@@ -111,20 +111,35 @@
             {"service is poor, before and after", steady(0.7)},
             {
                 "traffic falls to a twentieth",
-                scenario((t, c) -> baseRate(c) * (t < 0 ? 1 : 0.05), (t, c, y) -> 0.97)
+                scenario(
+                        (t, tenant) -> baseRate(tenant) * (t < 0 ? 1 : 0.05),
+                        (t, tenant, queryClass) -> 0.97)
+            },
+            {
+                "traffic stops",
+                scenario(
+                        (t, tenant) -> t < 0 ? baseRate(tenant) : 0,
+                        (t, tenant, queryClass) -> 0.97)
             },
-            {"traffic stops", scenario((t, c) -> t < 0 ? baseRate(c) : 0, (t, c, y) -> 0.97)},
             {
                 "one tenant sends eight times as many queries, most of which fail",
                 scenario(
-                        (t, c) -> baseRate(c) * (t > 5 && c.equals("bolt") ? 8 : 1),
-                        (t, c, y) -> t > 5 && c.equals("bolt") ? 0.3 : 0.98)
+                        (t, tenant) ->
+                                baseRate(tenant) * (t > 5 && tenant.equals("bolt") ? 8 : 1),
+                        (t, tenant, queryClass) -> t > 5 && tenant.equals("bolt") ? 0.3 : 0.98)
             },
             {
                 "a fault that began before the change goes on",
-                scenario((t, c) -> baseRate(c), (t, c, y) -> t < -20 ? 0.98 : 0.6)
+                scenario(
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) -> t < -20 ? 0.98 : 0.6)
+            },
+            {
+                "service improves",
+                scenario(
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) -> t < 0 ? 0.8 : 0.99)
             },
-            {"service improves", scenario((t, c) -> baseRate(c), (t, c, y) -> t < 0 ? 0.8 : 0.99)},
         };
     }
 
@@ -144,33 +159,39 @@
             // description, scenario, latest time of detection in seconds
             {
                 "half of all queries fail",
-                scenario((t, c) -> baseRate(c), (t, c, y) -> t < 0 ? 0.98 : 0.5),
+                scenario(
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) -> t < 0 ? 0.98 : 0.5),
                 4.0
             },
             {
                 "most queries of the largest tenant fail",
                 scenario(
-                        (t, c) -> baseRate(c),
-                        (t, c, y) -> t >= 0 && c.equals("acme") ? 0.15 : 0.98),
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) -> t >= 0 && tenant.equals("acme") ? 0.15 : 0.98),
                 4.0
             },
             {
                 "most queries of one query class are late",
                 scenario(
-                        (t, c) -> baseRate(c),
-                        (t, c, y) -> t >= 0 && y.equals("stamps") ? 0.3 : 0.98),
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) ->
+                                t >= 0 && queryClass.equals("stamps") ? 0.3 : 0.98),
                 15.0
             },
             {
                 "a tenth of all queries fails",
-                scenario((t, c) -> baseRate(c), (t, c, y) -> t < 0 ? 0.98 : 0.86),
+                scenario(
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) -> t < 0 ? 0.98 : 0.86),
                 40.0
             },
             {
                 "failures rise by three percent of all queries a minute",
                 scenario(
-                        (t, c) -> baseRate(c),
-                        (t, c, y) -> t < 0 ? 0.98 : Math.max(0, 0.98 - 0.03 * t / 60)),
+                        (t, tenant) -> baseRate(tenant),
+                        (t, tenant, queryClass) ->
+                                t < 0 ? 0.98 : Math.max(0, 0.98 - 0.03 * t / 60)),
                 300.0
             },
         };
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -21,7 +21,7 @@
     private static final List<JournalEntry> ENTRIES =
             List.of(
                     new JournalEntry.Accepted(
-                            new Version(2, 1, Documents.number(1, "s-1"), "näher", 0), "p-1"),
+                            new Version(2, 1, Documents.variant(1, "s-1"), "näher", 0), "p-1"),
                     new JournalEntry.Live(2),
                     new JournalEntry.Retried(2),
                     new JournalEntry.Dropped(2, "fell\nby much"),
--- a/change/src/test/java/sprucehold/change/StoredFormsTest.java
+++ b/change/src/test/java/sprucehold/change/StoredFormsTest.java
@@ -60,7 +60,7 @@
     public void differenceIsWrittenWithTheKeysOfEarlierBuilds() throws Exception {
         assertEquals(
                 MAPPER.writeValueAsString(
-                        DocumentDifference.between(Documents.basic(), Documents.number(-40))),
+                        DocumentDifference.between(Documents.basic(), Documents.variant(-40))),
                 "{\"words\":[{\"path\":\"/limits/maxOpen\",\"words\":\"what may be open at once falls"
                         + " from 200 to 160\",\"risk\":\"MIDDLE\"}],\"risk\":\"MIDDLE\"}");
     }
--- a/change/src/test/java/sprucehold/change/VersionHistoryTest.java
+++ b/change/src/test/java/sprucehold/change/VersionHistoryTest.java
@@ -51,14 +51,14 @@
     public void changeIsStagedAppliedWatchedAndConfirmed() {
         reset();
         assertEquals(
-                ofType(propose("a", 1, Documents.number(1)), VersionCommand.Accepted.class)
+                ofType(propose("a", 1, Documents.variant(1)), VersionCommand.Accepted.class)
                         .get(0)
                         .version()
                         .number(),
                 2);
         assertEquals(applied, Documents.basic(), "not applied before the decision ends");
         handle(new VersionEvent.BetweenDecisions());
-        assertEquals(applied, Documents.number(1));
+        assertEquals(applied, Documents.variant(1));
         assertTrue(history.watched());
         handle(new VersionEvent.WatchDecided(2, false, "held"));
         assertFalse(history.watched());
@@ -68,7 +68,7 @@
     @Test
     public void harmfulChangeIsRolledBackUnderANewNumber() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         handle(new VersionEvent.BetweenDecisions());
         handle(new VersionEvent.WatchDecided(2, true, "fell"));
         assertEquals(applied, Documents.basic());
@@ -83,36 +83,36 @@
     @Test
     public void outdatedProposalIsRejectedWithTheChangesSinceItsBase() {
         reset();
-        propose("a", 1, Documents.number(1));
-        List<VersionCommand> second = propose("b", 1, Documents.number(2));
+        propose("a", 1, Documents.variant(1));
+        List<VersionCommand> second = propose("b", 1, Documents.variant(2));
         VersionCommand.Rejected rejected = ofType(second, VersionCommand.Rejected.class).get(0);
         assertTrue(
                 rejected.changesSince().changes().get(0).description().contains("from 200 to 201"),
                 rejected.toString());
         handle(new VersionEvent.BetweenDecisions());
-        assertEquals(applied, Documents.number(1));
+        assertEquals(applied, Documents.variant(1));
     }
 
     @Test
     public void proposalDuringTheWatchIsRejected() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         handle(new VersionEvent.BetweenDecisions());
         assertEquals(
-                ofType(propose("b", 2, Documents.number(2)), VersionCommand.Rejected.class).size(),
+                ofType(propose("b", 2, Documents.variant(2)), VersionCommand.Rejected.class).size(),
                 1);
         handle(new VersionEvent.WatchDecided(2, false, "held"));
         assertEquals(
-                ofType(propose("c", 2, Documents.number(2)), VersionCommand.Accepted.class).size(),
+                ofType(propose("c", 2, Documents.variant(2)), VersionCommand.Accepted.class).size(),
                 1);
     }
 
     @Test
     public void repeatedProposalIsAcceptedOnceEvenAfterARestart() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         assertEquals(
-                ofType(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
+                ofType(propose("a", 1, Documents.variant(1)), VersionCommand.AlreadyKnown.class)
                         .get(0)
                         .number(),
                 2);
@@ -120,11 +120,11 @@
         handle(new VersionEvent.ConfirmRequested(2, "operator"));
         restart();
         assertEquals(
-                ofType(propose("a", 1, Documents.number(1)), VersionCommand.AlreadyKnown.class)
+                ofType(propose("a", 1, Documents.variant(1)), VersionCommand.AlreadyKnown.class)
                         .get(0)
                         .number(),
                 2);
-        assertEquals(applied, Documents.number(1));
+        assertEquals(applied, Documents.variant(1));
     }
 
     private void restart() {
@@ -136,21 +136,21 @@
     @Test
     public void processKilledBetweenAnyTwoStepsRestartsWithOneCompleteVersion() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         handle(new VersionEvent.BetweenDecisions());
         handle(new VersionEvent.WatchDecided(2, false, "held"));
-        propose("b", 2, Documents.number(2));
+        propose("b", 2, Documents.variant(2));
         handle(new VersionEvent.BetweenDecisions());
         handle(new VersionEvent.WatchDecided(3, true, "fell"));
-        propose("c", 4, Documents.number(3));
+        propose("c", 4, Documents.variant(3));
         handle(new VersionEvent.BetweenDecisions());
         List<JournalEntry> entries = List.copyOf(journal);
         List<ConfigurationDocument> documents =
                 List.of(
                         Documents.basic(),
-                        Documents.number(1),
-                        Documents.number(2),
-                        Documents.number(3));
+                        Documents.variant(1),
+                        Documents.variant(2),
+                        Documents.variant(3));
         for (int cut = 0; cut <= entries.size(); cut++) {
             journal = new ArrayList<>(entries.subList(0, cut));
             restart();
@@ -163,7 +163,7 @@
                 }
             }
             long last = history.live().number();
-            propose("after-" + cut, history.live().number(), Documents.number(50 + cut));
+            propose("after-" + cut, history.live().number(), Documents.variant(50 + cut));
             if (history.staged() != null) {
                 assertTrue(history.staged().number() > last, "version numbers must not decrease");
             }
@@ -173,10 +173,10 @@
     @Test
     public void versionUnderWhichTheProcessCrashedTwiceIsQuarantined() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         handle(new VersionEvent.BetweenDecisions());
         restart();
-        assertEquals(applied, Documents.number(1), "one crash may not be caused by the version");
+        assertEquals(applied, Documents.variant(1), "one crash may not be caused by the version");
         assertTrue(history.watched());
         restart();
         assertEquals(applied, Documents.basic());
@@ -187,7 +187,7 @@
         assertEquals(applied, Documents.basic(), "must stay quarantined after another restart");
         VersionCommand.Rejected rejected =
                 ofType(
-                                propose("again", history.live().number(), Documents.number(1)),
+                                propose("again", history.live().number(), Documents.variant(1)),
                                 VersionCommand.Rejected.class)
                         .get(0);
         assertTrue(rejected.errors().get(0).problem().contains("set aside"), rejected.toString());
@@ -196,12 +196,12 @@
     @Test
     public void cleanShutdownIsNotCountedAsACrash() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         handle(new VersionEvent.BetweenDecisions());
         for (int i = 0; i < 5; i++) {
             handle(new VersionEvent.ShuttingDown());
             restart();
-            assertEquals(applied, Documents.number(1));
+            assertEquals(applied, Documents.variant(1));
             assertTrue(history.watched());
         }
     }
@@ -209,7 +209,7 @@
     @Test
     public void versionWithdrawnWhileStagedNeverGoesLive() {
         reset();
-        propose("a", 1, Documents.number(1));
+        propose("a", 1, Documents.variant(1));
         handle(new VersionEvent.RollbackRequested(2, "operator"));
         handle(new VersionEvent.BetweenDecisions());
         assertEquals(applied, Documents.basic());
--- a/standin/src/main/java/sprucehold/standin/StandInShardServer.java
+++ b/standin/src/main/java/sprucehold/standin/StandInShardServer.java
@@ -11,17 +11,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A stand-in for a shard server. It answers every attempt immediately; the value consists of the
- * shard and the attempt's text.
+ * A stand-in for a shard server. It answers every attempt immediately. The value of its answer
+ * consists of the shard and the body of the query.
  *
  * <table>
  * <caption>Frames by their first letter</caption>
  * <tr><th>from the gatherer</th><th>answer</th></tr>
- * <tr><td>A: attempts; for each a line (number, shard, time, length of the text) and the text</td>
- *     <td>E for each attempt, with its outcome and value</td></tr>
+ * <tr><td>A: attempts; for each a line (id of the part, shard, list of fields such as the timeout,
+ *     length of the body) and the body of the query</td><td>E for each attempt, with its outcome
+ *     and value</td></tr>
  * <tr><td>B: cancel an attempt</td><td>none</td></tr>
  * <tr><td>C: health check</td><td>C</td></tr>
- * <tr><td>D: load report</td><td>D</td></tr>
+ * <tr><td>D: health check that asks for a load report</td><td>D</td></tr>
  * <tr><td>any other</td><td>F: error; then the connection is closed</td></tr>
  * </table>
  */
@@ -78,13 +79,13 @@
                 lineEnd++;
             }
             String[] fields = frame.getString(lineStart, lineEnd).split(" ", -1);
-            String number = fields[0];
+            String partId = fields[0];
             String shard = fields[1];
-            int textLength = Integer.parseInt(fields[3]);
-            int textEnd = lineEnd + 1 + textLength;
-            String text = frame.getString(lineEnd + 1, textEnd);
-            send(socket, "E" + number + " hit 0 -\n" + shard + ":" + text);
-            lineStart = textEnd;
+            int bodyLength = Integer.parseInt(fields[3]);
+            int bodyEnd = lineEnd + 1 + bodyLength;
+            String body = frame.getString(lineEnd + 1, bodyEnd);
+            send(socket, "E" + partId + " hit 0 -\n" + shard + ":" + body);
+            lineStart = bodyEnd;
         }
     }
 
--- a/standin/src/main/java/sprucehold/standin/ledger/Seen.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Seen.java
@@ -6,7 +6,7 @@
 /**
  * One observation by a client, a shard server, discovery or the run itself, outside the gatherers.
  * Records, components and constants have the names used in ledger files, which the test bed writes,
- * so they keep the terms of the wire.
+ * so they use the terms of the wire protocol.
  *
  * <table>
  * <caption>Names in ledger files and in the code</caption>
@@ -14,6 +14,8 @@
  * <tr><td>scan, tableType, segment</td><td>query, query class, shard</td></tr>
  * <tr><td>whole; THROTTLED, ABANDONED</td><td>complete; rejected, failed</td></tr>
  * <tr><td>Left; mode</td><td>client disconnected; endpoint state</td></tr>
+ * <tr><td>FellOver; HeldUp; Told</td><td>crash from overload; outage of a gatherer; endpoint update
+ *     sent</td></tr>
  * </table>
  */
 public sealed interface Seen {
@@ -43,9 +45,15 @@
     enum Answer {
         /** The query was answered with values. */
         COMPLETED,
-        /** The query was rejected, and the client was asked to retry later. */
+        /**
+         * The query was rejected. This answer promises that the query had no effect, and asks the
+         * client to retry later.
+         */
         THROTTLED,
-        /** The query failed; the answer doesn't promise that no non-idempotent part of it ran. */
+        /**
+         * The query failed. Unlike a rejection, this answer doesn't promise that the query had no
+         * effect.
+         */
         ABANDONED,
         /** The connection was closed without an answer. */
         CLOSED
@@ -113,7 +121,7 @@
     /**
      * The run itself killed or paused a gatherer.
      *
-     * @param atMs begin of the outage, in milliseconds
+     * @param atMs start of the outage, in milliseconds
      * @param untilMs end of the outage, in milliseconds
      * @param gatherer the gatherer
      * @param killed whether the gatherer was killed; false if it was paused
--- a/standin/src/main/java/sprucehold/standin/rules/GathererOutages.java
+++ b/standin/src/main/java/sprucehold/standin/rules/GathererOutages.java
@@ -24,8 +24,10 @@
     }
 
     /**
-     * Returns whether a query's gatherer was down after a kill at some time between the begin and
-     * the end of the query. Such a gatherer no longer has to answer the query.
+     * Returns whether the run killed a query's gatherer so that it was down at some time between
+     * the start and the end of the query. Such a gatherer no longer has to answer the query.
+     *
+     * @param endMs end of the query, in milliseconds
      */
     boolean wasKilled(QueryRecord query, double endMs) {
         return outagesOf(query).stream()
--- a/standin/src/main/java/sprucehold/standin/rules/OneAnswerCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/OneAnswerCheck.java
@@ -7,7 +7,8 @@
 
 /**
  * Checks {@link Rule#ONE_ANSWER}: each query that was received gets exactly one final answer before
- * its deadline, and none of its parts is sent after the answer.
+ * its deadline, and none of its parts is sent after the answer or after the client's disconnect.
+ * The timeout in an attempt's frame must not exceed the time that the client still waits.
  *
  * <p>Tolerances: {@link RuleTerms#answerSlackMs()} for the answer, {@link RuleTerms#transitMs()}
  * for attempts in transit when the query ended, {@link RuleTerms#timeoutSlackMs()} for the timeout
--- a/standin/src/main/java/sprucehold/standin/rules/FallOverCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/OverloadCrashCheck.java
@@ -6,15 +6,15 @@
  * Checks {@link Rule#COLD}: no shard server that is warming up crashes from overload. The check has
  * no tolerance.
  */
-final class FallOverCheck implements RuleCheck {
+final class OverloadCrashCheck implements RuleCheck {
     private final Violations violations;
 
-    FallOverCheck(Violations violations) {
+    OverloadCrashCheck(Violations violations) {
         this.violations = violations;
     }
 
     @Override
-    public void serverFellOver(Seen.FellOver fellOver) {
+    public void serverCrashed(Seen.FellOver fellOver) {
         String senders =
                 fellOver.workByGatherer().isEmpty()
                         ? ""
--- a/standin/src/main/java/sprucehold/standin/rules/RetryBudgetCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RetryBudgetCheck.java
@@ -8,8 +8,8 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Checks {@link Rule#BUDGET}: in any window, the retries and hedged requests of each gatherer, and
- * of all gatherers together, stay within their budgets.
+ * Checks {@link Rule#BUDGET}: in any window of a budget's length, the retries and hedged requests
+ * of each gatherer, and of all gatherers together, stay within the budget.
  *
  * <p>Tolerance: {@link RuleTerms#transitMs()}, as two attempts that were sent one window apart may
  * arrive closer together, and as a query is received earlier than its retry arrives at the shard
--- a/standin/src/main/java/sprucehold/standin/rules/Rule.java
+++ b/standin/src/main/java/sprucehold/standin/rules/Rule.java
@@ -3,12 +3,13 @@
 /** The six rules. Their names are printed in the verdicts of runs. */
 public enum Rule {
     /**
-     * Each query that was received gets exactly one final answer before its deadline, and none of
-     * its parts is sent after the answer. Checked by {@link OneAnswerCheck}.
+     * Each query that was received gets exactly one final answer before its deadline. None of its
+     * parts is sent after the answer or after the client's disconnect. Checked by {@link
+     * OneAnswerCheck}.
      */
     ONE_ANSWER,
     /**
-     * No effect happens twice; a query is rejected only if none of its non-idempotent parts can
+     * No part takes effect twice; a query is rejected only if none of its non-idempotent parts can
      * have run. Checked by {@link NoEffectTwiceCheck}.
      */
     NO_EFFECT_TWICE,
@@ -17,7 +18,9 @@
      * DrainCheck}.
      */
     DRAINS,
-    /** No server that is warming up crashes from overload. Checked by {@link FallOverCheck}. */
+    /**
+     * No server that is warming up crashes from overload. Checked by {@link OverloadCrashCheck}.
+     */
     COLD,
     /**
      * No answer has less than the minimum coverage, is called complete without being complete, or
--- a/standin/src/main/java/sprucehold/standin/rules/RuleCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleCheck.java
@@ -29,7 +29,7 @@
      */
     default void partRan(QueryRecord query, Seen.Ran ran, List<Seen.Ran> earlier) {}
 
-    default void serverFellOver(Seen.FellOver fellOver) {}
+    default void serverCrashed(Seen.FellOver fellOver) {}
 
     default void endpointUpdateSent(Seen.Told update) {}
 
--- a/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
@@ -30,7 +30,7 @@
                         new NoEffectTwiceCheck(terms, violations),
                         new RetryBudgetCheck(terms, violations),
                         new HonestAnswerCheck(violations),
-                        new FallOverCheck(violations));
+                        new OverloadCrashCheck(violations));
     }
 
     /**
@@ -38,8 +38,8 @@
      *
      * @param terms settings and tolerances of the checks
      * @param ledger all observations, in the order of time
-     * @param endMs end of the run, in milliseconds; queries whose deadline is not later must have
-     *     an answer
+     * @param endMs end of the run, in milliseconds; queries whose deadline plus {@link
+     *     RuleTerms#answerSlackMs()} has passed by then must have an answer
      * @return all violations, in the order in which they were found
      */
     public static List<Violation> check(RuleTerms terms, List<Seen> ledger, double endMs) {
@@ -70,7 +70,7 @@
         } else if (seen instanceof Seen.Ran ran) {
             processRan(ran);
         } else if (seen instanceof Seen.FellOver fellOver) {
-            notifyChecks(check -> check.serverFellOver(fellOver));
+            notifyChecks(check -> check.serverCrashed(fellOver));
         } else if (seen instanceof Seen.Told update) {
             notifyChecks(check -> check.endpointUpdateSent(update));
         }
