--- a/standin/src/main/java/sprucehold/standin/rules/FallOverCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/OverloadCrashCheck.java
@@ -2,16 +2,19 @@
 
 import sprucehold.standin.ledger.Seen;
 
-/** Checks {@link Rule#COLD}: a warming server never falls over. No slack. */
-final class FallOverCheck implements RuleCheck {
+/**
+ * Checks {@link Rule#COLD}: no shard server that is warming up crashes from overload. The check has
+ * no tolerance.
+ */
+final class OverloadCrashCheck implements RuleCheck {
     private final Violations violations;
 
-    FallOverCheck(Violations violations) {
+    OverloadCrashCheck(Violations violations) {
         this.violations = violations;
     }
 
     @Override
-    public void serverFellOver(Seen.FellOver fellOver) {
+    public void serverCrashed(Seen.FellOver fellOver) {
         String senders =
                 fellOver.workByGatherer().isEmpty()
                         ? ""
