--- a/cluster/src/main/java/sprucehold/cluster/membership/AntiEntropy.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/AntiEntropy.java
@@ -6,17 +6,23 @@
 import java.util.Random;
 
 /**
- * Repairs differences that gossip left: members compare digests with one drawn at random, and
- * exchange whole tables where they differ (anti-entropy, push and pull; Demers and others 1987).
+ * Repairs differences between member lists that gossip left. Periodically sends the digest of this
+ * member's list to a random member; where two digests differ, the members exchange whole tables
+ * (anti-entropy with push and pull; Demers and others 1987).
  */
 final class AntiEntropy {
-    /** Time between two comparisons. */
+    /** Time between two digest comparisons, in milliseconds. */
     private static final double COMPARE_MS = 10_000;
 
-    /** The same while the last one found a difference. */
+    /**
+     * Time between two digest comparisons while the last one found a difference, in milliseconds.
+     */
     private static final double COMPARE_AGAIN_MS = 2000;
 
-    /** Least time between two whole tables: of a thousand members one is 70 kB. */
+    /**
+     * Minimum time between two whole tables, in milliseconds: a table of a thousand members is 70
+     * kB long.
+     */
     private static final double MIN_TABLE_INTERVAL_MS = 500;
 
     private final MemberList members;
@@ -32,7 +38,7 @@
         this.random = random;
     }
 
-    /** Compares with one other member if it is time. */
+    /** Sends the digest to one random active member if the interval has passed. */
     void tick(double nowMs, List<FailureDetector.Outgoing> out) {
         double intervalMs = differed ? COMPARE_AGAIN_MS : COMPARE_MS;
         if (nowMs - comparedAtMs < intervalMs || members.active().isEmpty()) {
@@ -49,7 +55,7 @@
                                 members.digest(), dissemination.updatesFor(peer))));
     }
 
-    /** Another member sent its digest. */
+    /** Handles the digest of another member: sends the whole table if the digests differ. */
     void compare(
             String from,
             MemberMessage.CompareDigest message,
@@ -61,8 +67,9 @@
     }
 
     /**
-     * Sends the whole table, unless one has left just now: a member that holds something else still
-     * does when it compares again.
+     * Sends the whole table, unless this member sent one less than {@link #MIN_TABLE_INTERVAL_MS}
+     * ago. A table that is not sent is not lost for good: if the receiver's list still differs at
+     * the next comparison, this method is called again.
      */
     void sendTable(String to, double nowMs, List<FailureDetector.Outgoing> out) {
         differed = true;
@@ -70,11 +77,14 @@
             tableSentAtMs = nowMs;
             out.add(
                     new FailureDetector.Outgoing(
-                            to, new MemberMessage.MemberTable(true, members.tellable())));
+                            to, new MemberMessage.MemberTable(true, members.sendableUpdates())));
         }
     }
 
-    /** Another member sent its table; what it lacks is sent back if it wants that. */
+    /**
+     * Handles the table of another member. If the sender asked for a reply, sends it the updates
+     * that its table lacks.
+     */
     void receiveTable(
             String from, MemberMessage.MemberTable table, List<FailureDetector.Outgoing> out) {
         if (!table.replyWanted()) {
@@ -84,7 +94,7 @@
         Map<String, MemberUpdate> theirs = new HashMap<>();
         table.updates().forEach(update -> theirs.put(update.name(), update));
         List<MemberUpdate> lacking =
-                members.tellable().stream()
+                members.sendableUpdates().stream()
                         .filter(update -> isNewer(update, theirs.get(update.name())))
                         .toList();
         if (!lacking.isEmpty()) {
--- a/cluster/src/main/java/sprucehold/cluster/membership/Dissemination.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Dissemination.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * Spreads updates by infection: a few ride on each probe and each answer (SWIM's piggybacking; Das,
- * Gupta, Motivala 2002), so that messages a second don't grow with the number of members.
+ * Spreads updates by infection: each probe and each ack carries a few updates (SWIM's piggybacking;
+ * Das, Gupta, Motivala 2002), so that the number of messages per second doesn't grow with the
+ * number of members.
  */
 final class Dissemination {
-    /** Updates in a message: some 70 bytes each keep it within a datagram. */
+    /** Maximum number of updates in a message. At about 70 bytes each, they fit into a datagram. */
     private static final int MAX_UPDATES = 12;
 
     private final MemberList members;
@@ -19,19 +20,19 @@
         this.members = members;
     }
 
-    /** Queues an update; one of itself only while it isn't superseded. */
+    /** Queues an update. Updates about this member itself are not queued while it is superseded. */
     void spread(MemberUpdate update) {
         if (!members.isSuperseded() || !members.isSelf(update.name())) {
             queue.add(update);
         }
     }
 
-    /** A number that no ping of this process has had. */
+    /** Returns a sequence number that no ping of this process has used yet. */
     long nextSequenceNumber() {
         return sequenceNumbers++;
     }
 
-    /** A ping that is no probe: whether it is answered doesn't matter. */
+    /** Creates a ping that is not a probe: failure detection ignores whether it is answered. */
     FailureDetector.Outgoing ping(String to) {
         return ping(to, nextSequenceNumber());
     }
@@ -46,14 +47,15 @@
                 to, new MemberMessage.Ack(sequenceNumber, updatesFor(to)));
     }
 
-    /** The updates for a message; they count as sent. */
+    /** Selects the updates for a message to {@code to} and counts them as sent. */
     List<MemberUpdate> updatesFor(String to) {
         var updates = new ArrayList<MemberUpdate>();
         MemberUpdate receiver = members.get(to);
         if (receiver != null
                 && receiver.state() != MemberUpdate.State.ALIVE
                 && receiver.generation() > 0) {
-            // A suspected member should be the first to hear of it.
+            // A suspected member must receive the suspicion early, so that it can refute it in
+            // time.
             updates.add(receiver);
         }
         int places = MAX_UPDATES - updates.size();
@@ -66,7 +68,10 @@
         return List.copyOf(updates);
     }
 
-    /** A member that isn't known yet makes itself known by what it says. */
+    /**
+     * Adds this member's own state, so that receivers that don't know this member yet add it to
+     * their list.
+     */
     private void addSelf(List<MemberUpdate> updates) {
         if (members.isSuperseded()
                 || updates.stream().anyMatch(update -> members.isSelf(update.name()))) {
--- a/cluster/src/main/java/sprucehold/cluster/membership/FailureProbes.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/FailureProbes.java
@@ -11,15 +11,18 @@
 import java.util.function.Consumer;
 
 /**
- * SWIM's failure detection (Das, Gupta, Motivala 2002): each period one other member is pinged, in
- * randomised round robin; one that doesn't answer is pinged through others before it counts as
- * failed.
+ * SWIM's failure detection (Das, Gupta, Motivala 2002). Each period, one other member is pinged, in
+ * randomised round robin. A member that doesn't answer is pinged indirectly through other members
+ * before its probe counts as failed.
  */
 final class FailureProbes {
-    /** A round trip takes less within an installation unless something is wrong. */
+    /**
+     * Time after which an unanswered ping is followed by indirect probes, in milliseconds. A round
+     * trip within an installation is shorter unless there is a fault.
+     */
     private static final double DIRECT_TIMEOUT_MS = 300;
 
-    /** A probe made for another member is forgotten after so many periods. */
+    /** Number of periods after which a probe made for another member is discarded. */
     private static final double FORWARDED_PERIODS = 3;
 
     private static final class Probe {
@@ -33,7 +36,9 @@
         }
     }
 
-    /** An indirect probe made for another member, which gave its own number to it. */
+    /**
+     * An indirect probe made for another member, with the sequence number of that member's request.
+     */
     private record Forwarded(String requester, long sequenceNumber, double sentAtMs) {}
 
     private final double periodMs;
@@ -47,8 +52,8 @@
     private final Deque<String> round = new ArrayDeque<>();
 
     /**
-     * @param periodMs SWIM's protocol period
-     * @param indirectProbes SWIM's k: members asked to probe one that doesn't answer
+     * @param periodMs SWIM's protocol period, in milliseconds
+     * @param indirectProbes SWIM's k: number of members asked to probe a member that doesn't answer
      */
     FailureProbes(
             double periodMs,
@@ -65,7 +70,7 @@
         this.random = random;
     }
 
-    /** Forgets probes that were sent before this process was held up. */
+    /** Discards the pending probes, as those sent before this process was paused prove nothing. */
     void clear() {
         pending.clear();
     }
@@ -95,9 +100,10 @@
     }
 
     /**
-     * Looks at the probes that are not answered yet.
+     * Checks the pending probes: sends indirect probes for those past the direct timeout, and
+     * reports those past the period as failed.
      *
-     * @param failed takes each member whose probe has failed
+     * @param failed receives the name of each member whose probe has failed
      */
     void checkPending(double nowMs, List<FailureDetector.Outgoing> out, Consumer<String> failed) {
         for (Map.Entry<Long, Probe> entry : List.copyOf(pending.entrySet())) {
@@ -130,7 +136,7 @@
         }
     }
 
-    /** Probes a member for another one. */
+    /** Probes the target of a request on behalf of the requester. */
     void probeFor(
             String requester,
             MemberMessage.PingRequest request,
@@ -141,7 +147,10 @@
         out.add(dissemination.ping(request.target(), sequenceNumber));
     }
 
-    /** Takes the answer to a probe, its own or one made for another member. */
+    /**
+     * Handles the ack of a probe, either this member's own or one made for another member. In the
+     * second case, sends an ack to the requester.
+     */
     void answered(long sequenceNumber, List<FailureDetector.Outgoing> out) {
         if (pending.remove(sequenceNumber) != null) {
             health.probeAnswered();
--- a/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
@@ -9,22 +9,29 @@
 import java.util.TreeMap;
 
 /**
- * Updates that ride on messages, the least often sent first (SWIM; Das, Gupta, Motivala 2002), each
- * until most likely all members have received it. Suspicions and refutations go before arrivals:
- * while a whole fleet starts, arrivals are spread by table exchange anyway, and a suspicion that
- * waits behind a thousand of them is refuted too late.
+ * Updates that are piggybacked on messages, the least often sent first (SWIM; Das, Gupta, Motivala
+ * 2002). Each update is sent until most likely all members have received it.
+ *
+ * <p>Suspicions and refutations take precedence over arrivals. While a whole fleet starts, table
+ * exchange spreads the arrivals anyway, and a suspicion queued behind a thousand arrivals would be
+ * refuted too late.
  */
 final class GossipQueue {
     /**
-     * Sends of an urgent update, times the binary logarithm of the number of members: it must reach
-     * all over a network that loses messages.
+     * Number of times an urgent update is sent, as a multiple of the binary logarithm of the number
+     * of members: it must reach all members over a network that loses messages.
      */
     private static final int URGENT_SENDS = 3;
 
-    /** The same of an arrival. */
+    /**
+     * Number of times an arrival is sent, as a multiple of the binary logarithm of the number of
+     * members.
+     */
     private static final int ARRIVAL_SENDS = 1;
 
-    /** Places of a message left to arrivals, so that failures without end don't hide them. */
+    /**
+     * Places in a message reserved for arrivals, so that continual failures don't crowd them out.
+     */
     private static final int PLACES_FOR_ARRIVALS = 2;
 
     private static final class Queued {
@@ -35,7 +42,7 @@
             this.update = update;
         }
 
-        /** Neither a suspicion nor the answer to one. */
+        /** Whether the update is neither a suspicion nor the answer to one. */
         boolean isArrival() {
             return update.state() == MemberUpdate.State.ALIVE && update.incarnation() == 0;
         }
@@ -48,10 +55,10 @@
 
     private final Map<String, Queued> byName = new HashMap<>();
 
-    /** By number of sends, the fewest first. */
+    /** Urgent updates by number of sends, the fewest first. */
     private final Map<Integer, Set<Queued>> urgent = new TreeMap<>();
 
-    /** By number of sends, the fewest first. */
+    /** Arrivals by number of sends, the fewest first. */
     private final Map<Integer, Set<Queued>> arrivals = new TreeMap<>();
 
     private Map<Integer, Set<Queued>> queueOf(Queued queued) {
@@ -70,7 +77,7 @@
         }
     }
 
-    /** Queues an update in place of an earlier one of the same name. */
+    /** Queues an update; it replaces an earlier update about the same member. */
     void add(MemberUpdate update) {
         var queued = new Queued(update);
         Queued before = byName.put(update.name(), queued);
@@ -81,10 +88,10 @@
     }
 
     /**
-     * The next updates to send, which then count as sent once more.
+     * Returns the next updates to send and counts each as sent once more.
      *
-     * @param max how many at most
-     * @param members how many there are to reach
+     * @param max maximum number of updates
+     * @param members number of members to reach
      */
     List<MemberUpdate> next(int max, int members) {
         var next = new ArrayList<Queued>();
--- a/cluster/src/main/java/sprucehold/cluster/membership/LocalHealth.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/LocalHealth.java
@@ -1,36 +1,38 @@
 package sprucehold.cluster.membership;
 
 /**
- * How much a gatherer doubts itself: the local health multiplier of Lifeguard (Dadgar, Phillips,
- * Currey 2017). While its own probes fail, it waits longer before it suspects others.
+ * Score of a gatherer's confidence in its own probes: the local health multiplier of Lifeguard
+ * (Dadgar, Phillips, Currey 2017). While its own probes fail, the gatherer waits longer before it
+ * suspects others.
  */
 final class LocalHealth {
     private static final int MAX_SCORE = 8;
 
-    /** Each point of the score makes times longer by this part of themselves. */
+    /** Score that doubles a time: each point adds one quarter of it. */
     private static final double STRETCH_PER_POINT = 4.0;
 
     /**
-     * So many probes in a row unanswered: the fault is more likely here than at all of them. It
-     * suspects nobody then: one that nobody hears would find all others dead, and once it is heard
-     * again have the whole fleet believe it.
+     * Consecutive unanswered probes after which this gatherer considers itself isolated: a fault at
+     * this gatherer is then more likely than a fault at all probed members. An isolated gatherer
+     * suspects no one. A gatherer whose messages get lost would otherwise consider all others dead
+     * and, once its messages arrive again, spread that to the whole fleet.
      */
     private static final int ISOLATED_AFTER = 3;
 
     private int score;
     private int unansweredInARow;
 
-    /** From 0, healthy, to 8. */
+    /** Returns the score, from 0 (healthy) to 8. */
     int score() {
         return score;
     }
 
-    /** A time, longer by how much it doubts itself. */
+    /** Returns {@code ms} lengthened according to the score. */
     double stretched(double ms) {
         return ms * (1 + score / STRETCH_PER_POINT);
     }
 
-    /** Whether no other gatherer answers. */
+    /** Whether none of the last {@link #ISOLATED_AFTER} probes was answered. */
     boolean isIsolated() {
         return unansweredInARow >= ISOLATED_AFTER;
     }
@@ -45,12 +47,12 @@
         unansweredInARow++;
     }
 
-    /** Others had reason to doubt it. */
+    /** Records that another member suspected this one. */
     void wasSuspected() {
         score = Math.min(MAX_SCORE, score + 1);
     }
 
-    /** It was itself held up for longer than a protocol period. */
+    /** Records that this process was paused for longer than a protocol period. */
     void wasPaused() {
         score = MAX_SCORE;
     }
--- a/cluster/src/main/java/sprucehold/cluster/membership/MemberList.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/MemberList.java
@@ -10,11 +10,11 @@
 import java.util.TreeSet;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** What one gatherer holds of itself and of all others, with a digest of it. */
+/** One gatherer's record of its own state and that of all other members, with a digest of it. */
 final class MemberList {
     /**
-     * A dead member that nobody heard of for so long is forgotten: an hour outlasts repairs, and
-     * bounds what is held.
+     * Time after which an inactive member is removed, in milliseconds. An hour is longer than usual
+     * repairs take, and the removal bounds the size of the list.
      */
     private static final double FORGET_AFTER_MS = 3_600_000;
 
@@ -23,15 +23,15 @@
     private final Map<String, Entry> others = new TreeMap<>();
     private final Set<String> activeNames = new TreeSet<>();
 
-    /** A copy of the active names; null when it has to be made anew. */
+    /** Copy of the active names; null when it has to be rebuilt. */
     private Set<String> activeCopy = Set.of();
 
     private MemberUpdate self;
 
-    /** How many of the others have been heard of in any generation. */
+    /** Number of other members known with a generation, that is, not only by a configured name. */
     private int metCount;
 
-    /** Of all active members, itself included; the same at all who hold the same. */
+    /** Digest of all active members, this one included; equal at all members whose lists agree. */
     private long digest;
 
     private boolean superseded;
@@ -63,7 +63,7 @@
         this.superseded = superseded;
     }
 
-    /** What is held of another, or null. */
+    /** Returns the latest update about another member, or null if none is known. */
     MemberUpdate get(String name) {
         Entry entry = others.get(name);
         return entry == null ? null : entry.update;
@@ -72,7 +72,7 @@
     void put(MemberUpdate update, double nowMs) {
         MemberUpdate before = get(update.name());
         others.put(update.name(), new Entry(update, nowMs));
-        metCount += isMet(update) - (before == null ? 0 : isMet(before));
+        metCount += metIncrement(update) - (before == null ? 0 : metIncrement(before));
         digest ^= (before == null ? 0 : digest(before)) ^ digest(update);
         boolean changed =
                 update.state().isActive()
@@ -83,13 +83,13 @@
         }
     }
 
-    private static int isMet(MemberUpdate update) {
+    private static int metIncrement(MemberUpdate update) {
         return update.generation() > 0 ? 1 : 0;
     }
 
     /**
-     * Of one member; 0 for one that isn't active, as that is forgotten by each gatherer in its own
-     * time.
+     * Returns the digest of one member. It is 0 for an inactive member, as each gatherer removes
+     * inactive members at its own time.
      */
     private static long digest(MemberUpdate update) {
         if (!update.state().isActive()) {
@@ -99,12 +99,12 @@
         return MurmurHash3.hash128x64(identity.getBytes(StandardCharsets.UTF_8))[0];
     }
 
-    /** A hash over all active members; independent of their order. */
+    /** Returns a hash over all active members; it doesn't depend on their order. */
     long digest() {
         return digest;
     }
 
-    /** The names of all others that are active, sorted. */
+    /** Returns the names of all other active members, sorted. */
     Set<String> active() {
         if (activeCopy == null) {
             activeCopy = Collections.unmodifiableSet(new TreeSet<>(activeNames));
@@ -116,17 +116,17 @@
         return activeNames.contains(name);
     }
 
-    /** How many others are known, in whatever state. */
+    /** Returns the number of other members known, in any state. */
     int othersCount() {
         return others.size();
     }
 
-    /** Whether some of the others have never been heard of. */
+    /** Whether no update with a generation has been received yet for some of the other members. */
     boolean hasUnmet() {
         return metCount < others.size();
     }
 
-    /** The others held dead, by name. */
+    /** Returns the other members considered dead, sorted by name. */
     List<MemberUpdate> dead() {
         return others.values().stream()
                 .map(Entry::update)
@@ -134,7 +134,7 @@
                 .toList();
     }
 
-    /** All, itself first. */
+    /** Returns all members, this one first. */
     List<MemberUpdate> all() {
         var all = new ArrayList<MemberUpdate>();
         all.add(self);
@@ -142,15 +142,18 @@
         return all;
     }
 
-    /** All that others may be told: those met, and itself unless it is superseded. */
-    List<MemberUpdate> tellable() {
+    /**
+     * Returns all updates that may be sent to other members: those with a generation, and this
+     * member's own unless it is superseded.
+     */
+    List<MemberUpdate> sendableUpdates() {
         return all().stream()
                 .filter(update -> update.generation() > 0)
                 .filter(update -> !(superseded && isSelf(update.name())))
                 .toList();
     }
 
-    /** Forgets those met that have been inactive for long. */
+    /** Removes members with a generation that have been inactive for {@link #FORGET_AFTER_MS}. */
     void forgetInactive(double nowMs) {
         for (Entry entry : List.copyOf(others.values())) {
             MemberUpdate update = entry.update;
--- a/cluster/src/main/java/sprucehold/cluster/membership/MemberMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/MemberMessage.java
@@ -2,9 +2,12 @@
 
 import java.util.List;
 
-/** What members send each other about membership. Each message carries some updates. */
+/** A message between members about membership. Each message carries some updates. */
 public sealed interface MemberMessage {
-    /** Updates that ride on it; a few, so that a message stays within a datagram. */
+    /**
+     * Piggybacked updates; few enough that the message fits into a datagram, except in a {@link
+     * MemberTable}.
+     */
     List<MemberUpdate> updates();
 
     /** Asks the receiver for an {@link Ack}. */
@@ -17,13 +20,14 @@
     record PingRequest(long sequenceNumber, String target, List<MemberUpdate> updates)
             implements MemberMessage {}
 
-    /** The sender's digest; a receiver with another one answers with its table. */
+    /** Carries the sender's digest; a receiver whose digest differs answers with its table. */
     record CompareDigest(long digest, List<MemberUpdate> updates) implements MemberMessage {}
 
     /**
-     * All that the sender knows; may be longer than a datagram.
+     * Carries the sender's whole member list, or as a reply the updates that the receiver lacks;
+     * may be longer than a datagram.
      *
-     * @param replyWanted whether the receiver is to send back what it knows beyond it
+     * @param replyWanted whether the receiver is to send back the updates that this table lacks
      */
     record MemberTable(boolean replyWanted, List<MemberUpdate> updates) implements MemberMessage {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/membership/MemberUpdate.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/MemberUpdate.java
@@ -1,27 +1,33 @@
 package sprucehold.cluster.membership;
 
 /**
- * One gatherer's state as another, or it itself, states it. Of two updates about one name the
- * greater wins, whoever sent it and in whatever order: first the later generation, then the higher
- * incarnation, then the worse state. Updates may therefore be lost, repeated and late; all who have
- * received the same ones hold the same state.
+ * One gatherer's state, as stated by another gatherer or by itself. Of two updates about one name
+ * the greater wins, independent of their senders and their order: first by the later generation,
+ * then by the higher incarnation, then by the worse state. Updates may therefore be lost, repeated
+ * or delayed; all members that have received the same updates agree on the state.
  *
- * @param name of the gatherer
- * @param site it stands in
- * @param generation grows with each start under this name
- * @param incarnation raised by the gatherer itself, and nobody else, to refute a suspicion
+ * @param name name of the gatherer
+ * @param site site of the gatherer
+ * @param generation increases with each start under this name
+ * @param incarnation raised by the gatherer itself, and by no other member, to refute a suspicion
  */
 public record MemberUpdate(
         String name, String site, long generation, int incarnation, State state) {
-    /** State of a member, the better first: the order decides which update wins. */
+    /**
+     * State of a member. The order of the constants, from better to worse, decides which update
+     * wins.
+     */
     public enum State {
-        /** It answers, or nobody has found that it doesn't. */
+        /** The member answers, or no other member has detected that it doesn't. */
         ALIVE("ALIVE"),
-        /** Some member had no answer from it; it has time to refute that. */
+        /** Some member received no answer from this one, which has time to refute the suspicion. */
         SUSPECT("SUSPECT"),
-        /** It didn't refute the suspicion in time. It may still run, cut off from the others. */
+        /**
+         * The member didn't refute the suspicion in time. It may still run, cut off from the
+         * others.
+         */
         DEAD("DEAD"),
-        /** It announced that it leaves. */
+        /** The member announced that it leaves. */
         LEFT("LEFT");
 
         private final String storedName;
@@ -30,15 +36,15 @@
             this.storedName = storedName;
         }
 
-        /** The name that peer messages and the status in JSON hold. */
+        /** Returns the name used in peer messages and in the JSON status. */
         public String storedName() {
             return storedName;
         }
 
         /**
-         * The constant of that stored name.
+         * Returns the state with the given stored name.
          *
-         * @throws IllegalArgumentException if none has it
+         * @throws IllegalArgumentException if no state has that name
          */
         public static State ofStoredName(String name) {
             for (State state : values()) {
@@ -69,7 +75,10 @@
         return new MemberUpdate(name, site, generation, incarnation, other);
     }
 
-    /** This member, alive, with an incarnation above its own and the one given. */
+    /**
+     * Returns this member's state as alive, with an incarnation above both its own and {@code
+     * above}.
+     */
     MemberUpdate refuted(int above) {
         return new MemberUpdate(
                 name, site, generation, Math.max(incarnation, above) + 1, State.ALIVE);
--- a/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 
 /**
- * Who is there, by SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's additions
- * (Dadgar, Phillips, Currey 2017): {@link FailureProbes} finds members that don't answer, {@link
- * Suspicions} gives them time to refute that, {@link LocalHealth} makes a gatherer whose own probes
- * fail itself slow to suspect, {@link Dissemination} spreads updates on probes, and {@link
- * AntiEntropy} repairs what gossip left out. {@link MemberList} holds the result.
+ * Cluster membership by SWIM with suspicion (Das, Gupta, Motivala 2002) and Lifeguard's additions
+ * (Dadgar, Phillips, Currey 2017). {@link FailureProbes} finds members that don't answer. {@link
+ * Suspicions} gives them time to refute the suspicion. {@link LocalHealth} makes a gatherer whose
+ * own probes fail slower to suspect others. {@link Dissemination} spreads updates on probes, and
+ * {@link AntiEntropy} repairs differences that gossip left. {@link MemberList} stores the result.
  */
 public final class Membership implements FailureDetector {
     /**
-     * SWIM's protocol period, in milliseconds: one probe in so long. Half a second to a second is
-     * usual, and a lease's term is several times that.
+     * SWIM's protocol period, in milliseconds: one probe is sent per period. Half a second to a
+     * second is usual, and the term of a lease is several times that.
      */
     public static final double PERIOD_MS = 1000;
 
-    /** Ticks in a period: timeouts within it are met this closely. */
+    /** Ticks per period; the resolution of the timeouts within a period. */
     private static final int TICKS_PER_PERIOD = 5;
 
-    /** SWIM's k: members through which one that doesn't answer is probed. */
+    /** SWIM's k: number of members that probe a member that doesn't answer. */
     private static final int INDIRECT_PROBES = 3;
 
     private final Random random;
@@ -41,9 +41,10 @@
     private double probedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param generation by the wall clock at the start, so that it is later than any before; if it
-     *     isn't, that is found and corrected
-     * @param seeds names that may be there, and the site of each
+     * @param generation taken from the wall clock at the start, so that it is later than that of
+     *     any earlier process under this name. If it is not, this class detects that and corrects
+     *     it
+     * @param seeds names of possible members, with the site of each
      */
     public Membership(
             String name, String site, long generation, Map<String, String> seeds, Random random) {
@@ -51,8 +52,8 @@
     }
 
     /**
-     * @param withSuspicion false to hold a member dead at once if it doesn't answer, to compare
-     *     with
+     * @param withSuspicion false to consider a member dead at once if it doesn't answer, for
+     *     comparisons
      */
     public Membership(
             String name,
@@ -93,12 +94,12 @@
         return members.active();
     }
 
-    /** What is known of all, itself first. */
+    /** Returns the latest update about each member, this one first. */
     public List<MemberUpdate> members() {
         return members.all();
     }
 
-    /** What others have become since this was last asked. */
+    /** Returns the changes of state and generation of other members since the last call. */
     public List<MemberUpdate> takeChanges() {
         List<MemberUpdate> since = List.copyOf(changes);
         changes.clear();
@@ -106,24 +107,27 @@
     }
 
     /**
-     * Whether another process claims this name with a later generation. Units of shared limits must
-     * not be used then.
+     * Whether another process claims this name with a later generation. In that case, units of
+     * shared limits must not be used.
      */
     public boolean superseded() {
         return members.isSuperseded();
     }
 
-    /** Lifeguard's local health score, from 0, healthy, to 8. */
+    /** Returns Lifeguard's local health score, from 0 (healthy) to 8. */
     public int localHealth() {
         return health.score();
     }
 
-    /** Whether it has to hold itself to be cut off; it suspects nobody then. */
+    /**
+     * Whether this member considers itself cut off from the others. While it does, it suspects no
+     * one.
+     */
     public boolean isolated() {
         return health.isIsolated();
     }
 
-    /** Announces that it leaves; the messages are the last that it sends. */
+    /** Announces that this member leaves. The returned messages are the last that it sends. */
     public List<Outgoing> leave() {
         setSelf(members.self().withState(MemberUpdate.State.LEFT));
         List<String> receivers = new ArrayList<>(alive());
@@ -139,7 +143,7 @@
     @Override
     public List<Outgoing> tick(double now) {
         nowMs = now;
-        excuseOwnPause(nowMs - tickedAtMs);
+        compensateForPause(nowMs - tickedAtMs);
         tickedAtMs = nowMs;
         var out = new ArrayList<Outgoing>();
         probes.checkPending(nowMs, out, this::suspect);
@@ -156,10 +160,11 @@
     }
 
     /**
-     * Held up for over a period itself, it can't judge by its probes, and doubts itself first;
-     * while isolated it suspects nobody. Such time counts against no suspected member.
+     * Handles a pause of this process and isolation. After a pause of more than a period, this
+     * member can't judge by its pending probes: it discards them and lowers its own health first.
+     * Time in which it was paused or isolated doesn't count against suspected members.
      */
-    private void excuseOwnPause(double sinceLastTickMs) {
+    private void compensateForPause(double sinceLastTickMs) {
         if (sinceLastTickMs > PERIOD_MS + tickMs()) {
             probes.clear();
             health.wasPaused();
@@ -181,9 +186,9 @@
             double leftMs = suspicions.leftMs(name, members.active().size(), nowMs);
             if (leftMs <= 0) {
                 apply(members.get(name).withState(MemberUpdate.State.DEAD), members.self().name());
-            } else if (leftMs <= PERIOD_MS && suspicions.askSuspect(name)) {
-                // Its refutation may have passed this member by: a suspected member hears of it
-                // first, and answers with it.
+            } else if (leftMs <= PERIOD_MS && suspicions.markPinged(name)) {
+                // This member may have missed the refutation. A ping to a suspected member carries
+                // the suspicion, and its ack carries the refutation.
                 out.add(dissemination.ping(name));
             }
         }
@@ -196,7 +201,7 @@
         message.updates().forEach(update -> apply(update, from));
         var out = new ArrayList<Outgoing>();
         answer(from, message, out);
-        if (isBack(before, members.get(from))) {
+        if (hasReturned(before, members.get(from))) {
             antiEntropy.sendTable(from, nowMs, out);
         }
         return out;
@@ -205,8 +210,8 @@
     private void answer(String from, MemberMessage message, List<Outgoing> out) {
         boolean superseded = members.isSuperseded();
         if (message instanceof MemberMessage.Ping ping) {
-            // A superseded member goes on asking, to learn when its name is free, but answers for
-            // nobody.
+            // A superseded member goes on sending pings, to find out when its name is free, but
+            // doesn't answer any.
             if (!superseded && members.self().state() != MemberUpdate.State.LEFT) {
                 out.add(dissemination.ack(from, ping.sequenceNumber()));
             }
@@ -224,10 +229,10 @@
     }
 
     /**
-     * Whether a member is back from the other side of a partition, where much else has happened, or
-     * has started anew and knows nobody.
+     * Whether a member has returned from the other side of a partition, where its list may have
+     * changed much, or has restarted with an empty list.
      */
-    private static boolean isBack(MemberUpdate before, MemberUpdate after) {
+    private static boolean hasReturned(MemberUpdate before, MemberUpdate after) {
         return after != null
                 && after.state().isActive()
                 && (before == null
@@ -281,7 +286,8 @@
             members.setSuperseded(true);
             return;
         }
-        // The wall clock was set back, or the other of two claimants is gone.
+        // Either the wall clock was set back before this start, or the other of two processes that
+        // claimed this name has ended.
         members.setSuperseded(false);
         MemberUpdate self = members.self();
         setSelf(
--- a/cluster/src/main/java/sprucehold/cluster/membership/PartitionHealing.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/PartitionHealing.java
@@ -3,12 +3,15 @@
 import java.util.List;
 import java.util.Random;
 
-/** Pings members held dead: nobody probes them, so a healed partition would never be found. */
+/**
+ * Pings members considered dead: failure detection doesn't probe them, so that without these pings
+ * a healed partition would never be noticed.
+ */
 final class PartitionHealing {
-    /** Time between two pings to a member held dead. */
+    /** Time between two pings to members considered dead, in milliseconds. */
     private static final double INTERVAL_MS = 5000;
 
-    /** The same while some members have never been met. */
+    /** Time between two pings while some members have never been met, in milliseconds. */
     private final double unmetIntervalMs;
 
     private final MemberList members;
@@ -27,7 +30,7 @@
         this.random = random;
     }
 
-    /** Pings one if it is time. */
+    /** Pings one member considered dead if the interval has passed. */
     void tick(double nowMs, List<FailureDetector.Outgoing> out) {
         if (nowMs - pingedAtMs >= (members.hasUnmet() ? unmetIntervalMs : INTERVAL_MS)) {
             pingedAtMs = nowMs;
@@ -35,7 +38,10 @@
         }
     }
 
-    /** Forgets members dead for long, and pings one of the others held dead. */
+    /**
+     * Removes members that have been inactive for long, and pings a random one of the others
+     * considered dead.
+     */
     void pingOne(double nowMs, List<FailureDetector.Outgoing> out) {
         members.forgetInactive(nowMs);
         List<MemberUpdate> dead = members.dead();
--- a/cluster/src/main/java/sprucehold/cluster/membership/Suspicions.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Suspicions.java
@@ -7,27 +7,34 @@
 import java.util.TreeMap;
 
 /**
- * Members that are suspected and have time to refute it: SWIM's suspicion (Das, Gupta, Motivala
- * 2002) with Lifeguard's timeout (Dadgar, Phillips, Currey 2017), which is long while one member
- * alone suspects and shorter with each that confirms it.
+ * The suspected members, each with the time that it has to refute the suspicion: SWIM's suspicion
+ * (Das, Gupta, Motivala 2002) with Lifeguard's timeout (Dadgar, Phillips, Currey 2017). The timeout
+ * is long while only one member suspects, and gets shorter with each member that confirms the
+ * suspicion.
  */
 final class Suspicions {
     /**
-     * Lifeguard's alpha: the least timeout is so many periods times the decimal logarithm of the
-     * number of members.
+     * Lifeguard's alpha: the minimum timeout is this number of periods times the decimal logarithm
+     * of the number of members.
      */
     private static final double MIN_PERIODS = 4;
 
-    /** Lifeguard's beta: the timeout while one alone suspects, as a multiple of the least. */
+    /**
+     * Lifeguard's beta: the timeout while only one member suspects, as a multiple of the minimum
+     * timeout.
+     */
     private static final double MAX_OVER_MIN = 6;
 
-    /** Lifeguard's K: other suspecters after whom the least timeout holds. */
+    /**
+     * Lifeguard's K: number of confirmations by other members that reduce the timeout to its
+     * minimum.
+     */
     private static final int CONFIRMATIONS = 3;
 
     private static final class Suspicion {
         double sinceMs;
         final Set<String> suspecters = new HashSet<>();
-        boolean suspectAsked;
+        boolean pinged;
 
         Suspicion(double sinceMs) {
             this.sinceMs = sinceMs;
@@ -39,20 +46,20 @@
     private final Map<String, Suspicion> byName = new TreeMap<>();
 
     /**
-     * @param enabled false to let each suspicion end at once
-     * @param periodMs SWIM's protocol period
+     * @param enabled false to let each suspicion expire at once
+     * @param periodMs SWIM's protocol period, in milliseconds
      */
     Suspicions(boolean enabled, double periodMs) {
         this.enabled = enabled;
         this.periodMs = periodMs;
     }
 
-    /** The suspected members, sorted. */
+    /** Returns the names of the suspected members, sorted. */
     List<String> names() {
         return List.copyOf(byName.keySet());
     }
 
-    /** Begins the time of a suspicion anew. */
+    /** Starts a suspicion; one of the same member that is already there starts anew. */
     void begin(String name, String suspecter, double nowMs) {
         var suspicion = new Suspicion(nowMs);
         suspicion.suspecters.add(suspecter);
@@ -64,7 +71,8 @@
     }
 
     /**
-     * The same suspicion came another way: another member suspects, or passes on whom it believes.
+     * Adds a member that sent the same suspicion, either as its own or as an update that it passes
+     * on.
      */
     void confirm(String name, String suspecter) {
         Suspicion suspicion = byName.get(name);
@@ -73,12 +81,15 @@
         }
     }
 
-    /** Has all last longer: time in which this member could not judge counts against nobody. */
+    /**
+     * Extends all suspicions by {@code ms}: time in which this member could not judge doesn't count
+     * against suspected members.
+     */
     void postpone(double ms) {
         byName.values().forEach(suspicion -> suspicion.sinceMs += ms);
     }
 
-    /** Milliseconds that a suspected member has left to refute it. */
+    /** Returns the milliseconds that a suspected member has left to refute the suspicion. */
     double leftMs(String name, int activeOthers, double nowMs) {
         Suspicion suspicion = byName.get(name);
         return suspicion.sinceMs + timeoutMs(suspicion, activeOthers) - nowMs;
@@ -94,11 +105,15 @@
         return Math.max(leastMs, leastMs * multiple);
     }
 
-    /** Whether the suspected member is still to be asked itself; true once for each suspicion. */
-    boolean askSuspect(String name) {
+    /**
+     * Marks a suspected member as pinged for its refutation.
+     *
+     * @return true the first time for each suspicion
+     */
+    boolean markPinged(String name) {
         Suspicion suspicion = byName.get(name);
-        boolean first = !suspicion.suspectAsked;
-        suspicion.suspectAsked = true;
+        boolean first = !suspicion.pinged;
+        suspicion.pinged = true;
         return first;
     }
 }
