--- a/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
@@ -8,32 +8,32 @@
 import java.util.TreeMap;
 
 /**
- * Counters of a fleet as one gatherer knows them: a grow-only counter (G-Counter; Shapiro and
- * others 2011) for each key. Each gatherer counts up its own alone; of others' the greatest total
- * heard of each generation counts, so that what comes twice, late or in another order changes
- * nothing, and all who have heard the same know the same. A restart begins a new generation at 0
- * and takes nothing back of what earlier ones counted.
+ * One gatherer's view of the counters of a fleet: a grow-only counter (G-Counter; Shapiro and
+ * others 2011) for each key. Each gatherer increments only its own counter. Of another gatherer's
+ * counter, the greatest total received for each generation counts. Repeated, delayed or reordered
+ * messages therefore change nothing, and all gatherers that have received the same totals agree. A
+ * restart begins a new generation at 0 and leaves the totals of earlier generations as they are.
  */
 public final class CounterTable {
     /**
-     * Generations of one gatherer that are told apart; earlier ones are kept as one sum, to which
-     * late messages add nothing.
+     * Number of generations of one gatherer with separate totals; earlier ones are merged into one
+     * sum, which late messages can't increase.
      */
     private static final int MAX_GENERATIONS = 4;
 
-    /** Two totals heard closer than that tell no rate. */
+    /** Minimum time between two totals for computing a rate, in milliseconds. */
     private static final double MIN_RATE_SPAN_MS = 200;
 
     /** One gatherer's totals of one key. */
     private static final class Totals {
         final TreeMap<Long, Long> byGeneration = new TreeMap<>();
 
-        /** The sum of generations that are no longer told apart, and the latest of them. */
+        /** Sum of the merged generations, and the latest of them. */
         long earlierTotal;
 
         long latestEarlier = Long.MIN_VALUE;
 
-        /** The sum at the two latest moments at which it grew, and when. */
+        /** Sums at the last two times at which the sum grew, and these times. */
         long previousSum;
 
         double previousAtMs = Double.NaN;
@@ -61,7 +61,7 @@
             lastSum = sum();
         }
 
-        /** Units a second between the two latest moments. */
+        /** Returns the units per second between the last two times. */
         double perSecond() {
             return 1000
                     * (lastSum - previousSum)
@@ -76,7 +76,8 @@
     private final Map<String, Double> ownChangedAtMs = new HashMap<>();
 
     /**
-     * @param halfLifeMs a rate heard so long ago counts half, twice as long ago a quarter
+     * @param halfLifeMs age at which a received rate counts half, in milliseconds; at twice that
+     *     age it counts a quarter
      */
     public CounterTable(String self, long generation, double halfLifeMs) {
         this.self = self;
@@ -84,16 +85,16 @@
         this.halfLifeMs = halfLifeMs;
     }
 
-    /** Counts up this gatherer's own. */
+    /** Adds units to this gatherer's own counter. */
     public void add(double nowMs, String key, long units) {
         long own = totals(key, self).byGeneration.getOrDefault(generation, 0L);
         merge(nowMs, new CounterValue(self, generation, key, own + units));
         ownChangedAtMs.put(key, nowMs);
     }
 
-    /** Takes another's counter, or what came back of this gatherer's earlier generations. */
+    /** Merges a counter of another gatherer, or of an earlier generation of this one. */
     public void receive(double nowMs, CounterValue counter) {
-        // Nobody else counts for this generation.
+        // Only this process may increase the counter of its own generation.
         if (!counter.gatherer().equals(self) || counter.generation() != generation) {
             merge(nowMs, counter);
         }
@@ -115,14 +116,17 @@
         totals.noteSum(nowMs);
     }
 
-    /** Everything counted of a key by all, as far as heard: never more than is true. */
+    /**
+     * Returns the sum of a key over all gatherers, as far as their counters have been received;
+     * never more than the true sum.
+     */
     public long total(String key) {
         return byKey.getOrDefault(key, Map.of()).values().stream().mapToLong(Totals::sum).sum();
     }
 
     /**
-     * Units a second that others count of a key: of each what it last grew by, fading with the age
-     * of that.
+     * Returns the units per second that other gatherers count of a key: the sum of their latest
+     * rates, each of which decays with its age.
      */
     public double othersPerSecond(double nowMs, String key) {
         double sum = 0;
@@ -137,9 +141,9 @@
     }
 
     /**
-     * This gatherer's own counters, those first that changed last.
+     * Returns this gatherer's own counters, the most recently changed first.
      *
-     * @param max what fits into a message
+     * @param max maximum number of counters, as many as fit into a message
      */
     public List<CounterValue> ownCounters(int max) {
         var own = new ArrayList<CounterValue>();
--- a/cluster/src/main/java/sprucehold/cluster/counter/package-info.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What each gatherer has sent, by key, as grow-only counters: order, repeats and loss of messages
- * don't matter. The entry point is {@link sprucehold.cluster.counter.CounterTable}. Pure; it must
- * never serve as a limit, since it says less than is true while messages are on their way.
+ * Amounts that each gatherer has sent, by key, as grow-only counters: the order, repetition and
+ * loss of messages don't matter. The entry point is {@link
+ * sprucehold.cluster.counter.CounterTable}. The package is pure. A counter must never serve as a
+ * limit, since it is lower than the true sum while messages are under way.
  */
 package sprucehold.cluster.counter;
--- a/cluster/src/main/java/sprucehold/cluster/membership/Dissemination.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Dissemination.java
@@ -14,7 +14,7 @@
 
     private final MemberList members;
     private final GossipQueue queue = new GossipQueue();
-    private long sequenceNumbers;
+    private long nextSequenceNumber;
 
     Dissemination(MemberList members) {
         this.members = members;
@@ -29,7 +29,7 @@
 
     /** Returns a sequence number that no ping of this process has used yet. */
     long nextSequenceNumber() {
-        return sequenceNumbers++;
+        return nextSequenceNumber++;
     }
 
     /** Creates a ping that is not a probe: failure detection ignores whether it is answered. */
--- a/cluster/src/main/java/sprucehold/cluster/quota/BorrowedLease.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/BorrowedLease.java
@@ -1,11 +1,11 @@
 package sprucehold.cluster.quota;
 
-/** A lease that is held, and what was used of it. */
+/** A borrowed lease with the uses of its units. */
 final class BorrowedLease {
     final Lease lease;
     final UsageWindow usages = new UsageWindow();
 
-    /** Until when by the borrower's greatest possible time its units may be used. */
+    /** Time up to which the units may be used, by the borrower's upper bound of elapsed time. */
     private double usableUntilMs;
 
     BorrowedLease(Lease lease, double usableUntilMs) {
@@ -17,7 +17,7 @@
         return usableUntilMs;
     }
 
-    /** Never shortens it. */
+    /** Extends the lease to {@code untilMs}; never shortens it. */
     void extend(double untilMs) {
         usableUntilMs = Math.max(usableUntilMs, untilMs);
     }
--- a/cluster/src/main/java/sprucehold/cluster/quota/Lease.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Lease.java
@@ -1,10 +1,10 @@
 package sprucehold.cluster.quota;
 
 /**
- * A lender's own units that a borrower may use for a time (Gray and Cheriton 1989).
+ * A lender's own units that a borrower may use for a limited time (Gray and Cheriton 1989).
  *
- * @param lender its name
- * @param epoch of the lender that granted it: a later epoch doesn't know it
+ * @param lender name of the lender
+ * @param epoch epoch of the lender in which it granted the lease; a later epoch has no record of it
  * @param number unique within that epoch
  * @param units at least one
  */
--- a/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
@@ -13,26 +13,34 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Moves units of one shared limit to where they are wanted: a gatherer that runs short asks a few
- * others, one that has units to spare lends them, one that needs a lease no more returns it. Leases
- * end by time (Gray and Cheriton 1989) and are renewed halfway. The exchange decides only who holds
- * what for how long; that no unit is used twice is {@link QuotaLedger}'s matter and doesn't rest on
- * anything here. Pure: time, messages and random numbers are handed in.
+ * Moves units of one shared limit to the gatherers that need them. A gatherer that runs short
+ * requests units from a few others, one with spare units lends them, and one that no longer needs a
+ * lease returns it. Leases expire (Gray and Cheriton 1989) and are renewed halfway.
+ *
+ * <p>The exchange only decides which gatherer has which units for how long. {@link QuotaLedger}
+ * ensures that no unit is used twice, independent of this class. The class is pure: time, messages
+ * and random numbers are passed in.
  */
 public final class LeaseExchange {
     /** A message to a gatherer. */
     public record Outgoing(String to, QuotaMessage message) {}
 
-    /** Time between two ticks, in milliseconds; a shortage is met within a few of these. */
+    /** Time between two ticks, in milliseconds; a shortage is covered within a few ticks. */
     public static final double TICK_MS = 250;
 
-    /** Requests in a tick: a hundred gatherers are gone round in three seconds. */
+    /** Requests per tick: at eight, all of a hundred gatherers are asked within three seconds. */
     public static final int REQUESTS_PER_TICK = 8;
 
-    /** So much of what was used in the last window is kept or asked for: use comes unevenly. */
+    /**
+     * Units kept or requested, as a multiple of the use of the last window: use fluctuates from
+     * window to window, and the margin covers a moderate rise.
+     */
     private static final double DEMAND_MARGIN = 1.25;
 
-    /** A request unanswered for so long is lost: round trips take milliseconds. */
+    /**
+     * Time after which an unanswered request counts as lost, in milliseconds; round trips take only
+     * a few milliseconds.
+     */
     private static final double REQUEST_TIMEOUT_MS = 4 * TICK_MS;
 
     private final String limit;
@@ -44,22 +52,22 @@
     private final LenderSelection lenders;
     private final PendingRequests pending = new PendingRequests();
 
-    /** The last request answered, by requester: a repeated one gets no second lease. */
-    private final Map<String, QuotaMessage.LeaseRequest> answered = new HashMap<>();
+    /** The last request answered, by requester: a repeated request gets no second lease. */
+    private final Map<String, QuotaMessage.LeaseRequest> lastAnswered = new HashMap<>();
 
     private int refusedUnits;
     private int demand;
     private int usefulUnits;
 
-    /** Who asked last and got nothing, and when. */
+    /** Requester of the last refused request, and the time of the refusal. */
     private String refusedRequester = "";
 
     private double refusedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param limit its name, the same at all gatherers
-     * @param epoch of the ledger
-     * @param peers who may be asked, in any order
+     * @param limit name of the limit, the same at all gatherers
+     * @param epoch epoch of the ledger
+     * @param peers gatherers that may be asked for units, in any order
      */
     public LeaseExchange(
             String limit,
@@ -79,12 +87,15 @@
         setPeers(peers);
     }
 
-    /** Those who can be reached now; others are asked no more. */
+    /** Sets the gatherers that can be reached now; no requests are sent to any others. */
     public void setPeers(Collection<String> alive) {
         lenders.setPeers(alive);
     }
 
-    /** Uses units if they are free, else returns null. A refusal is remembered as demand. */
+    /**
+     * Uses units if they are free, otherwise returns null. A refusal counts as demand in the next
+     * tick.
+     */
     public Permit consume(int units) {
         Permit permit = ledger.consume(units);
         refusedUnits += permit == null ? units : 0;
@@ -92,10 +103,10 @@
     }
 
     /**
-     * States how many units a window are wanted here, where that is known better than by what was
-     * used and refused.
+     * Sets the number of units per window needed at this gatherer, if it is known more precisely
+     * than from the units used and refused.
      *
-     * @param usefulUnits the fewest that are of any use, as a part takes so many at once
+     * @param usefulUnits the fewest units that are of any use, as one part takes that many at once
      */
     public void setDemand(int units, int usefulUnits) {
         this.demand = units;
@@ -103,26 +114,29 @@
     }
 
     /**
-     * Units that should be here: what the last window used, what was refused since the last tick,
-     * and a margin.
+     * Returns the units needed at this gatherer: those used in the last window and those refused
+     * since the last tick, with a margin.
      */
-    private int wanted() {
+    private int neededUnits() {
         return Math.max(demand, (int) Math.ceil(DEMAND_MARGIN * (ledger.used() + refusedUnits)));
     }
 
-    /** Units here, used or not. */
-    private int held() {
+    /** Returns the units at this gatherer, used or not. */
+    private int heldUnits() {
         return terms.ownUnits() - ledger.lent() + ledger.borrowed();
     }
 
-    /** Compares what is wanted with what is held; to be called every {@link #TICK_MS}. */
+    /**
+     * Compares the units needed with the units held, and requests, renews or returns leases; must
+     * be called every {@link #TICK_MS} milliseconds.
+     */
     public List<Outgoing> tick() {
         return tick(() -> lenders.choose(REQUESTS_PER_TICK));
     }
 
     /**
-     * The same, with those to ask chosen by the caller: a gatherer with many shared limits asks the
-     * same few for all.
+     * Does the same as {@link #tick()}, with the gatherers to ask chosen by the caller: a gatherer
+     * with many shared limits asks the same few gatherers for all of them.
      */
     public List<Outgoing> tick(Collection<String> toAsk) {
         return tick(() -> new LinkedHashSet<>(toAsk));
@@ -131,7 +145,7 @@
     private List<Outgoing> tick(Supplier<Set<String>> toAsk) {
         pending.expire(clock.atLeastMs(), REQUEST_TIMEOUT_MS);
         var out = new ArrayList<Outgoing>();
-        int missing = wanted() - held();
+        int missing = neededUnits() - heldUnits();
         if (missing > 0 && lenders.hasPeers()) {
             request(missing, toAsk.get(), out);
         } else if (missing < 0) {
@@ -147,7 +161,7 @@
     }
 
     private void request(int missing, Set<String> toAsk, List<Outgoing> out) {
-        toAsk.removeIf(pending::asksForLease);
+        toAsk.removeIf(pending::hasLeaseRequestTo);
         for (String lender : toAsk) {
             int units = (missing + toAsk.size() - 1) / toAsk.size();
             long number = pending.add(request(lender, null));
@@ -155,10 +169,13 @@
         }
     }
 
-    /** Halfway: a request that is lost leaves time for another before the lease is over. */
+    /**
+     * Requests renewals of leases past half of their term: if a request is lost, there is time for
+     * another before the lease expires.
+     */
     private void renew(List<Outgoing> out) {
         for (Lease lease : ledger.expiringWithin(terms.leaseTermMs() / 2)) {
-            if (lenders.isPeer(lease.lender()) && !pending.asksToRenew(lease)) {
+            if (lenders.isPeer(lease.lender()) && !pending.hasRenewalOf(lease)) {
                 long number = pending.add(request(lease.lender(), lease));
                 out.add(
                         new Outgoing(
@@ -172,37 +189,37 @@
         return new PendingRequests.Request(lender, clock.atMostMs(), clock.atLeastMs(), renews);
     }
 
-    /** Those who lent when they were last asked. */
+    /** Returns the gatherers whose last answer to a request was a grant. */
     public Set<String> lenders() {
         return lenders.lenders();
     }
 
-    /** Takes a message, and returns the answers to it. */
+    /** Handles a message and returns the answers to it. */
     public List<Outgoing> receive(String from, QuotaMessage message) {
         if (message instanceof QuotaMessage.LeaseRequest request) {
-            return leaseRequested(from, request);
+            return handleLeaseRequest(from, request);
         } else if (message instanceof QuotaMessage.LeaseGrant grant) {
-            return granted(from, grant);
+            return handleLeaseGrant(from, grant);
         } else if (message instanceof QuotaMessage.LeaseRefusal refusal) {
-            refused(from, refusal);
+            handleLeaseRefusal(from, refusal);
         } else if (message instanceof QuotaMessage.RenewalRequest request) {
-            return renewalRequested(from, request);
+            return handleRenewalRequest(from, request);
         } else if (message instanceof QuotaMessage.RenewalGrant grant) {
-            renewed(from, grant);
+            handleRenewalGrant(from, grant);
         } else if (message instanceof QuotaMessage.LeaseReturn returned) {
             ledger.acceptReturn(from, returned.lease());
         }
         return List.of();
     }
 
-    private List<Outgoing> leaseRequested(String from, QuotaMessage.LeaseRequest request) {
-        QuotaMessage.LeaseRequest before = answered.get(from);
+    private List<Outgoing> handleLeaseRequest(String from, QuotaMessage.LeaseRequest request) {
+        QuotaMessage.LeaseRequest before = lastAnswered.get(from);
         if (before != null
                 && before.epoch() == request.epoch()
                 && before.requestNumber() >= request.requestNumber()) {
             return List.of();
         }
-        answered.put(from, request);
+        lastAnswered.put(from, request);
         Lease lease = request.units() <= 0 ? null : lend(from, request.units());
         if (lease == null) {
             refusedRequester = from;
@@ -221,29 +238,33 @@
     }
 
     private Lease lend(String to, int units) {
-        if (yieldsTo(to)) {
+        if (lendsAllTo(to)) {
             return ledger.lend(to, Math.min(units, Math.max(ledger.free(), 0)), 0);
         }
-        int reserve = wanted() - ledger.used();
-        // Half of what can be spared: the next who asks finds some as well.
-        int spare = (ledger.free() - wanted() + ledger.used()) / 2;
+        int reserve = neededUnits() - ledger.used();
+        // Lends half of the spare units, so that some are left for the next requester.
+        int spare = (ledger.free() - neededUnits() + ledger.used()) / 2;
         return ledger.lend(to, Math.min(units, Math.max(spare, 0)), Math.max(0, reserve));
     }
 
     /**
-     * Where all hold fewer units than are of use, all would ask and nobody lend: of two, one lends
-     * whatever it has.
+     * Whether this gatherer lends all free units to the requester. If every gatherer held fewer
+     * units than are of use, all would ask and none would lend. Of two such gatherers, the one that
+     * ranks higher therefore lends all that it has free.
      */
-    private boolean yieldsTo(String requester) {
-        return held() < usefulUnits && rank(requester) < rank(ledger.name());
+    private boolean lendsAllTo(String requester) {
+        return heldUnits() < usefulUnits && rank(requester) < rank(ledger.name());
     }
 
-    /** An order of names that differs from limit to limit, and is the same at all gatherers. */
+    /**
+     * Returns a rank that orders the gatherers' names differently for each limit, but equally at
+     * all gatherers.
+     */
     private int rank(String name) {
         return MurmurHash3.hash32x86((limit + '\n' + name).getBytes(StandardCharsets.UTF_8));
     }
 
-    private List<Outgoing> granted(String from, QuotaMessage.LeaseGrant grant) {
+    private List<Outgoing> handleLeaseGrant(String from, QuotaMessage.LeaseGrant grant) {
         if (grant.requesterEpoch() != epoch) {
             return List.of();
         }
@@ -252,35 +273,36 @@
             return List.of();
         }
         pending.remove(grant.requestNumber());
-        lenders.lent(from);
+        lenders.recordGrant(from);
         if (ledger.accept(grant.lease(), request.atMostMs())) {
             return List.of();
         }
-        // Too late to be used, and so nothing of it was.
+        // The lease has expired already, so none of its units were used.
         return List.of(new Outgoing(from, new QuotaMessage.LeaseReturn(grant.lease())));
     }
 
-    private void refused(String from, QuotaMessage.LeaseRefusal refusal) {
+    private void handleLeaseRefusal(String from, QuotaMessage.LeaseRefusal refusal) {
         if (refusal.requesterEpoch() == epoch
                 && pending.sentTo(from, refusal.requestNumber()) != null) {
             pending.remove(refusal.requestNumber());
-            lenders.refused(from);
+            lenders.recordRefusal(from);
         }
     }
 
     /**
-     * A lease is not renewed where its units are wanted here by now; and every other time not where
-     * another requester was refused lately, so that one that becomes busy later isn't left with
-     * nothing by those who were there first.
+     * Handles a renewal request. A lease is not renewed if its units are needed at this gatherer by
+     * now. It is also refused at random half of the time if another requester was refused recently;
+     * otherwise earlier borrowers would keep all units, and a gatherer that becomes busy later
+     * would get none.
      */
-    private List<Outgoing> renewalRequested(String from, QuotaMessage.RenewalRequest request) {
-        boolean passedOn =
+    private List<Outgoing> handleRenewalRequest(String from, QuotaMessage.RenewalRequest request) {
+        boolean withheld =
                 !from.equals(refusedRequester)
                         && clock.atLeastMs() - refusedAtMs < REQUEST_TIMEOUT_MS
                         && random.nextBoolean();
         boolean renewed =
-                !passedOn
-                        && ledger.free() + ledger.used() >= wanted()
+                !withheld
+                        && ledger.free() + ledger.used() >= neededUnits()
                         && ledger.renew(from, request.lease());
         QuotaMessage answer =
                 renewed
@@ -290,7 +312,7 @@
         return List.of(new Outgoing(from, answer));
     }
 
-    private void renewed(String from, QuotaMessage.RenewalGrant grant) {
+    private void handleRenewalGrant(String from, QuotaMessage.RenewalGrant grant) {
         PendingRequests.Request request = pending.sentTo(from, grant.requestNumber());
         if (grant.requesterEpoch() == epoch
                 && request != null
--- a/cluster/src/main/java/sprucehold/cluster/quota/LenderSelection.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LenderSelection.java
@@ -9,9 +9,12 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Whom to ask for units: those who lent when last asked, and others drawn at random. */
+/**
+ * Selects the gatherers to ask for units: those whose last answer to a request was a grant, and
+ * others drawn at random.
+ */
 final class LenderSelection {
-    /** Draws for each place at the most, as a draw may hit one chosen already. */
+    /** Maximum draws per place, as a draw may return a gatherer that is already chosen. */
     private static final int DRAWS_PER_PLACE = 4;
 
     private final Random random;
@@ -22,7 +25,7 @@
         this.random = random;
     }
 
-    /** Those who can be reached now. */
+    /** Sets the gatherers that can be reached now. */
     void setPeers(Collection<String> alive) {
         peers.clear();
         alive.stream().sorted().forEach(peers::add);
@@ -37,20 +40,22 @@
         return peers.contains(name);
     }
 
-    void lent(String lender) {
+    void recordGrant(String lender) {
         lenders.add(lender);
     }
 
-    void refused(String lender) {
+    void recordRefusal(String lender) {
         lenders.remove(lender);
     }
 
-    /** Those who lent when they were last asked. */
+    /** Returns the gatherers whose last answer to a request was a grant. */
     Set<String> lenders() {
         return Collections.unmodifiableSet(lenders);
     }
 
-    /** At most so many, no more than half of them by what they lent before. */
+    /**
+     * Chooses at most {@code count} gatherers, no more than half of them because they lent before.
+     */
     Set<String> choose(int count) {
         Set<String> chosen = new LinkedHashSet<>();
         for (Iterator<String> known = lenders.iterator();
--- a/cluster/src/main/java/sprucehold/cluster/quota/LentUnits.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LentUnits.java
@@ -4,49 +4,52 @@
 import java.util.Map;
 import java.util.function.ObjDoubleConsumer;
 
-/** A lender's own units that are lent, by the number of each lease. */
+/** A lender's own units that are lent, by the number of the lease. */
 final class LentUnits {
-    /** Until when by the lender's least possible time the units can't be used by it. */
-    private record LentLease(String borrower, int units, double outUntilMs) {}
+    /**
+     * A lent lease. The lender can't use its units until {@code lentUntilMs}, by the lender's lower
+     * bound of elapsed time.
+     */
+    private record LentLease(String borrower, int units, double lentUntilMs) {}
 
     private final Map<Long, LentLease> leases = new LinkedHashMap<>();
-    private long numbers;
+    private long nextNumber;
 
-    /** Notes units as lent, and returns the number of the lease. */
-    long add(String borrower, int units, double outUntilMs) {
-        long number = numbers++;
-        leases.put(number, new LentLease(borrower, units, outUntilMs));
+    /** Records units as lent and returns the number of the lease. */
+    long add(String borrower, int units, double lentUntilMs) {
+        long number = nextNumber++;
+        leases.put(number, new LentLease(borrower, units, lentUntilMs));
         return number;
     }
 
-    /** Forgets leases whose time is over. */
+    /** Removes expired leases. */
     void expire(double nowMs) {
-        leases.values().removeIf(lease -> lease.outUntilMs <= nowMs);
+        leases.values().removeIf(lease -> lease.lentUntilMs <= nowMs);
     }
 
-    /** Units that are out. */
+    /** Returns the number of units lent. */
     int units() {
         return leases.values().stream().mapToInt(LentLease::units).sum();
     }
 
-    /** Whether the lease of that number is out to that borrower. */
-    boolean isOut(long number, String borrower) {
+    /** Whether the lease with that number is lent to that borrower. */
+    boolean isLentTo(long number, String borrower) {
         LentLease lease = leases.get(number);
         return lease != null && lease.borrower.equals(borrower);
     }
 
-    /** Has a lease that is out last until then. */
-    void extend(long number, double outUntilMs) {
+    /** Extends a lent lease to {@code lentUntilMs}. */
+    void extend(long number, double lentUntilMs) {
         leases.computeIfPresent(
-                number, (same, lease) -> new LentLease(lease.borrower, lease.units, outUntilMs));
+                number, (same, lease) -> new LentLease(lease.borrower, lease.units, lentUntilMs));
     }
 
     void remove(long number) {
         leases.remove(number);
     }
 
-    /** Hands out the units of each lease and until when they are out. */
+    /** Passes the units of each lease and the end of its time to {@code consumer}. */
     void forEach(ObjDoubleConsumer<Integer> consumer) {
-        leases.values().forEach(lease -> consumer.accept(lease.units, lease.outUntilMs));
+        leases.values().forEach(lease -> consumer.accept(lease.units, lease.lentUntilMs));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/MonotonicLeaseClock.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/MonotonicLeaseClock.java
@@ -1,31 +1,33 @@
 package sprucehold.cluster.quota;
 
 /**
- * A gatherer's own time as leases see it, from two clocks of its machine: the monotonic clock and
- * the wall clock. The first decides; the second shows when the first stood still, as some do while
- * their machine sleeps, by running ahead of it. What must not end too soon goes by {@link
- * #atLeastMs}, what must not last too long by {@link #atMostMs}. A wall clock that jumps ahead only
- * ends leases early, one that jumps back does nothing.
+ * Clock for leases of one gatherer, from two clocks of its machine: the monotonic clock and the
+ * wall clock. The time is that of the monotonic clock. Some monotonic clocks stand still while the
+ * machine sleeps; the wall clock reveals this by running ahead.
+ *
+ * <p>An interval that must not end too early is measured by {@link #atLeastMs}, one that must not
+ * last too long by {@link #atMostMs}. A wall clock that jumps forward only makes leases expire
+ * early; one that jumps back has no effect.
  */
 public class MonotonicLeaseClock {
     /**
-     * The wall clock may run ahead by so much unnoticed: it is read in whole milliseconds, and
-     * slewed to the right time.
+     * Time by which the wall clock may run ahead of the monotonic clock without being counted as
+     * sleep, in milliseconds. The wall clock is read in whole milliseconds and may be slewed.
      */
     static final double WALL_TOLERANCE_MS = 100;
 
     private double firstCountedMs = Double.NaN;
     private double elapsedMs;
 
-    /** Wall clock less monotonic clock. */
+    /** Wall clock minus monotonic clock, in milliseconds. */
     private double offsetMs;
 
     private double sleptMs;
 
     /**
-     * Takes both clocks' readings.
+     * Updates the time from readings of both clocks.
      *
-     * @param countedMs milliseconds of the monotonic clock
+     * @param countedMs reading of the monotonic clock, in milliseconds
      * @param wallMs Unix time in milliseconds
      */
     public void read(double countedMs, double wallMs) {
@@ -43,14 +45,17 @@
         }
     }
 
-    /** Milliseconds that have surely passed since the first reading: by it a lender waits. */
+    /**
+     * Returns the lower bound of the time since the first reading, in milliseconds; lenders wait by
+     * it.
+     */
     public double atLeastMs() {
         return elapsedMs;
     }
 
     /**
-     * Milliseconds that may have passed since the first reading, but for {@link
-     * #WALL_TOLERANCE_MS}: by it a borrower stops.
+     * Returns the upper bound of the time since the first reading, in milliseconds, except for
+     * {@link #WALL_TOLERANCE_MS}; borrowers stop by it.
      */
     public double atMostMs() {
         return elapsedMs + sleptMs;
--- a/cluster/src/main/java/sprucehold/cluster/quota/PendingRequests.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/PendingRequests.java
@@ -8,10 +8,10 @@
     /**
      * One request.
      *
-     * @param lender whom it went to
-     * @param atMostMs the greatest possible time at which it was sent
-     * @param atLeastMs the least possible time at which it was sent
-     * @param renews the lease that is to last longer; null where a new one was asked for
+     * @param lender gatherer to which the request was sent
+     * @param atMostMs upper bound of the time at which the request was sent
+     * @param atLeastMs lower bound of the time at which the request was sent
+     * @param renews the lease to renew; null in a request for a new lease
      */
     record Request(String lender, double atMostMs, double atLeastMs, Lease renews) {
         boolean isRenewal() {
@@ -20,21 +20,21 @@
     }
 
     private final Map<Long, Request> requests = new LinkedHashMap<>();
-    private long numbers;
+    private long nextNumber;
 
-    /** Notes a request, and returns its number, which grows with each. */
+    /** Records a request and returns its number. The numbers increase. */
     long add(Request request) {
-        long number = numbers++;
+        long number = nextNumber++;
         requests.put(number, request);
         return number;
     }
 
-    /** Forgets requests that were sent longer ago. */
+    /** Removes requests that were sent more than {@code timeoutMs} ago. */
     void expire(double nowAtLeastMs, double timeoutMs) {
         requests.values().removeIf(request -> nowAtLeastMs - request.atLeastMs > timeoutMs);
     }
 
-    /** The request of that number if it went to that lender, else null. */
+    /** Returns the request with that number if it was sent to that lender, otherwise null. */
     Request sentTo(String lender, long number) {
         Request request = requests.get(number);
         return request != null && request.lender.equals(lender) ? request : null;
@@ -44,14 +44,14 @@
         requests.remove(number);
     }
 
-    /** Whether that lender has been asked for a new lease. */
-    boolean asksForLease(String lender) {
+    /** Whether a request for a new lease to that lender is pending. */
+    boolean hasLeaseRequestTo(String lender) {
         return requests.values().stream()
                 .anyMatch(request -> !request.isRenewal() && request.lender.equals(lender));
     }
 
-    /** Whether that lease is asked to last longer. */
-    boolean asksToRenew(Lease lease) {
+    /** Whether a renewal request for that lease is pending. */
+    boolean hasRenewalOf(Lease lease) {
         return requests.values().stream().anyMatch(request -> lease.equals(request.renews));
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/Permit.java
@@ -1,14 +1,18 @@
 package sprucehold.cluster.quota;
 
 /**
- * Permission to send what was counted as used.
+ * Permission to send an attempt or a query whose units were counted as used. It guards against a
+ * process that is paused between the decision and the send, and then continues without noticing the
+ * pause.
  *
- * @param notAfterMs the greatest possible time up to which it may be sent: what isn't sent by then
- *     is dropped. Guards against a process that is paused between decision and send and goes on as
- *     if nothing had been
+ * @param notAfterMs upper bound of elapsed time until which sending is allowed; a send that is
+ *     later is dropped
  */
 public record Permit(double notAfterMs) {
-    /** Whether it may be sent now; to be asked right before, with the clock just read. */
+    /**
+     * Whether sending is allowed now; must be checked immediately before the send, with the clock
+     * just read.
+     */
     public boolean isValid(MonotonicLeaseClock clock) {
         return clock.atMostMs() < notAfterMs;
     }
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
@@ -6,22 +6,25 @@
 import java.util.List;
 
 /**
- * One gatherer's units of one shared limit, lent by time-bound leases (Gray and Cheriton 1989): its
- * own units, what of them is lent, what it has borrowed, and what was used of either. Each unit is
- * at any moment usable by one gatherer at the most, and by nobody until the window of its last use
- * is over; so whatever messages are lost, repeated or late, and whichever process dies, pauses or
- * comes back, no window sees more uses than the sum of all own units. docs/together.md has the
- * proof.
+ * One gatherer's units of one shared limit, which are lent by leases that expire (Gray and Cheriton
+ * 1989). The ledger counts the gatherer's own units, those of them that are lent, those it has
+ * borrowed, and the uses of either.
  *
- * <p>An epoch begins as if all units had been used and lent the moment before: what an earlier
- * epoch did is not known. For a limit that comes up later in an epoch, the time since the epoch's
- * begin counts: what an earlier one can have done has lapsed by that much.
+ * <p>At any moment, at most one gatherer may use a unit, and none until the window of the unit's
+ * last use is over. Therefore no window contains more uses than the sum of all own units, even if
+ * messages are lost, repeated or delayed, or processes die, pause or return. docs/together.md
+ * contains the proof.
  *
- * <p>Two bounds of elapsed time keep lender and borrower apart: a lender waits by the least time
- * that can have passed, a borrower stops by the greatest; see {@link MonotonicLeaseClock}.
+ * <p>An epoch begins as if all units had been used and lent at the moment before it, as the uses
+ * and leases of an earlier epoch are not known. For a limit that is opened later in an epoch, the
+ * time since the begin of the epoch is subtracted from the remaining time of these assumed uses and
+ * leases.
+ *
+ * <p>Two bounds of elapsed time separate lender and borrower: a lender waits by the lower bound of
+ * the time that has passed, a borrower stops by the upper bound; see {@link MonotonicLeaseClock}.
  */
 public final class QuotaLedger {
-    /** Borrower of the units that an earlier epoch may have lent. */
+    /** Stands for the borrower of units that an earlier epoch may have lent. */
     private static final String UNKNOWN_BORROWER = "";
 
     private final String name;
@@ -33,17 +36,17 @@
     private final List<BorrowedLease> borrowed = new ArrayList<>();
 
     /**
-     * @param name of the gatherer
+     * @param name name of the gatherer
      * @param epoch differs from that of each earlier process under this name
-     * @param clock read before each call
+     * @param clock must be read before each call
      */
     public QuotaLedger(String name, long epoch, QuotaTerms terms, MonotonicLeaseClock clock) {
         this(name, epoch, terms, clock, 0);
     }
 
     /**
-     * @param epochAgeMs for how long this epoch has lasted at least, with no ledger of this limit
-     *     before, in milliseconds
+     * @param epochAgeMs minimum time that this epoch has lasted without a ledger of this limit, in
+     *     milliseconds
      */
     public QuotaLedger(
             String name,
@@ -68,7 +71,7 @@
         }
     }
 
-    /** Forgets uses that count no more and leases whose time is over. */
+    /** Removes uses that no longer count and leases that have expired. */
     private void expire() {
         double atLeastMs = clock.atLeastMs();
         ownUsages.expire(atLeastMs);
@@ -81,40 +84,40 @@
         return terms.ownUnits() - ownUsages.units() - lent.units();
     }
 
-    /** The gatherer that it belongs to. */
+    /** Returns the name of the gatherer that owns this ledger. */
     public String name() {
         return name;
     }
 
-    /** Units that may be used now. */
+    /** Returns the units that may be used now. */
     public int free() {
         expire();
         return freeOwn() + borrowed.stream().mapToInt(BorrowedLease::free).sum();
     }
 
-    /** Own units that are lent, or that an earlier epoch may have lent. */
+    /** Returns the own units that are lent, including those that an earlier epoch may have lent. */
     public int lent() {
         expire();
         return lent.units();
     }
 
-    /** Units borrowed, used or not. */
+    /** Returns the units borrowed, used or not. */
     public int borrowed() {
         expire();
         return borrowed.stream().mapToInt(held -> held.lease.units()).sum();
     }
 
-    /** Units used that count now, own ones and those still borrowed. */
+    /** Returns the used units that count now: own units and those still borrowed. */
     public int used() {
         expire();
         return ownUsages.units() + borrowed.stream().mapToInt(held -> held.usages.units()).sum();
     }
 
     /**
-     * Uses so many units at once: borrowed ones first, which end by themselves, and of these the
-     * ones that end soonest.
+     * Uses {@code units} at once. Takes borrowed units first, since they expire anyway, and of
+     * these the ones that expire soonest.
      *
-     * @return null, with nothing used, if fewer are free
+     * @return null, with no unit used, if fewer are free
      */
     public Permit consume(int units) {
         if (units > free()) {
@@ -142,7 +145,7 @@
      * Lends own units that are not in use.
      *
      * @param to the borrower
-     * @param reserve units that stay here beside those never lent
+     * @param reserve units to keep in addition to those that are never lent
      * @return the lease, or null if nothing can be lent
      */
     public Lease lend(String to, int wanted, int reserve) {
@@ -152,48 +155,50 @@
         if (units <= 0) {
             return null;
         }
-        return new Lease(name, epoch, lent.add(to, units, outUntilMs()), units);
+        return new Lease(name, epoch, lent.add(to, units, lentUntilMs()), units);
     }
 
-    /** When the units of a lease that begins now are usable here again. */
-    private double outUntilMs() {
+    /**
+     * Returns the time at which this gatherer can use the units of a lease that begins now again.
+     */
+    private double lentUntilMs() {
         return clock.atLeastMs() + terms.lenderTermMs() + terms.usageCountsMs();
     }
 
-    private boolean isOut(Lease lease, String borrower) {
+    private boolean isLentTo(Lease lease, String borrower) {
         return lease.lender().equals(name)
                 && lease.epoch() == epoch
-                && lent.isOut(lease.number(), borrower);
+                && lent.isLentTo(lease.number(), borrower);
     }
 
     /**
-     * A borrower has returned a lease, of which no use counts any more; a repeated message, an
-     * unknown lease or one of another borrower changes nothing.
+     * Takes back a lease that its borrower returned; no use of it counts any more. A repeated
+     * message, an unknown lease or a lease of another borrower has no effect.
      */
     public void acceptReturn(String from, Lease lease) {
-        if (isOut(lease, from)) {
+        if (isLentTo(lease, from)) {
             lent.remove(lease.number());
         }
     }
 
     /**
-     * Has a lease that is out last a term from now.
+     * Extends a lent lease to a term from now.
      *
-     * @return false if it isn't out to that borrower any more
+     * @return false if the lease is no longer lent to that borrower
      */
     public boolean renew(String to, Lease lease) {
         expire();
-        if (!isOut(lease, to)) {
+        if (!isLentTo(lease, to)) {
             return false;
         }
-        lent.extend(lease.number(), outUntilMs());
+        lent.extend(lease.number(), lentUntilMs());
         return true;
     }
 
     /**
-     * A lease that is held lasts longer; one that is held no more is not taken up again.
+     * Extends a borrowed lease. A lease that is no longer held is not restored.
      *
-     * @param requestedAtMs the greatest possible time at which the renewal was asked for
+     * @param requestedAtMs upper bound of the time at which the renewal was requested
      */
     public void extend(Lease lease, double requestedAtMs) {
         expire();
@@ -202,7 +207,7 @@
                 .forEach(held -> held.extend(requestedAtMs + terms.borrowerTermMs()));
     }
 
-    /** Leases held that are over in less than so many milliseconds. */
+    /** Returns the borrowed leases that expire in less than {@code ms} milliseconds. */
     public List<Lease> expiringWithin(double ms) {
         expire();
         return borrowed.stream()
@@ -212,11 +217,10 @@
     }
 
     /**
-     * Takes a lease that was asked for.
+     * Accepts a lease that this gatherer requested.
      *
-     * @param requestedAtMs the greatest possible time at which it was asked for; it was granted
-     *     later
-     * @return false if its time is over already, or it holds nothing
+     * @param requestedAtMs upper bound of the time of the request; the lease was granted later
+     * @return false if the lease has expired already or has no units
      */
     public boolean accept(Lease lease, double requestedAtMs) {
         double untilMs = requestedAtMs + terms.borrowerTermMs();
@@ -228,8 +232,8 @@
     }
 
     /**
-     * Gives up leases of which no use counts any more, up to so many units; once their lenders are
-     * told, these may use the units at once.
+     * Gives up leases of which no use counts any more, with at most {@code maxUnits} units
+     * together. Their lenders may use the units as soon as they receive the returned leases.
      */
     public List<Lease> releaseUnused(int maxUnits) {
         expire();
@@ -246,7 +250,7 @@
         return released;
     }
 
-    /** What is used, lent and held, with what is left of each time in milliseconds. */
+    /** Returns the used, lent and borrowed units, each with its remaining time in milliseconds. */
     @Override
     public String toString() {
         expire();
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaMessage.java
@@ -1,32 +1,37 @@
 package sprucehold.cluster.quota;
 
 /**
- * What gatherers send each other about one shared limit. Each message may be lost, repeated, late
- * or out of order.
+ * A message between gatherers about one shared limit. Any message may be lost, repeated, delayed or
+ * out of order.
  */
 public sealed interface QuotaMessage {
     /**
-     * Asks for units.
+     * Requests units.
      *
-     * @param epoch the requester's
-     * @param requestNumber grows with each request of that epoch
+     * @param epoch epoch of the requester
+     * @param requestNumber increases with each request of that epoch
      */
     record LeaseRequest(long epoch, long requestNumber, int units) implements QuotaMessage {}
 
-    /** Answers a request with a lease. */
+    /** Answers a {@link LeaseRequest} with a lease. */
     record LeaseGrant(long requesterEpoch, long requestNumber, Lease lease)
             implements QuotaMessage {}
 
-    /** Answers a request: nothing can be lent, or the lease isn't renewed. */
+    /**
+     * Answers a {@link LeaseRequest} if nothing can be lent, or a {@link RenewalRequest} if the
+     * lease isn't renewed.
+     */
     record LeaseRefusal(long requesterEpoch, long requestNumber) implements QuotaMessage {}
 
-    /** Asks for a lease that is held to last longer. */
+    /** Requests the renewal of a borrowed lease. */
     record RenewalRequest(long epoch, long requestNumber, Lease lease) implements QuotaMessage {}
 
-    /** Answers that: the lease lasts a term from when the renewal was asked for. */
+    /**
+     * Answers a {@link RenewalRequest}: the lease lasts for a term from the time of that request.
+     */
     record RenewalGrant(long requesterEpoch, long requestNumber, Lease lease)
             implements QuotaMessage {}
 
-    /** Returns a lease before its time. */
+    /** Returns a lease before it expires. */
     record LeaseReturn(Lease lease) implements QuotaMessage {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
@@ -1,18 +1,19 @@
 package sprucehold.cluster.quota;
 
 /**
- * One gatherer's part of a shared limit, and how it may be lent. The same at all gatherers, but for
- * the units; the sum of all own units is the limit.
+ * One gatherer's part of a shared limit, and the terms for lending it. All values except the units
+ * are the same at all gatherers; the sum of all own units is the limit.
  *
  * @param ownUnits units that are this gatherer's own, not negative
- * @param reservedUnits of them, so many are never lent: what it may use at once after a restart,
- *     and while it hears nothing
- * @param windowMs the limit holds in any span of so many milliseconds
- * @param sendWithinMs how long after it is counted a use may still be sent, in milliseconds:
- *     beyond, as after a pause, it is dropped
- * @param leaseTermMs how long a lease lasts at the most, in milliseconds
- * @param maxClockDrift how far any clock's rate may be off from true time, as a share of it: 0.002
- *     for 2,000 ppm
+ * @param reservedUnits number of own units that are never lent: the gatherer may use them at once
+ *     after a restart, and while it receives no messages
+ * @param windowMs length of the window in milliseconds; the limit applies to each window of that
+ *     length
+ * @param sendWithinMs how long after it was counted a use may still be sent, in milliseconds; a
+ *     later use, as after a pause, is dropped
+ * @param leaseTermMs maximum duration of a lease, in milliseconds
+ * @param maxClockDrift maximum deviation of any clock's rate from true time, as a share of it:
+ *     0.002 for 2,000 ppm
  */
 public record QuotaTerms(
         int ownUnits,
@@ -52,28 +53,32 @@
         }
     }
 
-    /** How long a borrower may use a lease by its own clock, from the moment at which it asked. */
+    /**
+     * Returns how long a borrower may use a lease by its own clock, in milliseconds from the time
+     * of its request.
+     */
     double borrowerTermMs() {
         return leaseTermMs * (1 - maxClockDrift) - MonotonicLeaseClock.WALL_TOLERANCE_MS;
     }
 
     /**
-     * How long a lender holds a lease to be out by its own clock, from the moment at which it
-     * granted.
+     * Returns how long a lender considers a lease lent by its own clock, in milliseconds from the
+     * time of the grant.
      */
     double lenderTermMs() {
         return leaseTermMs * (1 + maxClockDrift);
     }
 
     /**
-     * How long a use counts by the user's own clock: it may be sent as late as the terms allow, and
-     * a clock that runs fast would forget it before the window of true time is over.
+     * Returns how long a use counts by the user's own clock, in milliseconds. A use may be sent
+     * {@code sendWithinMs} after it was counted, and a clock that runs fast would expire it before
+     * the window of true time is over.
      */
     double usageCountsMs() {
         return (windowMs + sendWithinMs) * (1 + maxClockDrift);
     }
 
-    /** How long a use may be sent by the user's own clock. */
+    /** Returns how long a use may be sent by the user's own clock, in milliseconds. */
     double permitMs() {
         return sendWithinMs * (1 - maxClockDrift);
     }
