--- a/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
@@ -10,37 +10,46 @@
 import java.util.TreeMap;
 
 /**
- * Observations of shard servers: this gatherer's own to be sent, others' to be weighed. One liar,
- * or one gatherer whose own link is broken, moves nothing: it takes several observers, from more
- * than one site where there is more than one, and an observer that sees most servers of a site fail
- * is held to have a fault on the way there. The score is the median over the observers.
+ * Observations of shard servers: this gatherer's own ones, to be sent to the others, and those of
+ * other gatherers, to be assessed.
+ *
+ * <p>A single observer that lies or whose own link is broken doesn't change a failure score. A
+ * score requires several observers, from more than one site if there is more than one. An observer
+ * that sees most servers of a site fail is assumed to have a fault on its way to that site, and its
+ * observations of that site are ignored. The score is the median over the observers.
  */
 public final class EvidenceTable {
-    /** Observations fade by half in so long: about what a queue takes to fill or to drain. */
+    /**
+     * Half-life of observations, in milliseconds: about the time that a queue takes to fill or to
+     * drain.
+     */
     static final double HALF_LIFE_MS = 5000;
 
-    /** An observation of fewer attempts tells nothing: two may be chance. */
+    /** Minimum number of attempts in an observation that counts: two failures may be chance. */
     private static final double MIN_ATTEMPTS = 2;
 
-    /** An own observation that has faded to fewer attempts is forgotten. */
-    private static final double FORGOTTEN_ATTEMPTS = 0.1;
+    /** Number of attempts below which a decayed own observation is removed. */
+    private static final double MIN_KEPT_ATTEMPTS = 0.1;
 
-    /** Observers that it takes at the least: one may lie or be cut off, two may share a switch. */
+    /** Minimum number of observers: one may lie or be cut off, two may share a switch. */
     static final int MIN_OBSERVERS = 3;
 
     /**
-     * Where an observer sees this share of a site's servers failing, it says nothing of any of
-     * them.
+     * Share of a site's servers that an observer sees failing from which its observations of all
+     * servers of that site are ignored.
      */
     private static final double OBSERVER_FAULT_SHARE = 0.5;
 
-    /** An observer sees a server failing above this share of failed attempts. */
+    /** Share of failed attempts above which an observer counts as seeing a server fail. */
     private static final double FAILING_SHARE = 0.5;
 
-    /** Servers of a site that an observer has to have seen before that can be told. */
+    /**
+     * Minimum number of servers of a site that an observer must have observed before it can be
+     * found to have a fault on the way to that site.
+     */
     private static final int MIN_SERVERS_OF_SITE = 3;
 
-    /** An observer not heard of for so long has nothing to say any more. */
+    /** Age at which an observation that was not renewed is removed, in milliseconds. */
     private static final double EXPIRY_MS = 8 * HALF_LIFE_MS;
 
     private static final class OwnObservation {
@@ -55,7 +64,7 @@
             this.server = server;
         }
 
-        void fade(double nowMs) {
+        void decay(double nowMs) {
             double left = Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_LIFE_MS);
             successes *= left;
             failures *= left;
@@ -64,16 +73,16 @@
     }
 
     private record Received(Observation observation, double atMs) {
-        double fading(double nowMs) {
+        double decay(double nowMs) {
             return Math.pow(0.5, Math.max(0, nowMs - atMs) / HALF_LIFE_MS);
         }
 
-        boolean tells(double nowMs) {
-            return (observation.successes() + observation.failures()) * fading(nowMs)
+        boolean hasEnoughAttempts(double nowMs) {
+            return (observation.successes() + observation.failures()) * decay(nowMs)
                     >= MIN_ATTEMPTS;
         }
 
-        double share() {
+        double failureShare() {
             return observation.failures() / (observation.successes() + observation.failures());
         }
     }
@@ -86,14 +95,14 @@
 
     /**
      * @param self this gatherer's name
-     * @param site where it stands
+     * @param site this gatherer's site
      */
     public EvidenceTable(String self, String site) {
         this.self = self;
         this.site = site;
     }
 
-    /** Notes how an attempt of this gatherer's ended. */
+    /** Records whether an attempt of this gatherer completed. */
     public void recordAttempt(
             double nowMs, String server, String serverSite, double startedAtMs, boolean completed) {
         OwnObservation seen = own.computeIfAbsent(server, OwnObservation::new);
@@ -103,7 +112,7 @@
         }
         seen.site = serverSite;
         seen.startedAtMs = startedAtMs;
-        seen.fade(nowMs);
+        seen.decay(nowMs);
         if (completed) {
             seen.successes++;
         } else {
@@ -112,16 +121,18 @@
     }
 
     /**
-     * This gatherer's observations that tell something, the worst first: what fits into a message
-     * goes along.
+     * Returns this gatherer's observations with enough attempts, the one with the most failures
+     * first.
+     *
+     * @param max maximum number of observations, as many as fit into a message
      */
-    public List<Observation> observationsToSend(double nowMs, int most) {
-        own.values().forEach(seen -> seen.fade(nowMs));
-        own.values().removeIf(seen -> seen.successes + seen.failures < FORGOTTEN_ATTEMPTS);
+    public List<Observation> observationsToSend(double nowMs, int max) {
+        own.values().forEach(seen -> seen.decay(nowMs));
+        own.values().removeIf(seen -> seen.successes + seen.failures < MIN_KEPT_ATTEMPTS);
         return own.values().stream()
                 .filter(seen -> seen.successes + seen.failures >= MIN_ATTEMPTS)
                 .sorted((one, other) -> Double.compare(other.failures, one.failures))
-                .limit(most)
+                .limit(max)
                 .map(
                         seen ->
                                 new Observation(
@@ -137,15 +148,15 @@
     }
 
     /**
-     * Takes another's observation; of one observer and server only the latest counts, and nobody
-     * tells of this gatherer's own.
+     * Adds an observation of another gatherer. Only the latest observation of each observer and
+     * server counts. Received observations in this gatherer's own name are ignored.
      */
     public void receive(double nowMs, Observation observation) {
-        boolean sound =
+        boolean valid =
                 observation.successes() >= 0
                         && observation.failures() >= 0
                         && Double.isFinite(observation.successes() + observation.failures());
-        if (observation.observer().equals(self) || !sound) {
+        if (observation.observer().equals(self) || !valid) {
             return;
         }
         byObserver
@@ -160,60 +171,67 @@
                                         : old);
         byObserver
                 .values()
-                .forEach(seen -> seen.values().removeIf(heard -> nowMs - heard.atMs > EXPIRY_MS));
+                .forEach(seen -> seen.values().removeIf(each -> nowMs - each.atMs > EXPIRY_MS));
         byObserver.values().removeIf(Map::isEmpty);
     }
 
-    /** Those who are there; what others told before they went counts no more. */
+    /**
+     * Removes the observations of all observers other than those given, which are the ones
+     * currently alive.
+     */
     public void retainObservers(Collection<String> observers) {
         byObserver.keySet().retainAll(observers);
     }
 
     /**
-     * What others' observations of a server come to. The median of what observers saw, so that a
-     * minority of liars moves it no further than the honest ones lie apart; at most 1, and 0 unless
-     * enough observers, from enough sites, say so.
+     * Assesses a server by the observations of other gatherers. The score is the median of the
+     * observers' shares of failures, so that a minority of lying observers can't move it beyond the
+     * range of the honest ones. It is at most 1, and 0 unless there are enough observers from
+     * enough sites.
      *
-     * @param startedAtMs when this gatherer's endpoint list says that the server started
+     * @param startedAtMs time at which the server started according to this gatherer's endpoint
+     *     list
      */
     public FailureAssessment assess(double nowMs, String server, double startedAtMs) {
         var shares = new ArrayList<Double>();
         Set<String> sites = new HashSet<>();
         Set<String> allSites = new HashSet<>(Set.of(site));
         for (Map<String, Received> seen : byObserver.values()) {
-            seen.values().forEach(heard -> allSites.add(heard.observation.observerSite()));
-            Received heard = seen.get(server);
-            if (heard != null
-                    && heard.observation.serverStartedAtMs() == startedAtMs
-                    && heard.tells(nowMs)
-                    && !isObserverFault(nowMs, seen, heard.observation.serverSite())) {
-                shares.add(heard.share());
-                sites.add(heard.observation.observerSite());
+            seen.values().forEach(received -> allSites.add(received.observation.observerSite()));
+            Received received = seen.get(server);
+            if (received != null
+                    && received.observation.serverStartedAtMs() == startedAtMs
+                    && received.hasEnoughAttempts(nowMs)
+                    && !isObserverFault(nowMs, seen, received.observation.serverSite())) {
+                shares.add(received.failureShare());
+                sites.add(received.observation.observerSite());
             }
         }
         if (shares.size() < MIN_OBSERVERS || sites.size() < Math.min(2, allSites.size())) {
             return new FailureAssessment(0, shares.size(), sites.size());
         }
         shares.sort(null);
-        // The lower of two middles: in doubt for the server.
+        // Takes the lower of two middle values, in favour of the server if in doubt.
         return new FailureAssessment(
                 shares.get((shares.size() - 1) / 2), shares.size(), sites.size());
     }
 
     /**
-     * Whether an observer sees so many servers of a site failing that the way there is at fault.
+     * Whether an observer sees so many servers of a site fail that the fault is likely on its way
+     * to that site.
      */
     private static boolean isObserverFault(
             double nowMs, Map<String, Received> seen, String serverSite) {
-        List<Received> there =
+        List<Received> ofSite =
                 seen.values().stream()
                         .filter(
-                                heard ->
-                                        heard.observation.serverSite().equals(serverSite)
-                                                && heard.tells(nowMs))
+                                received ->
+                                        received.observation.serverSite().equals(serverSite)
+                                                && received.hasEnoughAttempts(nowMs))
                         .toList();
-        long failing = there.stream().filter(heard -> heard.share() > FAILING_SHARE).count();
-        return there.size() >= MIN_SERVERS_OF_SITE
-                && failing >= OBSERVER_FAULT_SHARE * there.size();
+        long failing =
+                ofSite.stream().filter(received -> received.failureShare() > FAILING_SHARE).count();
+        return ofSite.size() >= MIN_SERVERS_OF_SITE
+                && failing >= OBSERVER_FAULT_SHARE * ofSite.size();
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/evidence/FailureAssessment.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/FailureAssessment.java
@@ -1,14 +1,13 @@
 package sprucehold.cluster.evidence;
 
 /**
- * What others' observations of a server come to.
+ * Assessment of a server by the observations of other gatherers.
  *
- * @param failureScore from 0, nothing speaks against it, to 1, all who may be believed saw only
- *     failures
- * @param observers how many independent ones it rests on
- * @param sites how many sites they stand in
+ * @param failureScore from 0 (no sign of failure) to 1 (all credible observers saw only failures)
+ * @param observers number of independent observers on which the score is based
+ * @param sites number of sites of these observers
  */
 public record FailureAssessment(double failureScore, int observers, int sites) {
-    /** Nothing is known. */
+    /** Assessment without any observations. */
     public static final FailureAssessment NONE = new FailureAssessment(0, 0, 0);
 }
--- a/cluster/src/main/java/sprucehold/cluster/evidence/Observation.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/Observation.java
@@ -1,17 +1,17 @@
 package sprucehold.cluster.evidence;
 
 /**
- * What one gatherer observed of one shard server lately.
+ * Recent observations of one gatherer about one shard server.
  *
- * @param observer who observed it
- * @param observerSite its site
- * @param server which was observed
- * @param serverSite the site of the server
- * @param serverStartedAtMs Unix time in milliseconds at which the server started, as the observer's
- *     list had it: what was observed of an earlier start tells nothing of this one
- * @param successes attempts that completed, fading
- * @param failures attempts that failed or were late, fading
- * @param sequenceNumber grows with each observation of one observer: of two the later counts
+ * @param observer the gatherer that made the observation
+ * @param observerSite site of the observer
+ * @param server the observed server
+ * @param serverSite site of the server
+ * @param serverStartedAtMs Unix time in milliseconds at which the server started according to the
+ *     observer's endpoint list; observations of an earlier start don't apply to a later one
+ * @param successes completed attempts, decaying over time
+ * @param failures attempts that failed or were late, decaying over time
+ * @param sequenceNumber increases with each observation of one observer; the later of two counts
  */
 public record Observation(
         String observer,
--- a/cluster/src/main/java/sprucehold/cluster/session/ClusterMessage.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/ClusterMessage.java
@@ -6,22 +6,22 @@
 import sprucehold.cluster.membership.MemberMessage;
 import sprucehold.cluster.quota.QuotaMessage;
 
-/** A message between two gatherers; each but a member table fits into a datagram. */
+/** A message between two gatherers. Each message except a member table fits into a datagram. */
 public sealed interface ClusterMessage {
-    /** About membership. */
+    /** A message about membership. */
     record MembershipPart(MemberMessage message) implements ClusterMessage {}
 
-    /** About shared limits. */
+    /** Messages about shared limits. */
     record QuotaPart(List<LimitMessage> messages) implements ClusterMessage {}
 
     /**
-     * About one shared limit.
+     * A message about one shared limit.
      *
-     * @param limit its name, the same at all gatherers
+     * @param limit name of the limit, the same at all gatherers
      */
     record LimitMessage(String limit, QuotaMessage message) {}
 
-    /** What the sender itself has counted and observed. */
+    /** Counters and observations of the sender itself. */
     record ObservationPart(List<CounterValue> counters, List<Observation> observations)
             implements ClusterMessage {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/session/CoordinationSession.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/CoordinationSession.java
@@ -20,8 +20,8 @@
 /**
  * The state machine of one gatherer's coordination with the others: {@link Membership}, shared
  * limits ({@link SharedLimits}), counters and observations ({@link ObservationBroadcast}). Times
- * are a reading of the monotonic clock ({@code countedMs}) and one of the wall clock ({@code
- * wallMs}), in milliseconds.
+ * are passed as a reading of the monotonic clock ({@code countedMs}) and one of the wall clock
+ * ({@code wallMs}), both in milliseconds.
  */
 public final class CoordinationSession {
     /** A message to another gatherer. */
@@ -30,23 +30,24 @@
     /**
      * Units of one shared limit at this gatherer.
      *
-     * @param ownUnits its own
-     * @param lent of these
-     * @param borrowed from others, used or not
-     * @param used that count now
-     * @param free that may be used now
+     * @param ownUnits units that are this gatherer's own
+     * @param lent own units that are lent to others
+     * @param borrowed units borrowed from others, used or not
+     * @param used used units that count now
+     * @param free units that may be used now
      */
     public record LimitStatus(int ownUnits, int lent, int borrowed, int used, int free) {}
 
     /**
-     * What one gatherer knows, for operators.
+     * State of one gatherer's session, for operators.
      *
-     * @param members itself first
-     * @param limits by name
-     * @param superseded whether another process of its name has started later
+     * @param members all members, this gatherer first
+     * @param limits units of each shared limit, by the name of the limit
+     * @param superseded whether another process of this gatherer's name has started later
      * @param isolated whether no other gatherer answers
-     * @param localHealth from 0, healthy, to 8
-     * @param droppedMessages since the start, as too many had left
+     * @param localHealth from 0 (healthy) to 8
+     * @param droppedMessages messages dropped since the start because the message budget was used
+     *     up
      */
     public record Status(
             List<MemberUpdate> members,
@@ -68,9 +69,9 @@
     private double limitsTickedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param generation by the wall clock at the start, in milliseconds
-     * @param others names that may be there, and the site of each
-     * @param seed of all random numbers
+     * @param generation taken from the wall clock at the start, in milliseconds
+     * @param others names of possible other gatherers, with the site of each
+     * @param seed seed of all random numbers
      */
     public CoordinationSession(
             SessionSettings settings,
@@ -100,12 +101,12 @@
         return nowMs;
     }
 
-    /** How often {@link #tick} is to be called, in milliseconds. */
+    /** Returns the interval at which {@link #tick} must be called, in milliseconds. */
     public double tickMs() {
         return membership.tickMs();
     }
 
-    /** Lets time pass. */
+    /** Advances the time and returns the messages to send. */
     public List<Outgoing> tick(double countedMs, double wallMs) {
         double nowMs = read(countedMs, wallMs);
         var out = new ArrayList<Outgoing>();
@@ -118,7 +119,7 @@
         return budget.admit(out);
     }
 
-    /** Takes a message from another gatherer, and returns the answers to it. */
+    /** Handles a message from another gatherer and returns the answers to it. */
     public List<Outgoing> receive(
             double countedMs, double wallMs, String from, ClusterMessage message) {
         double nowMs = read(countedMs, wallMs);
@@ -135,7 +136,7 @@
         return budget.admit(out);
     }
 
-    /** Each gatherer speaks for itself alone. */
+    /** Accepts only counters and observations of the sender itself. */
     private void receiveObservations(
             double nowMs, String from, ClusterMessage.ObservationPart part) {
         part.counters().stream()
@@ -146,7 +147,7 @@
                 .forEach(observation -> evidence.receive(nowMs, observation));
     }
 
-    /** Announces that it leaves. */
+    /** Announces that this gatherer leaves. */
     public List<Outgoing> leave(double countedMs, double wallMs) {
         read(countedMs, wallMs);
         var out = new ArrayList<Outgoing>();
@@ -165,46 +166,48 @@
             evidence.retainObservers(now);
         }
         if (wasSuperseded && !membership.superseded()) {
-            // The other process of this name had the same own units, and what it used and lent
-            // until just now isn't known here.
+            // The other process of this name had the same own units. Its uses and leases up to this
+            // moment are not known to this process.
             limits.beginEpoch(membership.members().get(0).generation());
         }
         wasSuperseded = membership.superseded();
     }
 
     /**
-     * Opens a shared limit. One that was closed a moment ago goes on as it was, with what is out of
-     * it.
+     * Opens a shared limit. A limit that was closed and still has lent or used units continues with
+     * them.
      */
     public void openLimit(double countedMs, double wallMs, String limit, QuotaTerms terms) {
         read(countedMs, wallMs);
         limits.open(limit, terms);
     }
 
-    /** Closes a shared limit: nothing of it is used or lent any more. */
+    /** Closes a shared limit: its units are no longer used or lent. */
     public void closeLimit(String limit) {
         limits.close(limit);
     }
 
     /**
-     * States how many units of a limit are wanted in a window; see {@link LeaseExchange#setDemand}.
-     * Nothing where it isn't open.
+     * Sets the number of units of a limit needed per window; see {@link LeaseExchange#setDemand}.
+     * Has no effect if the limit isn't open.
      */
     public void setDemand(String limit, int units, int usefulUnits) {
         limits.setDemand(limit, units, usefulUnits);
     }
 
-    /** Units of a limit that may be used now; 0 where it isn't open or mustn't be used. */
+    /**
+     * Returns the units of a limit that may be used now; 0 if it isn't open or must not be used.
+     */
     public int freeUnits(double countedMs, double wallMs, String limit) {
         read(countedMs, wallMs);
         return membership.superseded() ? 0 : limits.free(limit);
     }
 
     /**
-     * Uses units of a limit, if they are free and this process is the only one of its name as far
-     * as it has heard.
+     * Uses units of a limit if they are free, and if this process has not found another process of
+     * its name that started later.
      *
-     * @return null if they may not be used
+     * @return null if the units may not be used
      * @throws IllegalArgumentException if no limit of that name is open
      */
     public Permit consume(double countedMs, double wallMs, String limit, int units) {
@@ -221,28 +224,34 @@
     }
 
     /**
-     * A permit for units that nobody else can use and that this gatherer has counted itself.
+     * Creates a permit for units that no other gatherer can use and that the caller has counted
+     * itself.
      *
-     * @param validMs for so long
+     * @param validMs validity of the permit, in milliseconds
      */
     public Permit permit(double countedMs, double wallMs, double validMs) {
         read(countedMs, wallMs);
         return new Permit(clock.atMostMs() + validMs);
     }
 
-    /** Whether a permit still holds; to be asked right before what it is for is sent. */
+    /**
+     * Whether a permit is still valid; must be checked immediately before the send that it permits.
+     */
     public boolean isValid(double countedMs, double wallMs, Permit permit) {
         read(countedMs, wallMs);
         return permit.isValid(clock) && !membership.superseded();
     }
 
-    /** Units of one limit; null where it isn't open. */
+    /** Returns the units of one limit, or null if it isn't open. */
     public LimitStatus limitStatus(double countedMs, double wallMs, String limit) {
         read(countedMs, wallMs);
         return limits.status(limit);
     }
 
-    /** Whether another process of this name has started later; this one shares nothing then. */
+    /**
+     * Whether another process of this name has started later; this process takes no part in shared
+     * limits then.
+     */
     public boolean superseded() {
         return membership.superseded();
     }
@@ -252,27 +261,27 @@
         return membership.isolated();
     }
 
-    /** What others have become since this was last asked. */
+    /** Returns the changes of state and generation of other members since the last call. */
     public List<MemberUpdate> takeChanges() {
         return membership.takeChanges();
     }
 
-    /** How many others are held to be there. */
+    /** Returns the number of other gatherers considered alive. */
     public int aliveCount() {
         return alive.size();
     }
 
-    /** Counts what this gatherer has sent. */
+    /** Adds units that this gatherer has sent to its counter of a key. */
     public void recordSent(double countedMs, double wallMs, String key, long units) {
         counters.add(read(countedMs, wallMs), key, units);
     }
 
-    /** Units a second that others send of a key. */
+    /** Returns the units per second that other gatherers send of a key. */
     public double othersPerSecond(double countedMs, double wallMs, String key) {
         return counters.othersPerSecond(read(countedMs, wallMs), key);
     }
 
-    /** Notes how an attempt of this gatherer's ended. */
+    /** Records whether an attempt of this gatherer completed. */
     public void recordAttempt(
             double countedMs,
             double wallMs,
@@ -283,13 +292,13 @@
         evidence.recordAttempt(read(countedMs, wallMs), server, serverSite, startedAtMs, completed);
     }
 
-    /** What others observed of a server. */
+    /** Assesses a server by the observations of other gatherers. */
     public FailureAssessment assess(
             double countedMs, double wallMs, String server, double startedAtMs) {
         return evidence.assess(read(countedMs, wallMs), server, startedAtMs);
     }
 
-    /** What it knows, for operators. */
+    /** Returns the state of this session, for operators. */
     public Status status(double countedMs, double wallMs) {
         read(countedMs, wallMs);
         return new Status(
--- a/cluster/src/main/java/sprucehold/cluster/session/MessageBudget.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/MessageBudget.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import sprucehold.cluster.quota.QuotaMessage;
 
-/** A token bucket for messages; where it runs short, the least important are dropped. */
+/**
+ * A token bucket for messages; if there are too few tokens, the least important messages are
+ * dropped.
+ */
 final class MessageBudget {
     private final double perSecond;
     private double tokens;
@@ -13,7 +16,7 @@
     private long dropped;
 
     /**
-     * @param perSecond messages that may leave in a second, and the most that can be saved up
+     * @param perSecond maximum number of messages per second, and the capacity of the bucket
      */
     MessageBudget(double perSecond) {
         this.perSecond = perSecond;
@@ -25,7 +28,9 @@
         refilledAtMs = nowMs;
     }
 
-    /** The messages that may leave now, the most important first; the others are dropped. */
+    /**
+     * Returns the messages that may be sent now, the most important first, and drops the others.
+     */
     List<CoordinationSession.Outgoing> admit(List<CoordinationSession.Outgoing> messages) {
         var sorted = new ArrayList<>(messages);
         sorted.sort(Comparator.comparingInt(outgoing -> rank(outgoing.message())));
@@ -35,20 +40,24 @@
         return List.copyOf(sorted.subList(0, admitted));
     }
 
-    /** Probes and their answers first, as all else rests on them; then what frees units. */
+    /**
+     * Returns the rank of a message, 0 for the most important. Membership messages rank first, as
+     * all other coordination depends on them. Messages about limits that may free units rank
+     * second. Requests for units, counters and observations rank last.
+     */
     private static int rank(ClusterMessage message) {
         if (message instanceof ClusterMessage.MembershipPart) {
             return 0;
         }
-        return message instanceof ClusterMessage.QuotaPart quota && !asksOnly(quota) ? 1 : 2;
+        return message instanceof ClusterMessage.QuotaPart quota && !requestsOnly(quota) ? 1 : 2;
     }
 
-    private static boolean asksOnly(ClusterMessage.QuotaPart quota) {
+    private static boolean requestsOnly(ClusterMessage.QuotaPart quota) {
         return quota.messages().stream()
                 .allMatch(each -> each.message() instanceof QuotaMessage.LeaseRequest);
     }
 
-    /** Messages dropped since the start. */
+    /** Returns the number of messages dropped since the start. */
     long dropped() {
         return dropped;
     }
--- a/cluster/src/main/java/sprucehold/cluster/session/ObservationBroadcast.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/ObservationBroadcast.java
@@ -11,19 +11,20 @@
 import sprucehold.cluster.evidence.EvidenceTable;
 
 /**
- * Sends what this gatherer itself has counted and observed to others, a few at a time, in turn,
- * each round in another order. To pass on what a third has observed would be quicker, and one liar
- * could speak for many.
+ * Sends this gatherer's own counters and observations to a few other gatherers at a time, in rounds
+ * through all of them; the order is random in each round. Gatherers don't forward the observations
+ * of others: forwarding would be faster, but would let one lying gatherer make claims in the name
+ * of many.
  */
 final class ObservationBroadcast {
     private static final double INTERVAL_MS = 1000;
 
-    /** Receivers of one broadcast. */
+    /** Number of receivers of one broadcast. */
     private static final int RECEIVERS = 8;
 
     /**
-     * The same while a server was seen to fail: a hundred others hear of that in four seconds,
-     * before it has faded.
+     * Number of receivers of one broadcast while this gatherer sees a server fail: a hundred other
+     * gatherers receive the observation within four seconds, before it has decayed.
      */
     private static final int RECEIVERS_OF_FAILURES = 25;
 
@@ -42,7 +43,9 @@
         this.random = random;
     }
 
-    /** Sends if it is time and there is something to tell. */
+    /**
+     * Sends a broadcast if the interval has passed and there are counters or observations to send.
+     */
     void tick(double nowMs, Set<String> peers, List<CoordinationSession.Outgoing> out) {
         if (nowMs - sentAtMs < INTERVAL_MS) {
             return;
@@ -55,7 +58,7 @@
         if (message.counters().isEmpty() && message.observations().isEmpty()) {
             return;
         }
-        int receivers = tellsOfFailures(message) ? RECEIVERS_OF_FAILURES : RECEIVERS;
+        int receivers = reportsFailures(message) ? RECEIVERS_OF_FAILURES : RECEIVERS;
         for (int left = Math.min(receivers, peers.size()); left > 0; left--) {
             String receiver = next(peers);
             if (peers.contains(receiver)) {
@@ -64,7 +67,7 @@
         }
     }
 
-    private static boolean tellsOfFailures(ClusterMessage.ObservationPart message) {
+    private static boolean reportsFailures(ClusterMessage.ObservationPart message) {
         return message.observations().stream()
                 .anyMatch(observation -> observation.failures() > observation.successes());
     }
--- a/cluster/src/main/java/sprucehold/cluster/session/SessionSettings.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SessionSettings.java
@@ -4,19 +4,20 @@
 import sprucehold.cluster.quota.QuotaTerms;
 
 /**
- * What a session is told at its start.
+ * Settings of a session.
  *
- * @param limits shared limits, by the name of each
- * @param messagesPerSecond so many messages leave a gatherer in a second at the most, whatever
- *     comes in; what is beyond is dropped, as the network may do anyway
- * @param rateHalfLifeMs how long until a rate heard from another counts half, in milliseconds
+ * @param limits terms of the shared limits, by the name of each
+ * @param messagesPerSecond maximum number of messages that a gatherer sends per second, however
+ *     many it receives; further messages are dropped, as the network may drop them anyway
+ * @param rateHalfLifeMs age at which a rate received from another gatherer counts half, in
+ *     milliseconds
  */
 public record SessionSettings(
         Map<String, QuotaTerms> limits, double messagesPerSecond, double rateHalfLifeMs) {
     private static final double MIN_MESSAGES_PER_SECOND = 10;
 
     /**
-     * @throws IllegalArgumentException if a figure is outside its range, with its name
+     * @throws IllegalArgumentException if a number is out of range; the message states its name
      */
     public SessionSettings {
         if (!(messagesPerSecond >= MIN_MESSAGES_PER_SECOND) || !(rateHalfLifeMs > 0)) {
--- a/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
@@ -15,15 +15,17 @@
 import sprucehold.cluster.quota.QuotaMessage;
 import sprucehold.cluster.quota.QuotaTerms;
 
-/** One gatherer's parts of all shared limits, by the name of each. */
+/** One gatherer's parts of all shared limits, by the name of each limit. */
 final class SharedLimits {
     /**
-     * Messages about limits that go in one message: some 100 bytes each, with the name of the
-     * limit, keep it within a datagram.
+     * Maximum number of limit messages in one message: at about 100 bytes each, with the name of
+     * the limit, they fit into a datagram.
      */
     private static final int MAX_IN_MESSAGE = 10;
 
-    /** Draws for each gatherer to ask at the most, as a draw may hit one chosen already. */
+    /**
+     * Maximum draws per gatherer to ask, as a draw may return a gatherer that is already chosen.
+     */
     private static final int DRAWS_PER_PLACE = 4;
 
     private static final class Part {
@@ -31,7 +33,10 @@
         final QuotaLedger ledger;
         final LeaseExchange exchange;
 
-        /** Nobody uses or lends it any more; kept until what is out of it has lapsed. */
+        /**
+         * Whether the limit is closed: its units are neither used nor lent any more. The part is
+         * kept until its lent and used units have expired.
+         */
         boolean closing;
 
         Part(QuotaTerms terms, QuotaLedger ledger, LeaseExchange exchange) {
@@ -60,7 +65,7 @@
     private final Map<String, Part> parts = new TreeMap<>();
     private Set<String> peers = Set.of();
 
-    /** The epoch of all ledgers, and when it began by the least time that has passed. */
+    /** Epoch of all ledgers, and its begin by the lower bound of elapsed time. */
     private long epoch;
 
     private double epochBeganMs;
@@ -74,7 +79,7 @@
     }
 
     /**
-     * Opens a limit. One that was closed a moment ago goes on as it was, with what is out of it.
+     * Opens a limit. A limit that was closed and still has lent or used units continues with them.
      */
     void open(String limit, QuotaTerms terms) {
         Part before = parts.get(limit);
@@ -100,7 +105,7 @@
         }
     }
 
-    /** Begins a new epoch: as if all units had been used and lent the moment before. */
+    /** Begins a new epoch, as if all units had been used and lent at the moment before. */
     void beginEpoch(long newEpoch) {
         epoch = newEpoch;
         epochBeganMs = clock.atLeastMs();
@@ -113,7 +118,7 @@
         parts.values().forEach(part -> part.exchange.setPeers(alive));
     }
 
-    /** The part of an open limit, or null. */
+    /** Returns the part of an open limit, or null if the limit isn't open. */
     private Part openPart(String limit) {
         Part part = parts.get(limit);
         return part == null || part.closing ? null : part;
@@ -134,7 +139,7 @@
         }
     }
 
-    /** Units that may be used now; 0 where the limit isn't open. */
+    /** Returns the units that may be used now; 0 if the limit isn't open. */
     int free(String limit) {
         Part part = openPart(limit);
         return part == null ? 0 : part.ledger.free();
@@ -145,7 +150,7 @@
         return openPart(limit).exchange.consume(units);
     }
 
-    /** Null where the limit isn't open. */
+    /** Returns the units of a limit, or null if it isn't open. */
     CoordinationSession.LimitStatus status(String limit) {
         Part part = openPart(limit);
         return part == null ? null : part.status();
@@ -157,7 +162,10 @@
         return statuses;
     }
 
-    /** Asks, renews and returns; to be called every {@link LeaseExchange#TICK_MS}. */
+    /**
+     * Requests, renews and returns leases; must be called every {@link LeaseExchange#TICK_MS}
+     * milliseconds.
+     */
     void tick(List<CoordinationSession.Outgoing> out) {
         parts.values().removeIf(Part::isLapsed);
         Set<String> toAsk = chooseLenders();
@@ -183,8 +191,8 @@
     }
 
     /**
-     * All limits ask the same few, those who lent before first, so that what is asked of one goes
-     * in one message.
+     * Chooses the gatherers to ask for units, those that lent before first. All limits ask the same
+     * few, so that the requests of several limits to one gatherer fit into one message.
      */
     private Set<String> chooseLenders() {
         var chosen = new LinkedHashSet<String>();
@@ -201,12 +209,13 @@
         return chosen;
     }
 
-    /** Takes messages, and sends the answers to them. */
+    /** Handles messages and sends the answers to them. */
     void receive(
             String from, ClusterMessage.QuotaPart quota, List<CoordinationSession.Outgoing> out) {
         var answers = new ArrayList<ClusterMessage.LimitMessage>();
         for (ClusterMessage.LimitMessage each : quota.messages()) {
-            // A closing limit lends nothing, but what comes back to it frees it sooner.
+            // A closed limit lends nothing, but accepts returned leases, which let it expire
+            // sooner.
             Part part =
                     each.message() instanceof QuotaMessage.LeaseRequest
                             ? openPart(each.limit())
