--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
@@ -6,19 +6,19 @@
 import sprucehold.decision.SharedLimit;
 
 /**
- * What an installation states of the limits that its gatherers share.
+ * Settings of an installation for the limits that its gatherers share.
  *
  * @param self this gatherer's name
- * @param gatherers all names, this one's included: the same at every gatherer, since from it each
- *     has its own units
+ * @param gatherers names of all gatherers, this one included. The list must be the same at every
+ *     gatherer, since each computes its own units from it
  * @param shared the kinds of limits that are shared
- * @param retriesPerWindow attempts beyond each part's first that all gatherers together may make in
- *     a window, where these are shared
- * @param retryWindowMs that window, in milliseconds
- * @param sendWithinMs how long after it was decided an attempt may still be written, in
- *     milliseconds: a connect, and a little
- * @param maxClockDrift how far any clock's rate may be off, as a share of it
- * @param maxClockOffsetMs how far any two wall clocks may be apart, in milliseconds
+ * @param retriesPerWindow if retries are shared, the maximum number of attempts beyond the first of
+ *     each part that all gatherers together may make in a window
+ * @param retryWindowMs length of that window, in milliseconds
+ * @param sendWithinMs how long after the decision an attempt may still be written, in milliseconds:
+ *     the time to connect, and a margin
+ * @param maxClockDrift maximum deviation of any clock's rate, as a share of it
+ * @param maxClockOffsetMs maximum difference between any two wall clocks, in milliseconds
  */
 public record AllowanceSettings(
         String self,
@@ -30,16 +30,17 @@
         double maxClockDrift,
         double maxClockOffsetMs) {
     /**
-     * How long a lease lasts: eight ticks of the exchange, so that renewal costs little, and what a
-     * dead borrower held is back soon.
+     * Term of a lease, in milliseconds: eight ticks of the exchange. Renewal at this interval costs
+     * little, and the units that a dead gatherer had borrowed return soon.
      */
     static final double LEASE_TERM_MS = 2000;
 
-    /** One in so many own units is never lent. */
+    /** Divisor of the own units that gives the number of units that are never lent. */
     private static final int RESERVED_PART = 4;
 
     /**
-     * @throws IllegalArgumentException if this gatherer isn't one of all, or a name stands twice
+     * @throws IllegalArgumentException if this gatherer's name isn't among all names, or a name
+     *     occurs twice
      */
     public AllowanceSettings {
         gatherers = gatherers.stream().sorted().toList();
@@ -54,10 +55,11 @@
     }
 
     /**
-     * This gatherer's part of so many units. The parts of all add up to just so many, and what
-     * can't be divided evenly goes to other gatherers for each limit, so that none is always short.
+     * Returns this gatherer's part of {@code units}. The parts of all gatherers add up to exactly
+     * {@code units}. For each limit, the remainder of an uneven division goes to different
+     * gatherers, so that no gatherer always has the smaller part.
      *
-     * @param limit its name, the same at every gatherer
+     * @param limit name of the limit, the same at every gatherer
      */
     int ownUnits(String limit, int units) {
         long size = gatherers.size();
@@ -66,12 +68,12 @@
     }
 
     /**
-     * The terms of a limit at this gatherer.
+     * Returns the terms of a limit at this gatherer.
      *
-     * @param limit its name, the same at every gatherer
-     * @param units of all gatherers in a window
-     * @param reserves whether a part of the own units is never lent, so that a gatherer that comes
-     *     back, or hears nothing, can go on at once
+     * @param limit name of the limit, the same at every gatherer
+     * @param units units of all gatherers together per window
+     * @param reserves whether a part of the own units is never lent, so that a gatherer that has
+     *     restarted or receives no messages can continue at once
      */
     QuotaTerms quotaTerms(String limit, int units, double windowMs, boolean reserves) {
         int own = ownUnits(limit, units);
--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
@@ -13,18 +13,21 @@
 import sprucehold.decision.Tenant;
 
 /**
- * The shared limits of one gatherer as its decisions see them: what may be consumed of each now,
- * and the failure scores of shard servers. All times are a reading of the monotonic clock and one
- * of the wall clock, in milliseconds.
+ * The shared limits of one gatherer as its decisions see them: the units of each that may be
+ * consumed now, and the failure scores of shard servers. All times are passed as a reading of the
+ * monotonic clock and one of the wall clock, in milliseconds.
  */
 public final class AllowanceTable {
-    /** A tenant's quota is stated by the second. */
+    /** Window of a tenant's quota, in milliseconds: quotas are configured per second. */
     private static final double QUOTA_WINDOW_MS = 1000;
 
-    /** Demand is stated as so much of what is seen: it comes unevenly. */
+    /** Factor applied to the observed demand, as demand fluctuates from window to window. */
     private static final double DEMAND_MARGIN = 1.25;
 
-    /** A lower failure score is not told: others' evidence is too thin. */
+    /**
+     * Minimum failure score that is reported to the decisions; a lower score has too little
+     * evidence from other gatherers.
+     */
     private static final double MIN_FAILURE_SCORE = 0.25;
 
     private final Deployment deployment;
@@ -77,9 +80,9 @@
     }
 
     /**
-     * Takes an endpoint update, before the decisions do.
+     * Handles an endpoint update; must be called before the update is passed to the decisions.
      *
-     * @param complete whether servers that aren't in it are gone
+     * @param complete whether servers that the update doesn't contain are gone
      */
     public void endpointsUpdated(
             double countedMs, double wallMs, boolean complete, List<Endpoint> endpoints) {
@@ -87,10 +90,10 @@
     }
 
     /**
-     * A query came in.
+     * Records a received query.
      *
-     * @param tenant null where the query names none
-     * @param shards of its parts
+     * @param tenant the query's tenant; null if the query has none
+     * @param shards shards of the query's parts
      */
     public void queryReceived(double countedMs, String tenant, List<Integer> shards) {
         if (tenant != null) {
@@ -99,12 +102,16 @@
         slowStart.partsReceived(countedMs, shards);
     }
 
-    /** An attempt was written to a server. */
+    /** Records an attempt that was written to a server. */
     public void attemptSent(double countedMs, double wallMs, String server) {
         session.recordSent(countedMs, wallMs, server, 1);
     }
 
-    /** An attempt ended, completed or with what may be the server's fault. */
+    /**
+     * Records the end of an attempt.
+     *
+     * @param completed false if it ended with a failure that may be the server's fault
+     */
     public void attemptEnded(double countedMs, double wallMs, String server, boolean completed) {
         Endpoint endpoint = slowStart.endpoint(server);
         if (endpoint != null) {
@@ -114,10 +121,10 @@
     }
 
     /**
-     * Takes units of a limit.
+     * Consumes units of a limit.
      *
-     * @return null, with nothing taken, if they aren't free; an empty grant where the limit isn't
-     *     shared
+     * @return null, with no unit consumed, if the units aren't free; an empty grant if the limit
+     *     isn't shared
      */
     public Grant consume(double countedMs, double wallMs, SharedLimit limit, int units) {
         if (limit.kind() == SharedLimit.Kind.SLOW_START) {
@@ -136,13 +143,19 @@
                         .noneMatch(tenant -> tenant.name().equals(limit.subject()));
     }
 
-    /** Whether what it was granted for may be written now; to be asked right before. */
+    /**
+     * Whether the attempt or query of a grant may be written now; must be checked immediately
+     * before writing.
+     */
     public boolean isValid(double countedMs, double wallMs, Grant grant) {
         return grant.permits().stream()
                 .allMatch(permit -> session.isValid(countedMs, wallMs, permit));
     }
 
-    /** States the demand on each limit and looks at others' observations; a few times a second. */
+    /**
+     * Sets the demand on each limit and updates the failure scores from the observations of other
+     * gatherers; must be called a few times per second.
+     */
     public void tick(double countedMs, double wallMs) {
         slowStart.tick(countedMs, wallMs);
         failureScores = failureScores(countedMs, wallMs);
@@ -161,8 +174,8 @@
     }
 
     /**
-     * Refused retries aren't seen here: a gatherer that has used up all that it holds is taken to
-     * want as much again.
+     * Sets the demand for retries. Refused retries aren't visible to this class, so a gatherer that
+     * has used up all its units is assumed to need as many again.
      */
     private void setDemandOfRetries(double countedMs, double wallMs) {
         String name = LimitNames.of(SharedLimit.RETRIES);
@@ -181,14 +194,15 @@
                     session.assess(countedMs, wallMs, endpoint.server(), endpoint.startedAtMs())
                             .failureScore();
             if (score >= MIN_FAILURE_SCORE) {
-                // In tenths: a new view for each thousandth would help no decision.
+                // Rounds to tenths: a new view for each change of a thousandth would not improve
+                // any decision.
                 scores.put(endpoint.server(), Math.round(10 * score) / 10.0);
             }
         }
         return Map.copyOf(scores);
     }
 
-    /** What the decisions are to know now. */
+    /** Returns the current cluster view for the decisions. */
     public ClusterView clusterView(double countedMs, double wallMs) {
         var allowances = new HashMap<SharedLimit, Integer>();
         slowStart
--- a/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/Grant.java
@@ -4,9 +4,9 @@
 import sprucehold.cluster.quota.Permit;
 
 /**
- * What one attempt, or one query, rests on.
+ * Permits for one attempt or one query.
  *
- * @param permits all have to be valid when it is written
+ * @param permits all must be valid when the attempt or query is written
  */
 public record Grant(List<Permit> permits) {
     /** Copies the list. */
--- a/cluster/src/main/java/sprucehold/cluster/allowance/SlowStartLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/SlowStartLimits.java
@@ -12,28 +12,35 @@
 import sprucehold.decision.SharedLimit;
 
 /**
- * The shared limits on what warming shard servers are sent: one opens when discovery tells of a
- * start and closes once the server is surely warm. Units are milliseconds of work in a window. All
- * times are a reading of the monotonic clock and one of the wall clock, in milliseconds.
+ * The shared limits on the work sent to warming shard servers. A limit opens when discovery reports
+ * the start of a server, and closes when the server is certainly warm. Units are milliseconds of
+ * work per window. All times are passed as a reading of the monotonic clock and one of the wall
+ * clock, in milliseconds.
  */
 final class SlowStartLimits {
-    /** Below so many parts a second a replica group has no traffic. */
+    /** Parts per second below which a replica group is considered to have no traffic. */
     private static final double MIN_PARTS_PER_SECOND = 0.1;
 
-    /** Weight of the latest part in the moving average of the work of a part. */
+    /** Weight of the latest part in the moving average of the work per part. */
     private static final double PART_WORK_WEIGHT = 0.1;
 
     private static final class Server {
         Endpoint endpoint;
 
-        /** When this process first heard of this start, by the monotonic clock. */
-        final double heardAtMs;
+        /**
+         * Time at which this process first received the report of this start, by the monotonic
+         * clock.
+         */
+        final double discoveredAtMs;
 
-        /** Null while no limit is open for it: it is warm, or slow start isn't shared. */
-        WarmUpAllowance growth;
+        /**
+         * Null while no limit is open for the server, either because it is warm or because slow
+         * start isn't shared.
+         */
+        WarmUpAllowance warmUp;
 
-        Server(double heardAtMs) {
-            this.heardAtMs = heardAtMs;
+        Server(double discoveredAtMs) {
+            this.discoveredAtMs = discoveredAtMs;
         }
 
         String limit() {
@@ -52,7 +59,7 @@
     private final Map<String, Server> servers = new TreeMap<>();
     private final DemandRate[] partsByReplicaGroup;
 
-    /** The work of a part, in milliseconds, as a moving average. */
+    /** Moving average of the work per part, in milliseconds. */
     private double partWorkMs;
 
     SlowStartLimits(
@@ -63,7 +70,7 @@
         this.session = session;
         this.partsByReplicaGroup = new DemandRate[deployment.layout().replicaGroups()];
         Arrays.setAll(partsByReplicaGroup, group -> new DemandRate());
-        // As the decisions assume before any part's time is known.
+        // The decisions assume the same value before the time of any part is known.
         this.partWorkMs =
                 deployment.queryClasses().stream()
                         .mapToDouble(queryClass -> queryClass.latencyObjectiveMs() / 4)
@@ -71,21 +78,21 @@
                         .orElse(1);
     }
 
-    /** What is known of a server, or null. */
+    /** Returns the latest endpoint of a server, or null if it is unknown. */
     Endpoint endpoint(String server) {
         Server known = servers.get(server);
         return known == null ? null : known.endpoint;
     }
 
-    /** All endpoints known, by name. */
+    /** Returns all known endpoints, sorted by name. */
     List<Endpoint> endpoints() {
         return servers.values().stream().map(server -> server.endpoint).toList();
     }
 
     /**
-     * Takes an endpoint update, before the decisions do.
+     * Handles an endpoint update; must be called before the update is passed to the decisions.
      *
-     * @param complete whether servers that aren't in it are gone
+     * @param complete whether servers that the update doesn't contain are gone
      */
     void endpointsUpdated(
             double countedMs, double wallMs, boolean complete, List<Endpoint> endpoints) {
@@ -123,14 +130,14 @@
     }
 
     private void openIfWarming(double countedMs, double wallMs, Server server) {
-        if (server.growth != null
+        if (server.warmUp != null
                 || !settings.shared().contains(SharedLimit.Kind.SLOW_START)
                 || capacityShare(countedMs, wallMs, server) >= 1) {
             return;
         }
         double usageCountsMs =
                 (rule.windowMs() + settings.sendWithinMs()) * (1 + settings.maxClockDrift());
-        server.growth = new WarmUpAllowance(usageCountsMs);
+        server.warmUp = new WarmUpAllowance(usageCountsMs);
         session.openLimit(
                 countedMs,
                 wallMs,
@@ -145,43 +152,45 @@
     }
 
     private void close(Server server) {
-        if (server.growth != null) {
-            server.growth = null;
+        if (server.warmUp != null) {
+            server.warmUp = null;
             session.closeLimit(server.limit());
         }
     }
 
     /**
-     * Milliseconds of work that a server may be sent in a window: one core is the least that a
-     * server has.
+     * Returns the work that a server may be sent per window, in milliseconds. A server is assumed
+     * to have one core, which is the minimum.
      *
-     * @param capacityShare the share of its full capacity that it has
+     * @param capacityShare the server's current share of its full capacity
      */
     private int units(double capacityShare) {
         return (int) (rule.overloadFactor() * capacityShare * rule.windowMs());
     }
 
     /**
-     * The share of its capacity that a server surely has by now. It started before its start was
-     * heard of; what wall clocks say beyond that counts less by what they may be apart.
+     * Returns the share of its capacity that a server certainly has by now. The server's age is at
+     * least the time since this process discovered its start. If the wall clocks indicate a greater
+     * age even after the maximum difference between two wall clocks is subtracted, that age is
+     * used. A server without a known start counts as warm.
      */
     private double capacityShare(double countedMs, double wallMs, Server server) {
         double startedAtMs = server.endpoint.startedAtMs();
         double ageByWallMs = wallMs - startedAtMs - settings.maxClockOffsetMs();
         double ageMs =
-                Math.max(countedMs - server.heardAtMs, ageByWallMs)
+                Math.max(countedMs - server.discoveredAtMs, ageByWallMs)
                         * (1 - settings.maxClockDrift());
         double warmth = Math.min(1, Math.max(0, ageMs) / rule.warmAfterMs());
         return startedAtMs <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * warmth;
     }
 
-    /** This gatherer's part of the units by which the limit has grown. */
+    /** Returns this gatherer's part of the units by which the limit has grown. */
     private int grownUnits(double countedMs, double wallMs, Server server) {
         int grown = units(capacityShare(countedMs, wallMs, server)) - units(rule.startShare());
         return grown / settings.gatherers().size();
     }
 
-    /** Counts the parts of a query that came in. */
+    /** Records the parts of a received query. */
     void partsReceived(double countedMs, List<Integer> shards) {
         for (int shard : shards) {
             for (int offset = 0; offset < deployment.layout().groupsPerShard(); offset++) {
@@ -192,31 +201,31 @@
     }
 
     /**
-     * Takes units of a server's limit, those first that nobody else can use.
+     * Consumes units of a server's limit. Takes units that no other gatherer can use first.
      *
-     * @return null, with nothing taken, if they aren't free; an empty grant where the server has no
-     *     limit
+     * @return null, with no unit consumed, if the units aren't free; an empty grant if the server
+     *     has no limit
      */
     Grant consume(double countedMs, double wallMs, String name, int units) {
         Server server = servers.get(name);
-        if (server == null || server.growth == null) {
+        if (server == null || server.warmUp == null) {
             return new Grant(List.of());
         }
         partWorkMs += PART_WORK_WEIGHT * (units - partWorkMs);
-        int freeGrown = server.growth.free(countedMs, grownUnits(countedMs, wallMs, server));
-        int ofGrowth = Math.min(units, freeGrown);
-        int ofQuota = units - ofGrowth;
-        if (ofQuota > session.freeUnits(countedMs, wallMs, server.limit())) {
+        int freeGrown = server.warmUp.free(countedMs, grownUnits(countedMs, wallMs, server));
+        int fromWarmUp = Math.min(units, freeGrown);
+        int fromQuota = units - fromWarmUp;
+        if (fromQuota > session.freeUnits(countedMs, wallMs, server.limit())) {
             return null;
         }
         var permits = new ArrayList<Permit>();
-        if (ofGrowth > 0) {
-            server.growth.consume(countedMs, ofGrowth);
+        if (fromWarmUp > 0) {
+            server.warmUp.consume(countedMs, fromWarmUp);
             double validMs = settings.sendWithinMs() * (1 - settings.maxClockDrift());
             permits.add(session.permit(countedMs, wallMs, validMs));
         }
-        if (ofQuota > 0) {
-            Permit permit = session.consume(countedMs, wallMs, server.limit(), ofQuota);
+        if (fromQuota > 0) {
+            Permit permit = session.consume(countedMs, wallMs, server.limit(), fromQuota);
             if (permit == null) {
                 return null;
             }
@@ -225,13 +234,13 @@
         return new Grant(permits);
     }
 
-    /** Closes limits of servers that are warm now, and states the demand on the others. */
+    /** Closes the limits of servers that are warm now, and sets the demand on the others. */
     void tick(double countedMs, double wallMs) {
         for (Server server : servers.values()) {
-            if (server.growth != null && capacityShare(countedMs, wallMs, server) >= 1) {
+            if (server.warmUp != null && capacityShare(countedMs, wallMs, server) >= 1) {
                 close(server);
             }
-            if (server.growth != null) {
+            if (server.warmUp != null) {
                 double parts = partsPerWindow(countedMs, server);
                 session.setDemand(
                         server.limit(),
@@ -242,8 +251,8 @@
     }
 
     /**
-     * Parts that are likely to go to a server in a window: one at the least where there is traffic,
-     * as a shard's last replicas are never all left out.
+     * Returns the number of parts that a server is likely to be sent per window. It is at least one
+     * where there is traffic, as the last replicas of a shard are never all left out.
      */
     private double partsPerWindow(double countedMs, Server server) {
         int group = server.endpoint.replicaGroup();
@@ -260,14 +269,15 @@
         return Math.max(1, partsPerSecond * rule.windowMs() / 1000 / Math.max(1, replicas));
     }
 
-    /** Units that may be consumed now, by the server of each open limit. */
+    /** Returns the units that may be consumed now, by the server of each open limit. */
     Map<String, Integer> freeUnits(double countedMs, double wallMs) {
         var free = new TreeMap<String, Integer>();
         for (Server server : servers.values()) {
-            if (server.growth != null) {
-                int ofQuota = session.freeUnits(countedMs, wallMs, server.limit());
-                int ofGrowth = server.growth.free(countedMs, grownUnits(countedMs, wallMs, server));
-                free.put(server.endpoint.server(), ofQuota + ofGrowth);
+            if (server.warmUp != null) {
+                int fromQuota = session.freeUnits(countedMs, wallMs, server.limit());
+                int fromWarmUp =
+                        server.warmUp.free(countedMs, grownUnits(countedMs, wallMs, server));
+                free.put(server.endpoint.server(), fromQuota + fromWarmUp);
             }
         }
         return free;
--- a/cluster/src/main/java/sprucehold/cluster/allowance/WarmUpAllowance.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/WarmUpAllowance.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * This gatherer's equal part of the units by which a limit grows while a server warms up: its own,
- * and never lent. A use counts as long as one of a ledger does, so that no window holds more uses
- * than there are units at its end.
+ * This gatherer's equal part of the units by which a limit grows while a server warms up. The units
+ * are this gatherer's own and are never lent. A use counts as long as a use in a ledger does, so
+ * that no window contains more uses than there are units at its end.
  */
 final class WarmUpAllowance {
     private record Usage(double countsUntilMs, int units) {}
@@ -20,7 +20,7 @@
         this.usageCountsMs = usageCountsMs;
     }
 
-    /** Units free of so many. */
+    /** Returns how many of {@code units} are free. */
     int free(double nowMs, int units) {
         while (!usages.isEmpty() && usages.peek().countsUntilMs <= nowMs) {
             usages.poll();
--- a/cluster/src/main/java/sprucehold/cluster/allowance/package-info.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What a gatherer's decisions are told of the others, and what they consume of shared limits: which
- * limits there are now, how many units of each are this gatherer's own, and what may be consumed at
- * this moment. The entry point is {@link sprucehold.cluster.allowance.AllowanceTable}. Pure; it
- * must never decide which server a part goes to, nor grant more of a limit than its ledger and its
- * own part of the growth hold.
+ * The view that a gatherer's decisions have of the other gatherers, and their consumption of shared
+ * limits: which limits exist now, how many units of each are this gatherer's own, and how many may
+ * be consumed now. The entry point is {@link sprucehold.cluster.allowance.AllowanceTable}. The
+ * package is pure. It must never decide which server a part is sent to, nor grant more of a limit
+ * than the limit's ledger and this gatherer's own part of the growth contain.
  */
 package sprucehold.cluster.allowance;
--- a/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
@@ -21,20 +21,21 @@
 import sprucehold.cluster.session.ClusterMessage;
 
 /**
- * Peer messages to bytes and back: the edge at which names of the Avro schema {@code letter-1.avsc}
- * become ours. {@link WireNames} holds them, {@link MessageWriter} and {@link MessageReader} map
- * the records, {@link MessageFrame} puts the frame around.
+ * Encodes peer messages as bytes and decodes them. At this edge, the names of the Avro schema
+ * {@code letter-1.avsc} are mapped to those of this program: {@link WireNames} contains the names
+ * on the wire, {@link MessageWriter} and {@link MessageReader} map the records, and {@link
+ * MessageFrame} adds the frame.
  *
  * <table>
- * <caption>Names on the wire</caption>
- * <tr><th>wire</th><th>here</th></tr>
- * <tr><td>Letter</td><td>a message with sender, receiver and highest version read</td></tr>
+ * <caption>Names on the wire and in this program</caption>
+ * <tr><th>wire</th><th>program</th></tr>
+ * <tr><td>Letter</td><td>a message with sender, receiver and highest readable version</td></tr>
  * <tr><td>reads</td><td>{@link Received.Decoded#highestVersion}</td></tr>
  * <tr><td>Ping, Ack, PingFor</td><td>{@code MemberMessage.Ping, Ack, PingRequest}</td></tr>
  * <tr><td>Compare, Table</td><td>{@code MemberMessage.CompareDigest, MemberTable}</td></tr>
  * <tr><td>News, news</td><td>{@code MemberUpdate}, {@code updates}</td></tr>
  * <tr><td>life</td><td>{@code generation}</td></tr>
- * <tr><td>number</td><td>{@code sequenceNumber}; of a loan the number of the lease</td></tr>
+ * <tr><td>number</td><td>{@code sequenceNumber}; in a Loan the number of the lease</td></tr>
  * <tr><td>back</td><td>{@code replyWanted}</td></tr>
  * <tr><td>Shares, Share, bound</td><td>{@code QuotaPart, LimitMessage, limit}</td></tr>
  * <tr><td>Ask, Grant, Nothing</td><td>{@code LeaseRequest, LeaseGrant, LeaseRefusal}</td></tr>
@@ -48,20 +49,28 @@
  * </table>
  */
 public final class Codec {
-    /** Longest message that goes as a datagram, in bytes: it passes any usual network unsplit. */
+    /**
+     * Longest message sent as a datagram, in bytes; usual networks transmit it without
+     * fragmentation.
+     */
     public static final int MAX_DATAGRAM_BYTES = 1200;
 
-    /** Longest message that goes on a stream, in bytes: the table of ten thousand members. */
+    /**
+     * Longest message sent on a stream, in bytes; it has room for the table of ten thousand
+     * members.
+     */
     public static final int MAX_STREAM_BYTES = 1 << 20;
 
-    /** Version of a frame whose body says why the receiver's messages can't be read. */
+    /**
+     * Version of a frame whose body states why the messages of the frame's receiver can't be read.
+     */
     static final int REFUSAL_VERSION = 0;
 
     private static final int MAX_REFUSAL_BYTES = 200;
 
     static {
-        // Avro allocates what a length says before it looks whether so much is there: a few bytes
-        // would take all memory.
+        // Avro allocates the memory for a length field before it checks whether that many bytes
+        // follow. Without these limits, a message of a few bytes could exhaust the memory.
         System.setProperty(
                 "org.apache.avro.limits.string.maxLength", String.valueOf(MAX_DATAGRAM_BYTES));
         System.setProperty(
@@ -75,7 +84,7 @@
     private final NavigableMap<Integer, Schema> versions;
 
     /**
-     * Reads and writes all versions that this program knows.
+     * Creates a codec for all versions that this program knows.
      *
      * @param self this gatherer's name
      */
@@ -84,7 +93,7 @@
     }
 
     /**
-     * @param versions schemas by version; the highest is what messages are read into
+     * @param versions schemas by version; messages are decoded into the highest one
      */
     Codec(String self, NavigableMap<Integer, Schema> versions) {
         this.self = self;
@@ -99,27 +108,30 @@
         }
     }
 
-    /** The lowest version that this program writes; used for peers not heard from yet. */
+    /**
+     * Returns the lowest version that this program writes; it is used for peers whose highest
+     * version is unknown.
+     */
     public int lowest() {
         return versions.firstKey();
     }
 
-    /** The highest version that this program reads. */
+    /** Returns the highest version that this program reads. */
     public int highest() {
         return versions.lastKey();
     }
 
-    /** The version in which to write to a peer that reads up to {@code highestOfPeer}. */
+    /** Returns the version in which to write to a peer that reads up to {@code highestOfPeer}. */
     public int common(int highestOfPeer) {
         Integer version = versions.floorKey(highestOfPeer);
         return version == null ? lowest() : version;
     }
 
     /**
-     * Writes a message.
+     * Encodes a message.
      *
-     * @return more than {@link #MAX_DATAGRAM_BYTES} if it is to go on a stream; null if it is
-     *     longer than {@link #MAX_STREAM_BYTES}
+     * @return more than {@link #MAX_DATAGRAM_BYTES} bytes if the message has to be sent on a
+     *     stream; null if it is longer than {@link #MAX_STREAM_BYTES}
      */
     public byte[] write(String to, ClusterMessage message, int version) {
         Schema schema = versions.get(version);
@@ -127,8 +139,8 @@
         record.put(WireNames.FROM, self);
         record.put(WireNames.TO, to);
         record.put(WireNames.HIGHEST_VERSION, highest());
-        Schema bodies = schema.getField(WireNames.BODY).schema();
-        record.put(WireNames.BODY, new MessageWriter(bodies).body(message));
+        Schema bodyUnion = schema.getField(WireNames.BODY).schema();
+        record.put(WireNames.BODY, new MessageWriter(bodyUnion).body(message));
         putDefaults(schema, record);
         ByteArrayOutputStream frame = MessageFrame.begin(version);
         try {
@@ -142,7 +154,7 @@
         return bytes.length > MAX_STREAM_BYTES ? null : bytes;
     }
 
-    /** Fields of a later version that this program doesn't fill get their defaults. */
+    /** Sets the fields of a later version that this program doesn't know to their defaults. */
     private static void putDefaults(Schema schema, GenericRecord record) {
         for (Schema.Field field : schema.getFields()) {
             if (record.get(field.pos()) == null) {
@@ -151,7 +163,10 @@
         }
     }
 
-    /** The reply to a sender whose messages can't be read, of whom only a version is known. */
+    /**
+     * Creates the reply to a sender whose messages can't be read. Of such a message, only the
+     * version is known.
+     */
     public byte[] refusal(int version) {
         String reason =
                 "version "
@@ -166,7 +181,7 @@
         return MessageFrame.seal(frame.toByteArray());
     }
 
-    /** Reads whatever came; fails on no bytes. */
+    /** Decodes received bytes; never throws, whatever the bytes are. */
     public Received read(byte[] bytes) {
         if (bytes.length > MAX_STREAM_BYTES || !MessageFrame.isFrame(bytes)) {
             return new Received.Foreign("not a message");
@@ -195,7 +210,10 @@
         }
     }
 
-    /** For a log: no longer than a line, and without characters that would make it two. */
+    /**
+     * Extracts the reason for a log line: limited in length, and without control characters such as
+     * line breaks.
+     */
     private static String refusalReason(byte[] bytes) {
         int length = Math.min(MAX_REFUSAL_BYTES, bytes.length - MessageFrame.HEADER_BYTES);
         return new String(bytes, MessageFrame.HEADER_BYTES, length, StandardCharsets.UTF_8)
--- a/cluster/src/main/java/sprucehold/cluster/wire/MessageFrame.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/MessageFrame.java
@@ -16,14 +16,14 @@
 
     private MessageFrame() {}
 
-    /** A frame with its version and room for the checksum, to which the body is to be added. */
+    /** Begins a frame with its version and space for the checksum; the body is to be appended. */
     static ByteArrayOutputStream begin(int version) {
         var frame = new ByteArrayOutputStream(256);
         frame.writeBytes(new byte[] {'S', 'G', (byte) version, 0, 0, 0, 0});
         return frame;
     }
 
-    /** Writes the checksum into a frame that has its body, and returns that frame. */
+    /** Writes the checksum into a frame with its body, and returns that frame. */
     static byte[] seal(byte[] frame) {
         long checksum = checksum(frame);
         for (int i = 0; i < CHECKSUM_BYTES; i++) {
@@ -32,12 +32,12 @@
         return frame;
     }
 
-    /** Whether the bytes begin as a frame does and have a body. */
+    /** Whether the bytes begin with the magic bytes of a frame and have a body. */
     static boolean isFrame(byte[] bytes) {
         return bytes.length > HEADER_BYTES && bytes[0] == 'S' && bytes[1] == 'G';
     }
 
-    /** Whether a frame's checksum is that of its version and body. */
+    /** Whether a frame's checksum matches its version and body. */
     static boolean isIntact(byte[] frame) {
         long stated = 0;
         for (int i = 0; i < CHECKSUM_BYTES; i++) {
@@ -46,7 +46,7 @@
         return stated == checksum(frame);
     }
 
-    /** The version that a frame states. */
+    /** Returns the version stated in a frame. */
     static int version(byte[] frame) {
         return frame[VERSION_OFFSET] & 0xff;
     }
--- a/cluster/src/main/java/sprucehold/cluster/wire/MessageReader.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/MessageReader.java
@@ -11,9 +11,9 @@
 import sprucehold.cluster.quota.QuotaMessage;
 import sprucehold.cluster.session.ClusterMessage;
 
-/** Turns Avro records of the highest schema version into messages. */
+/** Converts Avro records of the highest schema version to messages. */
 final class MessageReader {
-    /** Longest array that a message may hold. */
+    /** Maximum number of items in an array of a message. */
     static final int MAX_ITEMS = 10_000;
 
     private MessageReader() {}
@@ -21,7 +21,7 @@
     /**
      * Reads the body of a message.
      *
-     * @throws IllegalArgumentException if it is of no known kind, or an array in it is too long
+     * @throws IllegalArgumentException if the body's kind is unknown, or an array in it is too long
      */
     static ClusterMessage message(String from, GenericRecord body) {
         String kind = body.getSchema().getName();
@@ -63,7 +63,7 @@
         };
     }
 
-    /** A field that holds text. */
+    /** Returns the value of a text field. */
     static String text(GenericRecord record, String field) {
         return record.get(field).toString();
     }
--- a/cluster/src/main/java/sprucehold/cluster/wire/MessageWriter.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/MessageWriter.java
@@ -13,16 +13,16 @@
 import sprucehold.cluster.quota.QuotaMessage;
 import sprucehold.cluster.session.ClusterMessage;
 
-/** Turns messages into Avro records of one schema version. */
+/** Converts messages to Avro records of one schema version. */
 final class MessageWriter {
-    /** The union of all kinds of body. */
-    private final Schema bodies;
+    /** Schema of the union of all kinds of body. */
+    private final Schema bodyUnion;
 
-    MessageWriter(Schema bodies) {
-        this.bodies = bodies;
+    MessageWriter(Schema bodyUnion) {
+        this.bodyUnion = bodyUnion;
     }
 
-    /** The body of a message as a record of the schema. */
+    /** Returns the body of a message as a record of the schema. */
     GenericRecord body(ClusterMessage message) {
         if (message instanceof ClusterMessage.MembershipPart membership) {
             return membership(membership.message());
@@ -58,7 +58,7 @@
     }
 
     private GenericRecord memberRecord(String kind, MemberMessage message) {
-        GenericRecord record = record(bodies, kind);
+        GenericRecord record = record(bodyUnion, kind);
         record.put(
                 WireNames.UPDATES,
                 records(record, WireNames.UPDATES, message.updates(), MessageWriter::putUpdate));
@@ -75,7 +75,7 @@
     }
 
     private GenericRecord quota(ClusterMessage.QuotaPart quota) {
-        GenericRecord record = record(bodies, WireNames.QUOTA_PART);
+        GenericRecord record = record(bodyUnion, WireNames.QUOTA_PART);
         record.put(
                 WireNames.LIMIT_MESSAGES,
                 records(
@@ -130,16 +130,17 @@
     }
 
     private static void putLease(GenericRecord record, Lease lease) {
-        var loan = new GenericData.Record(record.getSchema().getField(WireNames.LEASE).schema());
-        loan.put(WireNames.LENDER, lease.lender());
-        loan.put(WireNames.EPOCH, lease.epoch());
-        loan.put(WireNames.LEASE_NUMBER, lease.number());
-        loan.put(WireNames.UNITS, lease.units());
-        record.put(WireNames.LEASE, loan);
+        var leaseRecord =
+                new GenericData.Record(record.getSchema().getField(WireNames.LEASE).schema());
+        leaseRecord.put(WireNames.LENDER, lease.lender());
+        leaseRecord.put(WireNames.EPOCH, lease.epoch());
+        leaseRecord.put(WireNames.LEASE_NUMBER, lease.number());
+        leaseRecord.put(WireNames.UNITS, lease.units());
+        record.put(WireNames.LEASE, leaseRecord);
     }
 
     private GenericRecord observations(ClusterMessage.ObservationPart part) {
-        GenericRecord record = record(bodies, WireNames.OBSERVATION_PART);
+        GenericRecord record = record(bodyUnion, WireNames.OBSERVATION_PART);
         record.put(
                 WireNames.COUNTERS,
                 records(record, WireNames.COUNTERS, part.counters(), MessageWriter::putCounter));
@@ -177,10 +178,10 @@
                 .orElseThrow();
     }
 
-    /** Records for an array field of another record. */
+    /** Creates the records for an array field of another record. */
     private static <T> List<GenericRecord> records(
-            GenericRecord of, String field, List<T> values, BiConsumer<GenericRecord, T> put) {
-        Schema item = of.getSchema().getField(field).schema().getElementType();
+            GenericRecord parent, String field, List<T> values, BiConsumer<GenericRecord, T> put) {
+        Schema item = parent.getSchema().getField(field).schema().getElementType();
         return values.stream()
                 .map(
                         value -> {
--- a/cluster/src/main/java/sprucehold/cluster/wire/Received.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Received.java
@@ -2,30 +2,30 @@
 
 import sprucehold.cluster.session.ClusterMessage;
 
-/** What bytes that came turned out to be. */
+/** Result of decoding received bytes. */
 public sealed interface Received {
     /**
      * A message to this gatherer.
      *
-     * @param from the sender's name, as it states it
+     * @param from the sender's name, as stated by the sender
      * @param highestVersion the highest version that the sender can read
      */
     record Decoded(String from, int highestVersion, ClusterMessage message) implements Received {}
 
-    /** Of a version that can't be read here: its sender should be told, once. */
+    /** A message of a version that this program can't read; its sender should be notified, once. */
     record UnknownVersion(int version) implements Received {}
 
     /**
-     * The sender can't read this gatherer's messages.
+     * A notification that the sender can't read this gatherer's messages.
      *
-     * @param reason for a log
+     * @param reason text for a log
      */
     record VersionRefused(String reason) implements Received {}
 
     /**
-     * No intact message to this gatherer; it is ignored.
+     * Bytes that are not an intact message to this gatherer; they are ignored.
      *
-     * @param reason for a log
+     * @param reason text for a log
      */
     record Foreign(String reason) implements Received {}
 }
--- a/cluster/src/main/java/sprucehold/cluster/wire/WireNames.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/WireNames.java
@@ -1,6 +1,9 @@
 package sprucehold.cluster.wire;
 
-/** Names of records and fields in the Avro schema of peer messages; {@link Codec} has the table. */
+/**
+ * Names of records and fields in the Avro schema of peer messages; the documentation of {@link
+ * Codec} lists the corresponding names in this program.
+ */
 final class WireNames {
     static final String FROM = "from";
     static final String TO = "to";
