--- a/cluster/src/main/java/sprucehold/cluster/simulation/EventQueue.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EventQueue.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * The events of a simulation in the order of their time, and of two at one time in the order in
- * which they were scheduled. Times are milliseconds of simulated time.
+ * The events of a simulation, ordered by time. Events at the same time are ordered as they were
+ * scheduled. Times are milliseconds of simulated time.
  */
 final class EventQueue {
     private record Event(double atMs, long order, Runnable action) {}
@@ -16,7 +16,7 @@
     private double nowMs;
     private long scheduled;
 
-    /** The time of the event that is running. */
+    /** Returns the time of the event that is running. */
     double nowMs() {
         return nowMs;
     }
@@ -25,7 +25,7 @@
         events.add(new Event(atMs, scheduled++, action));
     }
 
-    /** Runs all events up to that time, those included that they schedule. */
+    /** Runs all events up to {@code endMs}, including those scheduled by other events. */
     void runUntil(double endMs) {
         while (!events.isEmpty() && events.peek().atMs <= endMs) {
             Event event = events.poll();
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -13,24 +13,28 @@
 import sprucehold.cluster.session.SessionSettings;
 
 /**
- * A fleet one of whose shard servers fails from a moment on: how soon its gatherers know that, each
- * alone and by the others.
+ * Simulates a fleet with a shard server that fails from some time on. Measures how soon the
+ * gatherers detect the failure, each by its own attempts and by the observations of the others.
  */
 public final class EvidenceSimulation {
-    private static final int SOUND = 5;
-    private static final double WALL = 1.7e12;
+    private static final int HEALTHY_SERVERS = 5;
+    private static final double WALL_START_MS = 1.7e12;
 
-    /** Who has told all of all by then, as after a start long ago. */
+    /**
+     * Time at which the shard server begins to fail, in milliseconds. By then, all gatherers have
+     * exchanged their observations, as in a fleet that started long ago.
+     */
     private static final double FAILS_AT_MS = 3000;
 
-    /** The failure score above which the decisions avoid a server. */
+    /** Failure score above which the decisions avoid a server. */
     private static final double FAILURE_SCORE_LIMIT = 0.5;
 
     /**
-     * What is played.
+     * Settings of a simulation.
      *
-     * @param attemptsPerSecond attempts a second of each gatherer to each shard server
-     * @param lyingObserver whether the first gatherer sees all servers fail, and none does
+     * @param attemptsPerSecond attempts per second of each gatherer to each shard server
+     * @param lyingObserver whether the first gatherer reports that all servers fail although none
+     *     does
      */
     public record Setting(
             int members,
@@ -41,14 +45,16 @@
             boolean lyingObserver) {}
 
     /**
-     * What came of it; NaN where not all ever knew.
+     * Result of a simulation; a time is NaN if not enough gatherers detected the failure.
      *
-     * @param aloneMedianMs until a gatherer's own second failure there, after the first moment;
-     *     {@code aloneAllMs} of the last one
-     * @param toldMedianMs until it holds by the others that the server fails; {@code toldAllMs} of
-     *     the last one
-     * @param falselySuspecting gatherers that held a sound server to fail at some moment
-     * @param messagesPerSecond a gatherer and second
+     * @param aloneMedianMs median time from the begin of the failure to a gatherer's own second
+     *     failed attempt; {@code aloneAllMs} is the time of the last gatherer
+     * @param toldMedianMs median time from the begin of the failure until a gatherer considers the
+     *     server failing by the observations of others; {@code toldAllMs} is the time of the last
+     *     gatherer
+     * @param falselySuspecting number of gatherers that considered a healthy server failing at any
+     *     time
+     * @param messagesPerSecond messages per gatherer and second
      */
     public record Result(
             double aloneMedianMs,
@@ -63,8 +69,8 @@
     private final List<CoordinationSession> sessions = new ArrayList<>();
     private final EventQueue events = new EventQueue();
     private final int[] failures;
-    private final double[] aloneAt;
-    private final double[] toldAt;
+    private final double[] aloneAtMs;
+    private final double[] toldAtMs;
     private final boolean[] falselySuspecting;
     private long messages;
 
@@ -72,8 +78,8 @@
         this.setting = setting;
         this.random = new Random(seed);
         this.failures = new int[setting.members];
-        this.aloneAt = nan();
-        this.toldAt = nan();
+        this.aloneAtMs = nan();
+        this.toldAtMs = nan();
         this.falselySuspecting = new boolean[setting.members];
     }
 
@@ -83,7 +89,7 @@
         return all;
     }
 
-    /** Plays it; the same for the same seed. */
+    /** Runs a simulation. The result is the same for the same seed. */
     public static Result play(Setting setting, long seed) {
         return new EvidenceSimulation(setting, seed).play();
     }
@@ -111,30 +117,30 @@
                             sites,
                             random.nextLong(),
                             0,
-                            WALL);
+                            WALL_START_MS);
             sessions.add(session);
             session.receive(
                     0,
-                    WALL,
+                    WALL_START_MS,
                     name((i + 1) % setting.members),
                     new ClusterMessage.MembershipPart(new MemberMessage.MemberTable(false, all)));
             int member = i;
             events.schedule(random.nextDouble() * session.tickMs(), () -> tick(member));
-            for (int server = 0; server <= SOUND; server++) {
+            for (int server = 0; server <= HEALTHY_SERVERS; server++) {
                 scheduleAttempt(member, server);
             }
         }
         events.runUntil(setting.lengthMs);
-        int believed = 0;
-        for (boolean one : falselySuspecting) {
-            believed += one ? 1 : 0;
+        int suspecting = 0;
+        for (boolean suspects : falselySuspecting) {
+            suspecting += suspects ? 1 : 0;
         }
         return new Result(
-                median(aloneAt),
-                last(aloneAt),
-                median(toldAt),
-                last(toldAt),
-                believed,
+                median(aloneAtMs),
+                last(aloneAtMs),
+                median(toldAtMs),
+                last(toldAtMs),
+                suspecting,
                 messages / (double) setting.members / setting.lengthMs * 1000);
     }
 
@@ -147,36 +153,39 @@
                     sessions.get(member)
                             .recordAttempt(
                                     events.nowMs(),
-                                    WALL + events.nowMs(),
+                                    WALL_START_MS + events.nowMs(),
                                     "s-" + server,
                                     "site-0",
                                     0,
                                     !fails);
                     if (fails && server == 0 && ++failures[member] == 2) {
-                        aloneAt[member] = events.nowMs() - FAILS_AT_MS;
+                        aloneAtMs[member] = events.nowMs() - FAILS_AT_MS;
                     }
                     scheduleAttempt(member, server);
                 });
     }
 
-    /** Whether a member sees a server fail: the first one does, or the lying member sees all. */
+    /**
+     * Whether a member observes a server as failing. The first server fails for all members; with
+     * {@code lyingObserver}, the first member observes all servers as failing.
+     */
     private boolean isFailing(int member, int server) {
         return setting.lyingObserver ? member == 0 : server == 0 && events.nowMs() >= FAILS_AT_MS;
     }
 
     private void tick(int member) {
         CoordinationSession session = sessions.get(member);
-        send(member, session.tick(events.nowMs(), WALL + events.nowMs()));
-        for (int server = 0; server <= SOUND; server++) {
+        send(member, session.tick(events.nowMs(), WALL_START_MS + events.nowMs()));
+        for (int server = 0; server <= HEALTHY_SERVERS; server++) {
             boolean suspected =
-                    session.assess(events.nowMs(), WALL + events.nowMs(), "s-" + server, 0)
+                    session.assess(events.nowMs(), WALL_START_MS + events.nowMs(), "s-" + server, 0)
                                     .failureScore()
                             > FAILURE_SCORE_LIMIT;
             if (suspected
                     && server == 0
                     && !setting.lyingObserver
-                    && Double.isNaN(toldAt[member])) {
-                toldAt[member] = events.nowMs() - FAILS_AT_MS;
+                    && Double.isNaN(toldAtMs[member])) {
+                toldAtMs[member] = events.nowMs() - FAILS_AT_MS;
             }
             falselySuspecting[member] |= suspected && (server > 0 || setting.lyingObserver);
         }
@@ -184,21 +193,21 @@
     }
 
     private void send(int from, List<CoordinationSession.Outgoing> out) {
-        for (CoordinationSession.Outgoing one : out) {
+        for (CoordinationSession.Outgoing outgoing : out) {
             messages++;
-            if (!setting.network.loses(random)) {
-                int to = Integer.parseInt(one.to().substring(1));
+            if (!setting.network.isLost(random)) {
+                int to = Integer.parseInt(outgoing.to().substring(1));
                 events.schedule(
-                        events.nowMs() + setting.network.way(random),
+                        events.nowMs() + setting.network.drawDelayMs(random),
                         () ->
                                 send(
                                         to,
                                         sessions.get(to)
                                                 .receive(
                                                         events.nowMs(),
-                                                        WALL + events.nowMs(),
+                                                        WALL_START_MS + events.nowMs(),
                                                         name(from),
-                                                        one.message())));
+                                                        outgoing.message())));
             }
         }
     }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
@@ -10,18 +10,20 @@
 import sprucehold.cluster.membership.MemberMessage;
 
 /**
- * Each tells all that it is there, every period; who is silent for five is held to be dead. To
- * compare with.
+ * Failure detection for comparison: each member sends a heartbeat to all others every period. A
+ * member without a heartbeat for five periods is considered dead.
  */
 final class HeartbeatsToAll implements FailureDetector {
     private static final double PERIOD_MS = 1000;
-    private static final double SILENT_MS = 5 * PERIOD_MS;
+    private static final double TIMEOUT_MS = 5 * PERIOD_MS;
 
-    private final TreeMap<String, Double> heardAt = new TreeMap<>();
+    private final TreeMap<String, Double> receivedAtMs = new TreeMap<>();
     private double now;
 
     HeartbeatsToAll(String name, Collection<String> all) {
-        all.stream().filter(one -> !one.equals(name)).forEach(one -> heardAt.put(one, 0.0));
+        all.stream()
+                .filter(peer -> !peer.equals(name))
+                .forEach(peer -> receivedAtMs.put(peer, 0.0));
     }
 
     @Override
@@ -33,27 +35,27 @@
     public List<Outgoing> tick(double nowMs) {
         now = nowMs;
         var out = new ArrayList<Outgoing>();
-        heardAt.keySet()
-                .forEach(one -> out.add(new Outgoing(one, new MemberMessage.Ping(0, List.of()))));
+        receivedAtMs.keySet()
+                .forEach(peer -> out.add(new Outgoing(peer, new MemberMessage.Ping(0, List.of()))));
         return out;
     }
 
     @Override
     public List<Outgoing> receive(double nowMs, String from, MemberMessage message) {
         now = nowMs;
-        heardAt.put(from, nowMs);
+        receivedAtMs.put(from, nowMs);
         return List.of();
     }
 
     @Override
     public Set<String> alive() {
-        var there = new TreeSet<String>();
-        heardAt.forEach(
+        var alive = new TreeSet<String>();
+        receivedAtMs.forEach(
                 (name, at) -> {
-                    if (now - at < SILENT_MS) {
-                        there.add(name);
+                    if (now - at < TIMEOUT_MS) {
+                        alive.add(name);
                     }
                 });
-        return there;
+        return alive;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
@@ -12,11 +12,11 @@
 import sprucehold.cluster.membership.Membership;
 
 /**
- * A fleet that watches itself, in simulated time: how soon all know of a death, and who is held
- * dead and isn't.
+ * Simulates the membership of a fleet in simulated time. Measures how soon all members detect a
+ * death, and which members are wrongly considered dead.
  */
 public final class MembershipSimulation {
-    /** Ways to know who is there. */
+    /** Algorithms of failure detection. */
     public enum Way {
         HEARTBEATS_TO_ALL,
         SWIM_WITHOUT_SUSPICION,
@@ -25,23 +25,26 @@
     }
 
     /**
-     * What is played.
+     * Settings of a simulation.
      *
-     * @param faults {@link SimulatedFault.Kind#DEAD} is a death that is to be known, all others are
-     *     none
+     * @param faults a fault of kind {@link SimulatedFault.Kind#DEAD} is a death that is to be
+     *     detected; the other kinds are not
      */
     public record Setting(
             int members, double lengthMs, Network network, List<SimulatedFault> faults) {}
 
     /**
-     * What came of it.
+     * Result of a simulation.
      *
-     * @param firstMs when the first of those alive knew of each death, after it, at the median; NaN
-     *     where none did
-     * @param allMs when the last of those alive knew, likewise; NaN where not all ever did
-     * @param falselyDead times that a member held another dead, and nothing had befallen either
-     * @param wrongAtEnd pairs of members up, one of which holds the other dead at the end
-     * @param messages a member and second
+     * @param firstMs median over all deaths of the time from a death to its detection by the first
+     *     of those alive; NaN where none detected it
+     * @param allMs median over all deaths of the time from a death to its detection by the last of
+     *     those alive; NaN where not all detected it
+     * @param falselyDead number of times that a member considered another dead although neither had
+     *     a fault
+     * @param wrongAtEnd number of pairs of running members of which the first considers the second
+     *     dead at the end
+     * @param messages messages per member and second
      */
     public record Result(
             double firstMs, double allMs, long falselyDead, long wrongAtEnd, double messages) {}
@@ -51,16 +54,17 @@
     private final Random random;
     private final EventQueue events = new EventQueue();
     private final List<FailureDetector> members = new ArrayList<>();
-    private final List<List<Runnable>> later = new ArrayList<>();
-    private final List<Set<String>> believed = new ArrayList<>();
-    private final Map<Integer, TreeMap<Double, Integer>> knownBy = new HashMap<>();
+    private final List<List<Runnable>> deferred = new ArrayList<>();
+    private final List<Set<String>> lastAlive = new ArrayList<>();
+    private final Map<Integer, TreeMap<Double, Integer>> detections = new HashMap<>();
 
     /**
-     * How closely times to know are told: looking at a thousand views costs more than making them.
+     * Interval between two checks of a member's view, in milliseconds; the resolution of the
+     * detection times. Comparing a thousand views takes longer than computing them.
      */
-    private final double lookMs;
+    private final double checkIntervalMs;
 
-    private final double[] lookedAt;
+    private final double[] checkedAtMs;
     private long messages;
     private long falselyDead;
 
@@ -68,11 +72,11 @@
         this.setting = setting;
         this.way = way;
         this.random = new Random(seed);
-        this.lookMs = setting.members > 200 ? 1000 : 200;
-        this.lookedAt = new double[setting.members];
+        this.checkIntervalMs = setting.members > 200 ? 1000 : 200;
+        this.checkedAtMs = new double[setting.members];
     }
 
-    /** Plays it; the same for the same seed. */
+    /** Runs a simulation. The result is the same for the same seed. */
     public static Result play(Setting setting, Way way, long seed) {
         return new MembershipSimulation(setting, way, seed).play();
     }
@@ -90,31 +94,31 @@
             case PHI_GOSSIP -> new PhiGossip(name(member), all, own);
             case SWIM, SWIM_WITHOUT_SUSPICION -> {
                 var seeds = new TreeMap<String, String>();
-                all.forEach(one -> seeds.put(one, "a"));
-                // As after a start long ago: all know of all.
+                all.forEach(other -> seeds.put(other, "a"));
+                // All members know of each other, as in a fleet that started long ago.
                 yield new Membership(
                         name(member), "a", 1 + (long) events.nowMs(), seeds, own, way == Way.SWIM);
             }
         };
     }
 
-    private boolean is(SimulatedFault.Kind kind, int member) {
+    private boolean hasFault(SimulatedFault.Kind kind, int member) {
         return setting.faults.stream()
                 .anyMatch(
-                        one ->
-                                one.kind() == kind
-                                        && one.members().contains(member)
-                                        && one.isActiveAt(events.nowMs()));
+                        fault ->
+                                fault.kind() == kind
+                                        && fault.members().contains(member)
+                                        && fault.isActiveAt(events.nowMs()));
     }
 
-    private void act(int member, Runnable what) {
-        if (is(SimulatedFault.Kind.PAUSED, member)) {
-            later.get(member).add(what);
-        } else if (!is(SimulatedFault.Kind.DEAD, member)) {
-            what.run();
-            if (events.nowMs() - lookedAt[member] >= lookMs) {
-                lookedAt[member] = events.nowMs();
-                believe(member);
+    private void runWhenUp(int member, Runnable action) {
+        if (hasFault(SimulatedFault.Kind.PAUSED, member)) {
+            deferred.get(member).add(action);
+        } else if (!hasFault(SimulatedFault.Kind.DEAD, member)) {
+            action.run();
+            if (events.nowMs() - checkedAtMs[member] >= checkIntervalMs) {
+                checkedAtMs[member] = events.nowMs();
+                recordDetections(member);
             }
         }
     }
@@ -123,8 +127,8 @@
         for (int i = 0; i < setting.members; i++) {
             int member = i;
             members.add(detector(i));
-            later.add(new ArrayList<>());
-            believed.add(Set.of());
+            deferred.add(new ArrayList<>());
+            lastAlive.add(Set.of());
             events.schedule(random.nextDouble() * members.get(i).tickMs(), () -> tick(member));
         }
         for (SimulatedFault fault : setting.faults) {
@@ -133,16 +137,16 @@
                     events.schedule(
                             fault.toMs(),
                             () -> {
-                                List<Runnable> late = List.copyOf(later.get(member));
-                                later.get(member).clear();
-                                late.forEach(what -> act(member, what));
+                                List<Runnable> actions = List.copyOf(deferred.get(member));
+                                deferred.get(member).clear();
+                                actions.forEach(action -> runWhenUp(member, action));
                             });
                 } else if (fault.kind() == SimulatedFault.Kind.DEAD) {
                     events.schedule(
                             fault.toMs(),
                             () -> {
                                 members.set(member, detector(member));
-                                believed.set(member, Set.of());
+                                lastAlive.set(member, Set.of());
                             });
                 }
             }
@@ -152,7 +156,7 @@
     }
 
     private void tick(int member) {
-        act(
+        runWhenUp(
                 member,
                 () -> members.get(member).tick(events.nowMs()).forEach(out -> send(member, out)));
         events.schedule(events.nowMs() + members.get(member).tickMs(), () -> tick(member));
@@ -161,21 +165,21 @@
     private void send(int from, FailureDetector.Outgoing out) {
         messages++;
         int to = Integer.parseInt(out.to().substring(1));
-        for (int copies = setting.network.doubles(random) ? 2 : 1; copies > 0; copies--) {
-            boolean lost = setting.network.loses(random);
-            double left = events.nowMs();
-            double way = setting.network.way(random);
+        for (int copies = setting.network.isDuplicated(random) ? 2 : 1; copies > 0; copies--) {
+            boolean lost = setting.network.isLost(random);
+            double sentMs = events.nowMs();
+            double delayMs = setting.network.drawDelayMs(random);
             if (!lost) {
                 events.schedule(
-                        events.nowMs() + way,
+                        events.nowMs() + delayMs,
                         () -> {
                             if (setting.faults.stream()
                                     .noneMatch(
-                                            one ->
-                                                    one.cuts(from, to, left)
-                                                            || one.cuts(
+                                            fault ->
+                                                    fault.cuts(from, to, sentMs)
+                                                            || fault.cuts(
                                                                     from, to, events.nowMs()))) {
-                                act(
+                                runWhenUp(
                                         to,
                                         () ->
                                                 members.get(to)
@@ -183,42 +187,42 @@
                                                                 events.nowMs(),
                                                                 name(from),
                                                                 out.message())
-                                                        .forEach(more -> send(to, more)));
+                                                        .forEach(reply -> send(to, reply)));
                             }
                         });
             }
         }
     }
 
-    /** Notes whom a member holds to be there no more. */
-    private void believe(int member) {
-        Set<String> there = members.get(member).alive();
-        for (String gone : believed.get(member)) {
-            if (!there.contains(gone)) {
+    /** Records which members a member no longer considers alive. */
+    private void recordDetections(int member) {
+        Set<String> alive = members.get(member).alive();
+        for (String gone : lastAlive.get(member)) {
+            if (!alive.contains(gone)) {
                 int other = Integer.parseInt(gone.substring(1));
-                if (is(SimulatedFault.Kind.DEAD, other)) {
-                    knownBy.computeIfAbsent(other, none -> new TreeMap<>())
+                if (hasFault(SimulatedFault.Kind.DEAD, other)) {
+                    detections.computeIfAbsent(other, none -> new TreeMap<>())
                             .merge(events.nowMs(), 1, Integer::sum);
-                } else if (!excused(member) && !excused(other)) {
+                } else if (!hasRecentFault(member) && !hasRecentFault(other)) {
                     falselyDead++;
                 }
             }
         }
-        believed.set(member, there);
+        lastAlive.set(member, alive);
     }
 
     /**
-     * Whether something befalls it, or did not long ago: longer than a suspicion takes and the news
-     * of it.
+     * Whether a member has a fault or had one less than 60 seconds ago; a cut-off counts as a fault
+     * of all members. Sixty seconds are longer than a suspicion and its dissemination take.
      */
-    private boolean excused(int member) {
+    private boolean hasRecentFault(int member) {
         return setting.faults.stream()
                 .anyMatch(
-                        one ->
-                                events.nowMs() >= one.fromMs()
-                                        && events.nowMs() < one.toMs() + 60_000
-                                        && (one.members().contains(member)
-                                                || one.kind() == SimulatedFault.Kind.CUT_OFF));
+                        fault ->
+                                events.nowMs() >= fault.fromMs()
+                                        && events.nowMs() < fault.toMs() + 60_000
+                                        && (fault.members().contains(member)
+                                                || fault.kind() == SimulatedFault.Kind.CUT_OFF));
     }
 
     private Result result() {
@@ -229,7 +233,7 @@
                 continue;
             }
             for (int dead : fault.members()) {
-                TreeMap<Double, Integer> by = knownBy.getOrDefault(dead, new TreeMap<>());
+                TreeMap<Double, Integer> by = detections.getOrDefault(dead, new TreeMap<>());
                 first.add(by.isEmpty() ? Double.NaN : by.firstKey() - fault.fromMs());
                 int up = setting.members - fault.members().size();
                 all.add(
@@ -242,8 +246,8 @@
         for (int i = 0; i < setting.members; i++) {
             for (int j = 0; j < setting.members; j++) {
                 if (i != j
-                        && !is(SimulatedFault.Kind.DEAD, i)
-                        && !is(SimulatedFault.Kind.DEAD, j)
+                        && !hasFault(SimulatedFault.Kind.DEAD, i)
+                        && !hasFault(SimulatedFault.Kind.DEAD, j)
                         && !members.get(i).alive().contains(name(j))) {
                     wrong++;
                 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/Network.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/Network.java
@@ -3,27 +3,30 @@
 import java.util.Random;
 
 /**
- * What becomes of a message between two members of a simulated fleet.
+ * Delay, loss and duplication of messages between members of a simulated fleet.
  *
- * @param wayMs median of the time on the way; one in a hundred takes twenty times as long
- * @param lose share of messages lost
- * @param twice share of messages that come twice
+ * @param delayMs median delay in milliseconds; one message in a hundred takes twenty times as long
+ * @param lossRate share of messages that are lost
+ * @param duplicationRate share of messages that are delivered twice
  */
-public record Network(double wayMs, double lose, double twice) {
-    /** A way within one installation, and no faults. */
+public record Network(double delayMs, double lossRate, double duplicationRate) {
+    /** The delay within one installation, without loss or duplication. */
     public static final Network SOUND = new Network(0.5, 0, 0);
 
-    boolean loses(Random random) {
-        return random.nextDouble() < lose;
+    boolean isLost(Random random) {
+        return random.nextDouble() < lossRate;
     }
 
-    boolean doubles(Random random) {
-        return random.nextDouble() < twice;
+    boolean isDuplicated(Random random) {
+        return random.nextDouble() < duplicationRate;
     }
 
-    /** A time on the way, in milliseconds: log-normal with half a spread, and a tail. */
-    double way(Random random) {
-        double way = wayMs * Math.exp(0.5 * random.nextGaussian());
-        return random.nextDouble() < 0.01 ? 20 * way : way;
+    /**
+     * Draws a delay in milliseconds. The delays follow a log-normal distribution with a sigma of
+     * 0.5, and one in a hundred is multiplied by 20.
+     */
+    double drawDelayMs(Random random) {
+        double drawnMs = delayMs * Math.exp(0.5 * random.nextGaussian());
+        return random.nextDouble() < 0.01 ? 20 * drawnMs : drawnMs;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -12,24 +12,28 @@
 import sprucehold.cluster.membership.MemberUpdate;
 
 /**
- * Each counts up a heartbeat a period and tells the whole table to three others drawn by chance;
- * who hasn't counted up for far longer than it used to is held to be dead: phi accrual (Hayashibara
- * and others 2004) at 8 on a normal distribution of the times between two counts. To compare with.
+ * Failure detection for comparison: each member increments its heartbeat count every period, and
+ * sends the whole table to three random members. A member is considered dead if its count hasn't
+ * increased for far longer than usual: phi accrual (Hayashibara and others 2004) with a threshold
+ * of 8 and a normal distribution of the times between two increments.
  */
 final class PhiGossip implements FailureDetector {
     private static final double PERIOD_MS = 1000;
     private static final int FANOUT = 3;
 
-    /** Pieces of a table in a datagram, as the membership has. */
+    /** Number of entries of a table in one message, the same as in {@link Membership}. */
     private static final int CHUNK_SIZE = 12;
 
-    /** Standard deviations beyond the mean at which phi is 8. */
+    /** Number of standard deviations above the mean at which phi is 8. */
     private static final double DEVIATIONS = 5.6;
 
-    /** Guards against times so even that the least delay would kill. */
-    private static final double LEAST_DEVIATION_MS = PERIOD_MS / 4;
+    /**
+     * Minimum standard deviation, in milliseconds. Without it, a member with very regular
+     * heartbeats would be considered dead after the slightest delay.
+     */
+    private static final double MIN_DEVIATION_MS = PERIOD_MS / 4;
 
-    private static final class Beats {
+    private static final class HeartbeatHistory {
         int count;
         double atMs;
         double mean = PERIOD_MS;
@@ -38,13 +42,13 @@
 
     private final String name;
     private final Random random;
-    private final TreeMap<String, Beats> all = new TreeMap<>();
+    private final TreeMap<String, HeartbeatHistory> histories = new TreeMap<>();
     private double now;
 
     PhiGossip(String name, Collection<String> all, Random random) {
         this.name = name;
         this.random = random;
-        all.forEach(one -> this.all.put(one, new Beats()));
+        all.forEach(member -> histories.put(member, new HeartbeatHistory()));
     }
 
     @Override
@@ -55,20 +59,20 @@
     @Override
     public List<Outgoing> tick(double nowMs) {
         now = nowMs;
-        all.get(name).count++;
+        histories.get(name).count++;
         var out = new ArrayList<Outgoing>();
         List<String> others = new ArrayList<>(alive());
         for (int i = 0; i < Math.min(FANOUT, others.size()); i++) {
             String to = others.get(random.nextInt(others.size()));
             var chunk = new ArrayList<MemberUpdate>();
-            for (var one : all.entrySet()) {
-                if (one.getValue().count > 0) {
+            for (var entry : histories.entrySet()) {
+                if (entry.getValue().count > 0) {
                     chunk.add(
                             new MemberUpdate(
-                                    one.getKey(),
+                                    entry.getKey(),
                                     "",
                                     1,
-                                    one.getValue().count,
+                                    entry.getValue().count,
                                     MemberUpdate.State.ALIVE));
                 }
                 if (chunk.size() == CHUNK_SIZE) {
@@ -89,17 +93,19 @@
     public List<Outgoing> receive(double nowMs, String from, MemberMessage message) {
         now = nowMs;
         for (MemberUpdate update : message.updates()) {
-            Beats beats = all.get(update.name());
-            if (update.incarnation() > beats.count) {
-                double took = now - beats.atMs;
-                if (beats.count > 0) {
-                    // The last ten or so count.
-                    beats.variance +=
-                            0.1 * ((took - beats.mean) * (took - beats.mean) - beats.variance);
-                    beats.mean += 0.1 * (took - beats.mean);
+            HeartbeatHistory history = histories.get(update.name());
+            if (update.incarnation() > history.count) {
+                double intervalMs = now - history.atMs;
+                if (history.count > 0) {
+                    // Exponential moving averages over about the last ten intervals.
+                    history.variance +=
+                            0.1
+                                    * ((intervalMs - history.mean) * (intervalMs - history.mean)
+                                            - history.variance);
+                    history.mean += 0.1 * (intervalMs - history.mean);
                 }
-                beats.count = update.incarnation();
-                beats.atMs = now;
+                history.count = update.incarnation();
+                history.atMs = now;
             }
         }
         return List.of();
@@ -107,15 +113,15 @@
 
     @Override
     public Set<String> alive() {
-        var there = new TreeSet<String>();
+        var alive = new TreeSet<String>();
         all.forEach(
-                (one, beats) -> {
-                    double deviation = Math.max(LEAST_DEVIATION_MS, Math.sqrt(beats.variance));
-                    if (!one.equals(name)
-                            && now - beats.atMs < beats.mean + DEVIATIONS * deviation) {
-                        there.add(one);
+                (member, history) -> {
+                    double deviation = Math.max(MIN_DEVIATION_MS, Math.sqrt(history.variance));
+                    if (!member.equals(name)
+                            && now - history.atMs < history.mean + DEVIATIONS * deviation) {
+                        alive.add(member);
                     }
                 });
-        return there;
+        return alive;
     }
 }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -12,16 +12,17 @@
 import sprucehold.cluster.quota.QuotaLedger;
 
 /**
- * A fleet that shares one bound, in simulated time: who wanted how much, who got it, and what any
- * window saw at the most.
+ * Simulates a fleet that shares one limit, in simulated time. Measures how much of the wanted use
+ * is granted, and the units sent in the fullest window.
  */
 public final class QuotaSimulation {
     /**
-     * What is played.
+     * Settings of a simulation.
      *
      * @param limit units in any window over the whole fleet
-     * @param demand uses wanted a second, by member and time in milliseconds
-     * @param drift clocks run fast or slow by up to this share, each by its own
+     * @param demand uses wanted per second, by member and time in milliseconds
+     * @param drift maximum deviation of a clock's rate as a share of it; each member's clock has
+     *     its own deviation
      */
     public record Setting(
             int members,
@@ -35,13 +36,15 @@
             ToDoubleBiFunction<Integer, Double> demand) {}
 
     /**
-     * What came of it.
+     * Result of a simulation.
      *
-     * @param wanted uses wanted while their member was up; {@code got} of them were granted
-     * @param mostInWindow units sent in the fullest window, by true time
-     * @param messages sent by all members
-     * @param dropped uses granted but not sent, as their time was over
-     * @param gotBySecond share of uses granted in each second; NaN where none were wanted
+     * @param wanted number of uses wanted while their member was up; {@code got} of them were
+     *     granted and sent
+     * @param mostInWindow number of units sent in the fullest window, by true time
+     * @param messages number of messages sent by all members
+     * @param dropped number of uses granted but not sent, as their permit had expired
+     * @param gotBySecond share of wanted uses that were granted and sent, for each second; NaN
+     *     where none were wanted
      */
     public record Result(
             long wanted,
@@ -50,7 +53,7 @@
             long messages,
             long dropped,
             List<Double> gotBySecond) {
-        /** The share of wanted uses that were granted. */
+        /** Returns the share of wanted uses that were granted and sent. */
         public double share() {
             return wanted == 0 ? 1 : (double) got / wanted;
         }
@@ -64,16 +67,16 @@
         QuotaLedger ledger;
         LeaseExchange exchange;
 
-        /** What is to be done once it is no longer paused. */
-        final List<Runnable> later = new ArrayList<>();
+        /** Actions to run when the pause of this member ends. */
+        final List<Runnable> deferred = new ArrayList<>();
 
         Member(int number) {
             this.number = number;
             this.clockRate = 1 + setting.drift * (2 * random.nextDouble() - 1);
-            begin();
+            start();
         }
 
-        void begin() {
+        void start() {
             epoch++;
             clock = new MonotonicLeaseClock();
             read();
@@ -89,7 +92,7 @@
             List<String> others =
                     strategy == QuotaStrategy.LENT
                             ? IntStream.range(0, setting.members)
-                                    .filter(one -> one != number)
+                                    .filter(other -> other != number)
                                     .mapToObj(QuotaSimulation::name)
                                     .toList()
                             : strategy == QuotaStrategy.COORDINATED && number != 0
@@ -110,21 +113,24 @@
             clock.read(events.nowMs() * clockRate, events.nowMs() * clockRate);
         }
 
-        boolean is(SimulatedFault.Kind kind) {
+        boolean hasFault(SimulatedFault.Kind kind) {
             return setting.faults.stream()
                     .anyMatch(
-                            one ->
-                                    one.kind() == kind
-                                            && one.members().contains(number)
-                                            && one.isActiveAt(events.nowMs()));
+                            fault ->
+                                    fault.kind() == kind
+                                            && fault.members().contains(number)
+                                            && fault.isActiveAt(events.nowMs()));
         }
 
-        /** Does it now, or after a pause; the dead do nothing. */
-        void act(Runnable what) {
-            if (is(SimulatedFault.Kind.PAUSED)) {
-                later.add(what);
-            } else if (!is(SimulatedFault.Kind.DEAD)) {
-                what.run();
+        /**
+         * Runs an action now, or after the pause if the member is paused. A dead member runs no
+         * actions.
+         */
+        void runWhenUp(Runnable action) {
+            if (hasFault(SimulatedFault.Kind.PAUSED)) {
+                deferred.add(action);
+            } else if (!hasFault(SimulatedFault.Kind.DEAD)) {
+                action.run();
             }
         }
     }
@@ -152,7 +158,7 @@
         this.gotBySecond = new long[seconds];
     }
 
-    /** Plays it; the same to the last use for the same seed. */
+    /** Runs a simulation. The result is the same for the same seed. */
     public static Result play(Setting setting, QuotaStrategy strategy, long seed) {
         return new QuotaSimulation(setting, strategy, seed).play();
     }
@@ -165,9 +171,9 @@
         for (int i = 0; i < setting.members; i++) {
             var member = new Member(i);
             members.add(member);
-            // Looks are spread, as processes start at different moments.
+            // Ticks are spread over the interval, as processes start at different times.
             events.schedule(random.nextDouble() * LeaseExchange.TICK_MS, () -> tick(member));
-            events.schedule(0, () -> want(member));
+            events.schedule(0, () -> scheduleNextUse(member));
         }
         for (SimulatedFault fault : setting.faults) {
             if (fault.kind() == SimulatedFault.Kind.PAUSED) {
@@ -176,32 +182,32 @@
                         () ->
                                 fault.members()
                                         .forEach(
-                                                one -> {
-                                                    List<Runnable> late =
-                                                            List.copyOf(members.get(one).later);
-                                                    members.get(one).later.clear();
-                                                    late.forEach(members.get(one)::act);
+                                                id -> {
+                                                    List<Runnable> actions =
+                                                            List.copyOf(members.get(id).deferred);
+                                                    members.get(id).deferred.clear();
+                                                    actions.forEach(members.get(id)::runWhenUp);
                                                 }));
             } else if (fault.kind() == SimulatedFault.Kind.DEAD) {
                 events.schedule(
                         fault.toMs(),
-                        () -> fault.members().forEach(one -> members.get(one).begin()));
+                        () -> fault.members().forEach(id -> members.get(id).start()));
             }
         }
         events.runUntil(setting.lengthMs);
         List<Double> shares =
-                IntStream.range(0, wantedBySecond.length).mapToObj(this::gotShare).toList();
+                IntStream.range(0, wantedBySecond.length).mapToObj(this::grantedShare).toList();
         return new Result(wanted, got, mostInWindow, messages, dropped, shares);
     }
 
-    private double gotShare(int second) {
+    private double grantedShare(int second) {
         return wantedBySecond[second] == 0
                 ? Double.NaN
                 : (double) gotBySecond[second] / wantedBySecond[second];
     }
 
     private void tick(Member member) {
-        member.act(
+        member.runWhenUp(
                 () -> {
                     member.read();
                     member.exchange.tick().forEach(out -> send(member, out));
@@ -212,32 +218,32 @@
     private void send(Member from, LeaseExchange.Outgoing out) {
         messages++;
         int to = Integer.parseInt(out.to().substring(1));
-        int copies = setting.network.doubles(random) ? 2 : 1;
+        int copies = setting.network.isDuplicated(random) ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            boolean lost = setting.network.loses(random);
-            double way = setting.network.way(random);
-            double left = events.nowMs();
+            boolean lost = setting.network.isLost(random);
+            double delayMs = setting.network.drawDelayMs(random);
+            double sentMs = events.nowMs();
             if (!lost) {
                 events.schedule(
-                        events.nowMs() + way,
+                        events.nowMs() + delayMs,
                         () -> {
                             boolean cut =
                                     setting.faults.stream()
                                             .anyMatch(
-                                                    one ->
-                                                            one.cuts(from.number, to, left)
-                                                                    || one.cuts(
+                                                    fault ->
+                                                            fault.cuts(from.number, to, sentMs)
+                                                                    || fault.cuts(
                                                                             from.number,
                                                                             to,
                                                                             events.nowMs()));
                             Member target = members.get(to);
                             if (!cut) {
-                                target.act(
+                                target.runWhenUp(
                                         () -> {
                                             target.read();
                                             target.exchange
                                                     .receive(name(from.number), out.message())
-                                                    .forEach(more -> send(target, more));
+                                                    .forEach(reply -> send(target, reply));
                                         });
                             }
                         });
@@ -245,47 +251,51 @@
         }
     }
 
-    /** One use is wanted, and the next drawn: arrivals by chance at the rate of this moment. */
-    private void want(Member member) {
+    /**
+     * Schedules the next use of a member. Uses arrive at random (a Poisson process) at the rate of
+     * the current time.
+     */
+    private void scheduleNextUse(Member member) {
         double perSecond = setting.demand.applyAsDouble(member.number, events.nowMs());
-        // Looked at again within a tenth of a second, as rates change.
-        double wait = perSecond <= 0 ? 100 : -Math.log(1 - random.nextDouble()) * 1000 / perSecond;
-        if (wait > 100) {
-            events.schedule(events.nowMs() + 100, () -> want(member));
+        // Draws again after at most 100 ms, as rates change.
+        double waitMs =
+                perSecond <= 0 ? 100 : -Math.log(1 - random.nextDouble()) * 1000 / perSecond;
+        if (waitMs > 100) {
+            events.schedule(events.nowMs() + 100, () -> scheduleNextUse(member));
             return;
         }
         events.schedule(
-                events.nowMs() + wait,
+                events.nowMs() + waitMs,
                 () -> {
-                    if (!member.is(SimulatedFault.Kind.DEAD)
-                            && !member.is(SimulatedFault.Kind.PAUSED)) {
-                        use(member);
+                    if (!member.hasFault(SimulatedFault.Kind.DEAD)
+                            && !member.hasFault(SimulatedFault.Kind.PAUSED)) {
+                        attemptUse(member);
                     }
-                    want(member);
+                    scheduleNextUse(member);
                 });
     }
 
-    private void use(Member member) {
+    private void attemptUse(Member member) {
         count(wantedBySecond);
         wanted++;
         member.read();
         if (strategy == QuotaStrategy.ALL_KNOWING) {
-            if (inWindow() < setting.limit) {
-                used();
+            if (usesInWindow() < setting.limit) {
+                recordUse();
             }
             return;
         }
         Permit permit = member.exchange.consume(1);
         if (permit != null) {
-            // Written a little later, or long after where the process is stopped in between.
+            // The use is sent a little later, or long after if the process is paused in between.
             events.schedule(
                     events.nowMs() + random.nextDouble(),
                     () ->
-                            member.act(
+                            member.runWhenUp(
                                     () -> {
                                         member.read();
                                         if (permit.isValid(member.clock)) {
-                                            used();
+                                            recordUse();
                                         } else {
                                             dropped++;
                                         }
@@ -293,18 +303,18 @@
         }
     }
 
-    private int inWindow() {
+    private int usesInWindow() {
         while (!sentAtMs.isEmpty() && sentAtMs.peek() <= events.nowMs() - setting.windowMs) {
             sentAtMs.poll();
         }
         return sentAtMs.size();
     }
 
-    private void used() {
+    private void recordUse() {
         got++;
         count(gotBySecond);
         sentAtMs.add(events.nowMs());
-        mostInWindow = Math.max(mostInWindow, inWindow());
+        mostInWindow = Math.max(mostInWindow, usesInWindow());
     }
 
     private void count(long[] bySecond) {
@@ -315,8 +325,8 @@
     }
 
     /**
-     * Demand that a few members have and the others don't; whose it is changes every {@code
-     * everyMs}.
+     * Creates a demand in which {@code busy} of the members want many uses and the others few. The
+     * busy members change every {@code everyMs} milliseconds.
      */
     public static ToDoubleBiFunction<Integer, Double> busyFew(
             int members, int busy, double busyPerS, double idlePerS, double everyMs) {
@@ -327,8 +337,8 @@
     }
 
     /**
-     * The mean over seconds from {@code from} to before {@code to}, of those in which anything was
-     * wanted.
+     * Returns the mean over the seconds from {@code from} (inclusive) to {@code to} (exclusive),
+     * without seconds in which no uses were wanted.
      */
     public static double mean(List<Double> bySecond, int from, int to) {
         return bySecond.subList(from, Math.min(to, bySecond.size())).stream()
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaStrategy.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaStrategy.java
@@ -2,29 +2,33 @@
 
 import sprucehold.cluster.quota.QuotaTerms;
 
-/** Ways to divide one shared limit among a fleet. */
+/** Strategies for dividing one shared limit among a fleet. */
 public enum QuotaStrategy {
-    /** Each has the same for good; nobody talks. What a gatherer does today. */
+    /**
+     * All members have the same fixed number of units and exchange no messages. Gatherers without
+     * coordination work this way.
+     */
     EQUAL,
-    /** Each has the same own units, and lends what it doesn't need. */
+    /** All members have the same number of own units and lend those that they don't need. */
     LENT,
     /**
-     * One member has all and lends it to those who ask; a tenth of each equal part stays with its
-     * owner.
+     * One member has all units and lends them to the others on request, except that each other
+     * member keeps a tenth of its equal part.
      */
     COORDINATED,
     /**
-     * Whoever asks first gets it, as if all saw all at once: the ceiling, which no fleet can reach.
+     * Uses are granted in the order in which they arrive, as if all members saw all uses at once.
+     * This is the upper bound, which no real fleet can reach.
      */
     ALL_KNOWING;
 
     /**
-     * The terms of a member; own units add up to the limit, or a little less where it can't be
-     * divided evenly.
+     * Returns the terms of a member. The own units add up to the limit, or to slightly less if it
+     * can't be divided evenly.
      */
     QuotaTerms terms(
-            int member, int members, int bound, double windowMs, double termMs, double drift) {
-        int equal = bound / members;
+            int member, int members, int limit, double windowMs, double termMs, double drift) {
+        int equal = limit / members;
         return switch (this) {
             case EQUAL -> new QuotaTerms(equal, equal, windowMs, 20, termMs, drift);
             case LENT ->
@@ -39,7 +43,7 @@
                 int kept = equal / 10;
                 yield member == 0
                         ? new QuotaTerms(
-                                bound - (members - 1) * kept, kept, windowMs, 20, termMs, drift)
+                                limit - (members - 1) * kept, kept, windowMs, 20, termMs, drift)
                         : new QuotaTerms(kept, kept, windowMs, 20, termMs, drift);
             }
             case ALL_KNOWING -> new QuotaTerms(0, 0, windowMs, 20, termMs, drift);
--- a/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
@@ -3,26 +3,28 @@
 import java.util.Set;
 
 /**
- * Something that befalls members for a time.
+ * A fault of some members for a limited time.
  *
- * @param members members by number
- * @param fromMs when it begins, in milliseconds of simulated time
- * @param toMs when it is over
+ * @param members numbers of the affected members
+ * @param fromMs begin of the fault, in milliseconds of simulated time
+ * @param toMs end of the fault, in milliseconds of simulated time
  */
 public record SimulatedFault(Kind kind, Set<Integer> members, double fromMs, double toMs) {
-    /** What may befall them. */
+    /** Kinds of faults. */
     public enum Kind {
-        /** They and the others hear nothing of each other. */
+        /** The members and all other members receive no messages from each other. */
         CUT_OFF,
-        /** They hear nothing. */
+        /** The members receive no messages. */
         DEAF,
-        /** Nobody hears them. */
+        /** No other member receives messages from the members. */
         MUTE,
-        /** They do nothing, and then go on as if nothing had been. */
+        /**
+         * The members do nothing during the fault, and then continue without noticing the pause.
+         */
         PAUSED,
-        /** They are dead, and come back with a new life. */
+        /** The members are dead, and restart in a new generation at the end. */
         DEAD,
-        /** Each of them hears nobody and is heard by nobody. */
+        /** Each of the members neither sends nor receives any messages. */
         ALONE
     }
 
@@ -30,7 +32,7 @@
         return nowMs >= fromMs && nowMs < toMs;
     }
 
-    /** Whether it keeps a message from getting through. */
+    /** Whether the fault prevents the delivery of a message. */
     boolean cuts(int from, int to, double nowMs) {
         return isActiveAt(nowMs)
                 && switch (kind) {
