--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -48,7 +48,7 @@
     PhiGossip(String name, Collection<String> all, Random random) {
         this.name = name;
         this.random = random;
-        all.forEach(member -> histories.put(member, new HeartbeatHistory()));
+        all.forEach(member -> this.histories.put(member, new HeartbeatHistory()));
     }
 
     @Override
--- a/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
@@ -24,21 +24,22 @@
 import sprucehold.cluster.wire.Codec;
 import sprucehold.cluster.wire.Received;
 
-/** Sessions of whole gatherers that exchange messages as bytes, in simulated time. */
+/** Tests of whole sessions, which exchange messages as bytes in simulated time. */
 public class CoordinationSessionTest {
     private static final Map<String, String> SITES = Map.of("a", "x", "b", "y", "c", "y");
     private static final double WALL = 1.7e12;
 
-    private static SessionSettings terms() {
+    private static SessionSettings settings() {
         return new SessionSettings(
                 Map.of("further", new QuotaTerms(10, 2, 1000, 20, 2000, 0.002)), 60, 5000);
     }
 
-    private static CoordinationSession session(String name, long life) {
-        return new CoordinationSession(terms(), name, SITES.get(name), life, SITES, 1, 0, WALL);
+    private static CoordinationSession session(String name, long generation) {
+        return new CoordinationSession(
+                settings(), name, SITES.get(name), generation, SITES, 1, 0, WALL);
     }
 
-    /** Three gatherers that exchange messages, and the time. */
+    /** Three gatherers that exchange messages, with a simulated clock. */
     private static final class Cluster {
         final Map<String, CoordinationSession> sessions = new TreeMap<>();
         final Map<String, Codec> codecs = new TreeMap<>();
@@ -54,7 +55,7 @@
                             });
         }
 
-        void passes(double ms) {
+        void advance(double ms) {
             for (double until = now + ms; now < until; now += 50) {
                 if (now % 200 == 0) {
                     sessions.forEach(
@@ -76,19 +77,20 @@
             }
         }
 
-        int uses(String name, int wanted) {
-            int got = 0;
+        int consume(String name, int wanted) {
+            int granted = 0;
             for (int i = 0; i < wanted; i++) {
-                got += sessions.get(name).consume(now, WALL + now, "further", 1) == null ? 0 : 1;
+                granted +=
+                        sessions.get(name).consume(now, WALL + now, "further", 1) == null ? 0 : 1;
             }
-            return got;
+            return granted;
         }
     }
 
     @Test
-    public void threeFindEachOtherLendAndShareObservations() {
+    public void threeGatherersDiscoverEachOtherLendUnitsAndShareObservations() {
         var cluster = new Cluster();
-        cluster.passes(10_000);
+        cluster.advance(10_000);
         CoordinationSession a = cluster.sessions.get("a");
         assertEquals(
                 a.status(cluster.now, WALL + cluster.now).members().stream()
@@ -98,12 +100,14 @@
                 List.of(MemberUpdate.State.ALIVE));
         int most = 0;
         for (int second = 0; second < 5; second++) {
-            most = Math.max(most, cluster.uses("a", 30));
-            cluster.passes(1050);
+            most = Math.max(most, cluster.consume("a", 30));
+            cluster.advance(1050);
         }
         assertTrue(
                 most > 15,
-                "a got " + most + " in a window; its home is 10, and the others lend up to 8 each");
+                "a got "
+                        + most
+                        + " in a window; it has 10 own units, and the others lend up to 8 each");
         for (int i = 0; i < 5; i++) {
             List.of("a", "b", "c")
                     .forEach(
@@ -118,24 +122,25 @@
                                                     5,
                                                     false));
             cluster.sessions.get("b").recordSent(cluster.now, WALL + cluster.now, "s", 10);
-            cluster.passes(1000);
+            cluster.advance(1000);
         }
         assertEquals(
                 a.assess(cluster.now, WALL + cluster.now, "s", 5).observers(),
                 2,
-                "the other two have told what they saw");
+                "the other two have sent their observations");
         assertTrue(a.othersPerSecond(cluster.now, WALL + cluster.now, "s") > 5);
     }
 
     @Test
-    public void aLeaseLastsWhileItIsWantedAndPassesOnToOneThatBecomesBusyLater() {
+    public void leaseIsRenewedWhileNeededAndUnitsMoveToALaterBusyGatherer() {
         var cluster = new Cluster();
-        cluster.passes(10_000);
+        cluster.advance(10_000);
         int held = 0;
-        // Ten terms: a loan that only lapsed would leave a with its home for a half of each.
+        // Ten lease terms. Without renewal, gatherer a would have only its own units for half of
+        // each term.
         for (int second = 0; second < 20; second++) {
-            cluster.uses("a", 30);
-            cluster.passes(1050);
+            cluster.consume("a", 30);
+            cluster.advance(1050);
             if (second >= 4) {
                 held +=
                         cluster.sessions
@@ -147,28 +152,28 @@
         assertTrue(held >= 16 * 6, "borrowed over sixteen seconds: " + held);
         int later = 0;
         for (int second = 0; second < 20; second++) {
-            cluster.uses("a", 30);
-            later += second < 10 ? 0 : cluster.uses("b", 30);
-            cluster.uses("b", 30);
-            cluster.passes(1050);
+            cluster.consume("a", 30);
+            later += second < 10 ? 0 : cluster.consume("b", 30);
+            cluster.consume("b", 30);
+            cluster.advance(1050);
         }
-        assertTrue(later > 10 * 8, "b got " + later + " in ten seconds of being busy as well");
+        assertTrue(later > 10 * 8, "b got " + later + " in ten seconds while it was busy as well");
     }
 
     @Test
-    public void anIsolatedGathererHasItsOwnUnitsAgainAfterATerm() {
+    public void isolatedGathererCanUseItsOwnUnitsAfterALeaseTerm() {
         var cluster = new Cluster();
-        cluster.passes(10_000);
-        cluster.uses("a", 30);
-        cluster.passes(2000);
+        cluster.advance(10_000);
+        cluster.consume("a", 30);
+        cluster.advance(2000);
         cluster.deaf.addAll(List.of("a", "b", "c"));
-        cluster.passes(4000);
-        assertEquals(cluster.uses("a", 30), 10);
-        assertEquals(cluster.uses("b", 30), 10);
+        cluster.advance(4000);
+        assertEquals(cluster.consume("a", 30), 10);
+        assertEquals(cluster.consume("b", 30), 10);
     }
 
     @Test
-    public void aSupersededGathererUsesNothing() {
+    public void supersededGathererConsumesNoUnits() {
         CoordinationSession session = session("a", 7);
         session.tick(10_000, WALL + 10_000);
         Permit permit = session.consume(10_000, WALL + 10_000, "further", 1);
@@ -186,7 +191,7 @@
         assertNull(session.consume(10_002, WALL + 10_002, "further", 1));
         assertFalse(
                 session.isValid(10_002, WALL + 10_002, permit),
-                "what it had counted is not sent either");
+                "a permit issued before is not valid either");
         session.receive(
                 10_003,
                 WALL + 10_003,
@@ -199,12 +204,12 @@
                                                 "a", "x", 9, 0, MemberUpdate.State.DEAD)))));
         assertNull(
                 session.consume(10_004, WALL + 10_004, "further", 1),
-                "the other may have used and lent all until just now");
+                "the other process may have used and lent all units until now");
         assertNotNull(session.consume(14_000, WALL + 14_000, "further", 10));
     }
 
     @Test
-    public void aFloodOfMessagesIsAnsweredNoOftenerThanAgreed() {
+    public void answersToAFloodOfMessagesAreLimitedByTheMessageBudget() {
         CoordinationSession session = session("a", 7);
         int answers = 0;
         for (int i = 0; i < 10_000; i++) {
@@ -217,14 +222,14 @@
                                             new MemberMessage.Ping(i, List.of())))
                             .size();
         }
-        assertTrue(answers <= 60 + 60 + 1, "one second's, and one saved up: " + answers);
+        assertTrue(answers <= 60 + 60 + 1, "one second's budget and a full bucket: " + answers);
         assertTrue(session.status(1000, WALL + 1000).droppedMessages() > 9000);
     }
 
     @Test
-    public void nobodySpeaksForAnother() {
+    public void countersAndObservationsInTheNameOfAnotherAreIgnored() {
         CoordinationSession session = session("a", 7);
-        var counts = List.of(new CounterValue("c", 1, "s", 1_000_000));
+        var counters = List.of(new CounterValue("c", 1, "s", 1_000_000));
         for (String liar : List.of("b")) {
             for (String observer : List.of("c", "d", "e")) {
                 session.receive(
@@ -232,7 +237,7 @@
                         WALL,
                         liar,
                         new ClusterMessage.ObservationPart(
-                                counts,
+                                counters,
                                 List.of(new Observation(observer, "y", "s", "z", 5, 0, 99, 1))));
             }
         }
@@ -241,12 +246,12 @@
     }
 
     @Test
-    public void allOfSixtyHearOfAFailingServerWithinThreeSeconds() {
+    public void observationsOfAFailingServerAreSentToAll59OthersWithinThreeSeconds() {
         var sites = new TreeMap<String, String>();
         for (int i = 0; i < 60; i++) {
             sites.put("g" + i, "x");
         }
-        var session = new CoordinationSession(terms(), "g0", "x", 1, sites, 1, 0, WALL);
+        var session = new CoordinationSession(settings(), "g0", "x", 1, sites, 1, 0, WALL);
         sites.keySet()
                 .forEach(
                         name ->
@@ -265,20 +270,20 @@
                                                                         0,
                                                                         MemberUpdate.State
                                                                                 .ALIVE))))));
-        var heard = new TreeMap<String, Integer>();
+        var receivers = new TreeMap<String, Integer>();
         for (double now = 0; now <= 3000; now += 200) {
             session.recordAttempt(now, WALL + now, "s", "z", 5, false);
             for (CoordinationSession.Outgoing out : session.tick(now, WALL + now)) {
                 if (out.message() instanceof ClusterMessage.ObservationPart) {
-                    heard.merge(out.to(), 1, Integer::sum);
+                    receivers.merge(out.to(), 1, Integer::sum);
                 }
             }
         }
-        assertEquals(heard.size(), 59, heard.toString());
+        assertEquals(receivers.size(), 59, receivers.toString());
     }
 
     @Test
-    public void anUnknownLimitIsOneClearError() {
+    public void consumeOfAnUnknownLimitThrowsWithKnownLimits() {
         String message =
                 expectThrows(
                                 IllegalArgumentException.class,
