--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceFleet.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceFleet.java
@@ -11,55 +11,58 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.decision.SharedLimit;
 
-/** Six gatherers, two of them busy, four servers that come back cold again and again. */
+/**
+ * Simulated fleet of six gatherers, two of them busy, and four servers that restart repeatedly and
+ * have to warm up.
+ */
 final class AllowanceFleet {
-    /** What befalls a fleet of six between 6 and 12 s of 20. */
-    enum Day {
+    /** Scenario of a run of 20 s; pauses, kills and cut-offs happen between 6 and 12 s. */
+    enum Scenario {
         CALM,
-        A_BAD_NETWORK,
+        LOSSY_NETWORK,
         CUT,
-        ALL_ALONE,
+        ALL_CUT_OFF,
         DEAF,
         KILLED,
         PAUSED,
         CLOCKS,
-        TOLD_LATE
+        LATE_UPDATES
     }
 
     private static final List<String> NAMES = List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1");
-    private static final double FROM = 6000;
-    private static final double TO = 12_000;
+    private static final double FAULT_FROM_MS = 6000;
+    private static final double FAULT_TO_MS = 12_000;
 
-    record Sent(double atMs, double units) {}
+    record Usage(double atMs, double units) {}
 
-    record Mail(double atMs, long turn, String from, CoordinationSession.Outgoing out) {}
+    record Delivery(double atMs, long number, String from, CoordinationSession.Outgoing out) {}
 
-    final Day day;
+    final Scenario scenario;
     final Random random;
     final Map<String, TestGatherer> all = new TreeMap<>();
     final Map<String, Double> startedAt = new TreeMap<>();
-    final Map<String, ArrayDeque<Sent>> cold = new TreeMap<>();
-    final ArrayDeque<Sent> further = new ArrayDeque<>();
-    final List<Mail> mail = new ArrayList<>();
-    final List<Runnable> woken = new ArrayList<>();
-    final List<String> broken = new ArrayList<>();
+    final Map<String, ArrayDeque<Usage>> slowStartUsages = new TreeMap<>();
+    final ArrayDeque<Usage> retryUsages = new ArrayDeque<>();
+    final List<Delivery> deliveries = new ArrayList<>();
+    final List<Runnable> deferred = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
     double now;
     double units;
-    long turns;
-    int coldSent;
-    int furtherSent;
-    int furtherByBusy;
+    long nextNumber;
+    int slowStartSent;
+    int retriesSent;
+    int retriesByBusy;
 
-    AllowanceFleet(Day day, long seed) {
-        this.day = day;
+    AllowanceFleet(Scenario scenario, long seed) {
+        this.scenario = scenario;
         this.random = new Random(seed);
         for (String name : NAMES) {
             var one = new TestGatherer(name);
-            if (day == Day.CLOCKS) {
+            if (scenario == Scenario.CLOCKS) {
                 one.drift = 0.004 * random.nextDouble() - 0.002;
-                one.offMs = 10_000 * random.nextDouble() - 5000;
+                one.wallOffsetMs = 10_000 * random.nextDouble() - 5000;
             }
-            one.begin(0, NAMES, random.nextLong());
+            one.start(0, NAMES, random.nextLong());
             all.put(name, one);
         }
         for (int i = 0; i < 4; i++) {
@@ -67,47 +70,47 @@
         }
     }
 
-    boolean troubled() {
-        return now >= FROM && now < TO;
+    boolean isFaultActive() {
+        return now >= FAULT_FROM_MS && now < FAULT_TO_MS;
     }
 
-    boolean paused(TestGatherer one) {
-        return day == Day.PAUSED && troubled() && one.name.equals("a-0");
+    boolean isPaused(TestGatherer one) {
+        return scenario == Scenario.PAUSED && isFaultActive() && one.name.equals("a-0");
     }
 
-    boolean lost(String from, String to) {
-        return switch (day) {
-            case CUT -> troubled() && from.startsWith("a") != to.startsWith("a");
-            case ALL_ALONE -> troubled();
-            case DEAF -> troubled() && to.equals("a-0");
-            case A_BAD_NETWORK -> random.nextDouble() < 0.1;
+    boolean isLost(String from, String to) {
+        return switch (scenario) {
+            case CUT -> isFaultActive() && from.startsWith("a") != to.startsWith("a");
+            case ALL_CUT_OFF -> isFaultActive();
+            case DEAF -> isFaultActive() && to.equals("a-0");
+            case LOSSY_NETWORK -> random.nextDouble() < 0.1;
             default -> false;
         };
     }
 
-    void play() {
-        all.values().forEach(this::tell);
+    void run() {
+        all.values().forEach(this::sendEndpoints);
         for (now = 0; now < 20_000; now += 10) {
             if (now % 4000 == 3000) {
-                // TestGatherer after the other dies and is back.
+                // The servers restart one after another.
                 String server = "s" + (int) (now / 4000) % 4;
                 startedAt.put(server, now);
-                cold.remove(server);
+                slowStartUsages.remove(server);
                 all.values()
                         .forEach(
                                 one -> {
-                                    if (day != Day.TOLD_LATE || random.nextBoolean()) {
-                                        tell(one);
+                                    if (scenario != Scenario.LATE_UPDATES || random.nextBoolean()) {
+                                        sendEndpoints(one);
                                     }
                                 });
             }
-            if (day == Day.TOLD_LATE && now % 4000 == 0) {
-                all.values().forEach(this::tell);
+            if (scenario == Scenario.LATE_UPDATES && now % 4000 == 0) {
+                all.values().forEach(this::sendEndpoints);
             }
-            if (day == Day.KILLED && now == FROM) {
+            if (scenario == Scenario.KILLED && now == FAULT_FROM_MS) {
                 for (String name : List.of("a-0", "b-0", "b-1")) {
-                    all.get(name).begin(now, NAMES, random.nextLong());
-                    tell(all.get(name));
+                    all.get(name).start(now, NAMES, random.nextLong());
+                    sendEndpoints(all.get(name));
                 }
             }
             deliver();
@@ -115,35 +118,40 @@
         }
     }
 
-    void tell(TestGatherer one) {
+    void sendEndpoints(TestGatherer one) {
         var list = new ArrayList<Endpoint>();
         startedAt.forEach(
                 (server, at) ->
                         list.add(
-                                AllowanceTableTest.listing(
+                                AllowanceTableTest.endpoint(
                                         server,
                                         AllowanceTableTest.WALL + at,
                                         Endpoint.State.RUNNING)));
-        Runnable told =
+        Runnable update =
                 () -> one.allowances.endpointsUpdated(one.counted(now), one.wall(now), true, list);
-        if (paused(one)) {
-            woken.add(told);
+        if (isPaused(one)) {
+            deferred.add(update);
         } else {
-            told.run();
+            update.run();
         }
     }
 
-    void send(String from, List<CoordinationSession.Outgoing> letters) {
-        for (CoordinationSession.Outgoing out : letters) {
+    void send(String from, List<CoordinationSession.Outgoing> messages) {
+        for (CoordinationSession.Outgoing out : messages) {
             int copies =
-                    lost(from, out.to())
+                    isLost(from, out.to())
                             ? 0
-                            : day == Day.A_BAD_NETWORK && random.nextDouble() < 0.1 ? 2 : 1;
+                            : scenario == Scenario.LOSSY_NETWORK && random.nextDouble() < 0.1
+                                    ? 2
+                                    : 1;
             for (int i = 0; i < copies; i++) {
-                mail.add(
-                        new Mail(
-                                now + (day == Day.A_BAD_NETWORK ? 200 * random.nextDouble() : 1),
-                                turns++,
+                deliveries.add(
+                        new Delivery(
+                                now
+                                        + (scenario == Scenario.LOSSY_NETWORK
+                                                ? 200 * random.nextDouble()
+                                                : 1),
+                                nextNumber++,
                                 from,
                                 out));
             }
@@ -151,31 +159,31 @@
     }
 
     void deliver() {
-        List<Mail> due = mail.stream().filter(one -> one.atMs <= now).toList();
-        mail.removeAll(due);
-        for (Mail one : due) {
+        List<Delivery> arrived = deliveries.stream().filter(one -> one.atMs <= now).toList();
+        deliveries.removeAll(arrived);
+        for (Delivery one : arrived) {
             TestGatherer to = all.get(one.out.to());
-            if (paused(to)) {
-                woken.add(() -> received(to, one));
+            if (isPaused(to)) {
+                deferred.add(() -> receive(to, one));
             } else {
-                received(to, one);
+                receive(to, one);
             }
         }
-        if (!troubled() && !woken.isEmpty()) {
-            List<Runnable> late = List.copyOf(woken);
-            woken.clear();
-            late.forEach(Runnable::run);
+        if (!isFaultActive() && !deferred.isEmpty()) {
+            List<Runnable> actions = List.copyOf(deferred);
+            deferred.clear();
+            actions.forEach(Runnable::run);
         }
     }
 
-    void received(TestGatherer to, Mail one) {
+    void receive(TestGatherer to, Delivery one) {
         send(
                 to.name,
                 to.session.receive(to.counted(now), to.wall(now), one.from, one.out.message()));
     }
 
     void act(TestGatherer one) {
-        if (paused(one)) {
+        if (isPaused(one)) {
             return;
         }
         double counted = one.counted(now);
@@ -188,29 +196,29 @@
         if (random.nextDouble() < (busy ? 0.4 : 0.05)) {
             one.allowances.queryReceived(counted, "acme", List.of(0));
         }
-        SharedLimit bound =
+        SharedLimit limit =
                 random.nextDouble() < 0.3
                         ? SharedLimit.RETRIES
                         : SharedLimit.slowStart("s" + random.nextInt(4));
-        int wanted = bound.equals(SharedLimit.RETRIES) ? 1 : 20;
-        boolean wants =
-                bound.equals(SharedLimit.RETRIES)
+        int wanted = limit.equals(SharedLimit.RETRIES) ? 1 : 20;
+        boolean attempts =
+                limit.equals(SharedLimit.RETRIES)
                         ? random.nextDouble() < (busy ? 0.5 : 0.01)
                         : random.nextDouble() < (busy ? 0.9 : 0.2);
-        int room = one.allowances.clusterView(counted, wall).allowances().getOrDefault(bound, -1);
-        if (!wants || room < wanted) {
+        int free = one.allowances.clusterView(counted, wall).allowances().getOrDefault(limit, -1);
+        if (!attempts || free < wanted) {
             return;
         }
-        Grant grant = one.allowances.consume(counted, wall, bound, wanted);
+        Grant grant = one.allowances.consume(counted, wall, limit, wanted);
         if (grant == null) {
-            broken.add(
+            violations.add(
                     now
                             + ": "
                             + one.name
                             + " was told of "
-                            + room
+                            + free
                             + " of "
-                            + bound
+                            + limit
                             + " and got nothing");
             return;
         }
@@ -218,12 +226,15 @@
         Runnable write =
                 () -> {
                     if (one.allowances.isValid(one.counted(now), one.wall(now), grant)) {
-                        written(one, bound, wanted);
+                        recordWrite(one, limit, wanted);
                     }
                 };
-        // A stop between decision and write is the case to meet.
-        if (day == Day.PAUSED && one.name.equals("a-0") && writtenAt >= FROM && now < FROM) {
-            woken.add(write);
+        // Covers a process that is paused between the decision and the write.
+        if (scenario == Scenario.PAUSED
+                && one.name.equals("a-0")
+                && writtenAt >= FAULT_FROM_MS
+                && now < FAULT_FROM_MS) {
+            deferred.add(write);
         } else {
             double at = now;
             now = writtenAt;
@@ -232,30 +243,30 @@
         }
     }
 
-    void written(TestGatherer one, SharedLimit bound, int wanted) {
-        if (bound.equals(SharedLimit.RETRIES)) {
-            furtherSent++;
-            furtherByBusy += one.name.equals("a-0") ? 1 : 0;
-            count(further, at -> 12, "further");
+    void recordWrite(TestGatherer one, SharedLimit limit, int wanted) {
+        if (limit.equals(SharedLimit.RETRIES)) {
+            retriesSent++;
+            retriesByBusy += one.name.equals("a-0") ? 1 : 0;
+            count(retryUsages, at -> 12, "further");
         } else {
-            coldSent++;
+            slowStartSent++;
             units = wanted;
-            double started = startedAt.get(bound.subject());
+            double started = startedAt.get(limit.subject());
             count(
-                    cold.computeIfAbsent(bound.subject(), none -> new ArrayDeque<>()),
-                    at -> AllowanceTableTest.allowed(at - started),
-                    bound.subject());
+                    slowStartUsages.computeIfAbsent(limit.subject(), none -> new ArrayDeque<>()),
+                    at -> AllowanceTableTest.allowedMs(at - started),
+                    limit.subject());
         }
     }
 
     /**
-     * Writes are noted in the order of decisions, a little out of the order of time: each window
-     * that holds this one counts.
+     * Records a write and checks every window that contains it. Writes are recorded in the order of
+     * the decisions, which may differ slightly from the order of their times.
      */
-    void count(ArrayDeque<Sent> sent, DoubleUnaryOperator allowed, String what) {
-        sent.add(new Sent(now, what.equals("further") ? 1 : units));
+    void count(ArrayDeque<Usage> sent, DoubleUnaryOperator allowed, String name) {
+        sent.add(new Usage(now, name.equals("further") ? 1 : units));
         sent.removeIf(one -> one.atMs <= now - 3 * AllowanceTableTest.WINDOW_MS);
-        for (Sent end : sent) {
+        for (Usage end : sent) {
             double most = allowed.applyAsDouble(end.atMs);
             double sum =
                     sent.stream()
@@ -263,15 +274,15 @@
                                     one ->
                                             one.atMs > end.atMs - AllowanceTableTest.WINDOW_MS
                                                     && one.atMs <= end.atMs)
-                            .mapToDouble(Sent::units)
+                            .mapToDouble(Usage::units)
                             .sum();
             if (end.atMs >= now
                     && end.atMs < now + AllowanceTableTest.WINDOW_MS
                     && sum > most + 1e-9) {
-                broken.add(
+                violations.add(
                         end.atMs
                                 + ": "
-                                + what
+                                + name
                                 + ": "
                                 + sum
                                 + " in a window, "
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
@@ -21,17 +21,17 @@
 import sprucehold.decision.Tenant;
 
 /**
- * Shared bounds as decisions see them: one gatherer by hand, and whole fleets whose every send is
- * counted in true time.
+ * Tests of the shared limits as decisions see them: a single gatherer, and whole fleets in which
+ * every send is counted in true time.
  */
 public class AllowanceTableTest {
     static final double WALL = 1.7e12;
     static final double WINDOW_MS = 1000;
     static final double WARM_MS = 5000;
-    static final double MULTIPLE = 1;
+    static final double OVERLOAD_FACTOR = 1;
     static final Set<SharedLimit.Kind> ALL = EnumSet.allOf(SharedLimit.Kind.class);
 
-    static Deployment facts() {
+    static Deployment deployment() {
         return new Deployment(
                 6,
                 "a",
@@ -43,48 +43,49 @@
                 List.of(new Tenant("acme", 12)),
                 new Deployment.ShardLayout(2, 1, 1),
                 new Deployment.Limits(3, 100, true, true, 500),
-                new Deployment.SlowStartRule(0.2, WARM_MS, MULTIPLE, WINDOW_MS),
+                new Deployment.SlowStartRule(0.2, WARM_MS, OVERLOAD_FACTOR, WINDOW_MS),
                 Deployment.RetryBudget.NONE,
                 new Deployment.EndpointSubscription(false, 10_000));
     }
 
     /**
-     * What a server that started so long ago may be sent in a window, by all gatherers together.
+     * Returns the work that all gatherers together may send per window to a server that started
+     * {@code ageMs} ago, in milliseconds.
      */
-    static double allowed(double ageMs) {
-        return MULTIPLE * (0.2 + 0.8 * Math.min(1, ageMs / WARM_MS)) * WINDOW_MS;
+    static double allowedMs(double ageMs) {
+        return OVERLOAD_FACTOR * (0.2 + 0.8 * Math.min(1, ageMs / WARM_MS)) * WINDOW_MS;
     }
 
-    static Endpoint listing(String server, double startedAt, Endpoint.State mode) {
-        return new Endpoint(server, 0, "z", startedAt, mode);
+    static Endpoint endpoint(String server, double startedAt, Endpoint.State state) {
+        return new Endpoint(server, 0, "z", startedAt, state);
     }
 
-    private static TestGatherer alone(double now) {
-        var one = new TestGatherer("a-0");
-        one.begin(now, List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1"), 1);
-        return one;
+    private static TestGatherer startGatherer(double now) {
+        var gatherer = new TestGatherer("a-0");
+        gatherer.start(now, List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1"), 1);
+        return gatherer;
     }
 
     @Test
     public void ownUnitsAddUpToTheLimitWhateverItsSize() {
         List<String> fleet = List.of("x", "y", "z", "v", "w");
         for (int units : new int[] {0, 1, 4, 5, 7, 800, 1_000_003}) {
-            for (String bound : List.of("FURTHER", "COLD s-1@17", "CUSTOMER acme")) {
+            for (String limit : List.of("FURTHER", "COLD s-1@17", "CUSTOMER acme")) {
                 int sum =
                         fleet.stream()
                                 .mapToInt(
                                         self ->
                                                 new AllowanceSettings(
                                                                 self, fleet, ALL, 1, 1, 1, 0, 0)
-                                                        .ownUnits(bound, units))
+                                                        .ownUnits(limit, units))
                                 .sum();
-                assertEquals(sum, units, bound);
+                assertEquals(sum, units, limit);
             }
         }
     }
 
     @Test
-    public void aGathererThatIsNotOfTheFleetIsOneClearError() {
+    public void settingsWithoutTheOwnNameInTheFleetThrow() {
         assertEquals(
                 expectThrows(
                                 IllegalArgumentException.class,
@@ -96,163 +97,180 @@
     @DataProvider
     Object[][] starts() {
         return new Object[][] {
-            // how long ago its wall clock says that the server started, 0 for long ago; what a
-            // gatherer alone may send at once
+            // Age of the server's start by the gatherer's wall clock, in milliseconds; units that a
+            // single gatherer may send at once, or -1 without a limit. In the last row the start
+            // time is 0, which counts as long ago.
             {"just now", 10.0, 33},
             {"three seconds ago, but clocks may be ten apart", 3000.0, 33},
             {"long ago", 60_000.0, -1},
             {"ahead of this clock", -5000.0, 33},
-            {"not told", WALL + 50_000, -1},
+            {"start time not reported", WALL + 50_000, -1},
         };
     }
 
     @Test(dataProvider = "starts")
-    public void aWarmingServerIsSharedFromTheUpdateOfItsStart(String what, double agoMs, int room) {
-        TestGatherer one = alone(0);
+    public void limitOfAWarmingServerOpensWithTheUpdateOfItsStart(
+            String name, double ageMs, int freeUnits) {
+        TestGatherer gatherer = startGatherer(0);
         double now = 50_000;
-        one.allowances.endpointsUpdated(
-                one.counted(now),
-                one.wall(now),
+        gatherer.allowances.endpointsUpdated(
+                gatherer.counted(now),
+                gatherer.wall(now),
                 true,
-                List.of(listing("s", WALL + now - agoMs, Endpoint.State.RUNNING)));
-        // After so long in one life nothing of an earlier one can be out: the whole home is free at
-        // once.
-        int found = one.room(now, SharedLimit.slowStart("s"));
-        assertTrue(room < 0 ? found < 0 : found >= room && found <= room + 1, what + ": " + found);
+                List.of(endpoint("s", WALL + now - ageMs, Endpoint.State.RUNNING)));
+        // This long after the start of its epoch, no lease of an earlier epoch can be outstanding:
+        // all own units are free at once.
+        int free = gatherer.freeUnits(now, SharedLimit.slowStart("s"));
+        assertTrue(
+                freeUnits < 0 ? free < 0 : free >= freeUnits && free <= freeUnits + 1,
+                name + ": " + free);
     }
 
     @Test
-    public void aWarmingServerFoundAfterARestartWaitsUntilEarlierLeasesHaveLapsed() {
-        TestGatherer one = alone(0);
-        one.allowances.endpointsUpdated(
-                0, one.wall(0), true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
-        assertEquals(one.room(0, SharedLimit.slowStart("s")), 0);
+    public void limitOfAWarmingServerIsBlockedAfterARestartUntilEarlierLeasesExpire() {
+        TestGatherer gatherer = startGatherer(0);
+        gatherer.allowances.endpointsUpdated(
+                0, gatherer.wall(0), true, List.of(endpoint("s", WALL, Endpoint.State.RUNNING)));
+        assertEquals(gatherer.freeUnits(0, SharedLimit.slowStart("s")), 0);
         assertEquals(
-                one.room(3000, SharedLimit.slowStart("s")),
-                (int) (allowed(3000 * 0.998) - allowed(0)) / 6,
-                "what it has grown by alone");
+                gatherer.freeUnits(3000, SharedLimit.slowStart("s")),
+                (int) (allowedMs(3000 * 0.998) - allowedMs(0)) / 6,
+                "only this gatherer's part of the growth");
         assertTrue(
-                one.room(3400, SharedLimit.slowStart("s")) > 33 + 80,
-                "a term, a window, the patience and their drift later");
+                gatherer.freeUnits(3400, SharedLimit.slowStart("s")) > 33 + 80,
+                "a lease term, a window and the time to send later, with drift");
     }
 
     @Test
-    public void allowanceGrowsWithWarmthAndOwnGrowthIsConsumedFirst() {
-        TestGatherer one = alone(0);
+    public void allowanceGrowsWhileTheServerWarmsUpAndOwnGrowthIsConsumedFirst() {
+        TestGatherer gatherer = startGatherer(0);
         double now = 50_000;
-        one.allowances.endpointsUpdated(
-                one.counted(now),
-                one.wall(now),
+        gatherer.allowances.endpointsUpdated(
+                gatherer.counted(now),
+                gatherer.wall(now),
                 true,
-                List.of(listing("s", WALL + now, Endpoint.State.RUNNING)));
+                List.of(endpoint("s", WALL + now, Endpoint.State.RUNNING)));
         now += 2500;
-        int room = one.room(now, SharedLimit.slowStart("s"));
-        assertTrue(room >= 33 + 65 && room <= 34 + 67, "half warm: " + room);
+        int freeUnits = gatherer.freeUnits(now, SharedLimit.slowStart("s"));
+        assertTrue(freeUnits >= 33 + 65 && freeUnits <= 34 + 67, "half warm: " + freeUnits);
         Grant grant =
-                one.allowances.consume(
-                        one.counted(now), one.wall(now), SharedLimit.slowStart("s"), room);
+                gatherer.allowances.consume(
+                        gatherer.counted(now),
+                        gatherer.wall(now),
+                        SharedLimit.slowStart("s"),
+                        freeUnits);
         assertNotNull(grant);
-        assertEquals(one.room(now, SharedLimit.slowStart("s")), 0);
+        assertEquals(gatherer.freeUnits(now, SharedLimit.slowStart("s")), 0);
         assertNull(
-                one.allowances.consume(
-                        one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 1),
-                "nothing more than there is");
-        assertTrue(one.allowances.isValid(one.counted(now + 290), one.wall(now + 290), grant));
+                gatherer.allowances.consume(
+                        gatherer.counted(now), gatherer.wall(now), SharedLimit.slowStart("s"), 1),
+                "no more units than are free");
+        assertTrue(
+                gatherer.allowances.isValid(
+                        gatherer.counted(now + 290), gatherer.wall(now + 290), grant));
         assertFalse(
-                one.allowances.isValid(one.counted(now + 310), one.wall(now + 310), grant),
-                "beyond the patience");
+                gatherer.allowances.isValid(
+                        gatherer.counted(now + 310), gatherer.wall(now + 310), grant),
+                "after the time to send");
         assertTrue(
-                one.room(now + 1200, SharedLimit.slowStart("s")) < room,
-                "it counts for a window and the patience");
-        assertTrue(one.room(now + 1400, SharedLimit.slowStart("s")) >= room);
-        one.allowances.tick(one.counted(now + 2600), one.wall(now + 2600));
+                gatherer.freeUnits(now + 1200, SharedLimit.slowStart("s")) < freeUnits,
+                "the use counts for a window and the time to send");
+        assertTrue(gatherer.freeUnits(now + 1400, SharedLimit.slowStart("s")) >= freeUnits);
+        gatherer.allowances.tick(gatherer.counted(now + 2600), gatherer.wall(now + 2600));
         assertEquals(
-                one.room(now + 2600, SharedLimit.slowStart("s")),
+                gatherer.freeUnits(now + 2600, SharedLimit.slowStart("s")),
                 -1,
-                "warm, and no longer a bound");
+                "warm, with no limit any more");
     }
 
     @DataProvider
-    Object[][] gone() {
+    Object[][] updates() {
         return new Object[][] {
-            {"drains: nothing of what it has out is forgotten", Endpoint.State.DRAINING, true},
+            {"draining: its used units stay counted", Endpoint.State.DRAINING, true},
             {"gone", Endpoint.State.GONE, false},
         };
     }
 
-    @Test(dataProvider = "gone")
-    public void aServerThatComesBackUnderTheSameStartHasNoNewLimit(
-            String what, Endpoint.State mode, boolean stays) {
-        TestGatherer one = alone(0);
+    @Test(dataProvider = "updates")
+    public void serverThatReturnsWithTheSameStartGetsNoNewUnits(
+            String name, Endpoint.State state, boolean limitStays) {
+        TestGatherer gatherer = startGatherer(0);
         double now = 50_000;
-        var running = List.of(listing("s", WALL + now, Endpoint.State.RUNNING));
-        one.allowances.endpointsUpdated(one.counted(now), one.wall(now), true, running);
+        var running = List.of(endpoint("s", WALL + now, Endpoint.State.RUNNING));
+        gatherer.allowances.endpointsUpdated(
+                gatherer.counted(now), gatherer.wall(now), true, running);
         assertNotNull(
-                one.allowances.consume(
-                        one.counted(now), one.wall(now), SharedLimit.slowStart("s"), 33));
-        one.allowances.endpointsUpdated(
-                one.counted(now), one.wall(now), false, List.of(listing("s", WALL + now, mode)));
-        assertEquals(one.room(now, SharedLimit.slowStart("s")) >= 0, stays, what);
-        one.allowances.endpointsUpdated(one.counted(now), one.wall(now), false, running);
+                gatherer.allowances.consume(
+                        gatherer.counted(now), gatherer.wall(now), SharedLimit.slowStart("s"), 33));
+        gatherer.allowances.endpointsUpdated(
+                gatherer.counted(now),
+                gatherer.wall(now),
+                false,
+                List.of(endpoint("s", WALL + now, state)));
+        assertEquals(gatherer.freeUnits(now, SharedLimit.slowStart("s")) >= 0, limitStays, name);
+        gatherer.allowances.endpointsUpdated(
+                gatherer.counted(now), gatherer.wall(now), false, running);
         assertTrue(
-                one.room(now, SharedLimit.slowStart("s")) <= 1,
-                "used just now, whatever the list says in between");
+                gatherer.freeUnits(now, SharedLimit.slowStart("s")) <= 1,
+                "the use still counts, whatever the list said in between");
     }
 
     @Test
-    public void whatIsNotSharedIsNeverRefused() {
-        var one = new TestGatherer("a-0");
-        one.begin(0, List.of("a-0", "b-0"), 1);
-        one.allowances =
+    public void limitsThatAreNotSharedAreNeverRefused() {
+        var gatherer = new TestGatherer("a-0");
+        gatherer.start(0, List.of("a-0", "b-0"), 1);
+        gatherer.allowances =
                 new AllowanceTable(
-                        facts(),
+                        deployment(),
                         new AllowanceSettings(
                                 "a-0", List.of("a-0", "b-0"), Set.of(), 0, 1000, 300, 0, 0),
-                        one.session,
+                        gatherer.session,
                         0,
                         WALL);
-        one.allowances.endpointsUpdated(
-                0, WALL, true, List.of(listing("s", WALL, Endpoint.State.RUNNING)));
-        for (SharedLimit bound :
+        gatherer.allowances.endpointsUpdated(
+                0, WALL, true, List.of(endpoint("s", WALL, Endpoint.State.RUNNING)));
+        for (SharedLimit limit :
                 List.of(
                         SharedLimit.RETRIES,
                         SharedLimit.slowStart("s"),
                         SharedLimit.tenantQuota("acme"),
                         SharedLimit.tenantQuota("nobody"))) {
-            Grant grant = one.allowances.consume(0, WALL, bound, 1_000_000);
-            assertTrue(grant != null && one.allowances.isValid(0, WALL, grant), bound.toString());
+            Grant grant = gatherer.allowances.consume(0, WALL, limit, 1_000_000);
+            assertTrue(
+                    grant != null && gatherer.allowances.isValid(0, WALL, grant), limit.toString());
         }
-        assertEquals(one.allowances.clusterView(0, WALL).allowances(), Map.of());
+        assertEquals(gatherer.allowances.clusterView(0, WALL).allowances(), Map.of());
     }
 
     @DataProvider
-    Object[][] days() {
+    Object[][] scenarios() {
         var rows = new ArrayList<Object[]>();
-        for (AllowanceFleet.Day day : AllowanceFleet.Day.values()) {
+        for (AllowanceFleet.Scenario scenario : AllowanceFleet.Scenario.values()) {
             for (long seed = 1; seed <= 4; seed++) {
-                rows.add(new Object[] {day, seed});
+                rows.add(new Object[] {scenario, seed});
             }
         }
         return rows.toArray(new Object[0][]);
     }
 
-    @Test(dataProvider = "days")
-    public void noWindowExceedsTheLimitsWhateverHappens(AllowanceFleet.Day day, long seed) {
-        var fleet = new AllowanceFleet(day, seed);
-        fleet.play();
-        assertEquals(fleet.broken, List.of());
+    @Test(dataProvider = "scenarios")
+    public void noWindowExceedsTheLimitsInAnyScenario(AllowanceFleet.Scenario scenario, long seed) {
+        var fleet = new AllowanceFleet(scenario, seed);
+        fleet.run();
+        assertEquals(fleet.violations, List.of());
         assertTrue(
-                fleet.coldSent > 50 && fleet.furtherSent > 50,
-                "too little to prove anything: " + fleet.coldSent + " " + fleet.furtherSent);
+                fleet.slowStartSent > 50 && fleet.retriesSent > 50,
+                "too little to prove anything: " + fleet.slowStartSent + " " + fleet.retriesSent);
     }
 
     @Test
     public void sharingUsesMoreOfTheLimitThanEqualParts() {
-        var fleet = new AllowanceFleet(AllowanceFleet.Day.CALM, 1);
-        fleet.play();
-        // Alone a busy one of six may make two further dispatches a second of the twelve.
+        var fleet = new AllowanceFleet(AllowanceFleet.Scenario.CALM, 1);
+        fleet.run();
+        // With equal parts, a busy gatherer of the six could make two retries per second of the
+        // twelve.
         assertTrue(
-                fleet.furtherByBusy > 1.5 * 2 * 14,
-                "further dispatches of the busy one in 14 s: " + fleet.furtherByBusy);
+                fleet.retriesByBusy > 1.5 * 2 * 14,
+                "retries of the busy gatherer in 14 s: " + fleet.retriesByBusy);
     }
 }
--- a/cluster/src/test/java/sprucehold/cluster/allowance/TestGatherer.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/TestGatherer.java
@@ -7,31 +7,31 @@
 import sprucehold.cluster.session.SessionSettings;
 import sprucehold.decision.SharedLimit;
 
-/** TestGatherer of a fleet, with clocks that may be wrong. */
+/** A gatherer of a fleet, with clocks that may be wrong. */
 final class TestGatherer {
     final String name;
     double drift;
-    double offMs;
+    double wallOffsetMs;
     CoordinationSession session;
     AllowanceTable allowances;
-    double bornAt;
+    double startedAtMs;
 
     TestGatherer(String name) {
         this.name = name;
     }
 
     double counted(double now) {
-        return (now - bornAt) * (1 + drift);
+        return (now - startedAtMs) * (1 + drift);
     }
 
     double wall(double now) {
-        return AllowanceTableTest.WALL + now + offMs;
+        return AllowanceTableTest.WALL + now + wallOffsetMs;
     }
 
-    void begin(double now, List<String> fleet, long seed) {
-        bornAt = now;
+    void start(double now, List<String> fleet, long seed) {
+        startedAtMs = now;
         var sites = new TreeMap<String, String>();
-        fleet.forEach(one -> sites.put(one, one.substring(0, 1)));
+        fleet.forEach(member -> sites.put(member, member.substring(0, 1)));
         session =
                 new CoordinationSession(
                         new SessionSettings(Map.of(), 500, 5000),
@@ -44,7 +44,7 @@
                         wall(now));
         allowances =
                 new AllowanceTable(
-                        AllowanceTableTest.facts(),
+                        AllowanceTableTest.deployment(),
                         new AllowanceSettings(
                                 name,
                                 fleet,
@@ -59,7 +59,7 @@
                         wall(now));
     }
 
-    int room(double now, SharedLimit bound) {
-        return allowances.clusterView(counted(now), wall(now)).allowances().getOrDefault(bound, -1);
+    int freeUnits(double now, SharedLimit limit) {
+        return allowances.clusterView(counted(now), wall(now)).allowances().getOrDefault(limit, -1);
     }
 }
--- a/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
@@ -28,21 +28,21 @@
 import sprucehold.cluster.quota.QuotaMessage;
 import sprucehold.cluster.session.ClusterMessage;
 
-/** Messages as bytes: intact, or nothing at all. */
+/** Tests that messages are decoded intact or not at all. */
 public class CodecTest {
-    private static final MemberUpdate NEWS =
+    private static final MemberUpdate UPDATE =
             new MemberUpdate("b", "y", 1L << 41, 3, MemberUpdate.State.SUSPECT);
-    private static final Lease LOAN = new Lease("a", 1L << 41, 7, 5);
+    private static final Lease LEASE = new Lease("a", 1L << 41, 7, 5);
     private final Codec a = new Codec("a");
     private final Codec b = new Codec("b");
 
-    private static ClusterMessage shares(String bound, QuotaMessage message) {
+    private static ClusterMessage quotaPart(String limit, QuotaMessage message) {
         return new ClusterMessage.QuotaPart(
-                List.of(new ClusterMessage.LimitMessage(bound, message)));
+                List.of(new ClusterMessage.LimitMessage(limit, message)));
     }
 
     @DataProvider
-    Object[][] letters() {
+    Object[][] messages() {
         return new Object[][] {
             {new ClusterMessage.MembershipPart(new MemberMessage.Ping(1, List.of()))},
             {
@@ -50,36 +50,36 @@
                         new MemberMessage.Ping(
                                 1,
                                 List.of(
-                                        NEWS,
+                                        UPDATE,
                                         new MemberUpdate("c", "z", 0, 0, MemberUpdate.State.LEFT))))
             },
             {
                 new ClusterMessage.MembershipPart(
-                        new MemberMessage.Ack(Long.MAX_VALUE, List.of(NEWS)))
+                        new MemberMessage.Ack(Long.MAX_VALUE, List.of(UPDATE)))
             },
             {
                 new ClusterMessage.MembershipPart(
-                        new MemberMessage.PingRequest(2, "c", List.of(NEWS)))
+                        new MemberMessage.PingRequest(2, "c", List.of(UPDATE)))
             },
             {
                 new ClusterMessage.MembershipPart(
-                        new MemberMessage.MemberTable(false, List.of(NEWS)))
+                        new MemberMessage.MemberTable(false, List.of(UPDATE)))
             },
             {new ClusterMessage.MembershipPart(new MemberMessage.MemberTable(true, List.of()))},
             {
                 new ClusterMessage.MembershipPart(
-                        new MemberMessage.CompareDigest(Long.MIN_VALUE, List.of(NEWS)))
+                        new MemberMessage.CompareDigest(Long.MIN_VALUE, List.of(UPDATE)))
             },
-            {shares("further dispatches", new QuotaMessage.LeaseRequest(5, 6, 7))},
-            {shares("x", new QuotaMessage.LeaseGrant(5, 6, LOAN))},
-            {shares("x", new QuotaMessage.LeaseRefusal(5, 6))},
-            {shares("x", new QuotaMessage.RenewalRequest(5, 6, LOAN))},
-            {shares("x", new QuotaMessage.RenewalGrant(5, 6, LOAN))},
+            {quotaPart("further dispatches", new QuotaMessage.LeaseRequest(5, 6, 7))},
+            {quotaPart("x", new QuotaMessage.LeaseGrant(5, 6, LEASE))},
+            {quotaPart("x", new QuotaMessage.LeaseRefusal(5, 6))},
+            {quotaPart("x", new QuotaMessage.RenewalRequest(5, 6, LEASE))},
+            {quotaPart("x", new QuotaMessage.RenewalGrant(5, 6, LEASE))},
             {
                 new ClusterMessage.QuotaPart(
                         List.of(
                                 new ClusterMessage.LimitMessage(
-                                        "x", new QuotaMessage.LeaseReturn(LOAN)),
+                                        "x", new QuotaMessage.LeaseReturn(LEASE)),
                                 new ClusterMessage.LimitMessage(
                                         "y", new QuotaMessage.LeaseRequest(1, 2, 3))))
             },
@@ -92,12 +92,15 @@
         };
     }
 
-    /** The bytes that an earlier build wrote for each of {@link #letters}, a line of hex each. */
+    /**
+     * Compares the bytes of each of {@link #messages} with those that an earlier build wrote; the
+     * file has one line of hex for each.
+     */
     @Test
-    public void bytesOnTheWireAreThoseOfEarlierBuilds() throws IOException {
+    public void encodedBytesEqualThoseOfEarlierBuilds() throws IOException {
         var written = new StringBuilder();
-        for (Object[] letter : letters()) {
-            written.append(HexFormat.of().formatHex(a.write("b", (ClusterMessage) letter[0], 1)))
+        for (Object[] message : messages()) {
+            written.append(HexFormat.of().formatHex(a.write("b", (ClusterMessage) message[0], 1)))
                     .append('\n');
         }
         try (InputStream in = CodecTest.class.getResourceAsStream("/golden-messages.hex")) {
@@ -106,13 +109,13 @@
         }
     }
 
-    @Test(dataProvider = "letters")
-    public void eachKindIsReadAsItWasWritten(ClusterMessage message) {
+    @Test(dataProvider = "messages")
+    public void eachKindOfMessageIsDecodedAsItWasEncoded(ClusterMessage message) {
         assertEquals(b.read(a.write("b", message, 1)), new Received.Decoded("a", 1, message));
     }
 
-    @Test(dataProvider = "letters")
-    public void flippedCutOrLengthenedBytesAreForeign(ClusterMessage message) {
+    @Test(dataProvider = "messages")
+    public void corruptedTruncatedOrExtendedBytesAreForeign(ClusterMessage message) {
         byte[] whole = a.write("b", message, 1);
         for (int bit = 0; bit < 8 * whole.length; bit++) {
             byte[] flipped = whole.clone();
@@ -128,25 +131,26 @@
     }
 
     @Test
-    public void noBytesMakeItFail() {
+    public void decodingOfRandomBytesNeverThrows() {
         var random = new Random(4);
-        byte[] sound =
+        byte[] intact =
                 a.write(
                         "b",
-                        new ClusterMessage.MembershipPart(new MemberMessage.Ping(1, List.of(NEWS))),
+                        new ClusterMessage.MembershipPart(
+                                new MemberMessage.Ping(1, List.of(UPDATE))),
                         1);
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = new byte[random.nextInt(200)];
             random.nextBytes(bytes);
             if (bytes.length > 7) {
-                System.arraycopy(sound, 0, bytes, 0, 3);
+                System.arraycopy(intact, 0, bytes, 0, 3);
                 seal(bytes);
             }
             assertNotNull(b.read(bytes));
         }
     }
 
-    /** Gives bytes a sum that is right, so that what lies behind the head is read. */
+    /** Sets the correct checksum in a frame, so that the codec decodes the body. */
     private static void seal(byte[] bytes) {
         var sum = new CRC32C();
         sum.update(bytes[2]);
@@ -157,9 +161,9 @@
     }
 
     @Test
-    public void aLengthThatLiesTakesNoMemory() {
+    public void excessiveLengthFieldIsRejectedWithoutAllocation() {
         byte[] bytes = Arrays.copyOf(new byte[] {'S', 'G', 1}, 40);
-        // As the length of a string: one short of 2^30 in zigzag.
+        // Length of a string in zigzag encoding: 1,072,684,991, slightly less than 2^30.
         for (int i = 7; i < 11; i++) {
             bytes[i] = (byte) 0xfe;
         }
@@ -173,19 +177,19 @@
     }
 
     @Test
-    public void aMessageToAnotherIsForeign() {
+    public void messageToAnotherGathererIsForeign() {
         assertEquals(
-                b.read(a.write("c", shares("x", new QuotaMessage.LeaseRequest(5, 6, 7)), 1)),
+                b.read(a.write("c", quotaPart("x", new QuotaMessage.LeaseRequest(5, 6, 7)), 1)),
                 new Received.Foreign("addressed to c"));
     }
 
     @Test
-    public void messagesButTablesFitIntoADatagramAndTablesOntoAStream() {
+    public void messagesFitIntoADatagramAndTablesIntoAStream() {
         var update =
                 new MemberUpdate(
                         "n".repeat(32), "s".repeat(24), 1L << 41, 100, MemberUpdate.State.ALIVE);
-        var twelve = Collections.nCopies(12, update);
-        var asks =
+        var updates = Collections.nCopies(12, update);
+        var limitMessages =
                 Collections.nCopies(
                         10,
                         new ClusterMessage.LimitMessage(
@@ -196,8 +200,9 @@
                                         new Lease("n".repeat(32), 1L << 41, 1L << 20, 1000))));
         for (ClusterMessage message :
                 List.of(
-                        new ClusterMessage.MembershipPart(new MemberMessage.Ping(1L << 40, twelve)),
-                        new ClusterMessage.QuotaPart(asks))) {
+                        new ClusterMessage.MembershipPart(
+                                new MemberMessage.Ping(1L << 40, updates)),
+                        new ClusterMessage.QuotaPart(limitMessages))) {
             byte[] bytes = a.write("b".repeat(32), message, 1);
             assertTrue(bytes.length <= Codec.MAX_DATAGRAM_BYTES, "length " + bytes.length);
         }
@@ -219,17 +224,18 @@
     }
 
     @Test
-    public void aSenderOfAnUnknownVersionIsToldWhy() {
-        var later = new Codec("c", next());
-        byte[] letter = later.write("a", shares("x", new QuotaMessage.LeaseRequest(5, 6, 7)), 2);
-        int version = ((Received.UnknownVersion) a.read(letter)).version();
+    public void senderOfAnUnknownVersionReceivesTheReason() {
+        var later = new Codec("c", nextVersionSchemas());
+        byte[] message =
+                later.write("a", quotaPart("x", new QuotaMessage.LeaseRequest(5, 6, 7)), 2);
+        int version = ((Received.UnknownVersion) a.read(message)).version();
         assertEquals(
                 later.read(a.refusal(version)),
                 new Received.VersionRefused("version 2 can't be read here, 1 to 1 can"));
     }
 
-    /** A program of the next version: letters have one more field. */
-    private static NavigableMap<Integer, Schema> next() {
+    /** Returns the schemas of a program of the next version, whose messages have one more field. */
+    private static NavigableMap<Integer, Schema> nextVersionSchemas() {
         var versions = new TreeMap<>(Codec.schemasByVersion());
         String text =
                 versions.get(1)
@@ -243,9 +249,9 @@
     }
 
     @Test
-    public void theVersionBeforeAndAfterUnderstandEachOtherOrSaySo() {
-        var message = shares("x", new QuotaMessage.LeaseRequest(5, 6, 7));
-        var later = new Codec("c", next());
+    public void adjacentVersionsDecodeEachOtherOrReportAnUnknownVersion() {
+        var message = quotaPart("x", new QuotaMessage.LeaseRequest(5, 6, 7));
+        var later = new Codec("c", nextVersionSchemas());
         assertEquals(later.read(a.write("c", message, 1)), new Received.Decoded("a", 1, message));
         assertEquals(
                 a.read(later.write("a", message, later.common(1))),
