--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
@@ -47,10 +47,10 @@
         shared = Set.copyOf(shared);
         if (!gatherers.contains(self)) {
             throw new IllegalArgumentException(
-                    "fleet: " + self + " was expected among " + gatherers.size() + " names");
+                    "fleet: " + self + " is not among the " + gatherers.size() + " names");
         }
         if (gatherers.stream().distinct().count() < gatherers.size()) {
-            throw new IllegalArgumentException("fleet: each name once was expected");
+            throw new IllegalArgumentException("fleet: each name may occur only once");
         }
     }
 
--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -21,7 +21,7 @@
     private static final double PERIOD_MS = 1000;
     private static final int FANOUT = 3;
 
-    /** Number of entries of a table in one message, the same as in {@link Membership}. */
+    /** Number of entries of a table in one message, the same as in {@code Membership}. */
     private static final int CHUNK_SIZE = 12;
 
     /** Number of standard deviations above the mean at which phi is 8. */
--- a/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
@@ -148,7 +148,7 @@
             new GenericDatumWriter<GenericRecord>(schema).write(record, encoder);
             encoder.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("bytes in memory can't be written", e);
+            throw new UncheckedIOException("a peer message can't be encoded", e);
         }
         byte[] bytes = MessageFrame.seal(frame.toByteArray());
         return bytes.length > MAX_STREAM_BYTES ? null : bytes;
--- a/cluster/src/main/java/sprucehold/cluster/wire/Received.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Received.java
@@ -25,7 +25,7 @@
     /**
      * Bytes that are not an intact message to this gatherer; they are ignored.
      *
-     * @param reason text for a log
+     * @param reason description of the problem
      */
     record Foreign(String reason) implements Received {}
 }
--- a/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
@@ -126,7 +126,7 @@
         };
     }
 
-    @Test(dataProvider = "opinions")
+    @Test(dataProvider = "observationSets")
     public void failureScoreRequiresSeveralCredibleObservers(
             String name, Consumer<EvidenceTable> observations, double failureScore) {
         var evidence = new EvidenceTable("a", "y");
--- a/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
@@ -120,7 +120,7 @@
         };
     }
 
-    @Test(dataProvider = "ofItself")
+    @Test(dataProvider = "updatesAboutSelf")
     public void receivedUpdateAboutSelfIsRefutedOrSupersedesSelf(
             String name, MemberUpdate received, MemberUpdate expected, boolean superseded) {
         var member = member("a", 7);
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceFleet.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceFleet.java
@@ -215,11 +215,11 @@
                     now
                             + ": "
                             + one.name
-                            + " was told of "
+                            + " had "
                             + free
-                            + " of "
+                            + " free units of "
                             + limit
-                            + " and got nothing");
+                            + ", but consume returned no grant");
             return;
         }
         double writtenAt = now + 250 * random.nextDouble();
@@ -247,7 +247,7 @@
         if (limit.equals(SharedLimit.RETRIES)) {
             retriesSent++;
             retriesByBusy += one.name.equals("a-0") ? 1 : 0;
-            count(retryUsages, at -> 12, "further");
+            count(retryUsages, at -> 12, "retries");
         } else {
             slowStartSent++;
             units = wanted;
@@ -264,7 +264,7 @@
      * the decisions, which may differ slightly from the order of their times.
      */
     void count(ArrayDeque<Usage> sent, DoubleUnaryOperator allowed, String name) {
-        sent.add(new Usage(now, name.equals("further") ? 1 : units));
+        sent.add(new Usage(now, name.equals("retries") ? 1 : units));
         sent.removeIf(one -> one.atMs <= now - 3 * AllowanceTableTest.WINDOW_MS);
         for (Usage end : sent) {
             double most = allowed.applyAsDouble(end.atMs);
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
@@ -91,7 +91,7 @@
                                 IllegalArgumentException.class,
                                 () -> new AllowanceSettings("x", List.of("y"), ALL, 1, 1, 1, 0, 0))
                         .getMessage(),
-                "fleet: x was expected among 1 names");
+                "fleet: x is not among the 1 names");
     }
 
     @DataProvider
