--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
@@ -23,7 +23,7 @@
         double leaseTermMs,
         double maxClockDrift) {
     /**
-     * @throws IllegalArgumentException if a figure is outside its range, with its name
+     * @throws IllegalArgumentException if a number is out of range; the message states its name
      */
     public QuotaTerms {
         if (ownUnits < 0 || reservedUnits < 0 || reservedUnits > ownUnits) {
--- a/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
@@ -44,13 +44,12 @@
     }
 
     @Test
-    public void restartKeepsTotalsAndOnlyOwnGenerationCountsItself() {
+    public void restartKeepsEarlierTotalsAndOwnCounterIgnoresReceivedValues() {
         var counters = new CounterTable("a", 7, 5000);
         counters.add(0, "s", 10);
         counters.receive(1, new CounterValue("a", 7, "s", 1000));
         counters.receive(1, new CounterValue("a", 6, "s", 4));
-        assertEquals(
-                counters.total("s"), 14, "only the total of its earlier generation is added");
+        assertEquals(counters.total("s"), 14, "only the total of its earlier generation is added");
         for (int generation = 1; generation <= 20; generation++) {
             counters.receive(generation, new CounterValue("b", generation, "s", 1));
         }
