--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -114,7 +114,7 @@
     @Override
     public Set<String> alive() {
         var alive = new TreeSet<String>();
-        all.forEach(
+        histories.forEach(
                 (member, history) -> {
                     double deviation = Math.max(MIN_DEVIATION_MS, Math.sqrt(history.variance));
                     if (!member.equals(name)
