--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
@@ -36,7 +36,7 @@
     static final double LEASE_TERM_MS = 2000;
 
     /** Divisor of the own units that gives the number of units that are never lent. */
-    private static final int RESERVED_PART = 4;
+    private static final int RESERVED_DIVISOR = 4;
 
     /**
      * @throws IllegalArgumentException if this gatherer's name isn't among all names, or a name
@@ -79,7 +79,7 @@
         int own = ownUnits(limit, units);
         return new QuotaTerms(
                 own,
-                reserves ? own / RESERVED_PART : 0,
+                reserves ? own / RESERVED_DIVISOR : 0,
                 windowMs,
                 sendWithinMs,
                 LEASE_TERM_MS,
--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceTable.java
@@ -21,7 +21,10 @@
     /** Window of a tenant's quota, in milliseconds: quotas are configured per second. */
     private static final double QUOTA_WINDOW_MS = 1000;
 
-    /** Factor applied to the observed demand, as demand fluctuates from window to window. */
+    /**
+     * Demand set on a limit, as a multiple of the observed demand. Demand fluctuates from window to
+     * window; the margin covers a rise by a quarter.
+     */
     private static final double DEMAND_MARGIN = 1.25;
 
     /**
--- a/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
@@ -44,7 +44,7 @@
             return earlierTotal + byGeneration.values().stream().mapToLong(total -> total).sum();
         }
 
-        void foldEarliest() {
+        void mergeEarliest() {
             while (byGeneration.size() > MAX_GENERATIONS) {
                 Map.Entry<Long, Long> first = byGeneration.pollFirstEntry();
                 earlierTotal += first.getValue();
@@ -52,7 +52,7 @@
             }
         }
 
-        void noteSum(double nowMs) {
+        void recordSum(double nowMs) {
             if (Double.isNaN(lastAtMs) || nowMs - lastAtMs >= MIN_RATE_SPAN_MS) {
                 previousSum = lastSum;
                 previousAtMs = lastAtMs;
@@ -112,8 +112,8 @@
             return;
         }
         totals.byGeneration.put(counter.generation(), counter.total());
-        totals.foldEarliest();
-        totals.noteSum(nowMs);
+        totals.mergeEarliest();
+        totals.recordSum(nowMs);
     }
 
     /**
--- a/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Observations of shard servers: this gatherer's own ones, to be sent to the others, and those of
- * other gatherers, to be assessed.
+ * Observations of shard servers: this gatherer's own observations, which are sent to the others,
+ * and those of other gatherers, which are assessed.
  *
  * <p>A single observer that lies or whose own link is broken doesn't change a failure score. A
  * score requires several observers, from more than one site if there is more than one. An observer
@@ -25,7 +25,10 @@
      */
     static final double HALF_LIFE_MS = 5000;
 
-    /** Minimum number of attempts in an observation that counts: two failures may be chance. */
+    /**
+     * Minimum number of attempts in an observation that counts, after decay. Two failures may be
+     * chance; two attempts decay below this minimum as soon as time passes.
+     */
     private static final double MIN_ATTEMPTS = 2;
 
     /** Number of attempts below which a decayed own observation is removed. */
@@ -35,8 +38,8 @@
     static final int MIN_OBSERVERS = 3;
 
     /**
-     * Share of a site's servers that an observer sees failing from which its observations of all
-     * servers of that site are ignored.
+     * Minimum share of the observed servers of a site that an observer must see failing for its
+     * observations of all servers of that site to be ignored.
      */
     private static final double OBSERVER_FAULT_SHARE = 0.5;
 
--- a/cluster/src/main/java/sprucehold/cluster/membership/AntiEntropy.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/AntiEntropy.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 
 /**
- * Repairs differences between member lists that gossip left. Periodically sends the digest of this
- * member's list to a random member; where two digests differ, the members exchange whole tables
- * (anti-entropy with push and pull; Demers and others 1987).
+ * Repairs differences between member lists that gossip has not removed. Periodically sends the
+ * digest of this member's list to a random member; where two digests differ, the members exchange
+ * whole tables (anti-entropy with push and pull; Demers and others 1987).
  */
 final class AntiEntropy {
     /** Time between two digest comparisons, in milliseconds. */
--- a/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/GossipQueue.java
@@ -12,14 +12,15 @@
  * Updates that are piggybacked on messages, the least often sent first (SWIM; Das, Gupta, Motivala
  * 2002). Each update is sent until most likely all members have received it.
  *
- * <p>Suspicions and refutations take precedence over arrivals. While a whole fleet starts, table
- * exchange spreads the arrivals anyway, and a suspicion queued behind a thousand arrivals would be
- * refuted too late.
+ * <p>An arrival is an update about a member that is alive and has refuted no suspicion since its
+ * start. All other updates are urgent and take precedence: suspicions, refutations, deaths and
+ * departures. While a whole fleet starts, table exchange spreads the arrivals anyway, and a
+ * suspicion queued behind a thousand arrivals would be refuted too late.
  */
 final class GossipQueue {
     /**
      * Number of times an urgent update is sent, as a multiple of the binary logarithm of the number
-     * of members: it must reach all members over a network that loses messages.
+     * of members. The update must reach all members over a network that loses messages.
      */
     private static final int URGENT_SENDS = 3;
 
@@ -30,7 +31,8 @@
     private static final int ARRIVAL_SENDS = 1;
 
     /**
-     * Places in a message reserved for arrivals, so that continual failures don't crowd them out.
+     * Number of updates per message reserved for arrivals, so that they are still sent while
+     * failures continually add urgent updates.
      */
     private static final int PLACES_FOR_ARRIVALS = 2;
 
@@ -42,7 +44,7 @@
             this.update = update;
         }
 
-        /** Whether the update is neither a suspicion nor the answer to one. */
+        /** Whether the member is alive and has refuted no suspicion since its start. */
         boolean isArrival() {
             return update.state() == MemberUpdate.State.ALIVE && update.incarnation() == 0;
         }
--- a/cluster/src/main/java/sprucehold/cluster/membership/LocalHealth.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/LocalHealth.java
@@ -8,8 +8,8 @@
 final class LocalHealth {
     private static final int MAX_SCORE = 8;
 
-    /** Score that doubles a time: each point adds one quarter of it. */
-    private static final double STRETCH_PER_POINT = 4.0;
+    /** Score at which a time is doubled: each point adds a quarter of the time. */
+    private static final double DOUBLING_SCORE = 4.0;
 
     /**
      * Consecutive unanswered probes after which this gatherer considers itself isolated: a fault at
@@ -29,7 +29,7 @@
 
     /** Returns {@code ms} lengthened according to the score. */
     double stretched(double ms) {
-        return ms * (1 + score / STRETCH_PER_POINT);
+        return ms * (1 + score / DOUBLING_SCORE);
     }
 
     /** Whether none of the last {@link #ISOLATED_AFTER} probes was answered. */
--- a/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
@@ -161,8 +161,9 @@
 
     /**
      * Handles a pause of this process and isolation. After a pause of more than a period, this
-     * member can't judge by its pending probes: it discards them and lowers its own health first.
-     * Time in which it was paused or isolated doesn't count against suspected members.
+     * member can't judge by its pending probes. It discards them and sets its local health score to
+     * the worst value before it probes again. Time in which it was paused or isolated doesn't count
+     * against suspected members.
      */
     private void compensateForPause(double sinceLastTickMs) {
         if (sinceLastTickMs > PERIOD_MS + tickMs()) {
--- a/cluster/src/main/java/sprucehold/cluster/membership/PartitionHealing.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/PartitionHealing.java
@@ -11,7 +11,10 @@
     /** Time between two pings to members considered dead, in milliseconds. */
     private static final double INTERVAL_MS = 5000;
 
-    /** Time between two pings while some members have never been met, in milliseconds. */
+    /**
+     * Time between two pings while some members are known only by a configured name, in
+     * milliseconds.
+     */
     private final double unmetIntervalMs;
 
     private final MemberList members;
--- a/cluster/src/main/java/sprucehold/cluster/membership/Suspicions.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Suspicions.java
@@ -59,7 +59,7 @@
         return List.copyOf(byName.keySet());
     }
 
-    /** Starts a suspicion; one of the same member that is already there starts anew. */
+    /** Starts a suspicion. It replaces an earlier suspicion of the same member. */
     void begin(String name, String suspecter, double nowMs) {
         var suspicion = new Suspicion(nowMs);
         suspicion.suspecters.add(suspecter);
@@ -99,16 +99,17 @@
         if (!enabled) {
             return 0;
         }
-        double leastMs = MIN_PERIODS * Math.max(1, Math.log10(activeOthers + 1)) * periodMs;
+        double minTimeoutMs = MIN_PERIODS * Math.max(1, Math.log10(activeOthers + 1)) * periodMs;
         double confirmed = Math.log(suspicion.suspecters.size()) / Math.log(CONFIRMATIONS + 1);
         double multiple = MAX_OVER_MIN - (MAX_OVER_MIN - 1) * Math.min(1, confirmed);
-        return Math.max(leastMs, leastMs * multiple);
+        return Math.max(minTimeoutMs, minTimeoutMs * multiple);
     }
 
     /**
-     * Marks a suspected member as pinged for its refutation.
+     * Records that a suspected member is pinged shortly before its suspicion expires, so that it
+     * can send its refutation in the ack.
      *
-     * @return true the first time for each suspicion
+     * @return true on the first call for each suspicion
      */
     boolean markPinged(String name) {
         Suspicion suspicion = byName.get(name);
--- a/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
@@ -32,8 +32,8 @@
     public static final int REQUESTS_PER_TICK = 8;
 
     /**
-     * Units kept or requested, as a multiple of the use of the last window: use fluctuates from
-     * window to window, and the margin covers a moderate rise.
+     * Units needed, as a multiple of the units that were used in the last window or refused since
+     * the last tick. Use fluctuates from window to window; the margin covers a rise by a quarter.
      */
     private static final double DEMAND_MARGIN = 1.25;
 
@@ -147,7 +147,7 @@
         var out = new ArrayList<Outgoing>();
         int missing = neededUnits() - heldUnits();
         if (missing > 0 && lenders.hasPeers()) {
-            request(missing, toAsk.get(), out);
+            requestLeases(missing, toAsk.get(), out);
         } else if (missing < 0) {
             for (Lease lease : ledger.releaseUnused(-missing)) {
                 out.add(new Outgoing(lease.lender(), new QuotaMessage.LeaseReturn(lease)));
@@ -160,11 +160,11 @@
         return out;
     }
 
-    private void request(int missing, Set<String> toAsk, List<Outgoing> out) {
+    private void requestLeases(int missing, Set<String> toAsk, List<Outgoing> out) {
         toAsk.removeIf(pending::hasLeaseRequestTo);
         for (String lender : toAsk) {
             int units = (missing + toAsk.size() - 1) / toAsk.size();
-            long number = pending.add(request(lender, null));
+            long number = pending.add(newRequest(lender, null));
             out.add(new Outgoing(lender, new QuotaMessage.LeaseRequest(epoch, number, units)));
         }
     }
@@ -176,7 +176,7 @@
     private void renew(List<Outgoing> out) {
         for (Lease lease : ledger.expiringWithin(terms.leaseTermMs() / 2)) {
             if (lenders.isPeer(lease.lender()) && !pending.hasRenewalOf(lease)) {
-                long number = pending.add(request(lease.lender(), lease));
+                long number = pending.add(newRequest(lease.lender(), lease));
                 out.add(
                         new Outgoing(
                                 lease.lender(),
@@ -185,7 +185,7 @@
         }
     }
 
-    private PendingRequests.Request request(String lender, Lease renews) {
+    private PendingRequests.Request newRequest(String lender, Lease renews) {
         return new PendingRequests.Request(lender, clock.atMostMs(), clock.atLeastMs(), renews);
     }
 
@@ -277,7 +277,8 @@
         if (ledger.accept(grant.lease(), request.atMostMs())) {
             return List.of();
         }
-        // The lease has expired already, so none of its units were used.
+        // The lease expired before it was accepted, so none of its units were used and it can be
+        // returned at once.
         return List.of(new Outgoing(from, new QuotaMessage.LeaseReturn(grant.lease())));
     }
 
--- a/cluster/src/main/java/sprucehold/cluster/quota/LenderSelection.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LenderSelection.java
@@ -14,7 +14,10 @@
  * others drawn at random.
  */
 final class LenderSelection {
-    /** Maximum draws per place, as a draw may return a gatherer that is already chosen. */
+    /**
+     * Maximum number of random draws per gatherer to choose. A draw may return a gatherer that is
+     * already chosen, and the limit bounds the repetitions.
+     */
     private static final int DRAWS_PER_PLACE = 4;
 
     private final Random random;
@@ -54,7 +57,8 @@
     }
 
     /**
-     * Chooses at most {@code count} gatherers, no more than half of them because they lent before.
+     * Chooses at most {@code count} gatherers. At most half of them are taken from those whose last
+     * answer was a grant; the others are drawn at random from all that can be reached.
      */
     Set<String> choose(int count) {
         Set<String> chosen = new LinkedHashSet<>();
--- a/cluster/src/main/java/sprucehold/cluster/quota/MonotonicLeaseClock.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/MonotonicLeaseClock.java
@@ -46,16 +46,17 @@
     }
 
     /**
-     * Returns the lower bound of the time since the first reading, in milliseconds; lenders wait by
-     * it.
+     * Returns the lower bound of the time since the first reading, in milliseconds. A lender
+     * measures by it how long units are lent, so that it doesn't use them again too early.
      */
     public double atLeastMs() {
         return elapsedMs;
     }
 
     /**
-     * Returns the upper bound of the time since the first reading, in milliseconds, except for
-     * {@link #WALL_TOLERANCE_MS}; borrowers stop by it.
+     * Returns the upper bound of the time since the first reading, in milliseconds. The true time
+     * may exceed it by up to {@link #WALL_TOLERANCE_MS}. A borrower measures by it how long it may
+     * use a lease, so that it doesn't use the units too late.
      */
     public double atMostMs() {
         return elapsedMs + sleptMs;
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
@@ -15,13 +15,14 @@
  * messages are lost, repeated or delayed, or processes die, pause or return. docs/together.md
  * contains the proof.
  *
- * <p>An epoch begins as if all units had been used and lent at the moment before it, as the uses
- * and leases of an earlier epoch are not known. For a limit that is opened later in an epoch, the
- * time since the begin of the epoch is subtracted from the remaining time of these assumed uses and
- * leases.
+ * <p>The uses and leases of an earlier epoch are not known. At the begin of an epoch, the ledger
+ * therefore assumes that all reserved units have just been used and that all other own units have
+ * just been lent. If the limit is opened later in the epoch, the assumed uses and leases still date
+ * from the begin of the epoch, so that they expire the earlier after the limit is opened.
  *
- * <p>Two bounds of elapsed time separate lender and borrower: a lender waits by the lower bound of
- * the time that has passed, a borrower stops by the upper bound; see {@link MonotonicLeaseClock}.
+ * <p>A lender measures the term of a lease by the lower bound of elapsed time, a borrower by the
+ * upper bound, so that the borrower stops using the units before the lender uses them again; see
+ * {@link MonotonicLeaseClock}.
  */
 public final class QuotaLedger {
     /** Stands for the borrower of units that an earlier epoch may have lent. */
@@ -159,7 +160,8 @@
     }
 
     /**
-     * Returns the time at which this gatherer can use the units of a lease that begins now again.
+     * Returns the time from which this gatherer may again use the units of a lease that it grants
+     * or renews now.
      */
     private double lentUntilMs() {
         return clock.atLeastMs() + terms.lenderTermMs() + terms.usageCountsMs();
--- a/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
@@ -24,7 +24,8 @@
     private static final int MAX_IN_MESSAGE = 10;
 
     /**
-     * Maximum draws per gatherer to ask, as a draw may return a gatherer that is already chosen.
+     * Maximum number of random draws per gatherer to choose. A draw may return a gatherer that is
+     * already chosen, and the limit bounds the repetitions.
      */
     private static final int DRAWS_PER_PLACE = 4;
 
@@ -45,7 +46,7 @@
             this.exchange = exchange;
         }
 
-        boolean isLapsed() {
+        boolean isExpired() {
             return closing && ledger.lent() == 0 && ledger.used() == 0;
         }
 
@@ -167,7 +168,7 @@
      * milliseconds.
      */
     void tick(List<CoordinationSession.Outgoing> out) {
-        parts.values().removeIf(Part::isLapsed);
+        parts.values().removeIf(Part::isExpired);
         Set<String> toAsk = chooseLenders();
         var byReceiver = new TreeMap<String, List<ClusterMessage.LimitMessage>>();
         parts.forEach(
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -45,7 +45,8 @@
             boolean lyingObserver) {}
 
     /**
-     * Result of a simulation; a time is NaN if not enough gatherers detected the failure.
+     * Result of a simulation. A median is NaN unless more than half of the gatherers detected the
+     * failure, and the time of the last gatherer is NaN unless all did.
      *
      * @param aloneMedianMs median time from the begin of the failure to a gatherer's own second
      *     failed attempt; {@code aloneAllMs} is the time of the last gatherer
--- a/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
@@ -27,8 +27,8 @@
     /**
      * Settings of a simulation.
      *
-     * @param faults a fault of kind {@link SimulatedFault.Kind#DEAD} is a death that is to be
-     *     detected; the other kinds are not
+     * @param faults faults during the simulation. A fault of kind {@link SimulatedFault.Kind#DEAD}
+     *     is a death that must be detected; a member with a fault of another kind is not dead
      */
     public record Setting(
             int members, double lengthMs, Network network, List<SimulatedFault> faults) {}
--- a/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/PhiGossip.java
@@ -21,7 +21,10 @@
     private static final double PERIOD_MS = 1000;
     private static final int FANOUT = 3;
 
-    /** Number of entries of a table in one message, the same as in {@code Membership}. */
+    /**
+     * Maximum number of table entries in one message, so that it fits into a datagram; the same
+     * number as in {@code Dissemination}.
+     */
     private static final int CHUNK_SIZE = 12;
 
     /** Number of standard deviations above the mean at which phi is 8. */
--- a/cluster/src/main/java/sprucehold/cluster/wire/MessageReader.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/MessageReader.java
@@ -74,7 +74,7 @@
             items.add((GenericRecord) item);
         }
         if (items.size() > MAX_ITEMS) {
-            throw new IllegalArgumentException(items.size() + " items in " + field);
+            throw new IllegalArgumentException(items.size() + " items are too many in " + field);
         }
         return items;
     }
