--- a/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CoordinationSessionTest.java
@@ -65,13 +65,13 @@
         }
 
         private void deliver(String from, List<CoordinationSession.Outgoing> out) {
-            for (CoordinationSession.Outgoing one : out) {
-                byte[] bytes = codecs.get(from).write(one.to(), one.message(), 1);
-                if (!deaf.contains(one.to())
-                        && codecs.get(one.to()).read(bytes) instanceof Received.Decoded read) {
+            for (CoordinationSession.Outgoing outgoing : out) {
+                byte[] bytes = codecs.get(from).write(outgoing.to(), outgoing.message(), 1);
+                if (!deaf.contains(outgoing.to())
+                        && codecs.get(outgoing.to()).read(bytes) instanceof Received.Decoded read) {
                     deliver(
-                            one.to(),
-                            sessions.get(one.to())
+                            outgoing.to(),
+                            sessions.get(outgoing.to())
                                     .receive(now, WALL + now, read.from(), read.message()));
                 }
             }
--- a/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/CountsAndEvidenceTest.java
@@ -37,7 +37,7 @@
             Collections.shuffle(order, new Random(seed));
             var counters = new CounterTable("a", 7, 5000);
             counters.add(0, "s", 10);
-            order.forEach(one -> counters.receive(1, one));
+            order.forEach(value -> counters.receive(1, value));
             assertEquals(counters.total("s"), 10 + 9 + 3 + 4);
             assertEquals(counters.total("t"), 2);
         }
@@ -111,16 +111,16 @@
     /** Creates observations of server s, each given as OBSERVER:SITE:SUCCESSES:FAILURES. */
     private static Consumer<EvidenceTable> of(String... observations) {
         return evidence -> {
-            for (String one : observations) {
-                String[] words = one.split(":", -1);
+            for (String observation : observations) {
+                String[] fields = observation.split(":", -1);
                 evidence.receive(
                         0,
                         observation(
-                                words[0],
-                                words[1],
+                                fields[0],
+                                fields[1],
                                 "s",
-                                Double.parseDouble(words[2]),
-                                Double.parseDouble(words[3])));
+                                Double.parseDouble(fields[2]),
+                                Double.parseDouble(fields[3])));
             }
         };
     }
--- a/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
@@ -39,7 +39,7 @@
 
     private static MemberUpdate updateOf(Membership member, String name) {
         return member.members().stream()
-                .filter(one -> one.name().equals(name))
+                .filter(update -> update.name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
@@ -64,7 +64,7 @@
             order.addAll(all.subList(0, (int) (seed % all.size())));
             Collections.shuffle(order, new Random(seed));
             var member = member("a", 1);
-            order.forEach(one -> receive(member, one));
+            order.forEach(update -> receive(member, update));
             assertEquals(
                     updateOf(member, "b"),
                     update("b", 6, 0, MemberUpdate.State.SUSPECT),
@@ -136,13 +136,13 @@
         List<FailureDetector.Outgoing> out =
                 member.receive(10, "b", new MemberMessage.Ping(1, List.of()));
         assertTrue(
-                out.stream().noneMatch(one -> one.message() instanceof MemberMessage.Ack),
+                out.stream().noneMatch(sent -> sent.message() instanceof MemberMessage.Ack),
                 out.toString());
         receive(member, update("a", 9, 0, MemberUpdate.State.DEAD));
         assertFalse(member.superseded());
         out = member.receive(10, "b", new MemberMessage.Ping(2, List.of()));
         assertTrue(
-                out.stream().anyMatch(one -> one.message() instanceof MemberMessage.Ack),
+                out.stream().anyMatch(sent -> sent.message() instanceof MemberMessage.Ack),
                 out.toString());
     }
 
@@ -161,7 +161,8 @@
         assertEquals(member.localHealth(), 8);
         assertEquals(member.alive(), Set.of("b", "c"));
         assertTrue(
-                member.members().stream().allMatch(one -> one.state() == MemberUpdate.State.ALIVE),
+                member.members().stream()
+                        .allMatch(update -> update.state() == MemberUpdate.State.ALIVE),
                 member.members().toString());
     }
 
@@ -177,11 +178,12 @@
         assertTrue(member.isolated());
         long notAlive =
                 member.members().stream()
-                        .filter(one -> one.state() != MemberUpdate.State.ALIVE)
+                        .filter(update -> update.state() != MemberUpdate.State.ALIVE)
                         .count();
         assertTrue(notAlive <= 2, member.members().toString());
         assertTrue(
-                member.members().stream().noneMatch(one -> one.state() == MemberUpdate.State.DEAD),
+                member.members().stream()
+                        .noneMatch(update -> update.state() == MemberUpdate.State.DEAD),
                 member.members().toString());
     }
 
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceFleet.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceFleet.java
@@ -57,13 +57,13 @@
         this.scenario = scenario;
         this.random = new Random(seed);
         for (String name : NAMES) {
-            var one = new TestGatherer(name);
+            var gatherer = new TestGatherer(name);
             if (scenario == Scenario.CLOCKS) {
-                one.drift = 0.004 * random.nextDouble() - 0.002;
-                one.wallOffsetMs = 10_000 * random.nextDouble() - 5000;
+                gatherer.drift = 0.004 * random.nextDouble() - 0.002;
+                gatherer.wallOffsetMs = 10_000 * random.nextDouble() - 5000;
             }
-            one.start(0, NAMES, random.nextLong());
-            all.put(name, one);
+            gatherer.start(0, NAMES, random.nextLong());
+            all.put(name, gatherer);
         }
         for (int i = 0; i < 4; i++) {
             startedAt.put("s" + i, -1e6);
@@ -74,8 +74,8 @@
         return now >= FAULT_FROM_MS && now < FAULT_TO_MS;
     }
 
-    boolean isPaused(TestGatherer one) {
-        return scenario == Scenario.PAUSED && isFaultActive() && one.name.equals("a-0");
+    boolean isPaused(TestGatherer gatherer) {
+        return scenario == Scenario.PAUSED && isFaultActive() && gatherer.name.equals("a-0");
     }
 
     boolean isLost(String from, String to) {
@@ -98,9 +98,9 @@
                 slowStartUsages.remove(server);
                 all.values()
                         .forEach(
-                                one -> {
+                                gatherer -> {
                                     if (scenario != Scenario.LATE_UPDATES || random.nextBoolean()) {
-                                        sendEndpoints(one);
+                                        sendEndpoints(gatherer);
                                     }
                                 });
             }
@@ -118,7 +118,7 @@
         }
     }
 
-    void sendEndpoints(TestGatherer one) {
+    void sendEndpoints(TestGatherer gatherer) {
         var list = new ArrayList<Endpoint>();
         startedAt.forEach(
                 (server, at) ->
@@ -128,8 +128,10 @@
                                         AllowanceTableTest.WALL + at,
                                         Endpoint.State.RUNNING)));
         Runnable update =
-                () -> one.allowances.endpointsUpdated(one.counted(now), one.wall(now), true, list);
-        if (isPaused(one)) {
+                () ->
+                        gatherer.allowances.endpointsUpdated(
+                                gatherer.counted(now), gatherer.wall(now), true, list);
+        if (isPaused(gatherer)) {
             deferred.add(update);
         } else {
             update.run();
@@ -159,14 +161,15 @@
     }
 
     void deliver() {
-        List<Delivery> arrived = deliveries.stream().filter(one -> one.atMs <= now).toList();
+        List<Delivery> arrived =
+                deliveries.stream().filter(delivery -> delivery.atMs <= now).toList();
         deliveries.removeAll(arrived);
-        for (Delivery one : arrived) {
-            TestGatherer to = all.get(one.out.to());
+        for (Delivery delivery : arrived) {
+            TestGatherer to = all.get(delivery.out.to());
             if (isPaused(to)) {
-                deferred.add(() -> receive(to, one));
+                deferred.add(() -> receive(to, delivery));
             } else {
-                receive(to, one);
+                receive(to, delivery);
             }
         }
         if (!isFaultActive() && !deferred.isEmpty()) {
@@ -176,25 +179,26 @@
         }
     }
 
-    void receive(TestGatherer to, Delivery one) {
+    void receive(TestGatherer to, Delivery delivery) {
         send(
                 to.name,
-                to.session.receive(to.counted(now), to.wall(now), one.from, one.out.message()));
+                to.session.receive(
+                        to.counted(now), to.wall(now), delivery.from, delivery.out.message()));
     }
 
-    void act(TestGatherer one) {
-        if (isPaused(one)) {
+    void act(TestGatherer gatherer) {
+        if (isPaused(gatherer)) {
             return;
         }
-        double counted = one.counted(now);
-        double wall = one.wall(now);
+        double counted = gatherer.counted(now);
+        double wall = gatherer.wall(now);
         if (now % 200 == 0) {
-            one.allowances.tick(counted, wall);
-            send(one.name, one.session.tick(counted, wall));
+            gatherer.allowances.tick(counted, wall);
+            send(gatherer.name, gatherer.session.tick(counted, wall));
         }
-        boolean busy = one.name.startsWith("a");
+        boolean busy = gatherer.name.startsWith("a");
         if (random.nextDouble() < (busy ? 0.4 : 0.05)) {
-            one.allowances.queryReceived(counted, "acme", List.of(0));
+            gatherer.allowances.queryReceived(counted, "acme", List.of(0));
         }
         SharedLimit limit =
                 random.nextDouble() < 0.3
@@ -205,16 +209,17 @@
                 limit.equals(SharedLimit.RETRIES)
                         ? random.nextDouble() < (busy ? 0.5 : 0.01)
                         : random.nextDouble() < (busy ? 0.9 : 0.2);
-        int free = one.allowances.clusterView(counted, wall).allowances().getOrDefault(limit, -1);
+        int free =
+                gatherer.allowances.clusterView(counted, wall).allowances().getOrDefault(limit, -1);
         if (!attempts || free < wanted) {
             return;
         }
-        Grant grant = one.allowances.consume(counted, wall, limit, wanted);
+        Grant grant = gatherer.allowances.consume(counted, wall, limit, wanted);
         if (grant == null) {
             violations.add(
                     now
                             + ": "
-                            + one.name
+                            + gatherer.name
                             + " had "
                             + free
                             + " free units of "
@@ -225,13 +230,14 @@
         double writtenAt = now + 250 * random.nextDouble();
         Runnable write =
                 () -> {
-                    if (one.allowances.isValid(one.counted(now), one.wall(now), grant)) {
-                        recordWrite(one, limit, wanted);
+                    if (gatherer.allowances.isValid(
+                            gatherer.counted(now), gatherer.wall(now), grant)) {
+                        recordWrite(gatherer, limit, wanted);
                     }
                 };
         // Covers a process that is paused between the decision and the write.
         if (scenario == Scenario.PAUSED
-                && one.name.equals("a-0")
+                && gatherer.name.equals("a-0")
                 && writtenAt >= FAULT_FROM_MS
                 && now < FAULT_FROM_MS) {
             deferred.add(write);
@@ -243,10 +249,10 @@
         }
     }
 
-    void recordWrite(TestGatherer one, SharedLimit limit, int wanted) {
+    void recordWrite(TestGatherer gatherer, SharedLimit limit, int wanted) {
         if (limit.equals(SharedLimit.RETRIES)) {
             retriesSent++;
-            retriesByBusy += one.name.equals("a-0") ? 1 : 0;
+            retriesByBusy += gatherer.name.equals("a-0") ? 1 : 0;
             count(retryUsages, at -> 12, "retries");
         } else {
             slowStartSent++;
@@ -265,20 +271,20 @@
      */
     void count(ArrayDeque<Usage> sent, DoubleUnaryOperator allowed, String name) {
         sent.add(new Usage(now, name.equals("retries") ? 1 : units));
-        sent.removeIf(one -> one.atMs <= now - 3 * AllowanceTableTest.WINDOW_MS);
+        sent.removeIf(usage -> usage.atMs <= now - 3 * AllowanceTableTest.WINDOW_MS);
         for (Usage end : sent) {
-            double most = allowed.applyAsDouble(end.atMs);
+            double maxSum = allowed.applyAsDouble(end.atMs);
             double sum =
                     sent.stream()
                             .filter(
-                                    one ->
-                                            one.atMs > end.atMs - AllowanceTableTest.WINDOW_MS
-                                                    && one.atMs <= end.atMs)
+                                    usage ->
+                                            usage.atMs > end.atMs - AllowanceTableTest.WINDOW_MS
+                                                    && usage.atMs <= end.atMs)
                             .mapToDouble(Usage::units)
                             .sum();
             if (end.atMs >= now
                     && end.atMs < now + AllowanceTableTest.WINDOW_MS
-                    && sum > most + 1e-9) {
+                    && sum > maxSum + 1e-9) {
                 violations.add(
                         end.atMs
                                 + ": "
@@ -286,7 +292,7 @@
                                 + ": "
                                 + sum
                                 + " in a window, "
-                                + most
+                                + maxSum
                                 + " are allowed");
             }
         }
--- a/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/allowance/AllowanceTableTest.java
@@ -97,9 +97,9 @@
     @DataProvider
     Object[][] starts() {
         return new Object[][] {
-            // Age of the server's start by the gatherer's wall clock, in milliseconds; units that a
-            // single gatherer may send at once, or -1 without a limit. In the last row the start
-            // time is 0, which counts as long ago.
+            // Each row contains the time since the server's start by the gatherer's wall clock, in
+            // milliseconds, and the units that a single gatherer may send at once; -1 stands for no
+            // limit. In the last row the start time is 0, which counts as long ago.
             {"just now", 10.0, 33},
             {"three seconds ago, but clocks may be ten apart", 3000.0, 33},
             {"long ago", 60_000.0, -1},
