--- a/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/AllowanceSettings.java
@@ -30,8 +30,9 @@
         double maxClockDrift,
         double maxClockOffsetMs) {
     /**
-     * Term of a lease, in milliseconds: eight ticks of the exchange. Renewal at this interval costs
-     * little, and the units that a dead gatherer had borrowed return soon.
+     * Term of a lease, in milliseconds: eight ticks of the exchange. It is long enough that
+     * renewals cost little, and short enough that the units that a dead gatherer had borrowed
+     * return to their lenders soon.
      */
     static final double LEASE_TERM_MS = 2000;
 
@@ -73,7 +74,7 @@
      * @param limit name of the limit, the same at every gatherer
      * @param units units of all gatherers together per window
      * @param reserves whether a part of the own units is never lent, so that a gatherer that has
-     *     restarted or receives no messages can continue at once
+     *     restarted or receives no messages can use it without waiting for the end of leases
      */
     QuotaTerms quotaTerms(String limit, int units, double windowMs, boolean reserves) {
         int own = ownUnits(limit, units);
--- a/cluster/src/main/java/sprucehold/cluster/allowance/SlowStartLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/allowance/SlowStartLimits.java
@@ -201,7 +201,8 @@
     }
 
     /**
-     * Consumes units of a server's limit. Takes units that no other gatherer can use first.
+     * Consumes units of a server's limit. First takes units that no other gatherer can use, then
+     * units of the ledger.
      *
      * @return null, with no unit consumed, if the units aren't free; an empty grant if the server
      *     has no limit
--- a/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/counter/CounterTable.java
@@ -28,9 +28,10 @@
     private static final class Totals {
         final TreeMap<Long, Long> byGeneration = new TreeMap<>();
 
-        /** Sum of the merged generations, and the latest of them. */
+        /** Sum of the totals of the merged generations. */
         long earlierTotal;
 
+        /** The latest of the merged generations. */
         long latestEarlier = Long.MIN_VALUE;
 
         /** Sums at the last two times at which the sum grew, and these times. */
--- a/cluster/src/main/java/sprucehold/cluster/membership/AntiEntropy.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/AntiEntropy.java
@@ -20,8 +20,8 @@
     private static final double COMPARE_AGAIN_MS = 2000;
 
     /**
-     * Minimum time between two whole tables, in milliseconds: a table of a thousand members is 70
-     * kB long.
+     * Minimum time between two whole tables that this member sends, in milliseconds. A table of a
+     * thousand members is 70 kB long.
      */
     private static final double MIN_TABLE_INTERVAL_MS = 500;
 
@@ -68,8 +68,8 @@
 
     /**
      * Sends the whole table, unless this member sent one less than {@link #MIN_TABLE_INTERVAL_MS}
-     * ago. A table that is not sent is not lost for good: if the receiver's list still differs at
-     * the next comparison, this method is called again.
+     * ago. A table that is left out now may be sent later: if the lists still differ at the next
+     * comparison of digests, this method is called again.
      */
     void sendTable(String to, double nowMs, List<FailureDetector.Outgoing> out) {
         differed = true;
--- a/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
@@ -15,7 +15,8 @@
 /**
  * Moves units of one shared limit to the gatherers that need them. A gatherer that runs short
  * requests units from a few others, one with spare units lends them, and one that no longer needs a
- * lease returns it. Leases expire (Gray and Cheriton 1989) and are renewed halfway.
+ * lease returns it. Leases expire (Gray and Cheriton 1989) and are renewed halfway through their
+ * term.
  *
  * <p>The exchange only decides which gatherer has which units for how long. {@link QuotaLedger}
  * ensures that no unit is used twice, independent of this class. The class is pure: time, messages
@@ -59,9 +60,10 @@
     private int demand;
     private int usefulUnits;
 
-    /** Requester of the last refused request, and the time of the refusal. */
+    /** Requester of the last refused request; empty if none was refused. */
     private String refusedRequester = "";
 
+    /** Lower bound of elapsed time at the last refusal, in milliseconds. */
     private double refusedAtMs = Double.NEGATIVE_INFINITY;
 
     /**
@@ -249,8 +251,8 @@
 
     /**
      * Whether this gatherer lends all free units to the requester. If every gatherer held fewer
-     * units than are of use, all would ask and none would lend. Of two such gatherers, the one that
-     * ranks higher therefore lends all that it has free.
+     * units than are of any use, all would request units and none would lend any. Of two such
+     * gatherers, the one with the higher rank therefore lends all its free units.
      */
     private boolean lendsAllTo(String requester) {
         return heldUnits() < usefulUnits && rank(requester) < rank(ledger.name());
@@ -291,10 +293,10 @@
     }
 
     /**
-     * Handles a renewal request. A lease is not renewed if its units are needed at this gatherer by
-     * now. It is also refused at random half of the time if another requester was refused recently;
-     * otherwise earlier borrowers would keep all units, and a gatherer that becomes busy later
-     * would get none.
+     * Handles a renewal request. A lease is not renewed if this gatherer itself needs the units
+     * now. A renewal is also refused at random half of the time if another requester was refused
+     * recently; otherwise earlier borrowers would keep all units, and a gatherer that becomes busy
+     * later would get none.
      */
     private List<Outgoing> handleRenewalRequest(String from, QuotaMessage.RenewalRequest request) {
         boolean withheld =
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaLedger.java
@@ -15,10 +15,10 @@
  * messages are lost, repeated or delayed, or processes die, pause or return. docs/together.md
  * contains the proof.
  *
- * <p>The uses and leases of an earlier epoch are not known. At the begin of an epoch, the ledger
+ * <p>The uses and leases of an earlier epoch are not known. At the start of an epoch, the ledger
  * therefore assumes that all reserved units have just been used and that all other own units have
  * just been lent. If the limit is opened later in the epoch, the assumed uses and leases still date
- * from the begin of the epoch, so that they expire the earlier after the limit is opened.
+ * from the start of the epoch, so that they expire the earlier after the limit is opened.
  *
  * <p>A lender measures the term of a lease by the lower bound of elapsed time, a borrower by the
  * upper bound, so that the borrower stops using the units before the lender uses them again; see
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
@@ -5,8 +5,9 @@
  * are the same at all gatherers; the sum of all own units is the limit.
  *
  * @param ownUnits units that are this gatherer's own, not negative
- * @param reservedUnits number of own units that are never lent: the gatherer may use them at once
- *     after a restart, and while it receives no messages
+ * @param reservedUnits number of own units that are never lent. The gatherer may use them while it
+ *     receives no messages. After a restart, it may use them as soon as the uses of the earlier
+ *     epoch no longer count, without waiting for the end of leases
  * @param windowMs length of the window in milliseconds; the limit applies to each window of that
  *     length
  * @param sendWithinMs how long after it was counted a use may still be sent, in milliseconds; a
@@ -70,15 +71,18 @@
     }
 
     /**
-     * Returns how long a use counts by the user's own clock, in milliseconds. A use may be sent
-     * {@code sendWithinMs} after it was counted, and a clock that runs fast would expire it before
-     * the window of true time is over.
+     * Returns how long a use counts by the clock of the gatherer that made it, in milliseconds. A
+     * use may be sent {@code sendWithinMs} after it was counted, and a clock that runs fast would
+     * expire it before the window of true time is over.
      */
     double usageCountsMs() {
         return (windowMs + sendWithinMs) * (1 + maxClockDrift);
     }
 
-    /** Returns how long a use may be sent by the user's own clock, in milliseconds. */
+    /**
+     * Returns how long after it was counted a use may be sent by the clock of the gatherer that
+     * made it, in milliseconds.
+     */
     double permitMs() {
         return sendWithinMs * (1 - maxClockDrift);
     }
--- a/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
@@ -38,7 +38,7 @@
          * Whether the limit is closed: its units are neither used nor lent any more. The part is
          * kept until its lent and used units have expired.
          */
-        boolean closing;
+        boolean closed;
 
         Part(QuotaTerms terms, QuotaLedger ledger, LeaseExchange exchange) {
             this.terms = terms;
@@ -47,7 +47,7 @@
         }
 
         boolean isExpired() {
-            return closing && ledger.lent() == 0 && ledger.used() == 0;
+            return closed && ledger.lent() == 0 && ledger.used() == 0;
         }
 
         CoordinationSession.LimitStatus status() {
@@ -66,9 +66,10 @@
     private final Map<String, Part> parts = new TreeMap<>();
     private Set<String> peers = Set.of();
 
-    /** Epoch of all ledgers, and its begin by the lower bound of elapsed time. */
+    /** Epoch of all ledgers. */
     private long epoch;
 
+    /** Lower bound of elapsed time at the start of the epoch, in milliseconds. */
     private double epochBeganMs;
 
     SharedLimits(String self, long epoch, MonotonicLeaseClock clock, Random random) {
@@ -87,7 +88,7 @@
         if (before == null) {
             put(limit, terms);
         } else {
-            before.closing = false;
+            before.closed = false;
         }
     }
 
@@ -102,7 +103,7 @@
     void close(String limit) {
         Part part = parts.get(limit);
         if (part != null) {
-            part.closing = true;
+            part.closed = true;
         }
     }
 
@@ -110,7 +111,7 @@
     void beginEpoch(long newEpoch) {
         epoch = newEpoch;
         epochBeganMs = clock.atLeastMs();
-        parts.values().removeIf(part -> part.closing);
+        parts.values().removeIf(part -> part.closed);
         new TreeMap<>(parts).forEach((limit, part) -> put(limit, part.terms));
     }
 
@@ -122,7 +123,7 @@
     /** Returns the part of an open limit, or null if the limit isn't open. */
     private Part openPart(String limit) {
         Part part = parts.get(limit);
-        return part == null || part.closing ? null : part;
+        return part == null || part.closed ? null : part;
     }
 
     boolean isOpen(String limit) {
@@ -173,7 +174,7 @@
         var byReceiver = new TreeMap<String, List<ClusterMessage.LimitMessage>>();
         parts.forEach(
                 (limit, part) -> {
-                    if (!part.closing) {
+                    if (!part.closed) {
                         part.exchange
                                 .tick(toAsk)
                                 .forEach(outgoing -> collect(limit, outgoing, byReceiver));
@@ -192,8 +193,9 @@
     }
 
     /**
-     * Chooses the gatherers to ask for units, those that lent before first. All limits ask the same
-     * few, so that the requests of several limits to one gatherer fit into one message.
+     * Chooses the gatherers to ask for units. At most half of them are taken from those whose last
+     * answer was a grant; the others are drawn at random. All limits ask the same few, so that the
+     * requests of several limits to one gatherer fit into one message.
      */
     private Set<String> chooseLenders() {
         var chosen = new LinkedHashSet<String>();
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -48,9 +48,9 @@
      * Result of a simulation. A median is NaN unless more than half of the gatherers detected the
      * failure, and the time of the last gatherer is NaN unless all did.
      *
-     * @param aloneMedianMs median time from the begin of the failure to a gatherer's own second
+     * @param aloneMedianMs median time from the start of the failure to a gatherer's own second
      *     failed attempt; {@code aloneAllMs} is the time of the last gatherer
-     * @param toldMedianMs median time from the begin of the failure until a gatherer considers the
+     * @param toldMedianMs median time from the start of the failure until a gatherer considers the
      *     server failing by the observations of others; {@code toldAllMs} is the time of the last
      *     gatherer
      * @param falselySuspecting number of gatherers that considered a healthy server failing at any
--- a/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/SimulatedFault.java
@@ -6,7 +6,7 @@
  * A fault of some members for a limited time.
  *
  * @param members numbers of the affected members
- * @param fromMs begin of the fault, in milliseconds of simulated time
+ * @param fromMs start of the fault, in milliseconds of simulated time
  * @param toMs end of the fault, in milliseconds of simulated time
  */
 public record SimulatedFault(Kind kind, Set<Integer> members, double fromMs, double toMs) {
