--- a/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
+++ b/cluster/src/main/java/sprucehold/cluster/evidence/EvidenceTable.java
@@ -34,7 +34,10 @@
     /** Number of attempts below which a decayed own observation is removed. */
     private static final double MIN_KEPT_ATTEMPTS = 0.1;
 
-    /** Minimum number of observers: one may lie or be cut off, two may share a switch. */
+    /**
+     * Minimum number of observers. One observer may lie or be cut off, and two may be connected to
+     * the same faulty switch.
+     */
     static final int MIN_OBSERVERS = 3;
 
     /**
--- a/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
+++ b/cluster/src/main/java/sprucehold/cluster/membership/Membership.java
@@ -17,7 +17,8 @@
 public final class Membership implements FailureDetector {
     /**
      * SWIM's protocol period, in milliseconds: one probe is sent per period. Half a second to a
-     * second is usual, and the term of a lease is several times that.
+     * second is usual, and the term of a lease is twice that ({@code
+     * AllowanceSettings.LEASE_TERM_MS}).
      */
     public static final double PERIOD_MS = 1000;
 
--- a/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LeaseExchange.java
@@ -105,10 +105,11 @@
     }
 
     /**
-     * Sets the number of units per window needed at this gatherer, if it is known more precisely
-     * than from the units used and refused.
+     * Sets the minimum number of units per window that this gatherer needs. If the units used and
+     * refused indicate a greater need, that one applies.
      *
-     * @param usefulUnits the fewest units that are of any use, as one part takes that many at once
+     * @param usefulUnits the fewest units that are of any use, since that many are used at once,
+     *     for example by one part of a query
      */
     public void setDemand(int units, int usefulUnits) {
         this.demand = units;
@@ -117,7 +118,7 @@
 
     /**
      * Returns the units needed at this gatherer: those used in the last window and those refused
-     * since the last tick, with a margin.
+     * since the last tick, with a margin, or the demand that was set if it is greater.
      */
     private int neededUnits() {
         return Math.max(demand, (int) Math.ceil(DEMAND_MARGIN * (ledger.used() + refusedUnits)));
--- a/cluster/src/main/java/sprucehold/cluster/quota/LenderSelection.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/LenderSelection.java
@@ -18,7 +18,7 @@
      * Maximum number of random draws per gatherer to choose. A draw may return a gatherer that is
      * already chosen, and the limit bounds the repetitions.
      */
-    private static final int DRAWS_PER_PLACE = 4;
+    private static final int DRAWS_PER_LENDER = 4;
 
     private final Random random;
     private final List<String> peers = new ArrayList<>();
@@ -67,7 +67,7 @@
             chosen.add(known.next());
         }
         int places = Math.min(count, peers.size());
-        for (int draws = 0; chosen.size() < places && draws < DRAWS_PER_PLACE * count; draws++) {
+        for (int draws = 0; chosen.size() < places && draws < DRAWS_PER_LENDER * count; draws++) {
             chosen.add(peers.get(random.nextInt(peers.size())));
         }
         return chosen;
--- a/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
+++ b/cluster/src/main/java/sprucehold/cluster/quota/QuotaTerms.java
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Returns how long a borrower may use a lease by its own clock, in milliseconds from the time
+     * Returns how long a borrower may use a lease, in milliseconds of its own clock from the time
      * of its request.
      */
     double borrowerTermMs() {
@@ -63,15 +63,15 @@
     }
 
     /**
-     * Returns how long a lender considers a lease lent by its own clock, in milliseconds from the
-     * time of the grant.
+     * Returns how long a lender considers a lease to be lent, in milliseconds of its own clock from
+     * the time of the grant.
      */
     double lenderTermMs() {
         return leaseTermMs * (1 + maxClockDrift);
     }
 
     /**
-     * Returns how long a use counts by the clock of the gatherer that made it, in milliseconds. A
+     * Returns how long a use counts, in milliseconds of the clock of the gatherer that made it. A
      * use may be sent {@code sendWithinMs} after it was counted, and a clock that runs fast would
      * expire it before the window of true time is over.
      */
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Returns how long after it was counted a use may be sent by the clock of the gatherer that
-     * made it, in milliseconds.
+     * Returns how long after it was counted a use may be sent, in milliseconds of the clock of the
+     * gatherer that made it.
      */
     double permitMs() {
         return sendWithinMs * (1 - maxClockDrift);
--- a/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
@@ -27,7 +27,7 @@
      * Maximum number of random draws per gatherer to choose. A draw may return a gatherer that is
      * already chosen, and the limit bounds the repetitions.
      */
-    private static final int DRAWS_PER_PLACE = 4;
+    private static final int DRAWS_PER_LENDER = 4;
 
     private static final class Part {
         final QuotaTerms terms;
@@ -205,7 +205,7 @@
         }
         List<String> all = List.copyOf(peers);
         int count = Math.min(LeaseExchange.REQUESTS_PER_TICK, all.size());
-        int maxDraws = DRAWS_PER_PLACE * LeaseExchange.REQUESTS_PER_TICK;
+        int maxDraws = DRAWS_PER_LENDER * LeaseExchange.REQUESTS_PER_TICK;
         for (int draws = 0; chosen.size() < count && draws < maxDraws; draws++) {
             chosen.add(all.get(random.nextInt(all.size())));
         }
--- a/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
@@ -62,7 +62,8 @@
     public static final int MAX_STREAM_BYTES = 1 << 20;
 
     /**
-     * Version of a frame whose body states why the messages of the frame's receiver can't be read.
+     * Version of a refusal: a frame whose body states why its sender can't read the messages of its
+     * receiver.
      */
     static final int REFUSAL_VERSION = 0;
 
