--- a/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
+++ b/cluster/src/main/java/sprucehold/cluster/session/SharedLimits.java
@@ -15,24 +15,30 @@
 import sprucehold.cluster.quota.QuotaMessage;
 import sprucehold.cluster.quota.QuotaTerms;
 
-/** One gatherer's parts of all shared limits, by the name of each. */
+/** One gatherer's parts of all shared limits, by the name of each limit. */
 final class SharedLimits {
     /**
-     * Messages about limits that go in one message: some 100 bytes each, with the name of the
-     * limit, keep it within a datagram.
+     * Maximum number of limit messages in one message: at about 100 bytes each, with the name of
+     * the limit, they fit into a datagram.
      */
     private static final int MAX_IN_MESSAGE = 10;
 
-    /** Draws for each gatherer to ask at the most, as a draw may hit one chosen already. */
-    private static final int DRAWS_PER_PLACE = 4;
+    /**
+     * Maximum number of random draws per gatherer to choose. A draw may return a gatherer that is
+     * already chosen, and the limit bounds the repetitions.
+     */
+    private static final int DRAWS_PER_LENDER = 4;
 
     private static final class Part {
         final QuotaTerms terms;
         final QuotaLedger ledger;
         final LeaseExchange exchange;
 
-        /** Nobody uses or lends it any more; kept until what is out of it has lapsed. */
-        boolean closing;
+        /**
+         * Whether the limit is closed: its units are neither used nor lent any more. The part is
+         * kept until its lent and used units have expired.
+         */
+        boolean closed;
 
         Part(QuotaTerms terms, QuotaLedger ledger, LeaseExchange exchange) {
             this.terms = terms;
@@ -40,8 +46,8 @@
             this.exchange = exchange;
         }
 
-        boolean isLapsed() {
-            return closing && ledger.lent() == 0 && ledger.used() == 0;
+        boolean isExpired() {
+            return closed && ledger.lent() == 0 && ledger.used() == 0;
         }
 
         CoordinationSession.LimitStatus status() {
@@ -60,9 +66,10 @@
     private final Map<String, Part> parts = new TreeMap<>();
     private Set<String> peers = Set.of();
 
-    /** The epoch of all ledgers, and when it began by the least time that has passed. */
+    /** Epoch of all ledgers. */
     private long epoch;
 
+    /** Lower bound of elapsed time at the start of the epoch, in milliseconds. */
     private double epochBeganMs;
 
     SharedLimits(String self, long epoch, MonotonicLeaseClock clock, Random random) {
@@ -74,14 +81,14 @@
     }
 
     /**
-     * Opens a limit. One that was closed a moment ago goes on as it was, with what is out of it.
+     * Opens a limit. A limit that was closed and still has lent or used units continues with them.
      */
     void open(String limit, QuotaTerms terms) {
         Part before = parts.get(limit);
         if (before == null) {
             put(limit, terms);
         } else {
-            before.closing = false;
+            before.closed = false;
         }
     }
 
@@ -96,15 +103,15 @@
     void close(String limit) {
         Part part = parts.get(limit);
         if (part != null) {
-            part.closing = true;
+            part.closed = true;
         }
     }
 
-    /** Begins a new epoch: as if all units had been used and lent the moment before. */
+    /** Begins a new epoch, as if all units had been used and lent at the moment before. */
     void beginEpoch(long newEpoch) {
         epoch = newEpoch;
         epochBeganMs = clock.atLeastMs();
-        parts.values().removeIf(part -> part.closing);
+        parts.values().removeIf(part -> part.closed);
         new TreeMap<>(parts).forEach((limit, part) -> put(limit, part.terms));
     }
 
@@ -113,10 +120,10 @@
         parts.values().forEach(part -> part.exchange.setPeers(alive));
     }
 
-    /** The part of an open limit, or null. */
+    /** Returns the part of an open limit, or null if the limit isn't open. */
     private Part openPart(String limit) {
         Part part = parts.get(limit);
-        return part == null || part.closing ? null : part;
+        return part == null || part.closed ? null : part;
     }
 
     boolean isOpen(String limit) {
@@ -134,7 +141,7 @@
         }
     }
 
-    /** Units that may be used now; 0 where the limit isn't open. */
+    /** Returns the units that may be used now; 0 if the limit isn't open. */
     int free(String limit) {
         Part part = openPart(limit);
         return part == null ? 0 : part.ledger.free();
@@ -145,7 +152,7 @@
         return openPart(limit).exchange.consume(units);
     }
 
-    /** Null where the limit isn't open. */
+    /** Returns the units of a limit, or null if it isn't open. */
     CoordinationSession.LimitStatus status(String limit) {
         Part part = openPart(limit);
         return part == null ? null : part.status();
@@ -157,14 +164,17 @@
         return statuses;
     }
 
-    /** Asks, renews and returns; to be called every {@link LeaseExchange#TICK_MS}. */
+    /**
+     * Requests, renews and returns leases; must be called every {@link LeaseExchange#TICK_MS}
+     * milliseconds.
+     */
     void tick(List<CoordinationSession.Outgoing> out) {
-        parts.values().removeIf(Part::isLapsed);
+        parts.values().removeIf(Part::isExpired);
         Set<String> toAsk = chooseLenders();
         var byReceiver = new TreeMap<String, List<ClusterMessage.LimitMessage>>();
         parts.forEach(
                 (limit, part) -> {
-                    if (!part.closing) {
+                    if (!part.closed) {
                         part.exchange
                                 .tick(toAsk)
                                 .forEach(outgoing -> collect(limit, outgoing, byReceiver));
@@ -183,8 +193,9 @@
     }
 
     /**
-     * All limits ask the same few, those who lent before first, so that what is asked of one goes
-     * in one message.
+     * Chooses the gatherers to ask for units. At most half of them are taken from those whose last
+     * answer was a grant; the others are drawn at random. All limits ask the same few, so that the
+     * requests of several limits to one gatherer fit into one message.
      */
     private Set<String> chooseLenders() {
         var chosen = new LinkedHashSet<String>();
@@ -194,19 +205,20 @@
         }
         List<String> all = List.copyOf(peers);
         int count = Math.min(LeaseExchange.REQUESTS_PER_TICK, all.size());
-        int maxDraws = DRAWS_PER_PLACE * LeaseExchange.REQUESTS_PER_TICK;
+        int maxDraws = DRAWS_PER_LENDER * LeaseExchange.REQUESTS_PER_TICK;
         for (int draws = 0; chosen.size() < count && draws < maxDraws; draws++) {
             chosen.add(all.get(random.nextInt(all.size())));
         }
         return chosen;
     }
 
-    /** Takes messages, and sends the answers to them. */
+    /** Handles messages and sends the answers to them. */
     void receive(
             String from, ClusterMessage.QuotaPart quota, List<CoordinationSession.Outgoing> out) {
         var answers = new ArrayList<ClusterMessage.LimitMessage>();
         for (ClusterMessage.LimitMessage each : quota.messages()) {
-            // A closing limit lends nothing, but what comes back to it frees it sooner.
+            // A closed limit lends nothing, but accepts returned leases, which let it expire
+            // sooner.
             Part part =
                     each.message() instanceof QuotaMessage.LeaseRequest
                             ? openPart(each.limit())
