--- a/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
@@ -7,7 +7,8 @@
 import sprucehold.decision.Event;
 
 /**
- * A query as it is met in a trace. There is one object a query, so it can be compared by identity.
+ * The state of one query while its trace is read. There is exactly one object per query, so queries
+ * can be compared by identity.
  */
 public final class CorrelatedQuery {
     private final int source;
@@ -18,13 +19,13 @@
     boolean secondStep;
     int pendingAttempts;
 
-    CorrelatedQuery(int source, Event.QueryReceived taken, double takenMs) {
+    CorrelatedQuery(int source, Event.QueryReceived received, double receivedMs) {
         this.source = source;
-        this.received = taken;
-        this.receivedMs = takenMs;
+        this.received = received;
+        this.receivedMs = receivedMs;
     }
 
-    /** One part, and the servers that it was sent to so far. */
+    /** One part, and the shard servers that its attempts were sent to, by attempt number. */
     static final class CorrelatedPart {
         final CorrelatedQuery query;
         final List<String> servers = new ArrayList<>(1);
@@ -34,27 +35,27 @@
         }
     }
 
-    /** The index of its source in the file's header. */
+    /** Returns the index of the query's source in the file's header. */
     public int source() {
         return source;
     }
 
-    /** The event by which it began. */
+    /** Returns the event by which the query was received. */
     public Event.QueryReceived received() {
         return received;
     }
 
-    /** When it was taken, by its source's clock. */
+    /** Returns the time at which the query was received, by its source's clock. */
     public double receivedMs() {
         return receivedMs;
     }
 
-    /** Whether its final answer, or its client's leaving, has been met. */
+    /** Returns whether the query's final answer or its client's disconnection has been read. */
     public boolean ended() {
         return ended;
     }
 
-    /** Attempts of it that are out. */
+    /** Returns the number of attempts that were sent and have not ended. */
     public int pendingAttempts() {
         return pendingAttempts;
     }
--- a/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
@@ -9,11 +9,15 @@
 import sprucehold.decision.Event;
 import sprucehold.trace.event.Item;
 
-/** Tells, item by item in the order of a source, which query each belongs to. */
+/**
+ * Assigns each item of a trace to its query. The items of a source must be added in the order of
+ * that source.
+ */
 public final class QueryCorrelator {
     /**
-     * Queries held at most for each source. Guards against traces with gaps, whose queries never
-     * end; a gatherer that holds 1,024 descriptors has far fewer open.
+     * Largest number of queries kept in memory per source. The bound protects against traces with
+     * gaps, in which the end of a query may be missing. A gatherer with 1,024 file descriptors has
+     * far fewer open queries.
      */
     private static final int MAX_OPEN_QUERIES = 100_000;
 
@@ -21,54 +25,58 @@
     private String server;
 
     private static final class SourceState {
-        /** In the order in which they were taken. */
+        /** Queries in the order in which they were received. */
         final Map<Long, CorrelatedQuery> byNumber = new LinkedHashMap<>();
 
         final Map<String, CorrelatedQuery> byId = new HashMap<>();
         final Map<String, CorrelatedQuery.CorrelatedPart> parts = new HashMap<>();
     }
 
-    /** Takes the next item of a source; null where it belongs to no query that is known. */
+    /**
+     * Adds the next item of a source.
+     *
+     * @return the query that the item belongs to, or null if it belongs to no known query
+     */
     public CorrelatedQuery add(int source, double nowMs, Item item) {
         while (sources.size() <= source) {
             sources.add(new SourceState());
         }
         server = null;
-        SourceState shelf = sources.get(source);
+        SourceState state = sources.get(source);
         return item.event() != null
-                ? add(shelf, source, nowMs, item.event())
-                : add(shelf, item.command());
+                ? add(state, source, nowMs, item.event())
+                : add(state, item.command());
     }
 
-    /** The shard server that the item last added was about, or null. */
+    /** Returns the shard server that the last added item refers to, or null if there is none. */
     public String server() {
         return server;
     }
 
-    /** How many queries are held for a source. */
+    /** Returns the number of queries kept in memory for a source. */
     public int openQueries(int source) {
         return source < sources.size() ? sources.get(source).byNumber.size() : 0;
     }
 
-    private CorrelatedQuery add(SourceState shelf, int source, double nowMs, Event event) {
-        if (event instanceof Event.QueryReceived taken) {
-            if (shelf.byNumber.size() >= MAX_OPEN_QUERIES) {
-                remove(shelf, shelf.byNumber.values().iterator().next());
+    private CorrelatedQuery add(SourceState state, int source, double nowMs, Event event) {
+        if (event instanceof Event.QueryReceived queryReceived) {
+            if (state.byNumber.size() >= MAX_OPEN_QUERIES) {
+                remove(state, state.byNumber.values().iterator().next());
             }
-            var query = new CorrelatedQuery(source, taken, nowMs);
-            shelf.byNumber.put(taken.number(), query);
-            shelf.byId.put(taken.id(), query);
+            var query = new CorrelatedQuery(source, queryReceived, nowMs);
+            state.byNumber.put(queryReceived.number(), query);
+            state.byId.put(queryReceived.id(), query);
             return query;
-        } else if (event instanceof Event.PartReceived taken) {
-            CorrelatedQuery query = shelf.byNumber.get(taken.queryNumber());
+        } else if (event instanceof Event.PartReceived partReceived) {
+            CorrelatedQuery query = state.byNumber.get(partReceived.queryNumber());
             if (query != null) {
                 var part = new CorrelatedQuery.CorrelatedPart(query);
-                query.parts.put(taken.id(), part);
-                shelf.parts.put(taken.id(), part);
+                query.parts.put(partReceived.id(), part);
+                state.parts.put(partReceived.id(), part);
             }
             return query;
         } else if (event instanceof Event.AttemptEnded ended) {
-            CorrelatedQuery.CorrelatedPart part = shelf.parts.get(ended.partId());
+            CorrelatedQuery.CorrelatedPart part = state.parts.get(ended.partId());
             if (part == null) {
                 return null;
             }
@@ -77,19 +85,19 @@
                             ? part.servers.get(ended.attemptNumber())
                             : null;
             part.query.pendingAttempts--;
-            return settled(shelf, part.query);
-        } else if (event instanceof Event.ClientDisconnected left) {
-            return ended(shelf, shelf.byId.get(left.queryId()));
+            return removeIfFinished(state, part.query);
+        } else if (event instanceof Event.ClientDisconnected disconnected) {
+            return markEnded(state, state.byId.get(disconnected.queryId()));
         } else if (event instanceof Event.HealthCheckEnded ended) {
             server = ended.server();
         }
         return null;
     }
 
-    private CorrelatedQuery add(SourceState shelf, Command command) {
+    private CorrelatedQuery add(SourceState state, Command command) {
         if (command instanceof Command.SendAttempt sendAttempt) {
             server = sendAttempt.server();
-            CorrelatedQuery.CorrelatedPart part = shelf.parts.get(sendAttempt.partId());
+            CorrelatedQuery.CorrelatedPart part = state.parts.get(sendAttempt.partId());
             if (part == null) {
                 return null;
             }
@@ -97,7 +105,7 @@
             part.query.pendingAttempts++;
             return part.query;
         } else if (command instanceof Command.CancelAttempt cancel) {
-            CorrelatedQuery.CorrelatedPart part = shelf.parts.get(cancel.partId());
+            CorrelatedQuery.CorrelatedPart part = state.parts.get(cancel.partId());
             if (part == null) {
                 return null;
             }
@@ -107,7 +115,7 @@
                             : null;
             return part.query;
         } else if (command instanceof Command.AnswerQuery answer) {
-            CorrelatedQuery query = shelf.byId.get(answer.queryId());
+            CorrelatedQuery query = state.byId.get(answer.queryId());
             if (query != null
                     && answer.complete()
                     && !query.secondStep
@@ -115,36 +123,36 @@
                 query.secondStep = true;
                 return query;
             }
-            return ended(shelf, query);
+            return markEnded(state, query);
         } else if (command instanceof Command.RejectQuery rejection) {
-            return ended(shelf, shelf.byId.get(rejection.queryId()));
+            return markEnded(state, state.byId.get(rejection.queryId()));
         } else if (command instanceof Command.FailQuery failure) {
-            return ended(shelf, shelf.byId.get(failure.queryId()));
-        } else if (command instanceof Command.CheckHealth probe) {
-            server = probe.server();
+            return markEnded(state, state.byId.get(failure.queryId()));
+        } else if (command instanceof Command.CheckHealth healthCheck) {
+            server = healthCheck.server();
         }
         return null;
     }
 
-    private static CorrelatedQuery ended(SourceState shelf, CorrelatedQuery query) {
+    private static CorrelatedQuery markEnded(SourceState state, CorrelatedQuery query) {
         if (query != null) {
             query.ended = true;
-            shelf.byId.remove(query.received().id(), query);
-            settled(shelf, query);
+            state.byId.remove(query.received().id(), query);
+            removeIfFinished(state, query);
         }
         return query;
     }
 
-    private static CorrelatedQuery settled(SourceState shelf, CorrelatedQuery query) {
+    private static CorrelatedQuery removeIfFinished(SourceState state, CorrelatedQuery query) {
         if (query.ended && query.pendingAttempts <= 0) {
-            remove(shelf, query);
+            remove(state, query);
         }
         return query;
     }
 
-    private static void remove(SourceState shelf, CorrelatedQuery query) {
-        shelf.byNumber.remove(query.received().number(), query);
-        shelf.byId.remove(query.received().id(), query);
-        query.parts.forEach((id, part) -> shelf.parts.remove(id, part));
+    private static void remove(SourceState state, CorrelatedQuery query) {
+        state.byNumber.remove(query.received().number(), query);
+        state.byId.remove(query.received().id(), query);
+        query.parts.forEach((id, part) -> state.parts.remove(id, part));
     }
 }
--- a/trace/src/main/java/sprucehold/trace/correlation/package-info.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which query an event or command belongs to, told as entries go by: {@link
- * sprucehold.trace.correlation.QueryCorrelator}. It holds only queries that are open or have an
- * attempt pending, and must never hold more than its bound.
+ * Assigns events and commands to their queries while a trace is read: {@link
+ * sprucehold.trace.correlation.QueryCorrelator}. The package keeps only those queries in memory
+ * that are open or have a pending attempt, and must never exceed its bound per source.
  */
 package sprucehold.trace.correlation;
--- a/trace/src/main/java/sprucehold/trace/event/ClockFit.java
+++ b/trace/src/main/java/sprucehold/trace/event/ClockFit.java
@@ -1,22 +1,22 @@
 package sprucehold.trace.event;
 
 /**
- * How a source's clock stands to the one that the file's order goes by.
+ * Relation of a source's clock to the reference clock, by which the entries of a file are ordered.
  *
- * @param atMs the time of the source's clock at which the offset holds
- * @param offsetMs how far its clock is ahead
- * @param driftPpm how much faster it runs, in millionths
- * @param errorMs what the offset may be off by; infinite where nothing is known of it
+ * @param atMs the time by the source's clock at which the offset applies, in milliseconds
+ * @param offsetMs how far the source's clock is ahead of the reference clock, in milliseconds
+ * @param driftPpm how much faster the source's clock runs, in parts per million
+ * @param errorMs the error bound of the offset, in milliseconds; infinite if it is unknown
  */
 public record ClockFit(double atMs, double offsetMs, double driftPpm, double errorMs) {
-    /** The clock that the others are judged by. */
+    /** The fit of the reference clock itself. */
     public static final ClockFit REFERENCE = new ClockFit(0, 0, 0, 0);
 
-    /** A clock of which nothing is known. */
+    /** The fit of a clock whose relation to the reference clock is unknown. */
     public static final ClockFit UNKNOWN = new ClockFit(0, 0, 0, Double.POSITIVE_INFINITY);
 
-    /** A time of the source's clock, as the reference would have shown it. */
-    public double corrected(double ownMs) {
-        return ownMs - offsetMs - driftPpm * 1e-6 * (ownMs - atMs);
+    /** Converts a time of the source's clock into the time of the reference clock. */
+    public double corrected(double sourceMs) {
+        return sourceMs - offsetMs - driftPpm * 1e-6 * (sourceMs - atMs);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Entry.java
+++ b/trace/src/main/java/sprucehold/trace/event/Entry.java
@@ -1,22 +1,25 @@
 package sprucehold.trace.event;
 
 /**
- * One entry of a trace. Entries of one source are ordered by {@link #seq}, whatever its clock says;
- * the order of entries of several sources is a matter of how their clocks are judged.
+ * One entry of a trace. Entries of one source are ordered by {@link #seq}, regardless of the times
+ * of its clock. The order of entries of several sources depends on the fits of their clocks.
  */
 public sealed interface Entry permits PolicyCall, Gap {
-    /** The index of its source in the file's head. */
+    /** Returns the index of the entry's source in the file's header. */
     int source();
 
     /**
-     * The number, from 0, of the call of the policy since the source started; of a gap, that of the
-     * first call lost.
+     * Returns the number of the policy call since the source started, counted from 0. For a gap,
+     * returns the number of the first lost call.
      */
     long seq();
 
-    /** The source's own clock, Unix time in milliseconds as a rule. It may go back. */
+    /**
+     * Returns the time by the source's own clock, normally Unix time in milliseconds. The times of
+     * successive entries may decrease.
+     */
     double nowMs();
 
-    /** The same entry with another index of its source. */
-    Entry withSource(int other);
+    /** Returns a copy of the entry with another source index. */
+    Entry withSource(int newSource);
 }
--- a/trace/src/main/java/sprucehold/trace/event/Gap.java
+++ b/trace/src/main/java/sprucehold/trace/event/Gap.java
@@ -1,15 +1,17 @@
 package sprucehold.trace.event;
 
 /**
- * Calls of the policy that were not recorded because the writer had fallen behind.
+ * Consecutive policy calls that were not recorded because the writer had fallen behind or the file
+ * could not be written.
  *
- * @param calls how many
- * @param nowMs when the first of them was
- * @param toMs when the last of them was
+ * @param seq the number of the first lost call
+ * @param calls the number of lost calls
+ * @param nowMs the time of the first lost call
+ * @param toMs the time of the last lost call
  */
 public record Gap(int source, long seq, double nowMs, long calls, double toMs) implements Entry {
     @Override
-    public Gap withSource(int other) {
-        return new Gap(other, seq, nowMs, calls, toMs);
+    public Gap withSource(int newSource) {
+        return new Gap(newSource, seq, nowMs, calls, toMs);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/event/Item.java
+++ b/trace/src/main/java/sprucehold/trace/event/Item.java
@@ -4,19 +4,20 @@
 import sprucehold.decision.Event;
 
 /**
- * One event that went in, or one command that came out: exactly one of the two is not null.
+ * One event given to the policy or one command returned by it: exactly one of the two is not null.
  *
- * @param index its place, from 0, among all events and then all commands of its moment
+ * @param index position, from 0, in the list of all events followed by all commands of the policy
+ *     call
  */
 public record Item(int index, Event event, Command command) {
-    /** Takes exactly one of the two. */
+    /** Checks that exactly one of event and command is given. */
     public Item {
         if ((event == null) == (command == null)) {
-            throw new IllegalArgumentException("an item is an event or an action");
+            throw new IllegalArgumentException("an item must have either an event or a command");
         }
     }
 
-    /** The event or the command, whichever it is. */
+    /** Returns the event or the command, whichever is not null. */
     public Object eventOrCommand() {
         return event != null ? event : command;
     }
--- a/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
+++ b/trace/src/main/java/sprucehold/trace/event/PolicyCall.java
@@ -6,12 +6,12 @@
 import sprucehold.decision.Event;
 
 /**
- * One call of the policy: what went in and what came out.
+ * One call of the policy: the events given to it and the commands returned by it.
  *
- * @param policyFailed the policy ended by an exception, so nothing came out
- * @param total how many events and commands the call had; more than {@code items} where some were
- *     left out
- * @param items those kept, by rising index
+ * @param policyFailed whether the policy threw an exception, so that it returned no commands
+ * @param total the number of events and commands of the call; greater than the size of {@code
+ *     items} if some of them are omitted
+ * @param items the kept events and commands, by ascending index
  */
 public record PolicyCall(
         int source, long seq, double nowMs, boolean policyFailed, int total, List<Item> items)
@@ -21,41 +21,41 @@
         items = List.copyOf(items);
     }
 
-    /** A whole moment. */
+    /** Creates a call with all its events and commands. */
     public static PolicyCall of(
             int source,
             long seq,
             double nowMs,
             List<Event> events,
-            List<Command> actions,
-            boolean failed) {
-        var items = new ArrayList<Item>(events.size() + actions.size());
+            List<Command> commands,
+            boolean policyFailed) {
+        var items = new ArrayList<Item>(events.size() + commands.size());
         events.forEach(event -> items.add(new Item(items.size(), event, null)));
-        actions.forEach(command -> items.add(new Item(items.size(), null, command)));
-        return new PolicyCall(source, seq, nowMs, failed, items.size(), items);
+        commands.forEach(command -> items.add(new Item(items.size(), null, command)));
+        return new PolicyCall(source, seq, nowMs, policyFailed, items.size(), items);
     }
 
-    /** Whether nothing was left out. */
+    /** Returns whether no event or command is omitted. */
     public boolean isComplete() {
         return items.size() == total;
     }
 
-    /** The events that went in, of those kept. */
+    /** Returns the kept events. */
     public List<Event> events() {
         return items.stream().map(Item::event).filter(event -> event != null).toList();
     }
 
-    /** The commands that came out, of those kept. */
+    /** Returns the kept commands. */
     public List<Command> commands() {
         return items.stream().map(Item::command).filter(command -> command != null).toList();
     }
 
     @Override
-    public PolicyCall withSource(int other) {
-        return new PolicyCall(other, seq, nowMs, policyFailed, total, items);
+    public PolicyCall withSource(int newSource) {
+        return new PolicyCall(newSource, seq, nowMs, policyFailed, total, items);
     }
 
-    /** The same call with fewer items. */
+    /** Returns a copy of the call with these items only. */
     public PolicyCall withItems(List<Item> kept) {
         return new PolicyCall(source, seq, nowMs, policyFailed, total, kept);
     }
--- a/trace/src/main/java/sprucehold/trace/event/Source.java
+++ b/trace/src/main/java/sprucehold/trace/event/Source.java
@@ -4,13 +4,15 @@
 import sprucehold.decision.Deployment;
 
 /**
- * One gatherer from one start to its end.
+ * One run of a gatherer process, from its start to its end.
  *
- * @param gatherer its name
- * @param build the version that decided
- * @param seed the seed handed to the policy
- * @param startedMs its own clock when recording began, Unix milliseconds
- * @param deployment what the policy was told of the deployment
+ * @param gatherer the gatherer's name
+ * @param build the version of the gatherer
+ * @param seed the seed given to the policy
+ * @param startedMs the time by the gatherer's own clock when recording began, Unix time in
+ *     milliseconds
+ * @param deployment the deployment given to the policy when it started
+ * @param clock the relation of the gatherer's clock to the reference clock
  */
 public record Source(
         String gatherer,
@@ -19,7 +21,7 @@
         double startedMs,
         @JsonProperty("facts") Deployment deployment,
         ClockFit clock) {
-    /** Tells sources apart: equal for all files of one gatherer's one start. */
+    /** Returns an identifier that is equal in all files recorded by the same run of a gatherer. */
     public String id() {
         return gatherer
                 + "@"
@@ -28,7 +30,7 @@
                 + Long.toHexString(Double.doubleToLongBits(startedMs));
     }
 
-    /** The same with another fit of its clock. */
+    /** Returns a copy of the source with another clock fit. */
     public Source withClock(ClockFit fit) {
         return new Source(gatherer, build, seed, startedMs, deployment, fit);
     }
--- a/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockDecoder.java
@@ -23,7 +23,7 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 
-/** Reads the entries of one block. */
+/** Decodes the entries of one block. */
 final class BlockDecoder {
     private static final StoredNumbers<AttemptOutcome> OUTCOMES =
             new StoredNumbers<>(AttemptOutcome.values());
@@ -39,15 +39,15 @@
     private final CodedInputStream in;
     private final List<String> names = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>();
-    private long seqBefore;
-    private long timeBefore;
+    private long previousSeq;
+    private long previousTimeBits;
     private long nameChars;
-    private int things;
+    private int objects;
 
-    /** The moment whose items are being read, without them; null before the first. */
-    private PolicyCall open;
+    /** Policy call whose items are being read, without the items; null before the first call. */
+    private PolicyCall currentCall;
 
-    private boolean leftOut;
+    private boolean itemsOmitted;
     private List<Item> items = new ArrayList<>();
 
     private BlockDecoder(List<Source> sources, byte[] raw) {
@@ -56,62 +56,64 @@
     }
 
     /**
-     * @throws IOException where the bytes are no entries; its message says what was expected
+     * Decodes a block.
+     *
+     * @throws IOException if the bytes are not valid entries; the message describes the fault
      */
     static List<Entry> decode(List<Source> sources, byte[] raw) throws IOException {
         try {
             var decoder = new BlockDecoder(sources, raw);
-            decoder.records();
+            decoder.decodeRecords();
             return decoder.entries;
         } catch (IndexOutOfBoundsException | IllegalArgumentException e) {
             throw new IOException("a number that leads nowhere: " + e.getMessage(), e);
         }
     }
 
-    private void records() throws IOException {
+    private void decodeRecords() throws IOException {
         while (!in.isAtEnd()) {
             int kind = in.readUInt32();
             int length = in.readUInt32();
-            int outer = in.pushLimit(length);
-            record(kind);
-            // Fields that a newer minor version added.
+            int outerLimit = in.pushLimit(length);
+            decodeRecord(kind);
+            // Skips fields added by a newer minor version.
             in.skipRawBytes(in.getBytesUntilLimit());
-            in.popLimit(outer);
+            in.popLimit(outerLimit);
         }
-        close();
+        finishCall();
     }
 
-    private void close() {
-        if (open != null) {
-            entries.add(open.withItems(items));
+    private void finishCall() {
+        if (currentCall != null) {
+            entries.add(currentCall.withItems(items));
             items = new ArrayList<>();
-            open = null;
+            currentCall = null;
         }
     }
 
-    private void record(int kind) throws IOException {
-        count(1);
+    private void decodeRecord(int kind) throws IOException {
+        countObjects(1);
         if (kind == RecordKind.POLICY_CALL || kind == RecordKind.GAP) {
-            close();
+            finishCall();
             int source = in.readUInt32();
             if (source < 0 || source >= sources.size()) {
                 throw new IOException("source " + source + " of " + sources.size());
             }
-            seqBefore += in.readSInt64();
-            timeBefore += in.readSInt64();
-            double now = Double.longBitsToDouble(timeBefore);
+            previousSeq += in.readSInt64();
+            previousTimeBits += in.readSInt64();
+            double nowMs = Double.longBitsToDouble(previousTimeBits);
             if (kind == RecordKind.GAP) {
-                entries.add(new Gap(source, seqBefore, now, in.readUInt64(), in.readDouble()));
+                entries.add(new Gap(source, previousSeq, nowMs, in.readUInt64(), in.readDouble()));
                 return;
             }
             int flags = in.readUInt32();
-            leftOut = (flags & RecordKind.LEFT_OUT) != 0;
-            open =
+            itemsOmitted = (flags & RecordKind.ITEMS_OMITTED) != 0;
+            currentCall =
                     new PolicyCall(
                             source,
-                            seqBefore,
-                            now,
-                            (flags & RecordKind.FAILED) != 0,
+                            previousSeq,
+                            nowMs,
+                            (flags & RecordKind.POLICY_FAILED) != 0,
                             in.readUInt32(),
                             List.of());
             return;
@@ -121,10 +123,10 @@
                 || (kind > RecordKind.CLUSTER_VIEW_CHANGED && kind < RecordKind.SEND_ATTEMPT)) {
             return;
         }
-        if (open == null) {
+        if (currentCall == null) {
             throw new IOException("an item of kind " + kind + " before any policy call");
         }
-        int index = leftOut ? in.readUInt32() : items.size();
+        int index = itemsOmitted ? in.readUInt32() : items.size();
         Item item =
                 kind < RecordKind.SEND_ATTEMPT
                         ? new Item(index, event(kind), null)
@@ -135,24 +137,24 @@
     private Event event(int kind) throws IOException {
         return switch (kind) {
             case RecordKind.QUERY_RECEIVED -> {
-                var deployment = sources.get(open.source()).deployment();
+                var deployment = sources.get(currentCall.source()).deployment();
                 String id = name();
                 long number = in.readUInt64();
-                int type = in.readUInt32();
-                int tenant = in.readUInt32();
-                double left = number();
-                QueryClass of =
-                        type == deployment.queryClasses().size()
+                int classIndex = in.readUInt32();
+                int tenantIndex = in.readUInt32();
+                double timeLeftMs = number();
+                QueryClass queryClass =
+                        classIndex == deployment.queryClasses().size()
                                 ? TraceHeaderJson.read(in.readStringRequireUtf8(), QueryClass.class)
-                                : deployment.queryClasses().get(type);
-                Tenant by =
-                        tenant == 0
+                                : deployment.queryClasses().get(classIndex);
+                Tenant tenant =
+                        tenantIndex == 0
                                 ? null
-                                : tenant == deployment.tenants().size() + 1
+                                : tenantIndex == deployment.tenants().size() + 1
                                         ? TraceHeaderJson.read(
                                                 in.readStringRequireUtf8(), Tenant.class)
-                                        : deployment.tenants().get(tenant - 1);
-                yield new Event.QueryReceived(id, number, of, by, left);
+                                        : deployment.tenants().get(tenantIndex - 1);
+                yield new Event.QueryReceived(id, number, queryClass, tenant, timeLeftMs);
             }
             case RecordKind.PART_RECEIVED ->
                     new Event.PartReceived(name(), in.readUInt64(), in.readSInt32(), number());
@@ -167,7 +169,7 @@
             case RecordKind.ENDPOINTS_UPDATED -> {
                 boolean complete = in.readBool();
                 int count = in.readUInt32();
-                count(count);
+                countObjects(count);
                 var servers = new ArrayList<Endpoint>();
                 for (int i = 0; i < count; i++) {
                     servers.add(
@@ -201,15 +203,18 @@
                 Reason reason = reason();
                 int position = in.readUInt32();
                 int count = in.readUInt32();
-                count(count);
-                var passed = new ArrayList<SkippedReplica>();
+                countObjects(count);
+                var skippedReplicas = new ArrayList<SkippedReplica>();
                 for (int i = 0; i < count; i++) {
-                    String over = name();
+                    String skippedServer = name();
                     CAUSES.known(in.readUInt32())
-                            .ifPresent(cause -> passed.add(new SkippedReplica(over, cause)));
+                            .ifPresent(
+                                    cause ->
+                                            skippedReplicas.add(
+                                                    new SkippedReplica(skippedServer, cause)));
                 }
                 yield new Command.SendAttempt(
-                        part, server, timeout, reason, position, List.copyOf(passed));
+                        part, server, timeout, reason, position, List.copyOf(skippedReplicas));
             }
             case RecordKind.CANCEL_ATTEMPT ->
                     new Command.CancelAttempt(name(), in.readUInt32(), reason());
@@ -234,10 +239,10 @@
 
     private ClusterView clusterView() throws IOException {
         int gatherers = in.readUInt32();
-        int bounds = in.readUInt32();
-        count(bounds);
+        int limits = in.readUInt32();
+        countObjects(limits);
         var allowances = new HashMap<SharedLimit, Integer>();
-        for (int i = 0; i < bounds; i++) {
+        for (int i = 0; i < limits; i++) {
             SharedLimit limit = sharedLimit();
             int units = in.readUInt32();
             if (limit != null) {
@@ -245,7 +250,7 @@
             }
         }
         int servers = in.readUInt32();
-        count(servers);
+        countObjects(servers);
         var failureScores = new HashMap<String, Double>();
         for (int i = 0; i < servers; i++) {
             failureScores.put(name(), number());
@@ -253,14 +258,14 @@
         return new ClusterView(gatherers, allowances, failureScores);
     }
 
-    /** Null for one of a kind that a newer minor version has added. */
+    /** Reads a shared limit; returns null for a kind that a newer minor version added. */
     private SharedLimit sharedLimit() throws IOException {
         Optional<SharedLimit.Kind> kind = LIMITS.known(in.readUInt32());
         String subject = name();
         return kind.map(known -> new SharedLimit(known, subject)).orElse(null);
     }
 
-    /** One that a newer minor version has added is none that this build can name. */
+    /** Reads a reason; returns {@code UNSTATED} for a reason that a newer minor version added. */
     private Reason reason() throws IOException {
         return REASONS.known(in.readUInt32()).orElse(Reason.UNSTATED);
     }
@@ -274,17 +279,17 @@
     }
 
     private String name() throws IOException {
-        int how = in.readUInt32();
-        if (how > 1) {
-            return names.get(how - 2);
+        int form = in.readUInt32();
+        if (form > 1) {
+            return names.get(form - 2);
         }
         String name =
-                how == 0
+                form == 0
                         ? in.readStringRequireUtf8()
                         : names.get(in.readUInt32()) + in.readStringRequireUtf8();
         names.add(name);
-        // A name may begin with one that began with another: few bytes could else stand for any
-        // number of letters.
+        // A name may extend another name, which may itself extend a third one. Without this bound,
+        // a few bytes of input could expand to any number of characters.
         nameChars += name.length();
         if (nameChars > Layout.MAX_RAW_BYTES) {
             throw new IOException("names of over " + Layout.MAX_RAW_BYTES + " characters");
@@ -292,10 +297,13 @@
         return name;
     }
 
-    /** Counts what takes memory: a few bytes that deflate from nearly none must not fill it. */
-    private void count(int more) throws IOException {
-        things += more;
-        if (more < 0 || things > Layout.MAX_RECORDS) {
+    /**
+     * Counts decoded records and list elements against their bound. Without it, a block that
+     * inflates from a few bytes could fill the memory.
+     */
+    private void countObjects(int added) throws IOException {
+        objects += added;
+        if (added < 0 || objects > Layout.MAX_RECORDS) {
             throw new IOException("over " + Layout.MAX_RECORDS + " records");
         }
     }
--- a/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockEncoder.java
@@ -21,7 +21,7 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 
-/** Writes entries into one block after the other; each block stands by itself. */
+/** Encodes entries into successive blocks; each block can be decoded without the others. */
 final class BlockEncoder {
     private final List<Source> sources;
     private final List<Map<String, Integer>> classIndexes;
@@ -31,8 +31,8 @@
     private final CodedOutputStream block = CodedOutputStream.newInstance(blockBytes, 1 << 12);
     private final CodedOutputStream body = CodedOutputStream.newInstance(bodyBytes, 1 << 12);
     private final Map<String, Integer> names = new HashMap<>();
-    private long seqBefore;
-    private long timeBefore;
+    private long previousSeq;
+    private long previousTimeBits;
 
     BlockEncoder(List<Source> sources) {
         this.sources = sources;
@@ -62,55 +62,55 @@
                         .toList();
     }
 
-    /** Bytes in the block so far. */
+    /** Returns the length of the current block in bytes. */
     int size() throws IOException {
         block.flush();
         return blockBytes.size();
     }
 
-    /** The block's raw bytes; the next one begins. */
-    byte[] take() throws IOException {
+    /** Returns the raw bytes of the current block and starts the next block. */
+    byte[] finishBlock() throws IOException {
         block.flush();
         byte[] raw = blockBytes.toByteArray();
         blockBytes.reset();
         names.clear();
-        seqBefore = 0;
-        timeBefore = 0;
+        previousSeq = 0;
+        previousTimeBits = 0;
         return raw;
     }
 
     void add(Entry entry) throws IOException {
         long seq = entry.seq();
-        long time = Double.doubleToRawLongBits(entry.nowMs());
+        long timeBits = Double.doubleToRawLongBits(entry.nowMs());
         body.writeUInt32NoTag(entry.source());
-        body.writeSInt64NoTag(seq - seqBefore);
-        body.writeSInt64NoTag(time - timeBefore);
-        seqBefore = seq;
-        timeBefore = time;
+        body.writeSInt64NoTag(seq - previousSeq);
+        body.writeSInt64NoTag(timeBits - previousTimeBits);
+        previousSeq = seq;
+        previousTimeBits = timeBits;
         if (entry instanceof Gap gap) {
             body.writeUInt64NoTag(gap.calls());
             body.writeDoubleNoTag(gap.toMs());
-            end(RecordKind.GAP);
+            endRecord(RecordKind.GAP);
             return;
         }
         PolicyCall call = (PolicyCall) entry;
         body.writeUInt32NoTag(
-                (call.policyFailed() ? RecordKind.FAILED : 0)
-                        | (call.isComplete() ? 0 : RecordKind.LEFT_OUT));
+                (call.policyFailed() ? RecordKind.POLICY_FAILED : 0)
+                        | (call.isComplete() ? 0 : RecordKind.ITEMS_OMITTED));
         body.writeUInt32NoTag(call.total());
-        end(RecordKind.POLICY_CALL);
+        endRecord(RecordKind.POLICY_CALL);
         for (Item item : call.items()) {
             if (!call.isComplete()) {
                 body.writeUInt32NoTag(item.index());
             }
-            end(
+            endRecord(
                     item.event() != null
                             ? event(call.source(), item.event())
                             : command(item.command()));
         }
     }
 
-    private void end(int kind) throws IOException {
+    private void endRecord(int kind) throws IOException {
         body.flush();
         block.writeUInt32NoTag(kind);
         block.writeUInt32NoTag(bodyBytes.size());
@@ -119,39 +119,39 @@
     }
 
     private int event(int source, Event event) throws IOException {
-        if (event instanceof Event.QueryReceived taken) {
-            name(taken.id());
-            body.writeUInt64NoTag(taken.number());
+        if (event instanceof Event.QueryReceived received) {
+            name(received.id());
+            body.writeUInt64NoTag(received.number());
             Deployment deployment = sources.get(source).deployment();
-            int type =
-                    index(
+            int classIndex =
+                    indexOf(
                             classIndexes.get(source),
                             deployment.queryClasses(),
-                            taken.queryClass(),
-                            taken.queryClass().name());
-            int tenant =
-                    taken.tenant() == null
+                            received.queryClass(),
+                            received.queryClass().name());
+            int tenantIndex =
+                    received.tenant() == null
                             ? -1
-                            : index(
+                            : indexOf(
                                     tenantIndexes.get(source),
                                     deployment.tenants(),
-                                    taken.tenant(),
-                                    taken.tenant().name());
-            body.writeUInt32NoTag(type);
-            body.writeUInt32NoTag(tenant + 1);
-            number(taken.timeLeftMs());
-            if (type == deployment.queryClasses().size()) {
-                body.writeStringNoTag(TraceHeaderJson.text(taken.queryClass()));
+                                    received.tenant(),
+                                    received.tenant().name());
+            body.writeUInt32NoTag(classIndex);
+            body.writeUInt32NoTag(tenantIndex + 1);
+            number(received.timeLeftMs());
+            if (classIndex == deployment.queryClasses().size()) {
+                body.writeStringNoTag(TraceHeaderJson.toJson(received.queryClass()));
             }
-            if (tenant == deployment.tenants().size()) {
-                body.writeStringNoTag(TraceHeaderJson.text(taken.tenant()));
+            if (tenantIndex == deployment.tenants().size()) {
+                body.writeStringNoTag(TraceHeaderJson.toJson(received.tenant()));
             }
             return RecordKind.QUERY_RECEIVED;
-        } else if (event instanceof Event.PartReceived taken) {
-            name(taken.id());
-            body.writeUInt64NoTag(taken.queryNumber());
-            body.writeSInt32NoTag(taken.shard());
-            number(taken.weight());
+        } else if (event instanceof Event.PartReceived received) {
+            name(received.id());
+            body.writeUInt64NoTag(received.queryNumber());
+            body.writeSInt32NoTag(received.shard());
+            number(received.weight());
             return RecordKind.PART_RECEIVED;
         } else if (event instanceof Event.AttemptEnded ended) {
             name(ended.partId());
@@ -160,18 +160,18 @@
             number(ended.durationMs());
             load(ended.load());
             return RecordKind.ATTEMPT_ENDED;
-        } else if (event instanceof Event.ClientDisconnected left) {
-            name(left.queryId());
+        } else if (event instanceof Event.ClientDisconnected disconnected) {
+            name(disconnected.queryId());
             return RecordKind.CLIENT_DISCONNECTED;
-        } else if (event instanceof Event.EndpointsUpdated list) {
-            body.writeBoolNoTag(list.complete());
-            body.writeUInt32NoTag(list.endpoints().size());
-            for (Endpoint server : list.endpoints()) {
-                name(server.server());
-                body.writeSInt32NoTag(server.replicaGroup());
-                name(server.zone());
-                number(server.startedAtMs());
-                body.writeUInt32NoTag(server.state().storedNumber());
+        } else if (event instanceof Event.EndpointsUpdated update) {
+            body.writeBoolNoTag(update.complete());
+            body.writeUInt32NoTag(update.endpoints().size());
+            for (Endpoint endpoint : update.endpoints()) {
+                name(endpoint.server());
+                body.writeSInt32NoTag(endpoint.replicaGroup());
+                name(endpoint.zone());
+                number(endpoint.startedAtMs());
+                body.writeUInt32NoTag(endpoint.state().storedNumber());
             }
             return RecordKind.ENDPOINTS_UPDATED;
         } else if (event instanceof Event.EndpointsUnavailable) {
@@ -184,10 +184,10 @@
             return RecordKind.HEALTH_CHECK_ENDED;
         }
         if (event instanceof Event.DeploymentChanged changed) {
-            body.writeStringNoTag(TraceHeaderJson.text(changed.deployment()));
+            body.writeStringNoTag(TraceHeaderJson.toJson(changed.deployment()));
             return RecordKind.DEPLOYMENT_CHANGED;
-        } else if (event instanceof Event.ClusterViewChanged told) {
-            clusterView(told.view());
+        } else if (event instanceof Event.ClusterViewChanged viewChanged) {
+            clusterView(viewChanged.view());
             return RecordKind.CLUSTER_VIEW_CHANGED;
         }
         return RecordKind.WAKE_UP;
@@ -201,9 +201,9 @@
             body.writeUInt32NoTag(sendAttempt.reason().storedNumber());
             body.writeUInt32NoTag(sendAttempt.position());
             body.writeUInt32NoTag(sendAttempt.skipped().size());
-            for (SkippedReplica passed : sendAttempt.skipped()) {
-                name(passed.server());
-                body.writeUInt32NoTag(passed.cause().storedNumber());
+            for (SkippedReplica skipped : sendAttempt.skipped()) {
+                name(skipped.server());
+                body.writeUInt32NoTag(skipped.cause().storedNumber());
             }
             return RecordKind.SEND_ATTEMPT;
         } else if (command instanceof Command.CancelAttempt cancel) {
@@ -228,11 +228,11 @@
         } else if (command instanceof Command.ScheduleWakeUp wakeUp) {
             number(wakeUp.delayMs());
             return RecordKind.SCHEDULE_WAKE_UP;
-        } else if (command instanceof Command.CheckHealth probe) {
-            name(probe.server());
+        } else if (command instanceof Command.CheckHealth healthCheck) {
+            name(healthCheck.server());
             return RecordKind.CHECK_HEALTH;
-        } else if (command instanceof Command.SubscribeToEndpoints follow) {
-            body.writeUInt32NoTag(follow.reason().storedNumber());
+        } else if (command instanceof Command.SubscribeToEndpoints subscription) {
+            body.writeUInt32NoTag(subscription.reason().storedNumber());
             return RecordKind.SUBSCRIBE_TO_ENDPOINTS;
         }
         if (command instanceof Command.ConsumeAllowance consumed) {
@@ -244,7 +244,7 @@
         return RecordKind.LOG_MESSAGE;
     }
 
-    /** In the order of their names, so that equal values are equal bytes. */
+    /** Writes the maps in the order of their keys, so that equal views have equal bytes. */
     private void clusterView(ClusterView clusterView) throws IOException {
         body.writeUInt32NoTag(clusterView.gatherers());
         body.writeUInt32NoTag(clusterView.allowances().size());
@@ -269,10 +269,14 @@
         name(limit.subject());
     }
 
-    /** The index of a fact among the header's; one beyond the last where it came by a change. */
-    private static <F> int index(Map<String, Integer> index, List<F> facts, F fact, String name) {
-        Integer at = index.get(name);
-        return at != null && facts.get(at).equals(fact) ? at : facts.size();
+    /**
+     * Returns the index of a query class or tenant in the header's deployment, or the index after
+     * the last one if the header doesn't contain an equal value.
+     */
+    private static <T> int indexOf(
+            Map<String, Integer> indexes, List<T> headerValues, T value, String name) {
+        Integer index = indexes.get(name);
+        return index != null && headerValues.get(index).equals(value) ? index : headerValues.size();
     }
 
     private void load(LoadReport load) throws IOException {
@@ -289,25 +293,25 @@
     }
 
     /**
-     * Ids of parts begin with their query's, so a new name may be one that is known and a few
-     * letters more.
+     * Writes a name. The id of a part begins with the id of its query, so a new name is written as
+     * an earlier name and a suffix where possible.
      */
     private void name(String name) throws IOException {
-        Integer known = names.get(name);
-        if (known != null) {
-            body.writeUInt32NoTag(known + 2);
+        Integer nameNumber = names.get(name);
+        if (nameNumber != null) {
+            body.writeUInt32NoTag(nameNumber + 2);
             return;
         }
         names.put(name, names.size());
-        int cut = Math.max(name.lastIndexOf('.'), name.lastIndexOf('/'));
-        Integer prefix = cut <= 0 ? null : names.get(name.substring(0, cut));
-        if (prefix == null) {
+        int separator = Math.max(name.lastIndexOf('.'), name.lastIndexOf('/'));
+        Integer prefixNumber = separator <= 0 ? null : names.get(name.substring(0, separator));
+        if (prefixNumber == null) {
             body.writeUInt32NoTag(0);
             body.writeStringNoTag(name);
         } else {
             body.writeUInt32NoTag(1);
-            body.writeUInt32NoTag(prefix);
-            body.writeStringNoTag(name.substring(cut));
+            body.writeUInt32NoTag(prefixNumber);
+            body.writeStringNoTag(name.substring(separator));
         }
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
@@ -8,52 +8,56 @@
 import java.util.List;
 import java.util.Map;
 
-/** The index of some blocks, as read. */
+/** One index read from a file; it lists consecutive blocks with their queries and servers. */
 final class BlockIndex {
     final List<BlockIndexBuilder.Block> blocks = new ArrayList<>();
     private long[] hashes;
-    private int[] blockOf;
+    private int[] blockOfQuery;
     private final Map<String, int[]> servers = new HashMap<>();
 
     private BlockIndex() {}
 
     /**
-     * @param before no block may end beyond it: an index only speaks of what stands before it
+     * Decodes an index.
+     *
+     * @param before the position of the index; an index lists only blocks that end before it
+     * @throws IOException if the bytes are not a valid index
      */
     static BlockIndex read(byte[] raw, long before) throws IOException {
-        var run = new BlockIndex();
+        var index = new BlockIndex();
         var in = CodedInputStream.newInstance(raw);
         int blocks = in.readUInt32();
         long end = 0;
         for (int i = 0; i < blocks; i++) {
-            long gap = in.readUInt64();
+            long distance = in.readUInt64();
             int length = in.readUInt32();
-            if (gap < 0 || length < Layout.FRAME_BYTES || gap > before - end - length) {
-                throw new IOException("block " + i + " of the run isn't before it");
+            if (distance < 0 || length < Layout.FRAME_BYTES || distance > before - end - length) {
+                throw new IOException("block " + i + " doesn't end before the index that lists it");
             }
-            run.blocks.add(
+            index.blocks.add(
                     new BlockIndexBuilder.Block(
-                            end + gap,
+                            end + distance,
                             length,
                             in.readUInt32(),
                             in.readUInt32(),
                             in.readDouble(),
                             in.readDouble()));
-            end += gap + length;
+            end += distance + length;
         }
         int queries = in.readUInt32();
         if (queries < 0 || 10L * queries > raw.length) {
             throw new IOException(queries + " queries in an index of " + raw.length + " bytes");
         }
-        run.hashes = new long[queries];
-        run.blockOf = new int[queries];
+        index.hashes = new long[queries];
+        index.blockOfQuery = new int[queries];
         for (int i = 0; i < queries; i++) {
-            run.hashes[i] = in.readFixed64();
+            index.hashes[i] = in.readFixed64();
         }
         for (int i = 0; i < queries; i++) {
-            run.blockOf[i] = (in.readRawByte() & 0xff) | ((in.readRawByte() & 0xff) << 8);
-            if (run.blockOf[i] >= blocks) {
-                throw new IOException("a query in block " + run.blockOf[i] + " of " + blocks);
+            index.blockOfQuery[i] = (in.readRawByte() & 0xff) | ((in.readRawByte() & 0xff) << 8);
+            if (index.blockOfQuery[i] >= blocks) {
+                throw new IOException(
+                        "a query in block " + index.blockOfQuery[i] + " of " + blocks);
             }
         }
         int servers = in.readUInt32();
@@ -63,23 +67,23 @@
             if (count < 0 || count > blocks) {
                 throw new IOException("a server in " + count + " of " + blocks + " blocks");
             }
-            int[] of = new int[count];
+            int[] serverBlocks = new int[count];
             for (int j = 0; j < count; j++) {
-                of[j] = in.readUInt32();
-                if (of[j] < 0 || of[j] >= blocks) {
-                    throw new IOException("a server in block " + of[j] + " of " + blocks);
+                serverBlocks[j] = in.readUInt32();
+                if (serverBlocks[j] < 0 || serverBlocks[j] >= blocks) {
+                    throw new IOException("a server in block " + serverBlocks[j] + " of " + blocks);
                 }
             }
-            run.servers.put(name, of);
+            index.servers.put(name, serverBlocks);
         }
         if (!in.isAtEnd()) {
-            throw new IOException("bytes after the run's end");
+            throw new IOException("unexpected bytes after the end of the index");
         }
-        return run;
+        return index;
     }
 
-    /** Adds the numbers of blocks that hold something of the query. */
-    void ofQuery(long hash, BitSet found) {
+    /** Selects the blocks with items of the query. */
+    void selectQuery(long hash, BitSet selected) {
         int low = 0;
         int high = hashes.length;
         while (low < high) {
@@ -91,21 +95,23 @@
             }
         }
         for (int i = low; i < hashes.length && hashes[i] == hash; i++) {
-            found.set(blockOf[i]);
+            selected.set(blockOfQuery[i]);
         }
     }
 
-    void ofServer(String server, BitSet found) {
+    /** Selects the blocks with items that refer to the shard server. */
+    void selectServer(String server, BitSet selected) {
         for (int block : servers.getOrDefault(server, new int[0])) {
-            found.set(block);
+            selected.set(block);
         }
     }
 
-    void between(double fromMs, double toMs, BitSet found) {
+    /** Selects the blocks that may contain entries of the time range. */
+    void selectTimes(double fromMs, double toMs, BitSet selected) {
         for (int i = 0; i < blocks.size(); i++) {
-            // Blocks of no time, as there are none now, are looked at.
+            // Selects blocks without times (NaN) as well; the writer currently creates none.
             if (!(blocks.get(i).latest() < fromMs) && !(blocks.get(i).earliest() >= toMs)) {
-                found.set(i);
+                selected.set(i);
             }
         }
     }
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
@@ -11,40 +11,42 @@
 import java.util.TreeSet;
 
 /**
- * Collects the index of some blocks; a file's index is a row of such runs, so that a writer never
- * holds all of it.
+ * Builds one index of consecutive blocks. A file has a sequence of such indexes, so that a writer
+ * never keeps the index of the whole file in memory.
  */
 final class BlockIndexBuilder {
     /**
-     * Queries of some ten thousand records: half a megabyte to build, and few enough runs for a
+     * Number of queries after which an index is written. Queries of some ten thousand records. An
+     * index of this size takes half a megabyte to build, and a file has few enough indexes for a
      * lookup.
      */
-    static final int MOST_SCANS = 32_768;
+    static final int MAX_QUERIES = 32_768;
 
-    /** Block numbers fit into two bytes. */
-    static final int MOST_BLOCKS = 32_000;
+    /** Number of blocks after which an index is written; block numbers must fit into two bytes. */
+    static final int MAX_BLOCKS = 32_000;
 
     private final List<Block> blocks = new ArrayList<>();
     private long[] hashes = new long[1024];
-    private int[] blockOf = new int[1024];
-    private int count;
+    private int[] blockOfQuery = new int[1024];
+    private int queryCount;
     private final Map<String, TreeSet<Integer>> servers = new TreeMap<>();
 
-    /** One block as the run lists it. */
+    /** One block as listed in the index. */
     record Block(long at, int length, int entries, int records, double earliest, double latest) {}
 
-    void block(Block block, long[] queryHashes, Iterable<String> serversOfIt) {
+    /** Adds a block with the hashes of its queries and the names of its shard servers. */
+    void addBlock(Block block, long[] queryHashes, Iterable<String> blockServers) {
         int number = blocks.size();
         blocks.add(block);
         for (long hash : queryHashes) {
-            if (count == hashes.length) {
-                hashes = Arrays.copyOf(hashes, 2 * count);
-                blockOf = Arrays.copyOf(blockOf, 2 * count);
+            if (queryCount == hashes.length) {
+                hashes = Arrays.copyOf(hashes, 2 * queryCount);
+                blockOfQuery = Arrays.copyOf(blockOfQuery, 2 * queryCount);
             }
-            hashes[count] = hash;
-            blockOf[count++] = number;
+            hashes[queryCount] = hash;
+            blockOfQuery[queryCount++] = number;
         }
-        serversOfIt.forEach(
+        blockServers.forEach(
                 server -> servers.computeIfAbsent(server, name -> new TreeSet<>()).add(number));
     }
 
@@ -52,15 +54,17 @@
         return blocks.isEmpty();
     }
 
-    boolean full() {
-        return count >= MOST_SCANS || blocks.size() >= MOST_BLOCKS;
+    /** Returns whether the index has reached its size and must be written. */
+    boolean isFull() {
+        return queryCount >= MAX_QUERIES || blocks.size() >= MAX_BLOCKS;
     }
 
     int queries() {
-        return count;
+        return queryCount;
     }
 
-    byte[] raw() throws IOException {
+    /** Returns the raw bytes of the index. */
+    byte[] encode() throws IOException {
         var bytes = new ByteArrayOutputStream();
         var out = CodedOutputStream.newInstance(bytes);
         out.writeUInt32NoTag(blocks.size());
@@ -74,21 +78,21 @@
             out.writeDoubleNoTag(block.earliest);
             out.writeDoubleNoTag(block.latest);
         }
-        Integer[] order = new Integer[count];
+        Integer[] order = new Integer[queryCount];
         Arrays.setAll(order, i -> i);
         Arrays.sort(
                 order,
                 (a, b) -> {
                     int byHash = Long.compareUnsigned(hashes[a], hashes[b]);
-                    return byHash != 0 ? byHash : Integer.compare(blockOf[a], blockOf[b]);
+                    return byHash != 0 ? byHash : Integer.compare(blockOfQuery[a], blockOfQuery[b]);
                 });
-        out.writeUInt32NoTag(count);
+        out.writeUInt32NoTag(queryCount);
         for (int i : order) {
             out.writeFixed64NoTag(hashes[i]);
         }
         for (int i : order) {
-            out.write((byte) blockOf[i]);
-            out.write((byte) (blockOf[i] >>> 8));
+            out.write((byte) blockOfQuery[i]);
+            out.write((byte) (blockOfQuery[i] >>> 8));
         }
         out.writeUInt32NoTag(servers.size());
         for (var server : servers.entrySet()) {
--- a/trace/src/main/java/sprucehold/trace/format/BlockSelection.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockSelection.java
@@ -5,56 +5,59 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** The places of those blocks of a file that hold what is wanted, one index of blocks at a time. */
+/**
+ * Iterates over the positions of the blocks of a file that pass a filter. Keeps one index in memory
+ * at a time.
+ */
 final class BlockSelection {
-    /** What is wanted of a file. */
-    interface Wanted {
-        /** Marks the blocks of an index that may hold it. */
-        void mark(BlockIndex index, BitSet found) throws IOException;
+    /** Selects blocks by the entries of an index. */
+    interface BlockFilter {
+        /** Adds the numbers of the blocks of an index that may contain matching entries. */
+        void select(BlockIndex index, BitSet selected) throws IOException;
     }
 
     static final long NONE = -1;
 
     private final TraceFile file;
-    private final Wanted wanted;
-    private final Iterator<Long> indexesLeft;
+    private final BlockFilter filter;
+    private final Iterator<Long> remainingIndexes;
     private BlockIndex index;
-    private BitSet found = new BitSet();
+    private BitSet selected = new BitSet();
     private int next = -1;
 
-    BlockSelection(TraceFile file, List<Long> indexes, Wanted wanted) {
+    BlockSelection(TraceFile file, List<Long> indexes, BlockFilter filter) {
         this.file = file;
-        this.wanted = wanted;
-        this.indexesLeft = indexes.iterator();
+        this.filter = filter;
+        this.remainingIndexes = indexes.iterator();
     }
 
-    static Wanted all() {
-        return (index, found) -> found.set(0, index.blocks.size());
+    static BlockFilter all() {
+        return (index, selected) -> selected.set(0, index.blocks.size());
     }
 
-    static Wanted query(String id) {
-        return (index, found) -> index.ofQuery(Layout.hash(id), found);
+    static BlockFilter query(String id) {
+        return (index, selected) -> index.selectQuery(Layout.hash(id), selected);
     }
 
-    static Wanted server(String name) {
-        return (index, found) -> index.ofServer(name, found);
+    static BlockFilter server(String name) {
+        return (index, selected) -> index.selectServer(name, selected);
     }
 
-    static Wanted time(double fromMs, double toMs) {
-        return (index, found) -> index.between(fromMs, toMs, found);
+    static BlockFilter time(double fromMs, double toMs) {
+        return (index, selected) -> index.selectTimes(fromMs, toMs, selected);
     }
 
-    /** The place of the next block, or {@link #NONE}. */
+    /** Returns the position of the next selected block, or {@link #NONE} after the last one. */
     long next() throws IOException {
-        next = index == null ? -1 : found.nextSetBit(next + 1);
+        next = index == null ? -1 : selected.nextSetBit(next + 1);
         while (next < 0) {
-            if (!indexesLeft.hasNext()) {
+            if (!remainingIndexes.hasNext()) {
                 return NONE;
             }
-            index = read(indexesLeft.next());
-            found = new BitSet(index.blocks.size());
-            wanted.mark(index, found);
-            next = found.nextSetBit(0);
+            index = read(remainingIndexes.next());
+            selected = new BitSet(index.blocks.size());
+            filter.select(index, selected);
+            next = selected.nextSetBit(0);
         }
         return index.blocks.get(next).at();
     }
--- a/trace/src/main/java/sprucehold/trace/format/Directory.java
+++ b/trace/src/main/java/sprucehold/trace/format/Directory.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * The end of a trace file: footer and directory.
+ * The content of a trace file's directory and footer.
  *
- * @param indexes where the indexes of blocks are
- * @param records events, commands and gaps in the file
- * @param gaps gaps in the file
+ * @param indexes positions of the indexes in the file
+ * @param records number of events, commands and gaps in the file
+ * @param gaps number of gaps in the file
  */
 record Directory(List<Long> indexes, long records, long gaps) {
     private static final int FOOTER_CRC_AT = 28;
@@ -22,9 +22,9 @@
     private record Footer(long directoryAt, long records) {}
 
     /**
-     * Reads the end of a file.
+     * Reads the footer and the directory of a file.
      *
-     * @throws IOException if the file was cut off or its end is damaged
+     * @throws IOException if the file was truncated or its footer or directory is damaged
      */
     static Directory read(TraceFile file) throws IOException {
         Footer footer = readFooter(file);
@@ -35,7 +35,7 @@
         if (in.readUInt64() != footer.records) {
             throw file.malformed(at, "directory and footer disagree on the number of records");
         }
-        // Numbers of entries and queries, which nobody asks for.
+        // Skips the numbers of entries and queries, which are not used.
         in.readUInt64();
         in.readUInt64();
         return new Directory(indexes, footer.records, in.readUInt64());
@@ -75,7 +75,7 @@
         long index = 0;
         for (int i = 0; i < count; i++) {
             long step = in.readUInt64();
-            // Strictly onwards: an index can't lead back to where it was.
+            // Positions must strictly ascend, so that reading the indexes always terminates.
             if (step <= 0 || step > directoryAt - index || index + step < file.firstFrame()) {
                 throw file.malformed(
                         directoryAt,
--- a/trace/src/main/java/sprucehold/trace/format/Frame.java
+++ b/trace/src/main/java/sprucehold/trace/format/Frame.java
@@ -8,7 +8,7 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** The frame around a block, a run or the directory: lengths, times and a checksum. */
+/** Header of the frame around a block, an index or the directory. */
 record Frame(
         int kind,
         int method,
@@ -20,7 +20,7 @@
         double latest,
         int crc) {
 
-    /** A frame's bytes, header and stored bytes. */
+    /** Returns the bytes of a frame: its header followed by the stored bytes. */
     static byte[] write(
             int kind,
             byte[] raw,
@@ -37,7 +37,7 @@
             deflater.setInput(raw);
             deflater.finish();
             int length = deflater.deflate(buffer);
-            // What can't be shortened stays as it is.
+            // Content that deflate can't shorten is stored uncompressed.
             if (deflater.finished() && length < raw.length) {
                 stored = Arrays.copyOf(buffer, length);
                 method = Layout.DEFLATED;
@@ -56,21 +56,22 @@
                 .putInt(records)
                 .putDouble(earliest)
                 .putDouble(latest);
-        // Of 48 bytes, 4 are the checksum and 4 more are kept free, as zero, for a longer one.
-        int at = frame.position();
+        // The last 8 of the 48 header bytes are the checksum, 4 bytes, and 4 zero bytes that are
+        // reserved for a longer checksum.
+        int crcAt = frame.position();
         frame.putInt(0).putInt(0).put(stored);
-        frame.putInt(at, checksum(frame.array(), at));
+        frame.putInt(crcAt, checksum(frame.array(), crcAt));
         return frame.array();
     }
 
-    private static int checksum(byte[] frame, int at) {
+    private static int checksum(byte[] frame, int crcAt) {
         var crc = new CRC32C();
-        crc.update(frame, 0, at);
-        crc.update(frame, at + 4, frame.length - at - 4);
+        crc.update(frame, 0, crcAt);
+        crc.update(frame, crcAt + 4, frame.length - crcAt - 4);
         return (int) crc.getValue();
     }
 
-    /** Reads a header; null where it is none or a length is beyond its bound. */
+    /** Reads a frame header; returns null if it is invalid or a length exceeds its bound. */
     static Frame read(ByteBuffer header) {
         header.order(ByteOrder.LITTLE_ENDIAN);
         byte[] marker = new byte[4];
@@ -89,7 +90,7 @@
                         header.getDouble(),
                         header.getDouble(),
                         header.getInt());
-        boolean good =
+        boolean valid =
                 Arrays.equals(marker, Layout.FRAME_MARKER)
                         && zero == 0
                         && frame.rawLength >= 0
@@ -99,24 +100,24 @@
                         && frame.entries >= 0
                         && frame.records >= 0
                         && frame.records <= Layout.MAX_RECORDS;
-        return good ? frame : null;
+        return valid ? frame : null;
     }
 
-    /** Header and stored bytes together. */
+    /** Returns the length of the frame in bytes: its header and the stored bytes. */
     int length() {
         return Layout.FRAME_BYTES + storedLength;
     }
 
-    /** Whether header and stored bytes are as they were written. */
-    boolean matches(byte[] all) {
-        return checksum(all, Layout.FRAME_BYTES - 8) == crc;
+    /** Returns whether the checksum matches the bytes of the frame. */
+    boolean matches(byte[] frameBytes) {
+        return checksum(frameBytes, Layout.FRAME_BYTES - 8) == crc;
     }
 
-    /** The raw bytes; null where the stored ones don't inflate to just so many. */
-    byte[] raw(byte[] all) {
+    /** Returns the raw bytes; null if the stored bytes don't inflate to exactly the raw length. */
+    byte[] raw(byte[] frameBytes) {
         if (method == Layout.STORED) {
             return rawLength == storedLength
-                    ? Arrays.copyOfRange(all, Layout.FRAME_BYTES, all.length)
+                    ? Arrays.copyOfRange(frameBytes, Layout.FRAME_BYTES, frameBytes.length)
                     : null;
         }
         if (method != Layout.DEFLATED) {
@@ -124,20 +125,20 @@
         }
         var inflater = new Inflater(true);
         try {
-            inflater.setInput(all, Layout.FRAME_BYTES, storedLength);
-            // Deflate shortens to a thousandth at best, so a claim beyond that needs no memory to
-            // be refused.
+            inflater.setInput(frameBytes, Layout.FRAME_BYTES, storedLength);
+            // Deflate compresses by a factor of about 1000 at best. A greater raw length is invalid
+            // and is refused before memory is allocated for it.
             if (rawLength > 1100L * storedLength + 1024) {
                 return null;
             }
             byte[] raw = new byte[rawLength];
             int length = 0;
             while (length < rawLength && !inflater.finished()) {
-                int more = inflater.inflate(raw, length, rawLength - length);
-                if (more == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
+                int inflated = inflater.inflate(raw, length, rawLength - length);
+                if (inflated == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
                     break;
                 }
-                length += more;
+                length += inflated;
             }
             boolean complete =
                     length == rawLength
--- a/trace/src/main/java/sprucehold/trace/format/Layout.java
+++ b/trace/src/main/java/sprucehold/trace/format/Layout.java
@@ -5,7 +5,7 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** The fixed parts of the layout; the grammar stands with the package. */
+/** Constants of the file format; the package description contains the grammar. */
 final class Layout {
     static final byte[] MAGIC = {(byte) 0x89, 'S', 'P', 'R', 'T', 'R', 'C', '\n'};
     static final byte[] FRAME_MARKER = {'S', 'B', 'L', 'K'};
@@ -16,19 +16,24 @@
     static final int FRAME_BYTES = 48;
     static final int FOOTER_BYTES = 40;
 
-    /** A hundred thousand shard servers with their facts take less. */
+    /** Bound of the header's JSON. The deployment of 100,000 shard servers takes less. */
     static final int MAX_HEADER_BYTES = 16 << 20;
 
     /**
-     * A list of a hundred thousand servers is one record of some 4 MB; a reader holds two blocks at
-     * most.
+     * Bound of the raw bytes of a frame. A list of 100,000 endpoints is one record of some 4 MB. A
+     * reader keeps at most two blocks in memory.
      */
     static final int MAX_RAW_BYTES = 8 << 20;
 
-    /** Deflate adds five bytes to 16 KiB that it can't shorten. */
+    /**
+     * Bound of the stored bytes of a frame. Deflate adds 5 bytes per 16 KiB of incompressible data.
+     */
     static final int MAX_STORED_BYTES = MAX_RAW_BYTES + (64 << 10);
 
-    /** A writer ends a block at 64 KiB; one moment on top of that may be a list of all servers. */
+    /**
+     * Bound of the records of a block. A writer ends a block at 64 KiB, and the policy call that
+     * exceeds this size may contain an endpoint list with all shard servers.
+     */
     static final int MAX_RECORDS = 1 << 18;
 
     static final int BLOCK = 1;
@@ -39,7 +44,7 @@
 
     private Layout() {}
 
-    /** What a query's id is looked up by. */
+    /** Returns the hash by which an index finds the blocks of a query. */
     static long hash(String queryId) {
         try {
             byte[] digest =
--- a/trace/src/main/java/sprucehold/trace/format/MalformedTraceException.java
+++ b/trace/src/main/java/sprucehold/trace/format/MalformedTraceException.java
@@ -2,21 +2,24 @@
 
 import java.io.IOException;
 
-/** A file isn't a trace, or is damaged: says where, and what was expected there. */
+/** Thrown when a file is not a trace file or is damaged; the message contains the position. */
 public final class MalformedTraceException extends IOException {
     private static final long serialVersionUID = 1L;
     private final long at;
 
     /**
-     * @param file the file's name
-     * @param at the byte at which it was noticed
+     * Creates the exception.
+     *
+     * @param file the name of the file
+     * @param at the position of the fault in the file, in bytes
+     * @param problem the description of the fault
      */
-    public MalformedTraceException(String file, long at, String what) {
-        super(file + ", byte " + at + ": " + what);
+    public MalformedTraceException(String file, long at, String problem) {
+        super(file + ", byte " + at + ": " + problem);
         this.at = at;
     }
 
-    /** The byte at which it was noticed. */
+    /** Returns the position of the fault in the file, in bytes. */
     public long at() {
         return at;
     }
--- a/trace/src/main/java/sprucehold/trace/format/RewrittenIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/RebuiltIndex.java
@@ -12,26 +12,35 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.TraceHeader;
 
-/** What the index of a file's blocks has to be, made anew from what they hold. */
-final class RewrittenIndex {
+/**
+ * Rebuilds the indexes of a file from the content of its blocks, so that they can be compared with
+ * the indexes in the file.
+ */
+final class RebuiltIndex {
     private final QueryCorrelator correlator = new QueryCorrelator();
-    private final long[] seqBefore;
+    private final long[] previousSeq;
     private BlockIndexBuilder index = new BlockIndexBuilder();
 
-    RewrittenIndex(TraceHeader header) {
-        seqBefore = new long[header.sources().size()];
-        java.util.Arrays.fill(seqBefore, Long.MIN_VALUE);
+    RebuiltIndex(TraceHeader header) {
+        previousSeq = new long[header.sources().size()];
+        java.util.Arrays.fill(previousSeq, Long.MIN_VALUE);
     }
 
-    /** Returns how many records the block holds. */
-    long block(long at, Frame frame, List<Entry> entries) throws IOException {
+    /**
+     * Adds a block.
+     *
+     * @return the number of records in the block
+     * @throws IOException if entries of a source are out of order, or the block's times differ from
+     *     those of its entries
+     */
+    long addBlock(long at, Frame frame, List<Entry> entries) throws IOException {
         long records = 0;
         double earliest = Double.NaN;
         double latest = Double.NaN;
         Map<String, Long> queryHashes = new HashMap<>();
         var servers = new TreeSet<String>();
         for (Entry entry : entries) {
-            if (entry.seq() <= seqBefore[entry.source()]) {
+            if (entry.seq() <= previousSeq[entry.source()]) {
                 throw new IOException(
                         "byte "
                                 + at
@@ -40,9 +49,9 @@
                                 + " of source "
                                 + entry.source()
                                 + " stands after moment "
-                                + seqBefore[entry.source()]);
+                                + previousSeq[entry.source()]);
             }
-            seqBefore[entry.source()] = entry.seq();
+            previousSeq[entry.source()] = entry.seq();
             earliest = earliest <= entry.nowMs() ? earliest : entry.nowMs();
             latest = latest >= entry.nowMs() ? latest : entry.nowMs();
             if (entry instanceof PolicyCall call) {
@@ -64,7 +73,7 @@
                 || Double.compare(latest, frame.latest()) != 0) {
             throw new IOException("byte " + at + ": the block's times aren't those of its entries");
         }
-        index.block(
+        index.addBlock(
                 new BlockIndexBuilder.Block(
                         at, frame.length(), frame.entries(), frame.records(), earliest, latest),
                 queryHashes.values().stream().mapToLong(hash -> hash).toArray(),
@@ -72,9 +81,9 @@
         return records;
     }
 
-    /** The run of the blocks since the one before. */
-    byte[] index() throws IOException {
-        byte[] raw = index.raw();
+    /** Returns the index of the blocks added since the previous index and starts the next index. */
+    byte[] finishIndex() throws IOException {
+        byte[] raw = index.encode();
         index = new BlockIndexBuilder();
         return raw;
     }
--- a/trace/src/main/java/sprucehold/trace/format/RecordKind.java
+++ b/trace/src/main/java/sprucehold/trace/format/RecordKind.java
@@ -1,6 +1,6 @@
 package sprucehold.trace.format;
 
-/** The numbers of record kinds, as the grammar has them. */
+/** Numbers of the record kinds, as the grammar in the package description defines them. */
 final class RecordKind {
     static final int POLICY_CALL = 1;
     static final int GAP = 2;
@@ -25,10 +25,11 @@
     static final int LOG_MESSAGE = 38;
     static final int CONSUME_ALLOWANCE = 39;
 
-    /** Of a moment's flags. */
-    static final int FAILED = 1;
+    /** Flag of a policy call: the policy threw an exception. */
+    static final int POLICY_FAILED = 1;
 
-    static final int LEFT_OUT = 2;
+    /** Flag of a policy call: some of its items are omitted. */
+    static final int ITEMS_OMITTED = 2;
 
     private RecordKind() {}
 }
--- a/trace/src/main/java/sprucehold/trace/format/StoredNumbers.java
+++ b/trace/src/main/java/sprucehold/trace/format/StoredNumbers.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import sprucehold.decision.StoredEnum;
 
-/** The constants of an enum by the numbers that files hold. */
+/** Maps the numbers stored in trace files to the constants of an enum. */
 final class StoredNumbers<E extends StoredEnum> {
     private final Map<Integer, E> byNumber = new HashMap<>();
 
@@ -15,15 +15,15 @@
         }
     }
 
-    /** The constant, unless a later version of the format has added it. */
+    /** Returns the constant; empty if a later version of the format added the number. */
     Optional<E> known(int number) {
         return Optional.ofNullable(byNumber.get(number));
     }
 
     /**
-     * The constant.
+     * Returns the constant.
      *
-     * @throws IndexOutOfBoundsException if there is none with this number
+     * @throws IndexOutOfBoundsException if no constant has this number
      */
     E required(int number) {
         E constant = byNumber.get(number);
--- a/trace/src/main/java/sprucehold/trace/format/TraceCursor.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceCursor.java
@@ -7,57 +7,61 @@
 import java.util.Queue;
 import sprucehold.trace.event.Entry;
 
-/** Entries of a trace file one after the other, in memory for one block. */
+/**
+ * Iterates over the entries of a trace file. Keeps the entries of one block in memory at a time.
+ */
 public final class TraceCursor {
-    private static final int EVERY_SOURCE = -1;
+    private static final int ALL_SOURCES = -1;
 
     private final TraceFile file;
 
-    /** Null where the file is read frame by frame for want of an index. */
+    /** Blocks to read; null if the file is read frame by frame without its index. */
     private final BlockSelection blocks;
 
     private final int source;
-    private final Queue<Entry> ready = new ArrayDeque<>();
-    private final List<String> skipped = new ArrayList<>();
-    private long at;
-    private String endedBy;
+    private final Queue<Entry> decodedEntries = new ArrayDeque<>();
+    private final List<String> skippedBlocks = new ArrayList<>();
+    private long position;
+    private String stopReason;
 
     private TraceCursor(TraceFile file, BlockSelection blocks, int source) {
         this.file = file;
         this.blocks = blocks;
         this.source = source;
-        this.at = file.firstFrame();
+        this.position = file.firstFrame();
     }
 
     /** Reads the selected blocks. */
     static TraceCursor of(TraceFile file, BlockSelection blocks) {
-        return new TraceCursor(file, blocks, EVERY_SOURCE);
+        return new TraceCursor(file, blocks, ALL_SOURCES);
     }
 
-    /** Reads frame by frame, whatever an index says. */
+    /** Reads frame by frame and ignores the indexes. */
     static TraceCursor withoutIndex(TraceFile file) {
-        return new TraceCursor(file, null, EVERY_SOURCE);
+        return new TraceCursor(file, null, ALL_SOURCES);
     }
 
-    /** The same, with the entries of one source only; those of others take no memory. */
-    TraceCursor onlyOf(int index) {
-        return new TraceCursor(file, blocks, index);
+    /** Returns a cursor over the entries of one source; it keeps no entries of other sources. */
+    TraceCursor ofSource(int sourceIndex) {
+        return new TraceCursor(file, blocks, sourceIndex);
     }
 
     /**
-     * The next entry, or null at the end.
+     * Returns the next entry, or null at the end.
      *
-     * @throws MalformedTraceException where an indexed block is damaged; without an index, the
-     *     first damaged block is the end, and {@link #endedBy()} says so
+     * <p>Without an index, a damaged block is skipped if a valid frame follows it. Otherwise the
+     * cursor ends there, and {@link #stopReason()} returns the fault.
+     *
+     * @throws MalformedTraceException if an indexed block is damaged
      */
     public Entry next() throws IOException {
-        while (ready.isEmpty()) {
-            boolean more = blocks == null ? nextFrame() : nextBlock();
-            if (!more) {
+        while (decodedEntries.isEmpty()) {
+            boolean found = blocks == null ? nextFrame() : nextBlock();
+            if (!found) {
                 return null;
             }
         }
-        return ready.poll();
+        return decodedEntries.poll();
     }
 
     private boolean nextBlock() throws IOException {
@@ -67,7 +71,7 @@
         }
         Frame frame = file.frame(block, file.length());
         if (frame.kind() != Layout.BLOCK) {
-            throw file.malformed(block, "the index tells of a block where there is none");
+            throw file.malformed(block, "the index lists a block at a position without one");
         }
         add(file.entries(frame, block));
         return true;
@@ -75,24 +79,24 @@
 
     private void add(List<Entry> entries) {
         for (Entry entry : entries) {
-            if (source == EVERY_SOURCE || entry.source() == source) {
-                ready.add(entry);
+            if (source == ALL_SOURCES || entry.source() == source) {
+                decodedEntries.add(entry);
             }
         }
     }
 
     private boolean nextFrame() {
-        if (endedBy != null) {
+        if (stopReason != null) {
             return false;
         }
         try {
-            Frame frame = file.frame(at, file.length());
+            Frame frame = file.frame(position, file.length());
             if (frame.kind() == Layout.BLOCK) {
-                add(file.entries(frame, at));
+                add(file.entries(frame, position));
             } else {
-                file.content(frame, at);
+                file.content(frame, position);
             }
-            at += frame.length();
+            position += frame.length();
             return true;
         } catch (IOException e) {
             return skipDamaged(e);
@@ -100,23 +104,23 @@
     }
 
     private boolean skipDamaged(IOException damage) {
-        long next = nextSound();
+        long next = positionAfterDamaged();
         if (next < 0) {
-            endedBy = TraceFile.firstLine(damage);
+            stopReason = TraceFile.firstLine(damage);
             return false;
         }
-        skipped.add(TraceFile.firstLine(damage));
-        at = next;
+        skippedBlocks.add(TraceFile.firstLine(damage));
+        position = next;
         return true;
     }
 
     /**
-     * Where a sound frame begins right behind a damaged one whose length can be believed; -1 if
-     * none does.
+     * Returns the position after a damaged frame, according to the length in its header, if a valid
+     * frame begins there; otherwise returns -1.
      */
-    private long nextSound() {
+    private long positionAfterDamaged() {
         try {
-            long next = at + file.frame(at, file.length()).length();
+            long next = position + file.frame(position, file.length()).length();
             file.content(file.frame(next, file.length()), next);
             return next;
         } catch (IOException e) {
@@ -124,18 +128,18 @@
         }
     }
 
-    /** What was wrong with each damaged block that was skipped. */
-    public List<String> skipped() {
-        return List.copyOf(skipped);
+    /** Returns a description of the fault for each damaged block that was skipped. */
+    public List<String> skippedBlocks() {
+        return List.copyOf(skippedBlocks);
     }
 
-    /** Why a file without an index was read no further; null as long as it is. */
-    public String endedBy() {
-        return endedBy;
+    /** Returns the fault that ended reading without an index; null if there is none. */
+    public String stopReason() {
+        return stopReason;
     }
 
-    /** How far a file without an index was read, in bytes. */
-    public long readTo() {
-        return at;
+    /** Returns the position up to which the file was read without an index, in bytes. */
+    public long readUpTo() {
+        return position;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/TraceFile.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceFile.java
@@ -13,8 +13,8 @@
 import sprucehold.trace.event.TraceHeader;
 
 /**
- * The bytes of one trace file: its header, and frames by their place. Every length and checksum is
- * held against the file before anything rests on it.
+ * Reads the header of one trace file, and frames by their position. Checks every length and
+ * checksum against the file before it uses the data.
  */
 final class TraceFile implements Closeable {
     private static final int MAJOR_VERSION_AT = 8;
@@ -30,7 +30,7 @@
     /**
      * Opens a file and reads its header.
      *
-     * @throws MalformedTraceException where not even a header can be read
+     * @throws MalformedTraceException if the header can't be read
      */
     TraceFile(Path file) throws IOException {
         name = file.getFileName().toString();
@@ -72,7 +72,7 @@
                 || headerLength + (long) CRC_BYTES > length - Layout.PREAMBLE_BYTES) {
             throw malformed(
                     HEADER_LENGTH_AT,
-                    "a head of "
+                    "a header of "
                             + Integer.toUnsignedString(headerLength)
                             + " bytes in a file of "
                             + length);
@@ -81,25 +81,26 @@
     }
 
     private TraceHeader readHeader() throws IOException {
-        byte[] all = read(0, (int) firstFrame, "the head");
-        int crcAt = all.length - CRC_BYTES;
-        int crc = ByteBuffer.wrap(all).order(ByteOrder.LITTLE_ENDIAN).getInt(crcAt);
-        if (crc != TraceWriter.crc(all, crcAt)) {
-            throw malformed(crcAt, "the head's checksum doesn't match");
+        byte[] headerBytes = read(0, (int) firstFrame, "the header");
+        int crcAt = headerBytes.length - CRC_BYTES;
+        int crc = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN).getInt(crcAt);
+        if (crc != TraceWriter.crc(headerBytes, crcAt)) {
+            throw malformed(crcAt, "the header's checksum doesn't match");
         }
         try {
-            return TraceHeaderJson.read(Arrays.copyOfRange(all, Layout.PREAMBLE_BYTES, crcAt));
+            return TraceHeaderJson.read(
+                    Arrays.copyOfRange(headerBytes, Layout.PREAMBLE_BYTES, crcAt));
         } catch (IOException | RuntimeException e) {
-            throw malformed(Layout.PREAMBLE_BYTES, "the head isn't one: " + firstLine(e));
+            throw malformed(Layout.PREAMBLE_BYTES, "the header is invalid: " + firstLine(e));
         }
     }
 
-    /** The file's name, without its folder. */
+    /** Returns the file's name without its folder. */
     String name() {
         return name;
     }
 
-    /** The file's length in bytes when it was opened. */
+    /** Returns the length that the file had when it was opened, in bytes. */
     long length() {
         return length;
     }
@@ -108,7 +109,7 @@
         return header;
     }
 
-    /** Where the first frame begins. */
+    /** Returns the position of the first frame. */
     long firstFrame() {
         return firstFrame;
     }
@@ -116,46 +117,46 @@
     /**
      * Reads bytes.
      *
-     * @param what they are, for the message where they aren't there
+     * @param description the name of the data, for the message if the file ends before it
      */
-    byte[] read(long at, int count, String what) throws IOException {
+    byte[] read(long at, int count, String description) throws IOException {
         if (count > length - at) {
             throw malformed(
-                    length, what + " would take " + count + " bytes from byte " + at + " on");
+                    length,
+                    description + " would take " + count + " bytes from byte " + at + " on");
         }
         ByteBuffer bytes = ByteBuffer.allocate(count);
         while (bytes.hasRemaining()) {
             if (channel.read(bytes, at + bytes.position()) < 0) {
-                throw malformed(at + bytes.position(), what + " ends too soon");
+                throw malformed(at + bytes.position(), description + " ends too soon");
             }
         }
         return bytes.array();
     }
 
-    /** Reads the frame at a place, which has to end before another place. */
-    Frame frame(long at, long before) throws IOException {
-        if (at + Layout.FRAME_BYTES > before) {
-            throw malformed(at, "no room for a frame before byte " + before);
+    /** Reads the frame header at a position; the frame must end at or before {@code end}. */
+    Frame frame(long at, long end) throws IOException {
+        if (at + Layout.FRAME_BYTES > end) {
+            throw malformed(at, "no room for a frame before byte " + end);
         }
         Frame frame = Frame.read(ByteBuffer.wrap(read(at, Layout.FRAME_BYTES, "a frame")));
         if (frame == null) {
             throw malformed(at, "a frame was expected");
         }
-        if (at + frame.length() > before) {
+        if (at + frame.length() > end) {
             throw malformed(
-                    at,
-                    "a frame of " + frame.length() + " bytes doesn't end before byte " + before);
+                    at, "a frame of " + frame.length() + " bytes doesn't end before byte " + end);
         }
         return frame;
     }
 
-    /** The content of a frame, inflated, after its checksum was checked. */
+    /** Returns the inflated content of a frame after checking its checksum. */
     byte[] content(Frame frame, long at) throws IOException {
-        byte[] all = read(at, frame.length(), "a frame");
-        if (!frame.matches(all)) {
+        byte[] frameBytes = read(at, frame.length(), "a frame");
+        if (!frame.matches(frameBytes)) {
             throw malformed(at, "the checksum of the frame doesn't match");
         }
-        byte[] raw = frame.raw(all);
+        byte[] raw = frame.raw(frameBytes);
         if (raw == null) {
             throw malformed(
                     at,
@@ -165,10 +166,11 @@
     }
 
     /**
-     * The content of the frame at a place, which has to be of a kind and end before another place.
+     * Returns the inflated content of the frame at a position. The frame must be of the given kind
+     * and end at or before {@code end}.
      */
-    byte[] content(long at, int kind, long before) throws IOException {
-        Frame frame = frame(at, before);
+    byte[] content(long at, int kind, long end) throws IOException {
+        Frame frame = frame(at, end);
         if (frame.kind() != kind) {
             throw malformed(
                     at, "a frame of kind " + kind + " was expected, not of kind " + frame.kind());
@@ -176,7 +178,7 @@
         return content(frame, at);
     }
 
-    /** The entries of a block. */
+    /** Returns the entries of a block. */
     List<Entry> entries(Frame frame, long at) throws IOException {
         List<Entry> entries;
         try {
@@ -194,8 +196,8 @@
         return entries;
     }
 
-    MalformedTraceException malformed(long at, String what) {
-        return new MalformedTraceException(name, at, what);
+    MalformedTraceException malformed(long at, String problem) {
+        return new MalformedTraceException(name, at, problem);
     }
 
     static String firstLine(Throwable e) {
--- a/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
@@ -7,7 +7,10 @@
 import sprucehold.storage.StoredJson;
 import sprucehold.trace.event.TraceHeader;
 
-/** The head as JSON: fields are the records' own; unknown ones are skipped. */
+/**
+ * Converts the header to and from JSON. Fields have the names of the record components. Unknown
+ * fields are ignored.
+ */
 final class TraceHeaderJson {
     private static final ObjectMapper MAPPER =
             StoredJson.mapperBuilder()
@@ -45,16 +48,16 @@
                 && deployment.endpointSubscription() != null;
     }
 
-    static String text(Object fact) throws IOException {
-        return MAPPER.writeValueAsString(fact);
+    static String toJson(Object value) throws IOException {
+        return MAPPER.writeValueAsString(value);
     }
 
-    static <F> F read(String json, Class<F> kind) throws IOException {
-        F fact = MAPPER.readValue(json, kind);
-        if (fact == null) {
-            throw new IOException("no " + kind.getSimpleName());
+    static <T> T read(String json, Class<T> type) throws IOException {
+        T value = MAPPER.readValue(json, type);
+        if (value == null) {
+            throw new IOException("no " + type.getSimpleName());
         }
-        return fact;
+        return value;
     }
 
     static Deployment deployment(String json) throws IOException {
--- a/trace/src/main/java/sprucehold/trace/format/TraceReader.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceReader.java
@@ -6,15 +6,15 @@
 import sprucehold.trace.event.TraceHeader;
 
 /**
- * Reads one trace file, in memory for two blocks. A file that was cut off is read up to its last
- * whole block; what is wrong with it is in {@link #damage()}.
+ * Reads one trace file and keeps at most two blocks in memory. A truncated file is read up to its
+ * last complete block; {@link #damage()} describes the fault.
  */
 public final class TraceReader implements Closeable {
     private static final long UNKNOWN = -1;
 
     private final TraceFile file;
 
-    /** Null where the file has no sound end. */
+    /** Content of the directory; null if the file's footer or directory is invalid. */
     private final Directory directory;
 
     private final String damage;
@@ -38,84 +38,91 @@
     /**
      * Opens a trace file.
      *
-     * @throws MalformedTraceException where not even a header can be read
+     * @throws MalformedTraceException if the header can't be read
      */
     public static TraceReader open(Path file) throws IOException {
         return new TraceReader(file);
     }
 
-    /** What the file says of itself. */
+    /** Returns the file's header. */
     public TraceHeader header() {
         return file.header();
     }
 
-    /** The file's name, without its folder. */
+    /** Returns the file's name without its folder. */
     public String name() {
         return file.name();
     }
 
-    /** Why the index can't be used, or null where the file has a sound end. */
+    /** Returns why the indexes can't be used; null if the footer and the directory are valid. */
     public String damage() {
         return damage;
     }
 
-    /** Events, commands and gaps in the file by its footer; -1 where that can't be read. */
+    /** Returns the number of events, commands and gaps in the file; -1 if it can't be read. */
     public long records() {
         return directory == null ? UNKNOWN : directory.records();
     }
 
-    /** Gaps in the file by its index; -1 where that can't be read. */
+    /** Returns the number of gaps in the file; -1 if it can't be read. */
     public long gaps() {
         return directory == null ? UNKNOWN : directory.gaps();
     }
 
-    /** The file's length in bytes. */
+    /** Returns the file's length in bytes. */
     public long length() {
         return file.length();
     }
 
-    /** All entries in the order of the file. */
+    /** Returns a cursor over all entries in the order of the file. */
     public TraceCursor all() {
         return select(BlockSelection.all());
     }
 
-    /** All entries of one source; those of others take no memory. */
+    /** Returns a cursor over all entries of one source; it keeps no entries of other sources. */
     public TraceCursor allOf(int source) {
-        return all().onlyOf(source);
+        return all().ofSource(source);
     }
 
-    /** All entries that can be read from the start on, whatever the index says. */
+    /** Returns a cursor that reads the file frame by frame and ignores the indexes. */
     TraceCursor withoutIndex() {
         return TraceCursor.withoutIndex(file);
     }
 
-    /** The entries of all blocks that hold something of the query, and perhaps of others. */
+    /**
+     * Returns a cursor over the entries of all blocks with items of the query. These blocks may
+     * contain other entries as well.
+     */
     public TraceCursor ofQuery(String id) {
         return select(BlockSelection.query(id));
     }
 
-    /** The entries of all blocks that speak of the shard server, and perhaps of others. */
+    /**
+     * Returns a cursor over the entries of all blocks with items that refer to the shard server.
+     * These blocks may contain other entries as well.
+     */
     public TraceCursor ofServer(String server) {
         return select(BlockSelection.server(server));
     }
 
     /**
-     * The entries of all blocks that hold a time from {@code fromMs} until before {@code toMs}, and
-     * others.
+     * Returns a cursor over the entries of all blocks whose time range overlaps the time from
+     * {@code fromMs}, inclusive, to {@code toMs}, exclusive. These blocks may contain other entries
+     * as well.
      */
     public TraceCursor between(double fromMs, double toMs) {
         return select(BlockSelection.time(fromMs, toMs));
     }
 
-    private TraceCursor select(BlockSelection.Wanted wanted) {
+    private TraceCursor select(BlockSelection.BlockFilter filter) {
         return directory == null
                 ? withoutIndex()
-                : TraceCursor.of(file, new BlockSelection(file, directory.indexes(), wanted));
+                : TraceCursor.of(file, new BlockSelection(file, directory.indexes(), filter));
     }
 
     /**
-     * Reads every byte: frames, checksums, order within sources, and whether the index tells just
-     * what is there.
+     * Reads the whole file and checks frames, checksums, the order of entries of each source, and
+     * whether the indexes and the directory match the blocks.
      */
     public TraceVerification verify() {
         return directory == null
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -13,25 +13,26 @@
 import sprucehold.trace.event.Entry;
 import sprucehold.trace.event.TraceHeader;
 
-/** Gives a file that was cut off its index back. */
+/** Rewrites a truncated or damaged trace file with all its readable blocks and new indexes. */
 public final class TraceRepair {
     private TraceRepair() {}
 
     /**
-     * What a repair did.
+     * Result of a repair.
      *
-     * @param needed false where the file was sound and nothing was written
-     * @param entries entries kept
-     * @param lostBytes bytes after the last whole block
-     * @param why what was wrong
+     * @param needed false if the file was valid and nothing was written
+     * @param entries number of entries kept
+     * @param lostBytes number of bytes after the last complete block
+     * @param why the fault; null if the file was valid
      */
     public record Repaired(boolean needed, long entries, long lostBytes, String why) {}
 
     /**
-     * Writes all whole blocks and their index beside the file, and puts that in its place at once.
-     * What the file loses is what nobody could read.
+     * Writes all readable blocks and new indexes to a temporary file in the same folder, and then
+     * replaces the file with it, atomically where the file system allows that. Only data that can't
+     * be read is lost.
      *
-     * @throws MalformedTraceException where not even the header can be read
+     * @throws MalformedTraceException if the header can't be read
      */
     public static Repaired repair(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
@@ -39,14 +40,15 @@
                 return new Repaired(false, 0, 0, null);
             }
             Path repaired = file.resolveSibling(file.getFileName() + ".repaired");
-            // Frame by frame even where there is an index: it may tell of blocks that are damaged.
-            TraceCursor look = reader.withoutIndex();
-            Entry met = look.next();
-            while (met != null) {
-                met = look.next();
+            // Reads frame by frame even if there is an index, as the index may list damaged blocks.
+            TraceCursor scan = reader.withoutIndex();
+            Entry scanned = scan.next();
+            while (scanned != null) {
+                scanned = scan.next();
             }
             var lost = new ArrayList<>(reader.header().lost());
-            look.skipped().forEach(what -> lost.add("a damaged block was left out: " + what));
+            scan.skippedBlocks()
+                    .forEach(damage -> lost.add("a damaged block was left out: " + damage));
             TraceHeader header =
                     new TraceHeader(
                             reader.header().sources(),
@@ -66,24 +68,24 @@
                         entries++;
                     }
                 }
-                try (FileChannel written = FileChannel.open(repaired, StandardOpenOption.WRITE)) {
-                    written.force(true);
+                try (FileChannel channel = FileChannel.open(repaired, StandardOpenOption.WRITE)) {
+                    channel.force(true);
                 }
-                move(repaired, file);
+                replace(repaired, file);
             } finally {
                 Files.deleteIfExists(repaired);
             }
-            String why =
+            String reason =
                     reader.damage() != null
                             ? reader.damage()
-                            : look.skipped().isEmpty()
+                            : scan.skippedBlocks().isEmpty()
                                     ? reader.verify().what()
-                                    : look.skipped().get(0);
-            return new Repaired(true, entries, reader.length() - cursor.readTo(), why);
+                                    : scan.skippedBlocks().get(0);
+            return new Repaired(true, entries, reader.length() - cursor.readUpTo(), reason);
         }
     }
 
-    private static void move(Path from, Path to) throws IOException {
+    private static void replace(Path from, Path to) throws IOException {
         try {
             Files.move(from, to, StandardCopyOption.ATOMIC_MOVE);
         } catch (AtomicMoveNotSupportedException e) {
@@ -91,7 +93,7 @@
         }
     }
 
-    /** Opens a stream to write a file through. */
+    /** Creates a file and opens a buffered stream to it. */
     public static OutputStream create(Path file) throws IOException {
         return new BufferedOutputStream(Files.newOutputStream(file), 1 << 16);
     }
--- a/trace/src/main/java/sprucehold/trace/format/TraceVerification.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceVerification.java
@@ -7,19 +7,20 @@
 import sprucehold.trace.event.Entry;
 
 /**
- * What a check of every byte of a trace file found.
+ * Result of the verification of a whole trace file.
  *
- * @param sound whether nothing is wrong
- * @param what is wrong, or "sound"
- * @param blocks sound blocks read
- * @param entries entries in them
- * @param records events, commands and gaps in them
+ * @param sound whether the file is valid
+ * @param what the first fault, or "sound" if there is none
+ * @param blocks number of valid blocks read
+ * @param entries number of entries in these blocks
+ * @param records number of events, commands and gaps in these blocks
  */
 public record TraceVerification(
         boolean sound, String what, long blocks, long entries, long records) {
 
     /**
-     * Checks frames, checksums, order within sources, and whether the index tells what is there.
+     * Checks frames, checksums, the order of entries of each source, and whether the indexes and
+     * the directory match the blocks.
      */
     static TraceVerification of(TraceFile file, Directory directory) {
         return new Check(file, directory).run();
@@ -32,9 +33,9 @@
     private static final class Check {
         private final TraceFile file;
         private final Directory directory;
-        private final RewrittenIndex expected;
-        private final List<Long> indexesMet = new ArrayList<>();
-        private boolean directoryMet;
+        private final RebuiltIndex expected;
+        private final List<Long> indexesFound = new ArrayList<>();
+        private boolean directoryFound;
         private long blocks;
         private long entries;
         private long records;
@@ -42,7 +43,7 @@
         Check(TraceFile file, Directory directory) {
             this.file = file;
             this.directory = directory;
-            this.expected = new RewrittenIndex(file.header());
+            this.expected = new RebuiltIndex(file.header());
         }
 
         TraceVerification run() {
@@ -54,47 +55,47 @@
                     check(frame, at);
                     at += frame.length();
                 }
-                if (!indexesMet.equals(directory.indexes()) || records != directory.records()) {
+                if (!indexesFound.equals(directory.indexes()) || records != directory.records()) {
                     throw file.malformed(end, "the directory doesn't tell what the file holds");
                 }
-                return found(true, "sound");
+                return result(true, "sound");
             } catch (IOException e) {
-                return found(false, TraceFile.firstLine(e));
+                return result(false, TraceFile.firstLine(e));
             }
         }
 
         private void check(Frame frame, long at) throws IOException {
-            if (directoryMet) {
+            if (directoryFound) {
                 throw file.malformed(at, "a frame after the directory");
             }
             byte[] content = file.content(frame, at);
             if (frame.kind() == Layout.BLOCK) {
                 checkBlock(frame, at);
             } else if (frame.kind() == Layout.INDEX) {
-                indexesMet.add(at);
-                if (!Arrays.equals(content, expected.index())) {
+                indexesFound.add(at);
+                if (!Arrays.equals(content, expected.finishIndex())) {
                     throw file.malformed(
                             at, "the index doesn't tell what the blocks before it hold");
                 }
             } else if (frame.kind() == Layout.DIRECTORY) {
-                directoryMet = true;
+                directoryFound = true;
             }
         }
 
         private void checkBlock(Frame frame, long at) throws IOException {
-            List<Entry> found = file.entries(frame, at);
-            long recordsFound = expected.block(at, frame, found);
+            List<Entry> decoded = file.entries(frame, at);
+            long recordsFound = expected.addBlock(at, frame, decoded);
             if (recordsFound != frame.records()) {
                 throw file.malformed(
                         at,
                         "a block of " + recordsFound + " records that tells of " + frame.records());
             }
             blocks++;
-            entries += found.size();
+            entries += decoded.size();
             records += recordsFound;
         }
 
-        private TraceVerification found(boolean sound, String what) {
+        private TraceVerification result(boolean sound, String what) {
             return new TraceVerification(sound, what, blocks, entries, records);
         }
     }
--- a/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceWriter.java
@@ -23,11 +23,14 @@
 import sprucehold.trace.event.TraceHeader;
 
 /**
- * Writes one trace file from its first byte to its last, in memory that doesn't grow with it.
- * Entries of each source come by rising {@link Entry#seq}. Not safe for threads.
+ * Writes one trace file sequentially; its memory use doesn't grow with the file. Entries of each
+ * source must be added by ascending {@link Entry#seq}. Not thread-safe.
  */
 public final class TraceWriter implements Closeable {
-    /** Small enough that a lookup inflates little, large enough that deflate finds what repeats. */
+    /**
+     * Raw length at which a block is ended, in bytes. It is small enough that a lookup inflates
+     * little data, and large enough that deflate finds repetitions.
+     */
     private static final int BLOCK_BYTES = 64 << 10;
 
     private final OutputStream out;
@@ -36,30 +39,32 @@
     private final QueryCorrelator correlator = new QueryCorrelator();
     private final Map<String, Long> queryHashes = new HashMap<>();
     private final TreeSet<String> servers = new TreeSet<>();
-    private BlockIndexBuilder run = new BlockIndexBuilder();
-    private final List<Long> runs = new ArrayList<>();
+    private BlockIndexBuilder index = new BlockIndexBuilder();
+    private final List<Long> indexPositions = new ArrayList<>();
     private long position;
     private int entries;
     private int records;
     private double earliest = Double.NaN;
     private double latest = Double.NaN;
-    private long allEntries;
-    private long allRecords;
-    private long totalQueries;
+    private long flushedEntries;
+    private long flushedRecords;
+    private long indexedQueries;
     private long gaps;
     private boolean closed;
 
     /**
-     * Writes the header at once; deflates blocks at the JDK's fastest level, as a recorder shares
-     * its gatherer's core.
+     * Creates a writer and writes the header. Blocks are deflated at the JDK's fastest level, as a
+     * recorder shares the core of its gatherer.
      */
     public TraceWriter(OutputStream out, TraceHeader header) throws IOException {
         this(out, header, true);
     }
 
     /**
-     * @param deflate whether blocks are deflated; otherwise the same entries bring the same bytes
-     *     on every JDK
+     * Creates a writer and writes the header.
+     *
+     * @param deflate whether blocks are deflated; without deflating, the same entries are written
+     *     as the same bytes on every JDK
      */
     public TraceWriter(OutputStream out, TraceHeader header, boolean deflate) throws IOException {
         this.out = out;
@@ -68,7 +73,10 @@
         byte[] json = TraceHeaderJson.write(header);
         if (json.length > Layout.MAX_HEADER_BYTES) {
             throw new IOException(
-                    "a head of " + json.length + " bytes, at most " + Layout.MAX_HEADER_BYTES);
+                    "a header of "
+                            + json.length
+                            + " bytes; the limit is "
+                            + Layout.MAX_HEADER_BYTES);
         }
         ByteBuffer bytes =
                 ByteBuffer.allocate(Layout.PREAMBLE_BYTES + json.length + 4)
@@ -83,7 +91,7 @@
         out.flush();
     }
 
-    /** Adds an entry; an entry is never split over blocks. */
+    /** Adds an entry. An entry is never split across blocks. */
     public void add(Entry entry) throws IOException {
         encoder.add(entry);
         entries++;
@@ -109,63 +117,66 @@
         }
     }
 
-    /** Bytes written so far; what the open block will take isn't among them. */
+    /** Returns the number of bytes written so far, without those of the open block. */
     public long position() {
         return position;
     }
 
-    /** Entries that wait in the open block. */
-    public int inBlock() {
+    /** Returns the number of entries in the open block. */
+    public int entriesInBlock() {
         return entries;
     }
 
-    /** Entries added so far. */
+    /** Returns the number of entries added so far. */
     public long entries() {
-        return allEntries + entries;
+        return flushedEntries + entries;
     }
 
-    /** Ends the open block, so that all added so far can be read even if no more is written. */
+    /**
+     * Ends and writes the open block, so that all entries added so far can be read even if nothing
+     * more is written.
+     */
     public void flush() throws IOException {
         if (entries == 0) {
             return;
         }
-        byte[] raw = encoder.take();
+        byte[] raw = encoder.finishBlock();
         if (raw.length > Layout.MAX_RAW_BYTES || records > Layout.MAX_RECORDS) {
             throw new IOException(
-                    "one entry of " + raw.length + " bytes and " + records + " records");
+                    "a block of " + raw.length + " bytes and " + records + " records is too large");
         }
         byte[] frame = Frame.write(Layout.BLOCK, raw, entries, records, earliest, latest, deflater);
-        run.block(
+        index.addBlock(
                 new BlockIndexBuilder.Block(
                         position, frame.length, entries, records, earliest, latest),
                 queryHashes.values().stream().mapToLong(hash -> hash).toArray(),
                 servers);
         write(frame);
-        allEntries += entries;
-        allRecords += records;
+        flushedEntries += entries;
+        flushedRecords += records;
         entries = 0;
         records = 0;
         earliest = Double.NaN;
         latest = Double.NaN;
         queryHashes.clear();
         servers.clear();
-        if (run.full()) {
-            endRun();
+        if (index.isFull()) {
+            writeIndex();
         }
         out.flush();
     }
 
-    private void endRun() throws IOException {
-        if (run.isEmpty()) {
+    private void writeIndex() throws IOException {
+        if (index.isEmpty()) {
             return;
         }
-        runs.add(position);
-        totalQueries += run.queries();
-        write(Frame.write(Layout.INDEX, run.raw(), 0, 0, Double.NaN, Double.NaN, deflater));
-        run = new BlockIndexBuilder();
+        indexPositions.add(position);
+        indexedQueries += index.queries();
+        write(Frame.write(Layout.INDEX, index.encode(), 0, 0, Double.NaN, Double.NaN, deflater));
+        index = new BlockIndexBuilder();
     }
 
-    /** Ends the file by its index and footer, and closes the stream. */
+    /** Writes the open block, the last index, the directory and the footer; closes the stream. */
     @Override
     public void close() throws IOException {
         if (closed) {
@@ -174,19 +185,19 @@
         closed = true;
         try (out) {
             flush();
-            endRun();
+            writeIndex();
             long directory = position;
             var bytes = new ByteArrayOutputStream();
             var raw = CodedOutputStream.newInstance(bytes);
-            raw.writeUInt32NoTag(runs.size());
-            long before = 0;
-            for (long at : runs) {
-                raw.writeUInt64NoTag(at - before);
-                before = at;
+            raw.writeUInt32NoTag(indexPositions.size());
+            long previous = 0;
+            for (long at : indexPositions) {
+                raw.writeUInt64NoTag(at - previous);
+                previous = at;
             }
-            raw.writeUInt64NoTag(allRecords);
-            raw.writeUInt64NoTag(allEntries);
-            raw.writeUInt64NoTag(totalQueries);
+            raw.writeUInt64NoTag(flushedRecords);
+            raw.writeUInt64NoTag(flushedEntries);
+            raw.writeUInt64NoTag(indexedQueries);
             raw.writeUInt64NoTag(gaps);
             raw.flush();
             write(
@@ -203,7 +214,7 @@
             footer.put(Layout.FOOTER_MARKER)
                     .putLong(directory)
                     .putLong(position + Layout.FOOTER_BYTES)
-                    .putLong(allRecords);
+                    .putLong(flushedRecords);
             footer.putInt(crc(footer.array(), footer.position())).put(Layout.MAGIC);
             write(footer.array());
         } finally {
@@ -211,10 +222,7 @@
         }
     }
 
-    /**
-     * Lets go of what is held outside the heap, without another byte written; the stream stays
-     * open.
-     */
+    /** Releases native memory without writing any more bytes. The stream stays open. */
     public void discard() {
         closed = true;
         if (deflater != null) {
--- a/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
+++ b/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
@@ -15,41 +15,46 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * Keeps every query that ended badly or late whole, and one in n of the others. Entries go in and
- * come out in the same order; an entry waits until all its queries have ended. Pure: no files,
- * clocks or threads.
+ * Keeps all items of every query that ended badly or late, and of one in n of the other queries.
+ * Entries are returned in the order in which they were added. An entry waits until all its queries
+ * have ended. Uses no files, clocks or threads.
  */
 public final class QuerySampler {
     /**
-     * Entries that may wait. Guards against queries that never end, as after a gap; at a thousand
-     * calls a second it is longer than any deadline. What is pushed out undecided is kept.
+     * Largest number of entries that wait. The bound protects against queries whose end is missing,
+     * for example after a gap. At 1000 calls per second an entry can still wait for 20 s, which is
+     * longer than any deadline. An entry that is released because of the bound keeps the items of
+     * its undecided queries.
      */
-    private static final int MOST_WAITING = 20_000;
+    private static final int MAX_WAITING_ENTRIES = 20_000;
 
     private final int oneIn;
     private final QueryCorrelator correlator = new QueryCorrelator();
-    private final ArrayDeque<Held> held = new ArrayDeque<>();
+    private final ArrayDeque<WaitingEntry> waitingEntries = new ArrayDeque<>();
     private final Map<CorrelatedQuery, Decision> decisions = new HashMap<>();
 
     private static final class Decision {
-        boolean known;
+        boolean decided;
         boolean kept;
-        int mentions;
+        int waitingItems;
     }
 
-    private record Held(Entry entry, List<CorrelatedQuery> queries) {}
+    private record WaitingEntry(Entry entry, List<CorrelatedQuery> queries) {}
 
     /**
-     * @param oneIn 1 or more; of the queries that ended well and in time, one in so many is kept
+     * Creates a sampler.
+     *
+     * @param oneIn sampling rate n, at least 1: one in n of the queries that ended well and in time
+     *     is kept
      */
     public QuerySampler(int oneIn) {
         this.oneIn = oneIn;
     }
 
-    /** Takes the next entry, and returns those that are decided by now. */
+    /** Adds the next entry and returns the entries that can be released now. */
     public List<Entry> add(Entry entry) {
         if (!(entry instanceof PolicyCall call)) {
-            held.add(new Held(entry, List.of()));
+            waitingEntries.add(new WaitingEntry(entry, List.of()));
             return release(false);
         }
         var queries = new ArrayList<CorrelatedQuery>(call.items().size());
@@ -57,47 +62,51 @@
             CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
             queries.add(query);
             if (query != null) {
-                Decision fate = decisions.computeIfAbsent(query, none -> new Decision());
-                fate.mentions++;
-                decide(fate, query, item, call.nowMs());
+                Decision decision = decisions.computeIfAbsent(query, unused -> new Decision());
+                decision.waitingItems++;
+                decide(decision, query, item, call.nowMs());
             }
         }
-        held.add(new Held(call, queries));
+        waitingEntries.add(new WaitingEntry(call, queries));
         return release(false);
     }
 
-    /** Returns all that waits; queries that have not ended are kept. */
-    public List<Entry> end() {
+    /** Returns all waiting entries; queries that have not ended are kept. */
+    public List<Entry> finish() {
         return release(true);
     }
 
-    private void decide(Decision fate, CorrelatedQuery query, Item item, double nowMs) {
-        if (fate.known || !query.ended()) {
+    private void decide(Decision decision, CorrelatedQuery query, Item item, double nowMs) {
+        if (decision.decided || !query.ended()) {
             return;
         }
-        fate.known = true;
-        boolean well =
+        decision.decided = true;
+        boolean endedWellInTime =
                 item.command() instanceof Command.AnswerQuery answer
                         && answer.complete()
                         && nowMs
                                 <= query.receivedMs()
                                         + query.received().queryClass().latencyObjectiveMs();
-        fate.kept = !well || Math.floorMod(query.received().id().hashCode(), oneIn) == 0;
+        decision.kept =
+                !endedWellInTime || Math.floorMod(query.received().id().hashCode(), oneIn) == 0;
     }
 
-    private List<Entry> release(boolean all) {
+    private List<Entry> release(boolean releaseAll) {
         var released = new ArrayList<Entry>();
-        while (!held.isEmpty() && (all || held.size() > MOST_WAITING || decided(held.peek()))) {
-            Held first = held.poll();
-            Entry kept = kept(first);
+        while (!waitingEntries.isEmpty()
+                && (releaseAll
+                        || waitingEntries.size() > MAX_WAITING_ENTRIES
+                        || isDecided(waitingEntries.peek()))) {
+            WaitingEntry first = waitingEntries.poll();
+            Entry kept = withKeptItems(first);
             if (kept != null) {
                 released.add(kept);
             }
             for (CorrelatedQuery query : first.queries) {
-                Decision fate = query == null ? null : decisions.get(query);
-                // A late end of an attempt may still come where one is out.
-                if (fate != null
-                        && --fate.mentions == 0
+                Decision decision = query == null ? null : decisions.get(query);
+                // The end of a pending attempt may still be added and needs the decision.
+                if (decision != null
+                        && --decision.waitingItems == 0
                         && query.ended()
                         && query.pendingAttempts() <= 0) {
                     decisions.remove(query);
@@ -107,35 +116,35 @@
         return released;
     }
 
-    private boolean decided(Held entry) {
-        return entry.queries.stream()
-                .allMatch(query -> query == null || decisions.get(query).known);
+    private boolean isDecided(WaitingEntry waiting) {
+        return waiting.queries.stream()
+                .allMatch(query -> query == null || decisions.get(query).decided);
     }
 
-    private Entry kept(Held one) {
-        if (one.entry instanceof Gap) {
-            return one.entry;
+    private Entry withKeptItems(WaitingEntry waiting) {
+        if (waiting.entry instanceof Gap) {
+            return waiting.entry;
         }
-        PolicyCall call = (PolicyCall) one.entry;
+        PolicyCall call = (PolicyCall) waiting.entry;
         var items = new ArrayList<Item>();
         for (int i = 0; i < call.items().size(); i++) {
             Item item = call.items().get(i);
-            CorrelatedQuery query = one.queries.get(i);
-            Decision fate = query == null ? null : decisions.get(query);
-            // What merely passes the time is most of a quiet file, and tells nothing without the
-            // rest.
-            boolean time =
+            CorrelatedQuery query = waiting.queries.get(i);
+            Decision decision = query == null ? null : decisions.get(query);
+            // Wake-ups and their scheduling make up most of a quiet file and are of no use without
+            // the calls between them.
+            boolean timerItem =
                     item.event() instanceof Event.WakeUp
                             || item.command() instanceof Command.ScheduleWakeUp;
-            if (!time && (fate == null || !fate.known || fate.kept)) {
+            if (!timerItem && (decision == null || !decision.decided || decision.kept)) {
                 items.add(item);
             }
         }
         return items.isEmpty() && !call.policyFailed() ? null : call.withItems(items);
     }
 
-    /** How many entries wait, and how many queries are remembered. */
+    /** Returns the number of waiting entries plus the number of stored decisions. */
     int waiting() {
-        return held.size() + decisions.size();
+        return waitingEntries.size() + decisions.size();
     }
 }
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -26,160 +26,168 @@
 import sprucehold.trace.format.TraceWriter;
 
 /**
- * Takes what one gatherer's policy is told and decides, and writes it on a thread of its own.
- * {@link #record} belongs to the event loop: it neither waits nor fails, and where the writer has
- * fallen behind it counts what is lost.
+ * Records the calls of one gatherer's policy and writes them to trace files on a separate thread.
+ * {@link #record} is called by the event loop. It neither blocks nor fails: when the writer has
+ * fallen behind, it counts the calls that are lost.
  */
 public final class Recorder implements Closeable {
     private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
 
-    /** Files end in this; the newest of a gatherer has the greatest name. */
+    /** Suffix of file names. The newest file of a gatherer has the greatest name. */
     public static final String SUFFIX = ".trace";
 
     /**
-     * Written to the disk so often at least, so that a killed gatherer leaves all but its last
-     * second.
+     * Time between flushes of the open block, in milliseconds. A gatherer that is killed loses only
+     * about the last second of its recording.
      */
-    private static final long FLUSH_MS = 1000;
+    private static final long FLUSH_INTERVAL_MS = 1000;
 
-    /** The end of a process waits so long for the disk, and no longer. */
-    private static final long END_MS = 2000;
+    /** Longest time that {@link #close} waits for the writer thread, in milliseconds. */
+    private static final long CLOSE_TIMEOUT_MS = 2000;
 
-    private final RecordingSettings plan;
-    private final Source unbegun;
-    private final OpenFile openFile;
+    private final RecordingSettings settings;
+    private final Source sourceTemplate;
+    private final FileOpener fileOpener;
     private final ArrayBlockingQueue<Entry> queue;
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queuedRecords = new AtomicInteger();
     private final Thread thread;
     private volatile boolean closing;
 
-    /** Entries handed to the writer, and those that it is done with. */
-    private final AtomicLong handedOver = new AtomicLong();
+    /** Number of entries added to the queue. */
+    private final AtomicLong queuedEntries = new AtomicLong();
 
-    private final AtomicLong done = new AtomicLong();
+    /** Number of entries that the writer thread has processed. */
+    private final AtomicLong processedEntries = new AtomicLong();
 
-    // Of the event loop alone.
+    // Used only by the event loop, except that the writer thread reads startedMs.
     private long seq;
-    private boolean began;
+    private boolean started;
     private volatile double startedMs;
-    private long lost;
-    private long lostFrom;
+    private long lostCalls;
+    private long lostFromSeq;
     private double lostFromMs;
     private double lostToMs;
 
-    // Of the writer's thread alone.
-    private final RotationPolicy duty;
-    private final QuerySampler thinning;
+    // Used only by the writer thread.
+    private final RotationPolicy rotation;
+    private final QuerySampler sampler;
     private TraceWriter writer;
     private OutputStream stream;
 
-    /** Entries of the open block: should it not reach the disk, they are lost. */
-    private final List<Entry> inBlock = new ArrayList<>();
+    /** Entries of the open block; they are counted as lost if the block can't be written. */
+    private final List<Entry> openBlockEntries = new ArrayList<>();
 
     private double latestMs;
-    private long headBytes;
+    private long headerBytes;
 
-    /** Opens files to write to; a test's may fail or be slow. */
-    public interface OpenFile {
-        /** Opens a new file. */
+    /** Opens files for writing. Tests use implementations that fail or are slow. */
+    public interface FileOpener {
+        /** Creates a file and opens it for writing. */
         OutputStream open(Path file) throws IOException;
     }
 
     /**
-     * Makes a recorder and starts its thread.
+     * Creates a recorder and starts its thread.
      *
-     * @param source whose policy calls these are; its start is the time of the first of them
+     * @param settings the settings of the recording
+     * @param source the source of the policy calls; its start time is replaced by the time of the
+     *     first call
      */
-    public Recorder(RecordingSettings plan, Source source) {
+    public Recorder(RecordingSettings settings, Source source) {
         this(
-                plan,
+                settings,
                 source,
                 file ->
                         Files.newOutputStream(
                                 file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE));
     }
 
-    // The lowest priority, as the thread shares its gatherer's one core; nothing rests on it.
+    // The writer thread has the lowest priority because it shares the gatherer's only core.
+    // Correctness does not depend on the priority.
     @SuppressWarnings("ThreadPriorityCheck")
-    Recorder(RecordingSettings plan, Source source, OpenFile openFile) {
-        this.plan = plan;
-        this.unbegun = source;
-        this.openFile = openFile;
-        this.queue = new ArrayBlockingQueue<>(Math.max(16, plan.waitingRecords() / 2));
-        this.duty = new RotationPolicy(plan.fileBytes(), plan.fileMs());
-        this.thinning = plan.oneIn() > 1 ? new QuerySampler(plan.oneIn()) : null;
+    Recorder(RecordingSettings settings, Source source, FileOpener fileOpener) {
+        this.settings = settings;
+        this.sourceTemplate = source;
+        this.fileOpener = fileOpener;
+        this.queue = new ArrayBlockingQueue<>(Math.max(16, settings.waitingRecords() / 2));
+        this.rotation = new RotationPolicy(settings.fileBytes(), settings.fileMs());
+        this.sampler = settings.oneIn() > 1 ? new QuerySampler(settings.oneIn()) : null;
         this.thread = new Thread(this::run, "recorder");
         thread.setDaemon(true);
         thread.setPriority(Thread.MIN_PRIORITY);
         thread.start();
         LOG.info(
                 "recording to "
-                        + plan.folder()
-                        + (plan.oneIn() > 1
-                                ? ", one in " + plan.oneIn() + " of the queries that end well"
+                        + settings.folder()
+                        + (settings.oneIn() > 1
+                                ? ", sampling one in "
+                                        + settings.oneIn()
+                                        + " of the queries that end well and in time"
                                 : ""));
     }
 
-    /** Takes one call of the policy. */
-    void record(double nowMs, List<Event> events, List<Command> actions, boolean failed) {
-        if (!began) {
-            began = true;
+    /** Records one call of the policy. */
+    void record(double nowMs, List<Event> events, List<Command> commands, boolean policyFailed) {
+        if (!started) {
+            started = true;
             startedMs = nowMs;
         }
-        long number = seq++;
-        int records = events.size() + actions.size();
-        // Two places: for the gap before it, and for itself. Nobody else adds, so there can only be
-        // more by then.
-        if (waiting.get() + records > plan.waitingRecords() || queue.remainingCapacity() < 2) {
-            if (lost++ == 0) {
-                lostFrom = number;
+        long callSeq = seq++;
+        int records = events.size() + commands.size();
+        // The call needs two free places in the queue: one for a gap before it and one for itself.
+        // Only this thread adds to the queue, so the number of free places can't decrease here.
+        if (queuedRecords.get() + records > settings.waitingRecords()
+                || queue.remainingCapacity() < 2) {
+            if (lostCalls++ == 0) {
+                lostFromSeq = callSeq;
                 lostFromMs = nowMs;
             }
             lostToMs = nowMs;
             return;
         }
-        if (lost > 0) {
-            handedOver.incrementAndGet();
-            queue.add(new Gap(0, lostFrom, lostFromMs, lost, lostToMs));
-            lost = 0;
+        if (lostCalls > 0) {
+            queuedEntries.incrementAndGet();
+            queue.add(new Gap(0, lostFromSeq, lostFromMs, lostCalls, lostToMs));
+            lostCalls = 0;
         }
-        waiting.addAndGet(records);
-        handedOver.incrementAndGet();
-        queue.add(PolicyCall.of(0, number, nowMs, events, actions, failed));
+        queuedRecords.addAndGet(records);
+        queuedEntries.incrementAndGet();
+        queue.add(PolicyCall.of(0, callSeq, nowMs, events, commands, policyFailed));
     }
 
-    /** Whether all that was taken has been dealt with. */
+    /** Returns whether the writer thread has processed all entries of the queue. */
     boolean idle() {
-        return done.get() == handedOver.get();
+        return processedEntries.get() == queuedEntries.get();
     }
 
     private void run() {
         long flushedAt = System.nanoTime();
         try {
             while (!closing || !queue.isEmpty()) {
-                Entry entry = queue.poll(FLUSH_MS / 4, TimeUnit.MILLISECONDS);
+                Entry entry = queue.poll(FLUSH_INTERVAL_MS / 4, TimeUnit.MILLISECONDS);
                 if (entry != null) {
                     if (entry instanceof PolicyCall call) {
-                        waiting.addAndGet(-call.items().size());
+                        queuedRecords.addAndGet(-call.items().size());
                     }
-                    for (Entry kept : thinning == null ? List.of(entry) : thinning.add(entry)) {
+                    for (Entry kept : sampler == null ? List.of(entry) : sampler.add(entry)) {
                         write(kept);
                     }
-                    done.incrementAndGet();
+                    processedEntries.incrementAndGet();
                 }
-                if (writer != null && System.nanoTime() - flushedAt > FLUSH_MS * 1_000_000) {
+                if (writer != null
+                        && System.nanoTime() - flushedAt > FLUSH_INTERVAL_MS * 1_000_000) {
                     flushedAt = System.nanoTime();
                     flush();
                 }
             }
-            for (Entry kept : thinning == null ? List.<Entry>of() : thinning.end()) {
+            for (Entry kept : sampler == null ? List.<Entry>of() : sampler.finish()) {
                 write(kept);
             }
             endFile();
         } catch (InterruptedException e) {
             abandonFile();
         } catch (RuntimeException e) {
-            LOG.log(Level.SEVERE, "panic: recording has ended", e);
+            LOG.log(Level.SEVERE, "panic: recording stopped", e);
             abandonFile();
         }
     }
@@ -187,104 +195,104 @@
     private void write(Entry entry) {
         latestMs = entry.nowMs();
         RotationPolicy.Step step =
-                duty.next(entry.nowMs(), writer == null ? 0 : writer.position() - headBytes);
+                rotation.next(entry.nowMs(), writer == null ? 0 : writer.position() - headerBytes);
         if (step == RotationPolicy.Step.DROP) {
-            drop(entry);
+            countDropped(entry);
             return;
         }
         try {
             if (step == RotationPolicy.Step.BEGIN) {
-                begin(entry);
+                beginFile(entry);
             }
-            Gap gap = duty.takeGap();
+            Gap gap = rotation.takeGap();
             if (gap != null) {
                 writer.add(gap);
             }
-            inBlock.add(entry);
+            openBlockEntries.add(entry);
             writer.add(entry);
-            if (writer.inBlock() == 0) {
-                inBlock.clear();
+            if (writer.entriesInBlock() == 0) {
+                openBlockEntries.clear();
             }
         } catch (IOException e) {
-            boolean counted = inBlock.contains(entry);
-            failed(e);
-            if (!counted) {
-                drop(entry);
+            boolean inOpenBlock = openBlockEntries.contains(entry);
+            handleFailure(e);
+            if (!inOpenBlock) {
+                countDropped(entry);
             }
         }
     }
 
-    private void drop(Entry entry) {
+    private void countDropped(Entry entry) {
         if (entry instanceof Gap gap) {
-            duty.dropped(gap.seq(), gap.nowMs(), gap.calls(), gap.toMs());
+            rotation.dropped(gap.seq(), gap.nowMs(), gap.calls(), gap.toMs());
         } else {
-            duty.dropped(entry.seq(), entry.nowMs(), 1, entry.nowMs());
+            rotation.dropped(entry.seq(), entry.nowMs(), 1, entry.nowMs());
         }
     }
 
-    private void begin(Entry first) throws IOException {
+    private void beginFile(Entry first) throws IOException {
         if (writer != null) {
             writer.close();
-            inBlock.clear();
+            openBlockEntries.clear();
             writer = null;
         }
         var source =
                 new Source(
-                        unbegun.gatherer(),
-                        unbegun.build(),
-                        unbegun.seed(),
+                        sourceTemplate.gatherer(),
+                        sourceTemplate.build(),
+                        sourceTemplate.seed(),
                         startedMs,
-                        unbegun.deployment(),
-                        unbegun.clock());
+                        sourceTemplate.deployment(),
+                        sourceTemplate.clock());
         String name = "%s-%013.0f-%012d%s".formatted(prefix(), startedMs, first.seq(), SUFFIX);
-        Path file = plan.folder().resolve(name);
-        OutputStream out = new BufferedOutputStream(openFile.open(file), 1 << 14);
+        Path file = settings.folder().resolve(name);
+        OutputStream out = new BufferedOutputStream(fileOpener.open(file), 1 << 14);
         try {
-            writer = new TraceWriter(out, TraceHeader.of(source).withOneIn(plan.oneIn()));
+            writer = new TraceWriter(out, TraceHeader.of(source).withOneIn(settings.oneIn()));
         } catch (IOException e) {
             closeQuietly(out);
             throw e;
         }
         stream = out;
-        // The head of a large deployment may be larger than a file is to be: only what comes after
-        // it counts.
-        headBytes = writer.position();
-        if (duty.begun(first.nowMs())) {
-            LOG.info("recording again, to " + file);
+        // The header of a large deployment may exceed the size limit of files, so only the bytes
+        // after the header count towards the limit.
+        headerBytes = writer.position();
+        if (rotation.fileBegun(first.nowMs())) {
+            LOG.info("recording resumed, to " + file);
         }
         removeSurplus();
     }
 
     private String prefix() {
-        return unbegun.gatherer().replaceAll("[^A-Za-z0-9_-]", "_");
+        return sourceTemplate.gatherer().replaceAll("[^A-Za-z0-9_-]", "_");
     }
 
     private void removeSurplus() throws IOException {
         var names = new ArrayList<String>();
         try (DirectoryStream<Path> files =
-                Files.newDirectoryStream(plan.folder(), prefix() + "-*" + SUFFIX)) {
+                Files.newDirectoryStream(settings.folder(), prefix() + "-*" + SUFFIX)) {
             files.forEach(path -> names.add(path.getFileName().toString()));
         }
-        for (String surplus : RotationPolicy.surplus(names, plan.keepFiles())) {
-            Files.deleteIfExists(plan.folder().resolve(surplus));
+        for (String surplus : RotationPolicy.surplus(names, settings.keepFiles())) {
+            Files.deleteIfExists(settings.folder().resolve(surplus));
         }
     }
 
     private void flush() {
         try {
             writer.flush();
-            inBlock.clear();
+            openBlockEntries.clear();
         } catch (IOException e) {
-            failed(e);
+            handleFailure(e);
         }
     }
 
-    private void failed(IOException e) {
+    private void handleFailure(IOException e) {
         abandonFile();
-        inBlock.forEach(this::drop);
-        inBlock.clear();
-        if (duty.failed(latestMs)) {
-            LOG.warning("recording has stopped and is tried again every half a minute: " + e);
+        openBlockEntries.forEach(this::countDropped);
+        openBlockEntries.clear();
+        if (rotation.writeFailed(latestMs)) {
+            LOG.warning("recording failed, retrying every 30 s: " + e);
         }
     }
 
@@ -293,7 +301,7 @@
             try {
                 writer.close();
             } catch (IOException e) {
-                LOG.warning("the last file of the recording has no index: " + e);
+                LOG.warning("the last file of the recording has no index, closing it failed: " + e);
             }
         }
     }
@@ -306,23 +314,25 @@
         }
     }
 
-    private static void closeQuietly(Closeable what) {
+    private static void closeQuietly(Closeable closeable) {
         try {
-            what.close();
+            closeable.close();
         } catch (IOException e) {
-            LOG.log(Level.FINE, "a file that failed", e);
+            LOG.log(Level.FINE, "can't close a file after a failure", e);
         }
     }
 
-    /** Ends the last file; waits a short while for the disk and gives up on it then. */
+    /** Ends the last file. Gives up if the writer thread has not finished within the time limit. */
     @Override
     public void close() {
         closing = true;
         try {
-            thread.join(END_MS);
+            thread.join(CLOSE_TIMEOUT_MS);
             if (thread.isAlive()) {
                 LOG.warning(
-                        "recording has not ended in " + END_MS + " ms; its last file has no index");
+                        "recording did not finish within "
+                                + CLOSE_TIMEOUT_MS
+                                + " ms; its last file has no index");
                 thread.interrupt();
             }
         } catch (InterruptedException e) {
--- a/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingPolicy.java
@@ -5,12 +5,12 @@
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Event;
 
-/** A module with a recorder at its door; it decides just what the policy decides. */
+/** Decision policy that delegates to another policy and records each of its calls. */
 public final class RecordingPolicy implements DecisionPolicy {
     private final DecisionPolicy policy;
     private final Recorder recorder;
 
-    /** Records what a policy is told and decides. */
+    /** Creates a policy that records the calls of another policy. */
     public RecordingPolicy(DecisionPolicy policy, Recorder recorder) {
         this.policy = policy;
         this.recorder = recorder;
@@ -18,14 +18,14 @@
 
     @Override
     public List<Command> decide(double nowMs, List<Event> events) {
-        List<Command> actions;
+        List<Command> commands;
         try {
-            actions = policy.decide(nowMs, events);
+            commands = policy.decide(nowMs, events);
         } catch (RuntimeException | StackOverflowError e) {
             recorder.record(nowMs, events, List.of(), true);
             throw e;
         }
-        recorder.record(nowMs, events, actions, false);
-        return actions;
+        recorder.record(nowMs, events, commands, false);
+        return commands;
     }
 }
--- a/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
@@ -17,16 +17,16 @@
 import java.util.stream.Collectors;
 
 /**
- * What an operator says of recording, from a JSON file of the form {@code
+ * The operator's settings for recording, read from a JSON file that conforms to {@code
  * deploy/recording.schema.json}.
  *
- * @param folder where files go; it must exist
- * @param fileBytes a file is ended beyond so many bytes
- * @param fileMs a file is ended after so many milliseconds
- * @param keepFiles the newest files of this gatherer that are kept
- * @param waitingRecords events and commands that may wait for the writer
- * @param oneIn of the queries that ended well and in time, one in so many is kept; 1 keeps
- *     everything
+ * @param folder the folder for trace files; it must exist
+ * @param fileBytes the size at which a file is ended, in bytes
+ * @param fileMs the age at which a file is ended, in milliseconds
+ * @param keepFiles the number of newest files of this gatherer that are kept
+ * @param waitingRecords the largest number of events and commands that wait for the writer
+ * @param oneIn sampling rate n: one in n of the queries that ended well and in time is kept; 1
+ *     keeps everything
  */
 public record RecordingSettings(
         Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
@@ -34,7 +34,8 @@
     /**
      * Reads the settings.
      *
-     * @throws InvalidSettingsException with all that is wrong with the file, in one line
+     * @throws InvalidSettingsException if the file is invalid; the message lists all faults in one
+     *     line
      */
     public static RecordingSettings read(Path file) throws IOException {
         JsonNode node;
@@ -80,7 +81,7 @@
         }
     }
 
-    /** The file doesn't say what has to be known. */
+    /** Thrown when the settings file is not valid. */
     public static final class InvalidSettingsException extends IOException {
         private static final long serialVersionUID = 1L;
 
--- a/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
@@ -4,42 +4,42 @@
 import sprucehold.trace.event.Gap;
 
 /**
- * What the writer has to do next: which file to write to, when to begin another, what to do about a
- * disk that fails. Pure: it is told what happened and says what to do.
+ * Decides when the writer begins a new file, and when it retries after a failure of the disk. Does
+ * no I/O itself: the writer reports what happened and asks for the next step.
  */
 public final class RotationPolicy {
     /**
-     * How long a disk that failed is left alone: one that is full is cleared by hand at best, and
-     * each try costs the gatherer's core.
+     * Time between a failure and the next attempt to begin a file, in milliseconds. A full disk is
+     * at best cleared by hand, and each attempt takes time on the gatherer's core.
      */
     private static final double RETRY_MS = 30_000;
 
     private final long fileBytes;
     private final double fileMs;
     private boolean open;
-    private double begunMs;
+    private double fileBegunMs;
     private double failedMs = Double.NEGATIVE_INFINITY;
     private boolean failing;
-    private long dropped;
-    private long droppedFrom;
+    private long droppedCalls;
+    private long droppedFromSeq;
     private double droppedFromMs;
     private double droppedToMs;
 
-    /** What to do with the entry at hand. */
+    /** The step for the next entry. */
     public enum Step {
-        /** Write it to the file that is open. */
+        /** Write the entry to the open file. */
         WRITE,
-        /** End the file that is open, if one is, begin the next, and write it there. */
+        /** End the open file, if there is one, begin the next file and write the entry to it. */
         BEGIN,
-        /** Count it as lost: the disk is left alone for now. */
+        /** Count the entry as lost, because the delay after a failure has not passed. */
         DROP
     }
 
     /**
-     * Makes a policy.
+     * Creates a policy.
      *
-     * @param fileBytes a file is ended beyond so many bytes
-     * @param fileMs a file is ended after so many milliseconds
+     * @param fileBytes the size at which a file is ended, in bytes
+     * @param fileMs the age at which a file is ended, in milliseconds
      */
     public RotationPolicy(long fileBytes, double fileMs) {
         this.fileBytes = fileBytes;
@@ -47,62 +47,66 @@
     }
 
     /**
-     * What to do with the next entry.
+     * Returns the step for the next entry.
      *
-     * @param nowMs the entry's time; a clock that stepped back ends no file and puts no retry off
-     * @param written bytes in the file that is open
+     * @param nowMs the time of the entry. A clock that stepped back neither ends a file nor delays
+     *     a retry.
+     * @param writtenBytes the number of bytes in the open file
      */
-    public Step next(double nowMs, long written) {
+    public Step next(double nowMs, long writtenBytes) {
         if (failing) {
             return Math.abs(nowMs - failedMs) < RETRY_MS ? Step.DROP : Step.BEGIN;
         }
-        return !open || written >= fileBytes || nowMs - begunMs >= fileMs ? Step.BEGIN : Step.WRITE;
+        return !open || writtenBytes >= fileBytes || nowMs - fileBegunMs >= fileMs
+                ? Step.BEGIN
+                : Step.WRITE;
     }
 
-    /** A file was begun. Returns whether that ends a failure, which is to be told. */
-    public boolean begun(double nowMs) {
-        boolean again = failing;
+    /** Records that a file was begun. Returns whether this ends a failure, which must be logged. */
+    public boolean fileBegun(double nowMs) {
+        boolean recovered = failing;
         open = true;
         failing = false;
-        begunMs = nowMs;
-        return again;
+        fileBegunMs = nowMs;
+        return recovered;
     }
 
     /**
-     * Writing or beginning failed. Returns whether it is a new failure, which is to be told once.
+     * Records that writing or beginning a file failed. Returns whether this is the first failure
+     * since a file was last begun; only the first one must be logged.
      */
-    public boolean failed(double nowMs) {
-        boolean first = !failing;
+    public boolean writeFailed(double nowMs) {
+        boolean newFailure = !failing;
         failing = true;
         open = false;
         failedMs = nowMs;
-        return first;
+        return newFailure;
     }
 
-    /** So many calls of the policy, from that one on, are lost. */
-    public void dropped(long seq, double nowMs, long moments, double toMs) {
-        if (dropped == 0) {
-            droppedFrom = seq;
+    /** Records that policy calls are lost, starting with call {@code seq}. */
+    public void dropped(long seq, double nowMs, long calls, double toMs) {
+        if (droppedCalls == 0) {
+            droppedFromSeq = seq;
             droppedFromMs = nowMs;
         }
-        dropped += moments;
+        droppedCalls += calls;
         droppedToMs = toMs;
     }
 
-    /** What was lost since this was last asked for, as a gap to write; null if nothing was. */
+    /** Returns the calls lost since the last gap was taken, as a gap; null if none were lost. */
     public Gap takeGap() {
-        if (dropped == 0) {
+        if (droppedCalls == 0) {
             return null;
         }
-        var gap = new Gap(0, droppedFrom, droppedFromMs, dropped, droppedToMs);
-        dropped = 0;
+        var gap = new Gap(0, droppedFromSeq, droppedFromMs, droppedCalls, droppedToMs);
+        droppedCalls = 0;
         return gap;
     }
 
     /**
-     * Which of a gatherer's files go so that the newest {@code keep} stay.
+     * Returns the files of a gatherer to delete so that the newest {@code keep} files remain.
      *
-     * @param files their names, which sort by age
+     * @param files the names of all files; their order by name is their order by age
      */
     public static List<String> surplus(List<String> files, int keep) {
         List<String> sorted = files.stream().sorted().toList();
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -21,31 +21,31 @@
 import sprucehold.trace.event.TraceHeader;
 
 public class DamagedFileTest {
-    private static final TraceHeader HEAD = TraceHeader.of(Samples.source("g0"));
+    private static final TraceHeader HEADER = TraceHeader.of(Samples.source("g0"));
 
     @DataProvider
-    Object[][] forms() {
+    Object[][] compression() {
         return new Object[][] {{true}, {false}};
     }
 
-    @Test(dataProvider = "forms")
-    public void fileCutOffAtAnyByteIsReadToItsLastWholeBlockAndRepaired(boolean deflate)
+    @Test(dataProvider = "compression")
+    public void fileTruncatedAtAnyByteIsReadUpToItsLastCompleteBlockAndRepaired(boolean deflate)
             throws IOException {
         List<Entry> entries = Samples.entries(2, deflate ? 8 : 4);
-        byte[] whole = Samples.bytes(HEAD, entries, deflate);
-        int headEnds = headEnds(whole);
+        byte[] complete = Samples.bytes(HEADER, entries, deflate);
+        int headerEnd = headerEnd(complete);
         Path file = Files.createTempFile("cut", ".trace");
-        int readBefore = 0;
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(file, Arrays.copyOf(whole, length));
-            if (length < headEnds) {
+        int previouslyRead = 0;
+        for (int length = 0; length < complete.length; length++) {
+            Files.write(file, Arrays.copyOf(complete, length));
+            if (length < headerEnd) {
                 assertThrows(MalformedTraceException.class, () -> TraceReader.open(file));
                 continue;
             }
             List<Entry> read = Samples.read(file);
             assertEquals(read, entries.subList(0, read.size()));
-            assertTrue(read.size() >= readBefore, "at byte " + length);
-            readBefore = read.size();
+            assertTrue(read.size() >= previouslyRead, "at byte " + length);
+            previouslyRead = read.size();
             TraceRepair.Repaired repaired = TraceRepair.repair(file);
             assertTrue(repaired.needed() && repaired.entries() == read.size(), "at byte " + length);
             try (TraceReader reader = TraceReader.open(file)) {
@@ -53,30 +53,31 @@
                 assertEquals(Samples.all(reader.all()), read);
             }
         }
-        // The end of the last block is not the end of the file: index, directory and footer follow.
-        assertEquals(readBefore, entries.size());
+        // All entries are read before the file is complete, as the index, the directory and the
+        // footer follow the last block.
+        assertEquals(previouslyRead, entries.size());
         Files.delete(file);
     }
 
-    private static int headEnds(byte[] file) {
+    private static int headerEnd(byte[] file) {
         return Layout.PREAMBLE_BYTES
                 + 4
                 + ByteBuffer.wrap(file).order(ByteOrder.LITTLE_ENDIAN).getInt(12);
     }
 
-    @Test(dataProvider = "forms")
-    public void everyFlippedBitIsFoundByVerifyOrChangesNothingRead(boolean deflate)
+    @Test(dataProvider = "compression")
+    public void everyFlippedBitIsFoundByVerifyOrLeavesTheEntriesUnchanged(boolean deflate)
             throws IOException {
         List<Entry> entries = Samples.entries(4, 3);
-        byte[] whole = Samples.bytes(HEAD, entries, deflate);
+        byte[] complete = Samples.bytes(HEADER, entries, deflate);
         Path file = Files.createTempFile("flip", ".trace");
-        for (int bit = 0; bit < 8 * whole.length; bit++) {
-            byte[] flipped = whole.clone();
+        for (int bit = 0; bit < 8 * complete.length; bit++) {
+            byte[] flipped = complete.clone();
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file, flipped);
             try (TraceReader reader = TraceReader.open(file)) {
                 if (reader.verify().sound()) {
-                    assertEquals(reader.header(), HEAD, "bit " + bit);
+                    assertEquals(reader.header(), HEADER, "bit " + bit);
                     assertEquals(Samples.all(reader.all()), entries, "bit " + bit);
                 }
             } catch (MalformedTraceException e) {
@@ -87,16 +88,18 @@
     }
 
     @Test
-    public void damagedBlockAmongOthersCostsNoOtherBlock() throws IOException {
+    public void repairKeepsAllBlocksExceptTheDamagedOne() throws IOException {
         List<Entry> entries = Samples.entries(6, 60);
-        byte[] whole = Samples.bytes(HEAD, entries, true);
-        int first = headEnds(whole);
+        byte[] complete = Samples.bytes(HEADER, entries, true);
+        int first = headerEnd(complete);
         int second =
                 first
                         + Layout.FRAME_BYTES
-                        + ByteBuffer.wrap(whole).order(ByteOrder.LITTLE_ENDIAN).getInt(first + 12);
-        whole[second + Layout.FRAME_BYTES + 3] ^= 0x10;
-        Path file = Samples.file(whole);
+                        + ByteBuffer.wrap(complete)
+                                .order(ByteOrder.LITTLE_ENDIAN)
+                                .getInt(first + 12);
+        complete[second + Layout.FRAME_BYTES + 3] ^= 0x10;
+        Path file = Samples.file(complete);
         try (TraceReader reader = TraceReader.open(file)) {
             assertFalse(reader.verify().sound());
             assertThrows(MalformedTraceException.class, () -> Samples.all(reader.all()));
@@ -114,15 +117,15 @@
         }
     }
 
-    /** A file whose one block and index are given as raw bytes, all checksums right. */
-    private static Path forged(byte[] blockRaw, int records, byte[] runRaw, byte[] directoryRaw)
+    /** Writes a file with one block and one index from raw bytes; all checksums are valid. */
+    private static Path forged(byte[] blockRaw, int records, byte[] indexRaw, byte[] directoryRaw)
             throws IOException {
-        byte[] plain = Samples.bytes(HEAD, List.of(), false);
+        byte[] emptyFile = Samples.bytes(HEADER, List.of(), false);
         var out = new ByteArrayOutputStream();
-        out.write(plain, 0, headEnds(plain));
+        out.write(emptyFile, 0, headerEnd(emptyFile));
         var deflater = new Deflater(9, true);
         out.write(Frame.write(Layout.BLOCK, blockRaw, 1, records, 0, 0, deflater));
-        out.write(Frame.write(Layout.INDEX, runRaw, 0, 0, Double.NaN, Double.NaN, deflater));
+        out.write(Frame.write(Layout.INDEX, indexRaw, 0, 0, Double.NaN, Double.NaN, deflater));
         long directory = out.size();
         out.write(
                 Frame.write(
@@ -147,7 +150,7 @@
         return bytes.toByteArray();
     }
 
-    /** A moment and then as many names as fit, each the one before and a letter more. */
+    /** Returns a policy call with 200,000 names, each one letter longer than the previous one. */
     private static byte[] growingNames() throws IOException {
         var bytes = new ByteArrayOutputStream();
         bytes.write(varints(1, 5, 0, 0, 0, 0, 1));
@@ -163,81 +166,95 @@
         return bytes.toByteArray();
     }
 
-    /** Eight MiB that deflate from a few KiB to four million records. */
-    private static byte[] bomb() throws IOException {
+    /** Returns a block of 8 MiB with four million records that deflates to a few KiB. */
+    private static byte[] highlyCompressible() throws IOException {
         byte[] raw = new byte[Layout.MAX_RAW_BYTES - 16];
-        byte[] moment = varints(1, 5, 0, 0, 0, 0, 1);
-        System.arraycopy(moment, 0, raw, 0, moment.length);
-        for (int i = moment.length; i < raw.length - 1; i += 2) {
+        byte[] policyCall = varints(1, 5, 0, 0, 0, 0, 1);
+        System.arraycopy(policyCall, 0, raw, 0, policyCall.length);
+        for (int i = policyCall.length; i < raw.length - 1; i += 2) {
             raw[i] = RecordKind.WAKE_UP;
         }
         return raw;
     }
 
     @DataProvider
-    Object[][] hostile() throws IOException {
-        byte[] moment = varints(1, 5, 0, 0, 0, 0, 0);
-        byte[] goodRun = varints(0, 0, 0);
+    Object[][] hostileFiles() throws IOException {
+        byte[] policyCall = varints(1, 5, 0, 0, 0, 0, 0);
+        byte[] emptyIndex = varints(0, 0, 0);
         return new Object[][] {
-            {"a record of two gigabytes", varints(1, Integer.MAX_VALUE, 0), goodRun, null},
+            {"a record of two gigabytes", varints(1, Integer.MAX_VALUE, 0), emptyIndex, null},
             {
-                "a list of a billion servers",
+                "a list of a billion endpoints",
                 varints(1, 5, 0, 0, 0, 0, 1, 14, 7, 1, 1_000_000_000),
-                goodRun,
+                emptyIndex,
                 null
             },
-            {"names that grow out of each other", growingNames(), goodRun, null},
-            {"four million records from nearly nothing", bomb(), goodRun, null},
-            {"an item before any policy call", varints(17, 0), goodRun, null},
-            {"a source that isn't there", varints(1, 5, 7, 0, 0, 0, 0), goodRun, null},
-            {"a name that isn't there", varints(1, 5, 0, 0, 0, 0, 1, 13, 1, 99), goodRun, null},
-            {"a run with a billion blocks", moment, varints(1_000_000_000L), null},
-            {"a run with a billion scans", moment, varints(0, 1_000_000_000L), null},
-            {"a run that leads beyond itself", moment, varints(1, 1L << 40, 100, 0, 0), null},
-            {"a directory whose runs stand still", moment, goodRun, varints(2, 1, 0, 1, 1, 0, 0)},
+            {"names that extend each other", growingNames(), emptyIndex, null},
+            {"four million records from a few KiB", highlyCompressible(), emptyIndex, null},
+            {"an item before any policy call", varints(17, 0), emptyIndex, null},
+            {"an undefined source", varints(1, 5, 7, 0, 0, 0, 0), emptyIndex, null},
+            {"an undefined name", varints(1, 5, 0, 0, 0, 0, 1, 13, 1, 99), emptyIndex, null},
+            {"an index with a billion blocks", policyCall, varints(1_000_000_000L), null},
+            {"an index with a billion queries", policyCall, varints(0, 1_000_000_000L), null},
             {
-                "a directory whose runs lead beyond it",
-                moment,
-                goodRun,
+                "an index of a block beyond itself",
+                policyCall,
+                varints(1, 1L << 40, 100, 0, 0),
+                null
+            },
+            {
+                "a directory with an index listed twice",
+                policyCall,
+                emptyIndex,
+                varints(2, 1, 0, 1, 1, 0, 0)
+            },
+            {
+                "a directory of an index beyond itself",
+                policyCall,
+                emptyIndex,
                 varints(1, 1L << 40, 1, 1, 0, 0)
             },
-            {"a directory of a billion runs", moment, goodRun, varints(1_000_000_000L)},
+            {"a directory of a billion indexes", policyCall, emptyIndex, varints(1_000_000_000L)},
         };
     }
 
-    @Test(dataProvider = "hostile")
-    public void hostileFileCostsOneErrorAndNoMemory(
-            String what, byte[] block, byte[] run, byte[] directory) throws IOException {
-        byte[] plain = Samples.bytes(HEAD, List.of(), false);
+    @Test(dataProvider = "hostileFiles")
+    public void hostileFileIsRefusedInOneLineWithBoundedMemory(
+            String description, byte[] block, byte[] index, byte[] directory) throws IOException {
+        byte[] emptyFile = Samples.bytes(HEADER, List.of(), false);
         int blockLength =
                 Frame.write(Layout.BLOCK, block, 1, 1, 0, 0, new Deflater(9, true)).length;
         Path file =
                 forged(
                         block,
                         1,
-                        run,
+                        index,
                         directory != null
                                 ? directory
-                                : varints(1, headEnds(plain) + blockLength, 1, 1, 0, 0));
-        long before = allocated();
-        String said;
+                                : varints(1, headerEnd(emptyFile) + blockLength, 1, 1, 0, 0));
+        long allocatedBefore = allocated();
+        String message;
         try (TraceReader reader = TraceReader.open(file)) {
             TraceCursor cursor = reader.all();
             Entry entry;
             do {
                 entry = cursor.next();
             } while (entry != null);
-            TraceVerification verdict = reader.verify();
-            assertFalse(verdict.sound(), what);
-            said = verdict.what();
+            TraceVerification verification = reader.verify();
+            assertFalse(verification.sound(), description);
+            message = verification.what();
         } catch (MalformedTraceException e) {
-            said = e.getMessage();
+            message = e.getMessage();
         }
-        assertEquals(said.lines().count(), 1, said);
-        // Several times a block's bound, whatever the file claims.
+        assertEquals(message.lines().count(), 1, message);
+        // The bound is several times that of a block and doesn't depend on the file.
         assertTrue(
-                allocated() - before < 220L << 20,
-                what + " took " + ((allocated() - before) >> 20) + " MiB: " + said);
+                allocated() - allocatedBefore < 220L << 20,
+                description
+                        + " took "
+                        + ((allocated() - allocatedBefore) >> 20)
+                        + " MiB: "
+                        + message);
     }
 
     private static long allocated() {
@@ -248,27 +265,27 @@
     }
 
     @DataProvider
-    Object[][] beginnings() {
+    Object[][] damagedHeaders() {
         return new Object[][] {
-            // place, value of the byte there, what is said
+            // position, value of the byte there, part of the error message
             {0, 'X', "no trace file"},
             {8, 2, "version 2 of the format"},
-            {15, 0x7f, "a head of "},
+            {15, 0x7f, "a header of "},
             {20, 'x', "checksum"},
         };
     }
 
-    @Test(dataProvider = "beginnings")
-    public void fileThatIsNoneOrOfANewerVersionIsRefusedInOneLine(int at, int value, String said)
-            throws IOException {
-        byte[] whole = Samples.bytes(HEAD, Samples.entries(1, 2), true);
-        whole[at] = (byte) value;
-        Path file = Samples.file(whole);
+    @Test(dataProvider = "damagedHeaders")
+    public void fileThatIsNoTraceOrHasANewerVersionIsRefusedInOneLine(
+            int at, int value, String message) throws IOException {
+        byte[] complete = Samples.bytes(HEADER, Samples.entries(1, 2), true);
+        complete[at] = (byte) value;
+        Path file = Samples.file(complete);
         try (TraceReader reader = TraceReader.open(file)) {
             throw new AssertionError("read " + reader.header());
         } catch (MalformedTraceException e) {
             assertTrue(
-                    e.getMessage().contains(said) && e.getMessage().lines().count() == 1,
+                    e.getMessage().contains(message) && e.getMessage().lines().count() == 1,
                     e.getMessage());
         }
     }
--- a/trace/src/test/java/sprucehold/trace/format/GoldenFile.java
+++ b/trace/src/test/java/sprucehold/trace/format/GoldenFile.java
@@ -6,8 +6,8 @@
 import sprucehold.trace.event.TraceHeader;
 
 /**
- * Writes the golden file anew: only for a new version of the format, under its own name. Run with
- * the path to write.
+ * Writes a golden file. Use it only for a new version of the format, which gets its own file name.
+ * The argument is the path of the file.
  */
 public final class GoldenFile {
     private GoldenFile() {}
--- a/trace/src/test/java/sprucehold/trace/format/Samples.java
+++ b/trace/src/test/java/sprucehold/trace/format/Samples.java
@@ -28,29 +28,29 @@
 import sprucehold.trace.event.Source;
 import sprucehold.trace.event.TraceHeader;
 
-/** Heads and entries of every kind, from a seed. */
+/** Creates headers, and entries of every kind from a seed. */
 public final class Samples {
-    public static final QueryClass TYPE =
+    public static final QueryClass IDEMPOTENT_CLASS =
             new QueryClass(
                     "offers", QueryClass.Idempotence.IDEMPOTENT, 1200, 2, 0.3, 0, 0.75, 0.75, 0);
-    public static final QueryClass ONCE =
+    public static final QueryClass NON_IDEMPOTENT_CLASS =
             new QueryClass(
                     "stamps", QueryClass.Idempotence.NON_IDEMPOTENT, 800, 1, 0.3, 0, 1, 1, 0);
-    public static final Tenant CUSTOMER = new Tenant("acme", 12.5);
-    public static final Deployment FACTS =
+    public static final Tenant TENANT = new Tenant("acme", 12.5);
+    public static final Deployment DEPLOYMENT =
             new Deployment(
                     2,
                     "a",
                     5,
                     0.2,
-                    List.of(TYPE, ONCE),
-                    List.of(CUSTOMER),
+                    List.of(IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS),
+                    List.of(TENANT),
                     new Deployment.ShardLayout(2, 1, 1),
                     new Deployment.Limits(4, 200, true, true, 1000),
                     new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
                     Deployment.RetryBudget.NONE,
                     new Deployment.EndpointSubscription(false, 10_000));
-    public static final double BEGIN = 1_767_225_600_000.0;
+    public static final double START_MS = 1_767_225_600_000.0;
 
     private static final List<AttemptOutcome> OUTCOMES = List.of(AttemptOutcome.values());
     private static final List<Endpoint.State> STATES = List.of(Endpoint.State.values());
@@ -58,28 +58,30 @@
     private Samples() {}
 
     public static Source source(String gatherer) {
-        return new Source(gatherer, "test", 0x8c1f30d27a5be964L, BEGIN, FACTS, ClockFit.REFERENCE);
+        return new Source(
+                gatherer, "test", 0x8c1f30d27a5be964L, START_MS, DEPLOYMENT, ClockFit.REFERENCE);
     }
 
     /**
-     * One scan a moment, the next moment its end; with news, gaps and every other kind among them.
+     * Creates, for each query, one policy call in which it is received and one in which it ends,
+     * with gaps and with items of the other kinds of version 1.0.
      */
-    static List<Entry> entries(long seed, int scans) {
+    static List<Entry> entries(long seed, int queries) {
         var random = new Random(seed);
         var entries = new ArrayList<Entry>();
         long seq = 0;
-        double now = BEGIN;
-        for (int i = 0; i < scans; i++) {
-            // The clock steps back now and then.
+        double now = START_MS;
+        for (int i = 0; i < queries; i++) {
+            // The clock steps back at every 17th query.
             now += i % 17 == 16 ? -500 : random.nextInt(1000) + random.nextDouble();
             String id = String.format("%016x", random.nextLong());
-            List<Event> taken =
+            List<Event> received =
                     List.of(
                             new Event.QueryReceived(
                                     id,
                                     i + 1,
-                                    i % 3 == 0 ? ONCE : TYPE,
-                                    i % 2 == 0 ? CUSTOMER : null,
+                                    i % 3 == 0 ? NON_IDEMPOTENT_CLASS : IDEMPOTENT_CLASS,
+                                    i % 2 == 0 ? TENANT : null,
                                     480),
                             new Event.PartReceived(id + ".3", i + 1, 3, 0.5),
                             new Event.PartReceived(id + ".9", i + 1, 9, 0.5));
@@ -100,12 +102,12 @@
                             new Command.CheckHealth("s-1"),
                             new Command.SubscribeToEndpoints(Reason.ENDPOINTS_UNAVAILABLE),
                             new Command.LogMessage("näher"));
-            entries.add(PolicyCall.of(0, seq++, now, taken, sent, false));
+            entries.add(PolicyCall.of(0, seq++, now, received, sent, false));
             if (i % 11 == 5) {
                 entries.add(new Gap(0, seq, now + 1, 3, now + 2));
                 seq += 3;
             }
-            List<Event> ends =
+            List<Event> endEvents =
                     List.of(
                             new Event.AttemptEnded(
                                     id + ".3",
@@ -122,7 +124,7 @@
                                     List.of(
                                             new Endpoint(
                                                     "s-" + i % 5, 1, "a", 0, STATES.get(i % 3)))));
-            Command end =
+            Command endCommand =
                     switch (i % 4) {
                         case 0 -> new Command.AnswerQuery(id, true, Reason.COMPLETE);
                         case 1 -> new Command.RejectQuery(id, 250, Reason.NO_CAPACITY);
@@ -134,12 +136,12 @@
                             0,
                             seq++,
                             now + 40.125,
-                            ends,
+                            endEvents,
                             List.of(
                                     new Command.CancelAttempt(id + ".9", 0, Reason.PART_COMPLETED),
-                                    end),
+                                    endCommand),
                             false);
-            // Some were cut, and some calls failed.
+            // Omits items of some calls. Some calls added below failed.
             entries.add(
                     i % 13 == 7
                             ? call.withItems(List.of(call.items().get(1), call.items().get(7)))
@@ -158,10 +160,10 @@
         return entries;
     }
 
-    /** The same, and each kind that version 1.1 added. */
-    static List<Entry> entriesOfOneOne(long seed, int scans) {
-        var entries = new ArrayList<>(entries(seed, scans));
-        double now = BEGIN + 1e6;
+    /** Adds items of each kind that version 1.1 of the format added. */
+    static List<Entry> entriesOfVersion11(long seed, int queries) {
+        var entries = new ArrayList<>(entries(seed, queries));
+        double now = START_MS + 1e6;
         for (ClusterView clusterView :
                 List.of(
                         ClusterView.NONE,
@@ -195,8 +197,8 @@
         try (var writer = new TraceWriter(out, header, deflate)) {
             for (Entry entry : entries) {
                 writer.add(entry);
-                // Small blocks, so that a small file has several.
-                if (writer.inBlock() >= 7) {
+                // Ends blocks early, so that a small file has several blocks.
+                if (writer.entriesInBlock() >= 7) {
                     writer.flush();
                 }
             }
@@ -210,7 +212,7 @@
         return Files.write(file, bytes);
     }
 
-    /** All that can be read. */
+    /** Returns all entries that can be read. */
     public static List<Entry> read(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
             return all(reader.all());
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -26,7 +26,7 @@
 import sprucehold.trace.event.TraceHeader;
 
 public class TraceFileTest {
-    private static final TraceHeader HEAD = TraceHeader.of(Samples.source("g0"));
+    private static final TraceHeader HEADER = TraceHeader.of(Samples.source("g0"));
 
     @DataProvider
     Object[][] sizes() {
@@ -36,37 +36,41 @@
     }
 
     @Test(dataProvider = "sizes")
-    public void whatIsWrittenIsReadAndVerified(int scans, boolean deflate) throws IOException {
-        List<Entry> entries = Samples.entries(scans, scans);
-        Path file = Samples.file(Samples.bytes(HEAD, entries, deflate));
+    public void writtenEntriesAreReadBackAndVerified(int queries, boolean deflate)
+            throws IOException {
+        List<Entry> entries = Samples.entries(queries, queries);
+        Path file = Samples.file(Samples.bytes(HEADER, entries, deflate));
         try (TraceReader reader = TraceReader.open(file)) {
             assertNull(reader.damage());
-            assertEquals(reader.header(), HEAD);
+            assertEquals(reader.header(), HEADER);
             assertEquals(Samples.all(reader.all()), entries);
-            TraceVerification verdict = reader.verify();
-            assertTrue(verdict.sound(), verdict.what());
-            assertEquals(verdict.records(), reader.records());
-            assertEquals(verdict.entries(), entries.size());
+            TraceVerification verification = reader.verify();
+            assertTrue(verification.sound(), verification.what());
+            assertEquals(verification.records(), reader.records());
+            assertEquals(verification.entries(), entries.size());
         }
     }
 
     @Test
-    public void indexFindsEveryBlockOfAScanServerAndTime() throws IOException {
+    public void indexFindsEveryBlockOfAQueryServerAndTimeRange() throws IOException {
         List<Entry> entries = Samples.entries(5, 400);
-        Path file = Samples.file(Samples.bytes(HEAD, entries, true));
+        Path file = Samples.file(Samples.bytes(HEADER, entries, true));
         try (TraceReader reader = TraceReader.open(file)) {
             for (int i = 0; i < entries.size(); i += 37) {
                 if (!(entries.get(i) instanceof PolicyCall call)
-                        || !(call.items().get(0).event() instanceof Event.QueryReceived taken)) {
+                        || !(call.items().get(0).event() instanceof Event.QueryReceived received)) {
                     continue;
                 }
                 assertEquals(
-                        of(Samples.all(reader.ofQuery(taken.id())), taken.id()),
-                        of(entries, taken.id()));
+                        mentioning(Samples.all(reader.ofQuery(received.id())), received.id()),
+                        mentioning(entries, received.id()));
             }
-            // Called off by number alone, so the index has to know where the dispatch went.
-            assertTrue(Samples.all(reader.ofServer("s-3")).size() >= of(entries, "s-3").size());
-            double from = Samples.BEGIN + 50_000;
+            // CancelAttempt contains no shard server, only the part and the attempt number, so the
+            // writer must look the server up by the SendAttempt command.
+            assertTrue(
+                    Samples.all(reader.ofServer("s-3")).size()
+                            >= mentioning(entries, "s-3").size());
+            double from = Samples.START_MS + 50_000;
             List<Entry> wanted =
                     entries.stream()
                             .filter(e -> e.nowMs() >= from && e.nowMs() < from + 5000)
@@ -79,24 +83,29 @@
         }
     }
 
-    private static List<Entry> of(List<Entry> entries, String id) {
+    private static List<Entry> mentioning(List<Entry> entries, String id) {
         return entries.stream()
                 .filter(e -> e instanceof PolicyCall call && Samples.mentions(call, id))
                 .toList();
     }
 
     @Test
-    public void idsThatComeAgainAreAllFound() throws IOException {
-        var again = new java.util.ArrayList<Entry>();
+    public void everyUseOfARepeatedQueryIdIsFound() throws IOException {
+        var entries = new java.util.ArrayList<Entry>();
         for (int i = 0; i < 60; i++) {
-            Event taken =
+            Event received =
                     new Event.QueryReceived(
-                            i % 20 == 0 ? "again" : "other-" + i, i + 1, Samples.TYPE, null, 100);
-            again.add(PolicyCall.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
+                            i % 20 == 0 ? "again" : "other-" + i,
+                            i + 1,
+                            Samples.IDEMPOTENT_CLASS,
+                            null,
+                            100);
+            entries.add(
+                    PolicyCall.of(0, i, Samples.START_MS + i, List.of(received), List.of(), false));
         }
         try (TraceReader reader =
-                TraceReader.open(Samples.file(Samples.bytes(HEAD, again, true)))) {
-            assertEquals(of(Samples.all(reader.ofQuery("again")), "again").size(), 3);
+                TraceReader.open(Samples.file(Samples.bytes(HEADER, entries, true)))) {
+            assertEquals(mentioning(Samples.all(reader.ofQuery("again")), "again").size(), 3);
         }
     }
 
@@ -110,23 +119,24 @@
     @Test
     public void goldenFilesOfAllVersionsAreReadAndTheNewestIsWritten() throws IOException {
         assertEquals(Samples.read(Samples.file(golden("1.0"))), Samples.entries(1, 20));
-        List<Entry> entries = Samples.entriesOfOneOne(1, 20);
+        List<Entry> entries = Samples.entriesOfVersion11(1, 20);
         assertEquals(Samples.read(Samples.file(golden("1.1"))), entries);
-        // Stored, not deflated: JDKs may deflate differently.
-        assertEquals(Samples.bytes(HEAD, entries, false), golden("1.1"));
+        // The blocks are stored, as the output of deflate may differ between JDKs.
+        assertEquals(Samples.bytes(HEADER, entries, false), golden("1.1"));
     }
 
     @Test
-    public void boundsOfAKindThatIsNotKnownHideNothingElse() throws IOException {
+    public void sharedLimitOfUnknownKindDoesNotAffectOtherItems() throws IOException {
         var raw = new ByteArrayOutputStream();
         var out = CodedOutputStream.newInstance(raw);
         record(out, RecordKind.POLICY_CALL, 0, 0, 0, 0, 3, 0);
-        // Five gatherers, one bound of kind 99 without a name and nine units, no trouble.
+        // Five gatherers; one limit of the unknown kind 99 with an empty subject and nine units; no
+        // failure scores.
         record(out, RecordKind.CLUSTER_VIEW_CHANGED, 5, 1, 99, 0, 0, 9, 0);
         record(out, RecordKind.CONSUME_ALLOWANCE, 99, 2, 4);
         record(out, RecordKind.WAKE_UP);
         out.flush();
-        List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
+        List<Entry> read = BlockDecoder.decode(HEADER.sources(), raw.toByteArray());
         assertEquals(
                 ((PolicyCall) read.get(0)).items(),
                 List.of(
@@ -153,7 +163,7 @@
         record(out, 60, 1);
         record(out, RecordKind.WAKE_UP);
         out.flush();
-        List<Entry> read = BlockDecoder.decode(HEAD.sources(), raw.toByteArray());
+        List<Entry> read = BlockDecoder.decode(HEADER.sources(), raw.toByteArray());
         assertEquals(
                 read,
                 List.of(
@@ -177,21 +187,25 @@
     }
 
     @Test
-    public void fileOfManyRunsIsFoundInAndVerified() throws IOException {
-        // Over twice as many scans as a run holds.
-        int scans = 2 * BlockIndexBuilder.MOST_SCANS + 5000;
+    public void fileWithSeveralIndexesIsSearchedAndVerified() throws IOException {
+        // More than twice as many queries as one index lists.
+        int queries = 2 * BlockIndexBuilder.MAX_QUERIES + 5000;
         var bytes = new ByteArrayOutputStream();
-        try (var writer = new TraceWriter(bytes, HEAD)) {
-            for (int i = 0; i < scans; i++) {
-                Event taken = new Event.QueryReceived("scan-" + i, i + 1, Samples.TYPE, null, 100);
+        try (var writer = new TraceWriter(bytes, HEADER)) {
+            for (int i = 0; i < queries; i++) {
+                Event received =
+                        new Event.QueryReceived(
+                                "scan-" + i, i + 1, Samples.IDEMPOTENT_CLASS, null, 100);
                 writer.add(
-                        PolicyCall.of(0, i, Samples.BEGIN + i, List.of(taken), List.of(), false));
+                        PolicyCall.of(
+                                0, i, Samples.START_MS + i, List.of(received), List.of(), false));
             }
         }
         try (TraceReader reader = TraceReader.open(Samples.file(bytes.toByteArray()))) {
-            for (int i : new int[] {0, BlockIndexBuilder.MOST_SCANS + 3, scans - 1}) {
+            for (int i : new int[] {0, BlockIndexBuilder.MAX_QUERIES + 3, queries - 1}) {
                 assertEquals(
-                        of(Samples.all(reader.ofQuery("scan-" + i)), "id=scan-" + i + ",").size(),
+                        mentioning(Samples.all(reader.ofQuery("scan-" + i)), "id=scan-" + i + ",")
+                                .size(),
                         1);
             }
             assertTrue(reader.verify().sound());
@@ -199,7 +213,7 @@
     }
 
     @Test
-    public void whatDeflateCantShortenIsStored() {
+    public void incompressibleBlockIsStoredUncompressed() {
         byte[] noise = new byte[500];
         new java.util.Random(3).nextBytes(noise);
         byte[] frame = Frame.write(Layout.BLOCK, noise, 0, 0, 0, 0, new Deflater(1, true));
@@ -207,8 +221,8 @@
     }
 
     @Test
-    public void changeOfFactsAndScansUnderItAreReadAsTheyWere() throws IOException {
-        var type =
+    public void changedDeploymentAndItsQueriesAreReadBack() throws IOException {
+        var queryClass =
                 new QueryClass(
                         "offers",
                         QueryClass.Idempotence.DEDUPLICATED,
@@ -220,20 +234,20 @@
                         0.75,
                         0);
         var tenant = new Tenant("late comer", 3);
-        Deployment f = Samples.FACTS;
+        Deployment base = Samples.DEPLOYMENT;
         var deployment =
                 new Deployment(
-                        f.gatherers(),
-                        f.zone(),
-                        f.tickMs(),
-                        f.overQuotaPriority(),
-                        List.of(type),
+                        base.gatherers(),
+                        base.zone(),
+                        base.tickMs(),
+                        base.overQuotaPriority(),
+                        List.of(queryClass),
                         List.of(tenant),
-                        f.layout(),
-                        f.limits(),
-                        f.slowStart(),
-                        f.retryBudget(),
-                        f.endpointSubscription());
+                        base.layout(),
+                        base.limits(),
+                        base.slowStart(),
+                        base.retryBudget(),
+                        base.endpointSubscription());
         List<Entry> entries =
                 List.of(
                         PolicyCall.of(
@@ -248,13 +262,17 @@
                                 1,
                                 6,
                                 List.of(
-                                        new Event.QueryReceived("a", 1, type, tenant, 9),
+                                        new Event.QueryReceived("a", 1, queryClass, tenant, 9),
                                         new Event.QueryReceived(
-                                                "b", 2, Samples.TYPE, Samples.CUSTOMER, 9),
-                                        new Event.QueryReceived("c", 3, type, null, 9)),
+                                                "b",
+                                                2,
+                                                Samples.IDEMPOTENT_CLASS,
+                                                Samples.TENANT,
+                                                9),
+                                        new Event.QueryReceived("c", 3, queryClass, null, 9)),
                                 List.of(),
                                 false));
-        Path file = Samples.file(Samples.bytes(HEAD, entries, true));
+        Path file = Samples.file(Samples.bytes(HEADER, entries, true));
         assertEquals(Samples.read(file), entries);
         try (TraceReader reader = TraceReader.open(file)) {
             assertTrue(reader.verify().sound());
