--- a/trace/src/test/java/sprucehold/trace/record/QuerySamplerTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/QuerySamplerTest.java
@@ -22,15 +22,15 @@
 public class QuerySamplerTest {
     private long seq;
 
-    private PolicyCall moment(double now, List<Event> events, List<Command> actions) {
-        return PolicyCall.of(0, seq++, now, events, actions, false);
+    private PolicyCall policyCall(double now, List<Event> events, List<Command> commands) {
+        return PolicyCall.of(0, seq++, now, events, commands, false);
     }
 
-    private PolicyCall taken(String id, long number, double now) {
-        return moment(
+    private PolicyCall received(String id, long number, double now) {
+        return policyCall(
                 now,
                 List.of(
-                        new Event.QueryReceived(id, number, Samples.TYPE, null, 4000),
+                        new Event.QueryReceived(id, number, Samples.IDEMPOTENT_CLASS, null, 4000),
                         new Event.PartReceived(id + ".0", number, 0, 1)),
                 List.of(
                         new Command.SendAttempt(id + ".0", "s", 3000),
@@ -38,7 +38,7 @@
     }
 
     private PolicyCall ended(String id, double now, Command end) {
-        return moment(
+        return policyCall(
                 now,
                 List.of(
                         new Event.AttemptEnded(id + ".0", 0, AttemptOutcome.COMPLETED, 10, null),
@@ -47,9 +47,9 @@
     }
 
     @DataProvider
-    Object[][] endings() {
+    Object[][] finalCommands() {
         return new Object[][] {
-            // how it ends, how long after it was taken, whether it is always kept
+            // final command, time from receipt to the end in ms, whether the query is always kept
             {new Command.AnswerQuery("s", true, Reason.COMPLETE), 100, false},
             {new Command.AnswerQuery("s", true, Reason.COMPLETE), 1201, true},
             {new Command.AnswerQuery("s", false, Reason.LATENCY_OBJECTIVE), 100, true},
@@ -58,77 +58,81 @@
         };
     }
 
-    @Test(dataProvider = "endings")
-    public void scanThatEndedBadlyOrLateIsKeptWhole(Command end, int after, boolean kept) {
-        // So many that the one scan is never among the one in n by chance.
-        var thinning = new QuerySampler(Integer.MAX_VALUE);
-        var out = new ArrayList<Entry>();
-        out.addAll(thinning.add(taken("s", 1, 0)));
-        assertTrue(out.isEmpty());
-        out.addAll(thinning.add(ended("s", after, end)));
-        out.addAll(thinning.end());
+    @Test(dataProvider = "finalCommands")
+    public void onlyQueryThatEndedBadlyOrLateIsKeptWhole(Command end, int elapsedMs, boolean kept) {
+        // The rate is so low that the query is not kept as the one in n.
+        var sampler = new QuerySampler(Integer.MAX_VALUE);
+        var released = new ArrayList<Entry>();
+        released.addAll(sampler.add(received("s", 1, 0)));
+        assertTrue(released.isEmpty());
+        released.addAll(sampler.add(ended("s", elapsedMs, end)));
+        released.addAll(sampler.finish());
         List<Item> items =
-                out.stream().flatMap(entry -> ((PolicyCall) entry).items().stream()).toList();
+                released.stream().flatMap(entry -> ((PolicyCall) entry).items().stream()).toList();
         assertEquals(items.size(), kept ? 5 : 0, items.toString());
-        assertEquals(thinning.waiting(), 0);
+        assertEquals(sampler.waiting(), 0);
     }
 
     @Test
-    public void oneInNOfTheOthersIsKeptWholeAndInOrder() {
-        var thinning = new QuerySampler(10);
-        var out = new ArrayList<Entry>();
+    public void oneInNOfTheOtherQueriesIsKeptWholeAndInOrder() {
+        var sampler = new QuerySampler(10);
+        var released = new ArrayList<Entry>();
         for (int i = 0; i < 2000; i++) {
-            out.addAll(thinning.add(taken("scan-" + i, i + 1, i)));
+            released.addAll(sampler.add(received("scan-" + i, i + 1, i)));
             if (i >= 3) {
-                String before = "scan-" + (i - 3);
-                out.addAll(
-                        thinning.add(
+                String endedId = "scan-" + (i - 3);
+                released.addAll(
+                        sampler.add(
                                 ended(
-                                        before,
+                                        endedId,
                                         i,
-                                        new Command.AnswerQuery(before, true, Reason.COMPLETE))));
+                                        new Command.AnswerQuery(endedId, true, Reason.COMPLETE))));
             }
         }
-        out.addAll(thinning.end());
-        Set<String> begun = new HashSet<>();
-        Set<String> done = new HashSet<>();
-        long last = -1;
-        for (Entry entry : out) {
-            assertTrue(entry.seq() > last);
-            last = entry.seq();
+        released.addAll(sampler.finish());
+        Set<String> receivedIds = new HashSet<>();
+        Set<String> answeredIds = new HashSet<>();
+        long previousSeq = -1;
+        for (Entry entry : released) {
+            assertTrue(entry.seq() > previousSeq);
+            previousSeq = entry.seq();
             for (Item item : ((PolicyCall) entry).items()) {
-                if (item.event() instanceof Event.QueryReceived taken) {
-                    begun.add(taken.id());
+                if (item.event() instanceof Event.QueryReceived queryReceived) {
+                    receivedIds.add(queryReceived.id());
                 } else if (item.command() instanceof Command.AnswerQuery answer) {
-                    done.add(answer.queryId());
+                    answeredIds.add(answer.queryId());
                 }
             }
         }
-        // Three had not ended when the recording did.
-        assertTrue(begun.containsAll(done) && begun.size() <= done.size() + 3);
-        assertTrue(done.size() > 120 && done.size() < 280, done.size() + " of 2000");
+        // Three queries had not ended at the end of the recording.
+        assertTrue(
+                receivedIds.containsAll(answeredIds)
+                        && receivedIds.size() <= answeredIds.size() + 3);
+        assertTrue(
+                answeredIds.size() > 120 && answeredIds.size() < 280,
+                answeredIds.size() + " of 2000");
     }
 
     @Test
-    public void gapStaysWhereItStood() {
-        var thinning = new QuerySampler(3);
-        thinning.add(taken("s", 1, 0));
-        thinning.add(new Gap(0, seq++, 1, 1, 1));
-        List<Entry> out =
-                thinning.add(ended("s", 5000, new Command.AnswerQuery("s", true, Reason.COMPLETE)));
+    public void gapKeepsItsPlaceAmongTheEntries() {
+        var sampler = new QuerySampler(3);
+        sampler.add(received("s", 1, 0));
+        sampler.add(new Gap(0, seq++, 1, 1, 1));
+        List<Entry> released =
+                sampler.add(ended("s", 5000, new Command.AnswerQuery("s", true, Reason.COMPLETE)));
         assertEquals(
-                out.stream().map(Entry::getClass).toList(),
+                released.stream().map(Entry::getClass).toList(),
                 List.of(PolicyCall.class, Gap.class, PolicyCall.class));
     }
 
     @Test
-    public void scansThatNeverEndAreHeldOnlySoLong() {
-        var thinning = new QuerySampler(1000);
-        int released = 0;
+    public void entriesOfQueriesThatNeverEndAreReleasedBeyondTheBound() {
+        var sampler = new QuerySampler(1000);
+        int releasedCount = 0;
         for (int i = 0; i < 60_000; i++) {
-            released += thinning.add(taken("scan-" + i, i + 1, i)).size();
+            releasedCount += sampler.add(received("scan-" + i, i + 1, i)).size();
         }
-        assertEquals(released, 60_000 - 20_000);
-        assertTrue(thinning.waiting() <= 200_000, thinning.waiting() + " waiting");
+        assertEquals(releasedCount, 60_000 - 20_000);
+        assertTrue(sampler.waiting() <= 200_000, sampler.waiting() + " waiting");
     }
 }
--- a/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
@@ -72,15 +72,17 @@
         Files.delete(folder);
     }
 
-    private RecordingSettings plan(long fileBytes, int keep, int waiting, int oneIn) {
-        return new RecordingSettings(folder, fileBytes, 3_600_000, keep, waiting, oneIn);
+    private RecordingSettings settings(
+            long fileBytes, int keepFiles, int waitingRecords, int oneIn) {
+        return new RecordingSettings(
+                folder, fileBytes, 3_600_000, keepFiles, waitingRecords, oneIn);
     }
 
-    private static void scan(Recorder recorder, int number, double now) {
+    private static void recordQuery(Recorder recorder, int number, double now) {
         String id = "scan-" + number;
         recorder.record(
                 now,
-                List.of(new Event.QueryReceived(id, number, Samples.TYPE, null, 400)),
+                List.of(new Event.QueryReceived(id, number, Samples.IDEMPOTENT_CLASS, null, 400)),
                 List.of(new Command.AnswerQuery(id, true, Reason.COMPLETE)),
                 false);
     }
@@ -91,7 +93,7 @@
         }
     }
 
-    private List<Entry> all() throws IOException {
+    private List<Entry> recordedEntries() throws IOException {
         var entries = new ArrayList<Entry>();
         for (Path file : files()) {
             entries.addAll(Samples.read(file));
@@ -99,15 +101,15 @@
         return entries;
     }
 
-    /** Calls that are there and calls that gaps stand for, together: nothing is lost in silence. */
-    private static long accounted(List<Entry> entries) {
-        long next = 0;
+    /** Counts recorded calls and calls lost in gaps, and checks that their numbers ascend. */
+    private static long countCalls(List<Entry> entries) {
+        long nextSeq = 0;
         long calls = 0;
         for (Entry entry : entries) {
-            assertTrue(entry.seq() >= next, "call " + entry.seq() + " after " + next);
-            long of = entry instanceof Gap gap ? gap.calls() : 1;
-            next = entry.seq() + of;
-            calls += of;
+            assertTrue(entry.seq() >= nextSeq, "call " + entry.seq() + " after " + nextSeq);
+            long entryCalls = entry instanceof Gap gap ? gap.calls() : 1;
+            nextSeq = entry.seq() + entryCalls;
+            calls += entryCalls;
         }
         return calls;
     }
@@ -119,16 +121,17 @@
     }
 
     @Test
-    public void everyCallIsInTheFilesAndFilesAreEndedBySize() throws IOException {
-        try (var recorder = new Recorder(plan(1 << 10, 100, 1_000_000, 1), Samples.source("g 0"))) {
+    public void everyCallIsRecordedAndFilesAreEndedAtTheirSize() throws IOException {
+        try (var recorder =
+                new Recorder(settings(1 << 10, 100, 1_000_000, 1), Samples.source("g 0"))) {
             for (int i = 0; i < 20_000; i++) {
-                scan(recorder, i + 1, Samples.BEGIN + i);
+                recordQuery(recorder, i + 1, Samples.START_MS + i);
             }
-            // However slow the machine: the end of a process waits two seconds only.
+            // The recorder waits only 2 s in close(), which may be too short on a slow machine.
             waitUntilIdle(recorder);
         }
         assertTrue(files().size() > 3, files().toString());
-        assertEquals(accounted(all()), 20_000);
+        assertEquals(countCalls(recordedEntries()), 20_000);
         for (Path file : files()) {
             try (TraceReader reader = TraceReader.open(file)) {
                 assertTrue(reader.verify().sound());
@@ -138,11 +141,12 @@
 
     @Test
     public void onlyTheNewestFilesAreKept() throws IOException {
-        try (var recorder = new Recorder(plan(1 << 10, 2, 1_000_000, 1), Samples.source("g0"))) {
+        try (var recorder =
+                new Recorder(settings(1 << 10, 2, 1_000_000, 1), Samples.source("g0"))) {
             for (int i = 0; i < 20_000; i++) {
-                scan(recorder, i + 1, Samples.BEGIN + i);
+                recordQuery(recorder, i + 1, Samples.START_MS + i);
             }
-            // However slow the machine: the end of a process waits two seconds only.
+            // The recorder waits only 2 s in close(), which may be too short on a slow machine.
             waitUntilIdle(recorder);
         }
         assertEquals(files().size(), 2);
@@ -150,36 +154,36 @@
         assertEquals(last.get(last.size() - 1).seq(), 19_999);
     }
 
-    /** A disk on which nothing moves until it is let go. */
+    /** Opening a file blocks until the latch is released, as on a disk that doesn't respond. */
     @Test
-    public void writerThatFallsBehindLeavesACountedGapAndHoldsNobodyUp() throws IOException {
-        var letGo = new CountDownLatch(1);
+    public void blockedWriterLeavesACountedGapAndDoesNotBlockTheCaller() throws IOException {
+        var release = new CountDownLatch(1);
         var recorder =
                 new Recorder(
-                        plan(1 << 20, 100, 1000, 1),
+                        settings(1 << 20, 100, 1000, 1),
                         Samples.source("g0"),
                         file -> {
                             try {
-                                letGo.await();
+                                release.await();
                             } catch (InterruptedException e) {
                                 throw new IOException(e);
                             }
                             return Files.newOutputStream(file);
                         });
         for (int i = 0; i < 5000; i++) {
-            // Would never return if the event loop waited for the disk.
-            scan(recorder, i + 1, Samples.BEGIN + i);
+            // This call would not return if the event loop waited for the disk.
+            recordQuery(recorder, i + 1, Samples.START_MS + i);
         }
-        letGo.countDown();
-        // The gap is written with the next call that finds room.
+        release.countDown();
+        // The gap is recorded with the next call that fits into the queue.
         waitUntilIdle(recorder);
-        scan(recorder, 5001, Samples.BEGIN + 5000);
+        recordQuery(recorder, 5001, Samples.START_MS + 5000);
         waitUntilIdle(recorder);
         recorder.close();
-        List<Entry> entries = all();
-        assertEquals(accounted(entries), 5001);
-        // The writer may have freed a place or two before it stood still, so there may be several
-        // gaps.
+        List<Entry> entries = recordedEntries();
+        assertEquals(countCalls(entries), 5001);
+        // The writer may have taken a few entries from the queue before it blocked, so there may be
+        // several gaps.
         long lost =
                 entries.stream()
                         .filter(Gap.class::isInstance)
@@ -189,11 +193,11 @@
     }
 
     @Test
-    public void fullDiskIsOneWarningAndAGapAndIsTriedAgain() throws IOException {
+    public void fullDiskLogsOneWarningLeavesAGapAndIsRetried() throws IOException {
         var full = new AtomicBoolean(true);
         var recorder =
                 new Recorder(
-                        plan(1 << 20, 100, 1_000_000, 1),
+                        settings(1 << 20, 100, 1_000_000, 1),
                         Samples.source("g0"),
                         file -> {
                             OutputStream to = Files.newOutputStream(file);
@@ -223,20 +227,21 @@
                         });
         int calls = 0;
         for (; calls < 30_000; calls++) {
-            scan(recorder, calls + 1, Samples.BEGIN + calls * 0.5);
+            recordQuery(recorder, calls + 1, Samples.START_MS + calls * 0.5);
         }
         waitUntilIdle(recorder);
         assertEquals(warnings(), 1);
         full.set(false);
-        // By the time of the calls, not of the wall: a minute later it is tried again.
+        // The retry delay is measured by the times of the calls, not by the wall clock. These calls
+        // are a minute later, so the recorder retries.
         for (; calls < 31_000; calls++) {
-            scan(recorder, calls + 1, Samples.BEGIN + 60_000 + calls);
+            recordQuery(recorder, calls + 1, Samples.START_MS + 60_000 + calls);
         }
         waitUntilIdle(recorder);
         recorder.close();
         assertEquals(warnings(), 1);
-        List<Entry> entries = all();
-        assertEquals(accounted(entries), 31_000);
+        List<Entry> entries = recordedEntries();
+        assertEquals(countCalls(entries), 31_000);
         assertTrue(entries.stream().anyMatch(Gap.class::isInstance));
         assertEquals(entries.get(entries.size() - 1).seq(), 30_999);
     }
@@ -248,14 +253,15 @@
     }
 
     @Test
-    public void folderThatIsGoneIsOneWarningAndServingGoesOn() throws IOException {
-        var gone = new RecordingSettings(folder.resolve("none"), 1 << 20, 1000, 5, 10_000, 1);
-        DecisionPolicy module = (now, events) -> List.of(new Command.ScheduleWakeUp(1));
-        try (var recorder = new Recorder(gone, Samples.source("g0"))) {
-            var recording = new RecordingPolicy(module, recorder);
+    public void missingFolderLogsOneWarningAndDecisionsContinue() throws IOException {
+        var missingFolder =
+                new RecordingSettings(folder.resolve("none"), 1 << 20, 1000, 5, 10_000, 1);
+        DecisionPolicy policy = (now, events) -> List.of(new Command.ScheduleWakeUp(1));
+        try (var recorder = new Recorder(missingFolder, Samples.source("g0"))) {
+            var recording = new RecordingPolicy(policy, recorder);
             for (int i = 0; i < 100; i++) {
                 assertEquals(
-                        recording.decide(Samples.BEGIN + i, List.of()),
+                        recording.decide(Samples.START_MS + i, List.of()),
                         List.of(new Command.ScheduleWakeUp(1)));
             }
         }
@@ -263,25 +269,25 @@
     }
 
     @Test
-    public void moduleThatFailsIsRecordedSoAndFailsOn() throws IOException {
-        DecisionPolicy module =
+    public void policyFailureIsRecordedAndRethrown() throws IOException {
+        DecisionPolicy policy =
                 (now, events) -> {
                     throw new IllegalStateException("lost");
                 };
-        try (var recorder = new Recorder(plan(1 << 20, 5, 10_000, 1), Samples.source("g0"))) {
+        try (var recorder = new Recorder(settings(1 << 20, 5, 10_000, 1), Samples.source("g0"))) {
             assertThrows(
                     IllegalStateException.class,
                     () ->
-                            new RecordingPolicy(module, recorder)
-                                    .decide(Samples.BEGIN, List.of(new Event.WakeUp())));
+                            new RecordingPolicy(policy, recorder)
+                                    .decide(Samples.START_MS, List.of(new Event.WakeUp())));
         }
-        PolicyCall only = (PolicyCall) all().get(0);
-        assertTrue(only.policyFailed() && only.events().size() == 1 && only.commands().isEmpty());
+        PolicyCall call = (PolicyCall) recordedEntries().get(0);
+        assertTrue(call.policyFailed() && call.events().size() == 1 && call.commands().isEmpty());
     }
 
-    /** Records without end, to be killed; the first argument is the folder. */
-    public static final class Endless {
-        private Endless() {}
+    /** Records calls until the process is killed; the first argument is the folder. */
+    public static final class EndlessRecording {
+        private EndlessRecording() {}
 
         public static void main(String[] args) {
             var recorder =
@@ -290,7 +296,7 @@
                                     Path.of(args[0]), 1 << 24, 3_600_000, 1000, 100_000, 1),
                             Samples.source("g0"));
             for (int i = 0; true; i++) {
-                scan(recorder, i + 1, Samples.BEGIN + i);
+                recordQuery(recorder, i + 1, Samples.START_MS + i);
                 while (i % 50 == 0 && !recorder.idle()) {
                     Thread.onSpinWait();
                 }
@@ -299,7 +305,7 @@
     }
 
     @Test
-    public void killedAtRandomMomentsItLeavesFilesReadToTheirLastWholeBlock() throws Exception {
+    public void fileOfAKilledProcessIsReadUpToItsLastCompleteBlock() throws Exception {
         var random = new java.util.Random(9);
         for (int kill = 0; kill < 4; kill++) {
             Process process =
@@ -309,14 +315,15 @@
                                     "-Xmx64m",
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    Endless.class.getName(),
+                                    EndlessRecording.class.getName(),
                                     folder.toString())
                             .redirectErrorStream(true)
                             .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                             .start();
-            // Killed by how much it has written, at a byte that is anywhere within a block.
-            long until = 3L * (1 << 16) + random.nextInt(1 << 17);
-            while (written() < until) {
+            // The process is killed after a random number of written bytes, so that the file ends
+            // at any position within a block.
+            long killAtBytes = 3L * (1 << 16) + random.nextInt(1 << 17);
+            while (writtenBytes() < killAtBytes) {
                 assertTrue(process.isAlive());
                 Thread.onSpinWait();
             }
@@ -337,40 +344,40 @@
         }
     }
 
-    private long written() throws IOException {
-        long all = 0;
+    private long writtenBytes() throws IOException {
+        long total = 0;
         for (Path file : files()) {
-            all += Files.exists(file) ? Files.size(file) : 0;
+            total += Files.exists(file) ? Files.size(file) : 0;
         }
-        return all;
+        return total;
     }
 
     @Test
-    public void planThatCantBeUsedSaysAllThatIsWrongInOneLine() throws IOException {
+    public void invalidSettingsReportAllFaultsInOneLine() throws IOException {
         Path file = folder.resolve("plan.json");
-        String[][] plans = {
+        String[][] invalidSettings = {
             {"{\"folder\": 3, \"oneIn\": 0}", "folder", "oneIn"},
             {"{}", "folder"},
             {"{\"folder\":", "line 1"},
             {"{\"folder\":\"x\",\"folders\":1}", "folders"},
             {"{\"folder\":\"x\",\"folder\":\"y\"}", "uplicate"},
         };
-        for (String[] plan : plans) {
-            Files.writeString(file, plan[0]);
+        for (String[] settingsAndFaults : invalidSettings) {
+            Files.writeString(file, settingsAndFaults[0]);
             try {
                 RecordingSettings.read(file);
-                throw new AssertionError("read " + plan[0]);
+                throw new AssertionError("read " + settingsAndFaults[0]);
             } catch (RecordingSettings.InvalidSettingsException e) {
                 assertEquals(e.getMessage().lines().count(), 1);
-                for (int i = 1; i < plan.length; i++) {
-                    assertTrue(e.getMessage().contains(plan[i]), e.getMessage());
+                for (int i = 1; i < settingsAndFaults.length; i++) {
+                    assertTrue(e.getMessage().contains(settingsAndFaults[i]), e.getMessage());
                 }
             }
         }
         Files.writeString(file, "{\"folder\": \"here\", \"oneIn\": 7}");
-        RecordingSettings plan = RecordingSettings.read(file);
-        assertEquals(plan.folder(), folder.resolve("here").toAbsolutePath());
-        assertEquals(plan.oneIn(), 7);
-        assertFalse(plan.fileBytes() <= 0);
+        RecordingSettings settings = RecordingSettings.read(file);
+        assertEquals(settings.folder(), folder.resolve("here").toAbsolutePath());
+        assertEquals(settings.oneIn(), 7);
+        assertFalse(settings.fileBytes() <= 0);
     }
 }
--- a/trace/src/test/java/sprucehold/trace/record/RotationPolicyTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RotationPolicyTest.java
@@ -14,7 +14,7 @@
     @DataProvider
     Object[][] steps() {
         return new Object[][] {
-            // time since the file was begun, bytes in it, step
+            // time since the file was begun in ms, bytes in the file, expected step
             {0.0, 99L, RotationPolicy.Step.WRITE},
             {0.0, 100L, RotationPolicy.Step.BEGIN},
             {999.0, 0L, RotationPolicy.Step.WRITE},
@@ -24,29 +24,29 @@
     }
 
     @Test(dataProvider = "steps")
-    public void fileIsEndedBySizeAndAgeAndNotByAClockThatStepsBack(
-            double after, long written, RotationPolicy.Step step) {
-        var duty = new RotationPolicy(100, 1000);
-        assertEquals(duty.next(5, 0), RotationPolicy.Step.BEGIN);
-        duty.begun(10_000);
-        assertEquals(duty.next(10_000 + after, written), step);
+    public void fileIsEndedAtItsSizeOrAgeAndNotWhenTheClockStepsBack(
+            double elapsedMs, long writtenBytes, RotationPolicy.Step step) {
+        var rotation = new RotationPolicy(100, 1000);
+        assertEquals(rotation.next(5, 0), RotationPolicy.Step.BEGIN);
+        rotation.fileBegun(10_000);
+        assertEquals(rotation.next(10_000 + elapsedMs, writtenBytes), step);
     }
 
     @Test
-    public void diskThatFailedIsLeftAloneThenTriedAndWhatWasLostIsOneGap() {
-        var duty = new RotationPolicy(100, 1000);
-        duty.begun(0);
-        assertTrue(duty.failed(50));
-        duty.dropped(7, 50, 1, 50);
-        assertEquals(duty.next(29_000, 0), RotationPolicy.Step.DROP);
-        duty.dropped(8, 29_000, 4, 29_500);
-        assertEquals(duty.next(30_050, 0), RotationPolicy.Step.BEGIN);
-        assertFalse(duty.failed(30_050), "told once");
-        assertEquals(duty.next(60_100, 0), RotationPolicy.Step.BEGIN);
-        assertTrue(duty.begun(60_100));
-        assertEquals(duty.takeGap(), new Gap(0, 7, 50, 5, 29_500));
-        assertNull(duty.takeGap());
-        assertFalse(duty.begun(70_000));
+    public void failedDiskIsRetriedAfterTheDelayAndLostCallsFormOneGap() {
+        var rotation = new RotationPolicy(100, 1000);
+        rotation.fileBegun(0);
+        assertTrue(rotation.writeFailed(50));
+        rotation.dropped(7, 50, 1, 50);
+        assertEquals(rotation.next(29_000, 0), RotationPolicy.Step.DROP);
+        rotation.dropped(8, 29_000, 4, 29_500);
+        assertEquals(rotation.next(30_050, 0), RotationPolicy.Step.BEGIN);
+        assertFalse(rotation.writeFailed(30_050), "only the first failure is new");
+        assertEquals(rotation.next(60_100, 0), RotationPolicy.Step.BEGIN);
+        assertTrue(rotation.fileBegun(60_100));
+        assertEquals(rotation.takeGap(), new Gap(0, 7, 50, 5, 29_500));
+        assertNull(rotation.takeGap());
+        assertFalse(rotation.fileBegun(70_000));
     }
 
     @Test
