--- a/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/CorrelatedQuery.java
@@ -7,8 +7,8 @@
 import sprucehold.decision.Event;
 
 /**
- * The state of one query while its trace is read. There is exactly one object per query, so queries
- * can be compared by identity.
+ * The state of one query while a {@link QueryCorrelator} processes the items of a trace. There is
+ * exactly one object per query, so queries can be compared by identity.
  */
 public final class CorrelatedQuery {
     private final int source;
@@ -50,7 +50,7 @@
         return receivedMs;
     }
 
-    /** Returns whether the query's final answer or its client's disconnection has been read. */
+    /** Returns whether the query's final answer or its client's disconnection was processed. */
     public boolean ended() {
         return ended;
     }
--- a/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/QueryCorrelator.java
@@ -15,9 +15,9 @@
  */
 public final class QueryCorrelator {
     /**
-     * Largest number of queries kept in memory per source. The bound protects against traces with
-     * gaps, in which the end of a query may be missing. A gatherer with 1,024 file descriptors has
-     * far fewer open queries.
+     * Largest number of queries kept in memory per source; beyond it, the oldest query is removed.
+     * The bound protects against traces with gaps, in which the end of a query may be missing. A
+     * gatherer with 1,024 file descriptors has far fewer open queries.
      */
     private static final int MAX_OPEN_QUERIES = 100_000;
 
--- a/trace/src/main/java/sprucehold/trace/correlation/package-info.java
+++ b/trace/src/main/java/sprucehold/trace/correlation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Assigns events and commands to their queries while a trace is read: {@link
+ * Assigns events and commands to their queries while a trace is written or read: {@link
  * sprucehold.trace.correlation.QueryCorrelator}. The package keeps only those queries in memory
  * that are open or have a pending attempt, and must never exceed its bound per source.
  */
--- a/trace/src/main/java/sprucehold/trace/event/Entry.java
+++ b/trace/src/main/java/sprucehold/trace/event/Entry.java
@@ -2,7 +2,8 @@
 
 /**
  * One entry of a trace. Entries of one source are ordered by {@link #seq}, regardless of the times
- * of its clock. The order of entries of several sources depends on the fits of their clocks.
+ * of its clock. The order of entries of several sources depends on the {@link ClockFit} of each
+ * source.
  */
 public sealed interface Entry permits PolicyCall, Gap {
     /** Returns the index of the entry's source in the file's header. */
--- a/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
+++ b/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
@@ -5,8 +5,8 @@
 /**
  * The header of a trace file.
  *
- * @param oneIn 1 if every query is kept; n if only one in n of the queries that ended well and in
- *     time is kept
+ * @param oneIn 1 if every query is kept; n if only one in n of the queries that were answered
+ *     completely within their latency objective is kept
  * @param anonymised whether identities were removed
  * @param window the time window that the file was cut to, or null
  * @param lost descriptions, one sentence each, of information that the file no longer contains
@@ -24,7 +24,10 @@
         }
     }
 
-    /** Copies the lists; older files may lack {@code lost}. */
+    /**
+     * Copies the lists. Files of earlier versions may lack some fields: without {@code lost} the
+     * list is empty, and without {@code oneIn} the rate is 1.
+     */
     public TraceHeader {
         sources = List.copyOf(sources);
         lost = lost == null ? List.of() : List.copyOf(lost);
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndex.java
@@ -82,7 +82,7 @@
         return index;
     }
 
-    /** Selects the blocks with items of the query. */
+    /** Selects the blocks for which the index lists this hash of a query id. */
     void selectQuery(long hash, BitSet selected) {
         int low = 0;
         int high = hashes.length;
--- a/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockIndexBuilder.java
@@ -54,7 +54,7 @@
         return blocks.isEmpty();
     }
 
-    /** Returns whether the index has reached its size and must be written. */
+    /** Returns whether the index has reached one of its bounds and must be written. */
     boolean isFull() {
         return queryCount >= MAX_QUERIES || blocks.size() >= MAX_BLOCKS;
     }
--- a/trace/src/main/java/sprucehold/trace/format/BlockSelection.java
+++ b/trace/src/main/java/sprucehold/trace/format/BlockSelection.java
@@ -10,9 +10,9 @@
  * at a time.
  */
 final class BlockSelection {
-    /** Selects blocks by the entries of an index. */
+    /** Selects the blocks to read by what an index lists for them. */
     interface BlockFilter {
-        /** Adds the numbers of the blocks of an index that may contain matching entries. */
+        /** Sets the bits of those blocks of an index that may contain matching entries. */
         void select(BlockIndex index, BitSet selected) throws IOException;
     }
 
--- a/trace/src/main/java/sprucehold/trace/format/Frame.java
+++ b/trace/src/main/java/sprucehold/trace/format/Frame.java
@@ -8,7 +8,10 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Header of the frame around a block, an index or the directory. */
+/**
+ * Header of the frame around a block, an index or the directory. It contains the lengths, the
+ * numbers and times of the entries, and a checksum.
+ */
 record Frame(
         int kind,
         int method,
--- a/trace/src/main/java/sprucehold/trace/format/Layout.java
+++ b/trace/src/main/java/sprucehold/trace/format/Layout.java
@@ -16,23 +16,27 @@
     static final int FRAME_BYTES = 48;
     static final int FOOTER_BYTES = 40;
 
-    /** Bound of the header's JSON. The deployment of 100,000 shard servers takes less. */
+    /**
+     * Largest length of the header's JSON, in bytes. The deployment of 100,000 shard servers takes
+     * less.
+     */
     static final int MAX_HEADER_BYTES = 16 << 20;
 
     /**
-     * Bound of the raw bytes of a frame. A list of 100,000 endpoints is one record of some 4 MB. A
-     * reader keeps at most two blocks in memory.
+     * Largest raw length of a frame, in bytes. A list of 100,000 endpoints is one record of some 4
+     * MB. A reader keeps at most two blocks in memory.
      */
     static final int MAX_RAW_BYTES = 8 << 20;
 
     /**
-     * Bound of the stored bytes of a frame. Deflate adds 5 bytes per 16 KiB of incompressible data.
+     * Largest stored length of a frame, in bytes. Deflate adds 5 bytes per 16 KiB of incompressible
+     * data.
      */
     static final int MAX_STORED_BYTES = MAX_RAW_BYTES + (64 << 10);
 
     /**
-     * Bound of the records of a block. A writer ends a block at 64 KiB, and the policy call that
-     * exceeds this size may contain an endpoint list with all shard servers.
+     * Largest number of records in a block. A writer ends a block at 64 KiB, and the policy call
+     * that exceeds this size may contain an endpoint list with all shard servers.
      */
     static final int MAX_RECORDS = 1 << 18;
 
@@ -52,7 +56,7 @@
                             .digest(queryId.getBytes(StandardCharsets.UTF_8));
             return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every JDK has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/StoredNumbers.java
+++ b/trace/src/main/java/sprucehold/trace/format/StoredNumbers.java
@@ -15,13 +15,13 @@
         }
     }
 
-    /** Returns the constant; empty if a later version of the format added the number. */
+    /** Returns the constant of a number; empty if a later version of the format added it. */
     Optional<E> known(int number) {
         return Optional.ofNullable(byNumber.get(number));
     }
 
     /**
-     * Returns the constant.
+     * Returns the constant of a number.
      *
      * @throws IndexOutOfBoundsException if no constant has this number
      */
--- a/trace/src/main/java/sprucehold/trace/format/TraceCursor.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceCursor.java
@@ -31,12 +31,12 @@
         this.position = file.firstFrame();
     }
 
-    /** Reads the selected blocks. */
+    /** Returns a cursor that reads the selected blocks. */
     static TraceCursor of(TraceFile file, BlockSelection blocks) {
         return new TraceCursor(file, blocks, ALL_SOURCES);
     }
 
-    /** Reads frame by frame and ignores the indexes. */
+    /** Returns a cursor that reads the file frame by frame and ignores the indexes. */
     static TraceCursor withoutIndex(TraceFile file) {
         return new TraceCursor(file, null, ALL_SOURCES);
     }
--- a/trace/src/main/java/sprucehold/trace/format/TraceFile.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceFile.java
@@ -115,7 +115,7 @@
     }
 
     /**
-     * Reads bytes.
+     * Reads {@code count} bytes from position {@code at}.
      *
      * @param description the name of the data, for the message if the file ends before it
      */
--- a/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceHeaderJson.java
@@ -31,7 +31,8 @@
                     || source.gatherer() == null
                     || source.clock() == null
                     || !isComplete(source.deployment())) {
-                throw new IOException("a source without its deployment");
+                throw new IOException(
+                        "a source without its gatherer, its clock or a part of its deployment");
             }
         }
         return header;
--- a/trace/src/main/java/sprucehold/trace/format/TraceReader.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceReader.java
@@ -7,7 +7,8 @@
 
 /**
  * Reads one trace file and keeps at most two blocks in memory. A truncated file is read up to its
- * last complete block; {@link #damage()} describes the fault.
+ * last complete block; {@link #damage()} describes the fault. If the footer or the directory is
+ * invalid, the indexes can't be found, and every cursor reads the file frame by frame.
  */
 public final class TraceReader implements Closeable {
     private static final long UNKNOWN = -1;
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -22,7 +22,7 @@
      *
      * @param needed false if the file was valid and nothing was written
      * @param entries number of entries kept
-     * @param lostBytes number of bytes after the last complete block
+     * @param lostBytes number of bytes after the last readable frame, including a footer there
      * @param why the fault; null if the file was valid
      */
     public record Repaired(boolean needed, long entries, long lostBytes, String why) {}
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Creates a file and opens a buffered stream to it. */
+    /** Creates or truncates a file and opens a buffered stream to it. */
     public static OutputStream create(Path file) throws IOException {
         return new BufferedOutputStream(Files.newOutputStream(file), 1 << 16);
     }
--- a/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
+++ b/trace/src/main/java/sprucehold/trace/record/QuerySampler.java
@@ -15,9 +15,9 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * Keeps all items of every query that ended badly or late, and of one in n of the other queries.
- * Entries are returned in the order in which they were added. An entry waits until all its queries
- * have ended. Uses no files, clocks or threads.
+ * Keeps all items of every query that was not answered completely within its latency objective, and
+ * of one in n of the other queries. Entries are returned in the order in which they were added. An
+ * entry waits until all its queries have ended. Uses no files, clocks or threads.
  */
 public final class QuerySampler {
     /**
@@ -44,8 +44,8 @@
     /**
      * Creates a sampler.
      *
-     * @param oneIn sampling rate n, at least 1: one in n of the queries that ended well and in time
-     *     is kept
+     * @param oneIn sampling rate n, at least 1: one in n of the queries that were answered
+     *     completely within their latency objective is kept
      */
     public QuerySampler(int oneIn) {
         this.oneIn = oneIn;
@@ -131,8 +131,8 @@
             Item item = call.items().get(i);
             CorrelatedQuery query = waiting.queries.get(i);
             Decision decision = query == null ? null : decisions.get(query);
-            // Wake-ups and their scheduling make up most of a quiet file and are of no use without
-            // the calls between them.
+            // Wake-ups and their scheduling make up most of a quiet file and are of no use if other
+            // items are omitted.
             boolean timerItem =
                     item.event() instanceof Event.WakeUp
                             || item.command() instanceof Command.ScheduleWakeUp;
@@ -144,7 +144,7 @@
     }
 
     /** Returns the number of waiting entries plus the number of stored decisions. */
-    int waiting() {
+    int retainedObjects() {
         return waitingEntries.size() + decisions.size();
     }
 }
--- a/trace/src/main/java/sprucehold/trace/record/Recorder.java
+++ b/trace/src/main/java/sprucehold/trace/record/Recorder.java
@@ -42,7 +42,10 @@
      */
     private static final long FLUSH_INTERVAL_MS = 1000;
 
-    /** Longest time that {@link #close} waits for the writer thread, in milliseconds. */
+    /**
+     * Longest time that {@link #close} waits for the writer thread, in milliseconds. It limits how
+     * long a slow disk can delay the end of the process.
+     */
     private static final long CLOSE_TIMEOUT_MS = 2000;
 
     private final RecordingSettings settings;
@@ -254,8 +257,8 @@
             throw e;
         }
         stream = out;
-        // The header of a large deployment may exceed the size limit of files, so only the bytes
-        // after the header count towards the limit.
+        // The header of a large deployment may exceed the size limit of files. Only the bytes after
+        // the header count towards the limit, as otherwise every call would begin a new file.
         headerBytes = writer.position();
         if (rotation.fileBegun(first.nowMs())) {
             LOG.info("recording resumed, to " + file);
--- a/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
+++ b/trace/src/main/java/sprucehold/trace/record/RecordingSettings.java
@@ -21,12 +21,12 @@
  * deploy/recording.schema.json}.
  *
  * @param folder the folder for trace files; it must exist
- * @param fileBytes the size at which a file is ended, in bytes
+ * @param fileBytes the size at which a file is ended, in bytes after its header
  * @param fileMs the age at which a file is ended, in milliseconds
  * @param keepFiles the number of newest files of this gatherer that are kept
  * @param waitingRecords the largest number of events and commands that wait for the writer
- * @param oneIn sampling rate n: one in n of the queries that ended well and in time is kept; 1
- *     keeps everything
+ * @param oneIn sampling rate n: one in n of the queries that were answered completely within their
+ *     latency objective is kept; 1 keeps everything
  */
 public record RecordingSettings(
         Path folder, long fileBytes, double fileMs, int keepFiles, int waitingRecords, int oneIn) {
--- a/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
+++ b/trace/src/main/java/sprucehold/trace/record/RotationPolicy.java
@@ -38,7 +38,7 @@
     /**
      * Creates a policy.
      *
-     * @param fileBytes the size at which a file is ended, in bytes
+     * @param fileBytes the size at which a file is ended, in bytes after its header
      * @param fileMs the age at which a file is ended, in milliseconds
      */
     public RotationPolicy(long fileBytes, double fileMs) {
@@ -51,7 +51,7 @@
      *
      * @param nowMs the time of the entry. A clock that stepped back neither ends a file nor delays
      *     a retry.
-     * @param writtenBytes the number of bytes in the open file
+     * @param writtenBytes the number of bytes written to the open file after its header
      */
     public Step next(double nowMs, long writtenBytes) {
         if (failing) {
@@ -83,7 +83,14 @@
         return newFailure;
     }
 
-    /** Records that policy calls are lost, starting with call {@code seq}. */
+    /**
+     * Records that policy calls are lost.
+     *
+     * @param seq the number of the first lost call
+     * @param nowMs the time of the first lost call
+     * @param calls the number of lost calls
+     * @param toMs the time of the last lost call
+     */
     public void dropped(long seq, double nowMs, long calls, double toMs) {
         if (droppedCalls == 0) {
             droppedFromSeq = seq;
--- a/trace/src/test/java/sprucehold/trace/record/QuerySamplerTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/QuerySamplerTest.java
@@ -70,7 +70,7 @@
         List<Item> items =
                 released.stream().flatMap(entry -> ((PolicyCall) entry).items().stream()).toList();
         assertEquals(items.size(), kept ? 5 : 0, items.toString());
-        assertEquals(sampler.waiting(), 0);
+        assertEquals(sampler.retainedObjects(), 0);
     }
 
     @Test
@@ -133,6 +133,6 @@
             releasedCount += sampler.add(received("scan-" + i, i + 1, i)).size();
         }
         assertEquals(releasedCount, 60_000 - 20_000);
-        assertTrue(sampler.waiting() <= 200_000, sampler.waiting() + " waiting");
+        assertTrue(sampler.retainedObjects() <= 200_000, sampler.retainedObjects() + " retained");
     }
 }
