--- a/rig/src/main/java/sprucehold/rig/fault/FaultBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultBoard.java
@@ -11,89 +11,100 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * Tells when each fault of a plan begins and ends. Each begins at most once; times are seconds from
- * the first scan.
+ * Schedules the begin and the end of each fault of a plan. Each fault begins at most once. Times
+ * are in seconds since the first query.
  */
 public final class FaultBoard {
     /**
-     * A fault that begins or ends.
+     * The begin or the end of a fault.
      *
-     * @param atS when it was due
+     * @param atS scheduled time, in seconds since the first query
+     * @param begins true at the begin of the fault, false at its end
+     * @param what the fault
      */
     public record Change(double atS, boolean begins, Plan.Befall what) {}
 
-    private final PriorityQueue<Change> due =
+    private final PriorityQueue<Change> scheduled =
             new PriorityQueue<>(Comparator.comparingDouble(Change::atS));
-    private final Map<String, List<Plan.Befall>> afterFault = new HashMap<>();
-    private final List<Plan.Befall> afterDispatches = new ArrayList<>();
-    private final Set<Plan.Befall> inForce = new HashSet<>();
+    private final Map<String, List<Plan.Befall>> triggeredByFault = new HashMap<>();
+    private final List<Plan.Befall> triggeredByOpenAttempts = new ArrayList<>();
+    private final Set<Plan.Befall> active = new HashSet<>();
 
     public FaultBoard(List<Plan.Befall> faults) {
         for (Plan.Befall fault : faults) {
             if (fault.fault().when() == null) {
-                due.add(new Change(fault.fault().atS(), true, fault));
+                scheduled.add(new Change(fault.fault().atS(), true, fault));
             } else if (fault.fault().when().fault().isEmpty()) {
-                afterDispatches.add(fault);
+                triggeredByOpenAttempts.add(fault);
             } else {
-                afterFault
+                triggeredByFault
                         .computeIfAbsent(fault.fault().when().fault(), name -> new ArrayList<>())
                         .add(fault);
             }
         }
     }
 
-    /** All that has begun or ended by now, in the order of its times. */
+    /**
+     * Returns the faults that have begun or ended up to now and were not returned before, in the
+     * order of their scheduled times.
+     */
     public List<Change> at(double nowS) {
         var changes = new ArrayList<Change>();
-        while (!due.isEmpty() && due.peek().atS() <= nowS) {
-            Change change = due.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().atS() <= nowS) {
+            Change change = scheduled.poll();
             changes.add(change);
             if (change.begins()) {
-                inForce.add(change.what());
+                active.add(change.what());
                 if (change.what().fault().forS() < Double.POSITIVE_INFINITY) {
-                    due.add(
+                    scheduled.add(
                             new Change(
                                     change.atS() + change.what().fault().forS(),
                                     false,
                                     change.what()));
                 }
                 for (Plan.Befall next :
-                        afterFault.getOrDefault(change.what().fault().name(), List.of())) {
-                    due.add(new Change(change.atS() + next.fault().atS(), true, next));
+                        triggeredByFault.getOrDefault(change.what().fault().name(), List.of())) {
+                    scheduled.add(new Change(change.atS() + next.fault().atS(), true, next));
                 }
             } else {
-                inForce.remove(change.what());
+                active.remove(change.what());
             }
         }
         return changes;
     }
 
-    /** A gatherer has so many dispatches out now. */
+    /**
+     * Records how many attempts of a gatherer are open now. Schedules the faults whose trigger this
+     * count reaches.
+     */
     public void out(double nowS, String gatherer, int dispatches) {
-        afterDispatches.removeIf(
+        triggeredByOpenAttempts.removeIf(
                 fault -> {
                     var when = fault.fault().when();
-                    boolean met =
+                    boolean reached =
                             when.gatherer().equals(gatherer) && dispatches >= when.dispatchesOut();
-                    if (met) {
-                        due.add(new Change(nowS + fault.fault().atS(), true, fault));
+                    if (reached) {
+                        scheduled.add(new Change(nowS + fault.fault().atS(), true, fault));
                     }
-                    return met;
+                    return reached;
                 });
     }
 
-    /** When something is due next, infinite if nothing is. */
+    /** Returns the time of the next begin or end, infinite if none is scheduled. */
     public double nextS() {
-        return due.isEmpty() ? Double.POSITIVE_INFINITY : due.peek().atS();
+        return scheduled.isEmpty() ? Double.POSITIVE_INFINITY : scheduled.peek().atS();
     }
 
-    /** Whether some fault waits for a count of dispatches, so that it has to be told of them. */
+    /**
+     * Returns whether a fault is still triggered by a count of open attempts, so that {@link #out}
+     * has to be called.
+     */
     public boolean counts() {
-        return !afterDispatches.isEmpty();
+        return !triggeredByOpenAttempts.isEmpty();
     }
 
-    /** What is in force, for the end of a run to undo. */
+    /** Returns the active faults; the caller reverts them at the end of a run. */
     public Set<Plan.Befall> inForce() {
-        return Set.copyOf(inForce);
+        return Set.copyOf(active);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
@@ -5,45 +5,51 @@
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 
-/** What the faults in force come to on each directed link. */
+/** Combines the active faults of each directed link into one {@link Treatment}. */
 public final class LinkBoard {
-    private final List<Plan.Befall> inForce = new ArrayList<>();
+    private final List<Plan.Befall> active = new ArrayList<>();
     private long version;
 
-    /** Takes a fault on links into account, or no longer. */
+    /**
+     * Adds a fault that begins, or removes one that ends. Faults on other targets than links are
+     * ignored.
+     */
     public void change(FaultBoard.Change change) {
         if (change.what().fault().kind().whom() != Fault.Whom.LINK) {
             return;
         }
         version++;
         if (change.begins()) {
-            inForce.add(change.what());
+            active.add(change.what());
         } else {
-            inForce.remove(change.what());
+            active.remove(change.what());
         }
     }
 
-    /** Grows with each change, so that whoever keeps a treatment knows when to ask again. */
+    /**
+     * Version number of the active faults. It increases with each change, so that a caller that
+     * caches a treatment can detect a stale one.
+     */
     public long version() {
         return version;
     }
 
-    /** What becomes of bytes that go from one to the other. */
+    /** Returns the treatment of the bytes that are sent from one party to another. */
     public Treatment of(String from, String to) {
-        Treatment sum = Treatment.SOUND;
-        for (Plan.Befall fault : inForce) {
-            boolean along = fault.of().contains(from) && fault.to().contains(to);
-            boolean against =
+        Treatment combined = Treatment.SOUND;
+        for (Plan.Befall fault : active) {
+            boolean forward = fault.of().contains(from) && fault.to().contains(to);
+            boolean backward =
                     !fault.fault().oneWay() && fault.of().contains(to) && fault.to().contains(from);
-            if (along || against) {
-                sum = sum.and(fault.fault());
+            if (forward || backward) {
+                combined = combined.and(fault.fault());
             }
         }
-        return sum;
+        return combined;
     }
 
-    /** Whether anything is in force between the two, either way. */
-    public boolean hurt(String one, String other) {
+    /** Returns whether a fault is active between the two parties, in either direction. */
+    public boolean hasFaults(String one, String other) {
         return !of(one, other).equals(Treatment.SOUND) || !of(other, one).equals(Treatment.SOUND);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/fault/Treatment.java
+++ b/rig/src/main/java/sprucehold/rig/fault/Treatment.java
@@ -3,14 +3,18 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * What becomes of bytes on one directed link.
+ * How the bytes on one directed link are delayed, limited, cut or lost.
  *
- * @param delayMs how much later each message comes; one in twenty four times as much
- * @param bytesPerS at most so many, infinite for no bound
- * @param cutAfterBytes a connection ends after so many, infinite for never
- * @param cut null where it isn't cut
- * @param halfOpen connections come up and bring nothing, also after the mend
- * @param lose share of datagrams lost; {@code twice} and {@code reorder} likewise
+ * @param delayMs delay of each message, in milliseconds; one message in twenty is delayed four
+ *     times as long
+ * @param bytesPerS the highest rate, in bytes per second; infinite for no limit
+ * @param cutAfterBytes number of bytes after which a connection is cut; infinite for never
+ * @param cut how the link is cut, or null if it isn't
+ * @param halfOpen whether connections opened now are accepted but never deliver anything, even
+ *     after the fault has ended
+ * @param lose share of datagrams that are lost
+ * @param twice share of datagrams that are delivered twice
+ * @param reorder share of datagrams that are delivered after the next one
  */
 public record Treatment(
         double delayMs,
@@ -21,12 +25,15 @@
         double lose,
         double twice,
         double reorder) {
-    /** All passes at once. */
+    /** A link without faults: all bytes pass without delay. */
     public static final Treatment SOUND =
             new Treatment(
                     0, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, null, false, 0, 0, 0);
 
-    /** Both this and a fault: delays add up, the tighter bound and the harder cut win. */
+    /**
+     * Returns this treatment combined with one more fault. Delays add up; of two limits the tighter
+     * applies, of two cuts the more severe mode, of two shares the larger.
+     */
     Treatment and(Fault fault) {
         double amount = fault.amount();
         return switch (fault.kind()) {
--- a/rig/src/main/java/sprucehold/rig/fault/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/fault/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Which faults are in force: times and sights in, begins and ends out ({@link
- * sprucehold.rig.fault.FaultBoard}), and what they come to on one link ({@link
- * sprucehold.rig.fault.LinkBoard}). Pure: whoever carries a fault out is told when.
+ * Decides which faults are active. {@link sprucehold.rig.fault.FaultBoard} takes times and counts
+ * of open attempts, and returns the faults that begin or end. {@link
+ * sprucehold.rig.fault.LinkBoard} combines the active faults of one link. Pure: the caller injects
+ * each fault when it is returned.
  */
 package sprucehold.rig.fault;
--- a/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
@@ -9,11 +9,11 @@
 import sprucehold.rig.fault.Treatment;
 
 /**
- * Passes datagrams of one directed link on, or loses, doubles, delays and reorders them as its
- * faults say.
+ * Forwards the datagrams of one directed link; loses, duplicates, delays or reorders them as the
+ * faults of the link require.
  */
 public final class DatagramRelay {
-    private static final int RECENT = 16;
+    private static final int MAX_RECENT = 16;
 
     private final Vertx vertx;
     private final Wires wires;
@@ -23,16 +23,19 @@
     private final String host;
     private final DatagramSocket socket;
 
-    /** Held back to come after the next one. */
-    private Buffer overtaken;
+    /** Datagram that is held back until the next one has been forwarded; null if none is. */
+    private Buffer heldBack;
 
-    private long read;
+    private long receivedCount;
 
-    /** The last few that it read, as who listens on the way may have kept them. */
+    /**
+     * The datagrams received last, as an attacker on the path could have recorded them. {@link
+     * Flood} sends them again.
+     */
     private final ArrayDeque<Buffer> recent = new ArrayDeque<>();
 
     /**
-     * @param host where what passes is sent to
+     * @param host address to which datagrams are forwarded, at {@code port}
      */
     public DatagramRelay(Vertx vertx, Wires wires, String from, String to, String host, int port) {
         this.vertx = vertx;
@@ -44,9 +47,9 @@
         this.socket = vertx.createDatagramSocket();
     }
 
-    /** Returns the port at which it listens. */
+    /** Listens and returns the port. */
     public Future<Integer> listen(String at, int listenPort) {
-        return socket.handler(packet -> take(packet.data()))
+        return socket.handler(packet -> receive(packet.data()))
                 .listen(listenPort, at)
                 .map(listening -> listening.localAddress().port());
     }
@@ -55,42 +58,42 @@
         return socket.close();
     }
 
-    /** How many datagrams it has read, whatever became of them. */
-    public long read() {
-        return read;
+    /** Returns the number of datagrams received, including those that were not forwarded. */
+    public long receivedCount() {
+        return receivedCount;
     }
 
-    /** What it read of late, the oldest first. */
+    /** Returns the datagrams received last, the oldest first. */
     public List<Buffer> recent() {
         return List.copyOf(recent);
     }
 
-    private void take(Buffer data) {
-        read++;
+    private void receive(Buffer data) {
+        receivedCount++;
         recent.add(data);
-        if (recent.size() > RECENT) {
+        if (recent.size() > MAX_RECENT) {
             recent.poll();
         }
-        Treatment now = wires.board().of(from, to);
-        if (now.cut() != null || now.halfOpen() || wires.chance().nextDouble() < now.lose()) {
+        Treatment link = wires.board().of(from, to);
+        if (link.cut() != null || link.halfOpen() || wires.random().nextDouble() < link.lose()) {
             return;
         }
-        if (overtaken == null && wires.chance().nextDouble() < now.reorder()) {
-            overtaken = data;
+        if (heldBack == null && wires.random().nextDouble() < link.reorder()) {
+            heldBack = data;
             return;
         }
-        pass(data, now);
-        if (wires.chance().nextDouble() < now.twice()) {
-            pass(data, now);
+        forward(data, link);
+        if (wires.random().nextDouble() < link.twice()) {
+            forward(data, link);
         }
-        if (overtaken != null) {
-            pass(overtaken, now);
-            overtaken = null;
+        if (heldBack != null) {
+            forward(heldBack, link);
+            heldBack = null;
         }
     }
 
-    private void pass(Buffer data, Treatment now) {
-        double delay = now.delayMs() * (wires.chance().nextDouble() < 0.05 ? 4 : 1);
+    private void forward(Buffer data, Treatment link) {
+        double delay = link.delayMs() * (wires.random().nextDouble() < 0.05 ? 4 : 1);
         if (delay < 1) {
             socket.send(data, port, host);
         } else {
--- a/rig/src/main/java/sprucehold/rig/link/Flood.java
+++ b/rig/src/main/java/sprucehold/rig/link/Flood.java
@@ -8,22 +8,23 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Datagrams that nobody wants, so many a second: noise, noise under a sound head, and letters of
- * before once more or cut short.
+ * Sends unwanted datagrams to one address at a constant rate. There are four kinds: random bytes,
+ * random bytes after a valid header, earlier messages again, and truncated earlier messages.
  */
 public final class Flood implements AutoCloseable {
-    private static final int EVERY_MS = 5;
-    private static final int MOST_BYTES = 1200;
+    private static final int INTERVAL_MS = 5;
+    private static final int MAX_RANDOM_BYTES = 1200;
 
     private final Vertx vertx;
     private final DatagramSocket socket;
-    private final UniformRandomProvider chance;
-    private final Supplier<List<Buffer>> old;
+    private final UniformRandomProvider random;
+    private final Supplier<List<Buffer>> earlier;
     private final long timer;
-    private double due;
+    private double unsent;
 
     /**
-     * @param old letters that passed before
+     * @param perS datagrams per second
+     * @param earlier returns messages that were forwarded before
      */
     public Flood(
             Vertx vertx,
@@ -31,30 +32,30 @@
             String host,
             int port,
             double perS,
-            Supplier<List<Buffer>> old) {
+            Supplier<List<Buffer>> earlier) {
         this.vertx = vertx;
         this.socket = vertx.createDatagramSocket();
-        this.chance = wires.chance();
-        this.old = old;
+        this.random = wires.random();
+        this.earlier = earlier;
         this.timer =
                 vertx.setPeriodic(
-                        EVERY_MS,
+                        INTERVAL_MS,
                         id -> {
-                            for (due += perS * EVERY_MS / 1000; due >= 1; due--) {
+                            for (unsent += perS * INTERVAL_MS / 1000; unsent >= 1; unsent--) {
                                 socket.send(datagram(), port, host);
                             }
                         });
     }
 
     private Buffer datagram() {
-        List<Buffer> letters = old.get();
-        int kind = chance.nextInt(4);
-        if (kind >= 2 && !letters.isEmpty()) {
-            Buffer letter = letters.get(chance.nextInt(letters.size()));
-            return kind == 2 ? letter : letter.getBuffer(0, 1 + chance.nextInt(letter.length()));
+        List<Buffer> messages = earlier.get();
+        int kind = random.nextInt(4);
+        if (kind >= 2 && !messages.isEmpty()) {
+            Buffer message = messages.get(random.nextInt(messages.size()));
+            return kind == 2 ? message : message.getBuffer(0, 1 + random.nextInt(message.length()));
         }
-        byte[] bytes = new byte[8 + chance.nextInt(MOST_BYTES)];
-        chance.nextBytes(bytes);
+        byte[] bytes = new byte[8 + random.nextInt(MAX_RANDOM_BYTES)];
+        random.nextBytes(bytes);
         if (kind == 1) {
             bytes[0] = 'S';
             bytes[1] = 'G';
--- a/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
@@ -6,66 +6,72 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * One end of a connection, held by a party of the rig: what its peer sends is handed on when the
- * link lets it, with the time at which it was really read, and so is what the party writes.
+ * One end of a connection, owned by a party of the rig. Bytes from the peer are passed to the owner
+ * when the faults of the link allow it, with the time at which they were read from the socket.
+ * Bytes that the owner writes are delayed in the same way.
  */
 public final class ShapedSocket {
-    /** Who holds this end. */
+    /** The party that owns this end of the connection. */
     public interface Owner {
         /**
-         * @param readMs when the peer's bytes left it
+         * Handles bytes from the peer.
+         *
+         * @param readMs when the bytes were read from the socket, in milliseconds by the run's
+         *     clock
          */
         void received(Buffer bytes, double readMs);
 
         /**
-         * The connection is over; called once. {@code byPeer} tells whether the peer ended it, not
-         * a fault or this end.
+         * Handles the end of the connection; called once.
+         *
+         * @param byPeer true if the peer ended the connection, false if a fault or this end did
          */
         void closed(boolean byPeer);
     }
 
-    private record Bytes(Buffer buffer, double readMs) {}
+    private record ReceivedBytes(Buffer buffer, double readMs) {}
 
-    /** What a party may have waiting before its peer is read no further. */
-    private static final int MOST_HELD = 1000;
+    /** Number of buffers from the peer that may wait before reading from the socket is paused. */
+    private static final int MAX_QUEUED_BUFFERS = 1000;
 
     private final Wires wires;
     private final NetSocket socket;
     private final Owner owner;
-    private final Shaper<Bytes> in;
-    private final Shaper<Written> out;
+    private final Shaper<ReceivedBytes> inbound;
+    private final Shaper<PendingWrite> outbound;
     private long timer = -1;
-    private double timerAt = Double.POSITIVE_INFINITY;
-    private int heldIn;
-    private boolean over;
+    private double timerDueMs = Double.POSITIVE_INFINITY;
+    private int queuedBuffers;
+    private boolean closed;
     private boolean peerClosed;
 
-    /** Bytes to write, and who wants to know when they are. */
-    private record Written(Buffer buffer, Runnable then) {}
+    /** Bytes to write, and an action that runs when they are written to the socket. */
+    private record PendingWrite(Buffer buffer, Runnable onWritten) {}
 
     ShapedSocket(Wires wires, NetSocket socket, String peer, String self, Owner owner) {
         this.wires = wires;
         this.socket = socket;
         this.owner = owner;
-        this.in = new Shaper<>(wires.board(), peer, self, wires.chance());
-        this.out = new Shaper<>(wires.board(), self, peer, wires.chance());
+        this.inbound = new Shaper<>(wires.board(), peer, self, wires.random());
+        this.outbound = new Shaper<>(wires.board(), self, peer, wires.random());
         socket.handler(
                 bytes -> {
                     double now = wires.now();
-                    in.push(now, bytes.length(), new Bytes(bytes, now));
-                    if (++heldIn > MOST_HELD) {
+                    inbound.push(now, bytes.length(), new ReceivedBytes(bytes, now));
+                    if (++queuedBuffers > MAX_QUEUED_BUFFERS) {
                         socket.pause();
                     }
-                    pass();
+                    transferDue();
                 });
         socket.exceptionHandler(failure -> {});
         socket.closeHandler(
                 none -> {
                     peerClosed = true;
-                    // The end comes after all that came before it, and not while the link is cut.
-                    pass();
+                    // The owner is notified of the end only after all bytes that the peer sent
+                    // before, and not while the link is cut.
+                    transferDue();
                 });
-        if (in.resets() || out.resets()) {
+        if (inbound.resets() || outbound.resets()) {
             reset();
         }
     }
@@ -75,25 +81,27 @@
     }
 
     /**
-     * @param then is called as the bytes are really written
+     * Writes bytes once the faults of the link allow it.
+     *
+     * @param onWritten called when the bytes are written to the socket
      */
-    public void write(Buffer bytes, Runnable then) {
-        if (!over) {
-            out.push(wires.now(), bytes.length(), new Written(bytes, then));
-            pass();
+    public void write(Buffer bytes, Runnable onWritten) {
+        if (!closed) {
+            outbound.push(wires.now(), bytes.length(), new PendingWrite(bytes, onWritten));
+            transferDue();
         }
     }
 
-    /** Ends it once all that was written has passed. */
+    /** Closes the connection once all bytes written before have been sent. */
     public void close() {
         write(Buffer.buffer(), () -> end(false));
     }
 
-    /** Ends it so that the peer sees a reset. */
+    /** Closes the connection with a TCP reset. */
     public void reset() {
-        if (!over) {
-            // A peer that has closed meanwhile needs no reset, and a closed socket takes no
-            // options.
+        if (!closed) {
+            // A connection that the peer has closed meanwhile needs no reset, and socket options
+            // can't be set on a closed socket.
             if (((NetSocketInternal) socket).channelHandlerContext().channel()
                             instanceof SocketChannel channel
                     && channel.isOpen()) {
@@ -104,68 +112,68 @@
     }
 
     private void end(boolean byPeer) {
-        if (!over) {
-            over = true;
+        if (!closed) {
+            closed = true;
             wires.cancel(timer);
-            wires.over(this);
+            wires.closed(this);
             socket.close();
             owner.closed(byPeer);
         }
     }
 
-    void changed() {
-        if (in.resets() || out.resets()) {
+    void faultsChanged() {
+        if (inbound.resets() || outbound.resets()) {
             reset();
         } else {
-            pass();
+            transferDue();
         }
     }
 
-    private void pass() {
-        if (over) {
+    private void transferDue() {
+        if (closed) {
             return;
         }
         double now = wires.now();
-        for (Written written : out.due(now)) {
+        for (PendingWrite written : outbound.due(now)) {
             if (written.buffer.length() > 0) {
                 socket.write(written.buffer);
             }
-            written.then.run();
+            written.onWritten.run();
         }
-        for (Bytes bytes : in.due(now)) {
-            if (over) {
+        for (ReceivedBytes bytes : inbound.due(now)) {
+            if (closed) {
                 return;
             }
-            if (heldIn-- > MOST_HELD) {
+            if (queuedBuffers-- > MAX_QUEUED_BUFFERS) {
                 socket.resume();
             }
             owner.received(bytes.buffer, bytes.readMs);
         }
-        if (over) {
+        if (closed) {
             return;
         }
-        if (in.broken() || out.broken()) {
+        if (inbound.broken() || outbound.broken()) {
             reset();
-        } else if (peerClosed && in.empty()) {
+        } else if (peerClosed && inbound.empty()) {
             end(true);
         } else {
-            arm(Math.min(in.nextMs(), out.nextMs()));
+            scheduleTimer(Math.min(inbound.nextMs(), outbound.nextMs()));
         }
     }
 
-    private void arm(double at) {
-        if (at != timerAt || timer < 0) {
+    private void scheduleTimer(double dueMs) {
+        if (dueMs != timerDueMs || timer < 0) {
             wires.cancel(timer);
             timer = -1;
-            timerAt = at;
-            if (at < Double.POSITIVE_INFINITY) {
+            timerDueMs = dueMs;
+            if (dueMs < Double.POSITIVE_INFINITY) {
                 timer =
                         wires.timer(
-                                at,
+                                dueMs,
                                 () -> {
                                     timer = -1;
-                                    timerAt = Double.POSITIVE_INFINITY;
-                                    pass();
+                                    timerDueMs = Double.POSITIVE_INFINITY;
+                                    transferDue();
                                 });
             }
         }
--- a/rig/src/main/java/sprucehold/rig/link/Shaper.java
+++ b/rig/src/main/java/sprucehold/rig/link/Shaper.java
@@ -9,31 +9,32 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * One direction of one connection: what is pushed in comes out in the same order, when the link
- * lets it. A cut holds back, as TCP sends again what got lost; who waits too long closes.
+ * One direction of one connection. Messages come out in the order in which they were pushed, once
+ * the faults of the link allow it. While the link is cut, messages are held back rather than lost,
+ * because TCP would retransmit them; a party that waits too long closes the connection itself.
  */
 public final class Shaper<T> {
-    private record Held<T>(double dueMs, long bytes, T what) {}
+    private record Queued<T>(double dueMs, long bytes, T message) {}
 
     private final LinkBoard board;
     private final String from;
     private final String to;
-    private final UniformRandomProvider chance;
-    private final ArrayDeque<Held<T>> held = new ArrayDeque<>();
+    private final UniformRandomProvider random;
+    private final ArrayDeque<Queued<T>> queue = new ArrayDeque<>();
     private final boolean halfOpen;
     private Treatment treatment;
     private long version = -1;
-    private double lastMs;
-    private long passed;
+    private double freeAtMs;
+    private long passedBytes;
 
     /**
-     * @param chance draws which messages take the long tail of a delay
+     * @param random draws which messages get the long tail of a delay
      */
-    public Shaper(LinkBoard board, String from, String to, UniformRandomProvider chance) {
+    public Shaper(LinkBoard board, String from, String to, UniformRandomProvider random) {
         this.board = board;
         this.from = from;
         this.to = to;
-        this.chance = chance;
+        this.random = random;
         this.halfOpen = treatment().halfOpen();
     }
 
@@ -45,50 +46,55 @@
         return treatment;
     }
 
-    /** Takes a message; it comes out of {@link #due} no sooner than the link lets it. */
-    public void push(double nowMs, long bytes, T what) {
-        Treatment now = treatment();
+    /** Queues a message. {@link #due} returns it once the faults of the link allow it. */
+    public void push(double nowMs, long bytes, T message) {
+        Treatment link = treatment();
         double delay =
-                now.delayMs() <= 0
+                link.delayMs() <= 0
                         ? 0
-                        : chance.nextDouble() < 0.05 ? 4 * now.delayMs() : now.delayMs();
-        double sendMs = Math.max(nowMs + delay, lastMs);
-        lastMs = sendMs + 1000 * bytes / now.bytesPerS();
-        held.add(new Held<>(lastMs, bytes, what));
+                        : random.nextDouble() < 0.05 ? 4 * link.delayMs() : link.delayMs();
+        double sendMs = Math.max(nowMs + delay, freeAtMs);
+        freeAtMs = sendMs + 1000 * bytes / link.bytesPerS();
+        queue.add(new Queued<>(freeAtMs, bytes, message));
     }
 
-    /** All that passes by now. */
+    /** Removes and returns the messages that may pass up to now. */
     public List<T> due(double nowMs) {
         var due = new ArrayList<T>();
-        while (!held.isEmpty() && open() && held.peek().dueMs <= nowMs) {
-            Held<T> next = held.poll();
-            passed += next.bytes;
-            due.add(next.what);
+        while (!queue.isEmpty() && mayPass() && queue.peek().dueMs <= nowMs) {
+            Queued<T> next = queue.poll();
+            passedBytes += next.bytes;
+            due.add(next.message);
         }
         return due;
     }
 
-    private boolean open() {
+    private boolean mayPass() {
         return !halfOpen && treatment().cut() == null && !broken();
     }
 
-    /** Whether so much has passed that the connection is to be cut. */
+    /**
+     * Returns whether as many bytes have passed as a fault allows before it cuts the connection.
+     */
     public boolean broken() {
-        return passed >= treatment().cutAfterBytes();
+        return passedBytes >= treatment().cutAfterBytes();
     }
 
-    /** Whether the link is cut by resets. */
+    /** Returns whether the link is cut with resets. */
     public boolean resets() {
         return treatment().cut() == Fault.Mode.RESET;
     }
 
-    /** When the next message may pass; infinite while none waits or the link is cut. */
+    /**
+     * Returns when the next message may pass, in milliseconds; infinite if none is queued or the
+     * link is cut.
+     */
     public double nextMs() {
-        return held.isEmpty() || !open() ? Double.POSITIVE_INFINITY : held.peek().dueMs;
+        return queue.isEmpty() || !mayPass() ? Double.POSITIVE_INFINITY : queue.peek().dueMs;
     }
 
-    /** Whether nothing is held back. */
+    /** Returns whether no message is queued. */
     public boolean empty() {
-        return held.isEmpty();
+        return queue.isEmpty();
     }
 }
--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -11,10 +11,7 @@
 import io.vertx.core.net.SocketAddress;
 import sprucehold.rig.script.Fault;
 
-/**
- * Stands between two processes on a connection of theirs: the dialler's end and the far end are
- * held by one link.
- */
+/** Relays TCP connections from one process to another, with the faults of the link between them. */
 public final class TcpRelay {
     private final Wires wires;
     private final String from;
@@ -34,7 +31,7 @@
                         .connectHandler(this::accepted);
     }
 
-    /** Returns the port at which it listens. */
+    /** Listens and returns the port. */
     public Future<Integer> listen(String host, int port) {
         return server.listen(port, host).map(NetServer::actualPort);
     }
@@ -52,8 +49,8 @@
         client.connect(target)
                 .onComplete(
                         far -> {
-                            // Faults work on the near end alone: what is shaped twice would come
-                            // twice as late.
+                            // Only the near end is shaped: bytes that are shaped at both ends would
+                            // be delayed twice.
                             var shaped =
                                     wires.shape(
                                             near,
--- a/rig/src/main/java/sprucehold/rig/link/Wires.java
+++ b/rig/src/main/java/sprucehold/rig/link/Wires.java
@@ -11,24 +11,27 @@
 import sprucehold.rig.fault.FaultBoard;
 import sprucehold.rig.fault.LinkBoard;
 
-/** All connections of a run that faults may befall. On one event loop. */
+/**
+ * All connections of a run that faults may affect, and the faults on their links. Not thread-safe:
+ * all calls are made on one event loop.
+ */
 public final class Wires {
     private final Vertx vertx;
     private final DoubleSupplier clock;
     private final LinkBoard board = new LinkBoard();
     private final Set<ShapedSocket> sockets = new LinkedHashSet<>();
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
 
     /**
-     * @param clock the run's one clock, in milliseconds
+     * @param clock the clock of the run, in milliseconds
      */
     public Wires(Vertx vertx, DoubleSupplier clock, long seed) {
         this.vertx = vertx;
         this.clock = clock;
-        this.chance = RandomSource.SPLIT_MIX_64.create(seed);
+        this.random = RandomSource.SPLIT_MIX_64.create(seed);
     }
 
-    /** Puts an end of a connection under the faults of its link. */
+    /** Applies the faults of a link to one end of a connection. */
     public ShapedSocket shape(
             NetSocket socket, String peer, String self, ShapedSocket.Owner owner) {
         var shaped = new ShapedSocket(this, socket, peer, self, owner);
@@ -36,23 +39,25 @@
         return shaped;
     }
 
-    /** Takes a fault into account, or no longer, on connections that stand as well. */
+    /**
+     * Adds a fault that begins, or removes one that ends; open connections are affected at once.
+     */
     public void change(FaultBoard.Change change) {
         board.change(change);
-        List.copyOf(sockets).forEach(ShapedSocket::changed);
+        List.copyOf(sockets).forEach(ShapedSocket::faultsChanged);
     }
 
     public LinkBoard board() {
         return board;
     }
 
-    /** How many connections stand. */
+    /** Returns the number of open connections. */
     public int count() {
         return sockets.size();
     }
 
-    UniformRandomProvider chance() {
-        return chance;
+    UniformRandomProvider random() {
+        return random;
     }
 
     double now() {
@@ -67,7 +72,7 @@
         vertx.cancelTimer(timer);
     }
 
-    void over(ShapedSocket socket) {
+    void closed(ShapedSocket socket) {
         sockets.remove(socket);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/link/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/link/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What lies between processes: bytes held back, spread, cut and reset as the faults on a link say.
- * {@link sprucehold.rig.link.Shaper} decides when what passes, and is pure; {@link
- * sprucehold.rig.link.ShapedSocket} carries it out on one end of a connection, {@link
- * sprucehold.rig.link.TcpRelay} and {@link sprucehold.rig.link.DatagramRelay} between two.
+ * Emulates the network between processes: delays, throttles, cuts and resets connections and
+ * datagrams as the faults on a link require. {@link sprucehold.rig.link.Shaper} decides when a
+ * message may pass, and is pure. {@link sprucehold.rig.link.ShapedSocket} applies its decisions to
+ * one end of a connection, {@link sprucehold.rig.link.TcpRelay} to a connection between two
+ * processes. {@link sprucehold.rig.link.DatagramRelay} does the same for datagrams.
  */
 package sprucehold.rig.link;
--- a/rig/src/main/java/sprucehold/rig/list/Agent.java
+++ b/rig/src/main/java/sprucehold/rig/list/Agent.java
@@ -8,17 +8,27 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * What one gatherer is told of the list, and when; faults make it late, silent, wrong or go back.
+ * Decides which endpoint lists one gatherer receives, and when. Faults make the list late, absent,
+ * incomplete or outdated.
  */
 public final class Agent {
-    /** An answer: the whole list, or what changed. */
-    public record News(long index, boolean whole, List<ServerList.Entry> entries) {}
+    /**
+     * An answer to a call.
+     *
+     * @param index index of the list's last change that the answer covers
+     * @param snapshot whether the answer is a snapshot of the whole list; otherwise it contains the
+     *     changed entries
+     */
+    public record Answer(long index, boolean snapshot, List<ServerList.Entry> entries) {}
 
     private final ServerList list;
     private final List<Plan.Befall> faults = new ArrayList<>();
 
-    /** Whether the next answer has to be the whole list, as what it may see has changed. */
-    private boolean anew;
+    /**
+     * Whether the next answer has to be the whole list, because the entries that the gatherer may
+     * see have changed.
+     */
+    private boolean snapshotNeeded;
 
     private long lastIndex = 1;
 
@@ -26,51 +36,52 @@
         this.list = list;
     }
 
-    /** A fault of discovery begins or ends. */
+    /** Applies a fault of discovery that begins, or removes one that ends. */
     public void change(boolean begins, Plan.Befall fault) {
         if (begins) {
             faults.add(fault);
         } else {
             faults.remove(fault);
         }
-        anew |=
+        snapshotNeeded |=
                 fault.fault().kind() == Fault.Kind.LIST_HIDES
                         || fault.fault().kind() == Fault.Kind.LIST_BACK;
     }
 
-    private boolean any(Fault.Kind kind) {
+    private boolean active(Fault.Kind kind) {
         return faults.stream().anyMatch(fault -> fault.fault().kind() == kind);
     }
 
-    /** Whether it takes calls and says nothing. */
+    /** Returns whether calls are accepted but not answered. */
     public boolean silent() {
-        return any(Fault.Kind.LIST_SILENT);
+        return active(Fault.Kind.LIST_SILENT);
     }
 
     /**
-     * Answers a call, or null while there is nothing to say to it.
+     * Returns the answer to a call, or null while there is no change to report and the call may
+     * still wait.
      *
-     * @param after the index that the caller has, negative for none
-     * @param waited whether the caller's time to wait is over
+     * @param after the index of the list that the caller has, negative for none
+     * @param waited whether the caller's waiting time is over
      */
-    public News ask(double nowMs, long after, boolean waited) {
+    public Answer answer(double nowMs, long after, boolean waited) {
         if (silent()) {
             return null;
         }
-        double late =
+        double delayMs =
                 faults.stream()
                         .filter(fault -> fault.fault().kind() == Fault.Kind.LIST_LATE)
                         .mapToDouble(fault -> fault.fault().amount())
                         .sum();
-        long index = any(Fault.Kind.LIST_BACK) ? 1 : list.indexAt(nowMs - late);
+        long index = active(Fault.Kind.LIST_BACK) ? 1 : list.indexAt(nowMs - delayMs);
         Set<String> hidden = new HashSet<>();
         faults.stream()
                 .filter(fault -> fault.fault().kind() == Fault.Kind.LIST_HIDES)
                 .forEach(fault -> hidden.addAll(fault.to()));
-        if (anew || after < 0 || after > index) {
-            anew = false;
+        if (snapshotNeeded || after < 0 || after > index) {
+            snapshotNeeded = false;
             lastIndex = index;
-            return whole(index, hidden);
+            return wholeList(index, hidden);
         }
         List<ServerList.Entry> changed =
                 list.between(after, index).values().stream()
@@ -80,16 +91,19 @@
             return null;
         }
         lastIndex = index;
-        return new News(index, false, changed);
+        return new Answer(index, false, changed);
     }
 
-    /** The list as its gatherer last had it: what one that starts again is given. */
-    public News known() {
-        return whole(lastIndex, Set.of());
+    /**
+     * Returns the list that the gatherer received last. A gatherer that restarts gets it as its
+     * initial list.
+     */
+    public Answer lastSent() {
+        return wholeList(lastIndex, Set.of());
     }
 
-    private News whole(long index, Set<String> hidden) {
-        return new News(
+    private Answer wholeList(long index, Set<String> hidden) {
+        return new Answer(
                 index,
                 true,
                 list.at(index).values().stream()
--- a/rig/src/main/java/sprucehold/rig/list/AgentHost.java
+++ b/rig/src/main/java/sprucehold/rig/list/AgentHost.java
@@ -18,14 +18,19 @@
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
 
-/** One gatherer's agent of discovery on a socket; what it told is in the ledger. */
+/**
+ * Serves the discovery agent of one gatherer over HTTP, and records what it sends in the ledger.
+ */
 public final class AgentHost {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** How often calls that wait are looked at: news is told within so long. */
-    private static final long LOOK_MS = 5;
+    /**
+     * Interval at which waiting calls are checked, in milliseconds. A change is sent with at most
+     * this delay.
+     */
+    private static final long CHECK_INTERVAL_MS = 5;
 
-    private record Waiting(HttpServerRequest request, long after, double untilMs) {}
+    private record WaitingCall(HttpServerRequest request, long after, double untilMs) {}
 
     private final Vertx vertx;
     private final DoubleSupplier clock;
@@ -33,13 +38,13 @@
     private final Agent agent;
     private final String gatherer;
     private final Function<ServerList.Entry, String> address;
-    private final List<Waiting> waiting = new ArrayList<>();
-    private final Map<String, Endpoint.State> told = new HashMap<>();
+    private final List<WaitingCall> waiting = new ArrayList<>();
+    private final Map<String, Endpoint.State> sentStates = new HashMap<>();
     private HttpServer server;
     private long timer;
 
     /**
-     * @param address where this gatherer meets a server
+     * @param address returns the address at which this gatherer reaches a server
      */
     public AgentHost(
             Vertx vertx,
@@ -57,8 +62,8 @@
     }
 
     public Future<Void> listen(String host, int port) {
-        timer = vertx.setPeriodic(LOOK_MS, id -> look());
-        server = vertx.createHttpServer().requestHandler(this::take);
+        timer = vertx.setPeriodic(CHECK_INTERVAL_MS, id -> answerWaiting());
+        server = vertx.createHttpServer().requestHandler(this::handle);
         return server.listen(port, host).mapEmpty();
     }
 
@@ -71,12 +76,15 @@
         agent.change(begins, fault);
     }
 
-    /** The list as its gatherer last had it, for one that starts. */
+    /**
+     * Returns the list that the gatherer received last, as the initial list of a process that
+     * starts.
+     */
     public ObjectNode known() {
-        return body(agent.known());
+        return body(agent.lastSent());
     }
 
-    private void take(HttpServerRequest request) {
+    private void handle(HttpServerRequest request) {
         if (!request.path().equals("/discovery/hosts")) {
             request.response().setStatusCode(404).end();
             return;
@@ -84,7 +92,7 @@
         String after = request.getParam("after");
         double wait = Double.parseDouble(request.getParam("wait_ms", "0"));
         var call =
-                new Waiting(
+                new WaitingCall(
                         request,
                         after == null ? -1 : Long.parseLong(after),
                         clock.getAsDouble() + wait);
@@ -95,53 +103,58 @@
         }
     }
 
-    private void look() {
+    private void answerWaiting() {
         waiting.removeIf(this::answer);
     }
 
-    private boolean answer(Waiting call) {
+    private boolean answer(WaitingCall call) {
         double now = clock.getAsDouble();
-        Agent.News news = agent.ask(now, call.after, now >= call.untilMs);
-        if (news == null) {
+        Agent.Answer answer = agent.answer(now, call.after, now >= call.untilMs);
+        if (answer == null) {
             return false;
         }
         call.request
                 .response()
                 .putHeader("Content-Type", "application/json")
-                .end(body(news).toString());
-        tell(now, news);
+                .end(body(answer).toString());
+        recordChanges(now, answer);
         return true;
     }
 
-    /** Only what differs from what it was told before goes into the ledger. */
-    private void tell(double nowMs, Agent.News news) {
-        var modes = new HashMap<String, Endpoint.State>();
-        if (news.whole()) {
-            told.keySet().forEach(name -> modes.put(name, Endpoint.State.GONE));
+    /**
+     * Records in the ledger only the states that differ from those that this gatherer received
+     * before.
+     */
+    private void recordChanges(double nowMs, Agent.Answer answer) {
+        var states = new HashMap<String, Endpoint.State>();
+        if (answer.snapshot()) {
+            sentStates.keySet().forEach(name -> states.put(name, Endpoint.State.GONE));
         }
-        news.entries()
+        answer.entries()
                 .forEach(
                         entry ->
-                                modes.put(
+                                states.put(
                                         entry.name(),
                                         entry.status() == ServerList.Status.ACTIVE
                                                 ? Endpoint.State.RUNNING
                                                 : entry.status() == ServerList.Status.LEAVING
                                                         ? Endpoint.State.DRAINING
                                                         : Endpoint.State.GONE));
-        modes.forEach(
-                (name, mode) -> {
-                    if (told.put(name, mode) != mode) {
-                        ledger.add(new Seen.Told(nowMs, gatherer, name, mode));
+        states.forEach(
+                (name, state) -> {
+                    if (sentStates.put(name, state) != state) {
+                        ledger.add(new Seen.Told(nowMs, gatherer, name, state));
                     }
                 });
     }
 
-    private ObjectNode body(Agent.News news) {
+    private ObjectNode body(Agent.Answer answer) {
         ObjectNode body =
-                JSON.createObjectNode().put("index", news.index()).put("snapshot", news.whole());
+                JSON.createObjectNode()
+                        .put("index", answer.index())
+                        .put("snapshot", answer.snapshot());
         var endpoints = body.putArray("endpoints");
-        for (ServerList.Entry entry : news.entries()) {
+        for (ServerList.Entry entry : answer.entries()) {
             endpoints
                     .addObject()
                     .put("name", entry.name())
--- a/rig/src/main/java/sprucehold/rig/list/ServerList.java
+++ b/rig/src/main/java/sprucehold/rig/list/ServerList.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The list of shard servers, and each change of it with its index, from 1 on. */
+/** The list of shard servers, as a sequence of changes numbered by an index from 1 on. */
 public final class ServerList {
-    /** Whether a server may be sent to. */
+    /** State of a server in the list: only an active server may be sent to. */
     public enum Status {
         ACTIVE,
         LEAVING,
@@ -15,15 +15,23 @@
     }
 
     /**
-     * What the list says of one server.
+     * The list's entry for one server.
      *
-     * @param sinceMs when it last started, by the run's clock; 0 for long ago
-     * @param life how often it came back, each time at another address
+     * @param cell replica group of the server
+     * @param sinceMs when the server last started, in milliseconds by the run's clock; 0 if it
+     *     started long before the run
+     * @param life how often the server has come back, each time at another address
      */
     public record Entry(
             String name, String site, int cell, Status status, double sinceMs, int life) {}
 
-    /** An entry that changed. */
+    /**
+     * One change of the list.
+     *
+     * @param index the change's number; the entries at the start of the run all have index 1
+     * @param atMs when the entry changed, in milliseconds by the run's clock
+     * @param entry the entry after the change
+     */
     public record Change(long index, double atMs, Entry entry) {}
 
     private final List<Change> changes = new ArrayList<>();
@@ -33,18 +41,18 @@
     }
 
     public void change(double nowMs, Entry entry) {
-        changes.add(new Change(last() + 1, nowMs, entry));
+        changes.add(new Change(lastIndex() + 1, nowMs, entry));
     }
 
-    private long last() {
+    private long lastIndex() {
         return changes.isEmpty() ? 1 : changes.get(changes.size() - 1).index();
     }
 
     public Entry entry(String name) {
-        return at(last()).get(name);
+        return at(lastIndex()).get(name);
     }
 
-    /** The highest index that was made by then. */
+    /** Returns the highest index of the changes made up to a time. */
     long indexAt(double ms) {
         long index = 1;
         for (Change change : changes) {
@@ -55,7 +63,7 @@
         return index;
     }
 
-    /** The whole list as it was at an index. */
+    /** Returns the whole list as it was at an index, by the names of the servers. */
     Map<String, Entry> at(long index) {
         var entries = new LinkedHashMap<String, Entry>();
         changes.stream()
@@ -64,7 +72,9 @@
         return entries;
     }
 
-    /** What changed after one index up to another, the last of each server. */
+    /**
+     * Returns the changes after one index and up to another, with the last entry of each server.
+     */
     Map<String, Entry> between(long after, long upTo) {
         var entries = new LinkedHashMap<String, Entry>();
         changes.stream()
--- a/rig/src/main/java/sprucehold/rig/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The rig: many gatherers as processes on one machine, faults between them, one checker of the
- * rules. The entry point is {@link sprucehold.rig.run.Run}; docs/rig.md says how it is made. It
- * must never be part of what serves.
+ * The fault-injection test bed ("rig"): runs many gatherers as processes on one machine, injects
+ * faults between them, and checks the rules of the service with one checker. The entry point is
+ * {@link sprucehold.rig.run.Run}; docs/rig.md describes the design. The serving program must never
+ * depend on it.
  */
 package sprucehold.rig;
--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -6,30 +6,33 @@
 import sprucehold.rig.script.Script;
 
 /**
- * The loopback addresses of one run: a block 127.B.0.0/16 that no other rig on this machine has,
- * held as long as this is open. Each gatherer meets all others at addresses of its own, by which it
- * is told apart.
+ * The loopback addresses of one run: a block 127.B.0.0/16 that no other rig on this machine uses,
+ * reserved until this object is closed. Each gatherer reaches the other gatherers and the shard
+ * servers at addresses of its own, so that the address of a connection identifies the gatherer that
+ * opened it.
  */
 public final class Addresses implements AutoCloseable {
     /**
-     * From 64 on, well away from the addresses that people use; 126 rigs at once are more than a
-     * machine bears.
+     * Blocks 64 to 189, away from the loopback addresses in common use. More rigs at once than
+     * these 126 blocks would overload a machine.
      */
-    private static final int FIRST = 64;
+    private static final int FIRST_BLOCK = 64;
 
     private static final int BLOCKS = 126;
     private static final int CLAIM_PORT = 7999;
-    private static final int HOSTS_A_NET = 250;
+    private static final int NET_HOSTS = 250;
 
-    /** Above what is asked for by name, below the end of all ports. */
+    /** Above the fixed ports of a run, such as {@link #postPort}. */
     private static final int FIRST_PORT = 10_000;
 
     private static final int PORTS = 55_000;
 
-    /** 4,096 shard servers leave thirteen ports to each one's lives. */
-    private static final int LIVES = PORTS / Script.MOST_SERVERS;
+    /**
+     * Number of ports of each shard server, one for each of its lives: 13 with 4,096 shard servers.
+     */
+    private static final int PORTS_PER_SERVER = PORTS / Script.MOST_SERVERS;
 
-    /** What a gatherer needs a host of its own for. */
+    /** The purposes for which a gatherer has a loopback address of its own. */
     private enum Role {
         LISTENS,
         TWIN,
@@ -46,32 +49,34 @@
     }
 
     /**
+     * Reserves a block by listening on a fixed port of it.
+     *
      * @throws IOException if no block is free
      */
     public static Addresses claim() throws IOException {
-        for (int block = FIRST; block < FIRST + BLOCKS; block++) {
+        for (int block = FIRST_BLOCK; block < FIRST_BLOCK + BLOCKS; block++) {
             try {
                 return new Addresses(
                         block,
                         new ServerSocket(
                                 CLAIM_PORT, 1, InetAddress.getByName("127." + block + ".0.1")));
-            } catch (IOException taken) {
-                // By another rig.
+            } catch (IOException reservedByOther) {
+                // Another rig has reserved this block.
             }
         }
-        throw new IOException("no loopback block 127.64 to 127.189 is free: other rigs hold them");
+        throw new IOException("no loopback block 127.64 to 127.189 is free: other rigs use them");
     }
 
     /**
-     * The hosts of gatherers follow each other from 127.B.1.1 on; 250 of each 256 are used, four by
-     * each gatherer.
+     * Returns the address of a gatherer for one purpose. The addresses follow each other from
+     * 127.B.1.1 on. Of each 256 addresses 250 are used, four by each gatherer.
      */
     private String host(int gatherer, Role role) {
         int number = gatherer * Role.values().length + role.ordinal();
-        return "127." + block + "." + (1 + number / HOSTS_A_NET) + "." + (1 + number % HOSTS_A_NET);
+        return "127." + block + "." + (1 + number / NET_HOSTS) + "." + (1 + number % NET_HOSTS);
     }
 
-    /** Where a gatherer listens. */
+    /** Returns the address at which a gatherer listens. */
     public String gatherer(int number) {
         return host(number, Role.LISTENS);
     }
@@ -80,12 +85,18 @@
         return 8000;
     }
 
-    /** The port at which a gatherer hears others, at the address where it listens. */
+    /**
+     * Returns the port at which a gatherer receives the messages of other gatherers, at the address
+     * at which it listens.
+     */
     public int postPort() {
         return 8700;
     }
 
-    /** Where a gatherer finds the others, each at a port of its own. */
+    /**
+     * Returns the address at which a gatherer reaches the other gatherers, each at a port of its
+     * own.
+     */
     public String others(int gatherer) {
         return host(gatherer, Role.FINDS_OTHERS);
     }
@@ -94,12 +105,12 @@
         return FIRST_PORT + other;
     }
 
-    /** Where another process of a gatherer's name listens. */
+    /** Returns the address at which a second process of the same gatherer name listens. */
     public String twin(int number) {
         return host(number, Role.TWIN);
     }
 
-    /** Where a gatherer's discovery is. */
+    /** Returns the address of a gatherer's discovery agent. */
     public String discovery(int gatherer) {
         return host(gatherer, Role.FINDS_SERVERS);
     }
@@ -108,18 +119,23 @@
         return 8500;
     }
 
-    /** Where a gatherer meets all shard servers, each life of each at a port of its own. */
+    /**
+     * Returns the address at which a gatherer reaches all shard servers. Each life of each server
+     * has a port of its own.
+     */
     public String server(int gatherer) {
         return host(gatherer, Role.FINDS_SERVERS);
     }
 
     /**
-     * @param server its number, below {@link Script#MOST_SERVERS}
-     * @param life how often the server has come back; the port of a life that is long over is used
-     *     again
+     * Returns the port of one life of a shard server.
+     *
+     * @param server number of the server, below {@link Script#MOST_SERVERS}
+     * @param life how often the server has come back; a port is used again after {@code
+     *     PORTS_PER_SERVER} lives
      */
     public int serverPort(int server, int life) {
-        return FIRST_PORT + server * LIVES + life % LIVES;
+        return FIRST_PORT + server * PORTS_PER_SERVER + life % PORTS_PER_SERVER;
     }
 
     @Override
--- a/rig/src/main/java/sprucehold/rig/plan/Plan.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Plan.java
@@ -5,10 +5,10 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * A run, drawn.
+ * The plan of a run, drawn from a script and a seed.
  *
- * @param asks all scans in the order of their times
- * @param faults in the order of the script, their groups resolved
+ * @param asks all queries that clients will send, by time
+ * @param faults in the order of the script, with the names of their targets
  */
 public record Plan(
         long seed,
@@ -17,21 +17,27 @@
         List<Ask> asks,
         List<Befall> faults) {
 
-    /** A gatherer: its name, site, the seed it is given, and its clocks at its start. */
+    /**
+     * A gatherer.
+     *
+     * @param seed the seed that its process is started with
+     * @param clocks the errors of its clocks when it starts
+     */
     public record Gatherer(String name, String site, long seed, Clocks clocks) {}
 
     /**
-     * How a process's clocks are wrong.
+     * The errors of a process's clocks.
      *
-     * @param offMs how far its wall clock is off
-     * @param driftPpm how much too fast its counting clock runs, in parts of a million
-     * @param jumpMs by how much its wall clock jumps some seconds after the start
+     * @param offMs offset of its wall clock, in milliseconds
+     * @param driftPpm by how much its monotonic clock runs too fast, in parts per million
+     * @param jumpMs by how many milliseconds its wall clock jumps, some seconds after the start of
+     *     the process
      */
     public record Clocks(double offMs, double driftPpm, double jumpMs) {
-        /** As they should be. */
+        /** Clocks without errors. */
         public static final Clocks RIGHT = new Clocks(0, 0, 0);
 
-        /** These, and wrong by a fault as well. */
+        /** Returns these errors with those of a clock fault added. */
         public Clocks and(Fault fault) {
             return switch (fault.kind()) {
                 case CLOCK_OFF -> new Clocks(offMs + fault.amount(), driftPpm, jumpMs);
@@ -42,18 +48,28 @@
         }
     }
 
-    /** A shard server; {@code seed} draws the lengths of its work. */
+    /**
+     * A shard server.
+     *
+     * @param cell its replica group
+     * @param seed seed from which the durations of its work are drawn
+     */
     public record Server(String name, String site, int cell, long seed) {}
 
     /**
-     * A scan that a client will ask.
+     * A query that a client will send.
      *
-     * @param atMs when, in milliseconds from the first moment of the run
-     * @param weights of its parts, by segment
-     * @param load the line of the script's load that it comes from
+     * @param atMs when it is sent, in milliseconds since the start of the run
+     * @param load index of the script's load line that it belongs to
+     * @param weights weights of its parts, by segment
      */
     public record Ask(double atMs, String id, int load, Map<Integer, Double> weights) {}
 
-    /** A fault with those whom it befalls by name. */
+    /**
+     * A fault and its targets.
+     *
+     * @param of names of the targets, or of one end of the links
+     * @param to names of the parties that the script's {@code to} selects; see {@link Fault}
+     */
     public record Befall(Fault fault, List<String> of, List<String> to) {}
 }
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -34,7 +34,7 @@
         return new Planner(script, seed).plan();
     }
 
-    /** The plan as JSON, byte for byte the same for the same script and seed. */
+    /** Returns the plan as JSON, byte for byte the same for the same script and seed. */
     public static byte[] json(Plan plan) {
         try {
             return JsonMapper.builder()
@@ -43,16 +43,17 @@
                     .build()
                     .writeValueAsBytes(plan);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a plan has a JSON form", e);
+            throw new IllegalStateException("the plan could not be written as JSON", e);
         }
     }
 
     /**
-     * A source of chance of its own for each thing drawn, so that one more scan moves nothing else.
+     * Returns a random generator of its own for each drawn item, so that one more query in the
+     * script does not change the other draws.
      */
-    private UniformRandomProvider chance(String what, int number) {
+    private UniformRandomProvider random(String item, int number) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(
-                seed * 0x9E3779B97F4A7C15L + 31L * what.hashCode() + number);
+                seed * 0x9E3779B97F4A7C15L + 31L * item.hashCode() + number);
     }
 
     private Plan plan() {
@@ -62,9 +63,9 @@
             List<String> of = select(fault.of());
             if (fault.some() > 0) {
                 of = new ArrayList<>(of);
-                // By name: a fault draws the same ones whichever others are dropped from the
-                // script.
-                ListSampler.shuffle(chance("fault " + fault.name(), 0), of);
+                // Seeded by the fault's name, so that the fault selects the same targets even if
+                // other faults are dropped from the script.
+                ListSampler.shuffle(random("fault " + fault.name(), 0), of);
                 of = of.subList(0, fault.some()).stream().sorted().toList();
             }
             faults.add(new Plan.Befall(fault, of, select(fault.to())));
@@ -81,7 +82,7 @@
                     new Plan.Gatherer(
                             name,
                             cast.siteOf().get(name),
-                            chance("gatherer", gatherers.size()).nextLong(),
+                            random("gatherer", gatherers.size()).nextLong(),
                             clocks));
         }
         var servers = new ArrayList<Plan.Server>();
@@ -92,7 +93,7 @@
                             name,
                             cast.siteOf().get(name),
                             cell,
-                            chance("server", servers.size()).nextLong()));
+                            random("server", servers.size()).nextLong()));
         }
         var asks = new ArrayList<Plan.Ask>();
         for (int i = 0; i < script.load().size(); i++) {
@@ -108,29 +109,29 @@
     }
 
     private List<String> select(List<String> groups) {
-        return groups.stream().flatMap(who -> cast.select(who).stream()).distinct().toList();
+        return groups.stream().flatMap(name -> cast.select(name).stream()).distinct().toList();
     }
 
     /**
-     * Poisson arrivals whose rate changes: drawn at the highest rate and thinned (Lewis and
-     * Shedler).
+     * Adds the queries of one load line: Poisson arrivals with a changing rate, drawn at the
+     * highest rate and thinned (Lewis and Shedler).
      */
     private void asks(int line, List<Plan.Ask> into) {
         Script.Load load = script.load().get(line);
-        UniformRandomProvider chance = chance("load", line);
-        double most =
+        UniformRandomProvider random = random("load", line);
+        double maxRate =
                 Math.max(
                         load.scansPerS(),
                         load.ramps().stream().mapToDouble(Script.Ramp::scansPerS).max().orElse(0));
-        if (most <= 0) {
+        if (maxRate <= 0) {
             return;
         }
-        var gap = ZigguratSampler.Exponential.of(chance, 1 / most);
+        var gap = ZigguratSampler.Exponential.of(random, 1 / maxRate);
         for (double at = gap.sample(); at < script.lengthS(); at += gap.sample()) {
-            double draw = chance.nextDouble();
-            String id = String.format(Locale.ROOT, "%016x", chance.nextLong());
-            Map<Integer, Double> weights = weights(load, chance);
-            if (draw < rate(load, at) / most) {
+            double draw = random.nextDouble();
+            String id = String.format(Locale.ROOT, "%016x", random.nextLong());
+            Map<Integer, Double> weights = weights(load, random);
+            if (draw < rate(load, at) / maxRate) {
                 into.add(new Plan.Ask(at * 1000, id, line, weights));
             }
         }
@@ -148,17 +149,20 @@
         return rate;
     }
 
-    /** Distinct segments with equal weights; the first ones oftener where some are popular. */
-    private Map<Integer, Double> weights(Script.Load load, UniformRandomProvider chance) {
+    /**
+     * Returns distinct segments with equal weights. If the load has popular segments, those with
+     * low numbers are drawn more often.
+     */
+    private Map<Integer, Double> weights(Script.Load load, UniformRandomProvider random) {
         var weights = new TreeMap<Integer, Double>();
         var zipf =
                 load.popular() > 0
                         ? RejectionInversionZipfSampler.of(
-                                chance, script.segments(), load.popular())
+                                random, script.segments(), load.popular())
                         : null;
         while (weights.size() < load.parts()) {
             weights.put(
-                    zipf == null ? chance.nextInt(script.segments()) : zipf.sample() - 1,
+                    zipf == null ? random.nextInt(script.segments()) : zipf.sample() - 1,
                     1.0 / load.parts());
         }
         return weights;
--- a/rig/src/main/java/sprucehold/rig/plan/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/plan/package-info.java
@@ -1,6 +1,7 @@
 /**
- * All chance of a run, drawn from one seed before it begins: who takes part, every scan that
- * clients will ask, and whom each fault befalls. The entry point is {@link
- * sprucehold.rig.plan.Planner}. Pure; the same seed gives the same plan to the byte.
+ * Everything random in a run, drawn from one seed before the run begins: the gatherers and shard
+ * servers with their seeds, every query that clients will send, and the targets of each fault. The
+ * entry point is {@link sprucehold.rig.plan.Planner}. Pure; the same script and seed give the same
+ * plan, byte for byte.
  */
 package sprucehold.rig.plan;
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -19,11 +19,14 @@
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.shrink.Shrinker;
 
-/** When faults begin and end, and what they come to on a link. */
+/**
+ * Tests the schedule of faults, their combined effect on a link, and the shrinking of failing
+ * scripts.
+ */
 public class FaultsTest {
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    private static List<String> words(List<FaultBoard.Change> changes) {
+    private static List<String> describe(List<FaultBoard.Change> changes) {
         return changes.stream()
                 .map(
                         change ->
@@ -32,7 +35,7 @@
                 .toList();
     }
 
-    private static Plan.Befall when(
+    private static Plan.Befall triggered(
             String name, Fault.Trigger trigger, double after, double lasts) {
         return new Plan.Befall(
                 new Fault(
@@ -53,18 +56,18 @@
     }
 
     @Test
-    public void faultsBeginAndEndInTheOrderOfTheirTimesHoweverLateTheyAreLookedAt() {
+    public void faultsBeginAndEndInTheOrderOfTheirTimesEvenIfPolledLate() {
         var board =
                 new FaultBoard(
                         List.of(
                                 Scripts.befall(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
                                 Scripts.befall(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
-                                when("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
-                                when("d", new Fault.Trigger("", "g", 3), 1, 1)));
-        assertEquals(words(board.at(0.9)), List.of());
+                                triggered("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
+                                triggered("d", new Fault.Trigger("", "g", 3), 1, 1)));
+        assertEquals(describe(board.at(0.9)), List.of());
         assertEquals(board.nextS(), 1.0);
         assertEquals(
-                words(board.at(10)),
+                describe(board.at(10)),
                 List.of("a begins", "b begins", "c begins", "b ends", "a ends"));
         assertTrue(board.counts());
         board.out(11, "h", 9);
@@ -73,7 +76,7 @@
         board.out(12, "g", 3);
         board.out(12, "g", 4);
         assertFalse(board.counts());
-        assertEquals(words(board.at(20)), List.of("d begins", "d ends"));
+        assertEquals(describe(board.at(20)), List.of("d begins", "d ends"));
         assertEquals(board.inForce().size(), 1);
     }
 
@@ -102,7 +105,7 @@
     }
 
     @Test
-    public void faultsOnALinkAddUpAndOnesOfOneWayLeaveTheOther() {
+    public void linkFaultsAddUpAndOneWayFaultsLeaveTheOtherDirectionUnchanged() {
         var board = new LinkBoard();
         var slow = link(Fault.Kind.DELAY, 30, Fault.Mode.SILENT, false);
         board.change(change(true, slow));
@@ -115,7 +118,7 @@
         assertEquals(board.of("g", "t"), Treatment.SOUND);
         board.change(change(false, slow));
         assertEquals(board.of("s", "g"), Treatment.SOUND);
-        assertTrue(board.hurt("s", "g"));
+        assertTrue(board.hasFaults("s", "g"));
     }
 
     private static Shaper<Integer> shaper(LinkBoard board) {
@@ -123,7 +126,7 @@
     }
 
     @Test
-    public void whatIsPushedComesInOrderAndNoSoonerThanTheLinkLetsIt() {
+    public void messagesPassInOrderAndNotBeforeDelayAndRateAllow() {
         var board = new LinkBoard();
         var slow = link(Fault.Kind.DELAY, 20, Fault.Mode.SILENT, true);
         var narrow = link(Fault.Kind.RATE, 1000, Fault.Mode.SILENT, true);
@@ -132,15 +135,15 @@
         for (int i = 0; i < 100; i++) {
             shaper.push(i, 10, i);
         }
-        var came = new ArrayList<Integer>();
+        var delivered = new ArrayList<Integer>();
         for (double now = 0; now < 300; now++) {
-            for (int one : shaper.due(now)) {
-                assertTrue(now >= one + 20, one + " at " + now);
-                came.add(one);
+            for (int message : shaper.due(now)) {
+                assertTrue(now >= message + 20, message + " at " + now);
+                delivered.add(message);
             }
         }
-        assertEquals(came.size(), 100);
-        assertEquals(came, came.stream().sorted().toList());
+        assertEquals(delivered.size(), 100);
+        assertEquals(delivered, delivered.stream().sorted().toList());
         board.change(change(false, slow));
         board.change(change(true, narrow));
         shaper.push(1000, 500, 1);
@@ -151,10 +154,10 @@
     }
 
     @Test
-    public void aCutHoldsBackUntilItIsMendedAndAHalfOpenLinkForGood() {
+    public void aCutHoldsMessagesBackUntilItEndsAndAHalfOpenConnectionNeverDelivers() {
         var board = new LinkBoard();
         var cut = link(Fault.Kind.CUT, 0, Fault.Mode.SILENT, true);
-        var half = link(Fault.Kind.HALF_OPEN, 0, Fault.Mode.SILENT, true);
+        var halfOpen = link(Fault.Kind.HALF_OPEN, 0, Fault.Mode.SILENT, true);
         var shaper = shaper(board);
         board.change(change(true, cut));
         shaper.push(1, 10, 1);
@@ -162,15 +165,15 @@
         assertEquals(shaper.nextMs(), NEVER);
         board.change(change(false, cut));
         assertEquals(shaper.due(1001), List.of(1));
-        board.change(change(true, half));
-        var dead = shaper(board);
-        board.change(change(false, half));
-        dead.push(1, 10, 1);
-        assertEquals(dead.due(1e9), List.of());
+        board.change(change(true, halfOpen));
+        var neverDelivers = shaper(board);
+        board.change(change(false, halfOpen));
+        neverDelivers.push(1, 10, 1);
+        assertEquals(neverDelivers.due(1e9), List.of());
     }
 
     @Test
-    public void aConnectionBreaksAfterItsNthByte() {
+    public void aConnectionIsCutAfterTheGivenNumberOfBytes() {
         var board = new LinkBoard();
         board.change(change(true, link(Fault.Kind.CUT_AFTER, 25, Fault.Mode.SILENT, true)));
         var shaper = shaper(board);
@@ -182,41 +185,41 @@
     }
 
     /**
-     * Against every pair of faults as the cause, in shuffled scripts: what is left is the cause and
-     * nothing else.
+     * Draws one or two faults as the cause of a failure, in shuffled scripts: only these faults
+     * remain.
      */
     @Test
-    public void shrinkingLeavesTheCauseAlone() throws IOException {
-        var chance = new Random(5);
+    public void shrinkingKeepsExactlyTheFaultsThatCauseTheFailure() throws IOException {
+        var random = new Random(5);
         for (int trial = 0; trial < 200; trial++) {
             var faults = new ArrayList<Fault>();
             for (int i = 0; i < 8; i++) {
-                faults.add(Scripts.fault("f" + i, Fault.Kind.FULL, i, 1 + chance.nextInt(5), 0));
+                faults.add(Scripts.fault("f" + i, Fault.Kind.FULL, i, 1 + random.nextInt(5), 0));
             }
-            Collections.shuffle(faults, chance);
-            String one = "f" + chance.nextInt(8);
-            String other = "f" + chance.nextInt(8);
-            var left =
+            Collections.shuffle(faults, random);
+            String one = "f" + random.nextInt(8);
+            String other = "f" + random.nextInt(8);
+            var remaining =
                     Shrinker.shrink(
                             faults,
-                            with ->
-                                    with.stream().anyMatch(fault -> fault.name().equals(one))
-                                            && with.stream()
+                            kept ->
+                                    kept.stream().anyMatch(fault -> fault.name().equals(one))
+                                            && kept.stream()
                                                     .anyMatch(fault -> fault.name().equals(other)));
             assertEquals(
-                    left.stream().map(Fault::name).sorted().toList(),
+                    remaining.stream().map(Fault::name).sorted().toList(),
                     List.of(one, other).stream().distinct().sorted().toList());
         }
     }
 
     @Test
-    public void aFaultThatAnotherWaitsForIsNotDroppedAlone() throws IOException {
+    public void shrinkingKeepsAFaultThatTriggersANeededFault() throws IOException {
         var cause = Scripts.fault("cause", Fault.Kind.FULL, 0, 1, 0);
-        var effect = when("effect", new Fault.Trigger("cause", "", 0), 1, 1).fault();
-        var left =
+        var effect = triggered("effect", new Fault.Trigger("cause", "", 0), 1, 1).fault();
+        var remaining =
                 Shrinker.shrink(
                         List.of(cause, effect),
-                        with -> with.stream().anyMatch(fault -> fault.name().equals("effect")));
-        assertEquals(left, List.of(cause, effect));
+                        kept -> kept.stream().anyMatch(fault -> fault.name().equals("effect")));
+        assertEquals(remaining, List.of(cause, effect));
     }
 }
--- a/rig/src/test/java/sprucehold/rig/ModelsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ModelsTest.java
@@ -20,7 +20,10 @@
 import sprucehold.rig.server.ServerModel;
 import sprucehold.rig.server.ServerModel.Act;
 
-/** Stand-ins without sockets, in virtual time. */
+/**
+ * Tests the models of shard servers, discovery, fronts and clients without sockets, in virtual
+ * time.
+ */
 public class ModelsTest {
     private static final Object LINK = new Object();
 
@@ -33,7 +36,7 @@
         return new ServerModel("s-a-0-0", Scripts.shipped("calm"), 9, startedMs);
     }
 
-    /** All that comes of a model from now on, up to a time. */
+    /** Returns the actions of a model from now on, up to a time. */
     private static List<Act> until(ServerModel model, double ms) {
         var acts = new ArrayList<Act>();
         while (model.nextMs() <= ms) {
@@ -62,7 +65,7 @@
     }
 
     @Test
-    public void whatIsGivenUpBeforeItBeginsNeverRunsAndWhatRunsHasItsEffect() {
+    public void aCancelledPartRunsOnlyIfItHasStartedAndIsNotAnswered() {
         var model = model(0);
         for (int i = 0; i < 3; i++) {
             model.arrives(100, part(i, "a-0", "offers"));
@@ -71,14 +74,14 @@
             model.gaveUp(LINK, "s" + i + ".1");
         }
         var acts = until(model, 1e6);
-        // Two cores: two of them run, and nobody is told.
+        // The server has two cores: two parts run, and no answer is sent.
         assertEquals(acts.stream().filter(Act.Ran.class::isInstance).count(), 2);
         assertEquals(hits(acts), 0);
     }
 
     @Test
-    public void aColdServerIsPushedOverByTheSumOfAllAndAWarmOneByNone() {
-        // A bound that is reached before the queue is full.
+    public void aColdServerCrashesUnderTheTotalLoadOfAllGatherersAndAWarmOneDoesNot() {
+        // With this multiple, the overload limit is reached before the queue is full.
         Script script = Scripts.cold(0.5);
         var cold = new ServerModel("s-a-0-0", script, 9, 10_000);
         var warm = new ServerModel("s-a-0-0", script, 9, 0);
@@ -89,11 +92,11 @@
             warm.arrives(10_001, part(sent, "a-0", "offers"));
             sent++;
         }
-        var fell = (Act.FellOver) acts.get(acts.size() - 1);
-        // Half of what two cores at a fifth of their speed do in a second.
-        double sum = fell.workByGatherer().values().stream().mapToDouble(work -> work).sum();
-        assertTrue(sum > 200 && sum < 300, "pushed by " + sum);
-        assertEquals(fell.workByGatherer().keySet(), Set.of("a-0", "b-0"));
+        var crash = (Act.FellOver) acts.get(acts.size() - 1);
+        // The limit is half of the work that two cores at a fifth of their speed do in a second.
+        double sum = crash.workByGatherer().values().stream().mapToDouble(work -> work).sum();
+        assertTrue(sum > 200 && sum < 300, "overloaded by " + sum);
+        assertEquals(crash.workByGatherer().keySet(), Set.of("a-0", "b-0"));
         assertEquals(cold.held(), 0);
         assertTrue(warm.held() > 0);
     }
@@ -119,7 +122,7 @@
     }
 
     @Test
-    public void faultsDoWhatTheySayAndNoMore() {
+    public void eachServerFaultHasOnlyItsOwnEffect() {
         var model = model(0);
         var grey = fault(Fault.Kind.GREY, 0, List.of("offers"), "b-1");
         model.change(0, true, grey);
@@ -170,49 +173,49 @@
     }
 
     @Test
-    public void agentsTellTheListLateWronglyBackwardsOrNotAtAll() {
+    public void agentsReturnTheListLateIncompleteOutdatedOrNotAtAll() {
         var list =
                 new ServerList(
                         List.of(
                                 entry("x", ServerList.Status.ACTIVE, 0),
                                 entry("y", ServerList.Status.ACTIVE, 0)));
         var agent = new Agent(list);
-        assertEquals(agent.ask(1, -1, false).entries().size(), 2);
-        assertNull(agent.ask(1, 1, false));
-        assertEquals(agent.ask(1, 1, true).entries(), List.of());
+        assertEquals(agent.answer(1, -1, false).entries().size(), 2);
+        assertNull(agent.answer(1, 1, false));
+        assertEquals(agent.answer(1, 1, true).entries(), List.of());
         var late = list(Fault.Kind.LIST_LATE, 500);
         agent.change(true, late);
         list.change(100, entry("x", ServerList.Status.LEAVING, 0));
-        assertNull(agent.ask(599, 1, false));
+        assertNull(agent.answer(599, 1, false));
         assertEquals(
-                agent.ask(600, 1, false),
-                new Agent.News(2, false, List.of(entry("x", ServerList.Status.LEAVING, 0))));
+                agent.answer(600, 1, false),
+                new Agent.Answer(2, false, List.of(entry("x", ServerList.Status.LEAVING, 0))));
         agent.change(false, late);
         var back = list(Fault.Kind.LIST_BACK, 0);
         agent.change(true, back);
         assertEquals(
-                agent.ask(700, 2, false),
-                new Agent.News(
+                agent.answer(700, 2, false),
+                new Agent.Answer(
                         1,
                         true,
                         List.of(
                                 entry("x", ServerList.Status.ACTIVE, 0),
                                 entry("y", ServerList.Status.ACTIVE, 0))));
         agent.change(false, back);
-        assertEquals(agent.ask(800, 1, false).index(), 2);
+        assertEquals(agent.answer(800, 1, false).index(), 2);
         var hides = list(Fault.Kind.LIST_HIDES, 0, "y");
         agent.change(true, hides);
-        assertEquals(agent.ask(900, 2, false).entries().size(), 1);
+        assertEquals(agent.answer(900, 2, false).entries().size(), 1);
         agent.change(false, hides);
-        assertEquals(agent.ask(901, 2, false).entries().size(), 2);
+        assertEquals(agent.answer(901, 2, false).entries().size(), 2);
         var silent = list(Fault.Kind.LIST_SILENT, 0);
         agent.change(true, silent);
-        assertNull(agent.ask(902, -1, true));
-        assertEquals(agent.known().index(), 2);
+        assertNull(agent.answer(902, -1, true));
+        assertEquals(agent.lastSent().index(), 2);
     }
 
     @Test
-    public void aFrontGoesOnSendingClientsToWhoIsGoneUntilItLearns() {
+    public void aFrontSendsClientsToAGoneGathererUntilItsDetectionDelayIsOver() {
         var front = new Front(Map.of("a-0", "a", "a-1", "a", "b-0", "b"), 1000);
         assertNull(front.next(0, "a"));
         front.ready("a-0");
@@ -226,16 +229,16 @@
     }
 
     @Test
-    public void clientsAskAgainNoSoonerThanToldAndNoOftenerThanTheScriptSays() {
+    public void clientsRetryNotBeforeRetryAfterAndNotMoreOftenThanTheScriptAllows() {
         var load = new Script.Load("a", "acme", "offers", 1, 1, 0, List.of(), 3, 100, 1000);
-        var chance = new Random(3);
+        var random = new Random(3);
         for (int seed = 0; seed < 100; seed++) {
             var persistence = new Persistence(load, seed);
-            for (int tried = 0; tried < 3; tried++) {
-                double told = chance.nextInt(600);
-                double least = Math.max(told, 100 * Math.pow(2, tried));
-                double wait = persistence.throttled(told);
-                assertTrue(wait >= least && wait <= 1.5 * least, wait + " after " + told);
+            for (int retry = 0; retry < 3; retry++) {
+                double retryAfterMs = random.nextInt(600);
+                double least = Math.max(retryAfterMs, 100 * Math.pow(2, retry));
+                double wait = persistence.throttled(retryAfterMs);
+                assertTrue(wait >= least && wait <= 1.5 * least, wait + " after " + retryAfterMs);
             }
             assertEquals(persistence.throttled(0), -1.0);
             assertEquals(persistence.id("x"), "x-3");
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -29,12 +29,12 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * What stands between two gatherers: a connection and datagrams, relayed on real sockets, with the
+ * Tests the relays between two gatherers on real sockets: a TCP connection and datagrams, with the
  * faults of their link.
  */
 public class RelayTest {
-    private static final String HERE = "127.0.0.1";
-    private static final int WITHIN_S = 20;
+    private static final String HOST = "127.0.0.1";
+    private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
     private Wires wires;
@@ -42,24 +42,24 @@
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-        long begun = System.nanoTime();
-        wires = new Wires(vertx, () -> (System.nanoTime() - begun) / 1e6, 5);
+        long startNs = System.nanoTime();
+        wires = new Wires(vertx, () -> (System.nanoTime() - startNs) / 1e6, 5);
     }
 
     @AfterMethod
     public void close() throws Exception {
-        vertx.close().toCompletionStage().toCompletableFuture().get(WITHIN_S, TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Runs on the event loop, where all of a rig runs. */
-    private <T> T on(Supplier<Future<T>> what)
+    /** Runs an action on the event loop, on which all of a rig runs, and waits for its result. */
+    private <T> T await(Supplier<Future<T>> action)
             throws ExecutionException, InterruptedException, TimeoutException {
         Promise<T> done = Promise.promise();
-        vertx.runOnContext(none -> what.get().onComplete(done));
+        vertx.runOnContext(none -> action.get().onComplete(done));
         return done.future()
                 .toCompletionStage()
                 .toCompletableFuture()
-                .get(WITHIN_S, TimeUnit.SECONDS);
+                .get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     private Future<Void> fault(boolean begins, Fault.Kind kind, double amount, Fault.Mode mode) {
@@ -81,42 +81,42 @@
         return Future.succeededFuture();
     }
 
-    /** One end of a connection, and what came to it. */
+    /** One end of a connection, with the bytes that it received. */
     private static final class End {
         final NetSocket socket;
-        final Buffer came = Buffer.buffer();
-        final Promise<Void> over = Promise.promise();
-        private int awaited = Integer.MAX_VALUE;
-        private Promise<String> enough = Promise.promise();
+        final Buffer received = Buffer.buffer();
+        final Promise<Void> closed = Promise.promise();
+        private int expectedBytes = Integer.MAX_VALUE;
+        private Promise<String> complete = Promise.promise();
 
         End(NetSocket socket) {
             this.socket = socket;
             socket.handler(
                     bytes -> {
-                        came.appendBuffer(bytes);
-                        look();
+                        received.appendBuffer(bytes);
+                        completeIfReceived();
                     });
             socket.exceptionHandler(failure -> {});
-            socket.closeHandler(none -> over.tryComplete());
+            socket.closeHandler(none -> closed.tryComplete());
         }
 
-        private void look() {
-            if (came.length() >= awaited) {
-                enough.tryComplete(came.toString());
+        private void completeIfReceived() {
+            if (received.length() >= expectedBytes) {
+                complete.tryComplete(received.toString());
             }
         }
 
         Future<String> bytes(int count) {
-            awaited = count;
-            enough = Promise.promise();
-            look();
-            return enough.future();
+            expectedBytes = count;
+            complete = Promise.promise();
+            completeIfReceived();
+            return complete.future();
         }
     }
 
     private record Pair(End near, End far) {}
 
-    /** a's connection to b, through a relay. */
+    /** Opens a connection from a to b through a relay. */
     private Pair pair() throws ExecutionException, InterruptedException, TimeoutException {
         return pair("a", "b");
     }
@@ -124,15 +124,19 @@
     private Pair pair(String from, String to)
             throws ExecutionException, InterruptedException, TimeoutException {
         Promise<End> far = Promise.promise();
-        End near = on(() -> dial(from, to, socket -> far.complete(new End(socket))).map(End::new));
-        return new Pair(near, on(far::future));
+        End near =
+                await(() -> dial(from, to, socket -> far.complete(new End(socket))).map(End::new));
+        return new Pair(near, await(far::future));
     }
 
-    /** Dials a relay from one to another; the far end goes to {@code reached}. */
-    private Future<NetSocket> dial(String from, String to, Handler<NetSocket> reached) {
+    /**
+     * Connects to a relay from one party to another. The far end of the connection is passed to
+     * {@code accepted}.
+     */
+    private Future<NetSocket> dial(String from, String to, Handler<NetSocket> accepted) {
         return vertx.createNetServer()
-                .connectHandler(reached)
-                .listen(0, HERE)
+                .connectHandler(accepted)
+                .listen(0, HOST)
                 .compose(
                         server ->
                                 new TcpRelay(
@@ -141,16 +145,16 @@
                                                 from,
                                                 to,
                                                 SocketAddress.inetSocketAddress(
-                                                        server.actualPort(), HERE))
-                                        .listen(HERE, 0))
-                .compose(port -> vertx.createNetClient().connect(port, HERE));
+                                                        server.actualPort(), HOST))
+                                        .listen(HOST, 0))
+                .compose(port -> vertx.createNetClient().connect(port, HOST));
     }
 
     @Test
-    public void bytesComeInOrderBothWaysAndAnEndComesAfterThem() throws Exception {
+    public void bytesAreRelayedInOrderBothWaysAndTheCloseFollowsThem() throws Exception {
         Pair pair = pair();
         var sent = new StringBuilder();
-        on(
+        await(
                 () -> {
                     for (int i = 0; i < 500; i++) {
                         sent.append(i).append(' ');
@@ -159,25 +163,27 @@
                     }
                     return pair.near.bytes(sent.length());
                 });
-        assertEquals(pair.near.came.toString(), sent.toString());
-        on(() -> pair.near.socket.end());
-        assertEquals(on(() -> pair.far.bytes(sent.length())), sent.toString());
-        on(pair.far.over::future);
-        on(pair.near.over::future);
+        assertEquals(pair.near.received.toString(), sent.toString());
+        await(() -> pair.near.socket.end());
+        assertEquals(await(() -> pair.far.bytes(sent.length())), sent.toString());
+        await(pair.far.closed::future);
+        await(pair.near.closed::future);
     }
 
     @Test
-    public void aSilentCutHoldsBackWhatIsSentUntilItIsMended() throws Exception {
+    public void aSilentCutHoldsBytesBackUntilItEnds() throws Exception {
         Pair pair = pair();
-        on(() -> fault(true, Fault.Kind.CUT, 0, Fault.Mode.SILENT));
-        on(() -> pair.near.socket.write("held").compose(written -> pair.far.socket.write("back")));
-        // The loop goes round with bytes of another link, so what could have passed would have.
+        await(() -> fault(true, Fault.Kind.CUT, 0, Fault.Mode.SILENT));
+        await(
+                () -> pair.near.socket.write("held").compose(ok -> pair.far.socket.write("back")));
+        // First let bytes of another link pass through the event loop, so that bytes of the cut
+        // link would have arrived if the cut let them pass.
         Pair other = pair("c", "d");
-        on(() -> other.near.socket.write("passes"));
-        assertEquals(on(() -> other.far.bytes(6)), "passes");
-        assertEquals(pair.far.came.length() + pair.near.came.length(), 0);
-        on(() -> fault(false, Fault.Kind.CUT, 0, Fault.Mode.SILENT));
-        assertEquals(on(() -> pair.far.bytes(4)) + on(() -> pair.near.bytes(4)), "heldback");
+        await(() -> other.near.socket.write("passes"));
+        assertEquals(await(() -> other.far.bytes(6)), "passes");
+        assertEquals(pair.far.received.length() + pair.near.received.length(), 0);
+        await(() -> fault(false, Fault.Kind.CUT, 0, Fault.Mode.SILENT));
+        assertEquals(await(() -> pair.far.bytes(4)) + await(() -> pair.near.bytes(4)), "heldback");
     }
 
     @DataProvider
@@ -189,31 +195,34 @@
     }
 
     @Test(dataProvider = "ends")
-    public void aConnectionThatAFaultEndsIsOverAtBothEnds(
-            String what, Fault.Kind kind, double amount, Fault.Mode mode, int passes)
+    public void aConnectionCutByAFaultIsClosedAtBothEnds(
+            String name, Fault.Kind kind, double amount, Fault.Mode mode, int passes)
             throws Exception {
         Pair pair = pair();
-        on(() -> fault(true, kind, amount, mode));
-        on(() -> pair.near.socket.write("0123456789").otherwiseEmpty());
-        on(pair.near.over::future);
-        on(pair.far.over::future);
-        assertEquals(pair.far.came.length(), passes, what);
+        await(() -> fault(true, kind, amount, mode));
+        await(() -> pair.near.socket.write("0123456789").otherwiseEmpty());
+        await(pair.near.closed::future);
+        await(pair.far.closed::future);
+        assertEquals(pair.far.received.length(), passes, name);
     }
 
     @Test
-    public void aRefusedConnectionEndsAndReachesNobody() throws Exception {
-        on(() -> fault(true, Fault.Kind.CUT, 0, Fault.Mode.REFUSED));
-        var reached = new ArrayList<NetSocket>();
-        End near = on(() -> dial("a", "b", reached::add).map(End::new));
-        on(near.over::future);
-        assertTrue(reached.isEmpty());
+    public void aRefusedConnectionIsClosedAndNotRelayed() throws Exception {
+        await(() -> fault(true, Fault.Kind.CUT, 0, Fault.Mode.REFUSED));
+        var relayed = new ArrayList<NetSocket>();
+        End near = await(() -> dial("a", "b", relayed::add).map(End::new));
+        await(near.closed::future);
+        assertTrue(relayed.isEmpty());
     }
 
     @Test
-    public void whoLeavesBeforeTheFarEndIsUpLeavesNothingBehind() throws Exception {
+    public void aClientThatClosesBeforeTheFarEndIsConnectedLeavesNoSocketOpen() throws Exception {
         Promise<End> far = Promise.promise();
-        on(() -> dial("a", "b", socket -> far.complete(new End(socket))).compose(NetSocket::close));
-        on(() -> far.future().compose(end -> end.over.future()));
+        await(
+                () ->
+                        dial("a", "b", socket -> far.complete(new End(socket)))
+                                .compose(NetSocket::close));
+        await(() -> far.future().compose(end -> end.closed.future()));
         assertEquals(wires.count(), 0);
     }
 
@@ -230,43 +239,43 @@
     }
 
     @Test(dataProvider = "datagrams")
-    public void datagramsMeetTheFaultsOfTheirLink(
-            String what, Fault.Kind kind, double amount, List<String> expected) throws Exception {
-        var came = new ArrayList<String>();
+    public void datagramsAreLostRepeatedOrReorderedByTheFaultOfTheirLink(
+            String name, Fault.Kind kind, double amount, List<String> expected) throws Exception {
+        var received = new ArrayList<String>();
         Promise<Void> end = Promise.promise();
         DatagramSocket target = vertx.createDatagramSocket();
         DatagramSocket sender = vertx.createDatagramSocket();
-        on(
+        await(
                 () ->
                         target.handler(
                                         packet -> {
                                             if (packet.data().toString().equals("end")) {
                                                 end.tryComplete();
                                             } else {
-                                                came.add(packet.data().toString());
+                                                received.add(packet.data().toString());
                                             }
                                         })
-                                .listen(0, HERE));
+                                .listen(0, HOST));
         int at = target.localAddress().port();
-        var relay = new DatagramRelay(vertx, wires, "a", "b", HERE, at);
-        int port = on(() -> relay.listen(HERE, 0));
+        var relay = new DatagramRelay(vertx, wires, "a", "b", HOST, at);
+        int port = await(() -> relay.listen(HOST, 0));
         if (kind != null) {
-            on(() -> fault(true, kind, amount, Fault.Mode.SILENT));
+            await(() -> fault(true, kind, amount, Fault.Mode.SILENT));
         }
-        for (String one : List.of("1", "2", "3", "4")) {
-            on(() -> sender.send(one, port, HERE));
+        for (String text : List.of("1", "2", "3", "4")) {
+            await(() -> sender.send(text, port, HOST));
         }
         if (kind != null) {
-            on(() -> hasRead(relay, 4));
-            on(() -> fault(false, kind, amount, Fault.Mode.SILENT));
+            await(() -> hasReceived(relay, 4));
+            await(() -> fault(false, kind, amount, Fault.Mode.SILENT));
         }
-        on(() -> sender.send("end", port, HERE).compose(sent -> end.future()));
-        assertEquals(came, expected, what);
+        await(() -> sender.send("end", port, HOST).compose(sent -> end.future()));
+        assertEquals(received, expected, name);
     }
 
-    private Future<Void> hasRead(DatagramRelay relay, long count) {
-        return relay.read() >= count
+    private Future<Void> hasReceived(DatagramRelay relay, long count) {
+        return relay.receivedCount() >= count
                 ? Future.succeededFuture()
-                : vertx.timer(1).compose(waited -> hasRead(relay, count));
+                : vertx.timer(1).compose(waited -> hasReceived(relay, count));
     }
 }
--- a/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
+++ b/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
@@ -13,7 +13,7 @@
 
 public class AddressesTest {
     @Test
-    public void eachOfAFullFleetHasAddressesOfItsOwn() throws IOException {
+    public void gatherersOfTheLargestFleetHaveDistinctLoopbackAddresses() throws IOException {
         try (var addresses = Addresses.claim()) {
             Set<String> hosts = new HashSet<>();
             for (int gatherer = 0; gatherer < Script.MOST_GATHERERS; gatherer++) {
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void eachServerAndEachOfItsLivesInARowHasAPortOfItsOwn() throws IOException {
+    public void allServersAndTwoConsecutiveLivesOfEachHaveDistinctPorts() throws IOException {
         try (var addresses = Addresses.claim()) {
             Set<Integer> ports = new HashSet<>();
             IntStream.range(0, Script.MOST_SERVERS)
