--- a/rig/src/main/java/sprucehold/rig/script/Cast.java
+++ b/rig/src/main/java/sprucehold/rig/script/Cast.java
@@ -7,10 +7,11 @@
 import java.util.stream.Stream;
 
 /**
- * Who takes part in a run, by name: gatherers {@code a-0}, shard servers {@code s-a-0-1} (site,
- * cell, holder), clients {@code clients@a}; discovery is named by the gatherer that it tells.
+ * The parties of a run, by name: gatherers {@code a-0}, shard servers {@code s-a-0-1} (site,
+ * replica group, replica) and clients {@code clients@a}. A discovery agent has the name of the
+ * gatherer that it serves.
  *
- * @param siteOf the site of each, clients included
+ * @param siteOf the site of each party, clients included
  */
 public record Cast(
         List<String> gatherers,
@@ -44,13 +45,15 @@
                 Map.copyOf(siteOf));
     }
 
-    /** All that a name or a group means; empty if nobody. */
-    public List<String> select(String who) {
-        if (siteOf.containsKey(who)) {
-            return List.of(who);
+    /**
+     * Returns the names of the parties that a name or a group selects; empty if it selects none.
+     */
+    public List<String> select(String selector) {
+        if (siteOf.containsKey(selector)) {
+            return List.of(selector);
         }
-        int at = who.indexOf('@');
-        String group = at < 0 ? who : who.substring(0, at);
+        int at = selector.indexOf('@');
+        String group = at < 0 ? selector : selector.substring(0, at);
         List<String> all =
                 switch (group) {
                     case "gatherers", "discovery" -> gatherers;
@@ -63,7 +66,7 @@
         return at < 0
                 ? all
                 : all.stream()
-                        .filter(name -> siteOf.get(name).equals(who.substring(at + 1)))
+                        .filter(name -> siteOf.get(name).equals(selector.substring(at + 1)))
                         .toList();
     }
 }
--- a/rig/src/main/java/sprucehold/rig/script/Fault.java
+++ b/rig/src/main/java/sprucehold/rig/script/Fault.java
@@ -5,15 +5,20 @@
 /**
  * One fault of a script.
  *
- * @param of whom it befalls: names, or groups such as {@code gatherers}, {@code servers@b}, {@code
- *     clients@a}, {@code discovery}, {@code @b} (all of a site)
- * @param to the other end where it lies on links, whom a server answers no more, or which servers
- *     are hidden
- * @param some how many of {@code of}, drawn by the run's seed; 0 for all
- * @param atS when it begins, in seconds from the first scan; with {@code when}, how long after that
- * @param when what has to have happened before, or null
- * @param forS how long it lasts, in seconds; infinite where it has no end
- * @param amount how much of it, in the unit that its kind says
+ * @param of targets: names, or groups such as {@code gatherers}, {@code servers@b}, {@code
+ *     clients@a}, {@code discovery}, {@code @b} (all parties of a site)
+ * @param to for a fault on links, the other end of the links; for {@link Kind#GREY}, the gatherers
+ *     that get no answers; for {@link Kind#LIST_HIDES}, the hidden servers
+ * @param some number of targets that are drawn from {@code of} by the run's seed; 0 for all
+ * @param atS when the fault begins, in seconds since the first query; with {@code when}, in seconds
+ *     since that trigger
+ * @param when the trigger of the fault, or null if it begins at a fixed time
+ * @param forS duration, in seconds; infinite if the fault doesn't end
+ * @param amount strength of the fault, in the unit of its kind
+ * @param mode for {@link Kind#CUT}, how the link is cut; for {@link Kind#LOSE_ANSWERS}, whether the
+ *     connection is reset
+ * @param oneWay whether a fault on links affects only the direction from {@code of} to {@code to}
+ * @param tableTypes query classes whose parts get no answers, for {@link Kind#GREY}
  */
 public record Fault(
         String name,
@@ -30,25 +35,32 @@
         List<String> tableTypes) {
 
     /**
-     * What a fault waits for: another's begin, or so many dispatches out from a gatherer. Exactly
-     * one is given.
+     * Trigger of a fault: the begin of another fault, or a number of open attempts of a gatherer.
+     * Exactly one of the two is given.
+     *
+     * @param fault name of the other fault, empty if none
+     * @param gatherer name of the gatherer, empty if none
+     * @param dispatchesOut number of open attempts
      */
     public record Trigger(String fault, String gatherer, int dispatchesOut) {}
 
-    /** How a link is cut, or how an answer is lost. */
+    /**
+     * How a link is cut, or how an answer is lost. An answer that is lost with {@link #RESET} also
+     * resets the connection; with the other modes the connection stays open.
+     */
     public enum Mode {
         /**
-         * Nothing passes, and what was sent passes once it is mended, as far as connections last
-         * that long.
+         * Nothing passes. Bytes sent meanwhile are delivered after the fault has ended, on
+         * connections that are still open then.
          */
         SILENT,
-        /** As silent, but new connections are refused. */
+        /** As {@link #SILENT}, but new connections are refused. */
         REFUSED,
-        /** Connections are reset as it begins, and new ones at once. */
+        /** Open connections are reset when the fault begins, new ones at once. */
         RESET
     }
 
-    /** Whom a fault may befall. */
+    /** The kinds of targets. */
     public enum Whom {
         GATHERER,
         LINK,
@@ -58,68 +70,82 @@
 
     /** The kinds of faults. */
     public enum Kind {
-        /** SIGKILL; started again after {@code forS} if that ends. */
+        /** Kills a gatherer with SIGKILL, and starts it again when the fault ends. */
         KILL(Whom.GATHERER, Unit.NONE),
-        /** SIGTERM; started again {@code forS} after its end if that is finite. */
+        /**
+         * Sends SIGTERM to a gatherer. If {@code forS} is finite, it is started again {@code forS}
+         * after its process has ended.
+         */
         TERM(Whom.GATHERER, Unit.NONE),
-        /** SIGSTOP, and SIGCONT at the end. */
+        /** Stops a process with SIGSTOP, and continues it with SIGCONT when the fault ends. */
         PAUSE(Whom.GATHERER, Unit.NONE),
-        /** SIGKILL and a start with the wall clock off by {@code amount}. */
+        /**
+         * Kills a gatherer and restarts it with its wall clock off by {@code amount}. The end of
+         * the fault restarts it with correct clocks. A fault at the start of the run needs no
+         * restart: the process is started with the wrong clock.
+         */
         CLOCK_OFF(Whom.GATHERER, Unit.MS),
-        /** The same with a counting clock that runs {@code amount} parts of a million too fast. */
+        /**
+         * As {@link #CLOCK_OFF}, but with a monotonic clock that runs {@code amount} parts per
+         * million too fast.
+         */
         CLOCK_DRIFT(Whom.GATHERER, Unit.PPM),
         /**
-         * The same with a wall clock that jumps by {@code amount}, six seconds after that start.
+         * As {@link #CLOCK_OFF}, but with a wall clock that jumps by {@code amount} six seconds
+         * after that restart.
          */
         CLOCK_JUMP(Whom.GATHERER, Unit.MS),
         /**
-         * Another process of its name, started beside it at other addresses, and ended after {@code
-         * forS}.
+         * Starts a second process of the gatherer's name beside it, at other addresses, and ends
+         * that process after {@code forS}.
          */
         TWIN(Whom.GATHERER, Unit.NONE),
         /**
-         * So many datagrams a second where it hears other gatherers: noise, and letters of before
-         * once more.
+         * Sends {@code amount} datagrams per second to the address at which a gatherer receives
+         * messages of other gatherers: random bytes, and repeats of earlier messages.
          */
         FLOOD(Whom.GATHERER, Unit.TIMES),
-        /** Each message takes {@code amount} longer, one in twenty four times as much. */
+        /** Delays each message by {@code amount}, and one in twenty by four times as much. */
         DELAY(Whom.LINK, Unit.MS),
         CUT(Whom.LINK, Unit.NONE),
-        /** No more than {@code amount} bytes a second. */
+        /** Limits the rate to {@code amount} bytes per second. */
         RATE(Whom.LINK, Unit.BYTES),
-        /** A connection is cut once {@code amount} bytes have passed on it. */
+        /** Cuts a connection once {@code amount} bytes have passed on it. */
         CUT_AFTER(Whom.LINK, Unit.BYTES),
-        /** Connections come up and bring nothing, for good. */
+        /**
+         * Accepts connections but never delivers anything on them, even after the fault has ended.
+         */
         HALF_OPEN(Whom.LINK, Unit.NONE),
-        /** A share of datagrams is lost. */
+        /** Loses a share of datagrams. */
         LOSE(Whom.LINK, Unit.SHARE),
-        /** A share of datagrams comes twice. */
+        /** Delivers a share of datagrams twice. */
         DOUBLE(Whom.LINK, Unit.SHARE),
-        /** A share of datagrams comes after the next. */
+        /** Delivers a share of datagrams after the next one. */
         REORDER(Whom.LINK, Unit.SHARE),
         /** Work takes {@code amount} times as long. */
         SLOW(Whom.SERVER, Unit.TIMES),
         /**
-         * It takes parts of some table types, or of the gatherers in {@code to}, and answers none.
+         * The server accepts parts of some query classes, or of the gatherers in {@code to}, and
+         * answers none of them.
          */
         GREY(Whom.SERVER, Unit.NONE),
-        /** Nothing begins and nothing ends. */
+        /** No work begins and no work ends. */
         STALL(Whom.SERVER, Unit.NONE),
-        /** Its queue takes nothing. */
+        /** The server rejects all new parts, as if its queue were full. */
         FULL(Whom.SERVER, Unit.NONE),
-        /** A share of answers is lost after the work is done. */
+        /** Loses a share of the answers after the work is done. */
         LOSE_ANSWERS(Whom.SERVER, Unit.SHARE),
-        /** The list says so, and it turns away what is new. */
+        /** The endpoint list marks the server as draining, and the server rejects new parts. */
         DRAIN(Whom.SERVER, Unit.NONE),
-        /** It dies; after {@code forS} it is back, cold and at another address. */
+        /** The server crashes. After {@code forS} it is back, cold and at another address. */
         DIE(Whom.SERVER, Unit.NONE),
-        /** What it has to tell comes {@code amount} late. */
+        /** Discovery reports changes with a delay of {@code amount}. */
         LIST_LATE(Whom.DISCOVERY, Unit.MS),
-        /** It takes calls and says nothing. */
+        /** Discovery accepts calls and doesn't answer them. */
         LIST_SILENT(Whom.DISCOVERY, Unit.NONE),
-        /** It tells a list of the run's beginning, under an index that went back. */
+        /** Discovery returns the list of the start of the run, with its old, lower index. */
         LIST_BACK(Whom.DISCOVERY, Unit.NONE),
-        /** It hides the servers in {@code to}. */
+        /** Discovery leaves the servers in {@code to} out of the list. */
         LIST_HIDES(Whom.DISCOVERY, Unit.NONE);
 
         private final Whom whom;
@@ -140,8 +166,8 @@
     }
 
     /**
-     * What {@code amount} counts: milliseconds, parts of a million, bytes, a share from 0 to 1, or
-     * times.
+     * Unit of {@code amount}: milliseconds, parts per million, bytes, a share from 0 to 1, or a
+     * multiple or count.
      */
     public enum Unit {
         NONE(0, 0),
@@ -151,20 +177,20 @@
         SHARE(0, 1),
         TIMES(1, 1e4);
 
-        private final double least;
-        private final double most;
+        private final double min;
+        private final double max;
 
-        Unit(double least, double most) {
-            this.least = least;
-            this.most = most;
+        Unit(double min, double max) {
+            this.min = min;
+            this.max = max;
         }
 
-        public boolean takes(double amount) {
-            return this == NONE ? amount == 0 : amount >= least && amount <= most;
+        public boolean accepts(double amount) {
+            return this == NONE ? amount == 0 : amount >= min && amount <= max;
         }
 
         public String range() {
-            return this == NONE ? "none" : least + " to " + most;
+            return this == NONE ? "none" : min + " to " + max;
         }
     }
 }
--- a/rig/src/main/java/sprucehold/rig/script/Script.java
+++ b/rig/src/main/java/sprucehold/rig/script/Script.java
@@ -5,15 +5,19 @@
 import sprucehold.decision.QueryClass;
 
 /**
- * What a run is to be.
+ * Describes a run.
  *
- * @param lengthS how long clients ask, in seconds
- * @param segments how many segments there are, spread over {@code cells}
- * @param coldRule by what a server that has just started falls over
- * @param budget the most further dispatches, or {@link Deployment.RetryBudget#NONE}
- * @param frontLearnsMs how long a front goes on sending clients to a gatherer that is gone
- * @param bands what the figures have to be; rules hold whatever they say
- * @param together what its gatherers share with each other, or null where they don't talk
+ * @param lengthS how long clients send queries, in seconds
+ * @param segments number of segments, spread over the replica groups
+ * @param cells number of replica groups
+ * @param tableTypes the query classes
+ * @param customers the tenants
+ * @param coldRule the load at which a server that has just started crashes
+ * @param budget retry budget of each gatherer, or {@link Deployment.RetryBudget#NONE}
+ * @param frontLearnsMs how long a front continues to send clients to a gatherer that is gone, in
+ *     milliseconds
+ * @param bands the ranges that the figures must lie in; the rules apply independently of them
+ * @param together the limits that gatherers share, or null if they don't exchange messages
  */
 public record Script(
         String name,
@@ -32,12 +36,15 @@
         List<Fault> faults,
         Bands bands,
         Together together) {
-    /** As many gatherers, and as many shard servers, as the rig has addresses for. */
+    /**
+     * The largest number of gatherers that the rig has addresses for; {@link #MOST_SERVERS} is that
+     * of shard servers.
+     */
     public static final int MOST_GATHERERS = 4096;
 
     public static final int MOST_SERVERS = 4096;
 
-    /** One whose gatherers don't talk. */
+    /** A script whose gatherers don't exchange messages. */
     public Script(
             String name,
             double lengthS,
@@ -73,30 +80,41 @@
                 null);
     }
 
-    /** A site: how many gatherers stand there, and how many shard servers hold each cell. */
+    /**
+     * A site.
+     *
+     * @param gatherers number of its gatherers
+     * @param holders number of its shard servers in each replica group
+     */
     public record Site(String name, int gatherers, int holders) {}
 
     /**
-     * A table type and the work it makes.
+     * A query class and its cost.
      *
-     * @param timeoutMs how long its clients wait
-     * @param workMs the median of a part's time on one core of a warm server, in milliseconds
-     * @param spread the standard deviation of that time's logarithm
+     * @param timeoutMs how long its clients wait for an answer, in milliseconds
+     * @param workMs median processing time of a part on one core of a warm server, in milliseconds
+     * @param spread standard deviation of the logarithm of that time
      */
     public record Kind(QueryClass type, double timeoutMs, double workMs, double spread) {}
 
-    /** A customer and the scans a second it is entitled to over the fleet. */
+    /**
+     * A tenant.
+     *
+     * @param scansPerS its quota over all gatherers, in queries per second
+     */
     public record Customer(String name, double scansPerS) {}
 
     /**
-     * Shard servers, all alike.
+     * Properties that all shard servers have in common.
      *
-     * @param queueMost parts that wait beyond those that run; more are turned away
-     * @param connectionsMost connections that a server holds; more are closed at once
+     * @param queueMost number of parts that may wait beyond those in progress; further parts are
+     *     rejected
+     * @param connectionsMost number of open connections per server; further connections are closed
+     *     at once
      */
     public record Servers(int cores, int queueMost, int connectionsMost) {}
 
-    /** What a gatherer may do; see {@link Deployment.Limits}. */
+    /** Limits of a gatherer; see {@link Deployment.Limits}. */
     public record Limits(
             int dispatchesPerPart,
             int maxOpen,
@@ -105,16 +123,18 @@
             int sockets) {}
 
     /**
-     * Scans of one customer, table type and site.
+     * Queries of one tenant, query class and site.
      *
-     * @param scansPerS at first
-     * @param parts how many segments each asks
-     * @param popular the exponent by which some segments are asked more often than others, 0 for
-     *     none
-     * @param ramps rates that hold from a time on
-     * @param retries how often a client asks again after it was throttled
-     * @param backOffMs its least wait before the first, twice as long each time
-     * @param leavesMs when it closes its connection unanswered, or infinite
+     * @param scansPerS rate at the start, in queries per second
+     * @param parts number of segments that each query reads
+     * @param popular exponent of the Zipf distribution by which segments are chosen, 0 for equal
+     *     frequencies
+     * @param ramps changes of the rate
+     * @param retries how often a client sends a query again after a rejection
+     * @param backOffMs shortest wait before the first retry, in milliseconds; it doubles with each
+     *     retry
+     * @param leavesMs after how many milliseconds without an answer the client closes its
+     *     connection, infinite for never
      */
     public record Load(
             String site,
@@ -128,32 +148,41 @@
             double backOffMs,
             double leavesMs) {}
 
-    /** The rate from a time on, in seconds and scans a second. */
+    /**
+     * The rate from a time on.
+     *
+     * @param atS time, in seconds since the first query
+     * @param scansPerS rate, in queries per second
+     */
     public record Ramp(double atS, double scansPerS) {}
 
     /**
-     * @param leastService the least share of scans that have to be completed in their target time
+     * The ranges of the figures.
+     *
+     * @param leastService smallest share of queries that have to be completed within their latency
+     *     objective
      */
     public record Bands(double leastService) {}
 
     /**
-     * What gatherers that talk share; see deploy/together.schema.json.
+     * The limits that gatherers share by exchanging messages; see deploy/together.schema.json.
      *
-     * @param further dispatches beyond each part's first that all may make within {@code
-     *     furtherWindowMs}; 0 for no such bound
-     * @param driftPpm how far clocks' rates may be off, in parts of a million, and {@code
-     *     clocksOffMs} how far wall clocks
+     * @param further number of attempts beyond each part's first that all gatherers together may
+     *     make within {@code furtherWindowMs}; 0 for no limit
+     * @param driftPpm largest drift of the clocks' rates, in parts per million
+     * @param clocksOffMs largest offset of the wall clocks, in milliseconds
      */
     public record Together(
             int further, double furtherWindowMs, double driftPpm, double clocksOffMs) {}
 
     /**
-     * The same with gatherers that don't talk: of a bound over the fleet each has the same part for
-     * good, as it has to where nobody tells it more.
+     * Returns this script for gatherers that don't exchange messages. A retry budget of all
+     * gatherers is replaced by fixed equal shares, which is also what a gatherer without messages
+     * from the others may use.
      */
     public Script alone() {
         int gatherers = sites.stream().mapToInt(Site::gatherers).sum();
-        var part =
+        var share =
                 together == null || together.further == 0
                         ? budget
                         : new Deployment.RetryBudget(
@@ -169,7 +198,7 @@
                 servers,
                 limits,
                 coldRule,
-                part,
+                share,
                 frontLearnsMs,
                 load,
                 faults,
@@ -177,7 +206,7 @@
                 null);
     }
 
-    /** The deployment as a gatherer at this site is told of it. */
+    /** Returns the deployment that the gatherers of a site are configured with. */
     public Deployment deployment(String site) {
         return new Deployment(
                 sites.stream().mapToInt(Site::gatherers).sum(),
@@ -200,7 +229,7 @@
                 new Deployment.EndpointSubscription(false, 10_000));
     }
 
-    /** This script with other faults. */
+    /** Returns this script with other faults. */
     public Script with(List<Fault> others) {
         return new Script(
                 name,
@@ -221,7 +250,7 @@
                 together);
     }
 
-    /** The same with other bands. */
+    /** Returns this script with other bands. */
     public Script with(Bands others) {
         return new Script(
                 name,
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -28,9 +28,12 @@
 import sprucehold.decision.QueryClass;
 import sprucehold.decision.StoredEnum;
 
-/** Reads a script: its form by the schema {@code deploy/rig.schema.json}, then its meaning. */
+/**
+ * Reads a script. Checks its form by the schema {@code deploy/rig.schema.json}, then the references
+ * and sizes that the schema can't check.
+ */
 public final class ScriptReader {
-    /** The scripts that come with the rig, by the names under which they are asked for. */
+    /** Names of the scripts that are shipped with the rig. */
     public static final List<String> SHIPPED =
             List.of(
                     "calm",
@@ -60,16 +63,18 @@
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .build();
 
-    private final String where;
-    private final List<String> wrong = new ArrayList<>();
+    private final String source;
+    private final List<String> errors = new ArrayList<>();
 
-    private ScriptReader(String where) {
-        this.where = where;
+    private ScriptReader(String source) {
+        this.source = source;
     }
 
     /**
-     * @param named the name of a script that comes with the rig, or the path of a file
-     * @throws IOException with what is wrong and where, in one line
+     * Reads a script that is shipped with the rig, or a file.
+     *
+     * @param named name of a shipped script, or path of a file
+     * @throws IOException with all errors and their positions, in one line
      */
     public static Script read(String named) throws IOException {
         byte[] bytes;
@@ -92,7 +97,7 @@
         return new ScriptReader(named).read(bytes);
     }
 
-    /** Reads a script that was kept with a run. */
+    /** Reads a script that was stored with a run. */
     public static Script read(Path file) throws IOException {
         return new ScriptReader(file.toString()).read(Files.readAllBytes(file));
     }
@@ -103,7 +108,7 @@
             node = JSON.readTree(bytes);
         } catch (JsonProcessingException e) {
             throw new IOException(
-                    where
+                    source
                             + ", line "
                             + (e.getLocation() == null ? 1 : e.getLocation().getLineNr())
                             + ": not JSON: "
@@ -113,7 +118,7 @@
         Set<ValidationMessage> faults = schema().validate(node);
         if (!faults.isEmpty()) {
             throw new IOException(
-                    where
+                    source
                             + ": "
                             + faults.stream()
                                     .map(ValidationMessage::getMessage)
@@ -121,9 +126,9 @@
                                     .collect(Collectors.joining("; ")));
         }
         Script script = script(node);
-        meaning(script);
-        if (!wrong.isEmpty()) {
-            throw new IOException(where + ": " + String.join("; ", wrong));
+        validate(script);
+        if (!errors.isEmpty()) {
+            throw new IOException(source + ": " + String.join("; ", errors));
         }
         return script;
     }
@@ -134,7 +139,7 @@
         }
     }
 
-    // ---- Form ----
+    // ---- Parsing ----
 
     private static Iterable<JsonNode> each(JsonNode array) {
         return array.isMissingNode() ? List.of() : array;
@@ -172,7 +177,7 @@
                                                 customer.get("scansPerS").doubleValue())));
         JsonNode servers = node.path("servers");
         JsonNode limits = node.path("limits");
-        JsonNode cold = node.path("cold");
+        JsonNode slowStart = node.path("cold");
         JsonNode budget = node.path("budget");
         var load = new ArrayList<Script.Load>();
         node.get("load").forEach(line -> load.add(load(line)));
@@ -199,10 +204,10 @@
                         limits.path("comeBackMs").asDouble(500),
                         limits.path("sockets").asInt(1024)),
                 new Deployment.SlowStartRule(
-                        cold.path("startShare").asDouble(0.2),
-                        cold.path("warmAfterMs").asDouble(5000),
-                        cold.path("multiple").asDouble(4),
-                        cold.path("windowMs").asDouble(1000)),
+                        slowStart.path("startShare").asDouble(0.2),
+                        slowStart.path("warmAfterMs").asDouble(5000),
+                        slowStart.path("multiple").asDouble(4),
+                        slowStart.path("windowMs").asDouble(1000)),
                 budget.isMissingNode()
                         ? Deployment.RetryBudget.NONE
                         : new Deployment.RetryBudget(
@@ -294,26 +299,28 @@
                 texts(fault.path("tableTypes")));
     }
 
-    // ---- Meaning ----
+    // ---- Validation ----
 
-    private void meaning(Script script) {
-        unique("sites", script.sites().stream().map(Script.Site::name).toList());
-        unique("tableTypes", script.tableTypes().stream().map(kind -> kind.type().name()).toList());
-        unique("customers", script.customers().stream().map(Script.Customer::name).toList());
-        unique("faults", script.faults().stream().map(Fault::name).toList());
+    private void validate(Script script) {
+        checkUnique("sites", script.sites().stream().map(Script.Site::name).toList());
+        checkUnique(
+                "tableTypes",
+                script.tableTypes().stream().map(kind -> kind.type().name()).toList());
+        checkUnique("customers", script.customers().stream().map(Script.Customer::name).toList());
+        checkUnique("faults", script.faults().stream().map(Fault::name).toList());
         if (script.cells() > script.segments()) {
-            wrong.add(
+            errors.add(
                     "cells: "
                             + script.cells()
-                            + ", at most as many as segments ("
+                            + " exceeds the number of segments ("
                             + script.segments()
-                            + ") were expected");
+                            + ")");
         }
         int gatherers = script.sites().stream().mapToInt(Script.Site::gatherers).sum();
         int servers =
                 script.sites().stream().mapToInt(site -> site.holders() * script.cells()).sum();
         if (gatherers < 1 || gatherers > Script.MOST_GATHERERS) {
-            wrong.add(
+            errors.add(
                     "sites: "
                             + gatherers
                             + " gatherers, 1 to "
@@ -321,7 +328,7 @@
                             + " were expected");
         }
         if (servers < 1 || servers > Script.MOST_SERVERS) {
-            wrong.add(
+            errors.add(
                     "sites: "
                             + servers
                             + " shard servers, 1 to "
@@ -330,49 +337,49 @@
         }
         var cast = Cast.of(script);
         for (int i = 0; i < script.load().size(); i++) {
-            load(script, script.load().get(i), "load[" + i + "]");
+            checkLoad(script, script.load().get(i), "load[" + i + "]");
         }
         Map<String, Fault> byName = new HashMap<>();
         script.faults().forEach(fault -> byName.put(fault.name(), fault));
         for (int i = 0; i < script.faults().size(); i++) {
-            fault(script, cast, byName, script.faults().get(i), "faults[" + i + "]");
+            checkFault(script, cast, byName, script.faults().get(i), "faults[" + i + "]");
         }
     }
 
-    private void unique(String what, List<String> names) {
+    private void checkUnique(String what, List<String> names) {
         var seen = new HashSet<String>();
         names.stream()
                 .filter(name -> !seen.add(name))
-                .forEach(name -> wrong.add(what + ": " + name + " stands twice"));
+                .forEach(name -> errors.add(what + ": " + name + " appears more than once"));
     }
 
-    private void load(Script script, Script.Load load, String at) {
+    private void checkLoad(Script script, Script.Load load, String at) {
         if (script.sites().stream()
                 .noneMatch(site -> site.name().equals(load.site()) && site.gatherers() > 0)) {
-            wrong.add(at + ".site: no site with gatherers is called " + load.site());
+            errors.add(at + ".site: no site with gatherers is named " + load.site());
         }
         if (script.customers().stream()
                 .noneMatch(customer -> customer.name().equals(load.customer()))) {
-            wrong.add(at + ".customer: none is called " + load.customer());
+            errors.add(at + ".customer: no customer is named " + load.customer());
         }
         if (script.tableTypes().stream()
                 .noneMatch(kind -> kind.type().name().equals(load.tableType()))) {
-            wrong.add(at + ".tableType: none is called " + load.tableType());
+            errors.add(at + ".tableType: no table type is named " + load.tableType());
         }
         if (load.parts() > script.segments()) {
-            wrong.add(
+            errors.add(
                     at
                             + ".parts: "
                             + load.parts()
-                            + ", at most as many as segments ("
+                            + " exceeds the number of segments ("
                             + script.segments()
-                            + ") were expected");
+                            + ")");
         }
         load.ramps().stream()
                 .filter(ramp -> ramp.atS() > script.lengthS())
                 .forEach(
                         ramp ->
-                                wrong.add(
+                                errors.add(
                                         at
                                                 + ".ramps: "
                                                 + ramp.atS()
@@ -381,10 +388,10 @@
                                                 + " s"));
     }
 
-    private void fault(
+    private void checkFault(
             Script script, Cast cast, Map<String, Fault> byName, Fault fault, String at) {
         if (fault.when() == null && fault.atS() > script.lengthS()) {
-            wrong.add(
+            errors.add(
                     at
                             + ".atS: "
                             + fault.atS()
@@ -392,66 +399,66 @@
                             + script.lengthS()
                             + " s");
         }
-        if (!fault.kind().unit().takes(fault.amount())) {
-            wrong.add(
+        if (!fault.kind().unit().accepts(fault.amount())) {
+            errors.add(
                     at
                             + ".amount: "
                             + fault.amount()
-                            + ", for "
+                            + " for "
                             + word(fault.kind())
-                            + " "
+                            + ", but "
                             + fault.kind().unit().range()
                             + " was expected");
         }
-        for (String who : fault.of()) {
-            check(cast.select(who), who, fault.kind().whom(), at + ".of", cast);
+        for (String selector : fault.of()) {
+            checkSelection(cast.select(selector), selector, fault.kind().whom(), at + ".of", cast);
         }
-        boolean pairs = fault.kind().whom() == Fault.Whom.LINK;
+        boolean onLinks = fault.kind().whom() == Fault.Whom.LINK;
         if (fault.kind() == Fault.Kind.FLOOD && script.together() == null) {
-            wrong.add(
+            errors.add(
                     at
-                            + ".kind: flood befalls gatherers that talk, and together was expected in the script");
+                            + ".kind: flood applies only to gatherers that exchange messages, but the script has no together");
         }
-        if (pairs && fault.to().isEmpty()) {
-            wrong.add(at + ".to: the other end of the link was expected");
+        if (onLinks && fault.to().isEmpty()) {
+            errors.add(at + ".to: the other end of the link was expected");
         }
-        boolean takesTo =
-                pairs || fault.kind() == Fault.Kind.GREY || fault.kind() == Fault.Kind.LIST_HIDES;
-        if (!takesTo && !fault.to().isEmpty()) {
-            wrong.add(at + ".to: none was expected for " + word(fault.kind()));
+        boolean acceptsTo =
+                onLinks || fault.kind() == Fault.Kind.GREY || fault.kind() == Fault.Kind.LIST_HIDES;
+        if (!acceptsTo && !fault.to().isEmpty()) {
+            errors.add(at + ".to: not allowed for " + word(fault.kind()));
         }
         if (fault.kind() == Fault.Kind.GREY
                 && fault.to().isEmpty()
                 && fault.tableTypes().isEmpty()) {
-            wrong.add(at + ": to or tableTypes was expected for grey");
+            errors.add(at + ": grey requires to or tableTypes");
         }
-        for (String who : fault.to()) {
+        for (String selector : fault.to()) {
             Fault.Whom other =
                     fault.kind() == Fault.Kind.GREY
                             ? Fault.Whom.GATHERER
                             : fault.kind() == Fault.Kind.LIST_HIDES
                                     ? Fault.Whom.SERVER
                                     : Fault.Whom.LINK;
-            check(cast.select(who), who, other, at + ".to", cast);
+            checkSelection(cast.select(selector), selector, other, at + ".to", cast);
         }
         fault.tableTypes().stream()
                 .filter(
                         name ->
                                 script.tableTypes().stream()
                                         .noneMatch(kind -> kind.type().name().equals(name)))
-                .forEach(name -> wrong.add(at + ".tableTypes: none is called " + name));
+                .forEach(name -> errors.add(at + ".tableTypes: no table type is named " + name));
         if (fault.some() > 0
                 && fault.some()
                         > fault.of().stream()
-                                .flatMap(who -> cast.select(who).stream())
+                                .flatMap(selector -> cast.select(selector).stream())
                                 .distinct()
                                 .count()) {
-            wrong.add(at + ".some: " + fault.some() + " are more than there are");
+            errors.add(at + ".some: " + fault.some() + " exceeds the number of selected targets");
         }
-        trigger(cast, byName, fault, at);
+        checkTrigger(cast, byName, fault, at);
     }
 
-    private void trigger(Cast cast, Map<String, Fault> byName, Fault fault, String at) {
+    private void checkTrigger(Cast cast, Map<String, Fault> byName, Fault fault, String at) {
         if (fault.when() == null) {
             return;
         }
@@ -462,37 +469,38 @@
                 before = byName.get(before.when().fault());
             }
             if (before == null && !byName.containsKey(fault.when().fault())) {
-                wrong.add(at + ".when.fault: none is called " + fault.when().fault());
+                errors.add(at + ".when.fault: no fault is named " + fault.when().fault());
             } else if (before != null && seen.contains(before.name()) && before.when() != null) {
-                wrong.add(at + ".when: a loop of triggers over " + before.name());
+                errors.add(at + ".when: cyclic triggers through " + before.name());
             }
         } else if (!cast.gatherers().contains(fault.when().gatherer())) {
-            wrong.add(at + ".when.gatherer: none is called " + fault.when().gatherer());
+            errors.add(at + ".when.gatherer: no gatherer is named " + fault.when().gatherer());
         }
     }
 
-    private void check(List<String> selected, String who, Fault.Whom whom, String at, Cast cast) {
+    private void checkSelection(
+            List<String> selected, String selector, Fault.Whom whom, String at, Cast cast) {
         if (selected.isEmpty()) {
-            wrong.add(at + ": nobody is meant by " + who);
+            errors.add(at + ": no party is selected by " + selector);
         } else if (whom == Fault.Whom.GATHERER && !cast.gatherers().containsAll(selected)
                 || whom == Fault.Whom.SERVER && !cast.servers().containsAll(selected)
                 || whom == Fault.Whom.DISCOVERY && !cast.gatherers().containsAll(selected)) {
-            wrong.add(
+            errors.add(
                     at
                             + ": "
-                            + who
+                            + selector
                             + ", "
                             + (whom == Fault.Whom.SERVER ? "shard servers" : "gatherers")
                             + " were expected");
         }
     }
 
-    /** How a kind is written in a script. */
+    /** Returns the name of a kind of fault, as scripts spell it. */
     public static String word(Fault.Kind kind) {
         return kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** The words of all kinds. */
+    /** Returns the names of all kinds of faults. */
     public static List<String> words() {
         return Arrays.stream(Fault.Kind.values()).map(ScriptReader::word).toList();
     }
--- a/rig/src/main/java/sprucehold/rig/verdict/Figures.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Figures.java
@@ -7,19 +7,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The figures of a run; they may differ from run to run, the rules may not.
+ * The figures of a run. Unlike the rules, they may differ between runs of one plan.
  *
- * @param service share of scans completed in their target time
- * @param ends how many scans ended in each way
- * @param p50Ms of the times of completed scans, from when they were to be asked; {@code p99Ms}
- *     likewise
- * @param sendLateP99Ms how late the rig sent, at the 99th percentile
- * @param loopLateP99Ms how late the rig's timers were, at the 99th percentile; {@code
- *     loopLateMostMs} at worst
- * @param rigCores how many cores the rig used itself
- * @param memoryMb the most memory that any gatherer was seen to hold
- * @param gathererCores how many cores the busiest gatherer used over its last life
- * @param coldMost the most that any server was pushed while cold, as a share of what pushes it over
+ * @param scans number of queries
+ * @param service share of queries that were completed within their latency objective
+ * @param ends number of queries by how they ended
+ * @param p50Ms median time from the planned start of a completed query to its end, in milliseconds;
+ *     {@code p99Ms} is the 99th percentile
+ * @param sendLateP99Ms 99th percentile of the delay with which the rig sent queries, in
+ *     milliseconds
+ * @param loopLateP99Ms 99th percentile of the lateness of the rig's timers, in milliseconds; {@code
+ *     loopLateMostMs} is the maximum
+ * @param rigCores number of cores that the rig itself used
+ * @param memoryMb largest memory use of any gatherer that was observed, in megabytes
+ * @param gathererCores number of cores that the busiest gatherer used in its last life
+ * @param coldMost the highest load on any server while it was cold, as a share of the load at which
+ *     it crashes
  */
 public record Figures(
         int scans,
@@ -35,7 +38,7 @@
         double gathererCores,
         double coldMost) {
 
-    /** What the rig measures of itself, of its gatherers and of its shard servers. */
+    /** The rig's measurements of itself, of its gatherers and of its shard servers. */
     public record Self(
             double loopLateP99Ms,
             double loopLateMostMs,
--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Judge.java
@@ -12,33 +12,40 @@
 import sprucehold.standin.rules.RuleTerms;
 import sprucehold.standin.rules.Violation;
 
-/** Judges a run by its ledgers. Pure: the same ledgers give the same verdict. */
+/** Derives the verdict of a run from its ledgers. Pure: the same ledgers give the same verdict. */
 public final class Judge {
     /**
-     * An answer may be so late: the platform's 50 ms, and what processes that share cores wait for
-     * one.
+     * How late an answer may be, in milliseconds: the platform's 50 ms, plus the time that a
+     * process waits for a core while processes share them.
      */
-    private static final double SLACK_MS = 250;
+    private static final double ANSWER_SLACK_MS = 250;
 
-    /** A gatherer that was told of a drain has so long, as the platform says. */
-    private static final double GRACE_MS = 250;
+    /**
+     * How long a gatherer may still send to a server after it was notified of its drain, in
+     * milliseconds, as the platform specifies.
+     */
+    private static final double DRAIN_GRACE_MS = 250;
 
     /**
-     * What was written before may be on its way so long; for a client's close, the 100 ms and 50 ms
-     * of the platform.
+     * How long a message that was written before an answer, a client's close or a drain may be
+     * under way, in milliseconds. For a client's close, it is the sum of the platform's 100 ms and
+     * 50 ms.
      */
-    private static final double WAY_MS = 150;
+    private static final double TRANSIT_MS = 150;
 
-    /** The slack of the time that an attempt tells. */
-    private static final double TOLD_MS = 150;
+    /**
+     * By how much the remaining time that an attempt sends to its shard server may exceed the time
+     * that its client has left, in milliseconds.
+     */
+    private static final double TIMEOUT_SLACK_MS = 150;
 
     /**
-     * Beyond these the rig was starved: a timer that is later than the rules' slack tells nothing
-     * of others.
+     * Limits of the lateness of the rig's timers, in milliseconds. Beyond them the rig was starved:
+     * a timer that is later than the slack of the rules proves nothing about the gatherers.
      */
-    private static final double LATE_P99_MS = 50;
+    private static final double MAX_LATE_P99_MS = 50;
 
-    private static final double LATE_MOST_MS = 200;
+    private static final double MAX_LATE_MS = 200;
 
     private Judge() {}
 
@@ -52,16 +59,18 @@
                         ? null
                         : new RuleTerms.FleetRetryBudget(
                                 script.together().further(), script.together().furtherWindowMs()),
-                SLACK_MS,
-                GRACE_MS,
-                WAY_MS,
-                TOLD_MS);
+                ANSWER_SLACK_MS,
+                DRAIN_GRACE_MS,
+                TRANSIT_MS,
+                TIMEOUT_SLACK_MS);
     }
 
     /**
-     * @param seen all ledgers, in any order
-     * @param overMs when the run was over: a scan whose time ended before needs an answer
-     * @param crashed what gatherers ended by themselves, in words
+     * Returns the verdict of a run.
+     *
+     * @param seen entries of all ledgers, in any order
+     * @param overMs when the run was over: a query whose deadline was before needs an answer
+     * @param crashed descriptions of gatherers that ended by themselves
      */
     public static Verdict judge(
             Script script,
@@ -73,15 +82,15 @@
         List<Seen> inOrder = seen.stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
         Figures figures = Figures.of(outcomes, self);
         var why = new ArrayList<String>(crashed);
-        for (Violation broken : RuleChecker.check(terms(script), inOrder, overMs)) {
+        for (Violation breach : RuleChecker.check(terms(script), inOrder, overMs)) {
             why.add(
-                    broken.rule()
+                    breach.rule()
                             + " at "
                             + String.format(
-                                    Locale.ROOT, "%.0f ms: ", broken.atMs() - inOrder.get(0).atMs())
-                            + broken.description());
+                                    Locale.ROOT, "%.0f ms: ", breach.atMs() - inOrder.get(0).atMs())
+                            + breach.description());
         }
-        if (self.loopLateP99Ms() > LATE_P99_MS || self.loopLateMostMs() > LATE_MOST_MS) {
+        if (self.loopLateP99Ms() > MAX_LATE_P99_MS || self.loopLateMostMs() > MAX_LATE_MS) {
             why.add(
                     0,
                     String.format(
@@ -90,8 +99,8 @@
                                     + "worst, %.0f and %.0f are allowed; the run does not count",
                             self.loopLateP99Ms(),
                             self.loopLateMostMs(),
-                            LATE_P99_MS,
-                            LATE_MOST_MS));
+                            MAX_LATE_P99_MS,
+                            MAX_LATE_MS));
             return new Verdict(Verdict.Kind.STARVED, List.copyOf(why), figures);
         }
         if (!why.isEmpty()) {
--- a/rig/src/main/java/sprucehold/rig/verdict/LedgerFile.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/LedgerFile.java
@@ -14,27 +14,27 @@
 import java.util.List;
 import sprucehold.standin.ledger.Seen;
 
-/** Ledgers as JSON lines: what was seen, one thing a line, named by {@code seen}. */
+/** Stores ledgers as JSON lines: one entry per line, with its type in the field {@code seen}. */
 public final class LedgerFile {
     private static final ObjectMapper JSON = mapper();
 
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "seen")
-    private interface Named {}
+    private interface TypeName {}
 
     private LedgerFile() {}
 
     private static ObjectMapper mapper() {
-        var mapper = JsonMapper.builder().addMixIn(Seen.class, Named.class).build();
+        var mapper = JsonMapper.builder().addMixIn(Seen.class, TypeName.class).build();
         for (Class<?> kind : Seen.class.getPermittedSubclasses()) {
             mapper.registerSubtypes(new NamedType(kind, kind.getSimpleName()));
         }
         return mapper;
     }
 
-    public static void write(Path file, List<Seen> all) throws IOException {
+    public static void write(Path file, List<Seen> entries) throws IOException {
         var writer = JSON.writerFor(Seen.class);
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (Seen seen : all) {
+            for (Seen seen : entries) {
                 out.write(writer.writeValueAsString(seen));
                 out.newLine();
             }
@@ -42,26 +42,28 @@
     }
 
     /**
-     * @throws IOException with file and line where a line can't be read
+     * Reads the entries of a ledger.
+     *
+     * @throws IOException with file and line if a line can't be read
      */
     public static List<Seen> read(Path file) throws IOException {
         var reader = JSON.readerFor(Seen.class);
-        var all = new ArrayList<Seen>();
+        var entries = new ArrayList<Seen>();
         try (BufferedReader in = Files.newBufferedReader(file)) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 try {
-                    all.add(reader.readValue(line));
+                    entries.add(reader.readValue(line));
                 } catch (JsonProcessingException e) {
                     throw new IOException(
                             file
                                     + ", line "
-                                    + (all.size() + 1)
-                                    + ": something seen was expected: "
+                                    + (entries.size() + 1)
+                                    + ": a ledger entry was expected: "
                                     + e.getOriginalMessage(),
                             e);
                 }
             }
         }
-        return all;
+        return entries;
     }
 }
--- a/rig/src/main/java/sprucehold/rig/verdict/Outcome.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Outcome.java
@@ -1,13 +1,14 @@
 package sprucehold.rig.verdict;
 
 /**
- * How one planned scan ended for its client.
+ * How one planned query ended for its client.
  *
- * @param plannedMs when it was to be asked, and {@code endedMs} when it was over, in milliseconds
- *     from the first scan
- * @param end one of the ends that clients tell of
- * @param inTime whether it was completed in its target time, counted from when it was to be asked
- * @param sentLateMs how much later than planned the rig sent it
+ * @param plannedMs when it was scheduled to be sent, in milliseconds since the first query
+ * @param endedMs when it ended, in milliseconds since the first query
+ * @param end name of the constant of {@code Clients.End} with which it ended
+ * @param inTime whether it was completed within its latency objective, counted from its scheduled
+ *     time
+ * @param sentLateMs how much later than scheduled the rig sent it, in milliseconds
  */
 public record Outcome(
         double plannedMs,
@@ -18,7 +19,7 @@
         String end,
         boolean inTime,
         double sentLateMs) {
-    /** Whether it was completed, whole or in part. */
+    /** Returns whether the query was completed, with complete or partial coverage. */
     public boolean completed() {
         return end.equals("WHOLE") || end.equals("PART");
     }
--- a/rig/src/main/java/sprucehold/rig/verdict/Spread.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Spread.java
@@ -7,13 +7,17 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * How far a figure lies apart over runs of one plan: from it a script's bands are stated.
+ * Minimum, median and maximum of a figure over runs of one plan. The bands of a script are derived
+ * from it.
  *
- * @param least in the unit of the figure, as are {@code median} and {@code most}
+ * @param least minimum, in the unit of the figure, as are {@code median} and {@code most}
  */
 public record Spread(double least, double median, double most) {
 
-    /** Each figure over all runs, by its name; of no run nothing is said. */
+    /**
+     * Returns the spread of each figure over all runs, by the name of the figure; empty if there
+     * are no runs.
+     */
     public static Map<String, Spread> of(List<Figures> runs) {
         var spreads = new LinkedHashMap<String, Spread>();
         if (!runs.isEmpty()) {
--- a/rig/src/main/java/sprucehold/rig/verdict/Verdict.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Verdict.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * What a run comes to.
+ * The verdict of a run.
  *
- * @param kind the worst that holds
- * @param why in words, one thing a line; empty where all is well
+ * @param kind the worst kind that applies
+ * @param why the reasons, in words; empty if the run passed
  */
 public record Verdict(Kind kind, List<String> why, Figures figures) {
-    /** Kinds of verdicts, the best first; the number is a command's exit code. */
+    /** Kinds of verdicts, from the best to the worst. Each has the exit code of the command. */
     public enum Kind {
-        /** All rules kept, all figures inside their bands. */
+        /** All rules were kept, and all figures are inside their bands. */
         PASSED(0),
-        /** All rules kept, but a figure is outside its band. */
+        /** All rules were kept, but a figure is outside its band. */
         OUT_OF_BAND(1),
         /** A rule was broken, or a gatherer ended by itself. */
         BROKEN(1),
-        /** The rig itself was too late to tell: the run does not count. */
+        /** The rig's own timers were too late for a verdict: the run does not count. */
         STARVED(3);
 
         private final int exit;
--- a/rig/src/test/java/sprucehold/rig/ScriptTest.java
+++ b/rig/src/test/java/sprucehold/rig/ScriptTest.java
@@ -20,7 +20,7 @@
 import sprucehold.rig.script.ScriptWriter;
 import sprucehold.rig.shrink.Storm;
 
-/** How scripts are read, and what is drawn from them. */
+/** Tests how scripts are read and written, and the plans that are drawn from them. */
 public class ScriptTest {
     @DataProvider
     Object[][] shipped() {
@@ -40,78 +40,83 @@
     }
 
     @Test(dataProvider = "shipped")
-    public void whatIsWrittenIsReadAsTheSameScript(String name) throws IOException {
+    public void aWrittenScriptIsReadAsTheSameScript(String name) throws IOException {
         Script script = ScriptReader.read(name);
         assertEquals(read(ScriptWriter.json(script)), script);
     }
 
-    private static String with(String what, String instead) {
+    private static String edit(String original, String replacement) {
         String json = ScriptWriter.json(Scripts.shipped("deaf"));
-        assertTrue(json.contains(what), what);
-        return json.replace(what, instead);
+        assertTrue(json.contains(original), original);
+        return json.replace(original, replacement);
     }
 
     @DataProvider
-    Object[][] wrong() {
+    Object[][] invalidScripts() {
         return new Object[][] {
             {"not JSON", "{\n\"name\": }", "line 2: not JSON"},
             {
-                "a name that stands twice",
+                "a duplicate name",
                 "{\"name\":\"a\",\"name\":\"b\"}",
                 "Duplicate field 'name'"
             },
-            {"an unknown field", with("\"lengthS\"", "\"length\" : 3,\n \"lengthS\""), "'length'"},
-            {"an unknown kind", with("\"list-silent\"", "\"deafness\""), "faults[0].kind"},
+            {"an unknown field", edit("\"lengthS\"", "\"length\" : 3,\n \"lengthS\""), "'length'"},
+            {"an unknown kind", edit("\"list-silent\"", "\"deafness\""), "faults[0].kind"},
             {
-                "a time past the end",
-                with("\"atS\" : 2.0", "\"atS\" : 200.0"),
+                "a time after the end",
+                edit("\"atS\" : 2.0", "\"atS\" : 200.0"),
                 "faults[0].atS: 200.0 s is past the end at 10.0 s"
             },
-            {"nobody", with("\"a-0\"", "\"a-7\""), "faults[0].of: nobody is meant by a-7"},
             {
-                "the wrong party",
-                with("\"a-0\"", "\"s-a-0-0\""),
+                "an unknown party",
+                edit("\"a-0\"", "\"a-7\""),
+                "faults[0].of: no party is selected by a-7"
+            },
+            {
+                "a party of the wrong kind",
+                edit("\"a-0\"", "\"s-a-0-0\""),
                 "faults[0].of: s-a-0-0, gatherers were expected"
             },
             {
-                "an amount without use",
-                with("\"amount\" : 0.0", "\"amount\" : 7.0"),
-                "faults[0].amount: 7.0, for list-silent none was expected"
+                "an amount for a kind without one",
+                edit("\"amount\" : 0.0", "\"amount\" : 7.0"),
+                "faults[0].amount: 7.0 for list-silent, but none was expected"
             },
             {
                 "an unknown site",
-                with("\"site\" : \"a\"", "\"site\" : \"q\""),
-                "load[0].site: no site with gatherers is called q"
+                edit("\"site\" : \"a\"", "\"site\" : \"q\""),
+                "load[0].site: no site with gatherers is named q"
             },
             {
                 "an unknown table type",
-                with("\"tableType\" : \"stamps\"", "\"tableType\" : \"stamp\""),
-                "tableType: none is called stamp"
+                edit("\"tableType\" : \"stamps\"", "\"tableType\" : \"stamp\""),
+                "tableType: no table type is named stamp"
             },
             {
                 "more parts than segments",
-                with("\"parts\" : 6", "\"parts\" : 60"),
-                "parts: 60, at most as many as segments (24)"
+                edit("\"parts\" : 6", "\"parts\" : 60"),
+                "parts: 60 exceeds the number of segments (24)"
             },
         };
     }
 
-    @Test(dataProvider = "wrong")
-    public void whatIsWrongIsOneClearError(String what, String json, String says) {
+    @Test(dataProvider = "invalidScripts")
+    public void anInvalidScriptGivesOneErrorLineWithItsCause(
+            String name, String json, String expected) {
         String message = expectThrows(IOException.class, () -> read(json)).getMessage();
-        assertTrue(message.contains(says), message);
+        assertTrue(message.contains(expected), message);
         assertFalse(message.contains("\n"), message);
     }
 
     @Test
-    public void aLoopOfTriggersIsFoundHoweverLong() {
+    public void aCycleOfThreeTriggersIsRejected() {
         var faults = List.of(after("a", "c"), after("b", "a"), after("c", "b"));
         String message =
                 expectThrows(
                                 IOException.class,
                                 () -> read(ScriptWriter.json(Scripts.calm(5).with(faults))))
                         .getMessage();
-        assertTrue(message.contains("faults[0].when: a loop of triggers"), message);
+        assertTrue(message.contains("faults[0].when: cyclic triggers through"), message);
     }
 
     private static Fault after(String name, String before) {
@@ -131,7 +136,7 @@
     }
 
     @Test(dataProvider = "shipped")
-    public void sameSeedSamePlanToTheByte(String name) {
+    public void theSameSeedGivesTheSamePlanToTheByteAndAnotherSeedAnotherPlan(String name) {
         Script script = Scripts.shipped(name);
         assertEquals(Planner.json(Planner.plan(script, 7)), Planner.json(Planner.plan(script, 7)));
         assertNotEquals(
@@ -139,16 +144,16 @@
     }
 
     @Test
-    public void droppingOneFaultMovesNoOther() {
+    public void droppingOneFaultChangesNeitherOtherFaultsNorQueries() {
         Script script = Scripts.shipped("grey");
-        Plan whole = Planner.plan(script, 3);
-        Plan less = Planner.plan(script.with(script.faults().subList(1, 3)), 3);
-        assertEquals(less.faults(), whole.faults().subList(1, 3));
-        assertEquals(less.asks(), whole.asks());
+        Plan full = Planner.plan(script, 3);
+        Plan reduced = Planner.plan(script.with(script.faults().subList(1, 3)), 3);
+        assertEquals(reduced.faults(), full.faults().subList(1, 3));
+        assertEquals(reduced.asks(), full.asks());
     }
 
     @Test
-    public void arrivalsComeAtTheirRatesAndRampsHold() {
+    public void queriesArriveAtTheirRatesBeforeAndAfterARamp() {
         Script calm = Scripts.calm(200);
         var load = calm.load().get(0);
         var ramped =
@@ -182,14 +187,15 @@
                         calm.bands());
         var asks = Planner.plan(script, 11).asks();
         long before = asks.stream().filter(ask -> ask.atMs() < 100_000).count();
-        // Poisson with means 1,000 and 4,000: five standard deviations.
+        // Poisson distributions with means 1,000 and 4,000: the tolerance is five standard
+        // deviations.
         assertEquals(before, 1000, 160);
         assertEquals(asks.size() - before, 4000, 320);
         assertTrue(asks.stream().allMatch(ask -> ask.weights().size() == load.parts()));
     }
 
     @Test
-    public void stormsAreScriptsThatCanBePlayed() throws IOException {
+    public void drawnStormsAreValidAndReproducibleScripts() throws IOException {
         for (long seed = 0; seed < 200; seed++) {
             Script storm = Storm.draw(Scripts.calm(8), seed);
             assertEquals(read(ScriptWriter.json(storm)), storm);
--- a/rig/src/test/java/sprucehold/rig/Scripts.java
+++ b/rig/src/test/java/sprucehold/rig/Scripts.java
@@ -41,7 +41,7 @@
         return new Plan.Befall(fault, List.of(of), List.of(to));
     }
 
-    /** The calm script with another length and other faults, so that a test is short. */
+    /** Returns the calm script with another length and other faults, so that a test is short. */
     static Script calm(double lengthS, Fault... faults) {
         Script calm = shipped("calm");
         return new Script(
@@ -62,7 +62,10 @@
                 new Script.Bands(0));
     }
 
-    /** The calm script with another multiple at which a cold server falls over. */
+    /**
+     * Returns the calm script with another multiple of a cold server's capacity at which it
+     * crashes.
+     */
     static Script cold(double multiple) {
         Script calm = calm(10);
         return new Script(
--- a/rig/src/test/java/sprucehold/rig/VerdictTest.java
+++ b/rig/src/test/java/sprucehold/rig/VerdictTest.java
@@ -21,7 +21,7 @@
 import sprucehold.rig.verdict.Verdict;
 import sprucehold.standin.ledger.Seen;
 
-/** Ledgers, kept and judged. */
+/** Tests how ledgers are stored, and the verdicts on them. */
 public class VerdictTest {
     private static final Figures.Self IN_TIME = new Figures.Self(1, 5, 0.5, 80, 0.1, 0);
     private static final Seen.Asked ASKED =
@@ -31,78 +31,90 @@
     private static final Seen.Answered ANSWERED =
             new Seen.Answered(130, "s", Seen.Answer.COMPLETED, true, Map.of(1, "v"));
 
-    private static Seen.HeldUp held(double from, double to, boolean killed) {
+    private static Seen.HeldUp heldUp(double from, double to, boolean killed) {
         return new Seen.HeldUp(from, to, "a-0", killed);
     }
 
     @DataProvider
     Object[][] runs() {
         return new Object[][] {
-            // what, ledger, whether a rule is broken
-            {"all is well", List.of(ASKED, ARRIVED, RAN, ANSWERED), false},
+            // name, ledger, whether a rule is broken
+            {"no rule broken", List.of(ASKED, ARRIVED, RAN, ANSWERED), false},
             {"closed without an answer", List.of(ASKED, closed(200)), true},
-            {"closed as it was killed", List.of(ASKED, held(190, 201, true), closed(200)), false},
+            {"closed as it was killed", List.of(ASKED, heldUp(190, 201, true), closed(200)), false},
             {
                 "closed long before it was killed",
-                List.of(ASKED, closed(200), held(900, 901, true)),
+                List.of(ASKED, closed(200), heldUp(900, 901, true)),
                 true
             },
-            {"no answer", List.of(ASKED, held(5000, 5001, true)), true},
-            {"no answer as it was paused", List.of(ASKED, held(300, 4000, false)), false},
-            {"late by its pause", List.of(ASKED, held(300, 4000, false), throttled(4010)), false},
-            {"late for nothing", List.of(ASKED, throttled(4010)), true},
+            {"no answer", List.of(ASKED, heldUp(5000, 5001, true)), true},
+            {"no answer as it was paused", List.of(ASKED, heldUp(300, 4000, false)), false},
+            {
+                "answered late because of its pause",
+                List.of(ASKED, heldUp(300, 4000, false), throttled(4010)),
+                false
+            },
+            {"answered late without a pause", List.of(ASKED, throttled(4010)), true},
             {
                 "no answer though its pause was over in time",
-                List.of(ASKED, held(300, 1000, false)),
+                List.of(ASKED, heldUp(300, 1000, false)),
+                true
+            },
+            {
+                "closed as it was paused",
+                List.of(ASKED, heldUp(300, 1000, false), closed(1001)),
                 true
             },
-            {"closed as it was paused", List.of(ASKED, held(300, 1000, false), closed(1001)), true},
             {
                 "sent for a client that left in its pause",
-                List.of(ASKED, held(110, 310, false), left(120), late(312)),
+                List.of(ASKED, heldUp(110, 310, false), clientLeft(120), arrived(312)),
                 true
             },
             {
                 "sent before its pause for a client that left",
-                List.of(ASKED, left(120), late(260)),
+                List.of(ASKED, clientLeft(120), arrived(260)),
                 false
             },
-            {"told more than its client has left", List.of(ASKED, told(110, 1800), ANSWERED), true},
+            {
+                "an attempt with more time than its client has left",
+                List.of(ASKED, arrived(110, 1800), ANSWERED),
+                true
+            },
             {
                 "a pause excuses no effect twice",
                 List.of(
                         ASKED,
                         ARRIVED,
                         RAN,
-                        held(300, 900, false),
+                        heldUp(300, 900, false),
                         new Seen.Ran(400, "y", "s", 1, "w"),
                         ANSWERED),
                 true
             },
             {
-                "a pause excuses no lie",
+                "a pause excuses no wrong answer",
                 List.of(
                         ASKED,
                         ARRIVED,
                         RAN,
-                        held(300, 900, false),
+                        heldUp(300, 900, false),
                         new Seen.Answered(
                                 950, "s", Seen.Answer.COMPLETED, true, Map.of(1, "other"))),
                 true
             },
-            {"sent to a drained server", List.of(ASKED, told(100), late(700)), true},
+            {"sent to a drained server", List.of(ASKED, drainSent(100), arrived(700)), true},
             {
-                "told of the drain while it was paused",
-                List.of(ASKED, told(100), held(90, 600, false), late(700)),
+                "notified of the drain while it was paused",
+                List.of(ASKED, drainSent(100), heldUp(90, 600, false), arrived(700)),
                 true
             },
             {
-                "paused long after it was told of the drain",
-                List.of(ASKED, told(100), held(600, 690, false), late(700)),
+                "paused long after it was notified of the drain",
+                List.of(ASKED, drainSent(100), heldUp(600, 690, false), arrived(700)),
                 true
             },
             {
-                "pushed over",
+                "a cold server overloaded",
                 List.of(new Seen.FellOver(5, "x", Map.of("a-0", 900.0, "b-0", 800.0))),
                 true
             },
@@ -117,34 +129,34 @@
         return new Seen.Answered(at, "s", Seen.Answer.THROTTLED, false, Map.of());
     }
 
-    private static Seen.Told told(double at) {
+    private static Seen.Told drainSent(double at) {
         return new Seen.Told(at, "a-0", "x", Endpoint.State.DRAINING);
     }
 
-    private static Seen.Left left(double at) {
+    private static Seen.Left clientLeft(double at) {
         return new Seen.Left(at, "s");
     }
 
-    private static Seen.Arrived told(double at, double toldMs) {
-        return new Seen.Arrived(at, "a-0", "x", "s", 1, toldMs);
+    private static Seen.Arrived arrived(double at, double timeoutMs) {
+        return new Seen.Arrived(at, "a-0", "x", "s", 1, timeoutMs);
     }
 
-    private static Seen.Arrived late(double at) {
+    private static Seen.Arrived arrived(double at) {
         return new Seen.Arrived(at, "a-0", "x", "s", 1, 500);
     }
 
     @Test(dataProvider = "runs")
-    public void onlyWhatTheRigDidItselfIsExcused(String what, List<Seen> seen, boolean broken)
-            throws IOException {
+    public void onlyEffectsOfTheRigsOwnFaultsAreExcused(
+            String name, List<Seen> seen, boolean broken) throws IOException {
         Script script = Scripts.shipped("calm");
-        var all = new ArrayList<>(seen);
-        if (what.startsWith("sent") || what.contains("drain")) {
-            all.add(new Seen.Answered(800, "s", Seen.Answer.ABANDONED, false, Map.of()));
+        var entries = new ArrayList<>(seen);
+        if (name.startsWith("sent") || name.contains("drain")) {
+            entries.add(new Seen.Answered(800, "s", Seen.Answer.ABANDONED, false, Map.of()));
         }
         Verdict verdict =
                 Judge.judge(
                         script.with(List.of()),
-                        all,
+                        entries,
                         9000,
                         List.of(outcome(true)),
                         IN_TIME,
@@ -154,8 +166,8 @@
                 broken ? Verdict.Kind.BROKEN : Verdict.Kind.PASSED,
                 verdict.why().toString());
         Path file = Files.createTempFile("ledger", ".jsonl");
-        LedgerFile.write(file, all);
-        assertEquals(LedgerFile.read(file), all);
+        LedgerFile.write(file, entries);
+        assertEquals(LedgerFile.read(file), entries);
         Files.delete(file);
     }
 
@@ -164,7 +176,7 @@
     }
 
     @Test
-    public void aRunOfAStarvedRigDoesNotCountAndABandIsNoRule() {
+    public void aStarvedRigAFigureOutsideItsBandAndACrashHaveTheirOwnVerdicts() {
         Script script = Scripts.shipped("calm");
         var broken = List.<Seen>of(ASKED, closed(200));
         assertEquals(
@@ -194,7 +206,7 @@
     }
 
     @Test
-    public void whoPushedAColdServerOverIsNamedWithItsShare() {
+    public void theReasonNamesTheGathererThatOverloadedAColdServerAndItsLoad() {
         var verdict =
                 Judge.judge(
                         Scripts.shipped("calm"),
@@ -207,11 +219,11 @@
     }
 
     @Test
-    public void aLedgerCutShortIsOneErrorWithItsLine() throws IOException {
+    public void aTruncatedLedgerGivesOneErrorWithItsLine() throws IOException {
         Path file = Files.createTempFile("ledger", ".jsonl");
         Files.writeString(file, "{\"seen\":\"Left\",\"atMs\":3.0,\"scan\":\"s\"}\n{\"seen\":\"Le");
         String message = expectThrows(IOException.class, () -> LedgerFile.read(file)).getMessage();
-        assertTrue(message.contains(", line 2: something seen was expected"), message);
+        assertTrue(message.contains(", line 2: a ledger entry was expected"), message);
         Files.delete(file);
     }
 }
