--- a/rig/src/test/java/sprucehold/rig/ClientsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ClientsTest.java
@@ -18,27 +18,27 @@
 import sprucehold.rig.plan.Plan;
 import sprucehold.standin.ledger.Ledger;
 
-/** Clients against a gatherer that is hard to reach. */
+/** Tests clients whose first connections to a gatherer are refused. */
 public class ClientsTest {
     private static final int REFUSED = 5;
 
     @Test
-    public void aGathererIsToldOnlyTheTimeThatIsLeftOnceItWasFound() throws Exception {
+    public void theDeadlineHeaderExcludesTheTimeSpentOnRefusedConnections() throws Exception {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-        int nobody;
+        int refusingPort;
         try (var socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            nobody = socket.getLocalPort();
+            refusingPort = socket.getLocalPort();
         }
-        var told = new CompletableFuture<Double>();
+        var deadlineMs = new CompletableFuture<Double>();
         var end = new CompletableFuture<Clients.End>();
-        var tries = new int[1];
-        long begun = System.nanoTime();
+        var connects = new int[1];
+        long startNs = System.nanoTime();
         vertx.createNetServer()
                 .connectHandler(
                         socket ->
                                 socket.handler(
                                         bytes -> {
-                                            told.complete(
+                                            deadlineMs.complete(
                                                     Double.parseDouble(
                                                             bytes.toString()
                                                                     .split("X-Deadline-Ms: ")[1]
@@ -57,31 +57,31 @@
                                             vertx,
                                             new Wires(
                                                     vertx,
-                                                    () -> (System.nanoTime() - begun) / 1e6,
+                                                    () -> (System.nanoTime() - startNs) / 1e6,
                                                     1),
-                                            () -> (System.nanoTime() - begun) / 1e6,
+                                            () -> (System.nanoTime() - startNs) / 1e6,
                                             new Ledger(),
                                             script,
                                             front,
                                             name ->
                                                     SocketAddress.inetSocketAddress(
-                                                            ++tries[0] <= REFUSED
-                                                                    ? nobody
+                                                            ++connects[0] <= REFUSED
+                                                                    ? refusingPort
                                                                     : server.actualPort(),
                                                             "127.0.0.1"),
                                             name -> false,
-                                            (ask, atMs, how, late) -> end.complete(how));
+                                            (ask, atMs, ending, late) -> end.complete(ending));
                             clients.ask(
                                     new Plan.Ask(0, "x", 0, Map.of(1, 1.0)),
-                                    (System.nanoTime() - begun) / 1e6);
+                                    (System.nanoTime() - startNs) / 1e6);
                         },
                         end::completeExceptionally);
         assertEquals(end.get(20, TimeUnit.SECONDS), Clients.End.WHOLE);
-        // Timers never fire early: each refusal took its 20 ms at the least.
+        // Timers never fire early: each refused connection delays the next by at least 20 ms.
         double timeout = 1500;
         assertTrue(
-                told.get() <= timeout - 20 * REFUSED && told.get() > 0,
-                "told " + told.get() + " ms");
+                deadlineMs.get() <= timeout - 20 * REFUSED && deadlineMs.get() > 0,
+                "deadline of " + deadlineMs.get() + " ms");
         vertx.close().toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
     }
 }
--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -20,11 +20,14 @@
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
 
-/** A rig that is killed in the midst leaves nothing running, and two rigs don't meet. */
+/**
+ * Tests that a rig that is killed leaves no process running, and that two rigs use different
+ * addresses.
+ */
 public class GuardianTest {
     /**
-     * A rig of its own: plays a long run in which its gatherer is paused, so that it can't end by
-     * itself.
+     * Main class of a rig in a process of its own. It plays a long run whose gatherers are paused,
+     * so that they can't end by themselves.
      */
     public static final class Rig {
         private Rig() {}
@@ -61,7 +64,7 @@
     }
 
     @Test
-    public void nothingIsLeftRunningOfARigThatIsKilled() throws Exception {
+    public void killingTheRigEndsAllItsProcesses() throws Exception {
         Path folder = Files.createTempDirectory("rig");
         Process rig =
                 new ProcessBuilder(
@@ -78,13 +81,15 @@
                 line = lines.readLine();
             }
             assertTrue(line != null, "the rig ended before its fault");
-            List<ProcessHandle> left = rig.descendants().toList();
-            assertTrue(left.size() >= 5, "four gatherers and a guardian were expected: " + left);
+            List<ProcessHandle> descendants = rig.descendants().toList();
+            assertTrue(
+                    descendants.size() >= 5,
+                    "four gatherers and a guardian were expected: " + descendants);
             rig.destroyForcibly();
-            for (ProcessHandle one : left) {
-                CompletableFuture<ProcessHandle> ended = one.onExit();
+            for (ProcessHandle process : descendants) {
+                CompletableFuture<ProcessHandle> ended = process.onExit();
                 ended.get(20, TimeUnit.SECONDS);
-                assertFalse(one.isAlive());
+                assertFalse(process.isAlive());
             }
         } finally {
             rig.destroyForcibly().waitFor();
@@ -92,7 +97,7 @@
     }
 
     @Test
-    public void twoRigsHaveAddressesOfTheirOwn() throws IOException {
+    public void twoRigsReserveDifferentAddresses() throws IOException {
         try (var one = Addresses.claim();
                 var other = Addresses.claim()) {
             assertNotEquals(one.gatherer(0), other.gatherer(0));
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -24,9 +24,15 @@
 import sprucehold.rig.script.Script;
 import sprucehold.rig.verdict.Verdict;
 
-/** Whole runs with real processes: gatherers as shipped, and ones that break a rule on purpose. */
+/**
+ * Plays whole runs with real processes: the shipped gatherer, and gatherers that break a rule on
+ * purpose.
+ */
 public class RunTest {
-    /** A machine that is too busy proves nothing; that it always is would show as a failure. */
+    /**
+     * A run on a machine that is too busy proves nothing and is repeated. If the machine is too
+     * busy for every run, the test fails.
+     */
     private static final int TRIES = 3;
 
     private Path folder;
@@ -70,8 +76,9 @@
     }
 
     /**
-     * One site, one gatherer, a server that drains; a budget so small that one more dispatch in ten
-     * breaks it.
+     * Returns a script with one site, one gatherer, two shard servers per replica group and the
+     * given faults, such as a server that drains. The retry budget, if there is one, is so small
+     * that one more attempt in ten exceeds it.
      */
     private static Script small(boolean budget, Fault... faults) {
         Script calm = Scripts.calm(2);
@@ -156,7 +163,7 @@
     }
 
     @Test(dataProvider = "ways")
-    public void aRuleBrokenOnPurposeIsFoundAndNothingElse(
+    public void exactlyTheRulesBrokenOnPurposeAreReported(
             String way, Script script, Set<String> rules) throws IOException {
         Verdict verdict = play(script, crooked(way));
         assertEquals(
@@ -192,18 +199,18 @@
     }
 
     /**
-     * Gatherers stand still for 0.15 s and more, again and again, while clients leave after 40 ms:
-     * a hold-up excuses nothing.
+     * Pauses gatherers repeatedly, for 0.15 s or longer, while clients leave after 40 ms. A pause
+     * excuses no broken rule.
      */
     @Test
-    public void theShippedProgramKeepsTheRulesWhereItIsHeldUpAmongClientsThatLeave()
+    public void theShippedProgramKeepsTheRulesWhenPausedWhileClientsLeave()
             throws IOException {
         Verdict verdict = play(Scripts.shipped("held-up-among-leaving"), Home.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
     }
 
     @Test
-    public void aProgramThatWontStartIsOneErrorWithItsLastWords() {
+    public void aProgramThatFailsToStartGivesOneErrorWithItsLastLogLine() {
         String message =
                 expectThrows(IOException.class, () -> play(small(false), crooked("WONT_START")))
                         .getMessage();
@@ -213,7 +220,7 @@
     }
 
     @Test
-    public void aProgramThatWontEndIsKilledAndTold() throws IOException {
+    public void aProgramThatIgnoresSigtermIsKilledAndReported() throws IOException {
         Verdict verdict = play(small(false), crooked("WONT_END"));
         assertEquals(verdict.kind(), Verdict.Kind.BROKEN);
         assertTrue(
@@ -225,7 +232,7 @@
     }
 
     @Test
-    public void aProgramThatFloodsItsLogGoesOnAndIsTold() throws IOException {
+    public void aProgramThatFloodsItsLogContinuesAndIsReported() throws IOException {
         Verdict verdict = play(small(false), crooked("FLOODS_ITS_LOG"));
         assertTrue(
                 verdict.why().contains("a-0 flooded its log") && verdict.why().size() == 1,
@@ -233,7 +240,7 @@
     }
 
     @Test
-    public void aPanicInAGatherersLogBreaksARunThatKeptAllRules() throws IOException {
+    public void aPanicInAGatherersLogFailsARunThatKeptAllRules() throws IOException {
         Verdict verdict = play(small(false), crooked("PANICS"));
         assertEquals(
                 verdict.why(),
--- a/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
+++ b/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
@@ -23,8 +23,8 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Gatherers that talk, as processes: six of them, answers lost, servers that come back cold, and
- * trouble between them.
+ * Plays runs of six gatherers that exchange messages, with lost answers, shard servers that restart
+ * cold, and faults between the gatherers.
  */
 public class TogetherRunTest {
     private static final int TRIES = 3;
@@ -58,20 +58,24 @@
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, name + ": " + verdict.why());
     }
 
-    /** The most further dispatches that each gatherer made in any 800 ms. */
-    private Map<String, Integer> fullest() throws IOException {
+    /**
+     * Returns the largest number of attempts beyond each part's first that each gatherer made
+     * within any 800 ms.
+     */
+    private Map<String, Integer> mostFurtherAttempts() throws IOException {
         var first = new HashSet<String>();
         var further = new TreeMap<String, ArrayDeque<Double>>();
         var most = new TreeMap<String, Integer>();
         for (Seen seen : last.seen()) {
-            if (seen instanceof Seen.Arrived one && !first.add(one.scan() + " " + one.segment())) {
+            if (seen instanceof Seen.Arrived part
+                    && !first.add(part.scan() + " " + part.segment())) {
                 ArrayDeque<Double> at =
-                        further.computeIfAbsent(one.gatherer(), none -> new ArrayDeque<>());
-                at.add(one.atMs());
-                while (at.peek() <= one.atMs() - 800) {
+                        further.computeIfAbsent(part.gatherer(), none -> new ArrayDeque<>());
+                at.add(part.atMs());
+                while (at.peek() <= part.atMs() - 800) {
                     at.poll();
                 }
-                most.merge(one.gatherer(), at.size(), Math::max);
+                most.merge(part.gatherer(), at.size(), Math::max);
             }
         }
         return most;
@@ -81,41 +85,41 @@
         return Files.readAllLines(last.folder().resolve(gatherer + ".log"));
     }
 
-    private boolean says(String gatherer, String words) throws IOException {
-        return log(gatherer).stream().anyMatch(line -> line.contains(words));
+    private boolean logs(String gatherer, String text) throws IOException {
+        return log(gatherer).stream().anyMatch(line -> line.contains(text));
     }
 
     @Test
-    public void gatherersFindEachOtherAndTheBusyUseWhatTheOthersLend() throws IOException {
+    public void gatherersDiscoverEachOtherAndBusyOnesBorrowAllowances() throws IOException {
         play("together");
-        for (String one : List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1")) {
+        for (String gatherer : List.of("a-0", "a-1", "b-0", "b-1", "c-0", "c-1")) {
             assertEquals(
-                    log(one).stream()
+                    log(gatherer).stream()
                             .filter(line -> line.endsWith(" is there"))
                             .map(line -> line.split(" ")[3])
                             .distinct()
                             .count(),
                     5L,
-                    one);
+                    gatherer);
         }
-        // Alone each could make two in a second, for good.
-        Map<String, Integer> most = fullest();
+        // Without messages from the others, each gatherer could make no more than two in a second.
+        Map<String, Integer> most = mostFurtherAttempts();
         assertTrue(Math.max(most.get("a-0"), most.get("a-1")) > 2, most.toString());
     }
 
     @DataProvider
-    Object[][] troubles() {
+    Object[][] faults() {
         return new Object[][] {
-            // script, whose log, what it says
+            // script, gatherer, text in its log
             {"together-paused", "a-1", "has not answered and is suspected"},
             {"together-twin", "a-0", "another process is called a-0 and has started later"},
         };
     }
 
-    @Test(dataProvider = "troubles")
-    public void boundsHoldInTroubleAndItIsTold(String script, String whose, String words)
-            throws IOException {
+    @Test(dataProvider = "faults")
+    public void limitsHoldDuringAFaultAndTheFaultIsLogged(
+            String script, String gatherer, String text) throws IOException {
         play(script);
-        assertTrue(says(whose, words), String.join("\n", log(whose)));
+        assertTrue(logs(gatherer, text), String.join("\n", log(gatherer)));
     }
 }
