--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -57,8 +57,8 @@
                                     "-XX:TieredStopAtLevel=1",
                                     "-cp",
                                     System.getProperty("java.class.path"),
-                                    "sprucehold.rig.CrookedGatherer",
-                                    "SOUND"));
+                                    "sprucehold.rig.RuleBreakingGatherer",
+                                    "KEEPS_RULES"));
             Run.play(script, 1, home, RunFolder.make(Path.of(args[0])), System.out::println);
         }
     }
--- a/rig/src/test/java/sprucehold/rig/CrookedGatherer.java
+++ b/rig/src/test/java/sprucehold/rig/RuleBreakingGatherer.java
@@ -23,44 +23,44 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A gatherer of a few lines that breaks one rule on purpose, in a process of its own. Arguments:
- * which rule, {@code --config}, the file.
+ * A minimal gatherer that breaks one rule on purpose, in a process of its own. Its arguments are
+ * the behaviour, {@code --config} and the path of the configuration file.
  */
-public final class CrookedGatherer {
+public final class RuleBreakingGatherer {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** How it is crooked. */
-    enum Way {
-        SOUND,
+    /** What the gatherer does wrong, if anything. */
+    enum Behaviour {
+        KEEPS_RULES,
         LEAVES_UNANSWERED,
-        SENDS_AFTER_THE_ANSWER,
+        SENDS_AFTER_ANSWERING,
         RUNS_TWICE,
         IGNORES_DRAINS,
-        LIES,
-        CALLS_A_PART_WHOLE,
-        SPENDS
+        RETURNS_WRONG_VALUES,
+        CLAIMS_FULL_COVERAGE,
+        EXCEEDS_RETRY_BUDGET
     }
 
     private record Server(String name, int cell, String host, int port) {}
 
     private record Reply(boolean hit, boolean maybeRan, String value) {}
 
-    private final Way way;
+    private final Behaviour behaviour;
     private final JsonNode config;
     private final Map<String, Server> servers = new ConcurrentHashMap<>();
-    private final AtomicInteger taken = new AtomicInteger();
+    private final AtomicInteger queries = new AtomicInteger();
 
-    private CrookedGatherer(Way way, JsonNode config) {
-        this.way = way;
+    private RuleBreakingGatherer(Behaviour behaviour, JsonNode config) {
+        this.behaviour = behaviour;
         this.config = config;
     }
 
     public static void main(String[] args) throws Exception {
-        if (args[0].equals("WONT_START")) {
+        if (args[0].equals("FAILS_TO_START")) {
             System.err.println("out of luck");
             System.exit(7);
         }
-        if (args[0].equals("WONT_END")) {
+        if (args[0].equals("IGNORES_SIGTERM")) {
             Runtime.getRuntime()
                     .addShutdownHook(
                             new Thread(
@@ -71,8 +71,8 @@
                                     }));
         }
         if (args[0].equals("FLOODS_ITS_LOG")) {
-            // Before it says that it is ready, so that all of it but what the pipe holds has been
-            // read by then, however slowly.
+            // Writes the lines before it reports that it is ready. All lines except those that the
+            // pipe still holds have been read by then, however slow the reader is.
             var line = "x".repeat(1 << 20);
             for (int i = 0; i < 80; i++) {
                 System.out.println(line);
@@ -83,31 +83,31 @@
             System.err.print("2026-12-01T10:00:00.000 SEV");
             System.err.println("ERE panic: out of luck");
         }
-        Way way =
-                List.of("WONT_END", "FLOODS_ITS_LOG", "PANICS").contains(args[0])
-                        ? Way.SOUND
-                        : Way.valueOf(args[0]);
-        new CrookedGatherer(way, JSON.readTree(Path.of(args[2]).toFile())).serve();
+        Behaviour behaviour =
+                List.of("IGNORES_SIGTERM", "FLOODS_ITS_LOG", "PANICS").contains(args[0])
+                        ? Behaviour.KEEPS_RULES
+                        : Behaviour.valueOf(args[0]);
+        new RuleBreakingGatherer(behaviour, JSON.readTree(Path.of(args[2]).toFile())).serve();
     }
 
     private void serve() throws IOException {
-        listed(config.get("known"));
+        applyEndpoints(config.get("known"));
         String[] at = config.get("listen").asText().split(":");
         HttpServer server =
                 HttpServer.create(new InetSocketAddress(at[0], Integer.parseInt(at[1])), 100);
         server.setExecutor(Executors.newCachedThreadPool());
         server.createContext("/", this::answer);
         server.start();
-        var follower = new Thread(this::follow);
-        follower.setDaemon(true);
-        follower.start();
+        var discoveryThread = new Thread(this::pollDiscovery);
+        discoveryThread.setDaemon(true);
+        discoveryThread.start();
     }
 
-    private void listed(JsonNode news) {
-        if (news.path("snapshot").booleanValue()) {
+    private void applyEndpoints(JsonNode update) {
+        if (update.path("snapshot").booleanValue()) {
             servers.clear();
         }
-        for (JsonNode entry : news.path("endpoints")) {
+        for (JsonNode entry : update.path("endpoints")) {
             String[] at = entry.get("address").asText().split(":");
             String name = entry.get("name").asText();
             if (entry.get("status").asText().equals("active")) {
@@ -118,13 +118,13 @@
                                 entry.get("group").intValue(),
                                 at[0],
                                 Integer.parseInt(at[1])));
-            } else if (way != Way.IGNORES_DRAINS) {
+            } else if (behaviour != Behaviour.IGNORES_DRAINS) {
                 servers.remove(name);
             }
         }
     }
 
-    private void follow() {
+    private void pollDiscovery() {
         HttpClient client = HttpClient.newHttpClient();
         long index = config.get("known").get("index").longValue();
         while (true) {
@@ -137,11 +137,11 @@
                                                         + "/discovery/hosts?wait_ms=10000&after="
                                                         + index))
                                 .build();
-                JsonNode news =
+                JsonNode update =
                         JSON.readTree(
                                 client.send(call, HttpResponse.BodyHandlers.ofString()).body());
-                listed(news);
-                index = news.get("index").longValue();
+                applyEndpoints(update);
+                index = update.get("index").longValue();
             } catch (IOException | InterruptedException e) {
                 return;
             }
@@ -150,22 +150,22 @@
 
     private void answer(HttpExchange exchange) throws IOException {
         if (exchange.getRequestURI().getPath().equals("/up")) {
-            send(exchange, 200, "up");
+            respond(exchange, 200, "up");
             return;
         }
-        int number = taken.incrementAndGet();
+        int number = queries.incrementAndGet();
         String id = exchange.getRequestHeaders().getFirst("X-Request-Id");
         String type = exchange.getRequestHeaders().getFirst("X-Class");
         JsonNode body = JSON.readTree(exchange.getRequestBody());
-        if (way == Way.LEAVES_UNANSWERED && number % 5 == 0) {
+        if (behaviour == Behaviour.LEAVES_UNANSWERED && number % 5 == 0) {
             exchange.close();
             return;
         }
-        var found = new ArrayList<Map<String, Object>>();
+        var results = new ArrayList<Map<String, Object>>();
         boolean ran = false;
         for (JsonNode bucket : body.get("buckets")) {
             int segment = bucket.get("bucket").intValue();
-            List<Server> holders =
+            List<Server> replicas =
                     servers.values().stream()
                             .filter(
                                     server ->
@@ -175,40 +175,48 @@
                                                                     .intValue())
                             .sorted((one, other) -> one.name().compareTo(other.name()))
                             .toList();
-            if (holders.isEmpty()) {
+            if (replicas.isEmpty()) {
                 continue;
             }
-            Server first = holders.get(number % holders.size());
+            Server first = replicas.get(number % replicas.size());
             Reply reply = call(first, id, segment, body.get("body").asText());
             ran |= reply.maybeRan();
-            boolean again =
-                    way == Way.RUNS_TWICE && type.equals("stamps")
-                            || way == Way.SPENDS && type.equals("offers");
-            if (again && holders.size() > 1) {
+            boolean repeats =
+                    behaviour == Behaviour.RUNS_TWICE && type.equals("stamps")
+                            || behaviour == Behaviour.EXCEEDS_RETRY_BUDGET && type.equals("offers");
+            if (repeats && replicas.size() > 1) {
                 call(
-                        holders.get((number + 1) % holders.size()),
+                        replicas.get((number + 1) % replicas.size()),
                         id,
                         segment,
                         body.get("body").asText());
             }
-            if (reply.hit() && !(way == Way.CALLS_A_PART_WHOLE && found.size() == 3)) {
-                found.add(
+            if (reply.hit()
+                    && !(behaviour == Behaviour.CLAIMS_FULL_COVERAGE && results.size() == 3)) {
+                results.add(
                         Map.of(
                                 "bucket",
                                 segment,
                                 "item",
-                                way == Way.LIES ? "made up" : reply.value()));
+                                behaviour == Behaviour.RETURNS_WRONG_VALUES
+                                        ? "made up"
+                                        : reply.value()));
             }
         }
         int parts = body.get("buckets").size();
-        boolean whole = found.size() == parts || way == Way.CALLS_A_PART_WHOLE && !found.isEmpty();
-        if (whole) {
-            send(exchange, 200, JSON.writeValueAsString(Map.of("finished", true, "found", found)));
+        boolean complete =
+                results.size() == parts
+                        || behaviour == Behaviour.CLAIMS_FULL_COVERAGE && !results.isEmpty();
+        if (complete) {
+            respond(
+                    exchange,
+                    200,
+                    JSON.writeValueAsString(Map.of("finished", true, "found", results)));
         } else {
-            send(exchange, ran && type.equals("stamps") ? 502 : 503, "no");
+            respond(exchange, ran && type.equals("stamps") ? 502 : 503, "no");
         }
-        if (way == Way.SENDS_AFTER_THE_ANSWER
-                && whole
+        if (behaviour == Behaviour.SENDS_AFTER_ANSWERING
+                && complete
                 && type.equals("offers")
                 && !servers.isEmpty()) {
             pause();
@@ -217,7 +225,7 @@
         }
     }
 
-    /** Longer than what was written before an answer may be on its way. */
+    /** Waits longer than a message that was written before an answer may be under way. */
     private static void pause() {
         try {
             Thread.sleep(400);
@@ -226,7 +234,7 @@
         }
     }
 
-    private static void send(HttpExchange exchange, int status, String text) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(status, bytes.length);
         try (OutputStream out = exchange.getResponseBody()) {
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -63,7 +63,7 @@
         return verdict;
     }
 
-    private static Home crooked(String way) {
+    private static Home gathererWith(String behaviour) {
         return new Home(
                 Path.of("").toAbsolutePath(),
                 List.of(
@@ -71,8 +71,8 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "sprucehold.rig.CrookedGatherer",
-                        way));
+                        "sprucehold.rig.RuleBreakingGatherer",
+                        behaviour));
     }
 
     /**
@@ -148,24 +148,24 @@
     }
 
     @DataProvider
-    Object[][] ways() {
+    Object[][] behaviours() {
         return new Object[][] {
-            {"SOUND", small(true, drain()), Set.of()},
+            {"KEEPS_RULES", small(true, drain()), Set.of()},
             {"LEAVES_UNANSWERED", small(true, drain()), Set.of("ONE_ANSWER")},
-            {"SENDS_AFTER_THE_ANSWER", small(false), Set.of("ONE_ANSWER")},
+            {"SENDS_AFTER_ANSWERING", small(false), Set.of("ONE_ANSWER")},
             {"RUNS_TWICE", small(false), Set.of("NO_EFFECT_TWICE")},
             {"IGNORES_DRAINS", small(true, drain()), Set.of("DRAINS")},
-            {"SOUND", small(false, die()), Set.of("COLD")},
-            {"LIES", small(true, drain()), Set.of("HONEST")},
-            {"CALLS_A_PART_WHOLE", small(true), Set.of("HONEST")},
-            {"SPENDS", small(true), Set.of("BUDGET")},
+            {"KEEPS_RULES", small(false, die()), Set.of("COLD")},
+            {"RETURNS_WRONG_VALUES", small(true, drain()), Set.of("HONEST")},
+            {"CLAIMS_FULL_COVERAGE", small(true), Set.of("HONEST")},
+            {"EXCEEDS_RETRY_BUDGET", small(true), Set.of("BUDGET")},
         };
     }
 
-    @Test(dataProvider = "ways")
+    @Test(dataProvider = "behaviours")
     public void exactlyTheRulesBrokenOnPurposeAreReported(
-            String way, Script script, Set<String> rules) throws IOException {
-        Verdict verdict = play(script, crooked(way));
+            String behaviour, Script script, Set<String> rules) throws IOException {
+        Verdict verdict = play(script, gathererWith(behaviour));
         assertEquals(
                 verdict.why().stream()
                         .map(why -> why.split(" ")[0])
@@ -212,7 +212,9 @@
     @Test
     public void aProgramThatFailsToStartGivesOneErrorWithItsLastLogLine() {
         String message =
-                expectThrows(IOException.class, () -> play(small(false), crooked("WONT_START")))
+                expectThrows(
+                                IOException.class,
+                                () -> play(small(false), gathererWith("FAILS_TO_START")))
                         .getMessage();
         assertTrue(
                 message.contains("a-0 ended with exit code 7 before it was ready: out of luck"),
@@ -221,7 +223,7 @@
 
     @Test
     public void aProgramThatIgnoresSigtermIsKilledAndReported() throws IOException {
-        Verdict verdict = play(small(false), crooked("WONT_END"));
+        Verdict verdict = play(small(false), gathererWith("IGNORES_SIGTERM"));
         assertEquals(verdict.kind(), Verdict.Kind.BROKEN);
         assertTrue(
                 verdict.why()
@@ -233,7 +235,7 @@
 
     @Test
     public void aProgramThatFloodsItsLogContinuesAndIsReported() throws IOException {
-        Verdict verdict = play(small(false), crooked("FLOODS_ITS_LOG"));
+        Verdict verdict = play(small(false), gathererWith("FLOODS_ITS_LOG"));
         assertTrue(
                 verdict.why().contains("a-0 flooded its log") && verdict.why().size() == 1,
                 verdict.why().toString());
@@ -241,7 +243,7 @@
 
     @Test
     public void aPanicInAGatherersLogFailsARunThatKeptAllRules() throws IOException {
-        Verdict verdict = play(small(false), crooked("PANICS"));
+        Verdict verdict = play(small(false), gathererWith("PANICS"));
         assertEquals(
                 verdict.why(),
                 List.of("a-0 logged: 2026-12-01T10:00:00.000 SEVERE panic: out of luck"));
