--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -14,19 +14,19 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
-import sprucehold.rig.script.Cast;
 import sprucehold.rig.script.Fault;
+import sprucehold.rig.script.Parties;
 import sprucehold.rig.script.Script;
 
 /** Draws a run from a script and a seed. */
 public final class Planner {
     private final Script script;
-    private final Cast cast;
+    private final Parties parties;
     private final long seed;
 
     private Planner(Script script, long seed) {
         this.script = script;
-        this.cast = Cast.of(script);
+        this.parties = Parties.of(script);
         this.seed = seed;
     }
 
@@ -71,7 +71,7 @@
             faults.add(new Plan.Befall(fault, of, select(fault.to())));
         }
         var gatherers = new ArrayList<Plan.Gatherer>();
-        for (String name : cast.gatherers()) {
+        for (String name : parties.gatherers()) {
             Plan.Clocks clocks = Plan.Clocks.RIGHT;
             for (Plan.Befall f : faults) {
                 if (f.fault().when() == null && f.fault().atS() == 0 && f.of().contains(name)) {
@@ -81,17 +81,17 @@
             gatherers.add(
                     new Plan.Gatherer(
                             name,
-                            cast.siteOf().get(name),
+                            parties.siteOf().get(name),
                             random("gatherer", gatherers.size()).nextLong(),
                             clocks));
         }
         var servers = new ArrayList<Plan.Server>();
-        for (String name : cast.servers()) {
+        for (String name : parties.servers()) {
             int cell = Integer.parseInt(name.split("-")[2]);
             servers.add(
                     new Plan.Server(
                             name,
-                            cast.siteOf().get(name),
+                            parties.siteOf().get(name),
                             cell,
                             random("server", servers.size()).nextLong()));
         }
@@ -109,7 +109,7 @@
     }
 
     private List<String> select(List<String> groups) {
-        return groups.stream().flatMap(name -> cast.select(name).stream()).distinct().toList();
+        return groups.stream().flatMap(name -> parties.select(name).stream()).distinct().toList();
     }
 
     /**
--- a/rig/src/main/java/sprucehold/rig/script/Cast.java
+++ b/rig/src/main/java/sprucehold/rig/script/Parties.java
@@ -13,13 +13,13 @@
  *
  * @param siteOf the site of each party, clients included
  */
-public record Cast(
+public record Parties(
         List<String> gatherers,
         List<String> servers,
         List<String> clients,
         Map<String, String> siteOf) {
 
-    public static Cast of(Script script) {
+    public static Parties of(Script script) {
         var gatherers = new ArrayList<String>();
         var servers = new ArrayList<String>();
         var clients = new ArrayList<String>();
@@ -38,7 +38,7 @@
             clients.add("clients@" + site.name());
             siteOf.put("clients@" + site.name(), site.name());
         }
-        return new Cast(
+        return new Parties(
                 List.copyOf(gatherers),
                 List.copyOf(servers),
                 List.copyOf(clients),
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -335,14 +335,14 @@
                             + Script.MOST_SERVERS
                             + " were expected");
         }
-        var cast = Cast.of(script);
+        var parties = Parties.of(script);
         for (int i = 0; i < script.load().size(); i++) {
             checkLoad(script, script.load().get(i), "load[" + i + "]");
         }
         Map<String, Fault> byName = new HashMap<>();
         script.faults().forEach(fault -> byName.put(fault.name(), fault));
         for (int i = 0; i < script.faults().size(); i++) {
-            checkFault(script, cast, byName, script.faults().get(i), "faults[" + i + "]");
+            checkFault(script, parties, byName, script.faults().get(i), "faults[" + i + "]");
         }
     }
 
@@ -389,7 +389,7 @@
     }
 
     private void checkFault(
-            Script script, Cast cast, Map<String, Fault> byName, Fault fault, String at) {
+            Script script, Parties parties, Map<String, Fault> byName, Fault fault, String at) {
         if (fault.when() == null && fault.atS() > script.lengthS()) {
             errors.add(
                     at
@@ -411,7 +411,8 @@
                             + " was expected");
         }
         for (String selector : fault.of()) {
-            checkSelection(cast.select(selector), selector, fault.kind().whom(), at + ".of", cast);
+            checkSelection(
+                    parties.select(selector), selector, fault.kind().whom(), at + ".of", parties);
         }
         boolean onLinks = fault.kind().whom() == Fault.Whom.LINK;
         if (fault.kind() == Fault.Kind.FLOOD && script.together() == null) {
@@ -439,7 +440,7 @@
                             : fault.kind() == Fault.Kind.LIST_HIDES
                                     ? Fault.Whom.SERVER
                                     : Fault.Whom.LINK;
-            checkSelection(cast.select(selector), selector, other, at + ".to", cast);
+            checkSelection(parties.select(selector), selector, other, at + ".to", parties);
         }
         fault.tableTypes().stream()
                 .filter(
@@ -450,15 +451,15 @@
         if (fault.some() > 0
                 && fault.some()
                         > fault.of().stream()
-                                .flatMap(selector -> cast.select(selector).stream())
+                                .flatMap(selector -> parties.select(selector).stream())
                                 .distinct()
                                 .count()) {
             errors.add(at + ".some: " + fault.some() + " exceeds the number of selected targets");
         }
-        checkTrigger(cast, byName, fault, at);
+        checkTrigger(parties, byName, fault, at);
     }
 
-    private void checkTrigger(Cast cast, Map<String, Fault> byName, Fault fault, String at) {
+    private void checkTrigger(Parties parties, Map<String, Fault> byName, Fault fault, String at) {
         if (fault.when() == null) {
             return;
         }
@@ -473,18 +474,18 @@
             } else if (before != null && seen.contains(before.name()) && before.when() != null) {
                 errors.add(at + ".when: cyclic triggers through " + before.name());
             }
-        } else if (!cast.gatherers().contains(fault.when().gatherer())) {
+        } else if (!parties.gatherers().contains(fault.when().gatherer())) {
             errors.add(at + ".when.gatherer: no gatherer is named " + fault.when().gatherer());
         }
     }
 
     private void checkSelection(
-            List<String> selected, String selector, Fault.Whom whom, String at, Cast cast) {
+            List<String> selected, String selector, Fault.Whom whom, String at, Parties parties) {
         if (selected.isEmpty()) {
             errors.add(at + ": no party is selected by " + selector);
-        } else if (whom == Fault.Whom.GATHERER && !cast.gatherers().containsAll(selected)
-                || whom == Fault.Whom.SERVER && !cast.servers().containsAll(selected)
-                || whom == Fault.Whom.DISCOVERY && !cast.gatherers().containsAll(selected)) {
+        } else if (whom == Fault.Whom.GATHERER && !parties.gatherers().containsAll(selected)
+                || whom == Fault.Whom.SERVER && !parties.servers().containsAll(selected)
+                || whom == Fault.Whom.DISCOVERY && !parties.gatherers().containsAll(selected)) {
             errors.add(
                     at
                             + ": "
--- a/rig/src/main/java/sprucehold/rig/shrink/Storm.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/Storm.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import sprucehold.rig.script.Cast;
 import sprucehold.rig.script.Fault;
+import sprucehold.rig.script.Parties;
 import sprucehold.rig.script.Script;
 
 /** Draws faults by chance: up to six at once, of all kinds that a gatherer of today can meet. */
@@ -31,12 +31,12 @@
     private static final int MOST = 6;
 
     private final Script script;
-    private final Cast cast;
+    private final Parties parties;
     private final UniformRandomProvider chance;
 
     private Storm(Script script, long seed) {
         this.script = script;
-        this.cast = Cast.of(script);
+        this.parties = Parties.of(script);
         this.chance = RandomSource.SPLIT_MIX_64.create(seed);
     }
 
@@ -74,8 +74,8 @@
                     case SHARE -> 0.05 + 0.45 * chance.nextDouble();
                     case TIMES -> 2 + chance.nextInt(40);
                 };
-        List<String> gatherers = some(cast.gatherers());
-        List<String> servers = some(cast.servers());
+        List<String> gatherers = some(parties.gatherers());
+        List<String> servers = some(parties.servers());
         return switch (kind.whom()) {
             case GATHERER ->
                     fault(
@@ -96,7 +96,7 @@
                             kind,
                             gatherers,
                             script.together() != null && chance.nextBoolean()
-                                    ? cast.gatherers()
+                                    ? parties.gatherers()
                                     : servers,
                             at,
                             lasts,
