--- a/rig/src/main/java/sprucehold/rig/fault/FaultBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
@@ -14,7 +14,7 @@
  * Schedules the begin and the end of each fault of a plan. Each fault begins at most once. Times
  * are in seconds since the first query.
  */
-public final class FaultBoard {
+public final class FaultSchedule {
     /**
      * The begin or the end of a fault.
      *
@@ -30,7 +30,7 @@
     private final List<Plan.Befall> triggeredByOpenAttempts = new ArrayList<>();
     private final Set<Plan.Befall> active = new HashSet<>();
 
-    public FaultBoard(List<Plan.Befall> faults) {
+    public FaultSchedule(List<Plan.Befall> faults) {
         for (Plan.Befall fault : faults) {
             if (fault.fault().when() == null) {
                 scheduled.add(new Change(fault.fault().atS(), true, fault));
--- a/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
@@ -14,7 +14,7 @@
      * Adds a fault that begins, or removes one that ends. Faults on other targets than links are
      * ignored.
      */
-    public void change(FaultBoard.Change change) {
+    public void change(FaultSchedule.Change change) {
         if (change.what().fault().kind().whom() != Fault.Whom.LINK) {
             return;
         }
--- a/rig/src/main/java/sprucehold/rig/fault/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/fault/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decides which faults are active. {@link sprucehold.rig.fault.FaultBoard} takes times and counts
- * of open attempts, and returns the faults that begin or end. {@link
+ * Decides which faults are active. {@link sprucehold.rig.fault.FaultSchedule} takes times and
+ * counts of open attempts, and returns the faults that begin or end. {@link
  * sprucehold.rig.fault.LinkBoard} combines the active faults of one link. Pure: the caller injects
  * each fault when it is returned.
  */
--- a/rig/src/main/java/sprucehold/rig/link/Wires.java
+++ b/rig/src/main/java/sprucehold/rig/link/Wires.java
@@ -8,7 +8,7 @@
 import java.util.function.DoubleSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.fault.LinkBoard;
 
 /**
@@ -42,7 +42,7 @@
     /**
      * Adds a fault that begins, or removes one that ends; open connections are affected at once.
      */
-    public void change(FaultBoard.Change change) {
+    public void change(FaultSchedule.Change change) {
         board.change(change);
         List.copyOf(sockets).forEach(ShapedSocket::faultsChanged);
     }
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.link.DatagramRelay;
 import sprucehold.rig.link.Flood;
 import sprucehold.rig.link.TcpRelay;
@@ -81,7 +81,7 @@
     }
 
     /** Begins or ends a flood of one gatherer with what others have sent it. */
-    void flood(int gatherer, FaultBoard.Change change) {
+    void flood(int gatherer, FaultSchedule.Change change) {
         List<Flood> all = floods.computeIfAbsent(change.what(), none -> new ArrayList<>());
         if (change.begins()) {
             List<DatagramRelay> leading = datagrams.get(gatherers.get(gatherer));
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.link.Wires;
 import sprucehold.rig.list.AgentHost;
 import sprucehold.rig.list.ServerList;
@@ -91,7 +91,7 @@
     private final Map<String, Integer> out = new HashMap<>();
     private final Front front;
     private final Clients clients;
-    private final FaultBoard board;
+    private final FaultSchedule board;
     private final List<RunFolder.Span> spans = new ArrayList<>();
     private final Map<Plan.Befall, Double> began = new HashMap<>();
     private final Map<String, Double> heldSince = new HashMap<>();
@@ -161,7 +161,7 @@
                                         addresses.gathererPort(), addresses.gatherer(number(name))),
                         killed::contains,
                         this::ended);
-        this.board = new FaultBoard(plan.faults());
+        this.board = new FaultSchedule(plan.faults());
     }
 
     /**
@@ -499,7 +499,7 @@
         }
     }
 
-    private void carryOut(FaultBoard.Change change) {
+    private void carryOut(FaultSchedule.Change change) {
         Plan.Befall fault = change.what();
         progress.accept(
                 String.format(
@@ -536,7 +536,7 @@
         }
     }
 
-    private void gatherer(String name, FaultBoard.Change change) {
+    private void gatherer(String name, FaultSchedule.Change change) {
         GathererProcess process = gatherers.get(name);
         Fault fault = change.what().fault();
         boolean again = fault.forS() < Double.POSITIVE_INFINITY;
@@ -633,7 +633,7 @@
                 .forEach(
                         fault -> {
                             if (fault.fault().kind().whom() == Fault.Whom.LINK) {
-                                wires.change(new FaultBoard.Change(atS(), false, fault));
+                                wires.change(new FaultSchedule.Change(atS(), false, fault));
                             }
                             over(fault);
                         });
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.list.ServerList;
 import sprucehold.rig.server.ServerHost;
 
@@ -64,7 +64,7 @@
         hosts.forEach(ServerHost::linksChanged);
     }
 
-    void change(String name, FaultBoard.Change change) {
+    void change(String name, FaultSchedule.Change change) {
         host(name).change(change.begins(), change.what());
         switch (change.what().fault().kind()) {
             case DRAIN -> drains(name, change.begins());
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.Test;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.fault.LinkBoard;
 import sprucehold.rig.fault.Treatment;
 import sprucehold.rig.link.Shaper;
@@ -26,7 +26,7 @@
 public class FaultsTest {
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    private static List<String> describe(List<FaultBoard.Change> changes) {
+    private static List<String> describe(List<FaultSchedule.Change> changes) {
         return changes.stream()
                 .map(
                         change ->
@@ -58,7 +58,7 @@
     @Test
     public void faultsBeginAndEndInTheOrderOfTheirTimesEvenIfPolledLate() {
         var board =
-                new FaultBoard(
+                new FaultSchedule(
                         List.of(
                                 Scripts.befall(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
                                 Scripts.befall(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
@@ -80,8 +80,8 @@
         assertEquals(board.inForce().size(), 1);
     }
 
-    private static FaultBoard.Change change(boolean begins, Plan.Befall fault) {
-        return new FaultBoard.Change(0, begins, fault);
+    private static FaultSchedule.Change change(boolean begins, Plan.Befall fault) {
+        return new FaultSchedule.Change(0, begins, fault);
     }
 
     private static Plan.Befall link(
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.link.DatagramRelay;
 import sprucehold.rig.link.TcpRelay;
 import sprucehold.rig.link.Wires;
@@ -77,7 +77,7 @@
                         mode,
                         false,
                         List.of());
-        wires.change(new FaultBoard.Change(0, begins, Scripts.befall(fault, "a", "b")));
+        wires.change(new FaultSchedule.Change(0, begins, Scripts.befall(fault, "a", "b")));
         return Future.succeededFuture();
     }
 
