--- a/rig/src/main/java/sprucehold/rig/fault/LinkBoard.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
@@ -6,7 +6,7 @@
 import sprucehold.rig.script.Fault;
 
 /** Combines the active faults of each directed link into one {@link Treatment}. */
-public final class LinkBoard {
+public final class LinkFaults {
     private final List<Plan.Befall> active = new ArrayList<>();
     private long version;
 
--- a/rig/src/main/java/sprucehold/rig/link/Shaper.java
+++ b/rig/src/main/java/sprucehold/rig/link/Shaper.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
-import sprucehold.rig.fault.LinkBoard;
+import sprucehold.rig.fault.LinkFaults;
 import sprucehold.rig.fault.Treatment;
 import sprucehold.rig.script.Fault;
 
@@ -16,7 +16,7 @@
 public final class Shaper<T> {
     private record Queued<T>(double dueMs, long bytes, T message) {}
 
-    private final LinkBoard board;
+    private final LinkFaults board;
     private final String from;
     private final String to;
     private final UniformRandomProvider random;
@@ -30,7 +30,7 @@
     /**
      * @param random draws which messages get the long tail of a delay
      */
-    public Shaper(LinkBoard board, String from, String to, UniformRandomProvider random) {
+    public Shaper(LinkFaults board, String from, String to, UniformRandomProvider random) {
         this.board = board;
         this.from = from;
         this.to = to;
--- a/rig/src/main/java/sprucehold/rig/link/Wires.java
+++ b/rig/src/main/java/sprucehold/rig/link/Wires.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import sprucehold.rig.fault.FaultSchedule;
-import sprucehold.rig.fault.LinkBoard;
+import sprucehold.rig.fault.LinkFaults;
 
 /**
  * All connections of a run that faults may affect, and the faults on their links. Not thread-safe:
@@ -18,7 +18,7 @@
 public final class Wires {
     private final Vertx vertx;
     private final DoubleSupplier clock;
-    private final LinkBoard board = new LinkBoard();
+    private final LinkFaults board = new LinkFaults();
     private final Set<ShapedSocket> sockets = new LinkedHashSet<>();
     private final UniformRandomProvider random;
 
@@ -47,7 +47,7 @@
         List.copyOf(sockets).forEach(ShapedSocket::faultsChanged);
     }
 
-    public LinkBoard board() {
+    public LinkFaults board() {
         return board;
     }
 
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.Test;
 import sprucehold.rig.fault.FaultSchedule;
-import sprucehold.rig.fault.LinkBoard;
+import sprucehold.rig.fault.LinkFaults;
 import sprucehold.rig.fault.Treatment;
 import sprucehold.rig.link.Shaper;
 import sprucehold.rig.plan.Plan;
@@ -106,7 +106,7 @@
 
     @Test
     public void linkFaultsAddUpAndOneWayFaultsLeaveTheOtherDirectionUnchanged() {
-        var board = new LinkBoard();
+        var board = new LinkFaults();
         var slow = link(Fault.Kind.DELAY, 30, Fault.Mode.SILENT, false);
         board.change(change(true, slow));
         board.change(change(true, link(Fault.Kind.DELAY, 12, Fault.Mode.SILENT, true)));
@@ -121,13 +121,13 @@
         assertTrue(board.hasFaults("s", "g"));
     }
 
-    private static Shaper<Integer> shaper(LinkBoard board) {
+    private static Shaper<Integer> shaper(LinkFaults board) {
         return new Shaper<>(board, "g", "s", RandomSource.SPLIT_MIX_64.create(1));
     }
 
     @Test
     public void messagesPassInOrderAndNotBeforeDelayAndRateAllow() {
-        var board = new LinkBoard();
+        var board = new LinkFaults();
         var slow = link(Fault.Kind.DELAY, 20, Fault.Mode.SILENT, true);
         var narrow = link(Fault.Kind.RATE, 1000, Fault.Mode.SILENT, true);
         board.change(change(true, slow));
@@ -155,7 +155,7 @@
 
     @Test
     public void aCutHoldsMessagesBackUntilItEndsAndAHalfOpenConnectionNeverDelivers() {
-        var board = new LinkBoard();
+        var board = new LinkFaults();
         var cut = link(Fault.Kind.CUT, 0, Fault.Mode.SILENT, true);
         var halfOpen = link(Fault.Kind.HALF_OPEN, 0, Fault.Mode.SILENT, true);
         var shaper = shaper(board);
@@ -174,7 +174,7 @@
 
     @Test
     public void aConnectionIsCutAfterTheGivenNumberOfBytes() {
-        var board = new LinkBoard();
+        var board = new LinkFaults();
         board.change(change(true, link(Fault.Kind.CUT_AFTER, 25, Fault.Mode.SILENT, true)));
         var shaper = shaper(board);
         for (int i = 0; i < 4; i++) {
