--- a/benchmarks/src/main/java/sprucehold/benchmarks/LinkCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/LinkCost.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import org.HdrHistogram.Histogram;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.ShapedSocket;
 import sprucehold.rig.link.TcpRelay;
-import sprucehold.rig.link.Wires;
 
 /**
  * What the rig's links add to a round trip on loopback, no fault in force: a direct connection, one
@@ -48,7 +48,7 @@
     }
 
     private void run(int rounds) throws InterruptedException, ExecutionException, TimeoutException {
-        var wires = new Wires(far, () -> System.nanoTime() / 1e6, 1);
+        var wires = new ShapedConnections(far, () -> System.nanoTime() / 1e6, 1);
         NetServer echo =
                 far.createNetServer().connectHandler(socket -> socket.handler(socket::write));
         NetServer held =
--- a/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
@@ -16,7 +16,7 @@
     private static final int MAX_RECENT = 16;
 
     private final Vertx vertx;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final String from;
     private final String to;
     private final int port;
@@ -37,7 +37,8 @@
     /**
      * @param host address to which datagrams are forwarded, at {@code port}
      */
-    public DatagramRelay(Vertx vertx, Wires wires, String from, String to, String host, int port) {
+    public DatagramRelay(
+            Vertx vertx, ShapedConnections wires, String from, String to, String host, int port) {
         this.vertx = vertx;
         this.wires = wires;
         this.from = from;
--- a/rig/src/main/java/sprucehold/rig/link/Flood.java
+++ b/rig/src/main/java/sprucehold/rig/link/Flood.java
@@ -28,7 +28,7 @@
      */
     public Flood(
             Vertx vertx,
-            Wires wires,
+            ShapedConnections wires,
             String host,
             int port,
             double perS,
--- a/rig/src/main/java/sprucehold/rig/link/Wires.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedConnections.java
@@ -15,7 +15,7 @@
  * All connections of a run that faults may affect, and the faults on their links. Not thread-safe:
  * all calls are made on one event loop.
  */
-public final class Wires {
+public final class ShapedConnections {
     private final Vertx vertx;
     private final DoubleSupplier clock;
     private final LinkFaults board = new LinkFaults();
@@ -25,7 +25,7 @@
     /**
      * @param clock the clock of the run, in milliseconds
      */
-    public Wires(Vertx vertx, DoubleSupplier clock, long seed) {
+    public ShapedConnections(Vertx vertx, DoubleSupplier clock, long seed) {
         this.vertx = vertx;
         this.clock = clock;
         this.random = RandomSource.SPLIT_MIX_64.create(seed);
--- a/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
@@ -34,7 +34,7 @@
     /** Number of buffers from the peer that may wait before reading from the socket is paused. */
     private static final int MAX_QUEUED_BUFFERS = 1000;
 
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final NetSocket socket;
     private final Owner owner;
     private final Shaper<ReceivedBytes> inbound;
@@ -48,7 +48,7 @@
     /** Bytes to write, and an action that runs when they are written to the socket. */
     private record PendingWrite(Buffer buffer, Runnable onWritten) {}
 
-    ShapedSocket(Wires wires, NetSocket socket, String peer, String self, Owner owner) {
+    ShapedSocket(ShapedConnections wires, NetSocket socket, String peer, String self, Owner owner) {
         this.wires = wires;
         this.socket = socket;
         this.owner = owner;
--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -13,14 +13,15 @@
 
 /** Relays TCP connections from one process to another, with the faults of the link between them. */
 public final class TcpRelay {
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final String from;
     private final String to;
     private final SocketAddress target;
     private final NetClient client;
     private final NetServer server;
 
-    public TcpRelay(Vertx vertx, Wires wires, String from, String to, SocketAddress target) {
+    public TcpRelay(
+            Vertx vertx, ShapedConnections wires, String from, String to, SocketAddress target) {
         this.wires = wires;
         this.from = from;
         this.to = to;
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -20,8 +20,8 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import sprucehold.rig.fault.Treatment;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.ShapedSocket;
-import sprucehold.rig.link.Wires;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
@@ -57,7 +57,7 @@
     }
 
     private final Vertx vertx;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Script script;
@@ -76,7 +76,7 @@
      */
     public Clients(
             Vertx vertx,
-            Wires wires,
+            ShapedConnections wires,
             DoubleSupplier clock,
             Ledger ledger,
             Script script,
--- a/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
+++ b/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import sprucehold.rig.link.Wires;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.load.Clients;
 import sprucehold.rig.load.Front;
 import sprucehold.rig.plan.Plan;
@@ -57,7 +57,7 @@
                     var clients =
                             new Clients(
                                     vertx,
-                                    new Wires(vertx, clock, seed),
+                                    new ShapedConnections(vertx, clock, seed),
                                     clock,
                                     new Ledger(),
                                     script,
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -10,8 +10,8 @@
 import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.link.DatagramRelay;
 import sprucehold.rig.link.Flood;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.TcpRelay;
-import sprucehold.rig.link.Wires;
 import sprucehold.rig.plan.Addresses;
 import sprucehold.rig.plan.Plan;
 
@@ -21,7 +21,7 @@
  */
 final class PeerRelays {
     private final Vertx vertx;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final Addresses addresses;
     private final List<String> gatherers;
 
@@ -34,7 +34,7 @@
     /**
      * @param gatherers the names of all, by number
      */
-    PeerRelays(Vertx vertx, Wires wires, Addresses addresses, List<String> gatherers) {
+    PeerRelays(Vertx vertx, ShapedConnections wires, Addresses addresses, List<String> gatherers) {
         this.vertx = vertx;
         this.wires = wires;
         this.addresses = addresses;
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -25,7 +25,7 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import sprucehold.rig.fault.FaultSchedule;
-import sprucehold.rig.link.Wires;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.list.AgentHost;
 import sprucehold.rig.list.ServerList;
 import sprucehold.rig.load.Clients;
@@ -78,7 +78,7 @@
     private final Ledger ledger = new Ledger();
     private final Addresses addresses;
     private final Guardian guardian;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final ServerList list;
     private final ShardServerFleet servers;
     private final Map<String, AgentHost> agents = new LinkedHashMap<>();
@@ -119,7 +119,7 @@
         this.progress = progress;
         this.addresses = Addresses.claim();
         this.guardian = new Guardian();
-        this.wires = new Wires(vertx, this::now, seed);
+        this.wires = new ShapedConnections(vertx, this::now, seed);
         this.list =
                 new ServerList(
                         plan.servers().stream()
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.DoubleSupplier;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.ShapedSocket;
-import sprucehold.rig.link.Wires;
 import sprucehold.rig.plan.Addresses;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
@@ -30,7 +30,7 @@
  */
 public final class ServerHost {
     private final Vertx vertx;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Addresses addresses;
@@ -57,7 +57,7 @@
      */
     public ServerHost(
             Vertx vertx,
-            Wires wires,
+            ShapedConnections wires,
             DoubleSupplier clock,
             Ledger ledger,
             Addresses addresses,
--- a/rig/src/test/java/sprucehold/rig/ClientsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ClientsTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
-import sprucehold.rig.link.Wires;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.load.Clients;
 import sprucehold.rig.load.Front;
 import sprucehold.rig.plan.Plan;
@@ -55,7 +55,7 @@
                             var clients =
                                     new Clients(
                                             vertx,
-                                            new Wires(
+                                            new ShapedConnections(
                                                     vertx,
                                                     () -> (System.nanoTime() - startNs) / 1e6,
                                                     1),
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -24,8 +24,8 @@
 import org.testng.annotations.Test;
 import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.link.DatagramRelay;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.TcpRelay;
-import sprucehold.rig.link.Wires;
 import sprucehold.rig.script.Fault;
 
 /**
@@ -37,13 +37,13 @@
     private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
-    private Wires wires;
+    private ShapedConnections wires;
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
         long startNs = System.nanoTime();
-        wires = new Wires(vertx, () -> (System.nanoTime() - startNs) / 1e6, 5);
+        wires = new ShapedConnections(vertx, () -> (System.nanoTime() - startNs) / 1e6, 5);
     }
 
     @AfterMethod
