--- a/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
@@ -22,16 +22,16 @@
      * @param begins true at the begin of the fault, false at its end
      * @param what the fault
      */
-    public record Change(double atS, boolean begins, Plan.Befall what) {}
+    public record Change(double atS, boolean begins, Plan.TargetedFault what) {}
 
     private final PriorityQueue<Change> scheduled =
             new PriorityQueue<>(Comparator.comparingDouble(Change::atS));
-    private final Map<String, List<Plan.Befall>> triggeredByFault = new HashMap<>();
-    private final List<Plan.Befall> triggeredByOpenAttempts = new ArrayList<>();
-    private final Set<Plan.Befall> active = new HashSet<>();
+    private final Map<String, List<Plan.TargetedFault>> triggeredByFault = new HashMap<>();
+    private final List<Plan.TargetedFault> triggeredByOpenAttempts = new ArrayList<>();
+    private final Set<Plan.TargetedFault> active = new HashSet<>();
 
-    public FaultSchedule(List<Plan.Befall> faults) {
-        for (Plan.Befall fault : faults) {
+    public FaultSchedule(List<Plan.TargetedFault> faults) {
+        for (Plan.TargetedFault fault : faults) {
             if (fault.fault().when() == null) {
                 scheduled.add(new Change(fault.fault().atS(), true, fault));
             } else if (fault.fault().when().fault().isEmpty()) {
@@ -62,7 +62,7 @@
                                     false,
                                     change.what()));
                 }
-                for (Plan.Befall next :
+                for (Plan.TargetedFault next :
                         triggeredByFault.getOrDefault(change.what().fault().name(), List.of())) {
                     scheduled.add(new Change(change.atS() + next.fault().atS(), true, next));
                 }
@@ -104,7 +104,7 @@
     }
 
     /** Returns the active faults; the caller reverts them at the end of a run. */
-    public Set<Plan.Befall> inForce() {
+    public Set<Plan.TargetedFault> inForce() {
         return Set.copyOf(active);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
@@ -7,7 +7,7 @@
 
 /** Combines the active faults of each directed link into one {@link Treatment}. */
 public final class LinkFaults {
-    private final List<Plan.Befall> active = new ArrayList<>();
+    private final List<Plan.TargetedFault> active = new ArrayList<>();
     private long version;
 
     /**
@@ -37,7 +37,7 @@
     /** Returns the treatment of the bytes that are sent from one party to another. */
     public Treatment of(String from, String to) {
         Treatment combined = Treatment.SOUND;
-        for (Plan.Befall fault : active) {
+        for (Plan.TargetedFault fault : active) {
             boolean forward = fault.of().contains(from) && fault.to().contains(to);
             boolean backward =
                     !fault.fault().oneWay() && fault.of().contains(to) && fault.to().contains(from);
--- a/rig/src/main/java/sprucehold/rig/list/Agent.java
+++ b/rig/src/main/java/sprucehold/rig/list/Agent.java
@@ -22,7 +22,7 @@
     public record Answer(long index, boolean snapshot, List<ServerList.Entry> entries) {}
 
     private final ServerList list;
-    private final List<Plan.Befall> faults = new ArrayList<>();
+    private final List<Plan.TargetedFault> faults = new ArrayList<>();
 
     /**
      * Whether the next answer has to be the whole list, because the entries that the gatherer may
@@ -37,7 +37,7 @@
     }
 
     /** Applies a fault of discovery that begins, or removes one that ends. */
-    public void change(boolean begins, Plan.Befall fault) {
+    public void change(boolean begins, Plan.TargetedFault fault) {
         if (begins) {
             faults.add(fault);
         } else {
--- a/rig/src/main/java/sprucehold/rig/list/AgentHost.java
+++ b/rig/src/main/java/sprucehold/rig/list/AgentHost.java
@@ -72,7 +72,7 @@
         return server == null ? Future.succeededFuture() : server.close();
     }
 
-    public void change(boolean begins, Plan.Befall fault) {
+    public void change(boolean begins, Plan.TargetedFault fault) {
         agent.change(begins, fault);
     }
 
--- a/rig/src/main/java/sprucehold/rig/plan/Plan.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Plan.java
@@ -15,7 +15,7 @@
         List<Gatherer> gatherers,
         List<Server> servers,
         List<Ask> asks,
-        List<Befall> faults) {
+        List<TargetedFault> faults) {
 
     /**
      * A gatherer.
@@ -71,5 +71,5 @@
      * @param of names of the targets, or of one end of the links
      * @param to names of the parties that the script's {@code to} selects; see {@link Fault}
      */
-    public record Befall(Fault fault, List<String> of, List<String> to) {}
+    public record TargetedFault(Fault fault, List<String> of, List<String> to) {}
 }
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -57,7 +57,7 @@
     }
 
     private Plan plan() {
-        var faults = new ArrayList<Plan.Befall>();
+        var faults = new ArrayList<Plan.TargetedFault>();
         for (int i = 0; i < script.faults().size(); i++) {
             Fault fault = script.faults().get(i);
             List<String> of = select(fault.of());
@@ -68,12 +68,12 @@
                 ListSampler.shuffle(random("fault " + fault.name(), 0), of);
                 of = of.subList(0, fault.some()).stream().sorted().toList();
             }
-            faults.add(new Plan.Befall(fault, of, select(fault.to())));
+            faults.add(new Plan.TargetedFault(fault, of, select(fault.to())));
         }
         var gatherers = new ArrayList<Plan.Gatherer>();
         for (String name : parties.gatherers()) {
             Plan.Clocks clocks = Plan.Clocks.RIGHT;
-            for (Plan.Befall f : faults) {
+            for (Plan.TargetedFault f : faults) {
                 if (f.fault().when() == null && f.fault().atS() == 0 && f.of().contains(name)) {
                     clocks = clocks.and(f.fault());
                 }
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -29,7 +29,7 @@
     private final Map<String, List<DatagramRelay>> datagrams = new HashMap<>();
 
     private final List<TcpRelay> streams = new ArrayList<>();
-    private final Map<Plan.Befall, List<Flood>> floods = new HashMap<>();
+    private final Map<Plan.TargetedFault, List<Flood>> floods = new HashMap<>();
 
     /**
      * @param gatherers the names of all, by number
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -93,7 +93,7 @@
     private final Clients clients;
     private final FaultSchedule board;
     private final List<RunFolder.Span> spans = new ArrayList<>();
-    private final Map<Plan.Befall, Double> began = new HashMap<>();
+    private final Map<Plan.TargetedFault, Double> began = new HashMap<>();
     private final Map<String, Double> heldSince = new HashMap<>();
 
     /** Gatherers that were told to end or killed: their end is no crash. */
@@ -500,7 +500,7 @@
     }
 
     private void carryOut(FaultSchedule.Change change) {
-        Plan.Befall fault = change.what();
+        Plan.TargetedFault fault = change.what();
         progress.accept(
                 String.format(
                         Locale.ROOT,
@@ -527,7 +527,7 @@
         }
     }
 
-    private void over(Plan.Befall fault) {
+    private void over(Plan.TargetedFault fault) {
         Double from = began.remove(fault);
         if (from != null) {
             spans.add(
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -41,7 +41,7 @@
     private final BiConsumer<String, Integer> out;
     private final Map<Integer, NetServer> listeners = new HashMap<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private final List<Plan.Befall> faults = new ArrayList<>();
+    private final List<Plan.TargetedFault> faults = new ArrayList<>();
     private final Runnable fellOver;
     private ServerModel model;
     private boolean alive = true;
@@ -112,7 +112,7 @@
     }
 
     /** A fault of servers begins or ends. */
-    public void change(boolean begins, Plan.Befall fault) {
+    public void change(boolean begins, Plan.TargetedFault fault) {
         if (fault.fault().kind() == Fault.Kind.DIE) {
             if (begins) {
                 die();
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -72,7 +72,7 @@
             new PriorityQueue<>(Comparator.comparingDouble(Running::endsMs));
     private final Set<Arrival> givenUp = new HashSet<>();
     private final ArrayDeque<Push> pushes = new ArrayDeque<>();
-    private final List<Plan.Befall> faults = new ArrayList<>();
+    private final List<Plan.TargetedFault> faults = new ArrayList<>();
     private double startedMs;
     private double stalledMs = Double.NaN;
     private boolean fallen;
@@ -97,7 +97,7 @@
     }
 
     /** A fault begins or ends. */
-    public List<Act> change(double nowMs, boolean begins, Plan.Befall fault) {
+    public List<Act> change(double nowMs, boolean begins, Plan.TargetedFault fault) {
         if (begins) {
             faults.add(fault);
         } else {
@@ -233,7 +233,7 @@
         if (givenUp.remove(part)) {
             return;
         }
-        for (Plan.Befall fault : faults) {
+        for (Plan.TargetedFault fault : faults) {
             if (fault.fault().kind() == Fault.Kind.LOSE_ANSWERS
                     && chance(part, 2).nextDouble() < fault.fault().amount()) {
                 acts.add(new Act.Lost(part, fault.fault().mode() == Fault.Mode.RESET));
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -35,9 +35,9 @@
                 .toList();
     }
 
-    private static Plan.Befall triggered(
+    private static Plan.TargetedFault triggered(
             String name, Fault.Trigger trigger, double after, double lasts) {
-        return new Plan.Befall(
+        return new Plan.TargetedFault(
                 new Fault(
                         name,
                         Fault.Kind.PAUSE,
@@ -80,13 +80,13 @@
         assertEquals(board.inForce().size(), 1);
     }
 
-    private static FaultSchedule.Change change(boolean begins, Plan.Befall fault) {
+    private static FaultSchedule.Change change(boolean begins, Plan.TargetedFault fault) {
         return new FaultSchedule.Change(0, begins, fault);
     }
 
-    private static Plan.Befall link(
+    private static Plan.TargetedFault link(
             Fault.Kind kind, double amount, Fault.Mode mode, boolean oneWay) {
-        return new Plan.Befall(
+        return new Plan.TargetedFault(
                 new Fault(
                         kind + " " + amount + mode,
                         kind,
--- a/rig/src/test/java/sprucehold/rig/ModelsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ModelsTest.java
@@ -101,9 +101,9 @@
         assertTrue(warm.held() > 0);
     }
 
-    private static Plan.Befall fault(
+    private static Plan.TargetedFault fault(
             Fault.Kind kind, double amount, List<String> types, String... to) {
-        return new Plan.Befall(
+        return new Plan.TargetedFault(
                 new Fault(
                         "f",
                         kind,
@@ -153,8 +153,8 @@
         return new ServerList.Entry(name, "a", 0, status, 0, life);
     }
 
-    private static Plan.Befall list(Fault.Kind kind, double amount, String... hidden) {
-        return new Plan.Befall(
+    private static Plan.TargetedFault list(Fault.Kind kind, double amount, String... hidden) {
+        return new Plan.TargetedFault(
                 new Fault(
                         "f",
                         kind,
--- a/rig/src/test/java/sprucehold/rig/Scripts.java
+++ b/rig/src/test/java/sprucehold/rig/Scripts.java
@@ -37,8 +37,8 @@
                 List.of());
     }
 
-    static Plan.Befall befall(Fault fault, String of, String... to) {
-        return new Plan.Befall(fault, List.of(of), List.of(to));
+    static Plan.TargetedFault befall(Fault fault, String of, String... to) {
+        return new Plan.TargetedFault(fault, List.of(of), List.of(to));
     }
 
     /** Returns the calm script with another length and other faults, so that a test is short. */
