--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -53,7 +53,7 @@
          * @param atMs when the client had it, by the run's clock
          * @param sentLateMs how much later than planned the rig began to send it
          */
-        void ended(Plan.Ask ask, double atMs, End end, double sentLateMs);
+        void ended(Plan.PlannedQuery ask, double atMs, End end, double sentLateMs);
     }
 
     private final Vertx vertx;
@@ -100,7 +100,7 @@
     }
 
     /** Asks a planned scan now. */
-    public void ask(Plan.Ask ask, double plannedMs) {
+    public void ask(Plan.PlannedQuery ask, double plannedMs) {
         open++;
         new Asking(ask, clock.getAsDouble() - plannedMs).go(ask.id());
     }
@@ -125,7 +125,7 @@
 
     /** One client's wish, through all its retries. */
     private final class Asking {
-        final Plan.Ask ask;
+        final Plan.PlannedQuery ask;
         final Script.Load load;
         final Script.Kind kind;
         final Persistence persistence;
@@ -139,7 +139,7 @@
         /** When its query timeout is over, from when it first looked for a gatherer. */
         double timeOverAt;
 
-        Asking(Plan.Ask ask, double sentLateMs) {
+        Asking(Plan.PlannedQuery ask, double sentLateMs) {
             this.ask = ask;
             this.load = script.load().get(ask.load());
             this.kind =
--- a/rig/src/main/java/sprucehold/rig/plan/Plan.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Plan.java
@@ -14,7 +14,7 @@
         long seed,
         List<Gatherer> gatherers,
         List<Server> servers,
-        List<Ask> asks,
+        List<PlannedQuery> asks,
         List<TargetedFault> faults) {
 
     /**
@@ -63,7 +63,7 @@
      * @param load index of the script's load line that it belongs to
      * @param weights weights of its parts, by segment
      */
-    public record Ask(double atMs, String id, int load, Map<Integer, Double> weights) {}
+    public record PlannedQuery(double atMs, String id, int load, Map<Integer, Double> weights) {}
 
     /**
      * A fault and its targets.
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -95,11 +95,13 @@
                             cell,
                             random("server", servers.size()).nextLong()));
         }
-        var asks = new ArrayList<Plan.Ask>();
+        var asks = new ArrayList<Plan.PlannedQuery>();
         for (int i = 0; i < script.load().size(); i++) {
             asks(i, asks);
         }
-        asks.sort(Comparator.comparingDouble(Plan.Ask::atMs).thenComparing(Plan.Ask::id));
+        asks.sort(
+                Comparator.comparingDouble(Plan.PlannedQuery::atMs)
+                        .thenComparing(Plan.PlannedQuery::id));
         return new Plan(
                 seed,
                 List.copyOf(gatherers),
@@ -116,7 +118,7 @@
      * Adds the queries of one load line: Poisson arrivals with a changing rate, drawn at the
      * highest rate and thinned (Lewis and Shedler).
      */
-    private void asks(int line, List<Plan.Ask> into) {
+    private void asks(int line, List<Plan.PlannedQuery> into) {
         Script.Load load = script.load().get(line);
         UniformRandomProvider random = random("load", line);
         double maxRate =
@@ -132,7 +134,7 @@
             String id = String.format(Locale.ROOT, "%016x", random.nextLong());
             Map<Integer, Double> weights = weights(load, random);
             if (draw < rate(load, at) / maxRate) {
-                into.add(new Plan.Ask(at * 1000, id, line, weights));
+                into.add(new Plan.PlannedQuery(at * 1000, id, line, weights));
             }
         }
     }
--- a/rig/src/main/java/sprucehold/rig/run/Ends.java
+++ b/rig/src/main/java/sprucehold/rig/run/Ends.java
@@ -14,7 +14,7 @@
      */
     static Outcome of(
             Script script,
-            Plan.Ask ask,
+            Plan.PlannedQuery ask,
             double firstMs,
             double atMs,
             Clients.End end,
--- a/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
+++ b/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
@@ -84,7 +84,7 @@
                                 while (next[0] < plan.asks().size()
                                         && firstMs + plan.asks().get(next[0]).atMs()
                                                 <= clock.getAsDouble()) {
-                                    Plan.Ask ask = plan.asks().get(next[0]++);
+                                    Plan.PlannedQuery ask = plan.asks().get(next[0]++);
                                     clients.ask(ask, firstMs + ask.atMs());
                                 }
                                 if (next[0] == plan.asks().size() && clients.open() == 0) {
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -475,12 +475,12 @@
 
     private void askDue() {
         while (nextAsk < plan.asks().size() && firstMs + plan.asks().get(nextAsk).atMs() <= now()) {
-            Plan.Ask ask = plan.asks().get(nextAsk++);
+            Plan.PlannedQuery ask = plan.asks().get(nextAsk++);
             clients.ask(ask, firstMs + ask.atMs());
         }
     }
 
-    private void ended(Plan.Ask ask, double atMs, Clients.End end, double sentLateMs) {
+    private void ended(Plan.PlannedQuery ask, double atMs, Clients.End end, double sentLateMs) {
         outcomes.add(Ends.of(script, ask, firstMs, atMs, end, sentLateMs));
     }
 
--- a/rig/src/test/java/sprucehold/rig/ClientsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ClientsTest.java
@@ -72,7 +72,7 @@
                                             name -> false,
                                             (ask, atMs, ending, late) -> end.complete(ending));
                             clients.ask(
-                                    new Plan.Ask(0, "x", 0, Map.of(1, 1.0)),
+                                    new Plan.PlannedQuery(0, "x", 0, Map.of(1, 1.0)),
                                     (System.nanoTime() - startNs) / 1e6);
                         },
                         end::completeExceptionally);
