--- a/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
@@ -16,7 +16,7 @@
     private static final int MAX_RECENT = 16;
 
     private final Vertx vertx;
-    private final ShapedConnections wires;
+    private final ShapedConnections connections;
     private final String from;
     private final String to;
     private final int port;
@@ -38,9 +38,14 @@
      * @param host address to which datagrams are forwarded, at {@code port}
      */
     public DatagramRelay(
-            Vertx vertx, ShapedConnections wires, String from, String to, String host, int port) {
+            Vertx vertx,
+            ShapedConnections connections,
+            String from,
+            String to,
+            String host,
+            int port) {
         this.vertx = vertx;
-        this.wires = wires;
+        this.connections = connections;
         this.from = from;
         this.to = to;
         this.host = host;
@@ -75,16 +80,18 @@
         if (recent.size() > MAX_RECENT) {
             recent.poll();
         }
-        Treatment link = wires.board().of(from, to);
-        if (link.cut() != null || link.halfOpen() || wires.random().nextDouble() < link.lose()) {
+        Treatment link = connections.board().of(from, to);
+        if (link.cut() != null
+                || link.halfOpen()
+                || connections.random().nextDouble() < link.lose()) {
             return;
         }
-        if (heldBack == null && wires.random().nextDouble() < link.reorder()) {
+        if (heldBack == null && connections.random().nextDouble() < link.reorder()) {
             heldBack = data;
             return;
         }
         forward(data, link);
-        if (wires.random().nextDouble() < link.twice()) {
+        if (connections.random().nextDouble() < link.twice()) {
             forward(data, link);
         }
         if (heldBack != null) {
@@ -94,7 +101,7 @@
     }
 
     private void forward(Buffer data, Treatment link) {
-        double delay = link.delayMs() * (wires.random().nextDouble() < 0.05 ? 4 : 1);
+        double delay = link.delayMs() * (connections.random().nextDouble() < 0.05 ? 4 : 1);
         if (delay < 1) {
             socket.send(data, port, host);
         } else {
--- a/rig/src/main/java/sprucehold/rig/link/Flood.java
+++ b/rig/src/main/java/sprucehold/rig/link/Flood.java
@@ -28,14 +28,14 @@
      */
     public Flood(
             Vertx vertx,
-            ShapedConnections wires,
+            ShapedConnections connections,
             String host,
             int port,
             double perS,
             Supplier<List<Buffer>> earlier) {
         this.vertx = vertx;
         this.socket = vertx.createDatagramSocket();
-        this.random = wires.random();
+        this.random = connections.random();
         this.earlier = earlier;
         this.timer =
                 vertx.setPeriodic(
--- a/rig/src/main/java/sprucehold/rig/link/ShapedConnections.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedConnections.java
@@ -18,7 +18,7 @@
 public final class ShapedConnections {
     private final Vertx vertx;
     private final DoubleSupplier clock;
-    private final LinkFaults board = new LinkFaults();
+    private final LinkFaults linkFaults = new LinkFaults();
     private final Set<ShapedSocket> sockets = new LinkedHashSet<>();
     private final UniformRandomProvider random;
 
@@ -43,12 +43,12 @@
      * Adds a fault that begins, or removes one that ends; open connections are affected at once.
      */
     public void change(FaultSchedule.Change change) {
-        board.change(change);
+        linkFaults.change(change);
         List.copyOf(sockets).forEach(ShapedSocket::faultsChanged);
     }
 
     public LinkFaults board() {
-        return board;
+        return linkFaults;
     }
 
     /** Returns the number of open connections. */
--- a/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
@@ -34,7 +34,7 @@
     /** Number of buffers from the peer that may wait before reading from the socket is paused. */
     private static final int MAX_QUEUED_BUFFERS = 1000;
 
-    private final ShapedConnections wires;
+    private final ShapedConnections connections;
     private final NetSocket socket;
     private final Owner owner;
     private final Shaper<ReceivedBytes> inbound;
@@ -48,15 +48,20 @@
     /** Bytes to write, and an action that runs when they are written to the socket. */
     private record PendingWrite(Buffer buffer, Runnable onWritten) {}
 
-    ShapedSocket(ShapedConnections wires, NetSocket socket, String peer, String self, Owner owner) {
-        this.wires = wires;
+    ShapedSocket(
+            ShapedConnections connections,
+            NetSocket socket,
+            String peer,
+            String self,
+            Owner owner) {
+        this.connections = connections;
         this.socket = socket;
         this.owner = owner;
-        this.inbound = new Shaper<>(wires.board(), peer, self, wires.random());
-        this.outbound = new Shaper<>(wires.board(), self, peer, wires.random());
+        this.inbound = new Shaper<>(connections.board(), peer, self, connections.random());
+        this.outbound = new Shaper<>(connections.board(), self, peer, connections.random());
         socket.handler(
                 bytes -> {
-                    double now = wires.now();
+                    double now = connections.now();
                     inbound.push(now, bytes.length(), new ReceivedBytes(bytes, now));
                     if (++queuedBuffers > MAX_QUEUED_BUFFERS) {
                         socket.pause();
@@ -87,7 +92,7 @@
      */
     public void write(Buffer bytes, Runnable onWritten) {
         if (!closed) {
-            outbound.push(wires.now(), bytes.length(), new PendingWrite(bytes, onWritten));
+            outbound.push(connections.now(), bytes.length(), new PendingWrite(bytes, onWritten));
             transferDue();
         }
     }
@@ -114,8 +119,8 @@
     private void end(boolean byPeer) {
         if (!closed) {
             closed = true;
-            wires.cancel(timer);
-            wires.closed(this);
+            connections.cancel(timer);
+            connections.closed(this);
             socket.close();
             owner.closed(byPeer);
         }
@@ -133,7 +138,7 @@
         if (closed) {
             return;
         }
-        double now = wires.now();
+        double now = connections.now();
         for (PendingWrite written : outbound.due(now)) {
             if (written.buffer.length() > 0) {
                 socket.write(written.buffer);
@@ -163,12 +168,12 @@
 
     private void scheduleTimer(double dueMs) {
         if (dueMs != timerDueMs || timer < 0) {
-            wires.cancel(timer);
+            connections.cancel(timer);
             timer = -1;
             timerDueMs = dueMs;
             if (dueMs < Double.POSITIVE_INFINITY) {
                 timer =
-                        wires.timer(
+                        connections.timer(
                                 dueMs,
                                 () -> {
                                     timer = -1;
--- a/rig/src/main/java/sprucehold/rig/link/Shaper.java
+++ b/rig/src/main/java/sprucehold/rig/link/Shaper.java
@@ -16,7 +16,7 @@
 public final class Shaper<T> {
     private record Queued<T>(double dueMs, long bytes, T message) {}
 
-    private final LinkFaults board;
+    private final LinkFaults faults;
     private final String from;
     private final String to;
     private final UniformRandomProvider random;
@@ -30,8 +30,8 @@
     /**
      * @param random draws which messages get the long tail of a delay
      */
-    public Shaper(LinkFaults board, String from, String to, UniformRandomProvider random) {
-        this.board = board;
+    public Shaper(LinkFaults faults, String from, String to, UniformRandomProvider random) {
+        this.faults = faults;
         this.from = from;
         this.to = to;
         this.random = random;
@@ -39,9 +39,9 @@
     }
 
     private Treatment treatment() {
-        if (version != board.version()) {
-            version = board.version();
-            treatment = board.of(from, to);
+        if (version != faults.version()) {
+            version = faults.version();
+            treatment = faults.of(from, to);
         }
         return treatment;
     }
--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -13,7 +13,7 @@
 
 /** Relays TCP connections from one process to another, with the faults of the link between them. */
 public final class TcpRelay {
-    private final ShapedConnections wires;
+    private final ShapedConnections connections;
     private final String from;
     private final String to;
     private final SocketAddress target;
@@ -21,8 +21,12 @@
     private final NetServer server;
 
     public TcpRelay(
-            Vertx vertx, ShapedConnections wires, String from, String to, SocketAddress target) {
-        this.wires = wires;
+            Vertx vertx,
+            ShapedConnections connections,
+            String from,
+            String to,
+            SocketAddress target) {
+        this.connections = connections;
         this.from = from;
         this.to = to;
         this.target = target;
@@ -42,7 +46,7 @@
     }
 
     private void accepted(NetSocket near) {
-        if (wires.board().of(from, to).cut() == Fault.Mode.REFUSED) {
+        if (connections.board().of(from, to).cut() == Fault.Mode.REFUSED) {
             near.close();
             return;
         }
@@ -53,7 +57,7 @@
                             // Only the near end is shaped: bytes that are shaped at both ends would
                             // be delayed twice.
                             var shaped =
-                                    wires.shape(
+                                    connections.shape(
                                             near,
                                             from,
                                             to,
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -87,26 +87,26 @@
         }
         var servers = new ArrayList<Plan.Server>();
         for (String name : parties.servers()) {
-            int cell = Integer.parseInt(name.split("-")[2]);
+            int replicaGroup = Integer.parseInt(name.split("-")[2]);
             servers.add(
                     new Plan.Server(
                             name,
                             parties.siteOf().get(name),
-                            cell,
+                            replicaGroup,
                             random("server", servers.size()).nextLong()));
         }
-        var asks = new ArrayList<Plan.PlannedQuery>();
+        var queries = new ArrayList<Plan.PlannedQuery>();
         for (int i = 0; i < script.load().size(); i++) {
-            asks(i, asks);
+            drawQueries(i, queries);
         }
-        asks.sort(
+        queries.sort(
                 Comparator.comparingDouble(Plan.PlannedQuery::atMs)
                         .thenComparing(Plan.PlannedQuery::id));
         return new Plan(
                 seed,
                 List.copyOf(gatherers),
                 List.copyOf(servers),
-                List.copyOf(asks),
+                List.copyOf(queries),
                 List.copyOf(faults));
     }
 
@@ -118,7 +118,7 @@
      * Adds the queries of one load line: Poisson arrivals with a changing rate, drawn at the
      * highest rate and thinned (Lewis and Shedler).
      */
-    private void asks(int line, List<Plan.PlannedQuery> into) {
+    private void drawQueries(int line, List<Plan.PlannedQuery> queries) {
         Script.Load load = script.load().get(line);
         UniformRandomProvider random = random("load", line);
         double maxRate =
@@ -128,13 +128,13 @@
         if (maxRate <= 0) {
             return;
         }
-        var gap = ZigguratSampler.Exponential.of(random, 1 / maxRate);
-        for (double at = gap.sample(); at < script.lengthS(); at += gap.sample()) {
+        var interval = ZigguratSampler.Exponential.of(random, 1 / maxRate);
+        for (double at = interval.sample(); at < script.lengthS(); at += interval.sample()) {
             double draw = random.nextDouble();
             String id = String.format(Locale.ROOT, "%016x", random.nextLong());
             Map<Integer, Double> weights = weights(load, random);
             if (draw < rate(load, at) / maxRate) {
-                into.add(new Plan.PlannedQuery(at * 1000, id, line, weights));
+                queries.add(new Plan.PlannedQuery(at * 1000, id, line, weights));
             }
         }
     }
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -57,27 +57,27 @@
 
     @Test
     public void faultsBeginAndEndInTheOrderOfTheirTimesEvenIfPolledLate() {
-        var board =
+        var schedule =
                 new FaultSchedule(
                         List.of(
                                 Scripts.befall(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
                                 Scripts.befall(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
                                 triggered("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
                                 triggered("d", new Fault.Trigger("", "g", 3), 1, 1)));
-        assertEquals(describe(board.at(0.9)), List.of());
-        assertEquals(board.nextS(), 1.0);
+        assertEquals(describe(schedule.at(0.9)), List.of());
+        assertEquals(schedule.nextS(), 1.0);
         assertEquals(
-                describe(board.at(10)),
+                describe(schedule.at(10)),
                 List.of("a begins", "b begins", "c begins", "b ends", "a ends"));
-        assertTrue(board.counts());
-        board.out(11, "h", 9);
-        board.out(11, "g", 2);
-        assertEquals(board.nextS(), NEVER);
-        board.out(12, "g", 3);
-        board.out(12, "g", 4);
-        assertFalse(board.counts());
-        assertEquals(describe(board.at(20)), List.of("d begins", "d ends"));
-        assertEquals(board.inForce().size(), 1);
+        assertTrue(schedule.counts());
+        schedule.out(11, "h", 9);
+        schedule.out(11, "g", 2);
+        assertEquals(schedule.nextS(), NEVER);
+        schedule.out(12, "g", 3);
+        schedule.out(12, "g", 4);
+        assertFalse(schedule.counts());
+        assertEquals(describe(schedule.at(20)), List.of("d begins", "d ends"));
+        assertEquals(schedule.inForce().size(), 1);
     }
 
     private static FaultSchedule.Change change(boolean begins, Plan.TargetedFault fault) {
@@ -106,32 +106,32 @@
 
     @Test
     public void linkFaultsAddUpAndOneWayFaultsLeaveTheOtherDirectionUnchanged() {
-        var board = new LinkFaults();
+        var faults = new LinkFaults();
         var slow = link(Fault.Kind.DELAY, 30, Fault.Mode.SILENT, false);
-        board.change(change(true, slow));
-        board.change(change(true, link(Fault.Kind.DELAY, 12, Fault.Mode.SILENT, true)));
-        board.change(change(true, link(Fault.Kind.CUT, 0, Fault.Mode.RESET, true)));
-        board.change(change(true, link(Fault.Kind.CUT, 0, Fault.Mode.SILENT, true)));
-        assertEquals(board.of("g", "s").delayMs(), 42.0);
-        assertEquals(board.of("g", "s").cut(), Fault.Mode.RESET);
-        assertEquals(board.of("s", "g"), new Treatment(30, NEVER, NEVER, null, false, 0, 0, 0));
-        assertEquals(board.of("g", "t"), Treatment.SOUND);
-        board.change(change(false, slow));
-        assertEquals(board.of("s", "g"), Treatment.SOUND);
-        assertTrue(board.hasFaults("s", "g"));
+        faults.change(change(true, slow));
+        faults.change(change(true, link(Fault.Kind.DELAY, 12, Fault.Mode.SILENT, true)));
+        faults.change(change(true, link(Fault.Kind.CUT, 0, Fault.Mode.RESET, true)));
+        faults.change(change(true, link(Fault.Kind.CUT, 0, Fault.Mode.SILENT, true)));
+        assertEquals(faults.of("g", "s").delayMs(), 42.0);
+        assertEquals(faults.of("g", "s").cut(), Fault.Mode.RESET);
+        assertEquals(faults.of("s", "g"), new Treatment(30, NEVER, NEVER, null, false, 0, 0, 0));
+        assertEquals(faults.of("g", "t"), Treatment.SOUND);
+        faults.change(change(false, slow));
+        assertEquals(faults.of("s", "g"), Treatment.SOUND);
+        assertTrue(faults.hasFaults("s", "g"));
     }
 
-    private static Shaper<Integer> shaper(LinkFaults board) {
-        return new Shaper<>(board, "g", "s", RandomSource.SPLIT_MIX_64.create(1));
+    private static Shaper<Integer> shaper(LinkFaults faults) {
+        return new Shaper<>(faults, "g", "s", RandomSource.SPLIT_MIX_64.create(1));
     }
 
     @Test
     public void messagesPassInOrderAndNotBeforeDelayAndRateAllow() {
-        var board = new LinkFaults();
+        var faults = new LinkFaults();
         var slow = link(Fault.Kind.DELAY, 20, Fault.Mode.SILENT, true);
         var narrow = link(Fault.Kind.RATE, 1000, Fault.Mode.SILENT, true);
-        board.change(change(true, slow));
-        var shaper = shaper(board);
+        faults.change(change(true, slow));
+        var shaper = shaper(faults);
         for (int i = 0; i < 100; i++) {
             shaper.push(i, 10, i);
         }
@@ -144,8 +144,8 @@
         }
         assertEquals(delivered.size(), 100);
         assertEquals(delivered, delivered.stream().sorted().toList());
-        board.change(change(false, slow));
-        board.change(change(true, narrow));
+        faults.change(change(false, slow));
+        faults.change(change(true, narrow));
         shaper.push(1000, 500, 1);
         shaper.push(1000, 500, 2);
         assertEquals(shaper.due(1499), List.of());
@@ -155,28 +155,28 @@
 
     @Test
     public void aCutHoldsMessagesBackUntilItEndsAndAHalfOpenConnectionNeverDelivers() {
-        var board = new LinkFaults();
+        var faults = new LinkFaults();
         var cut = link(Fault.Kind.CUT, 0, Fault.Mode.SILENT, true);
         var halfOpen = link(Fault.Kind.HALF_OPEN, 0, Fault.Mode.SILENT, true);
-        var shaper = shaper(board);
-        board.change(change(true, cut));
+        var shaper = shaper(faults);
+        faults.change(change(true, cut));
         shaper.push(1, 10, 1);
         assertEquals(shaper.due(1000), List.of());
         assertEquals(shaper.nextMs(), NEVER);
-        board.change(change(false, cut));
+        faults.change(change(false, cut));
         assertEquals(shaper.due(1001), List.of(1));
-        board.change(change(true, halfOpen));
-        var neverDelivers = shaper(board);
-        board.change(change(false, halfOpen));
+        faults.change(change(true, halfOpen));
+        var neverDelivers = shaper(faults);
+        faults.change(change(false, halfOpen));
         neverDelivers.push(1, 10, 1);
         assertEquals(neverDelivers.due(1e9), List.of());
     }
 
     @Test
     public void aConnectionIsCutAfterTheGivenNumberOfBytes() {
-        var board = new LinkFaults();
-        board.change(change(true, link(Fault.Kind.CUT_AFTER, 25, Fault.Mode.SILENT, true)));
-        var shaper = shaper(board);
+        var faults = new LinkFaults();
+        faults.change(change(true, link(Fault.Kind.CUT_AFTER, 25, Fault.Mode.SILENT, true)));
+        var shaper = shaper(faults);
         for (int i = 0; i < 4; i++) {
             shaper.push(0, 10, i);
         }
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -37,13 +37,13 @@
     private static final int TIMEOUT_S = 20;
 
     private Vertx vertx;
-    private ShapedConnections wires;
+    private ShapedConnections connections;
 
     @BeforeMethod
     public void open() {
         vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
         long startNs = System.nanoTime();
-        wires = new ShapedConnections(vertx, () -> (System.nanoTime() - startNs) / 1e6, 5);
+        connections = new ShapedConnections(vertx, () -> (System.nanoTime() - startNs) / 1e6, 5);
     }
 
     @AfterMethod
@@ -77,7 +77,7 @@
                         mode,
                         false,
                         List.of());
-        wires.change(new FaultSchedule.Change(0, begins, Scripts.befall(fault, "a", "b")));
+        connections.change(new FaultSchedule.Change(0, begins, Scripts.befall(fault, "a", "b")));
         return Future.succeededFuture();
     }
 
@@ -141,7 +141,7 @@
                         server ->
                                 new TcpRelay(
                                                 vertx,
-                                                wires,
+                                                connections,
                                                 from,
                                                 to,
                                                 SocketAddress.inetSocketAddress(
@@ -223,7 +223,7 @@
                         dial("a", "b", socket -> far.complete(new End(socket)))
                                 .compose(NetSocket::close));
         await(() -> far.future().compose(end -> end.closed.future()));
-        assertEquals(wires.count(), 0);
+        assertEquals(connections.count(), 0);
     }
 
     @DataProvider
@@ -257,7 +257,7 @@
                                         })
                                 .listen(0, HOST));
         int at = target.localAddress().port();
-        var relay = new DatagramRelay(vertx, wires, "a", "b", HOST, at);
+        var relay = new DatagramRelay(vertx, connections, "a", "b", HOST, at);
         int port = await(() -> relay.listen(HOST, 0));
         if (kind != null) {
             await(() -> fault(true, kind, amount, Fault.Mode.SILENT));
