--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -22,7 +22,10 @@
     private static final int CLAIM_PORT = 7999;
     private static final int NET_HOSTS = 250;
 
-    /** Above the fixed ports of a run, such as {@link #postPort}. */
+    /**
+     * Above the fixed ports of a run, such as {@link #postPort}, and low enough that the last of all
+     * {@code PORTS} is a valid port.
+     */
     private static final int FIRST_PORT = 10_000;
 
     private static final int PORTS = 55_000;
