--- a/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
@@ -11,15 +11,15 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * Schedules the begin and the end of each fault of a plan. Each fault begins at most once. Times
+ * Schedules the start and the end of each fault of a plan. Each fault starts at most once. Times
  * are in seconds since the first query.
  */
 public final class FaultSchedule {
     /**
-     * The begin or the end of a fault.
+     * The start or the end of a fault.
      *
      * @param atS scheduled time, in seconds since the first query
-     * @param begins true at the begin of the fault, false at its end
+     * @param begins true at the start of the fault, false at its end
      * @param what the fault
      */
     public record Change(double atS, boolean begins, Plan.TargetedFault what) {}
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Returns the faults that have begun or ended up to now and were not returned before, in the
+     * Returns the faults that have started or ended up to now and were not returned before, in the
      * order of their scheduled times.
      */
     public List<Change> at(double nowS) {
@@ -90,7 +90,7 @@
                 });
     }
 
-    /** Returns the time of the next begin or end, infinite if none is scheduled. */
+    /** Returns the time of the next start or end, infinite if none is scheduled. */
     public double nextS() {
         return scheduled.isEmpty() ? Double.POSITIVE_INFINITY : scheduled.peek().atS();
     }
--- a/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
@@ -53,7 +53,7 @@
         this.socket = vertx.createDatagramSocket();
     }
 
-    /** Listens and returns the port. */
+    /** Starts to listen. The future completes with the port. */
     public Future<Integer> listen(String at, int listenPort) {
         return socket.handler(packet -> receive(packet.data()))
                 .listen(listenPort, at)
--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -36,7 +36,7 @@
                         .connectHandler(this::accepted);
     }
 
-    /** Listens and returns the port. */
+    /** Starts to listen. The future completes with the port. */
     public Future<Integer> listen(String host, int port) {
         return server.listen(port, host).map(NetServer::actualPort);
     }
--- a/rig/src/main/java/sprucehold/rig/list/Agent.java
+++ b/rig/src/main/java/sprucehold/rig/list/Agent.java
@@ -84,7 +84,7 @@
             return wholeList(index, hidden);
         }
         List<ServerList.Entry> changed =
-                list.between(after, index).values().stream()
+                list.changesBetween(after, index).values().stream()
                         .filter(entry -> !hidden.contains(entry.name()))
                         .toList();
         if (changed.isEmpty() && !waited) {
@@ -106,7 +106,7 @@
         return new Answer(
                 index,
                 true,
-                list.at(index).values().stream()
+                list.entriesAt(index).values().stream()
                         .filter(
                                 entry ->
                                         entry.status() != ServerList.Status.LEFT
--- a/rig/src/main/java/sprucehold/rig/list/ServerList.java
+++ b/rig/src/main/java/sprucehold/rig/list/ServerList.java
@@ -49,7 +49,7 @@
     }
 
     public Entry entry(String name) {
-        return at(lastIndex()).get(name);
+        return entriesAt(lastIndex()).get(name);
     }
 
     /** Returns the highest index of the changes made up to a time. */
@@ -64,7 +64,7 @@
     }
 
     /** Returns the whole list as it was at an index, by the names of the servers. */
-    Map<String, Entry> at(long index) {
+    Map<String, Entry> entriesAt(long index) {
         var entries = new LinkedHashMap<String, Entry>();
         changes.stream()
                 .filter(change -> change.index <= index)
@@ -75,7 +75,7 @@
     /**
      * Returns the changes after one index and up to another, with the last entry of each server.
      */
-    Map<String, Entry> between(long after, long upTo) {
+    Map<String, Entry> changesBetween(long after, long upTo) {
         var entries = new LinkedHashMap<String, Entry>();
         changes.stream()
                 .filter(change -> change.index > after && change.index <= upTo)
--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -23,8 +23,8 @@
     private static final int NET_HOSTS = 250;
 
     /**
-     * Above the fixed ports of a run, such as {@link #postPort}, and low enough that the last of all
-     * {@code PORTS} is a valid port.
+     * Above the fixed ports of a run, such as {@link #postPort}, and low enough that the last of
+     * all {@code PORTS} is a valid port.
      */
     private static final int FIRST_PORT = 10_000;
 
--- a/rig/src/main/java/sprucehold/rig/script/Fault.java
+++ b/rig/src/main/java/sprucehold/rig/script/Fault.java
@@ -35,7 +35,7 @@
         List<String> tableTypes) {
 
     /**
-     * Trigger of a fault: the begin of another fault, or a number of open attempts of a gatherer.
+     * Trigger of a fault: the start of another fault, or a number of open attempts of a gatherer.
      * Exactly one of the two is given.
      *
      * @param fault name of the other fault, empty if none
@@ -102,7 +102,8 @@
         TWIN(Whom.GATHERER, Unit.NONE),
         /**
          * Sends {@code amount} datagrams per second to the address at which a gatherer receives
-         * messages of other gatherers: random bytes, and repeats of earlier messages.
+         * messages of other gatherers: random bytes, and earlier messages that are repeated or
+         * truncated.
          */
         FLOOD(Whom.GATHERER, Unit.TIMES),
         /** Delays each message by {@code amount}, and one in twenty by four times as much. */
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -60,8 +60,8 @@
         var schedule =
                 new FaultSchedule(
                         List.of(
-                                Scripts.befall(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
-                                Scripts.befall(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
+                                Scripts.target(Scripts.fault("a", Fault.Kind.STALL, 1, 2, 0), "s"),
+                                Scripts.target(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
                                 triggered("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
                                 triggered("d", new Fault.Trigger("", "g", 3), 1, 1)));
         assertEquals(describe(schedule.at(0.9)), List.of());
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -77,7 +77,7 @@
                         mode,
                         false,
                         List.of());
-        connections.change(new FaultSchedule.Change(0, begins, Scripts.befall(fault, "a", "b")));
+        connections.change(new FaultSchedule.Change(0, begins, Scripts.target(fault, "a", "b")));
         return Future.succeededFuture();
     }
 
--- a/rig/src/test/java/sprucehold/rig/Scripts.java
+++ b/rig/src/test/java/sprucehold/rig/Scripts.java
@@ -37,7 +37,7 @@
                 List.of());
     }
 
-    static Plan.TargetedFault befall(Fault fault, String of, String... to) {
+    static Plan.TargetedFault target(Fault fault, String of, String... to) {
         return new Plan.TargetedFault(fault, List.of(of), List.of(to));
     }
 
