--- a/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
@@ -12,13 +12,13 @@
 
 /**
  * Schedules the start and the end of each fault of a plan. Each fault starts at most once. Times
- * are in seconds since the first query.
+ * are in seconds since the start of the load.
  */
 public final class FaultSchedule {
     /**
      * The start or the end of a fault.
      *
-     * @param atS scheduled time, in seconds since the first query
+     * @param atS scheduled time, in seconds since the start of the load
      * @param begins true at the start of the fault, false at its end
      * @param what the fault
      */
--- a/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
@@ -36,7 +36,7 @@
 
     /** Returns the treatment of the bytes that are sent from one party to another. */
     public Treatment of(String from, String to) {
-        Treatment combined = Treatment.SOUND;
+        Treatment combined = Treatment.NO_FAULTS;
         for (Plan.TargetedFault fault : active) {
             boolean forward = fault.of().contains(from) && fault.to().contains(to);
             boolean backward =
@@ -50,6 +50,7 @@
 
     /** Returns whether a fault is active between the two parties, in either direction. */
     public boolean hasFaults(String one, String other) {
-        return !of(one, other).equals(Treatment.SOUND) || !of(other, one).equals(Treatment.SOUND);
+        return !of(one, other).equals(Treatment.NO_FAULTS)
+                || !of(other, one).equals(Treatment.NO_FAULTS);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/fault/Treatment.java
+++ b/rig/src/main/java/sprucehold/rig/fault/Treatment.java
@@ -26,7 +26,7 @@
         double twice,
         double reorder) {
     /** A link without faults: all bytes pass without delay. */
-    public static final Treatment SOUND =
+    public static final Treatment NO_FAULTS =
             new Treatment(
                     0, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, null, false, 0, 0, 0);
 
--- a/rig/src/main/java/sprucehold/rig/list/AgentHost.java
+++ b/rig/src/main/java/sprucehold/rig/list/AgentHost.java
@@ -25,8 +25,8 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * Interval at which waiting calls are checked, in milliseconds. A change is sent with at most
-     * this delay.
+     * Interval at which waiting calls are checked, in milliseconds. It is the longest time by which
+     * the check delays the answer to a waiting call.
      */
     private static final long CHECK_INTERVAL_MS = 5;
 
--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -13,8 +13,8 @@
  */
 public final class Addresses implements AutoCloseable {
     /**
-     * Blocks 64 to 189, away from the loopback addresses in common use. More rigs at once than
-     * these 126 blocks would overload a machine.
+     * Blocks 64 to 189, away from the loopback addresses in common use. No more than 126 blocks are
+     * needed, because 126 rigs at once would already overload a machine.
      */
     private static final int FIRST_BLOCK = 64;
 
@@ -37,10 +37,10 @@
 
     /** The purposes for which a gatherer has a loopback address of its own. */
     private enum Role {
-        LISTENS,
+        LISTEN,
         TWIN,
-        FINDS_SERVERS,
-        FINDS_OTHERS
+        SHARD_SERVERS,
+        OTHER_GATHERERS
     }
 
     private final int block;
@@ -81,7 +81,7 @@
 
     /** Returns the address at which a gatherer listens. */
     public String gatherer(int number) {
-        return host(number, Role.LISTENS);
+        return host(number, Role.LISTEN);
     }
 
     public int gathererPort() {
@@ -101,7 +101,7 @@
      * own.
      */
     public String others(int gatherer) {
-        return host(gatherer, Role.FINDS_OTHERS);
+        return host(gatherer, Role.OTHER_GATHERERS);
     }
 
     public int othersPort(int other) {
@@ -115,7 +115,7 @@
 
     /** Returns the address of a gatherer's discovery agent. */
     public String discovery(int gatherer) {
-        return host(gatherer, Role.FINDS_SERVERS);
+        return host(gatherer, Role.SHARD_SERVERS);
     }
 
     public int discoveryPort() {
@@ -127,7 +127,7 @@
      * has a port of its own.
      */
     public String server(int gatherer) {
-        return host(gatherer, Role.FINDS_SERVERS);
+        return host(gatherer, Role.SHARD_SERVERS);
     }
 
     /**
--- a/rig/src/main/java/sprucehold/rig/plan/Plan.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Plan.java
@@ -30,7 +30,7 @@
      *
      * @param offMs offset of its wall clock, in milliseconds
      * @param driftPpm by how much its monotonic clock runs too fast, in parts per million
-     * @param jumpMs by how many milliseconds its wall clock jumps, some seconds after the start of
+     * @param jumpMs by how many milliseconds its wall clock jumps, six seconds after the start of
      *     the process
      */
     public record Clocks(double offMs, double driftPpm, double jumpMs) {
@@ -59,7 +59,7 @@
     /**
      * A query that a client will send.
      *
-     * @param atMs when it is sent, in milliseconds since the start of the run
+     * @param atMs when it is sent, in milliseconds since the start of the load
      * @param load index of the script's load line that it belongs to
      * @param weights weights of its parts, by segment
      */
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -18,7 +18,7 @@
 import sprucehold.rig.script.Parties;
 import sprucehold.rig.script.Script;
 
-/** Draws a run from a script and a seed. */
+/** Draws the plan of a run from a script and a seed. */
 public final class Planner {
     private final Script script;
     private final Parties parties;
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns a random generator of its own for each drawn item, so that one more query in the
-     * script does not change the other draws.
+     * Returns a separate random generator for each drawn item, so that one more query in the script
+     * does not change the other draws.
      */
     private UniformRandomProvider random(String item, int number) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(
--- a/rig/src/main/java/sprucehold/rig/script/Fault.java
+++ b/rig/src/main/java/sprucehold/rig/script/Fault.java
@@ -10,8 +10,8 @@
  * @param to for a fault on links, the other end of the links; for {@link Kind#GREY}, the gatherers
  *     that get no answers; for {@link Kind#LIST_HIDES}, the hidden servers
  * @param some number of targets that are drawn from {@code of} by the run's seed; 0 for all
- * @param atS when the fault begins, in seconds since the first query; with {@code when}, in seconds
- *     since that trigger
+ * @param atS when the fault begins, in seconds since the start of the load; with {@code when}, in
+ *     seconds since that trigger
  * @param when the trigger of the fault, or null if it begins at a fixed time
  * @param forS duration, in seconds; infinite if the fault doesn't end
  * @param amount strength of the fault, in the unit of its kind
@@ -96,8 +96,8 @@
          */
         CLOCK_JUMP(Whom.GATHERER, Unit.MS),
         /**
-         * Starts a second process of the gatherer's name beside it, at other addresses, and ends
-         * that process after {@code forS}.
+         * Starts a second process with the same name as a running gatherer, at other addresses, and
+         * ends the second process after {@code forS}.
          */
         TWIN(Whom.GATHERER, Unit.NONE),
         /**
--- a/rig/src/main/java/sprucehold/rig/script/Script.java
+++ b/rig/src/main/java/sprucehold/rig/script/Script.java
@@ -151,7 +151,7 @@
     /**
      * The rate from a time on.
      *
-     * @param atS time, in seconds since the first query
+     * @param atS time, in seconds since the start of the load
      * @param scansPerS rate, in queries per second
      */
     public record Ramp(double atS, double scansPerS) {}
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -418,7 +418,8 @@
         if (fault.kind() == Fault.Kind.FLOOD && script.together() == null) {
             errors.add(
                     at
-                            + ".kind: flood applies only to gatherers that exchange messages, but the script has no together");
+                            + ".kind: flood applies only to gatherers that exchange messages, but "
+                            + "the script has no field together");
         }
         if (onLinks && fault.to().isEmpty()) {
             errors.add(at + ".to: the other end of the link was expected");
--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Judge.java
@@ -40,8 +40,9 @@
     private static final double TIMEOUT_SLACK_MS = 150;
 
     /**
-     * Limits of the lateness of the rig's timers, in milliseconds. Beyond them the rig was starved:
-     * a timer that is later than the slack of the rules proves nothing about the gatherers.
+     * Limits of the lateness of the rig's timers, in milliseconds. Beyond them the rig was starved,
+     * and the run does not count: if the rig's own timers are later than the slack that the rules
+     * allow, a late message doesn't prove that a gatherer broke a rule.
      */
     private static final double MAX_LATE_P99_MS = 50;
 
@@ -69,7 +70,8 @@
      * Returns the verdict of a run.
      *
      * @param seen entries of all ledgers, in any order
-     * @param overMs when the run was over: a query whose deadline was before needs an answer
+     * @param overMs when the run was over; every query whose deadline had passed by then needs an
+     *     answer
      * @param crashed descriptions of gatherers that ended by themselves
      */
     public static Verdict judge(
--- a/rig/src/main/java/sprucehold/rig/verdict/Outcome.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Outcome.java
@@ -3,8 +3,8 @@
 /**
  * How one planned query ended for its client.
  *
- * @param plannedMs when it was scheduled to be sent, in milliseconds since the first query
- * @param endedMs when it ended, in milliseconds since the first query
+ * @param plannedMs when it was scheduled to be sent, in milliseconds since the start of the load
+ * @param endedMs when it ended, in milliseconds since the start of the load
  * @param end name of the constant of {@code Clients.End} with which it ended
  * @param inTime whether it was completed within its latency objective, counted from its scheduled
  *     time
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -115,9 +115,9 @@
         assertEquals(faults.of("g", "s").delayMs(), 42.0);
         assertEquals(faults.of("g", "s").cut(), Fault.Mode.RESET);
         assertEquals(faults.of("s", "g"), new Treatment(30, NEVER, NEVER, null, false, 0, 0, 0));
-        assertEquals(faults.of("g", "t"), Treatment.SOUND);
+        assertEquals(faults.of("g", "t"), Treatment.NO_FAULTS);
         faults.change(change(false, slow));
-        assertEquals(faults.of("s", "g"), Treatment.SOUND);
+        assertEquals(faults.of("s", "g"), Treatment.NO_FAULTS);
         assertTrue(faults.hasFaults("s", "g"));
     }
 
--- a/rig/src/test/java/sprucehold/rig/RelayTest.java
+++ b/rig/src/test/java/sprucehold/rig/RelayTest.java
@@ -174,8 +174,7 @@
     public void aSilentCutHoldsBytesBackUntilItEnds() throws Exception {
         Pair pair = pair();
         await(() -> fault(true, Fault.Kind.CUT, 0, Fault.Mode.SILENT));
-        await(
-                () -> pair.near.socket.write("held").compose(ok -> pair.far.socket.write("back")));
+        await(() -> pair.near.socket.write("held").compose(ok -> pair.far.socket.write("back")));
         // First let bytes of another link pass through the event loop, so that bytes of the cut
         // link would have arrived if the cut let them pass.
         Pair other = pair("c", "d");
@@ -189,8 +188,8 @@
     @DataProvider
     Object[][] ends() {
         return new Object[][] {
-            {"reset as it begins", Fault.Kind.CUT, 0.0, Fault.Mode.RESET, 0},
-            {"cut after so many bytes", Fault.Kind.CUT_AFTER, 10.0, Fault.Mode.SILENT, 10},
+            {"reset when the fault begins", Fault.Kind.CUT, 0.0, Fault.Mode.RESET, 0},
+            {"cut after ten bytes", Fault.Kind.CUT_AFTER, 10.0, Fault.Mode.SILENT, 10},
         };
     }
 
@@ -229,7 +228,7 @@
     @DataProvider
     Object[][] datagrams() {
         return new Object[][] {
-            {"sound", null, 0.0, List.of("1", "2", "3", "4")},
+            {"no fault", null, 0.0, List.of("1", "2", "3", "4")},
             {"all lost", Fault.Kind.LOSE, 1.0, List.of()},
             {"all twice", Fault.Kind.DOUBLE, 1.0, List.of("1", "1", "2", "2", "3", "3", "4", "4")},
             {"each after the next", Fault.Kind.REORDER, 1.0, List.of("2", "1", "4", "3")},
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -174,7 +174,7 @@
                 verdict.why().toString());
         assertTrue(
                 verdict.figures().scans() > 30,
-                "too few scans to prove anything: " + verdict.figures());
+                "too few queries for a verdict: " + verdict.figures());
     }
 
     @DataProvider
@@ -190,7 +190,7 @@
         Verdict verdict = play(script, Home.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
         var run = new RunFolder(last);
-        assertEquals(run.judge(), verdict, "the kept ledgers are judged as the run was");
+        assertEquals(run.judge(), verdict, "the stored ledgers must give the verdict of the run");
         String page = RunPage.html(script, run.kept(), verdict);
         assertTrue(
                 page.contains("<svg")
@@ -203,8 +203,7 @@
      * excuses no broken rule.
      */
     @Test
-    public void theShippedProgramKeepsTheRulesWhenPausedWhileClientsLeave()
-            throws IOException {
+    public void theShippedProgramKeepsTheRulesWhenPausedWhileClientsLeave() throws IOException {
         Verdict verdict = play(Scripts.shipped("held-up-among-leaving"), Home.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
     }
--- a/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
+++ b/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
@@ -102,7 +102,8 @@
                     5L,
                     gatherer);
         }
-        // Without messages from the others, each gatherer could make no more than two in a second.
+        // Without messages from the others, each gatherer could make at most two further attempts
+        // per second.
         Map<String, Integer> most = mostFurtherAttempts();
         assertTrue(Math.max(most.get("a-0"), most.get("a-1")) > 2, most.toString());
     }
