--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -11,20 +11,22 @@
 import io.vertx.core.net.SocketAddress;
 import sprucehold.rig.script.Fault;
 
-/**
- * Stands between two processes on a connection of theirs: the dialler's end and the far end are
- * held by one link.
- */
+/** Relays TCP connections from one process to another, with the faults of the link between them. */
 public final class TcpRelay {
-    private final Wires wires;
+    private final ShapedConnections connections;
     private final String from;
     private final String to;
     private final SocketAddress target;
     private final NetClient client;
     private final NetServer server;
 
-    public TcpRelay(Vertx vertx, Wires wires, String from, String to, SocketAddress target) {
-        this.wires = wires;
+    public TcpRelay(
+            Vertx vertx,
+            ShapedConnections connections,
+            String from,
+            String to,
+            SocketAddress target) {
+        this.connections = connections;
         this.from = from;
         this.to = to;
         this.target = target;
@@ -34,7 +36,7 @@
                         .connectHandler(this::accepted);
     }
 
-    /** Returns the port at which it listens. */
+    /** Starts to listen. The future completes with the port. */
     public Future<Integer> listen(String host, int port) {
         return server.listen(port, host).map(NetServer::actualPort);
     }
@@ -44,7 +46,7 @@
     }
 
     private void accepted(NetSocket near) {
-        if (wires.board().of(from, to).cut() == Fault.Mode.REFUSED) {
+        if (connections.board().of(from, to).cut() == Fault.Mode.REFUSED) {
             near.close();
             return;
         }
@@ -52,10 +54,10 @@
         client.connect(target)
                 .onComplete(
                         far -> {
-                            // Faults work on the near end alone: what is shaped twice would come
-                            // twice as late.
+                            // Only the near end is shaped: bytes that are shaped at both ends would
+                            // be delayed twice.
                             var shaped =
-                                    wires.shape(
+                                    connections.shape(
                                             near,
                                             from,
                                             to,
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -20,8 +20,8 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import sprucehold.rig.fault.Treatment;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.ShapedSocket;
-import sprucehold.rig.link.Wires;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
@@ -53,11 +53,11 @@
          * @param atMs when the client had it, by the run's clock
          * @param sentLateMs how much later than planned the rig began to send it
          */
-        void ended(Plan.Ask ask, double atMs, End end, double sentLateMs);
+        void ended(Plan.PlannedQuery ask, double atMs, End end, double sentLateMs);
     }
 
     private final Vertx vertx;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Script script;
@@ -76,7 +76,7 @@
      */
     public Clients(
             Vertx vertx,
-            Wires wires,
+            ShapedConnections wires,
             DoubleSupplier clock,
             Ledger ledger,
             Script script,
@@ -100,7 +100,7 @@
     }
 
     /** Asks a planned scan now. */
-    public void ask(Plan.Ask ask, double plannedMs) {
+    public void ask(Plan.PlannedQuery ask, double plannedMs) {
         open++;
         new Asking(ask, clock.getAsDouble() - plannedMs).go(ask.id());
     }
@@ -125,7 +125,7 @@
 
     /** One client's wish, through all its retries. */
     private final class Asking {
-        final Plan.Ask ask;
+        final Plan.PlannedQuery ask;
         final Script.Load load;
         final Script.Kind kind;
         final Persistence persistence;
@@ -139,7 +139,7 @@
         /** When its query timeout is over, from when it first looked for a gatherer. */
         double timeOverAt;
 
-        Asking(Plan.Ask ask, double sentLateMs) {
+        Asking(Plan.PlannedQuery ask, double sentLateMs) {
             this.ask = ask;
             this.load = script.load().get(ask.load());
             this.kind =
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -14,19 +14,19 @@
 import org.apache.commons.rng.sampling.distribution.RejectionInversionZipfSampler;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 import org.apache.commons.rng.simple.RandomSource;
-import sprucehold.rig.script.Cast;
 import sprucehold.rig.script.Fault;
+import sprucehold.rig.script.Parties;
 import sprucehold.rig.script.Script;
 
-/** Draws a run from a script and a seed. */
+/** Draws the plan of a run from a script and a seed. */
 public final class Planner {
     private final Script script;
-    private final Cast cast;
+    private final Parties parties;
     private final long seed;
 
     private Planner(Script script, long seed) {
         this.script = script;
-        this.cast = Cast.of(script);
+        this.parties = Parties.of(script);
         this.seed = seed;
     }
 
@@ -34,7 +34,7 @@
         return new Planner(script, seed).plan();
     }
 
-    /** The plan as JSON, byte for byte the same for the same script and seed. */
+    /** Returns the plan as JSON, byte for byte the same for the same script and seed. */
     public static byte[] json(Plan plan) {
         try {
             return JsonMapper.builder()
@@ -43,36 +43,37 @@
                     .build()
                     .writeValueAsBytes(plan);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a plan has a JSON form", e);
+            throw new IllegalStateException("the plan could not be written as JSON", e);
         }
     }
 
     /**
-     * A source of chance of its own for each thing drawn, so that one more scan moves nothing else.
+     * Returns a separate random generator for each drawn item, so that one more query in the script
+     * does not change the other draws.
      */
-    private UniformRandomProvider chance(String what, int number) {
+    private UniformRandomProvider random(String item, int number) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(
-                seed * 0x9E3779B97F4A7C15L + 31L * what.hashCode() + number);
+                seed * 0x9E3779B97F4A7C15L + 31L * item.hashCode() + number);
     }
 
     private Plan plan() {
-        var faults = new ArrayList<Plan.Befall>();
+        var faults = new ArrayList<Plan.TargetedFault>();
         for (int i = 0; i < script.faults().size(); i++) {
             Fault fault = script.faults().get(i);
             List<String> of = select(fault.of());
             if (fault.some() > 0) {
                 of = new ArrayList<>(of);
-                // By name: a fault draws the same ones whichever others are dropped from the
-                // script.
-                ListSampler.shuffle(chance("fault " + fault.name(), 0), of);
+                // Seeded by the fault's name, so that the fault selects the same targets even if
+                // other faults are dropped from the script.
+                ListSampler.shuffle(random("fault " + fault.name(), 0), of);
                 of = of.subList(0, fault.some()).stream().sorted().toList();
             }
-            faults.add(new Plan.Befall(fault, of, select(fault.to())));
+            faults.add(new Plan.TargetedFault(fault, of, select(fault.to())));
         }
         var gatherers = new ArrayList<Plan.Gatherer>();
-        for (String name : cast.gatherers()) {
+        for (String name : parties.gatherers()) {
             Plan.Clocks clocks = Plan.Clocks.RIGHT;
-            for (Plan.Befall f : faults) {
+            for (Plan.TargetedFault f : faults) {
                 if (f.fault().when() == null && f.fault().atS() == 0 && f.of().contains(name)) {
                     clocks = clocks.and(f.fault());
                 }
@@ -80,58 +81,60 @@
             gatherers.add(
                     new Plan.Gatherer(
                             name,
-                            cast.siteOf().get(name),
-                            chance("gatherer", gatherers.size()).nextLong(),
+                            parties.siteOf().get(name),
+                            random("gatherer", gatherers.size()).nextLong(),
                             clocks));
         }
         var servers = new ArrayList<Plan.Server>();
-        for (String name : cast.servers()) {
-            int cell = Integer.parseInt(name.split("-")[2]);
+        for (String name : parties.servers()) {
+            int replicaGroup = Integer.parseInt(name.split("-")[2]);
             servers.add(
                     new Plan.Server(
                             name,
-                            cast.siteOf().get(name),
-                            cell,
-                            chance("server", servers.size()).nextLong()));
+                            parties.siteOf().get(name),
+                            replicaGroup,
+                            random("server", servers.size()).nextLong()));
         }
-        var asks = new ArrayList<Plan.Ask>();
+        var queries = new ArrayList<Plan.PlannedQuery>();
         for (int i = 0; i < script.load().size(); i++) {
-            asks(i, asks);
+            drawQueries(i, queries);
         }
-        asks.sort(Comparator.comparingDouble(Plan.Ask::atMs).thenComparing(Plan.Ask::id));
+        queries.sort(
+                Comparator.comparingDouble(Plan.PlannedQuery::atMs)
+                        .thenComparing(Plan.PlannedQuery::id));
         return new Plan(
                 seed,
                 List.copyOf(gatherers),
                 List.copyOf(servers),
-                List.copyOf(asks),
+                List.copyOf(queries),
                 List.copyOf(faults));
     }
 
     private List<String> select(List<String> groups) {
-        return groups.stream().flatMap(who -> cast.select(who).stream()).distinct().toList();
+        return groups.stream().flatMap(name -> parties.select(name).stream()).distinct().toList();
     }
 
     /**
-     * Poisson arrivals whose rate changes: drawn at the highest rate and thinned (Lewis and
-     * Shedler).
+     * Adds the queries of one load line: Poisson arrivals with a changing rate, drawn at the
+     * highest rate and thinned (Lewis and Shedler).
      */
-    private void asks(int line, List<Plan.Ask> into) {
+    private void drawQueries(int line, List<Plan.PlannedQuery> queries) {
         Script.Load load = script.load().get(line);
-        UniformRandomProvider chance = chance("load", line);
-        double most =
+        UniformRandomProvider random = random("load", line);
+        double maxRate =
                 Math.max(
                         load.scansPerS(),
                         load.ramps().stream().mapToDouble(Script.Ramp::scansPerS).max().orElse(0));
-        if (most <= 0) {
+        if (maxRate <= 0) {
             return;
         }
-        var gap = ZigguratSampler.Exponential.of(chance, 1 / most);
-        for (double at = gap.sample(); at < script.lengthS(); at += gap.sample()) {
-            double draw = chance.nextDouble();
-            String id = String.format(Locale.ROOT, "%016x", chance.nextLong());
-            Map<Integer, Double> weights = weights(load, chance);
-            if (draw < rate(load, at) / most) {
-                into.add(new Plan.Ask(at * 1000, id, line, weights));
+        var interval = ZigguratSampler.Exponential.of(random, 1 / maxRate);
+        for (double at = interval.sample(); at < script.lengthS(); at += interval.sample()) {
+            double draw = random.nextDouble();
+            String id = String.format(Locale.ROOT, "%016x", random.nextLong());
+            Map<Integer, Double> weights = weights(load, random);
+            if (draw < rate(load, at) / maxRate) {
+                queries.add(new Plan.PlannedQuery(at * 1000, id, line, weights));
             }
         }
     }
@@ -148,17 +151,20 @@
         return rate;
     }
 
-    /** Distinct segments with equal weights; the first ones oftener where some are popular. */
-    private Map<Integer, Double> weights(Script.Load load, UniformRandomProvider chance) {
+    /**
+     * Returns distinct segments with equal weights. If the load has popular segments, those with
+     * low numbers are drawn more often.
+     */
+    private Map<Integer, Double> weights(Script.Load load, UniformRandomProvider random) {
         var weights = new TreeMap<Integer, Double>();
         var zipf =
                 load.popular() > 0
                         ? RejectionInversionZipfSampler.of(
-                                chance, script.segments(), load.popular())
+                                random, script.segments(), load.popular())
                         : null;
         while (weights.size() < load.parts()) {
             weights.put(
-                    zipf == null ? chance.nextInt(script.segments()) : zipf.sample() - 1,
+                    zipf == null ? random.nextInt(script.segments()) : zipf.sample() - 1,
                     1.0 / load.parts());
         }
         return weights;
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -7,11 +7,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import sprucehold.rig.fault.FaultBoard;
+import sprucehold.rig.fault.FaultSchedule;
 import sprucehold.rig.link.DatagramRelay;
 import sprucehold.rig.link.Flood;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.TcpRelay;
-import sprucehold.rig.link.Wires;
 import sprucehold.rig.plan.Addresses;
 import sprucehold.rig.plan.Plan;
 
@@ -21,7 +21,7 @@
  */
 final class PeerRelays {
     private final Vertx vertx;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final Addresses addresses;
     private final List<String> gatherers;
 
@@ -29,12 +29,12 @@
     private final Map<String, List<DatagramRelay>> datagrams = new HashMap<>();
 
     private final List<TcpRelay> streams = new ArrayList<>();
-    private final Map<Plan.Befall, List<Flood>> floods = new HashMap<>();
+    private final Map<Plan.TargetedFault, List<Flood>> floods = new HashMap<>();
 
     /**
      * @param gatherers the names of all, by number
      */
-    PeerRelays(Vertx vertx, Wires wires, Addresses addresses, List<String> gatherers) {
+    PeerRelays(Vertx vertx, ShapedConnections wires, Addresses addresses, List<String> gatherers) {
         this.vertx = vertx;
         this.wires = wires;
         this.addresses = addresses;
@@ -81,7 +81,7 @@
     }
 
     /** Begins or ends a flood of one gatherer with what others have sent it. */
-    void flood(int gatherer, FaultBoard.Change change) {
+    void flood(int gatherer, FaultSchedule.Change change) {
         List<Flood> all = floods.computeIfAbsent(change.what(), none -> new ArrayList<>());
         if (change.begins()) {
             List<DatagramRelay> leading = datagrams.get(gatherers.get(gatherer));
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import sprucehold.rig.fault.FaultBoard;
-import sprucehold.rig.link.Wires;
+import sprucehold.rig.fault.FaultSchedule;
+import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.list.AgentHost;
 import sprucehold.rig.list.ServerList;
 import sprucehold.rig.load.Clients;
@@ -78,7 +78,7 @@
     private final Ledger ledger = new Ledger();
     private final Addresses addresses;
     private final Guardian guardian;
-    private final Wires wires;
+    private final ShapedConnections wires;
     private final ServerList list;
     private final ShardServerFleet servers;
     private final Map<String, AgentHost> agents = new LinkedHashMap<>();
@@ -91,9 +91,9 @@
     private final Map<String, Integer> out = new HashMap<>();
     private final Front front;
     private final Clients clients;
-    private final FaultBoard board;
+    private final FaultSchedule board;
     private final List<RunFolder.Span> spans = new ArrayList<>();
-    private final Map<Plan.Befall, Double> began = new HashMap<>();
+    private final Map<Plan.TargetedFault, Double> began = new HashMap<>();
     private final Map<String, Double> heldSince = new HashMap<>();
 
     /** Gatherers that were told to end or killed: their end is no crash. */
@@ -119,7 +119,7 @@
         this.progress = progress;
         this.addresses = Addresses.claim();
         this.guardian = new Guardian();
-        this.wires = new Wires(vertx, this::now, seed);
+        this.wires = new ShapedConnections(vertx, this::now, seed);
         this.list =
                 new ServerList(
                         plan.servers().stream()
@@ -161,7 +161,7 @@
                                         addresses.gathererPort(), addresses.gatherer(number(name))),
                         killed::contains,
                         this::ended);
-        this.board = new FaultBoard(plan.faults());
+        this.board = new FaultSchedule(plan.faults());
     }
 
     /**
@@ -475,12 +475,12 @@
 
     private void askDue() {
         while (nextAsk < plan.asks().size() && firstMs + plan.asks().get(nextAsk).atMs() <= now()) {
-            Plan.Ask ask = plan.asks().get(nextAsk++);
+            Plan.PlannedQuery ask = plan.asks().get(nextAsk++);
             clients.ask(ask, firstMs + ask.atMs());
         }
     }
 
-    private void ended(Plan.Ask ask, double atMs, Clients.End end, double sentLateMs) {
+    private void ended(Plan.PlannedQuery ask, double atMs, Clients.End end, double sentLateMs) {
         outcomes.add(Ends.of(script, ask, firstMs, atMs, end, sentLateMs));
     }
 
@@ -499,8 +499,8 @@
         }
     }
 
-    private void carryOut(FaultBoard.Change change) {
-        Plan.Befall fault = change.what();
+    private void carryOut(FaultSchedule.Change change) {
+        Plan.TargetedFault fault = change.what();
         progress.accept(
                 String.format(
                         Locale.ROOT,
@@ -527,7 +527,7 @@
         }
     }
 
-    private void over(Plan.Befall fault) {
+    private void over(Plan.TargetedFault fault) {
         Double from = began.remove(fault);
         if (from != null) {
             spans.add(
@@ -536,7 +536,7 @@
         }
     }
 
-    private void gatherer(String name, FaultBoard.Change change) {
+    private void gatherer(String name, FaultSchedule.Change change) {
         GathererProcess process = gatherers.get(name);
         Fault fault = change.what().fault();
         boolean again = fault.forS() < Double.POSITIVE_INFINITY;
@@ -633,7 +633,7 @@
                 .forEach(
                         fault -> {
                             if (fault.fault().kind().whom() == Fault.Whom.LINK) {
-                                wires.change(new FaultBoard.Change(atS(), false, fault));
+                                wires.change(new FaultSchedule.Change(atS(), false, fault));
                             }
                             over(fault);
                         });
--- a/rig/src/main/java/sprucehold/rig/script/Cast.java
+++ b/rig/src/main/java/sprucehold/rig/script/Parties.java
@@ -7,18 +7,19 @@
 import java.util.stream.Stream;
 
 /**
- * Who takes part in a run, by name: gatherers {@code a-0}, shard servers {@code s-a-0-1} (site,
- * cell, holder), clients {@code clients@a}; discovery is named by the gatherer that it tells.
+ * The parties of a run, by name: gatherers {@code a-0}, shard servers {@code s-a-0-1} (site,
+ * replica group, replica) and clients {@code clients@a}. A discovery agent has the name of the
+ * gatherer that it serves.
  *
- * @param siteOf the site of each, clients included
+ * @param siteOf the site of each party, clients included
  */
-public record Cast(
+public record Parties(
         List<String> gatherers,
         List<String> servers,
         List<String> clients,
         Map<String, String> siteOf) {
 
-    public static Cast of(Script script) {
+    public static Parties of(Script script) {
         var gatherers = new ArrayList<String>();
         var servers = new ArrayList<String>();
         var clients = new ArrayList<String>();
@@ -37,20 +38,22 @@
             clients.add("clients@" + site.name());
             siteOf.put("clients@" + site.name(), site.name());
         }
-        return new Cast(
+        return new Parties(
                 List.copyOf(gatherers),
                 List.copyOf(servers),
                 List.copyOf(clients),
                 Map.copyOf(siteOf));
     }
 
-    /** All that a name or a group means; empty if nobody. */
-    public List<String> select(String who) {
-        if (siteOf.containsKey(who)) {
-            return List.of(who);
+    /**
+     * Returns the names of the parties that a name or a group selects; empty if it selects none.
+     */
+    public List<String> select(String selector) {
+        if (siteOf.containsKey(selector)) {
+            return List.of(selector);
         }
-        int at = who.indexOf('@');
-        String group = at < 0 ? who : who.substring(0, at);
+        int at = selector.indexOf('@');
+        String group = at < 0 ? selector : selector.substring(0, at);
         List<String> all =
                 switch (group) {
                     case "gatherers", "discovery" -> gatherers;
@@ -63,7 +66,7 @@
         return at < 0
                 ? all
                 : all.stream()
-                        .filter(name -> siteOf.get(name).equals(who.substring(at + 1)))
+                        .filter(name -> siteOf.get(name).equals(selector.substring(at + 1)))
                         .toList();
     }
 }
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -24,9 +24,15 @@
 import sprucehold.rig.script.Script;
 import sprucehold.rig.verdict.Verdict;
 
-/** Whole runs with real processes: gatherers as shipped, and ones that break a rule on purpose. */
+/**
+ * Plays whole runs with real processes: the shipped gatherer, and gatherers that break a rule on
+ * purpose.
+ */
 public class RunTest {
-    /** A machine that is too busy proves nothing; that it always is would show as a failure. */
+    /**
+     * A run on a machine that is too busy proves nothing and is repeated. If the machine is too
+     * busy for every run, the test fails.
+     */
     private static final int TRIES = 3;
 
     private Path folder;
@@ -57,7 +63,7 @@
         return verdict;
     }
 
-    private static Home crooked(String way) {
+    private static Home gathererWith(String behaviour) {
         return new Home(
                 Path.of("").toAbsolutePath(),
                 List.of(
@@ -65,13 +71,14 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "sprucehold.rig.CrookedGatherer",
-                        way));
+                        "sprucehold.rig.RuleBreakingGatherer",
+                        behaviour));
     }
 
     /**
-     * One site, one gatherer, a server that drains; a budget so small that one more dispatch in ten
-     * breaks it.
+     * Returns a script with one site, one gatherer, two shard servers per replica group and the
+     * given faults, such as a server that drains. The retry budget, if there is one, is so small
+     * that one more attempt in ten exceeds it.
      */
     private static Script small(boolean budget, Fault... faults) {
         Script calm = Scripts.calm(2);
@@ -141,24 +148,24 @@
     }
 
     @DataProvider
-    Object[][] ways() {
+    Object[][] behaviours() {
         return new Object[][] {
-            {"SOUND", small(true, drain()), Set.of()},
+            {"KEEPS_RULES", small(true, drain()), Set.of()},
             {"LEAVES_UNANSWERED", small(true, drain()), Set.of("ONE_ANSWER")},
-            {"SENDS_AFTER_THE_ANSWER", small(false), Set.of("ONE_ANSWER")},
+            {"SENDS_AFTER_ANSWERING", small(false), Set.of("ONE_ANSWER")},
             {"RUNS_TWICE", small(false), Set.of("NO_EFFECT_TWICE")},
             {"IGNORES_DRAINS", small(true, drain()), Set.of("DRAINS")},
-            {"SOUND", small(false, die()), Set.of("COLD")},
-            {"LIES", small(true, drain()), Set.of("HONEST")},
-            {"CALLS_A_PART_WHOLE", small(true), Set.of("HONEST")},
-            {"SPENDS", small(true), Set.of("BUDGET")},
+            {"KEEPS_RULES", small(false, die()), Set.of("COLD")},
+            {"RETURNS_WRONG_VALUES", small(true, drain()), Set.of("HONEST")},
+            {"CLAIMS_FULL_COVERAGE", small(true), Set.of("HONEST")},
+            {"EXCEEDS_RETRY_BUDGET", small(true), Set.of("BUDGET")},
         };
     }
 
-    @Test(dataProvider = "ways")
-    public void aRuleBrokenOnPurposeIsFoundAndNothingElse(
-            String way, Script script, Set<String> rules) throws IOException {
-        Verdict verdict = play(script, crooked(way));
+    @Test(dataProvider = "behaviours")
+    public void exactlyTheRulesBrokenOnPurposeAreReported(
+            String behaviour, Script script, Set<String> rules) throws IOException {
+        Verdict verdict = play(script, gathererWith(behaviour));
         assertEquals(
                 verdict.why().stream()
                         .map(why -> why.split(" ")[0])
@@ -167,7 +174,7 @@
                 verdict.why().toString());
         assertTrue(
                 verdict.figures().scans() > 30,
-                "too few scans to prove anything: " + verdict.figures());
+                "too few queries for a verdict: " + verdict.figures());
     }
 
     @DataProvider
@@ -183,7 +190,7 @@
         Verdict verdict = play(script, Home.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
         var run = new RunFolder(last);
-        assertEquals(run.judge(), verdict, "the kept ledgers are judged as the run was");
+        assertEquals(run.judge(), verdict, "the stored ledgers must give the verdict of the run");
         String page = RunPage.html(script, run.kept(), verdict);
         assertTrue(
                 page.contains("<svg")
@@ -192,20 +199,21 @@
     }
 
     /**
-     * Gatherers stand still for 0.15 s and more, again and again, while clients leave after 40 ms:
-     * a hold-up excuses nothing.
+     * Pauses gatherers repeatedly, for 0.15 s or longer, while clients leave after 40 ms. A pause
+     * excuses no broken rule.
      */
     @Test
-    public void theShippedProgramKeepsTheRulesWhereItIsHeldUpAmongClientsThatLeave()
-            throws IOException {
+    public void theShippedProgramKeepsTheRulesWhenPausedWhileClientsLeave() throws IOException {
         Verdict verdict = play(Scripts.shipped("held-up-among-leaving"), Home.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
     }
 
     @Test
-    public void aProgramThatWontStartIsOneErrorWithItsLastWords() {
+    public void aProgramThatFailsToStartGivesOneErrorWithItsLastLogLine() {
         String message =
-                expectThrows(IOException.class, () -> play(small(false), crooked("WONT_START")))
+                expectThrows(
+                                IOException.class,
+                                () -> play(small(false), gathererWith("FAILS_TO_START")))
                         .getMessage();
         assertTrue(
                 message.contains("a-0 ended with exit code 7 before it was ready: out of luck"),
@@ -213,8 +221,8 @@
     }
 
     @Test
-    public void aProgramThatWontEndIsKilledAndTold() throws IOException {
-        Verdict verdict = play(small(false), crooked("WONT_END"));
+    public void aProgramThatIgnoresSigtermIsKilledAndReported() throws IOException {
+        Verdict verdict = play(small(false), gathererWith("IGNORES_SIGTERM"));
         assertEquals(verdict.kind(), Verdict.Kind.BROKEN);
         assertTrue(
                 verdict.why()
@@ -225,16 +233,16 @@
     }
 
     @Test
-    public void aProgramThatFloodsItsLogGoesOnAndIsTold() throws IOException {
-        Verdict verdict = play(small(false), crooked("FLOODS_ITS_LOG"));
+    public void aProgramThatFloodsItsLogContinuesAndIsReported() throws IOException {
+        Verdict verdict = play(small(false), gathererWith("FLOODS_ITS_LOG"));
         assertTrue(
                 verdict.why().contains("a-0 flooded its log") && verdict.why().size() == 1,
                 verdict.why().toString());
     }
 
     @Test
-    public void aPanicInAGatherersLogBreaksARunThatKeptAllRules() throws IOException {
-        Verdict verdict = play(small(false), crooked("PANICS"));
+    public void aPanicInAGatherersLogFailsARunThatKeptAllRules() throws IOException {
+        Verdict verdict = play(small(false), gathererWith("PANICS"));
         assertEquals(
                 verdict.why(),
                 List.of("a-0 logged: 2026-12-01T10:00:00.000 SEVERE panic: out of luck"));
