--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -29,31 +29,37 @@
 import sprucehold.trace.format.TraceWriter;
 
 /**
- * Writes a file anew so that it names and gives away nobody. Twice through the input: once to
- * count, once to write; it holds the queries of one stretch of time.
+ * Writes a copy of a trace file that doesn't identify anybody. Reads the input twice, once to count
+ * queries and once to write them, and keeps the queries of about one time interval in memory.
  */
 public final class Anonymiser {
-    /** An hour: rhythms of shops lie in hours, so nothing finer may show. */
-    public static final double STRETCH_MS = 3_600_000;
+    /**
+     * Length of a time interval, one hour in milliseconds. Shops have rhythms by the hour, so the
+     * output must not show finer times.
+     */
+    public static final double INTERVAL_MS = 3_600_000;
 
-    /** With fewer pseudonyms a guess would be right too often. */
+    /** Minimum number of pseudonyms. With fewer, a guess would be right too often. */
     private static final int MIN_PSEUDONYMS = 5;
 
     /**
-     * Counts of queries of a cell are cut down to whole tens: a single shop's comings and goings
-     * don't show.
+     * Step to which the number of queries in a cell is rounded down, so that the start or end of a
+     * single shop's traffic isn't visible.
      */
     private static final int COUNT_STEP = 10;
 
-    /** Durations within a query are told to so many milliseconds. */
+    /** Step to which durations within a query are rounded, in milliseconds. */
     private static final double DURATION_STEP_MS = 5;
 
-    /** Longer than any client waits; a query that takes longer is left out. */
-    private static final double LONGEST_QUERY_MS = 900_000;
+    /**
+     * Time after which an interval is written, in milliseconds from its end. It is longer than any
+     * client waits. A query that ends after its interval was written is left out.
+     */
+    private static final double MAX_QUERY_MS = 900_000;
 
     private static final String POOL = "others";
 
-    /** What can't be told from an anonymised file; it stands in the file's head. */
+    /** Information that an anonymised file lacks, stored in the header of the file. */
     static final List<String> LOST =
             List.of(
                     "customers: all but some large ones are pooled as '"
@@ -83,21 +89,26 @@
     }
 
     /**
-     * @param queries queries written
-     * @param leftOut queries left out
-     * @param named tenants with a pseudonym of their own
-     * @param pooled queries that show the pool
+     * Counts of an anonymised file.
+     *
+     * @param queries number of queries written
+     * @param leftOut number of queries left out
+     * @param named number of tenants with a pseudonym of their own
+     * @param pooled number of queries written that show the pool instead of a pseudonym
      */
     public record Written(long queries, long leftOut, int named, long pooled) {}
 
-    /** One query with all that befell it, times since it was taken. */
+    /** A query with its events and commands, and the id of its source. */
     private record RecordedQuery(CorrelatedQuery query, List<RecordedItem> items, String origin) {}
 
+    /** An event or command, and its time since the receipt of the query, in milliseconds. */
     private record RecordedItem(double afterMs, Item item) {}
 
     /**
-     * @param key whoever has it can make the pseudonyms again
-     * @throws IllegalArgumentException where the key is too short
+     * Writes an anonymised copy of a trace file.
+     *
+     * @param key key of the pseudonyms; its holder can derive them again
+     * @throws IllegalArgumentException if the key is too short
      */
     public static Written anonymise(TraceReader reader, String key, Path to, LongConsumer progress)
             throws IOException {
@@ -107,8 +118,9 @@
     }
 
     private static PseudonymQuota.Cell cell(Source source, CorrelatedQuery query) {
-        long stretch = (long) Math.floor(source.clock().corrected(query.receivedMs()) / STRETCH_MS);
-        return new PseudonymQuota.Cell(stretch, query.received().queryClass().name());
+        long interval =
+                (long) Math.floor(source.clock().corrected(query.receivedMs()) / INTERVAL_MS);
+        return new PseudonymQuota.Cell(interval, query.received().queryClass().name());
     }
 
     private void count(TraceReader reader, LongConsumer progress) throws IOException {
@@ -119,12 +131,12 @@
             if (entry instanceof PolicyCall call) {
                 for (Item item : call.items()) {
                     CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
-                    if (item.event() instanceof Event.QueryReceived taken) {
+                    if (item.event() instanceof Event.QueryReceived received) {
                         PseudonymQuota.Cell cell =
                                 cell(reader.header().sources().get(call.source()), query);
                         queriesByCell.merge(cell, 1, Integer::sum);
-                        if (taken.tenant() != null) {
-                            quota.count(taken.tenant().name(), cell);
+                        if (received.tenant() != null) {
+                            quota.count(received.tenant().name(), cell);
                         }
                     }
                 }
@@ -133,19 +145,20 @@
                 progress.accept(read);
             }
         }
-        quota.settle(MIN_PSEUDONYMS);
+        quota.chooseTenants(MIN_PSEUDONYMS);
     }
 
     private Written write(TraceReader reader, Path to, LongConsumer progress) throws IOException {
         Source first = reader.header().sources().get(0);
         Deployment before = first.deployment();
-        // In the order of their pseudonyms, all with the same rate: places and rates would tell.
+        // Lists the tenants in the order of their pseudonyms, all with the same rate, since the
+        // original order and rates could identify them.
         var byPseudonym = new TreeMap<String, String>();
         quota.named().forEach(name -> byPseudonym.put(pseudonyms.name("customer", name), name));
         byPseudonym.forEach((pseudonym, name) -> named.put(name, new Tenant(pseudonym, 1)));
         pool = new Tenant(POOL, 1);
-        var customers = new ArrayList<>(named.values());
-        customers.add(pool);
+        var tenants = new ArrayList<>(named.values());
+        tenants.add(pool);
         deployment =
                 new Deployment(
                         before.gatherers(),
@@ -153,20 +166,21 @@
                         before.tickMs(),
                         before.overQuotaPriority(),
                         before.queryClasses(),
-                        List.copyOf(customers),
+                        List.copyOf(tenants),
                         before.layout(),
                         before.limits(),
                         before.slowStart(),
                         before.retryBudget(),
                         before.endpointSubscription());
-        double began =
+        double beginMs =
                 queriesByCell.keySet().stream()
-                        .mapToDouble(cell -> cell.stretch() * STRETCH_MS)
+                        .mapToDouble(cell -> cell.interval() * INTERVAL_MS)
                         .min()
                         .orElse(0);
-        // Gatherers are told apart by nothing: together they are one source, ordered by the fitted
-        // clocks.
-        source = new Source("anonymised", first.build(), 0, began, deployment, ClockFit.REFERENCE);
+        // Joins all gatherers to one source, ordered by the fitted clocks, so that nothing
+        // distinguishes them.
+        source =
+                new Source("anonymised", first.build(), 0, beginMs, deployment, ClockFit.REFERENCE);
         var lost = new ArrayList<>(LOST);
         var header = new TraceHeader(List.of(source), reader.header().oneIn(), true, null, lost);
 
@@ -175,7 +189,7 @@
         long pooled = 0;
         var correlator = new QueryCorrelator();
         var open = new LinkedHashMap<CorrelatedQuery, RecordedQuery>();
-        var stretches = new TreeMap<Long, List<RecordedQuery>>();
+        var intervals = new TreeMap<Long, List<RecordedQuery>>();
         long writtenTo = Long.MIN_VALUE;
         try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
             long read = 0;
@@ -191,7 +205,7 @@
                         RecordedQuery recorded =
                                 open.computeIfAbsent(
                                         query,
-                                        none ->
+                                        key ->
                                                 new RecordedQuery(
                                                         query, new ArrayList<>(), of.id()));
                         recorded.items.add(
@@ -199,10 +213,10 @@
                                         Math.max(0, call.nowMs() - query.receivedMs()), item));
                         if (query.ended() && query.pendingAttempts() <= 0) {
                             open.remove(query);
-                            long stretch = cell(of, query).stretch();
-                            if (stretch > writtenTo) {
-                                stretches
-                                        .computeIfAbsent(stretch, at -> new ArrayList<>())
+                            long interval = cell(of, query).interval();
+                            if (interval > writtenTo) {
+                                intervals
+                                        .computeIfAbsent(interval, key -> new ArrayList<>())
                                         .add(recorded);
                             } else {
                                 leftOut++;
@@ -210,17 +224,17 @@
                         }
                     }
                 }
-                // A stretch is written once nobody can still be waiting for a query of it.
+                // Writes an interval once no client can still be waiting for a query of it.
                 double at =
                         reader.header()
                                 .sources()
                                 .get(entry.source())
                                 .clock()
                                 .corrected(entry.nowMs());
-                while (!stretches.isEmpty()
-                        && at > (stretches.firstKey() + 1) * STRETCH_MS + LONGEST_QUERY_MS) {
-                    writtenTo = stretches.firstKey();
-                    long[] counts = write(writer, writtenTo, stretches.remove(writtenTo), reader);
+                while (!intervals.isEmpty()
+                        && at > (intervals.firstKey() + 1) * INTERVAL_MS + MAX_QUERY_MS) {
+                    writtenTo = intervals.firstKey();
+                    long[] counts = write(writer, writtenTo, intervals.remove(writtenTo), reader);
                     written += counts[0];
                     leftOut += counts[1];
                     pooled += counts[2];
@@ -229,10 +243,10 @@
                     progress.accept(read);
                 }
             }
-            // What never ended in this file is left out.
+            // Leaves out queries that don't end in this file.
             leftOut += open.size();
-            for (var stretch : stretches.entrySet()) {
-                long[] counts = write(writer, stretch.getKey(), stretch.getValue(), reader);
+            for (var interval : intervals.entrySet()) {
+                long[] counts = write(writer, interval.getKey(), interval.getValue(), reader);
                 written += counts[0];
                 leftOut += counts[1];
                 pooled += counts[2];
@@ -241,14 +255,19 @@
         return new Written(written, leftOut, named.size(), pooled);
     }
 
-    /** Writes one stretch's queries; returns how many were written, left out, and pooled. */
+    /**
+     * Writes the queries of one interval.
+     *
+     * @return the numbers of queries written, left out and pooled
+     */
     private long[] write(
-            TraceWriter writer, long stretch, List<RecordedQuery> scans, TraceReader reader)
+            TraceWriter writer, long interval, List<RecordedQuery> queries, TraceReader reader)
             throws IOException {
-        // An order that says nothing of who came when, and the same for the same key.
-        record Ranked(long rank, RecordedQuery whole) {}
+        // Sorts by a number that depends only on the key and the query, so that the order doesn't
+        // reveal when queries arrived and is the same for the same key.
+        record Ranked(long rank, RecordedQuery recorded) {}
         var ranked = new ArrayList<Ranked>();
-        for (RecordedQuery recorded : scans) {
+        for (RecordedQuery recorded : queries) {
             ranked.add(
                     new Ranked(
                             pseudonyms.number(
@@ -257,37 +276,42 @@
                             recorded));
         }
         ranked.sort(Comparator.comparingLong(Ranked::rank));
-        Map<PseudonymQuota.Cell, Integer> left = new HashMap<>();
-        Map<PseudonymQuota.Cell, Integer> all = new HashMap<>();
+        Map<PseudonymQuota.Cell, Integer> remaining = new HashMap<>();
+        Map<PseudonymQuota.Cell, Integer> totals = new HashMap<>();
         for (Ranked one : ranked) {
-            all.merge(
-                    cell(reader.header().sources().get(one.whole.query.source()), one.whole.query),
+            totals.merge(
+                    cell(
+                            reader.header().sources().get(one.recorded.query.source()),
+                            one.recorded.query),
                     1,
                     Integer::sum);
         }
-        all.forEach((cell, count) -> left.put(cell, count / COUNT_STEP * COUNT_STEP));
-        // Shown pseudonyms first, so that the grain never takes one of theirs and not another's.
+        totals.forEach((cell, count) -> remaining.put(cell, count / COUNT_STEP * COUNT_STEP));
+        // Chooses the queries that show a pseudonym first, so that rounding down never drops a
+        // query of one pseudonym and none of another.
         Map<String, Integer> shown = new HashMap<>();
         var chosen = new ArrayList<Map.Entry<RecordedQuery, Tenant>>();
         var rest = new ArrayList<RecordedQuery>();
         for (Ranked one : ranked) {
             PseudonymQuota.Cell cell =
-                    cell(reader.header().sources().get(one.whole.query.source()), one.whole.query);
-            var tenant = one.whole.query.received().tenant();
-            boolean fits = left.get(cell) >= quota.shown(cell) * named.size();
+                    cell(
+                            reader.header().sources().get(one.recorded.query.source()),
+                            one.recorded.query);
+            var tenant = one.recorded.query.received().tenant();
+            boolean fits = remaining.get(cell) >= quota.shown(cell) * named.size();
             if (tenant != null
                     && named.containsKey(tenant.name())
                     && fits
                     && shown.merge(tenant.name() + "|" + cell, 1, Integer::sum)
                             <= quota.shown(cell)) {
-                chosen.add(Map.entry(one.whole, named.get(tenant.name())));
+                chosen.add(Map.entry(one.recorded, named.get(tenant.name())));
             } else {
-                rest.add(one.whole);
+                rest.add(one.recorded);
             }
         }
         chosen.forEach(
                 one ->
-                        left.merge(
+                        remaining.merge(
                                 cell(
                                         reader.header().sources().get(one.getKey().query.source()),
                                         one.getKey().query),
@@ -297,7 +321,7 @@
         for (RecordedQuery recorded : rest) {
             PseudonymQuota.Cell cell =
                     cell(reader.header().sources().get(recorded.query.source()), recorded.query);
-            if (left.merge(cell, -1, Integer::sum) >= 0) {
+            if (remaining.merge(cell, -1, Integer::sum) >= 0) {
                 chosen.add(Map.entry(recorded, pool));
                 pooled++;
             }
@@ -310,17 +334,17 @@
                                         one.getKey().origin
                                                 + "|"
                                                 + one.getKey().query.received().number())));
-        var moments = new ArrayList<PolicyCall>();
+        var calls = new ArrayList<PolicyCall>();
         for (int i = 0; i < chosen.size(); i++) {
-            double at = (stretch + (double) i / chosen.size()) * STRETCH_MS;
-            moments.addAll(calls(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
+            double at = (interval + (double) i / chosen.size()) * INTERVAL_MS;
+            calls.addAll(calls(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
         }
-        moments.sort(
+        calls.sort(
                 Comparator.comparingDouble(PolicyCall::nowMs).thenComparingLong(PolicyCall::seq));
-        for (PolicyCall call : moments) {
+        for (PolicyCall call : calls) {
             writer.add(new PolicyCall(0, seq++, call.nowMs(), false, call.total(), call.items()));
         }
-        return new long[] {chosen.size(), scans.size() - chosen.size(), pooled};
+        return new long[] {chosen.size(), queries.size() - chosen.size(), pooled};
     }
 
     private List<PolicyCall> calls(RecordedQuery recorded, Tenant tenant, double at) {
@@ -332,12 +356,12 @@
                                 + recorded.query.received().number()
                                 + "|"
                                 + recorded.query.received().id());
-        long own = ++number;
+        long queryNumber = ++number;
         Map<String, String> parts = new HashMap<>();
-        var moments = new ArrayList<PolicyCall>();
+        var calls = new ArrayList<PolicyCall>();
         var items = new ArrayList<Item>();
         double before = 0;
-        long order = own << 20;
+        long order = queryNumber << 20;
         int partCount =
                 (int)
                         recorded.items.stream()
@@ -346,19 +370,19 @@
         for (RecordedItem line : recorded.items) {
             double after = Math.rint(line.afterMs / DURATION_STEP_MS) * DURATION_STEP_MS;
             if (after != before && !items.isEmpty()) {
-                moments.add(call(order++, at + before, items));
+                calls.add(call(order++, at + before, items));
                 items = new ArrayList<>();
             }
             before = Math.max(before, after);
-            Item item = item(line.item, id, own, tenant, parts, partCount, items.size());
+            Item item = item(line.item, id, queryNumber, tenant, parts, partCount, items.size());
             if (item != null) {
                 items.add(item);
             }
         }
         if (!items.isEmpty()) {
-            moments.add(call(order, at + before, items));
+            calls.add(call(order, at + before, items));
         }
-        return moments;
+        return calls;
     }
 
     private static PolicyCall call(long order, double at, List<Item> items) {
@@ -368,28 +392,28 @@
     private Item item(
             Item item,
             String id,
-            long own,
+            long queryNumber,
             Tenant tenant,
             Map<String, String> parts,
             int partCount,
             int index) {
         Event event = item.event();
-        if (event instanceof Event.QueryReceived taken) {
+        if (event instanceof Event.QueryReceived received) {
             return new Item(
                     index,
                     new Event.QueryReceived(
                             id,
-                            own,
-                            taken.queryClass(),
+                            queryNumber,
+                            received.queryClass(),
                             tenant,
-                            Math.rint(taken.timeLeftMs() / 100) * 100),
+                            Math.rint(received.timeLeftMs() / 100) * 100),
                     null);
-        } else if (event instanceof Event.PartReceived taken) {
+        } else if (event instanceof Event.PartReceived received) {
             int number = parts.size();
-            parts.put(taken.id(), id + "." + number);
+            parts.put(received.id(), id + "." + number);
             return new Item(
                     index,
-                    new Event.PartReceived(id + "." + number, own, number, 1.0 / partCount),
+                    new Event.PartReceived(id + "." + number, queryNumber, number, 1.0 / partCount),
                     null);
         } else if (event instanceof Event.AttemptEnded ended) {
             return parts.containsKey(ended.partId())
@@ -411,9 +435,12 @@
         }
         Command command = item.command();
         if (command instanceof Command.SendAttempt sendAttempt) {
-            var passed =
+            var skipped =
                     sendAttempt.skipped().stream()
-                            .map(over -> new SkippedReplica(server(over.server()), over.cause()))
+                            .map(
+                                    replica ->
+                                            new SkippedReplica(
+                                                    server(replica.server()), replica.cause()))
                             .toList();
             return parts.containsKey(sendAttempt.partId())
                     ? new Item(
@@ -425,7 +452,7 @@
                                     Math.rint(sendAttempt.timeoutMs() / 100) * 100,
                                     sendAttempt.reason(),
                                     sendAttempt.position(),
-                                    passed))
+                                    skipped))
                     : null;
         } else if (command instanceof Command.CancelAttempt cancel) {
             return parts.containsKey(cancel.partId())
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
@@ -9,33 +9,34 @@
 import java.util.TreeSet;
 
 /**
- * Decides which tenants get a pseudonym of their own, and how many of their queries show it: in
- * each cell - a stretch of time and a query class - as many as of every other pseudonym. So neither
- * counts nor rhythms nor the mix of query classes tells one pseudonym from another. Customers too
- * rare for that are pooled, and so are the queries over the count. Pure.
+ * Decides which tenants get a pseudonym of their own, and how many of their queries show it. In
+ * each cell, which is a time interval and a query class, every pseudonym is shown by the same
+ * number of queries. So neither counts nor rhythms nor the mix of query classes distinguish one
+ * pseudonym from another. Tenants with too few queries are pooled, and so are the queries above the
+ * number. The class is pure: it accesses no file.
  */
 final class PseudonymQuota {
-    /** A stretch of time and a query class. */
-    record Cell(long stretch, String queryClass) {}
+    /** A time interval and a query class. */
+    record Cell(long interval, String queryClass) {}
 
     private final Map<String, Map<Cell, Integer>> counts = new TreeMap<>();
     private final Map<Cell, Integer> shown = new HashMap<>();
     private final TreeSet<String> named = new TreeSet<>();
 
-    /** Counts a query of a tenant; to be called for all before {@link #settle}. */
-    void count(String customer, Cell cell) {
-        counts.computeIfAbsent(customer, name -> new HashMap<>()).merge(cell, 1, Integer::sum);
+    /** Counts a query of a tenant. Must be called for all queries before {@link #chooseTenants}. */
+    void count(String tenant, Cell cell) {
+        counts.computeIfAbsent(tenant, name -> new HashMap<>()).merge(cell, 1, Integer::sum);
     }
 
     /**
-     * Chooses the tenants so that most queries keep a pseudonym: with the tenants by size, the k
-     * largest keep in each cell the least count of any of them; the k that keeps most in all is
-     * taken.
+     * Chooses the tenants with a pseudonym so that as many queries as possible show one. If the k
+     * largest tenants get a pseudonym, each pseudonym is shown in a cell by the smallest count of
+     * any of these tenants. The k is chosen for which the most queries in total show a pseudonym.
      *
-     * @param least pseudonyms at least, so that guessing one is no better than one in so many;
-     *     fewer tenants than that get none
+     * @param minimum minimum number of pseudonyms, which limits the chance of a right guess to one
+     *     in this number; if there are fewer tenants, none gets a pseudonym
      */
-    void settle(int least) {
+    void chooseTenants(int minimum) {
         List<String> bySize = new ArrayList<>(counts.keySet());
         bySize.sort(
                 Comparator.comparingInt((String name) -> -sum(counts.get(name)))
@@ -45,15 +46,16 @@
         int bestNamed = 0;
         long bestKept = 0;
         for (int k = 1; k <= bySize.size(); k++) {
-            Map<Cell, Integer> of = counts.get(bySize.get(k - 1));
+            Map<Cell, Integer> tenantCounts = counts.get(bySize.get(k - 1));
             if (k == 1) {
-                floor.putAll(of);
+                floor.putAll(tenantCounts);
             } else {
-                floor.replaceAll((cell, count) -> Math.min(count, of.getOrDefault(cell, 0)));
+                floor.replaceAll(
+                        (cell, count) -> Math.min(count, tenantCounts.getOrDefault(cell, 0)));
                 floor.values().removeIf(count -> count == 0);
             }
             long kept = (long) k * sum(floor);
-            if (k >= least && kept > bestKept) {
+            if (k >= minimum && kept > bestKept) {
                 bestKept = kept;
                 bestNamed = k;
                 best = Map.copyOf(floor);
@@ -63,16 +65,16 @@
         shown.putAll(best);
     }
 
-    private static int sum(Map<Cell, Integer> of) {
-        return of.values().stream().mapToInt(count -> count).sum();
+    private static int sum(Map<Cell, Integer> cellCounts) {
+        return cellCounts.values().stream().mapToInt(count -> count).sum();
     }
 
-    /** Customers with a pseudonym of their own. */
+    /** Returns the tenants with a pseudonym of their own. */
     TreeSet<String> named() {
         return named;
     }
 
-    /** How many queries of each named tenant show its pseudonym in the cell. */
+    /** Returns how many queries of each tenant with a pseudonym show it in the cell. */
     int shown(Cell cell) {
         return shown.getOrDefault(cell, 0);
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Pseudonyms.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Pseudonyms.java
@@ -7,21 +7,24 @@
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 
-/** Names that only who has the key can make again: HMAC-SHA-256 (RFC 2104), cut to 64 bits. */
+/**
+ * Derives pseudonyms that only the holder of the key can derive again: HMAC-SHA-256 (RFC 2104),
+ * truncated to 64 bits.
+ */
 final class Pseudonyms {
-    /** Shorter ones could be tried out. */
-    static final int LEAST_KEY_LETTERS = 16;
+    /** Minimum length of the key in characters; a shorter key could be found by trial. */
+    static final int MIN_KEY_LENGTH = 16;
 
     private final Mac mac;
 
     Pseudonyms(String key) {
-        if (key.length() < LEAST_KEY_LETTERS) {
+        if (key.length() < MIN_KEY_LENGTH) {
             throw new IllegalArgumentException(
-                    "a key of "
+                    "the key has "
                             + key.length()
-                            + " letters; at least "
-                            + LEAST_KEY_LETTERS
-                            + " were expected, or it could be guessed");
+                            + " characters, but at least "
+                            + MIN_KEY_LENGTH
+                            + " are required: a shorter key could be guessed");
         }
         try {
             mac = Mac.getInstance("HmacSHA256");
@@ -31,13 +34,16 @@
         }
     }
 
-    /** A number for something of a kind; the same name of another kind has another. */
+    /**
+     * Returns the number for a name of a kind. The same name of another kind yields another number.
+     */
     long number(String kind, String name) {
         mac.update(kind.getBytes(StandardCharsets.UTF_8));
         mac.update((byte) 0);
         return ByteBuffer.wrap(mac.doFinal(name.getBytes(StandardCharsets.UTF_8))).getLong();
     }
 
+    /** Returns the pseudonym for a name: the initial of its kind and its number in hexadecimal. */
     String name(String kind, String name) {
         return kind.charAt(0) + "-" + HexFormat.of().toHexDigits(number(kind, name));
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
@@ -8,33 +8,49 @@
 import sprucehold.trace.event.ClockFit;
 
 /**
- * Fits each source's clock to one reference by a robust line through what both saw: the median
- * slope of pairs (Theil, "A rank-invariant method of linear and polynomial regression analysis",
- * 1950; Sen, 1968) and the median of what is left. Sources that share nothing with the reference
- * are fitted over others that do, the best shared first.
+ * Fits each source's clock to one reference clock by a robust line through the endpoint changes
+ * that both sources saw. The slope of the line is the median slope of pairs of points (Theil, "A
+ * rank-invariant method of linear and polynomial regression analysis", 1950; Sen, 1968), and its
+ * offset is the median of the residuals. A source that shares no change with the reference is
+ * fitted by way of other sources. Pairs of sources that share the most changes are used first.
  */
 public final class ClockEstimate {
-    /** Pairs looked at for a slope: all of some 450 points, evenly spread ones of more. */
-    private static final int MOST_PAIRS = 100_000;
+    /**
+     * Minimum number of pairs of points that a slope is computed from, if there are as many. All
+     * pairs of up to some 630 points are used, and evenly spread pairs of more points. Fewer than
+     * twice this number are used.
+     */
+    private static final int MAX_PAIRS = 100_000;
 
-    /** Points nearer to each other than this say more of delays than of drift. */
-    private static final double LEAST_SPAN_MS = 60_000;
+    /**
+     * Minimum time between the points of a pair, in milliseconds. The slope between nearer points
+     * is due to delays more than to drift.
+     */
+    private static final double MIN_SPAN_MS = 60_000;
 
-    /** With fewer points in common there is no telling drift from delay. */
-    private static final int LEAST_FOR_DRIFT = 8;
+    /**
+     * Minimum number of shared changes for an estimate of the drift. With fewer, drift can't be
+     * distinguished from delays.
+     */
+    private static final int MIN_DRIFT_POINTS = 8;
 
     private ClockEstimate() {}
 
     /**
-     * One change as two sources saw it: when the one did, and how much later the other's clock
-     * showed.
+     * A change that two sources saw.
+     *
+     * @param at time at which the fitted source saw it, by its own clock in milliseconds
+     * @param ahead that time minus the time at which the other source saw it, by the other's clock
      */
-    private record Pair(double at, double ahead) {}
+    private record Point(double at, double ahead) {}
 
     /**
-     * @param ids the sources' ids; the fits don't depend on the order in which sources come
-     * @return for each source its fit: the reference's is {@link ClockFit#REFERENCE}, that of a
-     *     source that shares nothing with any other {@link ClockFit#UNKNOWN}
+     * Returns the fit of each source.
+     *
+     * @param ids the sources' ids; the fits don't depend on the order of the sources
+     * @param sightings the changes that each source saw, in the order of the ids
+     * @return the fits in the order of the ids: {@link ClockFit#REFERENCE} for the reference, and
+     *     {@link ClockFit#UNKNOWN} for a source that can't be connected to it by shared changes
      */
     public static List<ClockFit> fit(List<String> ids, List<EndpointSightings> sightings) {
         int n = ids.size();
@@ -47,14 +63,14 @@
                 if (a != b) {
                     shared[a][b] =
                             (int)
-                                    sightings.get(a).seen().keySet().stream()
-                                            .filter(sightings.get(b).seen()::containsKey)
+                                    sightings.get(a).firstSeenMs().keySet().stream()
+                                            .filter(sightings.get(b).firstSeenMs()::containsKey)
                                             .count();
                 }
             }
         }
         ClockFit[] fits = new ClockFit[n];
-        // The one that shares most with all others is the reference.
+        // The source that shares the most changes with all others is the reference.
         int reference = order.length == 0 ? -1 : order[0];
         for (int i : order) {
             reference =
@@ -65,7 +81,7 @@
         if (reference >= 0) {
             fits[reference] = ClockFit.REFERENCE;
         }
-        // A tree of the best shared pairs, grown from the reference.
+        // Grows a spanning tree from the reference, pairs with the most shared changes first.
         while (true) {
             int from = -1;
             int to = -1;
@@ -83,55 +99,56 @@
             if (from < 0) {
                 break;
             }
-            fits[to] = joined(fits[from], line(sightings.get(from), sightings.get(to)));
+            fits[to] = chain(fits[from], fitLine(sightings.get(from), sightings.get(to)));
         }
-        var all = new ArrayList<ClockFit>();
+        var result = new ArrayList<ClockFit>();
         for (ClockFit fit : fits) {
-            all.add(fit == null ? ClockFit.UNKNOWN : fit);
+            result.add(fit == null ? ClockFit.UNKNOWN : fit);
         }
-        return all;
+        return result;
     }
 
-    /** The clock of {@code of} against that of {@code to}. */
-    private static ClockFit line(EndpointSightings to, EndpointSightings of) {
-        var pairs = new ArrayList<Pair>();
-        to.seen()
+    /** Fits the clock of {@code fitted} to that of {@code base}. */
+    private static ClockFit fitLine(EndpointSightings base, EndpointSightings fitted) {
+        var points = new ArrayList<Point>();
+        base.firstSeenMs()
                 .forEach(
-                        (change, at) -> {
-                            Double other = of.seen().get(change);
-                            if (other != null) {
-                                pairs.add(new Pair(other, other - at));
+                        (change, baseMs) -> {
+                            Double fittedMs = fitted.firstSeenMs().get(change);
+                            if (fittedMs != null) {
+                                points.add(new Point(fittedMs, fittedMs - baseMs));
                             }
                         });
-        pairs.sort(Comparator.comparingDouble(Pair::at).thenComparingDouble(Pair::ahead));
-        double slope = pairs.size() < LEAST_FOR_DRIFT ? 0 : slope(pairs);
-        // Held at the middle of what was seen, where the line is best known.
-        double middle = pairs.get(pairs.size() / 2).at;
-        double[] rest =
-                pairs.stream()
-                        .mapToDouble(pair -> pair.ahead - slope * (pair.at - middle))
+        points.sort(Comparator.comparingDouble(Point::at).thenComparingDouble(Point::ahead));
+        double slope = points.size() < MIN_DRIFT_POINTS ? 0 : slope(points);
+        // The offset is given for the middle of the points, where the line is most accurate.
+        double middle = points.get(points.size() / 2).at;
+        double[] residuals =
+                points.stream()
+                        .mapToDouble(point -> point.ahead - slope * (point.at - middle))
                         .sorted()
                         .toArray();
-        double offset = median(rest);
-        double[] off = Arrays.stream(rest).map(r -> Math.abs(r - offset)).sorted().toArray();
-        // Nine tenths of what was seen lie within it; delays that always favour one side can't be
-        // seen at all.
-        double error = off[(int) Math.ceil(0.9 * off.length) - 1];
-        // One point alone has nothing to differ from: a second is what news of the list may well
-        // take.
-        return new ClockFit(middle, offset, 1e6 * slope, off.length == 1 ? 1000 : error);
+        double offset = median(residuals);
+        double[] deviations =
+                Arrays.stream(residuals).map(r -> Math.abs(r - offset)).sorted().toArray();
+        // Nine tenths of the points deviate by at most this error. A delay that is always longer
+        // for one of the two sources can't be detected.
+        double error = deviations[(int) Math.ceil(0.9 * deviations.length) - 1];
+        // A single point has no deviation. Its error is set to 1 s, since an endpoint update may
+        // well take that long.
+        return new ClockFit(middle, offset, 1e6 * slope, deviations.length == 1 ? 1000 : error);
     }
 
-    private static double slope(List<Pair> pairs) {
-        long all = (long) pairs.size() * (pairs.size() - 1) / 2;
-        long step = Math.max(1, all / MOST_PAIRS);
+    private static double slope(List<Point> points) {
+        long all = (long) points.size() * (points.size() - 1) / 2;
+        long step = Math.max(1, all / MAX_PAIRS);
         var slopes = new ArrayList<Double>();
         long count = 0;
-        for (int i = 0; i < pairs.size(); i++) {
-            for (int j = i + 1; j < pairs.size(); j++) {
-                double span = pairs.get(j).at - pairs.get(i).at;
-                if (count++ % step == 0 && span >= LEAST_SPAN_MS) {
-                    slopes.add((pairs.get(j).ahead - pairs.get(i).ahead) / span);
+        for (int i = 0; i < points.size(); i++) {
+            for (int j = i + 1; j < points.size(); j++) {
+                double span = points.get(j).at - points.get(i).at;
+                if (count++ % step == 0 && span >= MIN_SPAN_MS) {
+                    slopes.add((points.get(j).ahead - points.get(i).ahead) / span);
                 }
             }
         }
@@ -145,21 +162,26 @@
         return n % 2 == 1 ? sorted[n / 2] : (sorted[n / 2 - 1] + sorted[n / 2]) / 2;
     }
 
-    /** A fit against a source that is itself fitted to the reference. */
-    private static ClockFit joined(ClockFit base, ClockFit onto) {
+    /**
+     * Returns the fit of a source to the reference.
+     *
+     * @param base fit of another source to the reference
+     * @param onto fit of the source to that other source
+     */
+    private static ClockFit chain(ClockFit base, ClockFit fit) {
         if (base.equals(ClockFit.REFERENCE)) {
-            return onto;
+            return fit;
         }
-        double at = onto.atMs() - onto.offsetMs();
-        double offset = onto.offsetMs() + (at - base.corrected(at));
+        double at = fit.atMs() - fit.offsetMs();
+        double offset = fit.offsetMs() + (at - base.corrected(at));
         return new ClockFit(
-                onto.atMs(),
+                fit.atMs(),
                 offset,
-                onto.driftPpm() + base.driftPpm(),
-                onto.errorMs() + base.errorMs());
+                fit.driftPpm() + base.driftPpm(),
+                fit.errorMs() + base.errorMs());
     }
 
-    /** A fit in words. */
+    /** Returns the description of a fit. */
     public static String words(ClockFit fit) {
         if (fit.equals(ClockFit.REFERENCE)) {
             return "the clock that others are judged by";
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/EndpointSightings.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/EndpointSightings.java
@@ -10,17 +10,20 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * When one source first heard of each change of the list, by its own clock. A change is a server's
- * name, its start and its mode; one that comes up again, as a server that drains and returns, is
- * told apart by its turn.
+ * Times at which one source first received each change of the endpoint list, by its own clock. A
+ * change is identified by the server's name, start and state. A server may return to an earlier
+ * state, for example after a drain, so repeated changes are numbered.
  */
 public final class EndpointSightings {
-    /** Changes kept at most: a line through ten thousand points is as good as through more. */
-    private static final int MOST = 10_000;
+    /**
+     * Maximum number of changes kept: a line through ten thousand points is as accurate as a line
+     * through more.
+     */
+    private static final int MAX_CHANGES = 10_000;
 
-    private final Map<String, Double> seen = new LinkedHashMap<>();
-    private final Map<String, Integer> turns = new HashMap<>();
-    private final Map<String, String> lastOf = new HashMap<>();
+    private final Map<String, Double> firstSeenMs = new LinkedHashMap<>();
+    private final Map<String, Integer> occurrences = new HashMap<>();
+    private final Map<String, String> lastStates = new HashMap<>();
 
     public void add(Entry entry) {
         if (!(entry instanceof PolicyCall call)) {
@@ -29,25 +32,27 @@
         for (Item item : call.items()) {
             if (item.event() instanceof Event.EndpointsUpdated list) {
                 for (Endpoint server : list.endpoints()) {
-                    see(server, list.complete(), call.nowMs());
+                    addSighting(server, list.complete(), call.nowMs());
                 }
             }
         }
     }
 
-    private void see(Endpoint server, boolean complete, double nowMs) {
-        String what = server.startedAtMs() + " " + server.state();
-        String before = lastOf.put(server.server(), what);
-        // A whole list repeats what was known, and a first one tells of nothing that happened just
-        // then.
-        if (what.equals(before) || complete && before == null || seen.size() >= MOST) {
+    private void addSighting(Endpoint server, boolean complete, double nowMs) {
+        String state = server.startedAtMs() + " " + server.state();
+        String previous = lastStates.put(server.server(), state);
+        // Skips states that are already known, which a complete list repeats. Also skips servers
+        // that first appear in a complete list, since they may have changed long before it.
+        if (state.equals(previous)
+                || complete && previous == null
+                || firstSeenMs.size() >= MAX_CHANGES) {
             return;
         }
-        String change = server.server() + " " + what;
-        seen.putIfAbsent(change + " " + turns.merge(change, 1, Integer::sum), nowMs);
+        String change = server.server() + " " + state;
+        firstSeenMs.putIfAbsent(change + " " + occurrences.merge(change, 1, Integer::sum), nowMs);
     }
 
-    Map<String, Double> seen() {
-        return seen;
+    Map<String, Double> firstSeenMs() {
+        return firstSeenMs;
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How gatherers' clocks stand to each other, judged by what several of them were told alike. {@link
- * sprucehold.tracetools.clock.ClockEstimate} is the entry point. Pure: entries in, fits out.
+ * Estimates the offsets between gatherers' clocks from the endpoint updates that several gatherers
+ * received. {@link sprucehold.tracetools.clock.ClockEstimate} is the entry point. The package is
+ * pure: it computes the fits from the entries only.
  */
 package sprucehold.tracetools.clock;
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
@@ -11,7 +11,7 @@
 import sprucehold.trace.event.Source;
 import sprucehold.trace.event.TraceHeader;
 
-/** What of each entry belongs to a window. Pure. */
+/** Selects the items of each entry that belong to a window. Pure: it accesses no file. */
 final class QueryWindow {
     private final List<Source> sources;
     private final TraceHeader.Window window;
@@ -22,24 +22,24 @@
         this.window = window;
     }
 
-    /** The entry, part of it, or null where nothing of it belongs. */
-    Entry of(Entry entry) {
+    /** Returns the entry, the part of it that belongs to the window, or null if nothing does. */
+    Entry select(Entry entry) {
         if (entry instanceof Gap gap) {
             double from = corrected(gap, gap.nowMs());
             double to = corrected(gap, gap.toMs());
             return from < window.toMs() && to >= window.fromMs() ? gap : null;
         }
         PolicyCall call = (PolicyCall) entry;
-        boolean here = window.holds(corrected(call, call.nowMs()));
+        boolean inWindow = window.holds(corrected(call, call.nowMs()));
         if (call.items().isEmpty()) {
-            return here ? call : null;
+            return inWindow ? call : null;
         }
         var kept = new ArrayList<Item>(call.items().size());
         for (Item item : call.items()) {
             CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
-            // What belongs to no query, or to one taken before the file began, belongs where it
-            // happened.
-            if (query == null ? here : window.holds(corrected(call, query.receivedMs()))) {
+            // An item of no query, or of a query received before the start of the file, belongs to
+            // the window in which it was recorded.
+            if (query == null ? inWindow : window.holds(corrected(call, query.receivedMs()))) {
                 kept.add(item);
             }
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Cuts a time window out of a trace: {@link sprucehold.tracetools.cut.TraceCut}. A query belongs to
- * the window in which it was taken, whole; it must never be in two, or half in one.
+ * Cuts a time window out of a trace: {@link sprucehold.tracetools.cut.TraceCut}. All records of a
+ * query belong to the window in which the query was received. A query must never be in two windows,
+ * nor in part in one.
  */
 package sprucehold.tracetools.cut;
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -15,27 +15,27 @@
 import sprucehold.trace.event.Gap;
 import sprucehold.trace.event.Source;
 
-/** Explains a query in plain words, and draws its parts on a time line. */
+/** Describes a query in words and draws its attempts on a time line. */
 public final class QueryExplainer {
     private static final int LINE_WIDTH = 60;
 
     private QueryExplainer() {}
 
-    /** The story, a line each. */
+    /** Returns the lines of the description. */
     public static List<String> tell(QueryExplanation explanation, Source source) {
         var lines = new ArrayList<String>();
         QueryStatistics statistics = explanation.statistics();
-        Event.QueryReceived taken = statistics.query().received();
-        QueryClass type = taken.queryClass();
+        Event.QueryReceived received = statistics.query().received();
+        QueryClass queryClass = received.queryClass();
         lines.add(
                 "query "
-                        + taken.id()
+                        + received.id()
                         + " of "
-                        + type.name()
+                        + queryClass.name()
                         + " for "
-                        + (taken.tenant() == null
+                        + (received.tenant() == null
                                 ? "no known tenant"
-                                : "tenant " + taken.tenant().name())
+                                : "tenant " + received.tenant().name())
                         + ", received by gatherer "
                         + source.gatherer()
                         + " at "
@@ -44,26 +44,26 @@
                 "  "
                         + statistics.parts()
                         + " parts; "
-                        + idempotence(type)
+                        + idempotence(queryClass)
                         + "; latency objective "
-                        + ms(type.latencyObjectiveMs())
+                        + ms(queryClass.latencyObjectiveMs())
                         + ", its client would wait "
-                        + ms(taken.timeLeftMs())
+                        + ms(received.timeLeftMs())
                         + "; complete from "
-                        + percent(type.completeCoverage())
+                        + percent(queryClass.completeCoverage())
                         + ", answered at all from "
-                        + percent(type.minimumCoverage()));
-        lines.add("  " + verdict(statistics));
+                        + percent(queryClass.minimumCoverage()));
+        lines.add("  " + describeOutcome(statistics));
         lines.add("");
         for (QueryExplanation.Line line : explanation.lines()) {
-            String words = describe(line);
-            if (words != null) {
+            String description = describe(line);
+            if (description != null) {
                 lines.add(
                         String.format(
                                 Locale.ROOT,
                                 "  %+10.1f ms  %s",
                                 line.nowMs() - statistics.query().receivedMs(),
-                                words));
+                                description));
             }
         }
         for (Gap gap : explanation.gaps()) {
@@ -80,7 +80,7 @@
         return lines;
     }
 
-    private static String verdict(QueryStatistics statistics) {
+    private static String describeOutcome(QueryStatistics statistics) {
         if (statistics.outcome() == QueryStatistics.Outcome.OPEN) {
             return "it has no end in this file";
         }
@@ -104,11 +104,11 @@
                 + " hedged requests";
     }
 
-    private static String idempotence(QueryClass type) {
-        return switch (type.idempotence()) {
+    private static String idempotence(QueryClass queryClass) {
+        return switch (queryClass.idempotence()) {
             case IDEMPOTENT -> "idempotent";
             case DEDUPLICATED ->
-                    "deduplicated, repeats dropped for " + ms(type.deduplicationWindowMs());
+                    "deduplicated, repeats dropped for " + ms(queryClass.deduplicationWindowMs());
             case NON_IDEMPOTENT -> "non-idempotent";
         };
     }
@@ -138,7 +138,7 @@
         } else if (event instanceof Event.ClientDisconnected) {
             return "its client disconnected";
         } else if (command instanceof Command.SendAttempt sendAttempt) {
-            String passed =
+            String skipped =
                     sendAttempt.skipped().stream()
                             .map(QueryExplainer::describe)
                             .collect(Collectors.joining("; "));
@@ -152,7 +152,7 @@
                     + sendAttempt.reason().description()
                     + "; position "
                     + sendAttempt.position()
-                    + (passed.isEmpty() ? "" : "; skipped " + passed);
+                    + (skipped.isEmpty() ? "" : "; skipped " + skipped);
         } else if (command instanceof Command.CancelAttempt cancel) {
             return "part "
                     + cancel.partId()
@@ -177,11 +177,11 @@
         return null;
     }
 
-    private static String describe(SkippedReplica passed) {
-        return passed.server() + " (" + passed.cause().description() + ")";
+    private static String describe(SkippedReplica skipped) {
+        return skipped.server() + " (" + skipped.cause().description() + ")";
     }
 
-    /** An outcome in words. */
+    /** Returns the description of an outcome. */
     public static String describe(AttemptOutcome outcome) {
         return switch (outcome) {
             case COMPLETED -> "completed";
@@ -196,54 +196,54 @@
     }
 
     private static List<String> timeLine(QueryExplanation explanation) {
-        var bars = new LinkedBars(explanation);
+        var bars = new AttemptBars(explanation);
         return bars.lines();
     }
 
-    /** One bar an attempt, from its sending to its end. */
-    private static final class LinkedBars {
+    /** Draws a bar for each attempt, from its sending to its end. */
+    private static final class AttemptBars {
         private final QueryExplanation explanation;
-        private final double begun;
-        private final double span;
+        private final double beginMs;
+        private final double spanMs;
 
-        LinkedBars(QueryExplanation explanation) {
+        AttemptBars(QueryExplanation explanation) {
             this.explanation = explanation;
-            this.begun = explanation.statistics().query().receivedMs();
+            this.beginMs = explanation.statistics().query().receivedMs();
             double last =
                     explanation.lines().stream()
                             .mapToDouble(QueryExplanation.Line::nowMs)
                             .max()
-                            .orElse(begun);
-            this.span = Math.max(1, last - begun);
+                            .orElse(beginMs);
+            this.spanMs = Math.max(1, last - beginMs);
         }
 
         List<String> lines() {
-            Map<String, Double> sentAt = new HashMap<>();
-            Map<String, Integer> sent = new HashMap<>();
+            Map<String, Double> sentAtMs = new HashMap<>();
+            Map<String, Integer> attemptCounts = new HashMap<>();
             Map<String, String> bars = new LinkedHashMap<>();
-            Map<String, String> label = new HashMap<>();
+            Map<String, String> labels = new HashMap<>();
             for (QueryExplanation.Line line : explanation.lines()) {
                 if (line.item().command() instanceof Command.SendAttempt sendAttempt) {
-                    int number = sent.merge(sendAttempt.partId(), 1, Integer::sum) - 1;
+                    int number = attemptCounts.merge(sendAttempt.partId(), 1, Integer::sum) - 1;
                     String key = sendAttempt.partId() + "#" + number;
-                    sentAt.put(key, line.nowMs());
-                    label.put(key, sendAttempt.partId() + " at " + sendAttempt.server());
-                    bars.put(key, bar(line.nowMs(), begun + span, '>'));
+                    sentAtMs.put(key, line.nowMs());
+                    labels.put(key, sendAttempt.partId() + " at " + sendAttempt.server());
+                    bars.put(key, bar(line.nowMs(), beginMs + spanMs, '>'));
                 } else if (line.item().event() instanceof Event.AttemptEnded ended) {
                     String key = ended.partId() + "#" + ended.attemptNumber();
-                    if (sentAt.containsKey(key)) {
-                        bars.put(key, bar(sentAt.get(key), line.nowMs(), mark(ended.outcome())));
+                    if (sentAtMs.containsKey(key)) {
+                        bars.put(key, bar(sentAtMs.get(key), line.nowMs(), mark(ended.outcome())));
                     }
                 }
             }
-            int width = label.values().stream().mapToInt(String::length).max().orElse(0);
+            int width = labels.values().stream().mapToInt(String::length).max().orElse(0);
             var lines = new ArrayList<String>();
             bars.forEach(
                     (key, bar) ->
                             lines.add(
                                     "  "
                                             + String.format(
-                                                    "%-" + (width + 1) + "s", label.get(key))
+                                                    "%-" + (width + 1) + "s", labels.get(key))
                                             + bar));
             if (!lines.isEmpty()) {
                 lines.add(
@@ -251,15 +251,15 @@
                                 + " ".repeat(width + 1)
                                 + "0 ms"
                                 + " ".repeat(LINE_WIDTH - 12)
-                                + String.format(Locale.ROOT, "%8.0f ms", span)
+                                + String.format(Locale.ROOT, "%8.0f ms", spanMs)
                                 + "   + completed, x failed, o never ran, c cancelled, t timed out, > pending");
             }
             return lines;
         }
 
         private String bar(double from, double to, char end) {
-            int first = (int) Math.round((from - begun) / span * LINE_WIDTH);
-            int last = (int) Math.round((to - begun) / span * LINE_WIDTH);
+            int first = (int) Math.round((from - beginMs) / spanMs * LINE_WIDTH);
+            int last = (int) Math.round((to - beginMs) / spanMs * LINE_WIDTH);
             first = Math.max(0, Math.min(LINE_WIDTH, first));
             last = Math.max(first, Math.min(LINE_WIDTH, last));
             return " ".repeat(first) + "-".repeat(last - first) + end;
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplanation.java
@@ -12,16 +12,16 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * All that a trace holds of one query, in order.
+ * All records of one query in a trace, in order.
  *
- * @param lines what happened and was done
- * @param gaps gaps of its gatherer that fall into its time
+ * @param lines events and commands of the query
+ * @param gaps gaps in the records of the query's gatherer while the query was open
  */
 public record QueryExplanation(QueryStatistics statistics, List<Line> lines, List<Gap> gaps) {
-    /** One event or command, and when, by the gatherer's clock. */
+    /** An event or command, with its time by the gatherer's clock. */
     public record Line(long seq, double nowMs, Item item) {}
 
-    /** Collects the explanations of all queries of one id: an id may come again. */
+    /** Collects the explanations of all queries with one id, which several queries may have. */
     public static final class Collector {
         private final String id;
         private final QueryCorrelator correlator = new QueryCorrelator();
@@ -46,7 +46,7 @@
                         QueryExplanation explanation =
                                 explanations.computeIfAbsent(
                                         query,
-                                        none ->
+                                        key ->
                                                 new QueryExplanation(
                                                         new QueryStatistics(query),
                                                         new ArrayList<>(),
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatistics.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatistics.java
@@ -12,7 +12,7 @@
 import sprucehold.trace.correlation.CorrelatedQuery;
 import sprucehold.trace.event.Item;
 
-/** What befell one query, counted. */
+/** Statistics of one query: its outcome, and counts of its parts, attempts and reasons. */
 public final class QueryStatistics {
     private final CorrelatedQuery query;
     private Outcome outcome = Outcome.OPEN;
@@ -30,17 +30,17 @@
 
     /** How a query ended. */
     public enum Outcome {
-        /** It had a complete answer. */
+        /** The query was answered completely. */
         COMPLETE("WHOLE", "completed whole"),
-        /** It had an answer with less than all that was asked. */
+        /** The query was answered with less than complete coverage. */
         PARTIAL("PART", "completed in part"),
-        /** It was rejected. */
+        /** The query was rejected. */
         REJECTED("THROTTLED", "rejected"),
-        /** It failed. */
+        /** The query failed. */
         FAILED("ABANDONED", "failed"),
-        /** Its client disconnected before. */
+        /** The client disconnected before the final answer. */
         CLIENT_DISCONNECTED("CLIENT_LEFT", "client disconnected"),
-        /** It had no end in this file. */
+        /** The file contains no end of the query. */
         OPEN("OPEN", "without an end in this file");
 
         private final String storedName;
@@ -51,12 +51,12 @@
             this.description = description;
         }
 
-        /** The name that options, JSON and CSV have for it. */
+        /** Returns the name that options, JSON and CSV use. */
         public String storedName() {
             return storedName;
         }
 
-        /** The outcome in words, for people. */
+        /** Returns the description of the outcome for people. */
         public String description() {
             return description;
         }
@@ -86,7 +86,7 @@
                             : 0;
             sendAttempt
                     .skipped()
-                    .forEach(passed -> skippedReplicas.merge(passed.cause(), 1, Integer::sum));
+                    .forEach(skipped -> skippedReplicas.merge(skipped.cause(), 1, Integer::sum));
         } else if (command instanceof Command.AnswerQuery answer && query.ended()) {
             end(answer.complete() ? Outcome.COMPLETE : Outcome.PARTIAL, answer.reason(), nowMs);
         } else if (command instanceof Command.RejectQuery rejection) {
@@ -99,9 +99,9 @@
         }
     }
 
-    private void end(Outcome how, Reason why, double nowMs) {
-        outcome = how;
-        reason = why;
+    private void end(Outcome finalOutcome, Reason finalReason, double nowMs) {
+        outcome = finalOutcome;
+        reason = finalReason;
         endedMs = nowMs;
     }
 
@@ -113,22 +113,28 @@
         return outcome;
     }
 
-    /** Why it ended so. */
+    /** Returns the reason of the outcome. */
     public Reason reason() {
         return reason;
     }
 
-    /** When it ended, by its gatherer's clock; NaN where it has not. */
+    /**
+     * Returns the time at which the query ended, by its gatherer's clock in milliseconds, or NaN if
+     * it has not ended.
+     */
     public double endedMs() {
         return endedMs;
     }
 
-    /** From being taken to its end, in milliseconds; NaN where it has not ended. */
+    /**
+     * Returns the time from the receipt of the query to its end, in milliseconds, or NaN if it has
+     * not ended.
+     */
     public double durationMs() {
         return endedMs - query.receivedMs();
     }
 
-    /** Whether it was completed within its latency objective. */
+    /** Returns whether the query was completed within its latency objective. */
     public boolean metLatencyObjective() {
         return (outcome == Outcome.COMPLETE || outcome == Outcome.PARTIAL)
                 && durationMs() <= query.received().queryClass().latencyObjectiveMs();
@@ -154,22 +160,22 @@
         return servers;
     }
 
-    /** How many of its attempts ended how. */
+    /** Returns the number of attempts for each outcome. */
     public Map<AttemptOutcome, Integer> outcomes() {
         return outcomes;
     }
 
-    /** How many of its commands were wanted why. */
+    /** Returns the number of commands for each reason. */
     public Map<Reason, Integer> reasons() {
         return reasons;
     }
 
-    /** How often replicas were skipped for what. */
+    /** Returns how often replicas were skipped, by cause. */
     public Map<SkippedReplica.Cause, Integer> skippedReplicas() {
         return skippedReplicas;
     }
 
-    /** Its tenant's name, or a dash where there is none. */
+    /** Returns the name of the tenant, or a dash if there is none. */
     public String tenant() {
         return query.received().tenant() == null ? "-" : query.received().tenant().name();
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatisticsCollector.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatisticsCollector.java
@@ -10,17 +10,26 @@
 import sprucehold.trace.event.Item;
 import sprucehold.trace.event.PolicyCall;
 
-/** Counts queries as entries go by, and hands each on once nothing more can come of it. */
+/**
+ * Computes the statistics of each query from the entries of a trace. Passes the statistics on once
+ * the query has ended and none of its attempts is pending.
+ */
 public final class QueryStatisticsCollector {
-    /** As many as the books hold: beyond that a query that never ends is handed on as open. */
-    private static final int MOST = 100_000;
+    /**
+     * Maximum number of unfinished queries, the same as in {@link QueryCorrelator}. Beyond it, the
+     * oldest query is passed on as open, since the end of a query may be missing in the trace.
+     */
+    private static final int MAX_QUERIES = 100_000;
 
     private final QueryCorrelator correlator = new QueryCorrelator();
     private final Map<CorrelatedQuery, QueryStatistics> open = new LinkedHashMap<>();
-    private final Consumer<QueryStatistics> done;
+    private final Consumer<QueryStatistics> consumer;
 
-    public QueryStatisticsCollector(Consumer<QueryStatistics> done) {
-        this.done = done;
+    /**
+     * @param consumer receives the statistics of each query
+     */
+    public QueryStatisticsCollector(Consumer<QueryStatistics> consumer) {
+        this.consumer = consumer;
     }
 
     public void add(Entry entry) {
@@ -36,17 +45,17 @@
             statistics.add(call.nowMs(), item);
             if (query.ended() && query.pendingAttempts() <= 0) {
                 open.remove(query);
-                done.accept(statistics);
-            } else if (open.size() > MOST) {
+                consumer.accept(statistics);
+            } else if (open.size() > MAX_QUERIES) {
                 CorrelatedQuery oldest = open.keySet().iterator().next();
-                done.accept(open.remove(oldest));
+                consumer.accept(open.remove(oldest));
             }
         }
     }
 
-    /** Hands on the queries that have not ended. */
+    /** Passes on the queries that are not finished. */
     public void end() {
-        List.copyOf(open.values()).forEach(done);
+        List.copyOf(open.values()).forEach(consumer);
         open.clear();
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/Times.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/Times.java
@@ -4,13 +4,13 @@
 import java.time.Instant;
 import java.time.format.DateTimeFormatter;
 
-/** Times as people write them. */
+/** Formats and parses times. */
 public final class Times {
     private Times() {}
 
     /**
-     * Unix milliseconds as ISO 8601 in UTC; a number that is no time of the last or next 9,999
-     * years as itself.
+     * Returns Unix milliseconds as ISO 8601 in UTC. NaN, and numbers more than 2e14 ms (some 6,300
+     * years) from 1970, are returned as plain numbers.
      */
     public static String iso(double unixMs) {
         if (Double.isNaN(unixMs) || Math.abs(unixMs) > 2e14) {
@@ -19,7 +19,7 @@
         return DateTimeFormatter.ISO_INSTANT.format(Instant.ofEpochMilli(Math.round(unixMs)));
     }
 
-    /** Reads ISO 8601 (UTC where no zone is named) or Unix milliseconds. */
+    /** Parses ISO 8601 (in UTC if no zone is given) or Unix milliseconds. */
     public static double parse(String text) {
         try {
             if (text.matches("-?[0-9]+(\\.[0-9]+)?")) {
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Queries explained: {@link sprucehold.tracetools.explanation.QueryStatisticsCollector} counts what
- * befell each query, {@link sprucehold.tracetools.explanation.QueryExplainer} tells one in plain
- * words. Pure: they must never touch a file.
+ * Explains queries. {@link sprucehold.tracetools.explanation.QueryStatisticsCollector} computes the
+ * statistics of each query, and {@link sprucehold.tracetools.explanation.QueryExplainer} describes
+ * a query in words. The package is pure: it must never access a file.
  */
 package sprucehold.tracetools.explanation;
--- a/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/TraceExport.java
@@ -20,7 +20,7 @@
 import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 
-/** Writes a trace as text: every record as a JSON line, or every query as a row. */
+/** Writes a trace as text: each record as a JSON line, or each query as a CSV row. */
 public final class TraceExport {
     private static final ObjectMapper MAPPER =
             StoredJson.mapperBuilder()
@@ -32,7 +32,7 @@
 
     private TraceExport() {}
 
-    /** Every event, command and gap, a JSON line each; returns how many. */
+    /** Writes each event, command and gap as a JSON line, and returns the number of lines. */
     public static long jsonLines(TraceReader reader, Writer to) throws IOException {
         long lines = 0;
         TraceCursor cursor = reader.all();
@@ -51,13 +51,13 @@
                 continue;
             }
             for (Item item : ((PolicyCall) entry).items()) {
-                Object what = item.eventOrCommand();
-                ObjectNode fields = MAPPER.valueToTree(what);
-                if (what instanceof Event.QueryReceived taken) {
-                    fields.put("type", taken.queryClass().name());
-                    fields.put("customer", taken.tenant() == null ? null : taken.tenant().name());
+                Object eventOrCommand = item.eventOrCommand();
+                ObjectNode fields = MAPPER.valueToTree(eventOrCommand);
+                if (eventOrCommand instanceof Event.QueryReceived query) {
+                    fields.put("type", query.queryClass().name());
+                    fields.put("customer", query.tenant() == null ? null : query.tenant().name());
                 }
-                line(to, source, entry, StoredJson.kind(what), fields);
+                line(to, source, entry, StoredJson.kind(eventOrCommand), fields);
                 lines++;
             }
         }
@@ -77,7 +77,7 @@
         to.write('\n');
     }
 
-    /** Every query, a row each; returns how many. */
+    /** Writes each query as a CSV row, and returns the number of rows, without the header. */
     public static long csv(TraceReader reader, Writer to) throws IOException {
         CSVFormat format =
                 CSVFormat.RFC4180
@@ -100,38 +100,38 @@
                         .get();
         var printer = new CSVPrinter(to, format);
         long[] rows = {0};
-        var failed = new IOException[1];
-        var tallies =
+        var failure = new IOException[1];
+        var collector =
                 new QueryStatisticsCollector(
                         statistics -> {
                             try {
                                 row(printer, reader, statistics);
                                 rows[0]++;
                             } catch (IOException e) {
-                                failed[0] = e;
+                                failure[0] = e;
                             }
                         });
         TraceCursor cursor = reader.all();
         for (Entry entry = cursor.next();
-                entry != null && failed[0] == null;
+                entry != null && failure[0] == null;
                 entry = cursor.next()) {
-            tallies.add(entry);
+            collector.add(entry);
         }
-        tallies.end();
+        collector.end();
         printer.flush();
-        if (failed[0] != null) {
-            throw failed[0];
+        if (failure[0] != null) {
+            throw failure[0];
         }
         return rows[0];
     }
 
     private static void row(CSVPrinter printer, TraceReader reader, QueryStatistics statistics)
             throws IOException {
-        var taken = statistics.query().received();
+        var received = statistics.query().received();
         printer.printRecord(
                 reader.header().sources().get(statistics.query().source()).gatherer(),
-                taken.id(),
-                taken.queryClass().name(),
+                received.id(),
+                received.queryClass().name(),
                 statistics.tenant(),
                 statistics.query().receivedMs(),
                 statistics.outcome().storedName(),
--- a/tracetools/src/main/java/sprucehold/tracetools/export/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/export/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Traces for other tools, as CSV or JSON lines: {@link sprucehold.tracetools.export.TraceExport}.
+ * Exports traces for other tools, as CSV or JSON lines: {@link
+ * sprucehold.tracetools.export.TraceExport}.
  */
 package sprucehold.tracetools.export;
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
@@ -12,7 +12,7 @@
 import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
-/** One source's entries by rising number, put together from all inputs that hold some of them. */
+/** Reads the entries of one source by rising number, combined from all inputs of the source. */
 final class SourceStream {
     private final int source;
     private final List<Input> inputs = new ArrayList<>();
@@ -30,17 +30,17 @@
     }
 
     /**
-     * @param source the index that its entries get
+     * @param source index of the source in the merged file, which its entries get
      */
     SourceStream(int source) {
         this.source = source;
     }
 
-    void add(TraceReader reader, int sourceThere) throws IOException {
-        inputs.add(new Input(reader.name(), reader.allOf(sourceThere)));
+    void add(TraceReader reader, int sourceIndex) throws IOException {
+        inputs.add(new Input(reader.name(), reader.allOf(sourceIndex)));
     }
 
-    /** The next entry, or null at the end. */
+    /** Returns the next entry, or null at the end. */
     Entry next() throws IOException {
         Input first =
                 inputs.stream()
@@ -51,19 +51,20 @@
             return null;
         }
         long seq = first.head.seq();
-        Entry whole = null;
-        String of = null;
+        Entry merged = null;
+        String name = null;
         for (Input input : inputs) {
             if (input.head != null && input.head.seq() == seq) {
-                whole = whole == null ? input.head : joined(whole, of, input.head, input.name);
-                of = of == null ? input.name : of;
+                merged = merged == null ? input.head : merge(merged, name, input.head, input.name);
+                name = name == null ? input.name : name;
                 input.head = input.cursor.next();
             }
         }
-        return whole.withSource(source);
+        return merged.withSource(source);
     }
 
-    private static Entry joined(Entry one, String of, Entry other, String name) throws IOException {
+    private static Entry merge(Entry one, String oneName, Entry other, String otherName)
+            throws IOException {
         if (one instanceof Gap && other instanceof Gap) {
             return one;
         }
@@ -73,10 +74,10 @@
                 || Double.compare(a.nowMs(), b.nowMs()) != 0
                 || a.policyFailed() != b.policyFailed()) {
             throw new IOException(
-                    of
+                    oneName
                             + " and "
-                            + name
-                            + " hold different moments "
+                            + otherName
+                            + " have different contents for call "
                             + one.seq()
                             + " of the same source");
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
@@ -19,24 +19,26 @@
 import sprucehold.tracetools.clock.ClockEstimate;
 import sprucehold.tracetools.clock.EndpointSightings;
 
-/** Merges files: twice through the inputs, once for the clocks and once for the entries. */
+/** Merges trace files. Reads the inputs twice: to fit the clocks, and to write the entries. */
 public final class TraceMerge {
     private TraceMerge() {}
 
     /**
-     * @param sources all sources with the fits found for their clocks
-     * @param entries how many were written
+     * Result of a merge.
+     *
+     * @param sources all sources, with the fits of their clocks
+     * @param entries number of entries written
      */
     public record Merged(List<Source> sources, long entries) {}
 
     /**
      * Writes all entries of the inputs, each once, ordered by the fitted clocks and within a source
-     * by number. The order of the inputs doesn't matter, and an input that holds nothing new
-     * changes nothing.
+     * by number. The order of the inputs doesn't matter, and an input without new entries doesn't
+     * change the result.
      *
-     * @param progress is told how many entries were read, now and then
-     * @throws IOException where an input is damaged, or two inputs tell different things of the
-     *     same moment
+     * @param progress receives the number of entries read or written so far, from time to time
+     * @throws IOException if an input is damaged, or if two inputs have different contents for the
+     *     same policy call
      */
     public static Merged merge(List<Path> files, Path to, LongConsumer progress)
             throws IOException {
@@ -46,8 +48,7 @@
                 TraceReader reader = TraceReader.open(file);
                 readers.add(reader);
                 if (reader.damage() != null) {
-                    throw new IOException(
-                            reader.damage() + "; 'trace repair' gives it its index back");
+                    throw new IOException(reader.damage() + "; 'trace repair' restores its index");
                 }
             }
             return mergeOpen(readers, to, progress);
@@ -66,22 +67,22 @@
         var lost = new TreeSet<String>();
         for (TraceReader reader : readers) {
             if (reader.header().anonymised() != anonymised) {
-                throw new IOException("files with and without identities can't be merged");
+                throw new IOException("anonymised files can't be merged with original files");
             }
             oneIn = Math.max(oneIn, reader.header().oneIn());
             lost.addAll(reader.header().lost());
             for (Source source : reader.header().sources()) {
-                sources.merge(source.id(), source, (a, b) -> betterKnown(a, b));
+                sources.merge(source.id(), source, (a, b) -> moreAccurate(a, b));
             }
         }
         List<String> ids = List.copyOf(sources.keySet());
         List<Source> fitted = fit(readers, ids, List.copyOf(sources.values()), progress);
-        var header = new TraceHeader(fitted, oneIn, anonymised, hull(readers), List.copyOf(lost));
+        var header = new TraceHeader(fitted, oneIn, anonymised, union(readers), List.copyOf(lost));
 
-        record Next(double key, int source, Entry entry) {}
-        var next =
-                new PriorityQueue<Next>(
-                        Comparator.comparingDouble(Next::key).thenComparingInt(Next::source));
+        record Head(double key, int source, Entry entry) {}
+        var queue =
+                new PriorityQueue<Head>(
+                        Comparator.comparingDouble(Head::key).thenComparingInt(Head::source));
         List<SourceStream> streams = streams(readers, ids);
         double[] keys = new double[ids.size()];
         for (int i = 0; i < keys.length; i++) {
@@ -89,21 +90,21 @@
             keys[i] = Double.NEGATIVE_INFINITY;
             if (entry != null) {
                 keys[i] = fitted.get(i).clock().corrected(entry.nowMs());
-                next.add(new Next(keys[i], i, entry));
+                queue.add(new Head(keys[i], i, entry));
             }
         }
         long written = 0;
         try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
-            while (!next.isEmpty()) {
-                Next least = next.poll();
-                writer.add(least.entry);
-                Entry following = streams.get(least.source).next();
+            while (!queue.isEmpty()) {
+                Head first = queue.poll();
+                writer.add(first.entry);
+                Entry following = streams.get(first.source).next();
                 if (following != null) {
-                    // A clock that went back holds its own entries where they are, behind those
-                    // before them.
-                    double time = fitted.get(least.source).clock().corrected(following.nowMs());
-                    keys[least.source] = Math.max(keys[least.source], time);
-                    next.add(new Next(keys[least.source], least.source, following));
+                    // If the clock of a source stepped back, the later entries stay behind the
+                    // earlier ones.
+                    double time = fitted.get(first.source).clock().corrected(following.nowMs());
+                    keys[first.source] = Math.max(keys[first.source], time);
+                    queue.add(new Head(keys[first.source], first.source, following));
                 }
                 if (++written % 65_536 == 0) {
                     progress.accept(written);
@@ -113,7 +114,7 @@
         return new Merged(fitted, written);
     }
 
-    private static Source betterKnown(Source a, Source b) {
+    private static Source moreAccurate(Source a, Source b) {
         return a.clock().errorMs() <= b.clock().errorMs() ? a : b;
     }
 
@@ -123,9 +124,9 @@
         for (int i = 0; i < ids.size(); i++) {
             var stream = new SourceStream(i);
             for (TraceReader reader : readers) {
-                List<Source> there = reader.header().sources();
-                for (int j = 0; j < there.size(); j++) {
-                    if (there.get(j).id().equals(ids.get(i))) {
+                List<Source> readerSources = reader.header().sources();
+                for (int j = 0; j < readerSources.size(); j++) {
+                    if (readerSources.get(j).id().equals(ids.get(i))) {
                         stream.add(reader, j);
                     }
                 }
@@ -147,19 +148,19 @@
         var sightings = new ArrayList<EndpointSightings>();
         long read = 0;
         for (SourceStream stream : streams(readers, ids)) {
-            var of = new EndpointSightings();
+            var changes = new EndpointSightings();
             for (Entry entry = stream.next(); entry != null; entry = stream.next()) {
-                of.add(entry);
+                changes.add(entry);
                 if (++read % 65_536 == 0) {
                     progress.accept(read);
                 }
             }
-            sightings.add(of);
+            sightings.add(changes);
         }
         List<ClockFit> fits = ClockEstimate.fit(ids, sightings);
         var fitted = new ArrayList<Source>();
         for (int i = 0; i < ids.size(); i++) {
-            // What an earlier merge knew, where these pieces tell nothing.
+            // Keeps the fit of an earlier merge if no fit can be computed from these files.
             boolean unknown = Double.isInfinite(fits.get(i).errorMs());
             fitted.add(
                     unknown
@@ -174,9 +175,10 @@
     }
 
     /**
-     * The window that cut pieces make up together, or null where one wasn't cut or there is a hole.
+     * Returns the window that the windows of all files cover together, or null if a file wasn't cut
+     * or if there is a hole between the windows.
      */
-    private static TraceHeader.Window hull(List<TraceReader> readers) {
+    private static TraceHeader.Window union(List<TraceReader> readers) {
         List<TraceHeader.Window> windows = new ArrayList<>();
         for (TraceReader reader : readers) {
             if (reader.header().window() == null) {
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Merges trace files of several gatherers, or pieces of one, into one: {@link
- * sprucehold.tracetools.merge.TraceMerge}. It must never put a source's own entries out of their
- * order, whatever clocks say, nor hold more of a file than a block.
+ * Merges trace files of several gatherers, or pieces of one file, into one file: {@link
+ * sprucehold.tracetools.merge.TraceMerge}. The package must never change the order of a source's
+ * own entries, whatever the clocks show, nor keep more than one block of a file in memory.
  */
 package sprucehold.tracetools.merge;
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -13,14 +13,17 @@
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.explanation.Times;
 
-/** Where two traces of the same day part. */
+/** Finds where two traces of the same day begin to differ. */
 public final class TraceDiff {
     private TraceDiff() {}
 
     /**
-     * @param gatherer whose entries part
-     * @param nowMs when, by its clock
-     * @param what what stands in the first and in the second file
+     * The first difference between the entries of one gatherer.
+     *
+     * @param gatherer name of the gatherer
+     * @param seq number of the call that differs
+     * @param nowMs time of the call by the gatherer's clock, in milliseconds
+     * @param what description of the contents of the first and of the second file
      */
     public record Parting(String gatherer, long seq, double nowMs, String what) {
         @Override
@@ -37,10 +40,10 @@
     }
 
     /**
-     * The first parting of each gatherer that both files know, the earliest first; gatherers are
-     * matched by name.
+     * Returns the first difference of each gatherer, the earliest first. Gatherers are matched by
+     * name. A gatherer that only one file contains counts as a difference.
      *
-     * @return empty where all that both hold is the same
+     * @return an empty list if both files contain the same entries
      */
     public static List<Parting> diff(TraceReader a, TraceReader b) throws IOException {
         var partings = new ArrayList<Parting>();
@@ -90,33 +93,33 @@
                 return null;
             }
             if (one == null || other == null) {
-                Entry left = one == null ? other : one;
+                Entry remaining = one == null ? other : one;
                 return new Parting(
                         source.gatherer(),
-                        left.seq(),
-                        left.nowMs(),
+                        remaining.seq(),
+                        remaining.nowMs(),
                         "the " + (one == null ? "first" : "second") + " file ends before it");
             }
-            String what = what(one, other);
-            if (what != null) {
-                return new Parting(source.gatherer(), one.seq(), one.nowMs(), what);
+            String difference = describeDifference(one, other);
+            if (difference != null) {
+                return new Parting(source.gatherer(), one.seq(), one.nowMs(), difference);
             }
         }
     }
 
-    private static String what(Entry one, Entry other) {
+    private static String describeDifference(Entry one, Entry other) {
         if (one.withSource(0).equals(other.withSource(0))) {
             return null;
         }
         if (!(one instanceof PolicyCall a) || !(other instanceof PolicyCall b)) {
             return "the first has " + one + ", the second " + other;
         }
-        // What went in parts before what came out does: the first that differs is the cause.
+        // Events precede commands, so the first item that differs is the cause of the others.
         for (int i = 0; i < Math.max(a.items().size(), b.items().size()); i++) {
-            Item was = i < a.items().size() ? a.items().get(i) : null;
-            Item is = i < b.items().size() ? b.items().get(i) : null;
-            if (!Objects.equals(was, is)) {
-                return describe(was) + " in the first, " + describe(is) + " in the second";
+            Item first = i < a.items().size() ? a.items().get(i) : null;
+            Item second = i < b.items().size() ? b.items().get(i) : null;
+            if (!Objects.equals(first, second)) {
+                return describe(first) + " in the first, " + describe(second) + " in the second";
             }
         }
         return "call "
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -17,17 +17,20 @@
 import sprucehold.trace.format.TraceCursor;
 import sprucehold.trace.format.TraceReader;
 
-/** Runs a module on the events of a trace, and compares what it does. */
+/** Runs a decision policy on the events of a trace and compares its commands with the trace. */
 public final class TraceReplay {
     private TraceReplay() {}
 
     /**
-     * @param agreed commands that were the same, up to the call with the first that differs
-     * @param difference the first command that differs, in words; null where all agree
+     * Result of a replay.
+     *
+     * @param moments number of policy calls replayed
+     * @param agreed number of equal commands before the call with the first difference
+     * @param difference description of the first difference, or null if there is none
      */
     public record Verdict(long moments, long agreed, String difference) {}
 
-    /** The trace can't be decided again; the message says why in one line. */
+    /** Thrown if a trace can't be replayed; the message gives the reason in one line. */
     public static final class CannotReplayException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -39,14 +42,15 @@
     /**
      * Replays each source of the files from its start.
      *
-     * @param readers a source's files in any order; each source's first must be among them
-     * @throws CannotReplayException where files were thinned, cut or anonymised, lack a beginning,
-     *     or have a gap
+     * @param readers the files of the sources, in any order; they must include the first file of
+     *     each source
+     * @throws CannotReplayException if a file was sampled, cut or anonymised, if the beginning of a
+     *     source is missing, or if there is a gap
      */
     public static Verdict replay(
             List<TraceReader> readers, DecisionPolicy.Factory factory, LongConsumer progress)
             throws IOException {
-        record Piece(TraceReader reader, int source, Source of, long firstSeq) {}
+        record Piece(TraceReader reader, int index, Source source, long firstSeq) {}
         var pieces = new ArrayList<Piece>();
         for (TraceReader reader : readers) {
             TraceHeader header = reader.header();
@@ -55,10 +59,10 @@
                         reader.name()
                                 + " keeps one in "
                                 + header.oneIn()
-                                + " scans that ended well, and what was left out can't be decided again");
+                                + " scans that ended well, so it can't be replayed");
             } else if (header.anonymised()) {
                 throw new CannotReplayException(
-                        reader.name() + " is anonymised, and holds no events as they were");
+                        reader.name() + " is anonymised and lacks the original events");
             }
             for (int i = 0; i < header.sources().size(); i++) {
                 Entry first = reader.allOf(i).next();
@@ -68,36 +72,36 @@
             }
         }
         pieces.sort(
-                Comparator.comparing((Piece piece) -> piece.of.id())
+                Comparator.comparing((Piece piece) -> piece.source.id())
                         .thenComparingLong(Piece::firstSeq));
-        long moments = 0;
+        long calls = 0;
         long agreed = 0;
-        String current = null;
-        DecisionPolicy module = null;
-        long seq = 0;
+        String currentId = null;
+        DecisionPolicy policy = null;
+        long expectedSeq = 0;
         for (Piece piece : pieces) {
-            if (!piece.of.id().equals(current)) {
-                current = piece.of.id();
-                module = factory.start(piece.of.seed(), piece.of.deployment());
-                seq = 0;
+            if (!piece.source.id().equals(currentId)) {
+                currentId = piece.source.id();
+                policy = factory.start(piece.source.seed(), piece.source.deployment());
+                expectedSeq = 0;
             }
-            TraceCursor cursor = piece.reader.allOf(piece.source);
+            TraceCursor cursor = piece.reader.allOf(piece.index);
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-                check(piece.reader, piece.of, entry, seq);
-                seq = entry.seq() + 1;
+                check(piece.reader, piece.source, entry, expectedSeq);
+                expectedSeq = entry.seq() + 1;
                 PolicyCall call = (PolicyCall) entry;
-                String difference = decide(module, call, piece.of);
-                moments++;
+                String difference = compare(policy, call, piece.source);
+                calls++;
                 if (difference != null) {
-                    return new Verdict(moments, agreed, difference);
+                    return new Verdict(calls, agreed, difference);
                 }
                 agreed += call.commands().size();
-                if (moments % 65_536 == 0) {
-                    progress.accept(moments);
+                if (calls % 65_536 == 0) {
+                    progress.accept(calls);
                 }
             }
         }
-        return new Verdict(moments, agreed, null);
+        return new Verdict(calls, agreed, null);
     }
 
     private static void check(TraceReader reader, Source source, Entry entry, long expected)
@@ -116,54 +120,54 @@
         if (entry.seq() != expected) {
             throw new CannotReplayException(
                     reader.name()
-                            + " goes on with call "
+                            + " continues with call "
                             + entry.seq()
                             + " of gatherer "
                             + source.gatherer()
                             + " where call "
                             + expected
                             + " was expected"
-                            + (expected == 0 ? ": give the files before it as well" : ""));
+                            + (expected == 0 ? ": pass the files before it too" : ""));
         }
         if (!((PolicyCall) entry).isComplete()) {
             throw new CannotReplayException(
                     reader.name()
-                            + ": of call "
+                            + ": call "
                             + entry.seq()
                             + " of gatherer "
                             + source.gatherer()
-                            + " only "
+                            + " has only "
                             + ((PolicyCall) entry).items().size()
                             + " of "
                             + ((PolicyCall) entry).total()
-                            + " events and actions are there: it was cut");
+                            + " events and commands: the file was cut");
         }
     }
 
-    private static String decide(DecisionPolicy module, PolicyCall call, Source source) {
+    private static String compare(DecisionPolicy policy, PolicyCall call, Source source) {
         List<Event> events = call.events();
         List<Command> recorded = call.commands();
-        List<Command> now;
+        List<Command> replayed;
         String where = "gatherer " + source.gatherer() + ", call " + call.seq();
         try {
-            now = module.decide(call.nowMs(), events);
+            replayed = policy.decide(call.nowMs(), events);
         } catch (RuntimeException | StackOverflowError e) {
             return call.policyFailed() ? null : where + ": this build fails with " + e;
         }
         if (call.policyFailed()) {
             return where + ": the recorded module failed, this build doesn't";
         }
-        for (int i = 0; i < Math.max(recorded.size(), now.size()); i++) {
-            Command was = i < recorded.size() ? recorded.get(i) : null;
-            Command is = i < now.size() ? now.get(i) : null;
-            if (!Objects.equals(was, is)) {
+        for (int i = 0; i < Math.max(recorded.size(), replayed.size()); i++) {
+            Command expected = i < recorded.size() ? recorded.get(i) : null;
+            Command actual = i < replayed.size() ? replayed.get(i) : null;
+            if (!Objects.equals(expected, actual)) {
                 return where
                         + ", action "
                         + i
                         + ": recorded "
-                        + (was == null ? "nothing" : was)
+                        + (expected == null ? "nothing" : expected)
                         + ", this build "
-                        + (is == null ? "nothing" : is);
+                        + (actual == null ? "nothing" : actual);
             }
         }
         return null;
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decides a trace again: {@link sprucehold.tracetools.replay.TraceReplay}; and tells where two
- * traces part: {@link sprucehold.tracetools.replay.TraceDiff}. The module comes from outside as a
- * factory.
+ * Replays and compares traces. {@link sprucehold.tracetools.replay.TraceReplay} runs a decision
+ * policy on the events of a trace, and {@link sprucehold.tracetools.replay.TraceDiff} finds where
+ * two traces begin to differ. The caller passes the factory of the decision policy.
  */
 package sprucehold.tracetools.replay;
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
@@ -5,45 +5,45 @@
 import org.HdrHistogram.Histogram;
 import sprucehold.tracetools.explanation.QueryStatistics;
 
-/** Figures of some queries. */
+/** Statistics of a group of queries. */
 public final class QueryGroup {
-    /** Two digits: a time is told to within a hundredth. */
-    private final Histogram took = new Histogram(2);
+    /** Durations in microseconds; two significant digits limit the error to one percent. */
+    private final Histogram durationsUs = new Histogram(2);
 
     private final Map<QueryStatistics.Outcome, Long> outcomes =
             new EnumMap<>(QueryStatistics.Outcome.class);
-    private long scans;
-    private long inTargetTime;
-    private long dispatches;
-    private long furtherTries;
-    private long copies;
+    private long queries;
+    private long metLatencyObjective;
+    private long attempts;
+    private long retries;
+    private long hedges;
     private double benefit;
-    private double benefitAsked;
+    private double totalWeight;
 
     void add(QueryStatistics statistics) {
-        scans++;
+        queries++;
         outcomes.merge(statistics.outcome(), 1L, Long::sum);
-        inTargetTime += statistics.metLatencyObjective() ? 1 : 0;
-        dispatches += statistics.attempts();
-        furtherTries += statistics.retries();
-        copies += statistics.hedges();
-        var type = statistics.query().received().queryClass();
+        metLatencyObjective += statistics.metLatencyObjective() ? 1 : 0;
+        attempts += statistics.attempts();
+        retries += statistics.retries();
+        hedges += statistics.hedges();
+        var queryClass = statistics.query().received().queryClass();
         boolean completed =
                 statistics.outcome() == QueryStatistics.Outcome.COMPLETE
                         || statistics.outcome() == QueryStatistics.Outcome.PARTIAL;
-        benefitAsked += type.priorityWeight();
+        totalWeight += queryClass.priorityWeight();
         benefit +=
                 !completed
                         ? 0
-                        : type.priorityWeight()
-                                * (statistics.metLatencyObjective() ? 1 : type.lateWeight());
+                        : queryClass.priorityWeight()
+                                * (statistics.metLatencyObjective() ? 1 : queryClass.lateWeight());
         if (completed) {
-            took.recordValue(Math.max(0, Math.round(statistics.durationMs() * 1000)));
+            durationsUs.recordValue(Math.max(0, Math.round(statistics.durationMs() * 1000)));
         }
     }
 
     public long scans() {
-        return scans;
+        return queries;
     }
 
     public long of(QueryStatistics.Outcome outcome) {
@@ -51,36 +51,38 @@
     }
 
     public long inTargetTime() {
-        return inTargetTime;
+        return metLatencyObjective;
     }
 
     public long dispatches() {
-        return dispatches;
+        return attempts;
     }
 
     public long furtherTries() {
-        return furtherTries;
+        return retries;
     }
 
     public long copies() {
-        return copies;
+        return hedges;
     }
 
     /**
-     * The benefit earned over the benefit asked for, from 0 to 1; answers in part count as whole
-     * ones.
+     * Returns the earned benefit divided by the priority weights of all queries, from 0 to 1. A
+     * query that is answered within its latency objective earns its priority weight; one that is
+     * answered later earns the priority weight times the late weight. Partial answers count as
+     * complete ones.
      */
     public double service() {
-        return benefitAsked == 0 ? 1 : benefit / benefitAsked;
+        return totalWeight == 0 ? 1 : benefit / totalWeight;
     }
 
     /**
-     * A percentile, from 0 to 100, of the times of completed queries, in milliseconds; NaN where
-     * there are none.
+     * Returns a percentile, from 0 to 100, of the durations of completed queries, in milliseconds,
+     * or NaN if there are none.
      */
     public double percentileMs(double percentile) {
-        return took.getTotalCount() == 0
+        return durationsUs.getTotalCount() == 0
                 ? Double.NaN
-                : took.getValueAtPercentile(percentile) / 1000.0;
+                : durationsUs.getValueAtPercentile(percentile) / 1000.0;
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
@@ -6,46 +6,51 @@
 import sprucehold.decision.AttemptOutcome;
 import sprucehold.decision.SkippedReplica;
 
-/** Figures of one shard server. */
+/** Statistics of one shard server. */
 public final class ServerGroup {
-    private final Histogram took = new Histogram(2);
-    private final Map<AttemptOutcome, Long> endings = new EnumMap<>(AttemptOutcome.class);
-    private final Map<SkippedReplica.Cause, Long> passedOver =
+    /** Durations of completed attempts, in microseconds. */
+    private final Histogram durationsUs = new Histogram(2);
+
+    private final Map<AttemptOutcome, Long> outcomes = new EnumMap<>(AttemptOutcome.class);
+    private final Map<SkippedReplica.Cause, Long> skipped =
             new EnumMap<>(SkippedReplica.Cause.class);
-    private long dispatches;
+    private long attempts;
 
-    void dispatched() {
-        dispatches++;
+    void addAttempt() {
+        attempts++;
     }
 
-    void ended(AttemptOutcome outcome, double tookMs) {
-        endings.merge(outcome, 1L, Long::sum);
+    void addEnd(AttemptOutcome outcome, double durationMs) {
+        outcomes.merge(outcome, 1L, Long::sum);
         if (outcome == AttemptOutcome.COMPLETED) {
-            took.recordValue(Math.max(0, Math.round(tookMs * 1000)));
+            durationsUs.recordValue(Math.max(0, Math.round(durationMs * 1000)));
         }
     }
 
-    void passedOver(SkippedReplica.Cause cause) {
-        passedOver.merge(cause, 1L, Long::sum);
+    void addSkipped(SkippedReplica.Cause cause) {
+        skipped.merge(cause, 1L, Long::sum);
     }
 
     public long dispatches() {
-        return dispatches;
+        return attempts;
     }
 
     public long of(AttemptOutcome outcome) {
-        return endings.getOrDefault(outcome, 0L);
+        return outcomes.getOrDefault(outcome, 0L);
     }
 
-    /** How often it was skipped for what. */
+    /** Returns how often the server was skipped, by cause. */
     public Map<SkippedReplica.Cause, Long> passedOver() {
-        return passedOver;
+        return skipped;
     }
 
-    /** A percentile of the times of completed parts, in milliseconds; NaN where there are none. */
+    /**
+     * Returns a percentile, from 0 to 100, of the durations of completed attempts, in milliseconds,
+     * or NaN if there are none.
+     */
     public double percentileMs(double percentile) {
-        return took.getTotalCount() == 0
+        return durationsUs.getTotalCount() == 0
                 ? Double.NaN
-                : took.getValueAtPercentile(percentile) / 1000.0;
+                : durationsUs.getValueAtPercentile(percentile) / 1000.0;
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
@@ -22,7 +22,7 @@
 import sprucehold.decision.Reason;
 import sprucehold.tracetools.explanation.QueryStatistics;
 
-/** A summary as one HTML page with its charts inside: it opens with no network. */
+/** Renders a summary as one HTML page with embedded charts, which opens without a network. */
 public final class SummaryPage {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 280;
@@ -36,7 +36,7 @@
     }
 
     /**
-     * @param title what it is a summary of
+     * @param title title and heading of the page
      */
     public static String html(TraceSummary summary, String title) {
         var page = new SummaryPage(summary);
@@ -70,20 +70,20 @@
         chart(overTime());
         chart(percentiles());
         html.append("<h2>Table types</h2>\n");
-        scans(summary.byType());
+        queryTable(summary.byType());
         html.append("<h2>Customers</h2>\n");
-        scans(summary.byCustomer());
+        queryTable(summary.byCustomer());
         html.append("<h2>Gatherers</h2>\n");
-        scans(summary.byGatherer());
+        queryTable(summary.byGatherer());
         html.append(
                 "<h2>How scans ended, and why</h2>\n<table><tr><th>outcome</th><th>reason</th><th>scans</th></tr>\n");
         summary.outcomes()
                 .forEach(
-                        (how, why) ->
-                                why.forEach(
+                        (outcome, countsByReason) ->
+                                countsByReason.forEach(
                                         (reason, count) ->
                                                 row(
-                                                        how.description(),
+                                                        outcome.description(),
                                                         reason.description(),
                                                         count)));
         html.append("</table>\n");
@@ -106,7 +106,7 @@
                             for (AttemptOutcome outcome : AttemptOutcome.values()) {
                                 html.append("<td>").append(group.of(outcome)).append("</td>");
                             }
-                            long passed =
+                            long skipped =
                                     group.passedOver().values().stream()
                                             .mapToLong(count -> count)
                                             .sum();
@@ -115,13 +115,13 @@
                                     .append("</td><td>")
                                     .append(number(group.percentileMs(99)))
                                     .append("</td><td>")
-                                    .append(passed)
+                                    .append(skipped)
                                     .append("</td></tr>\n");
                         });
         html.append("</table>\n</body></html>\n");
     }
 
-    private void scans(Map<String, QueryGroup> groups) {
+    private void queryTable(Map<String, QueryGroup> groups) {
         html.append(
                 "<table><tr><th></th><th>scans</th><th>whole</th><th>in part</th><th>throttled</th><th>abandoned"
                         + "</th><th>client left</th><th>in target time</th><th>service</th><th>dispatches</th><th>copies</th>"
@@ -154,27 +154,27 @@
     }
 
     private JFreeChart overTime() {
-        var asked = new TimeSeries("asked");
+        var received = new TimeSeries("asked");
         var inTime = new TimeSeries("in target time");
-        var throttled = new TimeSeries("throttled");
-        var abandoned = new TimeSeries("abandoned");
-        double perSecond = 1000 / summary.stretchMs();
-        summary.stretches()
+        var rejected = new TimeSeries("throttled");
+        var failed = new TimeSeries("abandoned");
+        double perSecond = 1000 / summary.intervalMs();
+        summary.intervals()
                 .forEach(
-                        (at, counts) -> {
-                            var moment =
+                        (index, counts) -> {
+                            var time =
                                     new FixedMillisecond(
-                                            new Date((long) (at * summary.stretchMs())));
-                            asked.add(moment, counts[0] * perSecond);
-                            inTime.add(moment, counts[1] * perSecond);
-                            throttled.add(moment, counts[2] * perSecond);
-                            abandoned.add(moment, counts[3] * perSecond);
+                                            new Date((long) (index * summary.intervalMs())));
+                            received.add(time, counts[0] * perSecond);
+                            inTime.add(time, counts[1] * perSecond);
+                            rejected.add(time, counts[2] * perSecond);
+                            failed.add(time, counts[3] * perSecond);
                         });
         var data = new TimeSeriesCollection();
-        data.addSeries(asked);
+        data.addSeries(received);
         data.addSeries(inTime);
-        data.addSeries(throttled);
-        data.addSeries(abandoned);
+        data.addSeries(rejected);
+        data.addSeries(failed);
         return ChartFactory.createTimeSeriesChart("Scans a second", null, null, data);
     }
 
@@ -186,7 +186,7 @@
                             var series = new XYSeries(name);
                             for (double percentile : PERCENTILES) {
                                 if (!Double.isNaN(group.percentileMs(percentile))) {
-                                    // One more nine, one step further.
+                                    // Logarithmic scale: 90% is at 1, 99% at 2, 99.9% at 3.
                                     series.add(
                                             -Math.log10(1 - percentile / 100),
                                             group.percentileMs(percentile));
@@ -244,7 +244,7 @@
         return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.1f", value);
     }
 
-    /** Names come from clients: they must not become markup. */
+    /** Escapes a text for HTML. Names come from clients and must not be read as markup. */
     static String escape(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -19,18 +19,21 @@
 import sprucehold.tracetools.explanation.QueryStatistics;
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 
-/** Figures of one or several traces, by query class, tenant, shard server, reason and time. */
+/**
+ * Statistics of one or more traces, by query class, tenant, gatherer, shard server, reason and
+ * time.
+ */
 public final class TraceSummary {
     /**
-     * Beyond so many tenants or servers, new ones are counted together: a histogram takes some
-     * kilobytes.
+     * Maximum number of tenants, gatherers or servers that are counted separately. Further ones are
+     * counted together, because a histogram takes several kilobytes.
      */
-    private static final int MOST_NAMES = 500;
+    private static final int MAX_NAMES = 500;
 
     private static final String OTHERS = "(others)";
 
-    /** Stretches of time on a chart; when there are more, two become one. */
-    private static final int MOST_STRETCHES = 240;
+    /** Maximum number of time intervals on a chart; above it, pairs of intervals are joined. */
+    private static final int MAX_INTERVALS = 240;
 
     private final QueryGroup all = new QueryGroup();
     private final Map<String, QueryGroup> byType = new TreeMap<>();
@@ -40,20 +43,24 @@
     private final Map<Reason, Long> reasons = new EnumMap<>(Reason.class);
     private final Map<QueryStatistics.Outcome, Map<Reason, Long>> outcomes =
             new EnumMap<>(QueryStatistics.Outcome.class);
-    private TreeMap<Long, long[]> stretches = new TreeMap<>();
-    private double stretchMs = 1000;
+    private TreeMap<Long, long[]> intervals = new TreeMap<>();
+    private double intervalMs = 1000;
     private long gaps;
     private long notRecorded;
     private long records;
 
-    /** Counts all of a file. */
+    /**
+     * Adds all entries of a trace file.
+     *
+     * @param progress receives the number of entries read so far, from time to time
+     */
     public void add(TraceReader reader, LongConsumer progress) throws IOException {
         var correlator = new QueryCorrelator();
-        var tallies = new QueryStatisticsCollector(statistics -> add(statistics, reader));
+        var collector = new QueryStatisticsCollector(statistics -> add(statistics, reader));
         TraceCursor cursor = reader.all();
         long read = 0;
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-            tallies.add(entry);
+            collector.add(entry);
             if (entry instanceof Gap gap) {
                 gaps++;
                 notRecorded += gap.calls();
@@ -68,7 +75,7 @@
                 progress.accept(read);
             }
         }
-        tallies.end();
+        collector.end();
     }
 
     private void add(Item item, String server) {
@@ -76,15 +83,15 @@
             reasons.merge(item.command().reason(), 1L, Long::sum);
         }
         if (item.command() instanceof Command.SendAttempt sendAttempt) {
-            of(byServer, sendAttempt.server(), ServerGroup::new).dispatched();
+            group(byServer, sendAttempt.server(), ServerGroup::new).addAttempt();
             sendAttempt
                     .skipped()
                     .forEach(
-                            passed ->
-                                    of(byServer, passed.server(), ServerGroup::new)
-                                            .passedOver(passed.cause()));
+                            skipped ->
+                                    group(byServer, skipped.server(), ServerGroup::new)
+                                            .addSkipped(skipped.cause()));
         } else if (item.event() instanceof Event.AttemptEnded ended && server != null) {
-            of(byServer, server, ServerGroup::new).ended(ended.outcome(), ended.durationMs());
+            group(byServer, server, ServerGroup::new).addEnd(ended.outcome(), ended.durationMs());
         }
     }
 
@@ -94,43 +101,43 @@
         byType.computeIfAbsent(
                         statistics.query().received().queryClass().name(), name -> new QueryGroup())
                 .add(statistics);
-        of(byCustomer, statistics.tenant(), QueryGroup::new).add(statistics);
-        of(byGatherer, source.gatherer(), QueryGroup::new).add(statistics);
-        outcomes.computeIfAbsent(statistics.outcome(), how -> new EnumMap<>(Reason.class))
+        group(byCustomer, statistics.tenant(), QueryGroup::new).add(statistics);
+        group(byGatherer, source.gatherer(), QueryGroup::new).add(statistics);
+        outcomes.computeIfAbsent(statistics.outcome(), outcome -> new EnumMap<>(Reason.class))
                 .merge(statistics.reason(), 1L, Long::sum);
         long[] counts =
-                stretches.computeIfAbsent(
+                intervals.computeIfAbsent(
                         (long)
                                 Math.floor(
                                         source.clock().corrected(statistics.query().receivedMs())
-                                                / stretchMs),
-                        at -> new long[4]);
+                                                / intervalMs),
+                        key -> new long[4]);
         counts[0]++;
         counts[1] += statistics.metLatencyObjective() ? 1 : 0;
         counts[2] += statistics.outcome() == QueryStatistics.Outcome.REJECTED ? 1 : 0;
         counts[3] += statistics.outcome() == QueryStatistics.Outcome.FAILED ? 1 : 0;
-        while (stretches.size() > MOST_STRETCHES) {
-            stretchMs *= 2;
+        while (intervals.size() > MAX_INTERVALS) {
+            intervalMs *= 2;
             var wider = new TreeMap<Long, long[]>();
-            stretches.forEach(
-                    (at, of) -> {
+            intervals.forEach(
+                    (index, values) -> {
                         long[] sum =
-                                wider.computeIfAbsent(Math.floorDiv(at, 2L), none -> new long[4]);
+                                wider.computeIfAbsent(Math.floorDiv(index, 2L), key -> new long[4]);
                         for (int i = 0; i < sum.length; i++) {
-                            sum[i] += of[i];
+                            sum[i] += values[i];
                         }
                     });
-            stretches = wider;
+            intervals = wider;
         }
     }
 
-    private static <G> G of(Map<String, G> groups, String name, Supplier<G> fresh) {
-        G known = groups.get(name);
-        if (known != null) {
-            return known;
+    private static <G> G group(Map<String, G> groups, String name, Supplier<G> factory) {
+        G existing = groups.get(name);
+        if (existing != null) {
+            return existing;
         }
         return groups.computeIfAbsent(
-                groups.size() >= MOST_NAMES ? OTHERS : name, none -> fresh.get());
+                groups.size() >= MAX_NAMES ? OTHERS : name, key -> factory.get());
     }
 
     public QueryGroup all() {
@@ -153,38 +160,39 @@
         return byServer;
     }
 
-    /** How many commands were wanted why. */
+    /** Returns the number of commands for each reason. */
     public Map<Reason, Long> reasons() {
         return reasons;
     }
 
-    /** How many queries ended how, and why. */
+    /** Returns the number of queries for each outcome and reason. */
     public Map<QueryStatistics.Outcome, Map<Reason, Long>> outcomes() {
         return outcomes;
     }
 
     /**
-     * By stretch of {@link #stretchMs}, numbered from 1970: queries, in latency objective,
-     * rejected, failed.
+     * Returns the counts of each time interval of {@link #intervalMs} milliseconds. The key is the
+     * number of the interval since 1970. The values are the numbers of all queries, of queries that
+     * met their latency objective, of rejected queries and of failed queries.
      */
-    public TreeMap<Long, long[]> stretches() {
-        return stretches;
+    public TreeMap<Long, long[]> intervals() {
+        return intervals;
     }
 
-    public double stretchMs() {
-        return stretchMs;
+    public double intervalMs() {
+        return intervalMs;
     }
 
     public long gaps() {
         return gaps;
     }
 
-    /** Calls of the policy that gaps stand for. */
+    /** Returns the number of policy calls that were not recorded, summed over all gaps. */
     public long notRecorded() {
         return notRecorded;
     }
 
-    /** Events and commands counted. */
+    /** Returns the number of events and commands. */
     public long records() {
         return records;
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Traces in figures: {@link sprucehold.tracetools.summary.TraceSummary} counts, {@link
- * sprucehold.tracetools.summary.SummaryPage} draws. Memory is bounded: beyond so many names the
- * rest is pooled.
+ * Statistics of traces: {@link sprucehold.tracetools.summary.TraceSummary} computes them, and
+ * {@link sprucehold.tracetools.summary.SummaryPage} renders them as HTML. Memory is bounded: names
+ * above a maximum number are counted together.
  */
 package sprucehold.tracetools.summary;
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/DayPlan.java
@@ -1,17 +1,18 @@
 package sprucehold.tracetools.synthetic;
 
 /**
- * What a synthetic day is to be.
+ * Parameters of a synthetic day.
  *
- * @param queries queries that clients begin; those asked again come on top
- * @param seed decides everything
- * @param gatherers how many, 1 or more
- * @param skewS gatherers' clocks differ by up to so many seconds
- * @param driftPpm and run faster or slower by up to so many millionths
- * @param hours how long the day is
- * @param tenants how many, 1 or more; their shares follow Zipf's law and each has a rhythm of its
- *     own
- * @param faults how many faults are injected into shard servers
+ * @param queries number of queries that clients start; queries that they send again are not counted
+ * @param seed seed of all random choices of the day
+ * @param gatherers number of gatherers, at least 1
+ * @param skewS maximum offset of a gatherer's clock from true time, ahead or behind, in seconds
+ * @param driftPpm maximum drift of a gatherer's clock, faster or slower, in parts per million
+ * @param hours length of the day, in hours
+ * @param tenants number of tenants, at least 1; their shares follow Zipf's law, and each is active
+ *     mainly in hours of its own
+ * @param faults number of faults scheduled for shard servers; a fault has no effect if its server
+ *     is down or draining
  */
 public record DayPlan(
         int queries,
@@ -31,8 +32,8 @@
                 || !(skewS >= 0)
                 || !(driftPpm >= 0)) {
             throw new IllegalArgumentException(
-                    "a day needs scans from 0, gatherers and customers from 1, hours "
-                            + "above 0, and no skew, drift or troubles below 0");
+                    "a synthetic day requires at least 0 scans, 1 gatherer and 1 customer, more "
+                            + "than 0 hours, and no negative skew, drift or troubles");
         }
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -42,9 +42,9 @@
 import sprucehold.trace.event.PolicyCall;
 import sprucehold.trace.event.Source;
 
-/** One synthetic day, played to its end. */
+/** Simulates one synthetic day and passes the entries of each gatherer to a sink. */
 public final class SyntheticDay {
-    /** Midnight of 2026-01-01 UTC: a day of no particular meaning. */
+    /** Start of the day, in Unix milliseconds: midnight of 2026-01-01 UTC, an arbitrary date. */
     public static final double BEGIN_MS = 1_767_225_600_000.0;
 
     private static final int REPLICA_GROUPS = 6;
@@ -52,15 +52,22 @@
     private static final int SHARDS = 48;
     private static final int CORES_PER_SERVER = 4;
 
-    /** Of one part at a server of usual speed: its median, and the spread of its logarithm. */
+    /** Median time that a server of normal speed works on one part, in milliseconds. */
     private static final double MEDIAN_WORK_MS = 40;
 
+    /** Standard deviation of the natural logarithm of the time that a server works on a part. */
     private static final double WORK_SPREAD = 0.7;
 
-    /** A server turns away what would wait longer. */
+    /**
+     * A server rejects a part that it could not start within this time after the part was sent, in
+     * milliseconds.
+     */
     private static final double MAX_QUEUE_MS = 1500;
 
-    /** The busiest hour has four times the queries of the quietest. */
+    /**
+     * Amplitude of the query rate over the day, relative to the mean rate. At 0.6 the busiest hour
+     * has four times the queries of the quietest.
+     */
     private static final double DAILY_AMPLITUDE = 0.6;
 
     private static final List<QueryClass> QUERY_CLASSES =
@@ -120,21 +127,24 @@
     private final PriorityQueue<ScheduledTask> schedule =
             new PriorityQueue<>(
                     Comparator.comparingDouble(ScheduledTask::at)
-                            .thenComparingLong(ScheduledTask::turn));
+                            .thenComparingLong(ScheduledTask::sequence));
+
+    /** Length of the day, in milliseconds. */
     private final double length;
+
     private long scheduled;
     private double now = BEGIN_MS;
-    private int queriesBegun;
+    private int queriesStarted;
     private IOException failure;
 
-    private record ScheduledTask(double at, long turn, Runnable task) {}
+    private record ScheduledTask(double at, long sequence, Runnable task) {}
 
-    /** Takes the entries of one gatherer, in order. */
+    /** Receives the entries of one gatherer, in order. */
     public interface Sink {
         void add(Entry entry) throws IOException;
     }
 
-    /** One gatherer, its clock, and where its entries go. */
+    /** A simulated gatherer with its clock and the sink of its entries. */
     private final class SimulatedGatherer implements DecisionPolicy {
         final int number;
         final double skew;
@@ -175,18 +185,18 @@
 
         @Override
         public List<Command> decide(double nowMs, List<Event> events) {
-            List<Command> actions = policy.decide(nowMs, events);
+            List<Command> commands = policy.decide(nowMs, events);
             try {
-                sink.add(PolicyCall.of(0, seq++, nowMs, events, actions, false));
+                sink.add(PolicyCall.of(0, seq++, nowMs, events, commands, false));
             } catch (IOException e) {
                 failure = failure == null ? e : failure;
             }
-            return actions;
+            return commands;
         }
     }
 
     private record SimulatedClient(
-            QueryClass queryClass, int tenant, double patienceMs, int tries) {}
+            QueryClass queryClass, int tenant, double timeoutMs, int resends) {}
 
     private static final class SimulatedServer {
         final String name;
@@ -201,9 +211,9 @@
         boolean silent;
         final Set<InFlightAttempt> inFlight = new LinkedHashSet<>();
 
-        SimulatedServer(String name, int cell, String zone) {
+        SimulatedServer(String name, int replicaGroup, String zone) {
             this.name = name;
-            this.replicaGroup = cell;
+            this.replicaGroup = replicaGroup;
             this.zone = zone;
         }
 
@@ -212,12 +222,12 @@
         }
     }
 
-    /** A attempt on its way. */
+    /** An attempt that a gatherer has sent and that has not ended. */
     private final class InFlightAttempt {
         final SimulatedGatherer gatherer;
         final Attempt attempt;
         final SimulatedServer server;
-        boolean over;
+        boolean ended;
 
         InFlightAttempt(SimulatedGatherer gatherer, Attempt attempt, SimulatedServer server) {
             this.gatherer = gatherer;
@@ -229,11 +239,11 @@
             schedule(
                     now + afterMs,
                     () -> {
-                        if (!over) {
-                            over = true;
+                        if (!ended) {
+                            ended = true;
                             server.inFlight.remove(this);
                             gatherer.inFlight.remove(attempt);
-                            call(
+                            execute(
                                     gatherer,
                                     () ->
                                             gatherer.coordinator.observe(
@@ -247,7 +257,7 @@
     }
 
     /**
-     * @param factory starts the policy that decides
+     * @param factory creates the decision policy of each gatherer
      */
     public SyntheticDay(DayPlan plan, DecisionPolicy.Factory factory) {
         this.plan = plan;
@@ -261,11 +271,11 @@
         this.exponential = ZigguratSampler.Exponential.of(random);
         this.tenantSampler = RejectionInversionZipfSampler.of(random, plan.tenants(), 0.8);
         this.phases = new double[plan.tenants()];
-        var customers = new ArrayList<Tenant>();
+        var tenants = new ArrayList<Tenant>();
         double perSecond = plan.queries() / (length / 1000);
         for (int i = 0; i < phases.length; i++) {
             phases[i] = random.nextDouble();
-            customers.add(
+            tenants.add(
                     new Tenant(
                             String.format(Locale.ROOT, "customer-%03d", i),
                             2 * perSecond / (i + 1)));
@@ -277,17 +287,17 @@
                         5,
                         0.2,
                         QUERY_CLASSES,
-                        customers,
+                        tenants,
                         new Deployment.ShardLayout(REPLICA_GROUPS, 1, 1),
                         new Deployment.Limits(4, 2000, true, true, 1000),
                         new Deployment.SlowStartRule(0.2, 15_000, 4, 1000),
                         Deployment.RetryBudget.NONE,
                         new Deployment.EndpointSubscription(false, 10_000));
-        for (int cell = 0; cell < REPLICA_GROUPS; cell++) {
+        for (int group = 0; group < REPLICA_GROUPS; group++) {
             for (int i = 0; i < REPLICAS_PER_GROUP; i++) {
                 var server =
                         new SimulatedServer(
-                                "s-" + cell + "-" + i, cell, "ab".substring(i % 2, i % 2 + 1));
+                                "s-" + group + "-" + i, group, "ab".substring(i % 2, i % 2 + 1));
                 servers.add(server);
                 serversByName.put(server.name, server);
             }
@@ -297,27 +307,30 @@
         }
     }
 
-    /** Whose entries go to which sink. */
+    /** Returns the sources of the gatherers, in the order of the sinks of {@link #play}. */
     public List<Source> sources() {
         return gatherers.stream().map(gatherer -> gatherer.source).toList();
     }
 
-    /** How far a gatherer's clock is ahead of true time at a true time, in milliseconds. */
-    public double aheadMs(int gatherer, double trueMs) {
+    /**
+     * Returns how far the clock of a gatherer is ahead of true time at the given true time, in
+     * milliseconds.
+     */
+    public double clockOffsetMs(int gatherer, double trueMs) {
         return gatherers.get(gatherer).localTime(trueMs) - trueMs;
     }
 
     /**
-     * Plays the day.
+     * Simulates the day to its end.
      *
-     * @param sinks one for each gatherer
-     * @param progress is told how many queries were begun, now and then
+     * @param sinks one sink for each gatherer, in the order of {@link #sources}
+     * @param progress receives the number of queries started so far, from time to time
      */
     public void play(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
         for (SimulatedGatherer gatherer : gatherers) {
             gatherer.sink = sinks.get(gatherer.number);
             List<EndpointUpdate> all = servers.stream().map(SimulatedServer::update).toList();
-            call(
+            execute(
                     gatherer,
                     () ->
                             gatherer.coordinator.observe(
@@ -329,13 +342,13 @@
                     BEGIN_MS + length * (i + random.nextDouble()) / plan.faults(),
                     this::injectFault);
         }
-        arrival();
+        scheduleArrival();
         while (!schedule.isEmpty() && failure == null) {
             ScheduledTask next = schedule.poll();
             now = Math.max(now, next.at);
             next.task.run();
-            if (queriesBegun > 0 && queriesBegun % 4096 == 0) {
-                progress.accept(queriesBegun);
+            if (queriesStarted > 0 && queriesStarted % 4096 == 0) {
+                progress.accept(queriesStarted);
             }
         }
         if (failure != null) {
@@ -349,44 +362,45 @@
 
     // ---- Clients ----
 
-    private void arrival() {
-        if (queriesBegun >= plan.queries()) {
+    private void scheduleArrival() {
+        if (queriesStarted >= plan.queries()) {
             return;
         }
-        // Thinned from the rate of the busiest hour, which is the mean's 1 + WAVE times.
+        // Draws arrivals at the rate of the busiest hour, 1 + DAILY_AMPLITUDE times the mean rate.
+        // Some are dropped below, so that the rate follows the time of day (thinning).
         double gap =
                 exponential.sample() * length / Math.max(1, plan.queries()) / (1 + DAILY_AMPLITUDE);
         schedule(
                 now + gap,
                 () -> {
-                    double hour = (now - BEGIN_MS) / length;
-                    double wave = 1 + DAILY_AMPLITUDE * Math.sin(2 * Math.PI * (hour - 0.25));
+                    double phase = (now - BEGIN_MS) / length;
+                    double wave = 1 + DAILY_AMPLITUDE * Math.sin(2 * Math.PI * (phase - 0.25));
                     if (random.nextDouble() * (1 + DAILY_AMPLITUDE) < wave) {
-                        queriesBegun++;
-                        sendQuery(client(hour), gatherers.get(random.nextInt(gatherers.size())));
+                        queriesStarted++;
+                        sendQuery(client(phase), gatherers.get(random.nextInt(gatherers.size())));
                     }
-                    arrival();
+                    scheduleArrival();
                 });
     }
 
-    private SimulatedClient client(double hour) {
-        int customer = tenantSampler.sample() - 1;
-        // Each tenant has hours of its own: outside of them another of the same share asks as a
-        // rule.
-        if (Math.abs(Math.IEEEremainder(hour - phases[customer], 1)) > 0.3
+    private SimulatedClient client(double phase) {
+        int tenant = tenantSampler.sample() - 1;
+        // Each tenant has active hours of its own. Outside of them, the query mostly comes from a
+        // tenant that is drawn again by the same shares.
+        if (Math.abs(Math.IEEEremainder(phase - phases[tenant], 1)) > 0.3
                 && random.nextDouble() < 0.8) {
-            customer = tenantSampler.sample() - 1;
+            tenant = tenantSampler.sample() - 1;
         }
-        double which = random.nextDouble();
-        int type = 0;
-        while (type < QUERY_CLASSES.size() - 1 && which >= CLASS_SHARES[type]) {
-            which -= CLASS_SHARES[type++];
+        double draw = random.nextDouble();
+        int classIndex = 0;
+        while (classIndex < QUERY_CLASSES.size() - 1 && draw >= CLASS_SHARES[classIndex]) {
+            draw -= CLASS_SHARES[classIndex++];
         }
-        double patience =
+        double timeoutMs =
                 random.nextInt(12) == 0
                         ? 150 + 400 * random.nextDouble()
                         : 2000 + 2000 * random.nextDouble();
-        return new SimulatedClient(QUERY_CLASSES.get(type), customer, Math.rint(patience), 0);
+        return new SimulatedClient(QUERY_CLASSES.get(classIndex), tenant, Math.rint(timeoutMs), 0);
     }
 
     private void sendQuery(SimulatedClient client, SimulatedGatherer gatherer) {
@@ -401,16 +415,16 @@
                         String.format(Locale.ROOT, "%016x", random.nextLong()),
                         client.queryClass.name(),
                         deployment.tenants().get(client.tenant).name(),
-                        client.patienceMs,
+                        client.timeoutMs,
                         parts,
                         Payload.EMPTY);
         gatherer.clients.put(query, client);
         if (random.nextInt(50) == 0) {
             schedule(
-                    now + client.patienceMs * random.nextDouble(),
+                    now + client.timeoutMs * random.nextDouble(),
                     () -> {
                         if (gatherer.clients.remove(query) != null) {
-                            call(
+                            execute(
                                     gatherer,
                                     () ->
                                             gatherer.coordinator.observe(
@@ -421,53 +435,58 @@
                         }
                     });
         }
-        call(gatherer, () -> gatherer.coordinator.submit(gatherer.localTime(now), query));
+        execute(gatherer, () -> gatherer.coordinator.submit(gatherer.localTime(now), query));
     }
 
-    private void answered(SimulatedGatherer gatherer, Commands.Reply reply) {
+    /**
+     * Sends a query again after a delay if it was rejected, or if it failed and is idempotent; at
+     * most twice.
+     */
+    private void handleReply(SimulatedGatherer gatherer, Commands.Reply reply) {
         SimulatedClient client = gatherer.clients.remove(reply.query());
-        if (client == null || reply.answer() instanceof Answer.Completed || client.tries >= 2) {
+        if (client == null || reply.answer() instanceof Answer.Completed || client.resends >= 2) {
             return;
         }
-        boolean harmless =
+        boolean mayResend =
                 reply.answer() instanceof Answer.Rejected
                         || client.queryClass.idempotence() == QueryClass.Idempotence.IDEMPOTENT;
-        if (harmless) {
+        if (mayResend) {
             double wait =
-                    reply.answer() instanceof Answer.Rejected throttled
-                            ? throttled.retryAfterMs()
+                    reply.answer() instanceof Answer.Rejected rejected
+                            ? rejected.retryAfterMs()
                             : 200;
-            SimulatedClient again =
+            SimulatedClient repeated =
                     new SimulatedClient(
-                            client.queryClass, client.tenant, client.patienceMs, client.tries + 1);
+                            client.queryClass, client.tenant, client.timeoutMs, client.resends + 1);
             schedule(
                     now + wait * (1 + random.nextDouble()),
-                    () -> sendQuery(again, gatherers.get(random.nextInt(gatherers.size()))));
+                    () -> sendQuery(repeated, gatherers.get(random.nextInt(gatherers.size()))));
         }
     }
 
     // ---- Gatherers ----
 
-    private void call(SimulatedGatherer gatherer, Supplier<Commands> call) {
-        Commands commands = call.get();
+    /** Calls the coordinator of a gatherer and executes the commands that it returns. */
+    private void execute(SimulatedGatherer gatherer, Supplier<Commands> coordinatorCall) {
+        Commands commands = coordinatorCall.get();
         for (Attempt attempt : commands.cancel()) {
-            InFlightAttempt out = gatherer.inFlight.get(attempt);
-            if (out != null) {
-                out.end(0.02, () -> new AttemptResult.Cancelled(WriteProgress.WRITTEN));
+            InFlightAttempt pending = gatherer.inFlight.get(attempt);
+            if (pending != null) {
+                pending.end(0.02, () -> new AttemptResult.Cancelled(WriteProgress.WRITTEN));
             }
         }
         commands.send().forEach(attempt -> send(gatherer, attempt));
-        commands.replies().forEach(reply -> answered(gatherer, reply));
+        commands.replies().forEach(reply -> handleReply(gatherer, reply));
         double next = commands.nextTickAtMs();
         if (next < Double.POSITIVE_INFINITY && next != gatherer.tickAt) {
             gatherer.tickAt = next;
-            // A timer wakes late by up to a tick, never early.
+            // A timer fires between 0.01 and 1.01 ms late, never early.
             schedule(
                     Math.max(now, gatherer.trueTime(next)) + 0.01 + random.nextDouble(),
                     () -> {
                         if (gatherer.tickAt == next) {
                             gatherer.tickAt = Double.POSITIVE_INFINITY;
-                            call(
+                            execute(
                                     gatherer,
                                     () ->
                                             gatherer.coordinator.tick(
@@ -482,14 +501,15 @@
     // ---- Shard servers ----
 
     private void send(SimulatedGatherer gatherer, Attempt attempt) {
-        ShardServer named = attempt.server();
-        SimulatedServer server = serversByName.get(named.name());
-        var out = new InFlightAttempt(gatherer, attempt, server);
-        gatherer.inFlight.put(attempt, out);
-        server.inFlight.add(out);
-        double way = 0.4 + 0.4 * exponential.sample();
+        ShardServer target = attempt.server();
+        SimulatedServer server = serversByName.get(target.name());
+        var pending = new InFlightAttempt(gatherer, attempt, server);
+        gatherer.inFlight.put(attempt, pending);
+        server.inFlight.add(pending);
+        double latencyMs = 0.4 + 0.4 * exponential.sample();
         if (!server.up) {
-            out.end(way, () -> new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
+            pending.end(
+                    latencyMs, () -> new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
             return;
         } else if (server.silent) {
             return;
@@ -498,20 +518,20 @@
         for (int i = 1; i < CORES_PER_SERVER; i++) {
             core = server.freeAt[i] < server.freeAt[core] ? i : core;
         }
-        double starts = Math.max(now + way, server.freeAt[core]);
-        if (starts - now > MAX_QUEUE_MS || server.state != EndpointUpdate.State.RUNNING) {
-            out.end(2 * way, () -> new AttemptResult.Rejected(null));
+        double startMs = Math.max(now + latencyMs, server.freeAt[core]);
+        if (startMs - now > MAX_QUEUE_MS || server.state != EndpointUpdate.State.RUNNING) {
+            pending.end(2 * latencyMs, () -> new AttemptResult.Rejected(null));
             return;
         }
         // Cold caches make a server that has just started take up to three times as long.
-        double cold =
+        double coldFactor =
                 server.startedAt == 0 ? 1 : 1 + 2 * Math.exp(-(now - server.startedAt) / 5000);
-        double takes = work.sample() * server.slowness * cold;
-        server.freeAt[core] = starts + takes;
+        double workMs = work.sample() * server.slowness * coldFactor;
+        server.freeAt[core] = startMs + workMs;
         boolean fails = random.nextDouble() < server.errorRate;
-        double ends = starts + (fails ? Math.min(2, takes) : takes) + way;
-        out.end(
-                ends - now,
+        double endMs = startMs + (fails ? Math.min(2, workMs) : workMs) + latencyMs;
+        pending.end(
+                endMs - now,
                 () ->
                         fails
                                 ? new AttemptResult.Failed(null)
@@ -523,32 +543,32 @@
         if (!server.up || server.state != EndpointUpdate.State.RUNNING) {
             return;
         }
-        double lasts = 10_000 + 40_000 * random.nextDouble();
+        double durationMs = 10_000 + 40_000 * random.nextDouble();
         switch (random.nextInt(5)) {
             case 0 -> {
                 crash(server);
                 schedule(
                         now + 2000 + 3000 * random.nextDouble(),
                         () -> publish(server, EndpointUpdate.State.GONE));
-                schedule(now + 5000 + lasts, () -> restart(server));
+                schedule(now + 5000 + durationMs, () -> restart(server));
             }
             case 1 -> {
                 publish(server, EndpointUpdate.State.DRAINING);
                 schedule(now + 5000, () -> crash(server));
                 schedule(now + 5100, () -> publish(server, EndpointUpdate.State.GONE));
-                schedule(now + 6000 + lasts, () -> restart(server));
+                schedule(now + 6000 + durationMs, () -> restart(server));
             }
             case 2 -> {
                 server.slowness = 4 + 6 * random.nextDouble();
-                schedule(now + lasts, () -> server.slowness = 1);
+                schedule(now + durationMs, () -> server.slowness = 1);
             }
             case 3 -> {
                 server.errorRate = 0.2 + 0.6 * random.nextDouble();
-                schedule(now + lasts, () -> server.errorRate = 0);
+                schedule(now + durationMs, () -> server.errorRate = 0);
             }
             default -> {
                 server.silent = true;
-                schedule(now + lasts, () -> server.silent = false);
+                schedule(now + durationMs, () -> server.silent = false);
             }
         }
     }
@@ -557,8 +577,8 @@
         server.up = false;
         List.copyOf(server.inFlight)
                 .forEach(
-                        out ->
-                                out.end(
+                        pending ->
+                                pending.end(
                                         0.5,
                                         () ->
                                                 new AttemptResult.ConnectionLost(
@@ -573,22 +593,25 @@
         publish(server, EndpointUpdate.State.RUNNING);
     }
 
-    /** Each gatherer hears of it in its own time: some 50 ms after the quickest. */
+    /**
+     * Changes the state of a server and sends the update to each gatherer. Each gatherer receives
+     * the update after a delay of its own, at least 20 ms and 50 ms in the mean.
+     */
     private void publish(SimulatedServer server, EndpointUpdate.State state) {
         server.state = state;
-        EndpointUpdate news = server.update();
+        EndpointUpdate update = server.update();
         for (SimulatedGatherer gatherer : gatherers) {
             schedule(
                     now + 20 + 30 * exponential.sample(),
                     () ->
-                            call(
+                            execute(
                                     gatherer,
                                     () ->
                                             gatherer.coordinator.observe(
                                                     gatherer.localTime(now),
                                                     List.of(
                                                             new Observation.EndpointsUpdated(
-                                                                    false, List.of(news))))));
+                                                                    false, List.of(update))))));
         }
     }
 }
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/package-info.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Synthetic days: the real module and picker, driven in simulated time by clients, shard servers
- * and discovery of the project's own, failures included. {@link
- * sprucehold.tracetools.synthetic.SyntheticDay} is the entry point. The same plan brings the same
- * entries; it must never read a clock.
+ * Generates the traces of synthetic days. {@link sprucehold.tracetools.synthetic.SyntheticDay}, the
+ * entry point, runs the real query coordinator and a decision policy in simulated time, with
+ * simulated clients, shard servers and discovery and with injected faults. The same plan yields the
+ * same entries, so the package must never read a clock.
  */
 package sprucehold.tracetools.synthetic;
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -40,7 +40,7 @@
     private List<Entry> entries;
 
     @BeforeClass
-    public void playADay() throws IOException {
+    public void simulateDay() throws IOException {
         folder = Days.folder();
         file = folder.resolve("day.trace");
         TraceMerge.merge(
@@ -60,19 +60,19 @@
     }
 
     /**
-     * What an onlooker sees of each name: scans by hour, by table type, and when it first and last
-     * asked.
+     * Returns the profile of each name that an observer sees: the numbers of queries by ten minutes
+     * (the last number includes all later times) and by query class.
      */
     private static Map<String, double[]> profiles(List<Entry> of) {
         Map<String, double[]> profiles = new TreeMap<>();
         double begin = of.stream().mapToDouble(Entry::nowMs).min().orElse(0);
         for (Entry entry : of) {
             for (Item item : entry instanceof PolicyCall call ? call.items() : List.<Item>of()) {
-                if (item.event() instanceof Event.QueryReceived taken && taken.tenant() != null) {
+                if (item.event() instanceof Event.QueryReceived query && query.tenant() != null) {
                     double[] profile =
-                            profiles.computeIfAbsent(taken.tenant().name(), name -> new double[28]);
+                            profiles.computeIfAbsent(query.tenant().name(), name -> new double[28]);
                     profile[Math.min(23, (int) ((entry.nowMs() - begin) / 600_000))]++;
-                    profile[24 + Math.abs(taken.queryClass().name().hashCode()) % 4] += 1;
+                    profile[24 + Math.abs(query.queryClass().name().hashCode()) % 4] += 1;
                 }
             }
         }
@@ -81,95 +81,95 @@
     }
 
     /**
-     * The attacker knows every customer's true counts and rhythm. It links each pseudonym to the
-     * customer whose profile lies nearest, best matches first, no customer twice; ties are broken
-     * by chance.
+     * Simulates an attacker who knows every tenant's true counts and rhythm. The attacker links
+     * each pseudonym to the tenant with the nearest profile, best matches first and no tenant
+     * twice. Ties are broken at random.
      *
-     * @return the share of pseudonyms linked rightly
+     * @return share of pseudonyms that are linked to the right tenant
      */
     private static double attack(
-            Map<String, double[]> known,
-            Map<String, double[]> seen,
+            Map<String, double[]> knownProfiles,
+            Map<String, double[]> observed,
             Map<String, String> truth,
             Random chance) {
-        record Pair(String pseudonym, String customer, double distance) {}
+        record Pair(String pseudonym, String tenant, double distance) {}
         var pairs = new ArrayList<Pair>();
-        seen.forEach(
+        observed.forEach(
                 (pseudonym, profile) ->
-                        known.forEach(
-                                (customer, true_) -> {
+                        knownProfiles.forEach(
+                                (tenant, trueProfile) -> {
                                     double distance = 0;
                                     for (int i = 0; i < profile.length; i++) {
-                                        distance += Math.pow(profile[i] - true_[i], 2);
+                                        distance += Math.pow(profile[i] - trueProfile[i], 2);
                                     }
-                                    pairs.add(new Pair(pseudonym, customer, distance));
+                                    pairs.add(new Pair(pseudonym, tenant, distance));
                                 }));
         Collections.shuffle(pairs, chance);
         pairs.sort(java.util.Comparator.comparingDouble(Pair::distance));
         Map<String, String> linked = new HashMap<>();
-        Set<String> taken = new HashSet<>();
+        Set<String> linkedTenants = new HashSet<>();
         for (Pair pair : pairs) {
-            if (!linked.containsKey(pair.pseudonym) && taken.add(pair.customer)) {
-                linked.put(pair.pseudonym, pair.customer);
+            if (!linked.containsKey(pair.pseudonym) && linkedTenants.add(pair.tenant)) {
+                linked.put(pair.pseudonym, pair.tenant);
             }
         }
-        long right =
+        long correct =
                 linked.entrySet().stream()
                         .filter(link -> truth.get(link.getKey()).equals(link.getValue()))
                         .count();
-        return (double) right / seen.size();
+        return (double) correct / observed.size();
     }
 
     @Test
-    public void attackerLinksNineOfTenOfMereNewNames() throws IOException {
-        // Names alone replaced: everything else stands.
-        Map<String, double[]> known = profiles(entries);
+    public void attackerLinksNineOfTenTenantsIfOnlyNamesAreReplaced() throws IOException {
+        // Replaces only the names and keeps everything else.
+        Map<String, double[]> knownProfiles = profiles(entries);
         Map<String, double[]> renamed = new TreeMap<>();
         Map<String, String> truth = new HashMap<>();
-        known.forEach(
-                (customer, profile) -> {
-                    renamed.put("p" + customer.hashCode(), profile);
-                    truth.put("p" + customer.hashCode(), customer);
+        knownProfiles.forEach(
+                (tenant, profile) -> {
+                    renamed.put("p" + tenant.hashCode(), profile);
+                    truth.put("p" + tenant.hashCode(), tenant);
                 });
-        assertTrue(attack(known, renamed, truth, new Random(1)) >= 0.9);
+        assertTrue(attack(knownProfiles, renamed, truth, new Random(1)) >= 0.9);
     }
 
     @Test
     public void attackerLinksPseudonymsNoBetterThanChance() throws IOException {
-        Map<String, double[]> known = profiles(entries);
+        Map<String, double[]> knownProfiles = profiles(entries);
         double sum = 0;
         double chance = 0;
         int keys = 60;
         for (int i = 0; i < keys; i++) {
-            // Pseudonyms are dealt out by the key, so each key is a new deal.
+            // The pseudonyms depend on the key, so each key is an independent sample.
             Path to = anonymise(KEY + i, "attacked");
-            Map<String, double[]> seen = profiles(Days.read(to));
-            assertTrue(seen.size() >= 5, seen.keySet().toString());
-            Map<String, String> truth = truth(KEY + i, known.keySet());
-            // The attacker even knows which customers are large enough to have a pseudonym.
-            var large = new TreeMap<>(known);
+            Map<String, double[]> observed = profiles(Days.read(to));
+            assertTrue(observed.size() >= 5, observed.keySet().toString());
+            Map<String, String> truth = truth(KEY + i, knownProfiles.keySet());
+            // The attacker even knows which tenants are large enough to have a pseudonym.
+            var large = new TreeMap<>(knownProfiles);
             large.keySet()
-                    .retainAll(new HashSet<>(seen.keySet().stream().map(truth::get).toList()));
-            sum += attack(large, seen, truth, new Random(i));
-            chance += 1.0 / seen.size();
+                    .retainAll(new HashSet<>(observed.keySet().stream().map(truth::get).toList()));
+            sum += attack(large, observed, truth, new Random(i));
+            chance += 1.0 / observed.size();
         }
-        // Three standard errors of the mean of so many deals.
+        // Adds three standard errors of the mean over all keys, and 0.01.
         double allowed = chance / keys + 3 * Math.sqrt(1.0 / 5 / keys / 5) + 0.01;
         assertTrue(sum / keys <= allowed, "linked " + sum / keys + ", by chance " + chance / keys);
     }
 
-    /** The key's holder can make the pseudonyms again; so can this test. */
-    private static Map<String, String> truth(String key, Set<String> customers) {
+    /** Returns the tenant of each pseudonym, derived with the key as its holder can. */
+    private static Map<String, String> truth(String key, Set<String> tenants) {
         Map<String, String> truth = new HashMap<>();
         try {
-            for (String customer : customers) {
+            for (String tenant : tenants) {
                 var mac = javax.crypto.Mac.getInstance("HmacSHA256");
                 mac.init(
                         new javax.crypto.spec.SecretKeySpec(
                                 key.getBytes(StandardCharsets.UTF_8), "HmacSHA256"));
                 mac.update("customer\0".getBytes(StandardCharsets.UTF_8));
-                byte[] name = mac.doFinal(customer.getBytes(StandardCharsets.UTF_8));
-                truth.put("c-" + java.util.HexFormat.of().formatHex(name, 0, 8), customer);
+                byte[] name = mac.doFinal(tenant.getBytes(StandardCharsets.UTF_8));
+                truth.put("c-" + java.util.HexFormat.of().formatHex(name, 0, 8), tenant);
             }
         } catch (java.security.GeneralSecurityException e) {
             throw new IllegalStateException(e);
@@ -178,11 +178,11 @@
     }
 
     @Test
-    public void allPseudonymsLookAlike() throws IOException {
-        Map<String, double[]> seen = profiles(Days.read(anonymise(KEY, "alike")));
-        double[] first = seen.values().iterator().next();
+    public void allPseudonymsHaveTheSameProfile() throws IOException {
+        Map<String, double[]> observed = profiles(Days.read(anonymise(KEY, "alike")));
+        double[] first = observed.values().iterator().next();
         Map<String, double[]> byHour = new TreeMap<>();
-        seen.forEach(
+        observed.forEach(
                 (name, profile) -> {
                     double[] hours = new double[4];
                     for (int i = 0; i < 24; i++) {
@@ -198,7 +198,7 @@
     }
 
     @Test
-    public void nothingOfWhatNamesSomebodyIsLeft() throws IOException {
+    public void anonymisedFileContainsNoOriginalNameOrId() throws IOException {
         Path to = anonymise(KEY, "clean");
         Set<String> names = new HashSet<>();
         header.sources()
@@ -212,8 +212,8 @@
                         });
         for (Entry entry : entries) {
             for (Item item : ((PolicyCall) entry).items()) {
-                if (item.event() instanceof Event.QueryReceived taken) {
-                    names.add(taken.id());
+                if (item.event() instanceof Event.QueryReceived received) {
+                    names.add(received.id());
                 } else if (item.event() instanceof Event.EndpointsUpdated list) {
                     list.endpoints().forEach(server -> names.add("\"" + server.server() + "\""));
                 }
@@ -229,7 +229,7 @@
     }
 
     @Test
-    public void anonymisedFileVerifiesFindsAndSummarises() throws IOException {
+    public void anonymisedFileCanBeVerifiedSearchedAndSummarised() throws IOException {
         Path to = anonymise(KEY, "useful");
         try (TraceReader reader = TraceReader.open(to);
                 TraceReader original = TraceReader.open(file)) {
@@ -250,7 +250,7 @@
     }
 
     @Test
-    public void sameKeyBringsTheSameFileAndAnotherKeyNoNameOfIt() throws IOException {
+    public void sameKeyYieldsTheSameFileAndAnotherKeyOtherPseudonyms() throws IOException {
         byte[] once = Files.readAllBytes(anonymise(KEY, "once"));
         assertEquals(Files.readAllBytes(anonymise(KEY, "twice")), once);
         Set<String> one = profiles(Days.read(folder.resolve("once.trace"))).keySet();
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/Days.java
@@ -16,7 +16,7 @@
 import sprucehold.tracetools.synthetic.DayPlan;
 import sprucehold.tracetools.synthetic.SyntheticDay;
 
-/** Synthetic days in files of their own. */
+/** Simulates synthetic days and reads and writes trace files. */
 final class Days {
     private Days() {}
 
@@ -28,7 +28,7 @@
         return folder.resolve(name);
     }
 
-    /** Plays a day and writes a file for each gatherer. */
+    /** Simulates a day and writes a trace file for each gatherer. */
     static List<Path> play(Path folder, DayPlan plan, DecisionPolicy.Factory factory)
             throws IOException {
         var day = new SyntheticDay(plan, factory);
@@ -52,9 +52,9 @@
         return play(folder, plan, QueryScheduler::new);
     }
 
-    /** Two hours of three gatherers whose clocks differ by seconds. */
-    static DayPlan usual(int scans, long seed) {
-        return new DayPlan(scans, seed, 3, 4, 50, 2, 30, 40);
+    /** Returns the plan of two hours with three gatherers whose clocks differ by seconds. */
+    static DayPlan standardPlan(int queries, long seed) {
+        return new DayPlan(queries, seed, 3, 4, 50, 2, 30, 40);
     }
 
     static List<Entry> read(Path file) throws IOException {
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -40,9 +40,9 @@
     private Path merged;
 
     @BeforeClass
-    public void playADay() throws IOException {
+    public void simulateDay() throws IOException {
         folder = Days.folder();
-        files = Days.play(folder, Days.usual(1500, 11));
+        files = Days.play(folder, Days.standardPlan(1500, 11));
         merged = merge("merged", files);
     }
 
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void dayCutIntoPiecesAndMergedBackIsTheSameEventForEvent() throws IOException {
+    public void mergeOfAllPiecesOfACutFileEqualsTheOriginal() throws IOException {
         double from = SyntheticDay.BEGIN_MS - 60_000;
         List<Path> pieces = cut(merged, from, from + 3 * 3_600_000, 24);
         Collections.shuffle(pieces, new Random(3));
@@ -79,10 +79,10 @@
     }
 
     @Test
-    public void orderOfInputsDoesNotMatterAndMergingTwiceChangesNothing() throws IOException {
-        var turned = new ArrayList<>(files);
-        Collections.reverse(turned);
-        assertEquals(Files.readAllBytes(merge("turned", turned)), Files.readAllBytes(merged));
+    public void mergeIsIndependentOfInputOrderAndRepetition() throws IOException {
+        var reversed = new ArrayList<>(files);
+        Collections.reverse(reversed);
+        assertEquals(Files.readAllBytes(merge("turned", reversed)), Files.readAllBytes(merged));
         assertEquals(
                 Files.readAllBytes(merge("twice", List.of(merged))), Files.readAllBytes(merged));
         assertEquals(
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void eachSourcesOwnOrderIsKept() throws IOException {
+    public void mergeKeepsTheOrderOfEachSource() throws IOException {
         Map<Integer, List<Entry>> bySource = new HashMap<>();
         Days.read(merged)
                 .forEach(
@@ -107,23 +107,23 @@
     }
 
     @Test
-    public void cutHoldsScansWholeAndEachScanInOnePieceOnly() throws IOException {
-        Map<String, Integer> whole = itemsByScan(merged);
-        int spanning = 0;
-        for (double edge : edges()) {
-            List<Path> pieces = cut(merged, edge - 5000, edge + 5000, 2);
-            Map<String, Integer> before = itemsByScan(pieces.get(0));
-            Map<String, Integer> after = itemsByScan(pieces.get(1));
+    public void cutWritesEachQueryCompletelyAndToOnePieceOnly() throws IOException {
+        Map<String, Integer> complete = itemsByQuery(merged);
+        int spanningPieces = 0;
+        for (double cutTime : cutTimes()) {
+            List<Path> pieces = cut(merged, cutTime - 5000, cutTime + 5000, 2);
+            Map<String, Integer> before = itemsByQuery(pieces.get(0));
+            Map<String, Integer> after = itemsByQuery(pieces.get(1));
             assertTrue(Collections.disjoint(before.keySet(), after.keySet()));
-            before.forEach((scan, items) -> assertEquals(items, whole.get(scan), scan));
-            after.forEach((scan, items) -> assertEquals(items, whole.get(scan), scan));
+            before.forEach((query, items) -> assertEquals(items, complete.get(query), query));
+            after.forEach((query, items) -> assertEquals(items, complete.get(query), query));
             for (Path piece : pieces) {
                 try (TraceReader reader = TraceReader.open(piece)) {
                     assertTrue(reader.verify().sound());
                 }
             }
             try (TraceReader reader = TraceReader.open(pieces.get(0))) {
-                spanning +=
+                spanningPieces +=
                         Days.all(reader.all()).stream()
                                         .anyMatch(
                                                 entry ->
@@ -132,20 +132,20 @@
                                                                         .get(entry.source())
                                                                         .clock()
                                                                         .corrected(entry.nowMs())
-                                                                > edge)
+                                                                > cutTime)
                                 ? 1
                                 : 0;
             }
         }
-        assertEquals(spanning, 12);
+        assertEquals(spanningPieces, 12);
     }
 
-    /** Times in the midst of some scans. */
-    private List<Double> edges() throws IOException {
-        var edges = new ArrayList<Double>();
+    /** Returns 12 times, each 2 ms after the receipt of a query. */
+    private List<Double> cutTimes() throws IOException {
+        var times = new ArrayList<Double>();
         try (TraceReader reader = TraceReader.open(merged)) {
             for (Entry entry : Days.all(reader.all())) {
-                boolean taken =
+                boolean received =
                         entry instanceof PolicyCall call
                                 && call.items().stream()
                                         .anyMatch(
@@ -159,17 +159,17 @@
                                         .clock()
                                         .corrected(entry.nowMs())
                                 + 2;
-                if (taken
-                        && edges.size() < 12
-                        && (edges.isEmpty() || at > edges.get(edges.size() - 1) + 100_000)) {
-                    edges.add(at);
+                if (received
+                        && times.size() < 12
+                        && (times.isEmpty() || at > times.get(times.size() - 1) + 100_000)) {
+                    times.add(at);
                 }
             }
         }
-        return edges;
+        return times;
     }
 
-    private static Map<String, Integer> itemsByScan(Path file) throws IOException {
+    private static Map<String, Integer> itemsByQuery(Path file) throws IOException {
         var correlator = new QueryCorrelator();
         Map<String, Integer> items = new HashMap<>();
         for (Entry entry : Days.read(file)) {
@@ -193,21 +193,21 @@
     }
 
     @Test
-    public void clocksAreFittedWithinTheirErrorBars() throws IOException {
+    public void fittedClocksAreWithinTheirErrorOfTheTrueOffsets() throws IOException {
         for (long seed = 1; seed <= 6; seed++) {
-            var day = new SyntheticDay(Days.usual(50, seed), QueryScheduler::new);
+            var day = new SyntheticDay(Days.standardPlan(50, seed), QueryScheduler::new);
             Path of = Days.folder();
             List<Source> fitted =
                     TraceMerge.merge(
-                                    Days.play(of, Days.usual(50, seed)),
+                                    Days.play(of, Days.standardPlan(50, seed)),
                                     of.resolve("m.trace"),
                                     count -> {})
                             .sources();
             double middle = SyntheticDay.BEGIN_MS + 3_600_000;
             int reference = reference(fitted);
             for (int i = 0; i < 3; i++) {
-                double ahead = day.aheadMs(i, middle) - day.aheadMs(reference, middle);
-                double own = middle + day.aheadMs(i, middle);
+                double ahead = day.clockOffsetMs(i, middle) - day.clockOffsetMs(reference, middle);
+                double own = middle + day.clockOffsetMs(i, middle);
                 double off = Math.abs(fitted.get(i).clock().corrected(own) - (own - ahead));
                 assertTrue(
                         off <= Math.max(1e-3, fitted.get(i).clock().errorMs()),
@@ -233,9 +233,9 @@
         throw new AssertionError("no reference");
     }
 
-    /** A scan throttled at g0 and asked again at g1, whose clock is four seconds behind. */
+    /** The query is rejected by g0 and sent again to g1, whose clock is four seconds behind. */
     @Test
-    public void scanAskedAgainAtAGathererFourSecondsBehindComesAfterItsFirst() throws IOException {
+    public void queryResentToAGathererFourSecondsBehindIsOrderedAfterTheFirst() throws IOException {
         Source g0 = source("g0", 0);
         Source g1 = source("g1", -4000);
         var at0 = new ArrayList<Entry>();
@@ -260,13 +260,13 @@
         }
         double asked = t + 1_200_000;
         at0.add(
-                scan(
+                queryCall(
                         at0.size(),
                         "first",
                         asked,
                         new Command.RejectQuery("first", 1000, Reason.NO_CAPACITY)));
         at1.add(
-                scan(
+                queryCall(
                         at1.size(),
                         "again",
                         asked + 1100 - 4000,
@@ -283,8 +283,8 @@
                     .items()
                     .forEach(
                             item -> {
-                                if (item.event() instanceof Event.QueryReceived taken) {
-                                    order.add(taken.id());
+                                if (item.event() instanceof Event.QueryReceived received) {
+                                    order.add(received.id());
                                 }
                             });
         }
@@ -304,7 +304,7 @@
         }
     }
 
-    private PolicyCall scan(long seq, String id, double now, Command end) throws IOException {
+    private PolicyCall queryCall(long seq, String id, double now, Command end) throws IOException {
         return PolicyCall.of(
                 0,
                 seq,
@@ -321,34 +321,39 @@
     }
 
     @Test
-    public void clockThatStepsBackInsideAFileKeepsItsOwnOrder() throws IOException {
-        var back = new ArrayList<Entry>();
+    public void mergeKeepsTheOrderOfASourceWhoseClockStepsBack() throws IOException {
+        var entries = new ArrayList<Entry>();
         for (int i = 0; i < 10; i++) {
             double now = SyntheticDay.BEGIN_MS + (i < 5 ? 10_000 + i : i);
-            back.add(
-                    scan(i, "s" + i, now, new Command.AnswerQuery("s" + i, true, Reason.COMPLETE)));
+            entries.add(
+                    queryCall(
+                            i,
+                            "s" + i,
+                            now,
+                            new Command.AnswerQuery("s" + i, true, Reason.COMPLETE)));
         }
-        back.add(new Gap(0, 10, SyntheticDay.BEGIN_MS + 20, 5, SyntheticDay.BEGIN_MS + 30));
-        Path file = Days.write(folder.resolve("back.trace"), TraceHeader.of(source("g9", 7)), back);
-        List<Entry> out = Days.read(merge("stepped", List.of(files.get(0), file)));
+        entries.add(new Gap(0, 10, SyntheticDay.BEGIN_MS + 20, 5, SyntheticDay.BEGIN_MS + 30));
+        Path file =
+                Days.write(folder.resolve("back.trace"), TraceHeader.of(source("g9", 7)), entries);
+        List<Entry> mergedEntries = Days.read(merge("stepped", List.of(files.get(0), file)));
         try (TraceReader reader = TraceReader.open(folder.resolve("stepped.trace"))) {
             assertTrue(reader.verify().sound());
-            // They share no news, so nothing is known of how the clocks stand, and that is said.
+            // The sources share no endpoint change, so one clock is marked as unknown.
             assertTrue(
                     reader.header().sources().stream()
                             .anyMatch(of -> of.clock().equals(ClockFit.UNKNOWN)));
             int of = reader.header().sources().get(0).gatherer().equals("g9") ? 0 : 1;
             assertEquals(
-                    out.stream()
+                    mergedEntries.stream()
                             .filter(entry -> entry.source() == of)
                             .map(entry -> entry.withSource(0))
                             .toList(),
-                    back);
+                    entries);
         }
     }
 
     @Test
-    public void inputsThatTellDifferentThingsOfOneMomentAreRefused() throws IOException {
+    public void mergeRejectsInputsWithDifferentContentsForTheSameCall() throws IOException {
         List<Entry> entries = Days.read(files.get(0));
         PolicyCall first = (PolicyCall) entries.get(0);
         entries.set(
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -29,9 +29,9 @@
     private List<Entry> entries;
 
     @BeforeClass
-    public void playADay() throws IOException {
+    public void simulateDay() throws IOException {
         folder = Days.folder();
-        files = Days.play(folder, Days.usual(800, 5));
+        files = Days.play(folder, Days.standardPlan(800, 5));
         try (TraceReader reader = TraceReader.open(files.get(0))) {
             header = reader.header();
             entries = Days.all(reader.all());
@@ -48,14 +48,14 @@
     }
 
     @Test
-    public void allActionsAreDecidedAgainAlike() throws IOException {
+    public void replayYieldsTheRecordedCommands() throws IOException {
         TraceReplay.Verdict verdict = replay(QueryScheduler::new, files.toArray(new Path[0]));
         assertNull(verdict.difference());
         assertTrue(verdict.agreed() > 5000, verdict.agreed() + " actions");
     }
 
     @Test
-    public void filesOfOneSourceInAnyOrderAreOneReplay() throws IOException {
+    public void replayAcceptsFilesOfOneSourceInAnyOrder() throws IOException {
         Path second =
                 Days.write(folder.resolve("2.trace"), header, entries.subList(300, entries.size()));
         Path first = Days.write(folder.resolve("1.trace"), header, entries.subList(0, 300));
@@ -64,24 +64,24 @@
         assertEquals(verdict.moments(), entries.size());
     }
 
-    /** A build that sends every hundredth dispatch elsewhere. */
+    /** Returns the factory of a policy that sends its hundredth attempt to another server. */
     private static DecisionPolicy.Factory changed() {
         return (seed, deployment) -> {
-            var module = new QueryScheduler(seed, deployment);
-            int[] dispatches = {0};
+            var policy = new QueryScheduler(seed, deployment);
+            int[] attempts = {0};
             return (now, events) ->
-                    module.decide(now, events).stream()
+                    policy.decide(now, events).stream()
                             .map(
                                     command -> {
-                                        if (command instanceof Command.SendAttempt d
-                                                && ++dispatches[0] == 100) {
+                                        if (command instanceof Command.SendAttempt attempt
+                                                && ++attempts[0] == 100) {
                                             return new Command.SendAttempt(
-                                                    d.partId(),
+                                                    attempt.partId(),
                                                     "elsewhere",
-                                                    d.timeoutMs(),
-                                                    d.reason(),
-                                                    d.position(),
-                                                    d.skipped());
+                                                    attempt.timeoutMs(),
+                                                    attempt.reason(),
+                                                    attempt.position(),
+                                                    attempt.skipped());
                                         }
                                         return command;
                                     })
@@ -90,7 +90,7 @@
     }
 
     @Test
-    public void firstActionThatDiffersIsNamed() throws IOException {
+    public void replayNamesTheFirstDifferentCommand() throws IOException {
         TraceReplay.Verdict verdict = replay(changed(), files.get(0));
         assertTrue(
                 verdict.difference().contains("gatherer g0")
@@ -99,7 +99,7 @@
     }
 
     @DataProvider
-    Object[][] unplayable() throws IOException {
+    Object[][] unreplayableFiles() throws IOException {
         var gap = new ArrayList<>(entries);
         gap.set(50, new Gap(0, 50, 1, 1, 1));
         var cut = new ArrayList<>(entries);
@@ -124,24 +124,25 @@
         };
     }
 
-    @Test(dataProvider = "unplayable")
-    public void whatCantBeDecidedAgainIsRefusedInOneLine(
-            String name, TraceHeader of, List<Entry> what, String said) throws IOException {
-        Path file = Days.write(folder.resolve(name + ".trace"), of, what);
+    @Test(dataProvider = "unreplayableFiles")
+    public void unreplayableFileIsRejectedWithAOneLineMessage(
+            String name, TraceHeader of, List<Entry> fileEntries, String expectedMessage)
+            throws IOException {
+        Path file = Days.write(folder.resolve(name + ".trace"), of, fileEntries);
         try {
             replay(QueryScheduler::new, file);
             throw new AssertionError(name + " was replayed");
         } catch (TraceReplay.CannotReplayException e) {
             assertTrue(
-                    e.getMessage().contains(said) && e.getMessage().lines().count() == 1,
+                    e.getMessage().contains(expectedMessage) && e.getMessage().lines().count() == 1,
                     e.getMessage());
         }
     }
 
     @Test
-    public void diffNamesTheFirstDecisionThatParts() throws IOException {
+    public void diffNamesTheFirstDifferentCommand() throws IOException {
         Path other = Days.folder();
-        List<Path> changed = Days.play(other, Days.usual(800, 5), changed());
+        List<Path> changed = Days.play(other, Days.standardPlan(800, 5), changed());
         try (TraceReader a = TraceReader.open(files.get(0));
                 TraceReader b = TraceReader.open(changed.get(0));
                 TraceReader again = TraceReader.open(files.get(0))) {
--- a/tracetools/src/test/java/sprucehold/tracetools/StoredFormsTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/StoredFormsTest.java
@@ -15,7 +15,10 @@
 import sprucehold.trace.format.TraceReader;
 import sprucehold.tracetools.export.TraceExport;
 
-/** Trace files of earlier builds keep their meaning: what scripts read of them stays as it was. */
+/**
+ * Checks that exports of a trace file of an earlier build keep their keys, columns and values,
+ * since scripts read them.
+ */
 public class StoredFormsTest {
     private static final Path GOLDEN_TRACE =
             Path.of("../trace/src/test/resources/golden-1.1.trace");
@@ -26,7 +29,7 @@
         }
     }
 
-    /** Every line as a tree: maps have no order that could be compared. */
+    /** Parses each line to a tree, since the order of keys in a line isn't defined. */
     private static List<JsonNode> parsed(String lines) throws IOException {
         var mapper = new ObjectMapper();
         var nodes = new ArrayList<JsonNode>();
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -37,8 +37,8 @@
     private TraceSummary summary;
 
     @BeforeClass
-    public void playADay() throws IOException {
-        file = Days.play(Days.folder(), Days.usual(1200, 8)).get(1);
+    public void simulateDay() throws IOException {
+        file = Days.play(Days.folder(), Days.standardPlan(1200, 8)).get(1);
         summary = new TraceSummary();
         try (TraceReader reader = TraceReader.open(file)) {
             summary.add(reader, count -> {});
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void summaryAndExportTellTheSame() throws IOException {
+    public void summaryAndExportHaveTheSameCounts() throws IOException {
         var csv = new StringWriter();
         var lines = new StringWriter();
         try (TraceReader reader = TraceReader.open(file)) {
@@ -80,12 +80,12 @@
                 summary.byServer().values().stream().mapToLong(of -> of.dispatches()).sum(),
                 dispatches);
         assertEquals(
-                summary.stretches().values().stream().mapToLong(of -> of[0]).sum(),
+                summary.intervals().values().stream().mapToLong(of -> of[0]).sum(),
                 summary.all().scans());
     }
 
     @Test
-    public void pageHoldsItsChartsAndNothingFromOutside() {
+    public void pageContainsItsChartsAndLoadsNothing() {
         String html = SummaryPage.html(summary, "a day");
         assertEquals(html.split("<svg").length - 1, 3);
         String without = html.replaceAll("xmlns(:[a-z]+)?=([\"'])[^\"']*\\2", "");
@@ -93,26 +93,26 @@
     }
 
     @Test
-    public void hostileNamesStayText() throws IOException {
+    public void tenantNameWithMarkupIsEscaped() throws IOException {
         Source source;
         try (TraceReader reader = TraceReader.open(file)) {
             source = reader.header().sources().get(0);
         }
-        Deployment f = source.deployment();
-        var evil = new Tenant("<script>alert(1)</script>", 1);
+        Deployment base = source.deployment();
+        var hostile = new Tenant("<script>alert(1)</script>", 1);
         var deployment =
                 new Deployment(
-                        f.gatherers(),
-                        f.zone(),
-                        f.tickMs(),
-                        f.overQuotaPriority(),
-                        f.queryClasses(),
-                        List.of(evil),
-                        f.layout(),
-                        f.limits(),
-                        f.slowStart(),
-                        f.retryBudget(),
-                        f.endpointSubscription());
+                        base.gatherers(),
+                        base.zone(),
+                        base.tickMs(),
+                        base.overQuotaPriority(),
+                        base.queryClasses(),
+                        List.of(hostile),
+                        base.layout(),
+                        base.limits(),
+                        base.slowStart(),
+                        base.retryBudget(),
+                        base.endpointSubscription());
         List<Entry> entries =
                 List.of(
                         PolicyCall.of(
@@ -121,7 +121,7 @@
                                 1,
                                 List.of(
                                         new Event.QueryReceived(
-                                                "s", 1, f.queryClasses().get(0), evil, 1)),
+                                                "s", 1, base.queryClasses().get(0), hostile, 1)),
                                 List.of(new Command.RejectQuery("s", 0, Reason.OVERLOAD)),
                                 false));
         Path path =
@@ -137,7 +137,7 @@
     }
 
     @Test
-    public void storyNamesEachPartsWayAndWhy() throws IOException {
+    public void explanationContainsTheReasonOfEachAttempt() throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
             String id = null;
             for (Entry entry : Days.all(reader.all())) {
@@ -153,18 +153,18 @@
                 collector.add(entry);
             }
             assertEquals(collector.explanations().size(), 1);
-            String told =
+            String text =
                     String.join(
                             "\n",
                             QueryExplainer.tell(
                                     collector.explanations().get(0),
                                     reader.header().sources().get(0)));
             assertTrue(
-                    told.contains(Reason.HEDGE.description())
-                            && told.contains(Reason.FIRST_ROUND.description())
-                            && told.contains("skipped")
-                            && told.contains(" is cancelled"),
-                    told);
+                    text.contains(Reason.HEDGE.description())
+                            && text.contains(Reason.FIRST_ROUND.description())
+                            && text.contains("skipped")
+                            && text.contains(" is cancelled"),
+                    text);
         }
     }
 }
