--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
@@ -30,8 +30,9 @@
 
     /**
      * Chooses the tenants with a pseudonym so that as many queries as possible show one. If the k
-     * largest tenants get a pseudonym, each pseudonym is shown in a cell by the smallest count of
-     * any of these tenants. The k is chosen for which the most queries in total show a pseudonym.
+     * largest tenants get a pseudonym, each of them shows it in a cell as often as the one of them
+     * with the fewest queries in that cell. The k is chosen for which the most queries in total
+     * show a pseudonym.
      *
      * @param minimum minimum number of pseudonyms, which limits the chance of a right guess to one
      *     in this number; if there are fewer tenants, none gets a pseudonym
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
@@ -166,7 +166,7 @@
      * Returns the fit of a source to the reference.
      *
      * @param base fit of another source to the reference
-     * @param onto fit of the source to that other source
+     * @param fit fit of the source to that other source
      */
     private static ClockFit chain(ClockFit base, ClockFit fit) {
         if (base.equals(ClockFit.REFERENCE)) {
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -41,13 +41,15 @@
 
     @BeforeClass
     public void simulateDay() throws IOException {
-        folder = Days.folder();
+        folder = DayFiles.createFolder();
         file = folder.resolve("day.trace");
         TraceMerge.merge(
-                Days.play(folder, new DayPlan(3000, 21, 2, 1, 10, 4, 12, 12)), file, count -> {});
+                DayFiles.simulate(folder, new DayPlan(3000, 21, 2, 1, 10, 4, 12, 12)),
+                file,
+                count -> {});
         try (TraceReader reader = TraceReader.open(file)) {
             header = reader.header();
-            entries = Days.all(reader.all());
+            entries = DayFiles.readAll(reader.all());
         }
     }
 
@@ -143,7 +145,7 @@
         for (int i = 0; i < keys; i++) {
             // The pseudonyms depend on the key, so each key is an independent sample.
             Path to = anonymise(KEY + i, "attacked");
-            Map<String, double[]> observed = profiles(Days.read(to));
+            Map<String, double[]> observed = profiles(DayFiles.read(to));
             assertTrue(observed.size() >= 5, observed.keySet().toString());
             Map<String, String> truth = truth(KEY + i, knownProfiles.keySet());
             // The attacker even knows which tenants are large enough to have a pseudonym.
@@ -179,7 +181,7 @@
 
     @Test
     public void allPseudonymsHaveTheSameProfile() throws IOException {
-        Map<String, double[]> observed = profiles(Days.read(anonymise(KEY, "alike")));
+        Map<String, double[]> observed = profiles(DayFiles.read(anonymise(KEY, "alike")));
         double[] first = observed.values().iterator().next();
         Map<String, double[]> byHour = new TreeMap<>();
         observed.forEach(
@@ -221,7 +223,7 @@
         }
         var text =
                 new StringBuilder(new String(Files.readAllBytes(to), StandardCharsets.ISO_8859_1));
-        Days.read(to).forEach(entry -> text.append(entry));
+        DayFiles.read(to).forEach(entry -> text.append(entry));
         String all = text.toString();
         for (String name : names) {
             assertFalse(all.contains(name), name);
@@ -244,8 +246,8 @@
             assertEquals(after.all().percentileMs(50), before.all().percentileMs(50), 6);
             Event.QueryReceived first =
                     (Event.QueryReceived)
-                            ((PolicyCall) Days.read(to).get(0)).items().get(0).event();
-            assertFalse(Days.all(reader.ofQuery(first.id())).isEmpty());
+                            ((PolicyCall) DayFiles.read(to).get(0)).items().get(0).event();
+            assertFalse(DayFiles.readAll(reader.ofQuery(first.id())).isEmpty());
         }
     }
 
@@ -253,9 +255,9 @@
     public void sameKeyYieldsTheSameFileAndAnotherKeyOtherPseudonyms() throws IOException {
         byte[] once = Files.readAllBytes(anonymise(KEY, "once"));
         assertEquals(Files.readAllBytes(anonymise(KEY, "twice")), once);
-        Set<String> one = profiles(Days.read(folder.resolve("once.trace"))).keySet();
+        Set<String> one = profiles(DayFiles.read(folder.resolve("once.trace"))).keySet();
         Set<String> other =
-                new HashSet<>(profiles(Days.read(anonymise(KEY + "!", "other"))).keySet());
+                new HashSet<>(profiles(DayFiles.read(anonymise(KEY + "!", "other"))).keySet());
         other.retainAll(one);
         assertTrue(other.isEmpty(), other.toString());
         assertThrows(IllegalArgumentException.class, () -> anonymise("short", "none"));
--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/DayFiles.java
@@ -17,10 +17,10 @@
 import sprucehold.tracetools.synthetic.SyntheticDay;
 
 /** Simulates synthetic days and reads and writes trace files. */
-final class Days {
-    private Days() {}
+final class DayFiles {
+    private DayFiles() {}
 
-    static Path folder() throws IOException {
+    static Path createFolder() throws IOException {
         return Files.createTempDirectory("day");
     }
 
@@ -29,7 +29,7 @@
     }
 
     /** Simulates a day and writes a trace file for each gatherer. */
-    static List<Path> play(Path folder, DayPlan plan, DecisionPolicy.Factory factory)
+    static List<Path> simulate(Path folder, DayPlan plan, DecisionPolicy.Factory factory)
             throws IOException {
         var day = new SyntheticDay(plan, factory);
         var files = new ArrayList<Path>();
@@ -48,8 +48,8 @@
         return files;
     }
 
-    static List<Path> play(Path folder, DayPlan plan) throws IOException {
-        return play(folder, plan, QueryScheduler::new);
+    static List<Path> simulate(Path folder, DayPlan plan) throws IOException {
+        return simulate(folder, plan, QueryScheduler::new);
     }
 
     /** Returns the plan of two hours with three gatherers whose clocks differ by seconds. */
@@ -59,11 +59,11 @@
 
     static List<Entry> read(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
-            return all(reader.all());
+            return readAll(reader.all());
         }
     }
 
-    static List<Entry> all(TraceCursor cursor) throws IOException {
+    static List<Entry> readAll(TraceCursor cursor) throws IOException {
         var entries = new ArrayList<Entry>();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             entries.add(entry);
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -41,8 +41,8 @@
 
     @BeforeClass
     public void simulateDay() throws IOException {
-        folder = Days.folder();
-        files = Days.play(folder, Days.standardPlan(1500, 11));
+        folder = DayFiles.createFolder();
+        files = DayFiles.simulate(folder, DayFiles.standardPlan(1500, 11));
         merged = merge("merged", files);
     }
 
@@ -75,7 +75,7 @@
         double from = SyntheticDay.BEGIN_MS - 60_000;
         List<Path> pieces = cut(merged, from, from + 3 * 3_600_000, 24);
         Collections.shuffle(pieces, new Random(3));
-        assertEquals(Days.read(merge("back", pieces)), Days.read(merged));
+        assertEquals(DayFiles.read(merge("back", pieces)), DayFiles.read(merged));
     }
 
     @Test
@@ -93,7 +93,7 @@
     @Test
     public void mergeKeepsTheOrderOfEachSource() throws IOException {
         Map<Integer, List<Entry>> bySource = new HashMap<>();
-        Days.read(merged)
+        DayFiles.read(merged)
                 .forEach(
                         entry ->
                                 bySource.computeIfAbsent(entry.source(), s -> new ArrayList<>())
@@ -101,7 +101,7 @@
         try (TraceReader reader = TraceReader.open(merged)) {
             for (int i = 0; i < 3; i++) {
                 String gatherer = reader.header().sources().get(i).gatherer();
-                assertEquals(bySource.get(i), Days.read(folder.resolve(gatherer + ".trace")));
+                assertEquals(bySource.get(i), DayFiles.read(folder.resolve(gatherer + ".trace")));
             }
         }
     }
@@ -124,7 +124,7 @@
             }
             try (TraceReader reader = TraceReader.open(pieces.get(0))) {
                 spanningPieces +=
-                        Days.all(reader.all()).stream()
+                        DayFiles.readAll(reader.all()).stream()
                                         .anyMatch(
                                                 entry ->
                                                         reader.header()
@@ -144,7 +144,7 @@
     private List<Double> cutTimes() throws IOException {
         var times = new ArrayList<Double>();
         try (TraceReader reader = TraceReader.open(merged)) {
-            for (Entry entry : Days.all(reader.all())) {
+            for (Entry entry : DayFiles.readAll(reader.all())) {
                 boolean received =
                         entry instanceof PolicyCall call
                                 && call.items().stream()
@@ -172,7 +172,7 @@
     private static Map<String, Integer> itemsByQuery(Path file) throws IOException {
         var correlator = new QueryCorrelator();
         Map<String, Integer> items = new HashMap<>();
-        for (Entry entry : Days.read(file)) {
+        for (Entry entry : DayFiles.read(file)) {
             if (entry instanceof PolicyCall call) {
                 for (Item item : call.items()) {
                     CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
@@ -195,11 +195,11 @@
     @Test
     public void fittedClocksAreWithinTheirErrorOfTheTrueOffsets() throws IOException {
         for (long seed = 1; seed <= 6; seed++) {
-            var day = new SyntheticDay(Days.standardPlan(50, seed), QueryScheduler::new);
-            Path of = Days.folder();
+            var day = new SyntheticDay(DayFiles.standardPlan(50, seed), QueryScheduler::new);
+            Path of = DayFiles.createFolder();
             List<Source> fitted =
                     TraceMerge.merge(
-                                    Days.play(of, Days.standardPlan(50, seed)),
+                                    DayFiles.simulate(of, DayFiles.standardPlan(50, seed)),
                                     of.resolve("m.trace"),
                                     count -> {})
                             .sources();
@@ -275,10 +275,11 @@
                 merge(
                         "asked-again",
                         List.of(
-                                Days.write(folder.resolve("a1.trace"), TraceHeader.of(g1), at1),
-                                Days.write(folder.resolve("a0.trace"), TraceHeader.of(g0), at0)));
+                                DayFiles.write(folder.resolve("a1.trace"), TraceHeader.of(g1), at1),
+                                DayFiles.write(
+                                        folder.resolve("a0.trace"), TraceHeader.of(g0), at0)));
         List<String> order = new ArrayList<>();
-        for (Entry entry : Days.read(to)) {
+        for (Entry entry : DayFiles.read(to)) {
             ((PolicyCall) entry)
                     .items()
                     .forEach(
@@ -334,8 +335,9 @@
         }
         entries.add(new Gap(0, 10, SyntheticDay.BEGIN_MS + 20, 5, SyntheticDay.BEGIN_MS + 30));
         Path file =
-                Days.write(folder.resolve("back.trace"), TraceHeader.of(source("g9", 7)), entries);
-        List<Entry> mergedEntries = Days.read(merge("stepped", List.of(files.get(0), file)));
+                DayFiles.write(
+                        folder.resolve("back.trace"), TraceHeader.of(source("g9", 7)), entries);
+        List<Entry> mergedEntries = DayFiles.read(merge("stepped", List.of(files.get(0), file)));
         try (TraceReader reader = TraceReader.open(folder.resolve("stepped.trace"))) {
             assertTrue(reader.verify().sound());
             // The sources share no endpoint change, so one clock is marked as unknown.
@@ -354,13 +356,13 @@
 
     @Test
     public void mergeRejectsInputsWithDifferentContentsForTheSameCall() throws IOException {
-        List<Entry> entries = Days.read(files.get(0));
+        List<Entry> entries = DayFiles.read(files.get(0));
         PolicyCall first = (PolicyCall) entries.get(0);
         entries.set(
                 0, new PolicyCall(0, 0, first.nowMs() + 1, false, first.total(), first.items()));
         Path other;
         try (TraceReader reader = TraceReader.open(files.get(0))) {
-            other = Days.write(folder.resolve("other.trace"), reader.header(), entries);
+            other = DayFiles.write(folder.resolve("other.trace"), reader.header(), entries);
         }
         assertThrows(IOException.class, () -> merge("refused", List.of(files.get(0), other)));
     }
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -30,11 +30,11 @@
 
     @BeforeClass
     public void simulateDay() throws IOException {
-        folder = Days.folder();
-        files = Days.play(folder, Days.standardPlan(800, 5));
+        folder = DayFiles.createFolder();
+        files = DayFiles.simulate(folder, DayFiles.standardPlan(800, 5));
         try (TraceReader reader = TraceReader.open(files.get(0))) {
             header = reader.header();
-            entries = Days.all(reader.all());
+            entries = DayFiles.readAll(reader.all());
         }
     }
 
@@ -57,8 +57,9 @@
     @Test
     public void replayAcceptsFilesOfOneSourceInAnyOrder() throws IOException {
         Path second =
-                Days.write(folder.resolve("2.trace"), header, entries.subList(300, entries.size()));
-        Path first = Days.write(folder.resolve("1.trace"), header, entries.subList(0, 300));
+                DayFiles.write(
+                        folder.resolve("2.trace"), header, entries.subList(300, entries.size()));
+        Path first = DayFiles.write(folder.resolve("1.trace"), header, entries.subList(0, 300));
         TraceReplay.Verdict verdict = replay(QueryScheduler::new, second, first);
         assertNull(verdict.difference());
         assertEquals(verdict.moments(), entries.size());
@@ -128,7 +129,7 @@
     public void unreplayableFileIsRejectedWithAOneLineMessage(
             String name, TraceHeader of, List<Entry> fileEntries, String expectedMessage)
             throws IOException {
-        Path file = Days.write(folder.resolve(name + ".trace"), of, fileEntries);
+        Path file = DayFiles.write(folder.resolve(name + ".trace"), of, fileEntries);
         try {
             replay(QueryScheduler::new, file);
             throw new AssertionError(name + " was replayed");
@@ -141,8 +142,8 @@
 
     @Test
     public void diffNamesTheFirstDifferentCommand() throws IOException {
-        Path other = Days.folder();
-        List<Path> changed = Days.play(other, Days.standardPlan(800, 5), changed());
+        Path other = DayFiles.createFolder();
+        List<Path> changed = DayFiles.simulate(other, DayFiles.standardPlan(800, 5), changed());
         try (TraceReader a = TraceReader.open(files.get(0));
                 TraceReader b = TraceReader.open(changed.get(0));
                 TraceReader again = TraceReader.open(files.get(0))) {
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -38,7 +38,7 @@
 
     @BeforeClass
     public void simulateDay() throws IOException {
-        file = Days.play(Days.folder(), Days.standardPlan(1200, 8)).get(1);
+        file = DayFiles.simulate(DayFiles.createFolder(), DayFiles.standardPlan(1200, 8)).get(1);
         summary = new TraceSummary();
         try (TraceReader reader = TraceReader.open(file)) {
             summary.add(reader, count -> {});
@@ -125,8 +125,8 @@
                                 List.of(new Command.RejectQuery("s", 0, Reason.OVERLOAD)),
                                 false));
         Path path =
-                Days.write(
-                        Days.folder().resolve("evil.trace"),
+                DayFiles.write(
+                        DayFiles.createFolder().resolve("evil.trace"),
                         TraceHeader.of(new Source("g", "b", 1, 1, deployment, source.clock())),
                         entries);
         var of = new TraceSummary();
@@ -140,7 +140,7 @@
     public void explanationContainsTheReasonOfEachAttempt() throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
             String id = null;
-            for (Entry entry : Days.all(reader.all())) {
+            for (Entry entry : DayFiles.readAll(reader.all())) {
                 for (Command command : ((PolicyCall) entry).commands()) {
                     if (command instanceof Command.SendAttempt sendAttempt
                             && sendAttempt.reason() == Reason.HEDGE) {
@@ -149,7 +149,7 @@
                 }
             }
             var collector = new QueryExplanation.Collector(id);
-            for (Entry entry : Days.all(reader.ofQuery(id))) {
+            for (Entry entry : DayFiles.readAll(reader.ofQuery(id))) {
                 collector.add(entry);
             }
             assertEquals(collector.explanations().size(), 1);
