--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -34,8 +34,8 @@
  */
 public final class Anonymiser {
     /**
-     * Length of a time interval, one hour in milliseconds. Shops have rhythms by the hour, so the
-     * output must not show finer times.
+     * Length of a time interval, one hour in milliseconds. The traffic of a shop varies from hour
+     * to hour, so the output must not show finer times.
      */
     public static final double INTERVAL_MS = 3_600_000;
 
@@ -177,7 +177,7 @@
                         .mapToDouble(cell -> cell.interval() * INTERVAL_MS)
                         .min()
                         .orElse(0);
-        // Joins all gatherers to one source, ordered by the fitted clocks, so that nothing
+        // Merges all gatherers into one source, ordered by the fitted clocks, so that nothing
         // distinguishes them.
         source =
                 new Source("anonymised", first.build(), 0, beginMs, deployment, ClockFit.REFERENCE);
@@ -196,7 +196,7 @@
             TraceCursor cursor = reader.all();
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                 if (entry instanceof PolicyCall call) {
-                    Source of = reader.header().sources().get(call.source());
+                    Source origin = reader.header().sources().get(call.source());
                     for (Item item : call.items()) {
                         CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
                         if (query == null) {
@@ -207,13 +207,13 @@
                                         query,
                                         key ->
                                                 new RecordedQuery(
-                                                        query, new ArrayList<>(), of.id()));
+                                                        query, new ArrayList<>(), origin.id()));
                         recorded.items.add(
                                 new RecordedItem(
                                         Math.max(0, call.nowMs() - query.receivedMs()), item));
                         if (query.ended() && query.pendingAttempts() <= 0) {
                             open.remove(query);
-                            long interval = cell(of, query).interval();
+                            long interval = cell(origin, query).interval();
                             if (interval > writtenTo) {
                                 intervals
                                         .computeIfAbsent(interval, key -> new ArrayList<>())
@@ -225,14 +225,14 @@
                     }
                 }
                 // Writes an interval once no client can still be waiting for a query of it.
-                double at =
+                double correctedMs =
                         reader.header()
                                 .sources()
                                 .get(entry.source())
                                 .clock()
                                 .corrected(entry.nowMs());
                 while (!intervals.isEmpty()
-                        && at > (intervals.firstKey() + 1) * INTERVAL_MS + MAX_QUERY_MS) {
+                        && correctedMs > (intervals.firstKey() + 1) * INTERVAL_MS + MAX_QUERY_MS) {
                     writtenTo = intervals.firstKey();
                     long[] counts = write(writer, writtenTo, intervals.remove(writtenTo), reader);
                     written += counts[0];
@@ -336,8 +336,8 @@
                                                 + one.getKey().query.received().number())));
         var calls = new ArrayList<PolicyCall>();
         for (int i = 0; i < chosen.size(); i++) {
-            double at = (interval + (double) i / chosen.size()) * INTERVAL_MS;
-            calls.addAll(calls(chosen.get(i).getKey(), chosen.get(i).getValue(), at));
+            double startMs = (interval + (double) i / chosen.size()) * INTERVAL_MS;
+            calls.addAll(calls(chosen.get(i).getKey(), chosen.get(i).getValue(), startMs));
         }
         calls.sort(
                 Comparator.comparingDouble(PolicyCall::nowMs).thenComparingLong(PolicyCall::seq));
@@ -347,7 +347,7 @@
         return new long[] {chosen.size(), queries.size() - chosen.size(), pooled};
     }
 
-    private List<PolicyCall> calls(RecordedQuery recorded, Tenant tenant, double at) {
+    private List<PolicyCall> calls(RecordedQuery recorded, Tenant tenant, double startMs) {
         String id =
                 pseudonyms.name(
                         "scan",
@@ -370,7 +370,7 @@
         for (RecordedItem line : recorded.items) {
             double after = Math.rint(line.afterMs / DURATION_STEP_MS) * DURATION_STEP_MS;
             if (after != before && !items.isEmpty()) {
-                calls.add(call(order++, at + before, items));
+                calls.add(call(order++, startMs + before, items));
                 items = new ArrayList<>();
             }
             before = Math.max(before, after);
@@ -380,13 +380,13 @@
             }
         }
         if (!items.isEmpty()) {
-            calls.add(call(order, at + before, items));
+            calls.add(call(order, startMs + before, items));
         }
         return calls;
     }
 
-    private static PolicyCall call(long order, double at, List<Item> items) {
-        return new PolicyCall(0, order, at, false, items.size(), items);
+    private static PolicyCall call(long order, double nowMs, List<Item> items) {
+        return new PolicyCall(0, order, nowMs, false, items.size(), items);
     }
 
     private Item item(
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/PseudonymQuota.java
@@ -12,8 +12,8 @@
  * Decides which tenants get a pseudonym of their own, and how many of their queries show it. In
  * each cell, which is a time interval and a query class, every pseudonym is shown by the same
  * number of queries. So neither counts nor rhythms nor the mix of query classes distinguish one
- * pseudonym from another. Tenants with too few queries are pooled, and so are the queries above the
- * number. The class is pure: it accesses no file.
+ * pseudonym from another. Tenants with too few queries are pooled, and so are the queries of a
+ * tenant beyond that number. The class is pure: it accesses no file.
  */
 final class PseudonymQuota {
     /** A time interval and a query class. */
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Pseudonyms.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Pseudonyms.java
@@ -12,7 +12,7 @@
  * truncated to 64 bits.
  */
 final class Pseudonyms {
-    /** Minimum length of the key in characters; a shorter key could be found by trial. */
+    /** Minimum length of the key in characters; a shorter key could be found by brute force. */
     static final int MIN_KEY_LENGTH = 16;
 
     private final Mac mac;
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
@@ -12,15 +12,15 @@
  * that both sources saw. The slope of the line is the median slope of pairs of points (Theil, "A
  * rank-invariant method of linear and polynomial regression analysis", 1950; Sen, 1968), and its
  * offset is the median of the residuals. A source that shares no change with the reference is
- * fitted by way of other sources. Pairs of sources that share the most changes are used first.
+ * fitted by way of other sources. Pairs of sources that share the most changes are fitted first.
  */
 public final class ClockEstimate {
     /**
-     * Minimum number of pairs of points that a slope is computed from, if there are as many. All
-     * pairs of up to some 630 points are used, and evenly spread pairs of more points. Fewer than
-     * twice this number are used.
+     * Target number of pairs of points that a slope is computed from. With fewer than twice as many
+     * pairs, that is up to 632 points, all pairs are examined. With more, evenly spread pairs are
+     * examined: at least this number and fewer than twice as many.
      */
-    private static final int MAX_PAIRS = 100_000;
+    private static final int TARGET_PAIRS = 100_000;
 
     /**
      * Minimum time between the points of a pair, in milliseconds. The slope between nearer points
@@ -40,7 +40,8 @@
      * A change that two sources saw.
      *
      * @param at time at which the fitted source saw it, by its own clock in milliseconds
-     * @param ahead that time minus the time at which the other source saw it, by the other's clock
+     * @param ahead that time minus the time at which the other source saw it by its own clock, in
+     *     milliseconds
      */
     private record Point(double at, double ahead) {}
 
@@ -81,7 +82,8 @@
         if (reference >= 0) {
             fits[reference] = ClockFit.REFERENCE;
         }
-        // Grows a spanning tree from the reference, pairs with the most shared changes first.
+        // Builds a spanning tree from the reference. Each step fits the unfitted source that shares
+        // the most changes with a fitted one.
         while (true) {
             int from = -1;
             int to = -1;
@@ -141,7 +143,7 @@
 
     private static double slope(List<Point> points) {
         long all = (long) points.size() * (points.size() - 1) / 2;
-        long step = Math.max(1, all / MAX_PAIRS);
+        long step = Math.max(1, all / TARGET_PAIRS);
         var slopes = new ArrayList<Double>();
         long count = 0;
         for (int i = 0; i < points.size(); i++) {
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -21,7 +21,7 @@
 
     private QueryExplainer() {}
 
-    /** Returns the lines of the description. */
+    /** Returns the description of a query as lines of text. */
     public static List<String> tell(QueryExplanation explanation, Source source) {
         var lines = new ArrayList<String>();
         QueryStatistics statistics = explanation.statistics();
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatistics.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatistics.java
@@ -56,7 +56,7 @@
             return storedName;
         }
 
-        /** Returns the description of the outcome for people. */
+        /** Returns the human-readable description of the outcome. */
         public String description() {
             return description;
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatisticsCollector.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryStatisticsCollector.java
@@ -11,13 +11,14 @@
 import sprucehold.trace.event.PolicyCall;
 
 /**
- * Computes the statistics of each query from the entries of a trace. Passes the statistics on once
- * the query has ended and none of its attempts is pending.
+ * Computes the statistics of each query from the entries of a trace. Passes them to the consumer
+ * once the query has ended and none of its attempts is pending.
  */
 public final class QueryStatisticsCollector {
     /**
      * Maximum number of unfinished queries, the same as in {@link QueryCorrelator}. Beyond it, the
-     * oldest query is passed on as open, since the end of a query may be missing in the trace.
+     * consumer receives the oldest query as open, since the end of a query may be missing in the
+     * trace.
      */
     private static final int MAX_QUERIES = 100_000;
 
@@ -53,7 +54,7 @@
         }
     }
 
-    /** Passes on the queries that are not finished. */
+    /** Passes the statistics of all unfinished queries to the consumer. */
     public void end() {
         List.copyOf(open.values()).forEach(consumer);
         open.clear();
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/SourceStream.java
@@ -30,7 +30,7 @@
     }
 
     /**
-     * @param source index of the source in the merged file, which its entries get
+     * @param source index of the source in the merged file; it is set in the returned entries
      */
     SourceStream(int source) {
         this.source = source;
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
@@ -176,7 +176,7 @@
 
     /**
      * Returns the window that the windows of all files cover together, or null if a file wasn't cut
-     * or if there is a hole between the windows.
+     * or if the windows leave out a time between them.
      */
     private static TraceHeader.Window union(List<TraceReader> readers) {
         List<TraceHeader.Window> windows = new ArrayList<>();
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -72,7 +72,7 @@
         }
         for (Source source : b.header().sources()) {
             if (a.header().sources().stream()
-                    .noneMatch(of -> of.gatherer().equals(source.gatherer()))) {
+                    .noneMatch(candidate -> candidate.gatherer().equals(source.gatherer()))) {
                 partings.add(
                         new Parting(
                                 source.gatherer(),
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
@@ -244,7 +244,7 @@
         return Double.isNaN(value) ? "" : String.format(Locale.ROOT, "%.1f", value);
     }
 
-    /** Escapes a text for HTML. Names come from clients and must not be read as markup. */
+    /** Escapes a text for HTML. Names come from clients and must not be interpreted as markup. */
     static String escape(String text) {
         return text.replace("&", "&amp;")
                 .replace("<", "&lt;")
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -32,7 +32,7 @@
 
     private static final String OTHERS = "(others)";
 
-    /** Maximum number of time intervals on a chart; above it, pairs of intervals are joined. */
+    /** Maximum number of time intervals on a chart; beyond it, pairs of intervals are joined. */
     private static final int MAX_INTERVALS = 240;
 
     private final QueryGroup all = new QueryGroup();
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -65,10 +65,10 @@
      * Returns the profile of each name that an observer sees: the numbers of queries by ten minutes
      * (the last number includes all later times) and by query class.
      */
-    private static Map<String, double[]> profiles(List<Entry> of) {
+    private static Map<String, double[]> profiles(List<Entry> trace) {
         Map<String, double[]> profiles = new TreeMap<>();
-        double begin = of.stream().mapToDouble(Entry::nowMs).min().orElse(0);
-        for (Entry entry : of) {
+        double begin = trace.stream().mapToDouble(Entry::nowMs).min().orElse(0);
+        for (Entry entry : trace) {
             for (Item item : entry instanceof PolicyCall call ? call.items() : List.<Item>of()) {
                 if (item.event() instanceof Event.QueryReceived query && query.tenant() != null) {
                     double[] profile =
@@ -196,7 +196,7 @@
                     }
                 });
         double[] hours = byHour.values().iterator().next();
-        byHour.forEach((name, of) -> assertEquals(of, hours, name));
+        byHour.forEach((name, counts) -> assertEquals(counts, hours, name));
     }
 
     @Test
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -196,11 +196,11 @@
     public void fittedClocksAreWithinTheirErrorOfTheTrueOffsets() throws IOException {
         for (long seed = 1; seed <= 6; seed++) {
             var day = new SyntheticDay(DayFiles.standardPlan(50, seed), QueryScheduler::new);
-            Path of = DayFiles.createFolder();
+            Path dayFolder = DayFiles.createFolder();
             List<Source> fitted =
                     TraceMerge.merge(
-                                    DayFiles.simulate(of, DayFiles.standardPlan(50, seed)),
-                                    of.resolve("m.trace"),
+                                    DayFiles.simulate(dayFolder, DayFiles.standardPlan(50, seed)),
+                                    dayFolder.resolve("m.trace"),
                                     count -> {})
                             .sources();
             double middle = SyntheticDay.BEGIN_MS + 3_600_000;
@@ -294,13 +294,13 @@
 
     private Source source(String name, double started) throws IOException {
         try (TraceReader reader = TraceReader.open(files.get(0))) {
-            Source of = reader.header().sources().get(0);
+            Source base = reader.header().sources().get(0);
             return new Source(
                     name,
                     "test",
                     1,
                     SyntheticDay.BEGIN_MS + started,
-                    of.deployment(),
+                    base.deployment(),
                     ClockFit.REFERENCE);
         }
     }
@@ -343,11 +343,11 @@
             // The sources share no endpoint change, so one clock is marked as unknown.
             assertTrue(
                     reader.header().sources().stream()
-                            .anyMatch(of -> of.clock().equals(ClockFit.UNKNOWN)));
-            int of = reader.header().sources().get(0).gatherer().equals("g9") ? 0 : 1;
+                            .anyMatch(source -> source.clock().equals(ClockFit.UNKNOWN)));
+            int sourceIndex = reader.header().sources().get(0).gatherer().equals("g9") ? 0 : 1;
             assertEquals(
                     mergedEntries.stream()
-                            .filter(entry -> entry.source() == of)
+                            .filter(entry -> entry.source() == sourceIndex)
                             .map(entry -> entry.withSource(0))
                             .toList(),
                     entries);
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -38,10 +38,10 @@
         }
     }
 
-    private static TraceReplay.Verdict replay(DecisionPolicy.Factory factory, Path... of)
+    private static TraceReplay.Verdict replay(DecisionPolicy.Factory factory, Path... paths)
             throws IOException {
         var readers = new ArrayList<TraceReader>();
-        for (Path file : of) {
+        for (Path file : paths) {
             readers.add(TraceReader.open(file));
         }
         return TraceReplay.replay(readers, factory, count -> {});
@@ -127,9 +127,9 @@
 
     @Test(dataProvider = "unreplayableFiles")
     public void unreplayableFileIsRejectedWithAOneLineMessage(
-            String name, TraceHeader of, List<Entry> fileEntries, String expectedMessage)
+            String name, TraceHeader fileHeader, List<Entry> fileEntries, String expectedMessage)
             throws IOException {
-        Path file = DayFiles.write(folder.resolve(name + ".trace"), of, fileEntries);
+        Path file = DayFiles.write(folder.resolve(name + ".trace"), fileHeader, fileEntries);
         try {
             replay(QueryScheduler::new, file);
             throw new AssertionError(name + " was replayed");
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -77,10 +77,10 @@
         assertEquals(dispatches, summary.all().dispatches());
         assertEquals(inTime, summary.all().inTargetTime());
         assertEquals(
-                summary.byServer().values().stream().mapToLong(of -> of.dispatches()).sum(),
+                summary.byServer().values().stream().mapToLong(group -> group.dispatches()).sum(),
                 dispatches);
         assertEquals(
-                summary.intervals().values().stream().mapToLong(of -> of[0]).sum(),
+                summary.intervals().values().stream().mapToLong(counts -> counts[0]).sum(),
                 summary.all().scans());
     }
 
@@ -129,11 +129,11 @@
                         DayFiles.createFolder().resolve("evil.trace"),
                         TraceHeader.of(new Source("g", "b", 1, 1, deployment, source.clock())),
                         entries);
-        var of = new TraceSummary();
+        var hostileSummary = new TraceSummary();
         try (TraceReader reader = TraceReader.open(path)) {
-            of.add(reader, count -> {});
+            hostileSummary.add(reader, count -> {});
         }
-        assertFalse(SummaryPage.html(of, "<b>").contains("<script>"));
+        assertFalse(SummaryPage.html(hostileSummary, "<b>").contains("<script>"));
     }
 
     @Test
