--- a/tracetools/src/test/java/sprucehold/tracetools/Days.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/DayFiles.java
@@ -16,11 +16,11 @@
 import sprucehold.tracetools.synthetic.DayPlan;
 import sprucehold.tracetools.synthetic.SyntheticDay;
 
-/** Synthetic days in files of their own. */
-final class Days {
-    private Days() {}
+/** Simulates synthetic days and reads and writes trace files. */
+final class DayFiles {
+    private DayFiles() {}
 
-    static Path folder() throws IOException {
+    static Path createFolder() throws IOException {
         return Files.createTempDirectory("day");
     }
 
@@ -28,8 +28,8 @@
         return folder.resolve(name);
     }
 
-    /** Plays a day and writes a file for each gatherer. */
-    static List<Path> play(Path folder, DayPlan plan, DecisionPolicy.Factory factory)
+    /** Simulates a day and writes a trace file for each gatherer. */
+    static List<Path> simulate(Path folder, DayPlan plan, DecisionPolicy.Factory factory)
             throws IOException {
         var day = new SyntheticDay(plan, factory);
         var files = new ArrayList<Path>();
@@ -48,22 +48,22 @@
         return files;
     }
 
-    static List<Path> play(Path folder, DayPlan plan) throws IOException {
-        return play(folder, plan, QueryScheduler::new);
+    static List<Path> simulate(Path folder, DayPlan plan) throws IOException {
+        return simulate(folder, plan, QueryScheduler::new);
     }
 
-    /** Two hours of three gatherers whose clocks differ by seconds. */
-    static DayPlan usual(int scans, long seed) {
-        return new DayPlan(scans, seed, 3, 4, 50, 2, 30, 40);
+    /** Returns the plan of two hours with three gatherers whose clocks differ by seconds. */
+    static DayPlan standardPlan(int queries, long seed) {
+        return new DayPlan(queries, seed, 3, 4, 50, 2, 30, 40);
     }
 
     static List<Entry> read(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
-            return all(reader.all());
+            return readAll(reader.all());
         }
     }
 
-    static List<Entry> all(TraceCursor cursor) throws IOException {
+    static List<Entry> readAll(TraceCursor cursor) throws IOException {
         var entries = new ArrayList<Entry>();
         for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
             entries.add(entry);
