--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -310,7 +310,8 @@
                                 "sprucehold.tracetools.clock..",
                                 "sprucehold.tracetools.explanation..")
                         .or()
-                        .haveNameMatching("sprucehold\\.trace\\.record\\.(Thinning|FileDuty)")
+                        .haveNameMatching(
+                                "sprucehold\\.trace\\.record\\.(QuerySampler|RotationPolicy)")
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
