--- a/cli/src/main/java/sprucehold/cli/ChangeCommand.java
+++ b/cli/src/main/java/sprucehold/cli/ChangeCommand.java
@@ -20,7 +20,7 @@
 import sprucehold.change.document.SemanticValidator;
 import sprucehold.change.document.ValidationError;
 
-/** Changes of running gatherers. */
+/** The command {@code change}: configuration changes of running gatherers. */
 @Command(
         name = "change",
         description =
@@ -42,22 +42,22 @@
 public final class ChangeCommand {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Reads a document; its faults are told, a line each, and null is returned. */
+    /** Returns the document, or null after writing each validation error as a line. */
     private static ConfigurationDocument read(Path file, boolean json) throws IOException {
         DocumentReader.ReadResult read = DocumentReader.read(Files.readAllBytes(file));
-        List<ValidationError> faults =
-                read instanceof DocumentReader.ReadResult.Invalid bad
-                        ? bad.errors()
+        List<ValidationError> errors =
+                read instanceof DocumentReader.ReadResult.Invalid invalid
+                        ? invalid.errors()
                         : SemanticValidator.validate(
                                 ((DocumentReader.ReadResult.Valid) read).document());
-        if (faults.isEmpty()) {
+        if (errors.isEmpty()) {
             return ((DocumentReader.ReadResult.Valid) read).document();
         }
-        for (ValidationError fault : faults) {
+        for (ValidationError error : errors) {
             if (json) {
-                Printed.json(fault);
+                Console.json(error);
             } else {
-                System.err.println("sprucehold: " + file + ": " + fault);
+                System.err.println("sprucehold: " + file + ": " + error);
             }
         }
         return null;
@@ -65,15 +65,15 @@
 
     private static void print(DocumentDifference difference, boolean json) {
         if (json) {
-            Printed.json(difference);
+            Console.json(difference);
             return;
         }
         var rows = new ArrayList<List<Object>>();
-        difference.changes().forEach(of -> rows.add(List.of(of.risk(), of.description())));
+        difference.changes().forEach(item -> rows.add(List.of(item.risk(), item.description())));
         if (rows.isEmpty()) {
             System.out.println("nothing changes");
         } else {
-            Printed.table(List.of("risk", "what it means"), rows);
+            Console.table(List.of("risk", "what it means"), rows);
         }
     }
 
@@ -130,8 +130,8 @@
         }
     }
 
-    /** Where the gatherer's door is, and what opens it. */
-    static final class DoorOf {
+    /** Options for the address of the admin server and its token. */
+    static final class AdminOptions {
         @Option(
                 names = "--door",
                 paramLabel = "HOST:PORT",
@@ -166,32 +166,32 @@
             } else if (answer.isArray()) {
                 var rows = new ArrayList<List<Object>>();
                 answer.forEach(
-                        of ->
+                        item ->
                                 rows.add(
                                         List.of(
-                                                of.get("version").asLong(),
-                                                of.get("madeFrom").asLong(),
-                                                of.get("by").asText(),
-                                                of.get("state").asText(),
-                                                of.get("why").asText())));
-                Printed.table(List.of("version", "made from", "by", "state", "why"), rows);
+                                                item.get("version").asLong(),
+                                                item.get("madeFrom").asLong(),
+                                                item.get("by").asText(),
+                                                item.get("state").asText(),
+                                                item.get("why").asText())));
+                Console.table(List.of("version", "made from", "by", "state", "why"), rows);
             } else {
-                var pairs = TraceLook.map();
+                var pairs = TraceView.map();
                 answer.properties()
                         .forEach(
-                                of -> {
-                                    if (!of.getValue().isContainerNode()) {
-                                        pairs.put(of.getKey(), of.getValue().asText());
+                                item -> {
+                                    if (!item.getValue().isContainerNode()) {
+                                        pairs.put(item.getKey(), item.getValue().asText());
                                     }
                                 });
-                Printed.pairs(pairs);
+                Console.pairs(pairs);
                 answer.path("changes")
                         .forEach(
-                                of ->
+                                item ->
                                         System.out.println(
-                                                of.get("risk").asText()
+                                                item.get("risk").asText()
                                                         + "  "
-                                                        + of.get("words").asText()));
+                                                        + item.get("words").asText()));
             }
             return 0;
         }
@@ -202,7 +202,7 @@
             description = "Proposes a document; it goes live between two moments, and is watched.",
             mixinStandardHelpOptions = true)
     static final class Propose implements Callable<Integer> {
-        @Mixin private DoorOf door;
+        @Mixin private AdminOptions admin;
 
         @Parameters(paramLabel = "FILE", description = "the whole document that is to hold")
         private Path file;
@@ -224,17 +224,17 @@
 
         @Override
         public Integer call() throws IOException {
-            ConfigurationDocument document = read(file, door.json);
+            ConfigurationDocument document = read(file, admin.json);
             if (document == null) {
                 return 1;
             }
             ObjectNode body =
                     MAPPER.createObjectNode()
                             .put("id", id == null ? UUID.randomUUID().toString() : id)
-                            .put("by", door.by)
+                            .put("by", admin.by)
                             .put("madeFrom", madeFrom);
             body.set("document", MAPPER.readTree(DocumentReader.write(document)));
-            return door.print(door.call("POST", "/change/propose", body));
+            return admin.print(admin.call("POST", "/change/propose", body));
         }
     }
 
@@ -243,11 +243,11 @@
             description = "Which version is live, watched, staged, confirmed.",
             mixinStandardHelpOptions = true)
     static final class Status implements Callable<Integer> {
-        @Mixin private DoorOf door;
+        @Mixin private AdminOptions admin;
 
         @Override
         public Integer call() throws IOException {
-            return door.print(door.call("GET", "/change/status", null));
+            return admin.print(admin.call("GET", "/change/status", null));
         }
     }
 
@@ -256,11 +256,11 @@
             description = "The document in force, to make the next one from.",
             mixinStandardHelpOptions = true)
     static final class Current implements Callable<Integer> {
-        @Mixin private DoorOf door;
+        @Mixin private AdminOptions admin;
 
         @Override
         public Integer call() throws IOException {
-            System.out.println(door.call("GET", "/change/document", null).toPrettyString());
+            System.out.println(admin.call("GET", "/change/document", null).toPrettyString());
             return 0;
         }
     }
@@ -270,11 +270,11 @@
             description = "What became of each version.",
             mixinStandardHelpOptions = true)
     static final class History implements Callable<Integer> {
-        @Mixin private DoorOf door;
+        @Mixin private AdminOptions admin;
 
         @Override
         public Integer call() throws IOException {
-            return door.print(door.call("GET", "/change/history", null));
+            return admin.print(admin.call("GET", "/change/history", null));
         }
     }
 
@@ -283,18 +283,18 @@
             description = "Takes the watched version for good.",
             mixinStandardHelpOptions = true)
     static final class Confirm implements Callable<Integer> {
-        @Mixin private DoorOf door;
+        @Mixin private AdminOptions admin;
 
         @Parameters(paramLabel = "VERSION", description = "its number")
         private long version;
 
         @Override
         public Integer call() throws IOException {
-            return door.print(
-                    door.call(
+            return admin.print(
+                    admin.call(
                             "POST",
                             "/change/confirm",
-                            MAPPER.createObjectNode().put("version", version).put("by", door.by)));
+                            MAPPER.createObjectNode().put("version", version).put("by", admin.by)));
         }
     }
 
@@ -303,18 +303,18 @@
             description = "Takes a version back that is staged or watched.",
             mixinStandardHelpOptions = true)
     static final class Undo implements Callable<Integer> {
-        @Mixin private DoorOf door;
+        @Mixin private AdminOptions admin;
 
         @Parameters(paramLabel = "VERSION", description = "its number")
         private long version;
 
         @Override
         public Integer call() throws IOException {
-            return door.print(
-                    door.call(
+            return admin.print(
+                    admin.call(
                             "POST",
                             "/change/undo",
-                            MAPPER.createObjectNode().put("version", version).put("by", door.by)));
+                            MAPPER.createObjectNode().put("version", version).put("by", admin.by)));
         }
     }
 }
--- a/cli/src/main/java/sprucehold/cli/Printed.java
+++ b/cli/src/main/java/sprucehold/cli/Console.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import sprucehold.storage.StoredJson;
 
-/** What a command prints: a table for people, or JSON for machines. */
-final class Printed {
+/** Writes results to standard output, as a table or as JSON, and progress to standard error. */
+final class Console {
     private static final ObjectMapper MAPPER = StoredJson.mapperBuilder().build();
 
-    private Printed() {}
+    private Console() {}
 
-    /** One JSON value on a line of standard output. */
+    /** Writes one JSON value as a line to standard output. */
     static void json(Object value) {
         try {
             System.out.println(MAPPER.writeValueAsString(value));
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Names and values, one pair a line. */
+    /** Writes names and values, one pair a line. */
     static void pairs(Map<String, ?> values) {
         int width = values.keySet().stream().mapToInt(String::length).max().orElse(0);
         values.forEach(
@@ -31,11 +31,11 @@
                         System.out.printf(Locale.ROOT, "%-" + width + "s  %s%n", name, value));
     }
 
-    /** A table: the first column to the left, numbers to the right. */
+    /** Writes a table. Columns of numbers are right-aligned, all others left-aligned. */
     static void table(List<String> header, List<? extends List<?>> rows) {
         var lines = new ArrayList<List<String>>();
         lines.add(header);
-        rows.forEach(row -> lines.add(row.stream().map(Printed::cell).toList()));
+        rows.forEach(row -> lines.add(row.stream().map(Console::cell).toList()));
         int[] widths = new int[header.size()];
         boolean[] numbers = new boolean[header.size()];
         for (int i = 0; i < widths.length; i++) {
@@ -63,31 +63,31 @@
     }
 
     /**
-     * How far long work has come, on standard error at most twice a second, and nothing for short
-     * work.
+     * Writes the progress of an operation to standard error, at most once in 500 ms. An operation
+     * that takes less than 500 ms writes nothing.
      */
     static final class Progress {
-        private final String what;
-        private final long begun = System.nanoTime();
-        private long told = begun;
-        private boolean any;
+        private final String unit;
+        private final long startedNs = System.nanoTime();
+        private long lastWrittenNs = startedNs;
+        private boolean written;
 
-        Progress(String what) {
-            this.what = what;
+        Progress(String unit) {
+            this.unit = unit;
         }
 
-        void at(long count) {
+        void update(long count) {
             long now = System.nanoTime();
-            if (now - told > 500_000_000L) {
-                told = now;
-                any = true;
+            if (now - lastWrittenNs > 500_000_000L) {
+                lastWrittenNs = now;
+                written = true;
                 System.err.printf(
-                        Locale.ROOT, "\r%,d %s, %.0f s", count, what, (now - begun) / 1e9);
+                        Locale.ROOT, "\r%,d %s, %.0f s", count, unit, (now - startedNs) / 1e9);
             }
         }
 
-        void end() {
-            if (any) {
+        void finish() {
+            if (written) {
                 System.err.println();
             }
         }
--- a/cli/src/main/java/sprucehold/cli/LoadCommand.java
+++ b/cli/src/main/java/sprucehold/cli/LoadCommand.java
@@ -13,7 +13,7 @@
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.verdict.Figures;
 
-/** The clients of a script, against gatherers that are there already. */
+/** Sends the queries of a script to gatherers that are already running. */
 @Command(
         name = "load",
         description =
@@ -46,19 +46,20 @@
     @Override
     public Integer call() throws IOException {
         var addresses = new ArrayList<SocketAddress>();
-        for (String one : to) {
-            int colon = one.lastIndexOf(':');
-            if (colon <= 0 || !one.substring(colon + 1).matches("[0-9]{1,5}")) {
-                throw new IOException("--to " + one + ": HOST:PORT was expected");
+        for (String address : to) {
+            int colon = address.lastIndexOf(':');
+            if (colon <= 0 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
+                throw new IOException("--to " + address + ": HOST:PORT was expected");
             }
             addresses.add(
                     SocketAddress.inetSocketAddress(
-                            Integer.parseInt(one.substring(colon + 1)), one.substring(0, colon)));
+                            Integer.parseInt(address.substring(colon + 1)),
+                            address.substring(0, colon)));
         }
         Figures figures =
                 LoadAlone.run(ScriptReader.read(script), seed, addresses, System.err::println);
         if (json) {
-            Printed.json(figures);
+            Console.json(figures);
         } else {
             System.out.printf(
                     Locale.ROOT,
--- a/cli/src/main/java/sprucehold/cli/OutcomeNames.java
+++ b/cli/src/main/java/sprucehold/cli/OutcomeNames.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.TypeConversionException;
 import sprucehold.tracetools.explanation.QueryStatistics;
 
-/** Outcomes of queries as options name them: by their stored names, which scripts know. */
+/** Converts the stored name of a query outcome, which scripts pass as an option, to the outcome. */
 final class OutcomeNames implements ITypeConverter<QueryStatistics.Outcome>, Iterable<String> {
     @Override
     public QueryStatistics.Outcome convert(String name) {
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -27,7 +27,10 @@
 import sprucehold.rig.verdict.Spread;
 import sprucehold.rig.verdict.Verdict;
 
-/** Many gatherers on this machine, faults between them, one checker of the rules. */
+/**
+ * The command {@code rig}: starts many gatherers on this machine, injects faults between them and
+ * judges the run by the six rules.
+ */
 @Command(
         name = "rig",
         description =
@@ -53,7 +56,7 @@
                     + "together-cut, together-alone, together-deaf, together-paused, together-clocks, together-killed, together-liar, "
                     + "together-twin, together-flood";
 
-    /** Plays, writes the page and prints the verdict. */
+    /** Plays a script, writes the page of the run to its folder and returns the verdict. */
     private static Verdict play(Script script, long seed, Path folder, boolean quiet)
             throws IOException {
         RunFolder run = RunFolder.make(folder);
@@ -86,14 +89,14 @@
             map.put("why", verdict.why());
             map.put("figures", verdict.figures());
             map.put("folder", folder.toString());
-            Printed.json(map);
+            Console.json(map);
         } else {
             System.out.println(verdict.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '));
             verdict.why().stream().limit(20).forEach(why -> System.out.println("  " + why));
             if (verdict.why().size() > 20) {
                 System.out.println("  and " + (verdict.why().size() - 20) + " more");
             }
-            Printed.pairs(RunPage.figures(verdict));
+            Console.pairs(RunPage.figures(verdict));
             System.out.println("page: " + folder.resolve("page.html"));
         }
         return verdict.kind().exit();
@@ -181,13 +184,13 @@
                 System.out.println();
                 return 0;
             }
-            Map<String, Object> what = new LinkedHashMap<>();
-            what.put("name", read.name());
-            what.put("gatherers", plan.gatherers().size());
-            what.put("shard_servers", plan.servers().size());
-            what.put("scans", plan.asks().size());
-            what.put("seconds", read.lengthS());
-            what.put(
+            Map<String, Object> summary = new LinkedHashMap<>();
+            summary.put("name", read.name());
+            summary.put("gatherers", plan.gatherers().size());
+            summary.put("shard_servers", plan.servers().size());
+            summary.put("scans", plan.asks().size());
+            summary.put("seconds", read.lengthS());
+            summary.put(
                     "faults",
                     plan.faults().stream()
                             .map(
@@ -203,9 +206,9 @@
                                                                     + String.join(" ", fault.to())))
                             .toList());
             if (json) {
-                Printed.json(what);
+                Console.json(summary);
             } else {
-                Printed.pairs(what);
+                Console.pairs(summary);
             }
             return 0;
         }
@@ -247,9 +250,9 @@
             written.put("page", folder.resolve("page.html").toString());
             written.put("chart", folder.resolve("service.svg").toString());
             if (json) {
-                Printed.json(written);
+                Console.json(written);
             } else {
-                Printed.pairs(written);
+                Console.pairs(written);
             }
             return 0;
         }
@@ -302,7 +305,7 @@
             var left = Shrinker.shrink(whole.faults(), faults -> broken(whole.with(faults)));
             Files.writeString(out, ScriptWriter.json(whole.with(left)));
             if (json) {
-                Printed.json(Map.of("faults", left.size(), "out", out.toString()));
+                Console.json(Map.of("faults", left.size(), "out", out.toString()));
             } else {
                 System.out.println(
                         left.size()
@@ -379,7 +382,7 @@
             }
             Map<String, Spread> spreads = Spread.of(figures);
             if (json) {
-                Printed.json(
+                Console.json(
                         Map.of(
                                 "runs",
                                 runs,
@@ -390,16 +393,16 @@
                                 "spreads",
                                 spreads));
             } else {
-                Printed.table(
+                Console.table(
                         List.of("figure", "least", "median", "most"),
                         spreads.entrySet().stream()
                                 .map(
-                                        one ->
+                                        current ->
                                                 List.of(
-                                                        one.getKey(),
-                                                        number(one.getValue().least()),
-                                                        number(one.getValue().median()),
-                                                        number(one.getValue().most())))
+                                                        current.getKey(),
+                                                        number(current.getValue().least()),
+                                                        number(current.getValue().median()),
+                                                        number(current.getValue().most())))
                                 .toList());
                 System.out.println(
                         runs + " runs: " + bad + " not passed, " + starved + " don't count");
@@ -449,22 +452,23 @@
             Script base = ScriptReader.read(script);
             int starved = 0;
             var broken = new ArrayList<Long>();
-            for (long one = seed; one < seed + runs; one++) {
-                Path folder = out.resolve("run-" + one);
+            for (long current = seed; current < seed + runs; current++) {
+                Path folder = out.resolve("run-" + current);
                 Verdict verdict;
                 try {
-                    verdict = play(Storm.draw(base, one), one, folder, true);
+                    verdict = play(Storm.draw(base, current), current, folder, true);
                 } catch (IOException e) {
-                    // A fault of the rig's own says nothing of gatherers, and the other runs go on.
-                    System.err.println("seed " + one + ": the rig failed: " + e.getMessage());
+                    // A failure of the rig itself is no result about the gatherers. The remaining
+                    // runs are still played.
+                    System.err.println("seed " + current + ": the rig failed: " + e.getMessage());
                     starved++;
                     continue;
                 }
                 if (json) {
-                    Printed.json(
+                    Console.json(
                             Map.of(
                                     "seed",
-                                    one,
+                                    current,
                                     "verdict",
                                     verdict.kind().name(),
                                     "service",
@@ -475,13 +479,13 @@
                     System.out.printf(
                             Locale.ROOT,
                             "seed %d: %s, service %.3f%s%n",
-                            one,
+                            current,
                             verdict.kind(),
                             verdict.figures().service(),
                             verdict.why().isEmpty() ? "" : "; " + verdict.why().get(0));
                 }
                 if (verdict.kind() == Verdict.Kind.BROKEN) {
-                    broken.add(one);
+                    broken.add(current);
                 } else {
                     starved += verdict.kind() == Verdict.Kind.STARVED ? 1 : 0;
                     remove(folder);
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -27,7 +27,7 @@
 import sprucehold.change.rollout.RolloutState;
 import sprucehold.change.rollout.RolloutState.GathererState;
 
-/** Brings a change to many gatherers, in waves. */
+/** The command {@code change rollout}: proposes a document to many gatherers, in waves. */
 @Command(
         name = "rollout",
         description =
@@ -49,7 +49,7 @@
             arity = "1..*",
             paramLabel = "HOST:PORT",
             description = "the gatherers' doors, in the " + "order of their turn")
-    private List<String> doors;
+    private List<String> addresses;
 
     @Option(
             names = "--token-file",
@@ -75,53 +75,54 @@
     @Option(names = "--json", description = "the end as one JSON object")
     private boolean json;
 
-    /**
-     * What is asked of the doors; each answer is handed on, and a door that doesn't answer says
-     * nothing.
-     */
+    /** Version number of this rollout's proposal, by address of the admin server. */
     private final Map<String, Long> versions = new HashMap<>();
 
-    /** What each gatherer served before, kept beside the state. */
-    private ObjectNode before = MAPPER.createObjectNode();
+    /** Document of each gatherer before the rollout, stored in a file next to the state file. */
+    private ObjectNode previousDocuments = MAPPER.createObjectNode();
 
     private ConfigurationDocument document;
 
     @Override
     public Integer call() throws IOException {
         DocumentReader.ReadResult read = DocumentReader.read(Files.readAllBytes(file));
-        if (read instanceof DocumentReader.ReadResult.Invalid bad) {
-            bad.errors().forEach(fault -> System.err.println("sprucehold: " + file + ": " + fault));
+        if (read instanceof DocumentReader.ReadResult.Invalid invalid) {
+            invalid.errors()
+                    .forEach(error -> System.err.println("sprucehold: " + file + ": " + error));
             return 1;
         }
         document = ((DocumentReader.ReadResult.Valid) read).document();
         RolloutState state =
                 Files.exists(stateFile)
                         ? MAPPER.readValue(Files.readAllBytes(stateFile), RolloutState.class)
-                        : RolloutState.of(UUID.randomUUID().toString(), RolloutState.waves(doors));
-        if (Files.exists(beforeFile())) {
-            before = (ObjectNode) MAPPER.readTree(Files.readAllBytes(beforeFile()));
+                        : RolloutState.of(
+                                UUID.randomUUID().toString(), RolloutState.waves(addresses));
+        if (Files.exists(previousDocumentsFile())) {
+            previousDocuments =
+                    (ObjectNode) MAPPER.readTree(Files.readAllBytes(previousDocumentsFile()));
         }
         var rollout = new Rollout(state);
         while (!rollout.finished()) {
-            Queue<RolloutAction> todo = new ArrayDeque<>(rollout.tick(System.nanoTime() / 1e6));
-            while (!todo.isEmpty()) {
-                todo.addAll(carryOut(rollout, todo.poll()));
+            Queue<RolloutAction> pending = new ArrayDeque<>(rollout.tick(System.nanoTime() / 1e6));
+            while (!pending.isEmpty()) {
+                pending.addAll(carryOut(rollout, pending.poll()));
             }
-            pause();
+            waitForNextTick();
         }
         state = rollout.state();
         if (json) {
-            Printed.json(state);
+            Console.json(state);
         } else {
             state.gathererStates()
                     .forEach(
-                            (door, standing) ->
-                                    System.out.println(door + "  " + standing.storedName()));
+                            (address, gathererState) ->
+                                    System.out.println(
+                                            address + "  " + gathererState.storedName()));
         }
         return state.phase() == RolloutState.Phase.DONE ? 0 : 1;
     }
 
-    private static void pause() throws IOException {
+    private static void waitForNextTick() throws IOException {
         try {
             Thread.sleep(200);
         } catch (InterruptedException e) {
@@ -130,45 +131,53 @@
         }
     }
 
+    /**
+     * Executes an action and passes the response of the admin server to the rollout. An admin server
+     * that does not respond is passed over, and the rollout receives nothing from it.
+     */
     private List<RolloutAction> carryOut(Rollout rollout, RolloutAction action) throws IOException {
-        if (action instanceof RolloutAction.SaveState keep) {
-            keep(stateFile, keep.state());
-        } else if (action instanceof RolloutAction.Report tell) {
-            System.err.println(tell.message());
+        if (action instanceof RolloutAction.SaveState saveState) {
+            writeAtomically(stateFile, saveState.state());
+        } else if (action instanceof RolloutAction.Report report) {
+            System.err.println(report.message());
         } else if (action instanceof RolloutAction.Propose propose) {
             return propose(rollout, propose.gatherer(), propose.id());
-        } else if (action instanceof RolloutAction.QueryStatus ask) {
-            return ask(rollout, ask.gatherer(), ask.id());
-        } else if (action instanceof RolloutAction.Revert back) {
-            return takeBack(rollout, back.gatherer(), back.id());
+        } else if (action instanceof RolloutAction.QueryStatus queryStatus) {
+            return queryStatus(rollout, queryStatus.gatherer(), queryStatus.id());
+        } else if (action instanceof RolloutAction.Revert revert) {
+            return revertChange(rollout, revert.gatherer(), revert.id());
         }
         return List.of();
     }
 
-    private Path beforeFile() {
+    private Path previousDocumentsFile() {
         return stateFile.resolveSibling(stateFile.getFileName() + ".before");
     }
 
-    /** Whole or not at all: written beside, synced, and put in place at once. */
-    private static void keep(Path file, Object what) throws IOException {
-        Path beside = file.resolveSibling(file.getFileName() + ".new");
-        Files.write(beside, MAPPER.writeValueAsBytes(what));
-        try (FileChannel written = FileChannel.open(beside, StandardOpenOption.WRITE)) {
+    /**
+     * Replaces a file atomically: writes a new file next to it, forces that to the disk and renames
+     * it.
+     */
+    private static void writeAtomically(Path file, Object content) throws IOException {
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        Files.write(temporary, MAPPER.writeValueAsBytes(content));
+        try (FileChannel written = FileChannel.open(temporary, StandardOpenOption.WRITE)) {
             written.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private AdminCall door(String at) throws IOException {
-        return new AdminCall(at, tokenFile);
+    private AdminCall adminServer(String address) throws IOException {
+        return new AdminCall(address, tokenFile);
     }
 
     private List<RolloutAction> propose(Rollout rollout, String gatherer, String id) {
         try {
-            JsonNode status = door(gatherer).call("GET", "/change/status", null);
-            if (!before.has(gatherer)) {
-                before.set(gatherer, door(gatherer).call("GET", "/change/document", null));
-                keep(beforeFile(), before);
+            JsonNode status = adminServer(gatherer).call("GET", "/change/status", null);
+            if (!previousDocuments.has(gatherer)) {
+                previousDocuments.set(
+                        gatherer, adminServer(gatherer).call("GET", "/change/document", null));
+                writeAtomically(previousDocumentsFile(), previousDocuments);
             }
             ObjectNode body =
                     MAPPER.createObjectNode()
@@ -176,10 +185,10 @@
                             .put("by", by)
                             .put("madeFrom", status.path("live").longValue());
             body.set("document", MAPPER.readTree(DocumentReader.write(document)));
-            JsonNode answer = door(gatherer).call("POST", "/change/propose", body);
+            JsonNode answer = adminServer(gatherer).call("POST", "/change/propose", body);
             versions.put(gatherer, answer.path("version").longValue());
             return rollout.answered(gatherer, GathererState.WATCHED, "");
-        } catch (AdminCall.TurnedDownException e) {
+        } catch (AdminCall.RequestRejectedException e) {
             return rollout.answered(gatherer, GathererState.REJECTED, e.getMessage());
         } catch (IOException e) {
             return List.of();
@@ -187,29 +196,29 @@
     }
 
     /**
-     * The version that this rollout's proposal became at the gatherer, or -1 where it never came
-     * there.
+     * Returns the version number that the gatherer gave to this rollout's proposal, or -1 if the
+     * gatherer never received the proposal.
      */
     private long version(String gatherer, String id) throws IOException {
         if (!versions.containsKey(gatherer)) {
             try {
                 versions.put(
                         gatherer,
-                        door(gatherer)
+                        adminServer(gatherer)
                                 .call("GET", "/change/proposal/" + id, null)
                                 .path("version")
                                 .longValue());
-            } catch (AdminCall.TurnedDownException e) {
+            } catch (AdminCall.RequestRejectedException e) {
                 return -1;
             }
         }
         return versions.get(gatherer);
     }
 
-    private List<RolloutAction> ask(Rollout rollout, String gatherer, String id) {
+    private List<RolloutAction> queryStatus(Rollout rollout, String gatherer, String id) {
         try {
             long version = version(gatherer, id);
-            for (JsonNode of : door(gatherer).call("GET", "/change/history", null)) {
+            for (JsonNode of : adminServer(gatherer).call("GET", "/change/history", null)) {
                 if (of.path("version").longValue() == version) {
                     return switch (of.path("state").asText()) {
                         case "confirmed", "replaced" ->
@@ -224,53 +233,55 @@
                 }
             }
         } catch (IOException e) {
-            // It is asked again.
+            // The rollout queries the status again later.
         }
         return List.of();
     }
 
-    /** The version by which the gatherer went back, or -1. */
-    private long backAt(String gatherer, String id) throws IOException {
+    /** Returns the version number of the proposal that reverts the rollout, or -1 if none. */
+    private long revertingVersion(String gatherer, String id) throws IOException {
         try {
-            return door(gatherer)
+            return adminServer(gatherer)
                     .call("GET", "/change/proposal/" + id + "-back", null)
                     .path("version")
                     .longValue();
-        } catch (AdminCall.TurnedDownException e) {
+        } catch (AdminCall.RequestRejectedException e) {
             return -1;
         }
     }
 
-    private List<RolloutAction> takeBack(Rollout rollout, String gatherer, String id) {
+    private List<RolloutAction> revertChange(Rollout rollout, String gatherer, String id) {
         try {
-            JsonNode status = door(gatherer).call("GET", "/change/status", null);
+            JsonNode status = adminServer(gatherer).call("GET", "/change/status", null);
             long version = version(gatherer, id);
             long live = status.path("live").longValue();
             if (version > 0 && live == version && status.path("watched").booleanValue()) {
-                door(gatherer)
+                adminServer(gatherer)
                         .call(
                                 "POST",
                                 "/change/undo",
                                 MAPPER.createObjectNode().put("version", version).put("by", by));
-            } else if (version > 0 && live == version && before.has(gatherer)) {
+            } else if (version > 0 && live == version && previousDocuments.has(gatherer)) {
                 ObjectNode body =
                         MAPPER.createObjectNode()
                                 .put("id", id + "-back")
                                 .put("by", by)
                                 .put("madeFrom", live);
-                body.set("document", before.get(gatherer));
-                door(gatherer).call("POST", "/change/propose", body);
+                body.set("document", previousDocuments.get(gatherer));
+                adminServer(gatherer).call("POST", "/change/propose", body);
                 return List.of();
-            } else if (status.path("watched").booleanValue() && live == backAt(gatherer, id)) {
-                // Watched it could be undone, to the very change that is being taken back.
-                door(gatherer)
+            } else if (status.path("watched").booleanValue()
+                    && live == revertingVersion(gatherer, id)) {
+                // While the reverting version is watched, it could be rolled back, which would
+                // bring back the change that is being reverted.
+                adminServer(gatherer)
                         .call(
                                 "POST",
                                 "/change/confirm",
                                 MAPPER.createObjectNode().put("version", live).put("by", by));
             }
-            // Neither live nor ever there: it serves something else by now, which is not this
-            // rollout's to take back.
+            // The proposal is not live, or never reached the gatherer. The live version is not part
+            // of this rollout, so it is left as it is.
             return rollout.answered(gatherer, GathererState.REVERTED, "");
         } catch (IOException e) {
             return List.of();
--- a/cli/src/main/java/sprucehold/cli/Sprucehold.java
+++ b/cli/src/main/java/sprucehold/cli/Sprucehold.java
@@ -11,7 +11,7 @@
 import sprucehold.command.Simulate;
 import sprucehold.command.Version;
 
-/** The command line of people: the commands of a gatherer and all tools around it. */
+/** The root command: the commands of the gatherer and all of its tools. */
 @Command(
         name = "sprucehold",
         description = "The root node (gatherer) of a sharded search service, and its tools.",
@@ -37,7 +37,8 @@
     public static void main(String[] args) {
         Main.prepareLog();
         int exit = commandLine().execute(args);
-        // A command that serves has returned, and its event loop keeps the process.
+        // The serving commands return at once with exit code 0. Their event loops keep the process
+        // running, so it must not exit here.
         if (exit != CommandLine.ExitCode.OK) {
             System.exit(exit);
         }
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -14,7 +14,7 @@
 import sprucehold.clustering.ClusterConfig;
 import sprucehold.decision.SharedLimit;
 
-/** What gatherers know together. */
+/** The command {@code together}: the cluster that gatherers form. */
 @Command(
         name = "together",
         description =
@@ -54,7 +54,7 @@
             JsonNode status;
             try {
                 status = new AdminCall(door, tokenFile).call("GET", "/status/together", null);
-            } catch (AdminCall.TurnedDownException e) {
+            } catch (AdminCall.RequestRejectedException e) {
                 throw new IOException(
                         e.getMessage().equals("no such path")
                                 ? "that gatherer doesn't talk with others: it was started without --together"
@@ -65,7 +65,7 @@
                     !status.get("superseded").booleanValue()
                             && !status.get("cutOff").booleanValue();
             if (json) {
-                Printed.json(status);
+                Console.json(status);
             } else {
                 print(status);
             }
@@ -94,7 +94,7 @@
                             + " foreign, "
                             + letters.get("unread")
                             + " not read");
-            Printed.pairs(head);
+            Console.pairs(head);
             System.out.println();
             table(
                     status.get("members"),
@@ -126,7 +126,7 @@
                 }
                 rows.add(row);
             }
-            Printed.table(header, rows);
+            Console.table(header, rows);
             System.out.println();
         }
     }
@@ -175,9 +175,9 @@
                             + plan.maxClockOffsetMs()
                             + " ms apart");
             if (json) {
-                Printed.json(what);
+                Console.json(what);
             } else {
-                Printed.pairs(what);
+                Console.pairs(what);
             }
             return 0;
         }
--- a/cli/src/main/java/sprucehold/cli/TraceJudge.java
+++ b/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
@@ -26,9 +26,9 @@
 import sprucehold.tracetools.synthetic.DayPlan;
 import sprucehold.tracetools.synthetic.SyntheticDay;
 
-/** Commands that judge files, and one that makes days to judge. */
-final class TraceJudge {
-    private TraceJudge() {}
+/** Commands that analyse trace files, and one that generates synthetic trace files. */
+final class TraceAnalysis {
+    private TraceAnalysis() {}
 
     @Command(
             name = "summarise",
@@ -50,13 +50,13 @@
         @Override
         public Integer call() throws IOException {
             var summary = new TraceSummary();
-            var progress = new Printed.Progress("calls");
+            var progress = new Console.Progress("calls");
             for (Path file : files) {
-                try (TraceReader reader = TraceLook.open(file)) {
-                    summary.add(reader, progress::at);
+                try (TraceReader reader = TraceView.open(file)) {
+                    summary.add(reader, progress::update);
                 }
             }
-            progress.end();
+            progress.finish();
             if (html != null) {
                 Files.writeString(
                         html,
@@ -67,8 +67,8 @@
                                         : files.size() + " trace files"));
             }
             if (json) {
-                Printed.json(
-                        TraceLook.map(
+                Console.json(
+                        TraceView.map(
                                 "scans",
                                 summary.all().scans(),
                                 "records",
@@ -109,18 +109,18 @@
             table("table type", summary.byType());
             table("customer", summary.byCustomer());
             table("gatherer", summary.byGatherer());
-            var why = new ArrayList<List<Object>>();
+            var outcomeRows = new ArrayList<List<Object>>();
             summary.outcomes()
                     .forEach(
-                            (how, reasons) ->
+                            (outcome, reasons) ->
                                     reasons.forEach(
                                             (reason, count) ->
-                                                    why.add(
+                                                    outcomeRows.add(
                                                             List.of(
-                                                                    how.description(),
+                                                                    outcome.description(),
                                                                     reason.description(),
                                                                     count))));
-            Printed.table(List.of("outcome", "because", "scans"), why);
+            Console.table(List.of("outcome", "because", "scans"), outcomeRows);
             System.out.println();
             var actions = new ArrayList<List<Object>>();
             summary.reasons()
@@ -131,7 +131,7 @@
                                                     reason.storedName(),
                                                     reason.description(),
                                                     count)));
-            Printed.table(List.of("reason", "in words", "actions"), actions);
+            Console.table(List.of("reason", "in words", "actions"), actions);
             System.out.println();
             var rows = new ArrayList<List<Object>>();
             summary.byServer()
@@ -153,7 +153,7 @@
                                                     group.passedOver().values().stream()
                                                             .mapToLong(count -> count)
                                                             .sum())));
-            Printed.table(
+            Console.table(
                     List.of(
                             "server",
                             "dispatches",
@@ -169,7 +169,7 @@
             return 0;
         }
 
-        private static void table(String what, Map<String, QueryGroup> groups) {
+        private static void table(String label, Map<String, QueryGroup> groups) {
             var rows = new ArrayList<List<Object>>();
             groups.forEach(
                     (name, group) ->
@@ -189,9 +189,9 @@
                                             group.copies(),
                                             group.percentileMs(50),
                                             group.percentileMs(99))));
-            Printed.table(
+            Console.table(
                     List.of(
-                            what,
+                            label,
                             "scans",
                             "whole",
                             "in part",
@@ -208,23 +208,23 @@
         }
 
         private static Map<String, Object> reasonsByOutcome(TraceSummary summary) {
-            var map = TraceLook.map();
+            var map = TraceView.map();
             summary.outcomes()
                     .forEach((outcome, reasons) -> map.put(outcome.storedName(), reasons));
             return map;
         }
 
         private static Map<String, Object> groups(Map<String, QueryGroup> groups) {
-            var map = TraceLook.map();
+            var map = TraceView.map();
             groups.forEach(
                     (name, group) -> {
-                        var outcomes = TraceLook.map();
+                        var outcomes = TraceView.map();
                         for (QueryStatistics.Outcome outcome : QueryStatistics.Outcome.values()) {
                             outcomes.put(outcome.storedName(), group.of(outcome));
                         }
                         map.put(
                                 name,
-                                TraceLook.map(
+                                TraceView.map(
                                         "scans",
                                         group.scans(),
                                         "outcomes",
@@ -240,33 +240,33 @@
                                         "copies",
                                         group.copies(),
                                         "p50_ms",
-                                        TraceLook.finite(group.percentileMs(50)),
+                                        TraceView.finite(group.percentileMs(50)),
                                         "p99_ms",
-                                        TraceLook.finite(group.percentileMs(99))));
+                                        TraceView.finite(group.percentileMs(99))));
                     });
             return map;
         }
 
         private static Map<String, Object> servers(TraceSummary summary) {
-            var map = TraceLook.map();
+            var map = TraceView.map();
             summary.byServer()
                     .forEach(
                             (name, group) -> {
-                                var endings = TraceLook.map();
+                                var endings = TraceView.map();
                                 for (AttemptOutcome outcome : AttemptOutcome.values()) {
                                     endings.put(outcome.storedName(), group.of(outcome));
                                 }
                                 map.put(
                                         name,
-                                        TraceLook.map(
+                                        TraceView.map(
                                                 "dispatches",
                                                 group.dispatches(),
                                                 "endings",
                                                 endings,
                                                 "p50_ms",
-                                                TraceLook.finite(group.percentileMs(50)),
+                                                TraceView.finite(group.percentileMs(50)),
                                                 "p99_ms",
-                                                TraceLook.finite(group.percentileMs(99)),
+                                                TraceView.finite(group.percentileMs(99)),
                                                 "passed_over",
                                                 group.passedOver()));
                             });
@@ -292,29 +292,29 @@
 
         @Override
         public Integer call() throws IOException {
-            try (TraceReader first = TraceLook.open(a);
-                    TraceReader second = TraceLook.open(b)) {
-                List<TraceDiff.Parting> partings = TraceDiff.diff(first, second);
-                for (TraceDiff.Parting parting : partings) {
+            try (TraceReader first = TraceView.open(a);
+                    TraceReader second = TraceView.open(b)) {
+                List<TraceDiff.Parting> differences = TraceDiff.diff(first, second);
+                for (TraceDiff.Parting difference : differences) {
                     if (json) {
-                        Printed.json(
-                                TraceLook.map(
+                        Console.json(
+                                TraceView.map(
                                         "gatherer",
-                                        parting.gatherer(),
+                                        difference.gatherer(),
                                         "call",
-                                        parting.seq(),
+                                        difference.seq(),
                                         "ms",
-                                        parting.nowMs(),
+                                        difference.nowMs(),
                                         "what",
-                                        parting.what()));
+                                        difference.what()));
                     } else {
-                        System.out.println(parting);
+                        System.out.println(difference);
                     }
                 }
-                if (partings.isEmpty() && !json) {
+                if (differences.isEmpty() && !json) {
                     System.out.println("the same, entry for entry");
                 }
-                return partings.isEmpty() ? 0 : 1;
+                return differences.isEmpty() ? 0 : 1;
             }
         }
     }
@@ -338,15 +338,15 @@
             var readers = new ArrayList<TraceReader>();
             try {
                 for (Path file : files) {
-                    readers.add(TraceLook.open(file));
+                    readers.add(TraceView.open(file));
                 }
-                var progress = new Printed.Progress("calls decided again");
+                var progress = new Console.Progress("calls decided again");
                 TraceReplay.Verdict verdict =
-                        TraceReplay.replay(readers, QueryScheduler::new, progress::at);
-                progress.end();
+                        TraceReplay.replay(readers, QueryScheduler::new, progress::update);
+                progress.finish();
                 if (json) {
-                    Printed.json(
-                            TraceLook.map(
+                    Console.json(
+                            TraceView.map(
                                     "calls",
                                     verdict.moments(),
                                     "agreed",
@@ -457,7 +457,7 @@
             Files.createDirectories(out);
             var files = new ArrayList<Path>();
             var writers = new ArrayList<TraceWriter>();
-            var progress = new Printed.Progress("scans begun");
+            var progress = new Console.Progress("scans begun");
             try {
                 for (var source : day.sources()) {
                     Path file = out.resolve(source.gatherer() + ".trace");
@@ -466,15 +466,15 @@
                 }
                 day.play(
                         writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
-                        progress::at);
+                        progress::update);
             } finally {
                 for (TraceWriter writer : writers) {
                     writer.close();
                 }
             }
-            progress.end();
+            progress.finish();
             if (json) {
-                Printed.json(TraceLook.map("files", files.stream().map(Path::toString).toList()));
+                Console.json(TraceView.map("files", files.stream().map(Path::toString).toList()));
             } else {
                 files.forEach(System.out::println);
             }
--- a/cli/src/main/java/sprucehold/cli/TraceCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TraceCommand.java
@@ -2,25 +2,25 @@
 
 import picocli.CommandLine.Command;
 
-/** The tools around trace files. */
+/** The command {@code trace}: tools for trace files. */
 @Command(
         name = "trace",
         description = "Trace files: what gatherers decided and why, part by part.",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
-            TraceLook.Info.class,
-            TraceLook.Verify.class,
-            TraceLook.Repair.class,
-            TraceLook.Find.class,
-            TraceLook.Explain.class,
-            TraceChange.Cut.class,
-            TraceChange.Merge.class,
-            TraceChange.Anonymise.class,
-            TraceChange.Export.class,
-            TraceJudge.Summarise.class,
-            TraceJudge.Diff.class,
-            TraceJudge.Replay.class,
-            TraceJudge.Synthesise.class
+            TraceView.Info.class,
+            TraceView.Verify.class,
+            TraceView.Repair.class,
+            TraceView.Find.class,
+            TraceView.Explain.class,
+            TraceWrite.Cut.class,
+            TraceWrite.Merge.class,
+            TraceWrite.Anonymise.class,
+            TraceWrite.Export.class,
+            TraceAnalysis.Summarise.class,
+            TraceAnalysis.Diff.class,
+            TraceAnalysis.Replay.class,
+            TraceAnalysis.Synthesise.class
         })
 public final class TraceCommand {}
--- a/cli/src/main/java/sprucehold/cli/TraceLook.java
+++ b/cli/src/main/java/sprucehold/cli/TraceView.java
@@ -26,11 +26,11 @@
 import sprucehold.tracetools.explanation.QueryStatisticsCollector;
 import sprucehold.tracetools.explanation.Times;
 
-/** Commands that look at one trace file. */
-final class TraceLook {
-    private TraceLook() {}
+/** Commands that read or repair one trace file. */
+final class TraceView {
+    private TraceView() {}
 
-    /** Says so on standard error where a file is read without its index. */
+    /** Opens a trace file. Writes a warning to standard error if its index cannot be used. */
     static TraceReader open(Path file) throws IOException {
         TraceReader reader = TraceReader.open(file);
         if (reader.damage() != null) {
@@ -51,7 +51,7 @@
         return map;
     }
 
-    /** A number, or null where JSON has none. */
+    /** Returns the value, or null if it is infinite or NaN, which JSON cannot express. */
     static Double finite(double value) {
         return Double.isFinite(value) ? value : null;
     }
@@ -87,7 +87,7 @@
                                     ClockEstimate.words(source.clock())));
                 }
                 if (json) {
-                    Printed.json(
+                    Console.json(
                             map(
                                     "file",
                                     file.toString(),
@@ -156,7 +156,7 @@
                 for (int i = 0; i < header.lost().size(); i++) {
                     pairs.put("lost " + (i + 1), header.lost().get(i));
                 }
-                Printed.pairs(pairs);
+                Console.pairs(pairs);
                 return 0;
             }
         }
@@ -178,7 +178,7 @@
             try (TraceReader reader = TraceReader.open(file)) {
                 TraceVerification verdict = reader.verify();
                 if (json) {
-                    Printed.json(
+                    Console.json(
                             map(
                                     "sound",
                                     verdict.sound(),
@@ -226,7 +226,7 @@
         public Integer call() throws IOException {
             TraceRepair.Repaired done = TraceRepair.repair(file);
             if (json) {
-                Printed.json(
+                Console.json(
                         map(
                                 "needed",
                                 done.needed(),
@@ -313,7 +313,7 @@
             var found = new ArrayList<QueryStatistics>();
             long[] more = {0};
             try (TraceReader reader = open(file)) {
-                var tallies =
+                var statisticsCollector =
                         new QueryStatisticsCollector(
                                 statistics -> {
                                     Source source =
@@ -351,7 +351,8 @@
                                         }
                                     }
                                 });
-                // A scan may end long after the window, so only its beginning bounds what is read.
+                // A query may end long after the time window, so only the start of the window
+                // bounds the entries to read.
                 TraceCursor cursor =
                         scan != null
                                 ? reader.ofQuery(scan)
@@ -362,9 +363,9 @@
                                                         fromMs - 60_000, Double.POSITIVE_INFINITY)
                                                 : reader.all();
                 for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
-                    tallies.add(entry);
+                    statisticsCollector.add(entry);
                 }
-                tallies.end();
+                statisticsCollector.end();
                 found.sort(
                         Comparator.comparingDouble(statistics -> statistics.query().receivedMs()));
                 print(reader, found, more[0]);
@@ -379,7 +380,7 @@
                 String gatherer =
                         reader.header().sources().get(statistics.query().source()).gatherer();
                 if (json) {
-                    Printed.json(
+                    Console.json(
                             map(
                                     "scan",
                                     taken.id(),
@@ -421,7 +422,7 @@
                 }
             }
             if (!json && !rows.isEmpty()) {
-                Printed.table(
+                Console.table(
                         List.of(
                                 "scan",
                                 "gatherer",
@@ -469,21 +470,22 @@
                 for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
                     collector.add(entry);
                 }
-                List<QueryExplanation> stories = collector.explanations();
-                if (stories.isEmpty()) {
+                List<QueryExplanation> explanations = collector.explanations();
+                if (explanations.isEmpty()) {
                     System.err.println("sprucehold: " + reader.name() + " holds no scan " + scan);
                     return 1;
                 }
-                if (stories.size() > 1 && !json) {
-                    System.out.println("the id " + scan + " came " + stories.size() + " times\n");
+                if (explanations.size() > 1 && !json) {
+                    System.out.println(
+                            "the id " + scan + " came " + explanations.size() + " times\n");
                 }
-                for (QueryExplanation explanation : stories) {
+                for (QueryExplanation explanation : explanations) {
                     Source source =
                             reader.header()
                                     .sources()
                                     .get(explanation.statistics().query().source());
                     if (json) {
-                        Printed.json(
+                        Console.json(
                                 map(
                                         "scan",
                                         scan,
--- a/cli/src/main/java/sprucehold/cli/TraceChange.java
+++ b/cli/src/main/java/sprucehold/cli/TraceWrite.java
@@ -23,12 +23,15 @@
 import sprucehold.tracetools.export.TraceExport;
 import sprucehold.tracetools.merge.TraceMerge;
 
-/** Commands that make a file of others. */
-final class TraceChange {
-    private TraceChange() {}
+/** Commands that write a new file from trace files. */
+final class TraceWrite {
+    private TraceWrite() {}
 
-    /** Refuses to write over an input, which would be lost before it was read. */
-    private static void apart(List<Path> inputs, Path out) throws IOException {
+    /**
+     * Throws if the output is one of the inputs, because opening it for writing would erase the
+     * input before it was read.
+     */
+    private static void requireNotAnInput(List<Path> inputs, Path out) throws IOException {
         for (Path input : inputs) {
             if (Files.exists(out) && Files.exists(input) && Files.isSameFile(input, out)) {
                 throw new IOException(out + " is an input as well: another name was expected");
@@ -74,13 +77,13 @@
             if (!(window.fromMs() < window.toMs())) {
                 throw new IOException("--from " + from + " isn't before --to " + to);
             }
-            apart(List.of(file), out);
-            var progress = new Printed.Progress("calls");
-            try (TraceReader reader = TraceLook.open(file)) {
-                long entries = TraceCut.cut(reader, window, out, progress::at);
-                progress.end();
+            requireNotAnInput(List.of(file), out);
+            var progress = new Console.Progress("calls");
+            try (TraceReader reader = TraceView.open(file)) {
+                long entries = TraceCut.cut(reader, window, out, progress::update);
+                progress.finish();
                 if (json) {
-                    Printed.json(TraceLook.map("entries", entries, "out", out.toString()));
+                    Console.json(TraceView.map("entries", entries, "out", out.toString()));
                 } else {
                     System.out.println(entries + " calls and gaps, whole or in part, in " + out);
                 }
@@ -111,13 +114,13 @@
 
         @Override
         public Integer call() throws IOException {
-            apart(files, out);
-            var progress = new Printed.Progress("calls");
-            TraceMerge.Merged merged = TraceMerge.merge(files, out, progress::at);
-            progress.end();
+            requireNotAnInput(files, out);
+            var progress = new Console.Progress("calls");
+            TraceMerge.Merged merged = TraceMerge.merge(files, out, progress::update);
+            progress.finish();
             if (json) {
-                Printed.json(
-                        TraceLook.map(
+                Console.json(
+                        TraceView.map(
                                 "entries",
                                 merged.entries(),
                                 "out",
@@ -126,7 +129,7 @@
                                 merged.sources().stream()
                                         .map(
                                                 source ->
-                                                        TraceLook.map(
+                                                        TraceView.map(
                                                                 "gatherer",
                                                                 source.gatherer(),
                                                                 "offset_ms",
@@ -134,7 +137,7 @@
                                                                 "drift_ppm",
                                                                 source.clock().driftPpm(),
                                                                 "error_ms",
-                                                                TraceLook.finite(
+                                                                TraceView.finite(
                                                                         source.clock().errorMs())))
                                         .toList()));
             } else {
@@ -190,17 +193,17 @@
             if ((key == null) == (keyFile == null)) {
                 throw new IOException("either --key or --key-file was expected");
             }
-            apart(List.of(file), out);
+            requireNotAnInput(List.of(file), out);
             String secret = key != null ? key : Files.readString(keyFile).strip();
-            var progress = new Printed.Progress("calls");
-            try (TraceReader reader = TraceLook.open(file)) {
+            var progress = new Console.Progress("calls");
+            try (TraceReader reader = TraceView.open(file)) {
                 Anonymiser.Written written =
-                        Anonymiser.anonymise(reader, secret, out, progress::at);
-                progress.end();
+                        Anonymiser.anonymise(reader, secret, out, progress::update);
+                progress.finish();
                 try (TraceReader done = TraceReader.open(out)) {
                     if (json) {
-                        Printed.json(
-                                TraceLook.map(
+                        Console.json(
+                                TraceView.map(
                                         "scans",
                                         written.queries(),
                                         "left_out",
@@ -239,7 +242,7 @@
         private Path file;
 
         @ArgGroup(multiplicity = "1")
-        private Form form;
+        private Format format;
 
         @Option(
                 names = {"-o", "--out"},
@@ -247,8 +250,8 @@
                 description = "the file to write (default: standard output)")
         private Path out;
 
-        /** One of the two. */
-        static final class Form {
+        /** The output format: exactly one of the two options. */
+        static final class Format {
             @Option(names = "--csv", description = "a row a scan")
             private boolean csv;
 
@@ -259,9 +262,9 @@
         @Override
         public Integer call() throws IOException {
             if (out != null) {
-                apart(List.of(file), out);
+                requireNotAnInput(List.of(file), out);
             }
-            try (TraceReader reader = TraceLook.open(file);
+            try (TraceReader reader = TraceView.open(file);
                     Writer to =
                             out != null
                                     ? Files.newBufferedWriter(out)
@@ -269,10 +272,12 @@
                                             new OutputStreamWriter(
                                                     System.out, StandardCharsets.UTF_8))) {
                 long lines =
-                        form.csv ? TraceExport.csv(reader, to) : TraceExport.jsonLines(reader, to);
+                        format.csv
+                                ? TraceExport.csv(reader, to)
+                                : TraceExport.jsonLines(reader, to);
                 to.flush();
                 if (out != null) {
-                    System.out.println(lines + (form.csv ? " scans in " : " records in ") + out);
+                    System.out.println(lines + (format.csv ? " scans in " : " records in ") + out);
                 }
             }
             return 0;
--- a/cli/src/main/java/sprucehold/cli/package-info.java
+++ b/cli/src/main/java/sprucehold/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line of people, {@code bin/sprucehold}: every sub-command, and only the wiring of
- * them. The entry point is {@link sprucehold.cli.Sprucehold}. It must never hold a decision or a
- * format.
+ * The command line {@code bin/sprucehold}. Its classes only connect the sub-commands to the code
+ * that does the work. The entry point is {@link sprucehold.cli.Sprucehold}. This package must never
+ * contain decisions of the gatherer or the definition of a file format.
  */
 package sprucehold.cli;
--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class ArchitectureTest {
-    private static final JavaClasses ALL =
+    private static final JavaClasses ALL_CLASSES =
             new ClassFileImporter()
                     .withImportOption(new ImportOption.DoNotIncludeTests())
                     .importPackages("sprucehold");
@@ -27,7 +27,7 @@
     private static final String[] TRACE = {"sprucehold.trace.."};
     private static final String[] TOOLS = {"sprucehold.tracetools.."};
     private static final String[] CHANGE = {"sprucehold.change.."};
-    private static final String[] TOGETHER = {"sprucehold.cluster.."};
+    private static final String[] CLUSTER = {"sprucehold.cluster.."};
     private static final String[] STANDIN = {"sprucehold.standin.."};
     private static final String[] GATHERER = {
         "sprucehold.node..",
@@ -55,21 +55,21 @@
     Object[][] rules() {
         return new Object[][] {
             {
-                "no circle of packages",
+                "packages have no cycles",
                 slices().matching("sprucehold.(**)").should().beFreeOfCycles()
             },
             {
-                "core is below all",
+                "core depends on no other module",
                 noClasses()
                         .that()
                         .resideInAnyPackage(CORE)
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
-                                join(TRACE, TOOLS, CHANGE, TOGETHER, STANDIN, GATHERER, RIG, CLI))
+                                join(TRACE, TOOLS, CHANGE, CLUSTER, STANDIN, GATHERER, RIG, CLI))
             },
             {
-                "stand-ins are above core alone",
+                "stand-ins depend on core only",
                 noClasses()
                         .that()
                         .resideInAnyPackage(STANDIN)
@@ -78,7 +78,7 @@
                         .resideInAnyPackage(join(TRACE, TOOLS, CHANGE, GATHERER, RIG, CLI))
             },
             {
-                "trace is above core alone",
+                "trace depends on core only",
                 noClasses()
                         .that()
                         .resideInAnyPackage(TRACE)
@@ -87,7 +87,7 @@
                         .resideInAnyPackage(join(TOOLS, CHANGE, STANDIN, GATHERER, RIG, CLI))
             },
             {
-                "the gatherer is below the command line and knows no tool",
+                "the gatherer depends on neither the command line nor the tools",
                 noClasses()
                         .that()
                         .resideInAnyPackage(GATHERER)
@@ -96,7 +96,7 @@
                         .resideInAnyPackage(join(TOOLS, RIG, CLI))
             },
             {
-                "changes are above core alone",
+                "change depends on core only",
                 noClasses()
                         .that()
                         .resideInAnyPackage(CHANGE)
@@ -105,10 +105,10 @@
                         .resideInAnyPackage(join(TRACE, TOOLS, STANDIN, GATHERER, RIG, CLI))
             },
             {
-                "what gatherers know together is above core alone, and decided without sockets, files, clocks or threads",
+                "cluster depends on core only and uses no sockets, files, clocks or threads",
                 noClasses()
                         .that()
-                        .resideInAnyPackage(TOGETHER)
+                        .resideInAnyPackage(CLUSTER)
                         .should()
                         .dependOnClassesThat()
                         .resideInAnyPackage(
@@ -134,7 +134,7 @@
                         .callMethod(System.class, "currentTimeMillis")
             },
             {
-                "the node knows no neighbour by name",
+                "the node depends on no clustering, messaging or cluster class",
                 noClasses()
                         .that()
                         .resideInAnyPackage(
@@ -152,7 +152,7 @@
                                 "sprucehold.cluster..")
             },
             {
-                "nothing that serves loads a fleet in simulated time",
+                "no class outside the cluster simulation depends on it",
                 noClasses()
                         .that()
                         .resideOutsideOfPackages("sprucehold.cluster.simulation..")
@@ -161,7 +161,7 @@
                         .resideInAPackage("sprucehold.cluster.simulation..")
             },
             {
-                "changes are decided without files, clocks or threads",
+                "decisions about changes use no files, clocks or threads",
                 noClasses()
                         .that()
                         .resideInAnyPackage(
@@ -183,7 +183,7 @@
                         .callMethod(System.class, "currentTimeMillis")
             },
             {
-                "tools are above the trace alone",
+                "trace tools depend on no stand-in, gatherer, rig or command line",
                 noClasses()
                         .that()
                         .resideInAnyPackage(TOOLS)
@@ -192,7 +192,7 @@
                         .resideInAnyPackage(join(STANDIN, GATHERER, RIG, CLI))
             },
             {
-                "the rig knows gatherers by their processes alone",
+                "the rig uses gatherers as processes only",
                 noClasses()
                         .that()
                         .resideInAnyPackage(RIG)
@@ -201,7 +201,7 @@
                         .resideInAnyPackage(join(TRACE, TOOLS, CHANGE, GATHERER, CLI))
             },
             {
-                "runs are drawn, faults decided and verdicts reached without sockets, clocks or threads",
+                "plans, faults and verdicts of the rig use no sockets, files, clocks or threads",
                 noClasses()
                         .that()
                         .resideInAnyPackage(
@@ -227,11 +227,11 @@
                         .callMethod(System.class, "currentTimeMillis")
             },
             {
-                "nothing imports the root package",
+                "no class depends on the root package",
                 noClasses().should().dependOnClassesThat().resideInAPackage("sprucehold")
             },
             {
-                "the decisions are handed over, not named",
+                "only the policy and the commands depend on policy classes",
                 noClasses()
                         .that()
                         .resideOutsideOfPackages(
@@ -257,7 +257,7 @@
                                 "io.netty..")
             },
             {
-                "core has no files by the older way",
+                "core uses no files through java.io",
                 noClasses()
                         .that()
                         .resideInAnyPackage(CORE)
@@ -291,7 +291,7 @@
                         .resideInAPackage("java.time..")
             },
             {
-                "core has no chance without a seed",
+                "core has no randomness without a seed",
                 noClasses()
                         .that()
                         .resideInAnyPackage(CORE)
@@ -321,14 +321,14 @@
     }
 
     @Test(dataProvider = "rules")
-    public void holds(String what, ArchRule rule) {
-        rule.as(what).check(ALL);
+    public void classesFollowRule(String description, ArchRule rule) {
+        rule.as(description).check(ALL_CLASSES);
     }
 
     @Test
-    public void theRulesLookAtSomething() {
+    public void importedClassesIncludeCoreAndCommandLine() {
         Assert.assertTrue(
-                ALL.contain("sprucehold.policy.QueryScheduler")
-                        && ALL.contain("sprucehold.cli.Sprucehold"));
+                ALL_CLASSES.contain("sprucehold.policy.QueryScheduler")
+                        && ALL_CLASSES.contain("sprucehold.cli.Sprucehold"));
     }
 }
--- a/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
@@ -27,7 +27,7 @@
 import sprucehold.change.version.VersionEvent;
 import sprucehold.change.version.VersionHistory;
 
-/** The tool against scripted doors, whose versions are the real ones. */
+/** Runs the command against scripted admin servers that use the real version history. */
 public class RolloutCommandTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String DOCUMENT =
@@ -36,7 +36,7 @@
              "limits":{"dispatchesPerPart":2,"maxOpen":%d},
              "coldRule":{"startShare":1,"warmAfterMs":0,"multiple":1,"windowMs":0}}""";
     private Path folder;
-    private final List<FakeDoor> doors = new ArrayList<>();
+    private final List<ScriptedAdminServer> adminServers = new ArrayList<>();
 
     private static ConfigurationDocument document(int maxOpen) {
         return ((DocumentReader.ReadResult.Valid)
@@ -44,15 +44,18 @@
                 .document();
     }
 
-    /** A gatherer's door; a version is judged at the second look at it. */
-    private static final class FakeDoor {
+    /**
+     * A scripted admin server. It decides about a watched version at the second request for the
+     * history.
+     */
+    private static final class ScriptedAdminServer {
         final HttpServer server;
         final VersionHistory history = new VersionHistory(document(100));
         final boolean harmed;
-        int looks;
-        boolean silent;
+        int historyRequests;
+        boolean unresponsive;
 
-        FakeDoor(boolean harmed) throws IOException {
+        ScriptedAdminServer(boolean harmed) throws IOException {
             this.harmed = harmed;
             server =
                     HttpServer.create(
@@ -67,7 +70,7 @@
 
         private synchronized void handle(HttpExchange exchange) throws IOException {
             byte[] body = exchange.getRequestBody().readAllBytes();
-            if (silent) {
+            if (unresponsive) {
                 exchange.close();
                 return;
             }
@@ -78,7 +81,7 @@
             if (path.equals("/change/document")) {
                 answer = MAPPER.readTree(DocumentReader.write(history.live().document()));
             } else if (path.equals("/change/history")) {
-                if (history.watched() && ++looks >= 2) {
+                if (history.watched() && ++historyRequests >= 2) {
                     history.handle(
                             new VersionEvent.WatchDecided(
                                     history.live().number(), harmed, "so it was"));
@@ -103,24 +106,24 @@
                     node.put("version", version);
                 }
             } else if (path.equals("/change/propose")) {
-                JsonNode asked = MAPPER.readTree(body);
-                ConfigurationDocument wanted =
+                JsonNode proposal = MAPPER.readTree(body);
+                ConfigurationDocument proposedDocument =
                         ((DocumentReader.ReadResult.Valid)
                                         DocumentReader.read(
-                                                MAPPER.writeValueAsBytes(asked.get("document"))))
+                                                MAPPER.writeValueAsBytes(proposal.get("document"))))
                                 .document();
                 for (VersionCommand action :
                         history.handle(
                                 new VersionEvent.Proposed(
-                                        asked.get("id").asText(),
+                                        proposal.get("id").asText(),
                                         "o",
-                                        asked.get("madeFrom").asLong(),
-                                        wanted,
+                                        proposal.get("madeFrom").asLong(),
+                                        proposedDocument,
                                         RunningState.IDLE))) {
                     if (action instanceof VersionCommand.Accepted accepted) {
                         node.put("version", accepted.version().number());
-                    } else if (action instanceof VersionCommand.AlreadyKnown there) {
-                        node.put("version", there.number());
+                    } else if (action instanceof VersionCommand.AlreadyKnown known) {
+                        node.put("version", known.number());
                     } else if (action instanceof VersionCommand.Rejected) {
                         status = 409;
                         node.put("error", "turned down");
@@ -154,15 +157,15 @@
 
     @AfterMethod
     public void close() {
-        doors.forEach(door -> door.server.stop(0));
-        doors.clear();
+        adminServers.forEach(adminServer -> adminServer.server.stop(0));
+        adminServers.clear();
     }
 
-    private int roll() {
+    private int runRollout() {
         var arguments =
                 new ArrayList<>(
                         List.of("change", "rollout", folder.resolve("next.json").toString()));
-        doors.forEach(door -> arguments.add(door.address()));
+        adminServers.forEach(adminServer -> arguments.add(adminServer.address()));
         arguments.addAll(
                 List.of(
                         "--token-file",
@@ -174,60 +177,62 @@
         return Sprucehold.commandLine().execute(arguments.toArray(new String[0]));
     }
 
-    private void fleet(boolean... harmed) throws IOException {
+    private void startAdminServers(boolean... harmed) throws IOException {
         for (boolean of : harmed) {
-            doors.add(new FakeDoor(of));
+            adminServers.add(new ScriptedAdminServer(of));
         }
     }
 
-    private List<Integer> serving() {
-        return doors.stream()
-                .map(door -> door.history.live().document().limits().maxOpen())
+    private List<Integer> liveQueryLimits() {
+        return adminServers.stream()
+                .map(adminServer -> adminServer.history.live().document().limits().maxOpen())
                 .toList();
     }
 
     @Test
-    public void soundChangeReachesEveryGatherer() throws IOException {
-        fleet(false, false, false);
-        assertEquals(roll(), 0);
-        assertEquals(serving(), List.of(90, 90, 90));
+    public void healthyChangeIsLiveOnEveryGatherer() throws IOException {
+        startAdminServers(false, false, false);
+        assertEquals(runRollout(), 0);
+        assertEquals(liveQueryLimits(), List.of(90, 90, 90));
     }
 
     @Test
-    public void changeThatHarmsTheSecondWaveIsTakenBackFromTheFirst() throws IOException {
-        fleet(false, true, false, false);
-        assertEquals(roll(), 1);
-        // The first confirmed it, and serves a proposal of what was before; the last was never
-        // asked.
-        assertEquals(serving(), List.of(100, 100, 100, 100));
-        assertEquals(doors.get(3).history.live().number(), 1);
+    public void changeRolledBackInSecondWaveIsRevertedInFirstWave() throws IOException {
+        startAdminServers(false, true, false, false);
+        assertEquals(runRollout(), 1);
+        // The first gatherer confirmed the change and then received its previous document as a new
+        // proposal. The last gatherer never received a proposal.
+        assertEquals(liveQueryLimits(), List.of(100, 100, 100, 100));
+        assertEquals(adminServers.get(3).history.live().number(), 1);
         assertFalse(
-                doors.get(0).history.watched(), "an undoing would bring the harmful change back");
+                adminServers.get(0).history.watched(),
+                "an undoing would bring the harmful change back");
     }
 
     @Test
-    public void toolThatDiedGoesOnWhereItWas() throws IOException {
-        fleet(false, false);
-        // As if killed after the first was asked: the state on disk says so, and nothing else is
-        // known.
-        doors.get(0)
+    public void killedRolloutResumesFromItsStateFile() throws IOException {
+        startAdminServers(false, false);
+        // The command was killed after it sent the proposal to the first gatherer. The state file
+        // records that, and the command has no other information.
+        adminServers
+                .get(0)
                 .history
                 .handle(new VersionEvent.Proposed("r-7", "o", 1, document(90), RunningState.IDLE));
-        doors.get(0).history.handle(new VersionEvent.BetweenDecisions());
+        adminServers.get(0).history.handle(new VersionEvent.BetweenDecisions());
         Files.writeString(
                 folder.resolve("state"),
                 "{\"id\":\"r-7\",\"waves\":[[\""
-                        + doors.get(0).address()
+                        + adminServers.get(0).address()
                         + "\"],[\""
-                        + doors.get(1).address()
+                        + adminServers.get(1).address()
                         + "\"]],\"wave\":0,\"standing\":{\""
-                        + doors.get(0).address()
+                        + adminServers.get(0).address()
                         + "\":\"ASKED\",\""
-                        + doors.get(1).address()
+                        + adminServers.get(1).address()
                         + "\":\"UNTOUCHED\"},\"phase\":\"ROLLING\",\"why\":\"\"}");
-        assertEquals(roll(), 0);
-        assertEquals(serving(), List.of(90, 90));
-        assertEquals(doors.get(0).history.live().number(), 2, "asked once, not twice");
+        assertEquals(runRollout(), 0);
+        assertEquals(liveQueryLimits(), List.of(90, 90));
+        assertEquals(adminServers.get(0).history.live().number(), 2, "asked once, not twice");
         assertTrue(Files.readString(folder.resolve("state")).contains("\"DONE\""));
     }
 }
--- a/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
@@ -21,9 +21,9 @@
 public class TraceCommandTest {
     private Path folder;
 
-    private record Ran(int exit, String out, String err) {}
+    private record CommandResult(int exit, String out, String err) {}
 
-    private static Ran run(String... arguments) {
+    private static CommandResult run(String... arguments) {
         var out = new ByteArrayOutputStream();
         var err = new ByteArrayOutputStream();
         PrintStream outBefore = System.out;
@@ -32,7 +32,7 @@
         System.setErr(new PrintStream(err, true, StandardCharsets.UTF_8));
         try {
             int exit = Sprucehold.commandLine().execute(arguments);
-            return new Ran(
+            return new CommandResult(
                     exit,
                     out.toString(StandardCharsets.UTF_8),
                     err.toString(StandardCharsets.UTF_8));
@@ -42,10 +42,10 @@
         }
     }
 
-    /** The words, with DIR/ standing for the folder. */
-    private Ran trace(String words) {
+    /** Runs a trace command given as words separated by spaces; DIR stands for the folder. */
+    private CommandResult trace(String commandLine) {
         var arguments = new ArrayList<String>(List.of("trace"));
-        Arrays.stream(words.split(" "))
+        Arrays.stream(commandLine.split(" "))
                 .map(word -> word.replace("DIR", folder.toString()))
                 .forEach(arguments::add);
         return run(arguments.toArray(new String[0]));
@@ -67,7 +67,7 @@
     @DataProvider
     Object[][] commands() {
         return new Object[][] {
-            // command, exit code, what its output or error contains
+            // command, exit code, text that its standard output or standard error contains
             {"info DIR/m.trace", 0, "every scan"},
             {"verify DIR/m.trace", 0, "sound"},
             {"verify DIR/half.trace", 1, "footer"},
@@ -105,17 +105,20 @@
     }
 
     @Test(dataProvider = "commands")
-    public void commandSaysWhatItDidOrInOneLineWhyNot(String words, int exit, String said) {
-        Ran ran = trace(words);
-        assertEquals(ran.exit, exit, ran.out + ran.err);
-        assertTrue((ran.out + ran.err).contains(said), ran.out + ran.err);
-        if (exit > 0 && !ran.err.isEmpty()) {
-            assertTrue(ran.err.lines().allMatch(line -> line.startsWith("sprucehold: ")), ran.err);
+    public void commandReturnsExitCodeAndWritesResultOrErrorLines(
+            String commandLine, int exit, String expectedText) {
+        CommandResult result = trace(commandLine);
+        assertEquals(result.exit, exit, result.out + result.err);
+        assertTrue((result.out + result.err).contains(expectedText), result.out + result.err);
+        if (exit > 0 && !result.err.isEmpty()) {
+            assertTrue(
+                    result.err.lines().allMatch(line -> line.startsWith("sprucehold: ")),
+                    result.err);
         }
     }
 
     @Test
-    public void repairMakesAHalfFileSound() throws IOException {
+    public void repairOfTruncatedFileMakesItPassVerification() throws IOException {
         Files.copy(folder.resolve("half.trace"), folder.resolve("mended.trace"));
         assertTrue(trace("repair DIR/mended.trace").out.startsWith("repaired"));
         assertEquals(trace("verify DIR/mended.trace").exit, 0);
@@ -140,36 +143,37 @@
     }
 
     @Test(dataProvider = "json")
-    public void machinesGetOneJsonObjectALine(String words, String field) throws IOException {
-        Ran ran = trace(words);
+    public void jsonOptionWritesOneJsonObjectPerLine(String commandLine, String field)
+            throws IOException {
+        CommandResult result = trace(commandLine);
         if (field.equals("x")) {
-            // Not a number as people write them: one line of error, and nothing that looks like a
-            // result.
-            assertTrue(ran.exit == 1 && ran.out.isEmpty(), ran.out);
+            // "5e0" is not accepted as a time: the command must write an error and no result.
+            assertTrue(result.exit == 1 && result.out.isEmpty(), result.out);
             return;
         }
-        for (String line : ran.out.lines().toList()) {
+        for (String line : result.out.lines().toList()) {
             JsonNode node = new ObjectMapper().readTree(line);
             assertTrue(node.isObject() && node.has(field), line);
         }
-        assertTrue(ran.out.lines().count() >= 1);
+        assertTrue(result.out.lines().count() >= 1);
     }
 
     @Test
-    public void explainedScanIsTheOneFound() throws IOException {
+    public void explainShowsTheQueryThatFindReturned() throws IOException {
         String found = trace("find DIR/m.trace --most 1 --json").out;
         String id = new ObjectMapper().readTree(found).get("scan").asText();
-        Ran words = trace("explain DIR/m.trace --scan " + id);
-        assertTrue(words.exit == 0 && words.out.startsWith("query " + id + " of "), words.out);
+        CommandResult result = trace("explain DIR/m.trace --scan " + id);
+        assertTrue(
+                result.exit == 0 && result.out.startsWith("query " + id + " of "), result.out);
         assertTrue(
                 trace("explain DIR/m.trace --json --scan " + id)
                         .out
                         .contains("\"kind\":\"ScanTaken\""));
     }
 
-    /** Scripts read these names of outcomes and reasons. */
+    /** Scripts read these names of outcomes and reasons, so they must not change. */
     @Test
-    public void summaryNamesOutcomesAndReasonsAsEarlierVersionsDid() throws IOException {
+    public void summaryUsesStableNamesOfOutcomesAndReasons() throws IOException {
         JsonNode summary = new ObjectMapper().readTree(trace("summarise DIR/m.trace --json").out);
         assertTrue(summary.at("/outcomes/WHOLE/WHOLE").asInt() > 0, summary.toString());
         assertTrue(summary.at("/reasons/FIRST_ROUND").asInt() > 0, summary.toString());
@@ -177,7 +181,7 @@
     }
 
     @Test
-    public void explanationNamesItsOutcomeAsEarlierVersionsDid() throws IOException {
+    public void explanationUsesStableNameOfOutcome() throws IOException {
         String found = trace("find DIR/m.trace --outcome WHOLE --most 1 --json").out;
         String id = new ObjectMapper().readTree(found).get("scan").asText();
         String explained = trace("explain DIR/m.trace --json --scan " + id).out;
