--- a/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
@@ -12,27 +12,28 @@
 import java.util.stream.StreamSupport;
 
 /**
- * How queries of played days ended. With reports of the bench ({@code --json FILE}) as arguments it
- * prints a table with a row for each; with {@code --ids} and a folder of logs written with {@code
- * --log-scans} it lists, by id, queries without an end, answered after their time, or with an
- * attempt that began after their client had left.
+ * Prints how the queries of played days ended. If the arguments are reports of the bench ({@code
+ * --json FILE}), prints a table with one row per report. If the arguments are {@code --ids} and a
+ * folder of logs written with {@code --log-scans}, lists by id the queries that have no end, that
+ * were answered after their deadline, or that have an attempt that began after their client had
+ * disconnected.
  */
 public final class DayEndings {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * An attempt that begins so long after its client's close is a break of the rules from the
-     * third on.
+     * Delay in milliseconds between the disconnection of a client and the start of an attempt above
+     * which the attempt breaks the rules. The first two such attempts are tolerated.
      */
-    private static final double GONE_MS = 100;
+    private static final double MAX_START_AFTER_DISCONNECT_MS = 100;
 
     private DayEndings() {}
 
     public static void main(String[] args) throws IOException {
         if (args.length == 2 && args[0].equals("--ids")) {
-            list(Path.of(args[1]));
+            listQueries(Path.of(args[1]));
         } else if (args.length > 0 && !args[0].startsWith("--")) {
-            table(args);
+            printTable(args);
         } else {
             System.err.println(
                     "day-endings: needs reports of the bench (--json FILE of a play), or --ids and a folder of logs");
@@ -40,7 +41,7 @@
         }
     }
 
-    private static void table(String[] reports) throws IOException {
+    private static void printTable(String[] reports) throws IOException {
         System.out.println(
                 "| site, day, gatherers, seed | score | served | refused, worst 5 s | late, worst 5 s | "
                         + "without an answer when the client went or its time was over | broken |");
@@ -90,7 +91,7 @@
                 .orElse(0);
     }
 
-    private static void list(Path logs) throws IOException {
+    private static void listQueries(Path logs) throws IOException {
         List<ScanLogs.Line> lines = ScanLogs.read(logs);
         if (lines.isEmpty()) {
             System.err.println(
@@ -100,37 +101,40 @@
             System.exit(1);
         }
         Map<String, ScanLogs.Line> open = new HashMap<>();
-        Map<String, Double> leftAtS = new HashMap<>();
+        Map<String, Double> disconnectedAtS = new HashMap<>();
         for (ScanLogs.Line line : lines) {
-            if (line.says("a scan is taken")) {
+            if (line.hasText("a scan is taken")) {
                 open.put(line.key(), line);
-            } else if (line.says("a client has left")) {
-                leftAtS.put(line.key(), line.atS());
+            } else if (line.hasText("a client has left")) {
+                disconnectedAtS.put(line.key(), line.atS());
                 open.remove(line.key());
-            } else if (line.says("a scan has ended") && open.containsKey(line.key())) {
-                answered(open.remove(line.key()), line);
-            } else if (line.says("a dispatch has ended") && leftAtS.containsKey(line.key())) {
-                afterLeave(line, leftAtS.get(line.key()));
+            } else if (line.hasText("a scan has ended") && open.containsKey(line.key())) {
+                reportLateAnswer(open.remove(line.key()), line);
+            } else if (line.hasText("a dispatch has ended")
+                    && disconnectedAtS.containsKey(line.key())) {
+                reportAttemptAfterDisconnect(line, disconnectedAtS.get(line.key()));
             }
         }
-        open.values().forEach(taken -> print(taken, "no end", 0));
+        open.values().forEach(received -> print(received, "no end", 0));
     }
 
-    private static void answered(ScanLogs.Line taken, ScanLogs.Line end) {
-        double lateMs = 1000 * (end.atS() - taken.atS()) - taken.number("time_left_ms");
+    private static void reportLateAnswer(ScanLogs.Line received, ScanLogs.Line end) {
+        double lateMs = 1000 * (end.atS() - received.atS()) - received.number("time_left_ms");
         if (lateMs > 0) {
-            print(taken, "answered late (" + end.text("outcome") + ")", lateMs);
+            print(received, "answered late (" + end.text("outcome") + ")", lateMs);
         }
     }
 
-    private static void afterLeave(ScanLogs.Line dispatch, double leftAtS) {
-        double begunMs = 1000 * (dispatch.atS() - leftAtS) - dispatch.number("took_ms");
-        if (begunMs > GONE_MS && !dispatch.text("outcome").endsWith("NOT_WRITTEN")) {
+    private static void reportAttemptAfterDisconnect(
+            ScanLogs.Line dispatch, double disconnectedAtS) {
+        double begunMs = 1000 * (dispatch.atS() - disconnectedAtS) - dispatch.number("took_ms");
+        if (begunMs > MAX_START_AFTER_DISCONNECT_MS
+                && !dispatch.text("outcome").endsWith("NOT_WRITTEN")) {
             print(dispatch, "attempt after the client had left", begunMs);
         }
     }
 
-    private static void print(ScanLogs.Line line, String what, double byMs) {
+    private static void print(ScanLogs.Line line, String problem, double lateByMs) {
         System.out.printf(
                 Locale.ROOT,
                 "%8.3f s  %-18s %-5s %-16s %s%s%n",
@@ -138,7 +142,7 @@
                 line.text("scan"),
                 line.gatherer(),
                 line.text("table_type"),
-                what,
-                byMs > 0 ? String.format(Locale.ROOT, ", by %.0f ms", byMs) : "");
+                problem,
+                lateByMs > 0 ? String.format(Locale.ROOT, ", by %.0f ms", lateByMs) : "");
     }
 }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
@@ -24,33 +24,33 @@
 import sprucehold.policy.QueryScheduler;
 
 /**
- * What decisions cost: processor time and allocation a query, by its parts, by listed shard
- * servers, and by other queries that are open. Every attempt completes at once, one event a call,
- * on one thread. For each series the growth is the slope of a line through the logarithms, by least
- * squares, with its standard error. Arguments: {@code --quick} for smaller sizes, {@code --csv
- * FILE} for the raw results.
+ * Measures the processor time and the allocation of decisions per query, by number of parts, of
+ * listed shard servers and of other open queries. Every attempt completes at once, with one event
+ * per call, on one thread. For each series, the growth is the slope of a least-squares line through
+ * the logarithms, printed with its standard error. Arguments: {@code --quick} for smaller sizes,
+ * {@code --csv FILE} to write the raw results.
  */
 public final class DecisionCost {
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
     /**
-     * Each size is measured for so long at least, and for so many queries, after as long a time of
-     * warming up.
+     * Minimum processor time in milliseconds for which each size is measured. At least {@link
+     * #MIN_QUERIES} queries are run. A warm-up of the same length precedes each measurement.
      */
     private static final long MEASURE_MS = 1500;
 
-    private static final int LEAST_QUERIES = 5;
+    private static final int MIN_QUERIES = 5;
     private static final int TARGET_MS = 1000;
 
-    /** Time between queries, so that timers of past ones run out as in service. */
+    /** Time between queries in ms, so that timers of past queries expire as they do in service. */
     private static final double GAP_MS = 20;
 
-    private static final QueryClass ASKED =
+    private static final QueryClass MEASURED_CLASS =
             new QueryClass(
                     "asked", QueryClass.Idempotence.IDEMPOTENT, TARGET_MS, 1, 0.1, 0, 1, 1, 0);
 
-    /** Of queries that stay open: their timers never run out. */
-    private static final QueryClass OPEN =
+    /** Class of the queries that stay open: its timers never expire during a measurement. */
+    private static final QueryClass OPEN_CLASS =
             new QueryClass("open", QueryClass.Idempotence.IDEMPOTENT, 1e12, 1, 0.1, 0, 1, 1, 0);
 
     private static final int PARTS_OF_AN_OPEN_QUERY = 4;
@@ -58,7 +58,7 @@
     /** One measured size. */
     private record Size(int parts, int servers, int open) {}
 
-    /** What a query of a size costs. */
+    /** Mean cost per query of a size; {@code takeUs} is the part for receiving the query. */
     private record Cost(Size size, int queries, double cpuUs, double takeUs, double allocatedKb) {}
 
     private final DecisionPolicy decisions;
@@ -66,8 +66,8 @@
     private long queries;
 
     private DecisionCost(Size size) {
-        // Two servers hold each segment; there are at least as many cells as parts, so that each
-        // part has servers of its own.
+        // Each shard has two servers. There are at least as many shards as parts, so that no two
+        // parts of a query share a server.
         int cells = size.servers / 2;
         var deployment =
                 new Deployment(
@@ -75,7 +75,7 @@
                         "z",
                         5,
                         0.2,
-                        List.of(ASKED, OPEN),
+                        List.of(MEASURED_CLASS, OPEN_CLASS),
                         List.of(),
                         new Deployment.ShardLayout(cells, 1, 1),
                         new Deployment.Limits(3, Integer.MAX_VALUE, true, true, 500),
@@ -97,11 +97,16 @@
         for (int i = 0; i < size.open; i++) {
             int first = i * PARTS_OF_AN_OPEN_QUERY;
             decisions.decide(
-                    now, taken(OPEN, PARTS_OF_AN_OPEN_QUERY, part -> (first + part) % cells, 1e13));
+                    now,
+                    received(
+                            OPEN_CLASS,
+                            PARTS_OF_AN_OPEN_QUERY,
+                            part -> (first + part) % cells,
+                            1e13));
         }
     }
 
-    private List<Event> taken(
+    private List<Event> received(
             QueryClass type, int parts, IntFunction<Integer> segment, double timeLeftMs) {
         long number = ++queries;
         var events = new ArrayList<Event>(parts + 1);
@@ -114,20 +119,20 @@
         return events;
     }
 
-    /** Runs one query to its end and returns the processor time of taking it in, in nanoseconds. */
+    /** Runs one query to its end. Returns the processor time of receiving it, in nanoseconds. */
     private long query(int parts) {
         now += GAP_MS;
         decisions.decide(now, List.of(new Event.WakeUp()));
-        List<Event> taken = taken(ASKED, parts, part -> part, 2 * TARGET_MS);
+        List<Event> received = received(MEASURED_CLASS, parts, part -> part, 2 * TARGET_MS);
         long before = THREADS.getCurrentThreadCpuTime();
-        Queue<Command.SendAttempt> out = new ArrayDeque<>();
-        boolean answered = collect(decisions.decide(now, taken), out);
-        long took = THREADS.getCurrentThreadCpuTime() - before;
-        while (!out.isEmpty()) {
+        Queue<Command.SendAttempt> attempts = new ArrayDeque<>();
+        boolean answered = addAttempts(decisions.decide(now, received), attempts);
+        long receivingNs = THREADS.getCurrentThreadCpuTime() - before;
+        while (!attempts.isEmpty()) {
             var ended =
                     new Event.AttemptEnded(
-                            out.poll().partId(), 0, AttemptOutcome.COMPLETED, 5, null);
-            answered |= collect(decisions.decide(now, List.of(ended)), out);
+                            attempts.poll().partId(), 0, AttemptOutcome.COMPLETED, 5, null);
+            answered |= addAttempts(decisions.decide(now, List.of(ended)), attempts);
         }
         if (!answered) {
             throw new IllegalStateException(
@@ -135,14 +140,14 @@
                             + parts
                             + " parts was not answered whole: the measurement says nothing");
         }
-        return took;
+        return receivingNs;
     }
 
-    private static boolean collect(List<Command> actions, Queue<Command.SendAttempt> out) {
+    private static boolean addAttempts(List<Command> actions, Queue<Command.SendAttempt> attempts) {
         boolean answered = false;
         for (Command command : actions) {
             if (command instanceof Command.SendAttempt sendAttempt) {
-                out.add(sendAttempt);
+                attempts.add(sendAttempt);
             } else if (command instanceof Command.AnswerQuery answer) {
                 answered |= answer.complete();
             }
@@ -159,15 +164,15 @@
     private Cost repeat(int parts, long measureMs) {
         long thread = Thread.currentThread().getId();
         long allocated = THREADS.getThreadAllocatedBytes(thread);
-        long began = THREADS.getCurrentThreadCpuTime();
+        long startedNs = THREADS.getCurrentThreadCpuTime();
         long taking = 0;
         int done = 0;
-        while (done < LEAST_QUERIES
-                || THREADS.getCurrentThreadCpuTime() - began < measureMs * 1_000_000) {
+        while (done < MIN_QUERIES
+                || THREADS.getCurrentThreadCpuTime() - startedNs < measureMs * 1_000_000) {
             taking += query(parts);
             done++;
         }
-        double cpuUs = (THREADS.getCurrentThreadCpuTime() - began) / 1e3 / done;
+        double cpuUs = (THREADS.getCurrentThreadCpuTime() - startedNs) / 1e3 / done;
         return new Cost(
                 null,
                 done,
@@ -217,22 +222,22 @@
         return costs;
     }
 
-    /** The power of a size by which a cost grows: 1 is linear, 2 the square. */
-    private static void growth(
-            String what,
+    /** Prints the exponent by which a cost grows with a size: 1 is linear, 2 is quadratic. */
+    private static void printGrowth(
+            String label,
             List<Cost> costs,
             ToDoubleFunction<Cost> size,
             ToDoubleFunction<Cost> cost) {
         var line = new SimpleRegression();
         costs.forEach(
-                one ->
+                measured ->
                         line.addData(
-                                Math.log(size.applyAsDouble(one)),
-                                Math.log(cost.applyAsDouble(one))));
+                                Math.log(size.applyAsDouble(measured)),
+                                Math.log(cost.applyAsDouble(measured))));
         System.out.printf(
                 Locale.ROOT,
                 "%s grows by the power %.2f, standard error %.2f, r2 %.3f, %d sizes%n",
-                what,
+                label,
                 line.getSlope(),
                 line.getSlopeStdErr(),
                 line.getRSquare(),
@@ -242,7 +247,8 @@
     private static void run(boolean quick, Path csvFile) throws IOException {
         long measureMs = quick ? MEASURE_MS / 5 : MEASURE_MS;
         int servers = quick ? 2000 : 4100;
-        // Discarded: the first size would be measured while it is still being compiled.
+        // The result is discarded: without this run, the code would still be being compiled while
+        // the first size is measured.
         measure(new Size(100, servers, 0), 2 * measureMs);
         var csv = new ArrayList<String>();
         csv.add("series,parts,servers,open,queries,us_a_query,us_to_take,kib_allocated");
@@ -254,8 +260,8 @@
                         IntStream.of(parts).mapToObj(n -> new Size(n, servers, 0)).toList(),
                         csv,
                         measureMs);
-        growth("a query's cost", byParts, cost -> cost.size.parts, Cost::cpuUs);
-        growth(
+        printGrowth("a query's cost", byParts, cost -> cost.size.parts, Cost::cpuUs);
+        printGrowth(
                 "a part's cost",
                 byParts,
                 cost -> cost.size.parts,
@@ -268,7 +274,7 @@
                         IntStream.of(listed).mapToObj(n -> new Size(100, n, 0)).toList(),
                         csv,
                         measureMs);
-        growth("a query's cost", byServers, cost -> cost.size.servers, Cost::cpuUs);
+        printGrowth("a query's cost", byServers, cost -> cost.size.servers, Cost::cpuUs);
         int[] open = {10, 30, 100, 300, 1000};
         List<Cost> byOpen =
                 series(
@@ -276,7 +282,7 @@
                         IntStream.of(open).mapToObj(n -> new Size(30, servers, n)).toList(),
                         csv,
                         measureMs);
-        growth("a query's cost", byOpen, cost -> cost.size.open, Cost::cpuUs);
+        printGrowth("a query's cost", byOpen, cost -> cost.size.open, Cost::cpuUs);
         if (csvFile != null) {
             Files.write(csvFile, csv);
         }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/LinkCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/LinkCost.java
@@ -20,25 +20,27 @@
 import sprucehold.rig.link.TcpRelay;
 
 /**
- * What the rig's links add to a round trip on loopback, no fault in force: a direct connection, one
- * whose far end is held behind a shaper (as shard servers and clients of the rig hold theirs), and
- * one through a relay (as between two gatherers). The three take turns, so that a busy moment
- * befalls all. Arguments: round trips of each, perhaps.
+ * Measures what the links of the rig add to a round trip on loopback while no fault is active. It
+ * compares a direct connection, a connection whose far end is behind a shaper (as those of the
+ * shard servers and clients of the rig are) and a connection through a relay (as between two
+ * gatherers). The three connections take turns, so that a busy period of the machine affects all of
+ * them.
+ * Optional argument: number of round trips for each connection.
  */
 public final class LinkCost {
-    private static final String HERE = "127.0.0.1";
+    private static final String LOOPBACK = "127.0.0.1";
     private static final int BYTES = 100;
 
-    /** One turn; with it, three links see the same machine within a tenth of a second. */
-    private static final int TURN = 500;
+    /** Round trips per turn, few enough that all three links take a turn within 0.1 s. */
+    private static final int ROUND_TRIPS_PER_TURN = 500;
 
-    /** The client's share of round trips that aren't counted, while it is interpreted. */
-    private static final int WARM = 5000;
+    /** Round trips on each link that are not counted, while the client still runs interpreted. */
+    private static final int WARM_UP_ROUND_TRIPS = 5000;
 
     private final Vertx near = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     private final Vertx far = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
-    private record Link(String name, NetSocket socket, Histogram took) {}
+    private record Link(String name, NetSocket socket, Histogram durations) {}
 
     private LinkCost() {}
 
@@ -48,16 +50,16 @@
     }
 
     private void run(int rounds) throws InterruptedException, ExecutionException, TimeoutException {
-        var wires = new ShapedConnections(far, () -> System.nanoTime() / 1e6, 1);
+        var connections = new ShapedConnections(far, () -> System.nanoTime() / 1e6, 1);
         NetServer echo =
                 far.createNetServer().connectHandler(socket -> socket.handler(socket::write));
-        NetServer held =
+        NetServer shapedEcho =
                 far.createNetServer()
                         .connectHandler(
                                 socket -> {
-                                    ShapedSocket[] own = {null};
-                                    own[0] =
-                                            wires.shape(
+                                    ShapedSocket[] shapedSocket = {null};
+                                    shapedSocket[0] =
+                                            connections.shape(
                                                     socket,
                                                     "near",
                                                     "far",
@@ -65,27 +67,27 @@
                                                         @Override
                                                         public void received(
                                                                 Buffer bytes, double readMs) {
-                                                            own[0].write(bytes);
+                                                            shapedSocket[0].write(bytes);
                                                         }
 
                                                         @Override
                                                         public void closed(boolean byPeer) {
-                                                            // The measurement ends with its
-                                                            // process.
+                                                            // Nothing to clean up: the process
+                                                            // ends after the measurement.
                                                         }
                                                     });
                                 });
-        int direct = await(echo.listen(0, HERE)).actualPort();
-        int shaped = await(held.listen(0, HERE)).actualPort();
+        int direct = await(echo.listen(0, LOOPBACK)).actualPort();
+        int shaped = await(shapedEcho.listen(0, LOOPBACK)).actualPort();
         int relayed =
                 await(
                         new TcpRelay(
                                         far,
-                                        wires,
+                                        connections,
                                         "near",
                                         "far",
-                                        SocketAddress.inetSocketAddress(direct, HERE))
-                                .listen(HERE, 0));
+                                        SocketAddress.inetSocketAddress(direct, LOOPBACK))
+                                .listen(LOOPBACK, 0));
         var links = new ArrayList<Link>();
         for (var link :
                 List.of(
@@ -95,14 +97,14 @@
             links.add(
                     new Link(
                             (String) link[0],
-                            await(near.createNetClient().connect((int) link[1], HERE)),
+                            await(near.createNetClient().connect((int) link[1], LOOPBACK)),
                             new Histogram(3)));
         }
-        for (int turn = 0; turn * TURN < WARM + rounds; turn++) {
+        for (int turn = 0; turn * ROUND_TRIPS_PER_TURN < WARM_UP_ROUND_TRIPS + rounds; turn++) {
             for (Link link : links) {
-                boolean counted = turn * TURN >= WARM;
+                boolean counted = turn * ROUND_TRIPS_PER_TURN >= WARM_UP_ROUND_TRIPS;
                 Promise<Void> done = Promise.promise();
-                near.runOnContext(none -> trips(link, TURN, counted, done));
+                near.runOnContext(none -> runRoundTrips(link, ROUND_TRIPS_PER_TURN, counted, done));
                 await(done.future());
             }
         }
@@ -111,30 +113,31 @@
                     Locale.ROOT,
                     "%-22s median %6.1f us, p99 %6.1f us, of %d round trips of %d bytes%n",
                     link.name,
-                    link.took.getValueAtPercentile(50) / 1e3,
-                    link.took.getValueAtPercentile(99) / 1e3,
-                    link.took.getTotalCount(),
+                    link.durations.getValueAtPercentile(50) / 1e3,
+                    link.durations.getValueAtPercentile(99) / 1e3,
+                    link.durations.getTotalCount(),
                     BYTES);
         }
         near.close();
         far.close();
     }
 
-    private static void trips(Link link, int left, boolean counted, Promise<Void> done) {
-        if (left == 0) {
+    private static void runRoundTrips(
+            Link link, int remaining, boolean counted, Promise<Void> done) {
+        if (remaining == 0) {
             done.complete();
             return;
         }
-        long begun = System.nanoTime();
-        int[] came = {0};
+        long startedNs = System.nanoTime();
+        int[] receivedBytes = {0};
         link.socket.handler(
                 bytes -> {
-                    came[0] += bytes.length();
-                    if (came[0] == BYTES) {
+                    receivedBytes[0] += bytes.length();
+                    if (receivedBytes[0] == BYTES) {
                         if (counted) {
-                            link.took.recordValue(System.nanoTime() - begun);
+                            link.durations.recordValue(System.nanoTime() - startedNs);
                         }
-                        trips(link, left - 1, counted, done);
+                        runRoundTrips(link, remaining - 1, counted, done);
                     }
                 });
         link.socket.write(Buffer.buffer(new byte[BYTES]));
--- a/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
@@ -16,13 +16,15 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads the logs of all gatherers of one day, written with {@code --log-scans}, and prints where
- * service was lost: by table type, third of the day, gatherer and cause. With a scan's id, prints
- * its lines from all logs instead. Arguments: the folder of the logs, then perhaps an id.
+ * Reads the logs of all gatherers of one day, written with {@code --log-scans}, and prints which
+ * queries were not completed, by query class, third of the day, gatherer and cause. If a query id
+ * is given, prints the lines about that query from all logs instead. Arguments: folder of the logs,
+ * optional query id.
  */
 public final class MassDay {
-    /** How one scan ended at one gatherer. */
-    private record Ended(double takenS, String gatherer, String tableType, String cause) {}
+    /** How one query, received at {@code receivedAtS} in seconds, ended at one gatherer. */
+    private record EndedQuery(
+            double receivedAtS, String gatherer, String tableType, String cause) {}
 
     private MassDay() {}
 
@@ -40,19 +42,19 @@
                             + ": were the gatherers run with --log-scans?");
             System.exit(1);
         } else if (args.length > 1) {
-            follow(lines, args[1]);
+            printQuery(lines, args[1]);
         } else {
             print(lines);
         }
     }
 
-    private static void follow(List<ScanLogs.Line> lines, String id) {
-        List<ScanLogs.Line> its =
+    private static void printQuery(List<ScanLogs.Line> lines, String id) {
+        List<ScanLogs.Line> queryLines =
                 lines.stream().filter(line -> line.text("scan").equals(id)).toList();
-        if (its.isEmpty()) {
+        if (queryLines.isEmpty()) {
             System.out.println("no gatherer's log names scan " + id);
         }
-        for (ScanLogs.Line line : its) {
+        for (ScanLogs.Line line : queryLines) {
             var rest = new StringBuilder();
             line.fields().properties().stream()
                     .filter(
@@ -75,17 +77,17 @@
         }
     }
 
-    private static List<Ended> ended(List<ScanLogs.Line> lines) {
+    private static List<EndedQuery> ended(List<ScanLogs.Line> lines) {
         Map<String, ScanLogs.Line> open = new HashMap<>();
         Set<String> left = new HashSet<>();
-        var ended = new ArrayList<Ended>();
+        var ended = new ArrayList<EndedQuery>();
         for (ScanLogs.Line line : lines) {
             String key = line.gatherer() + " " + line.text("scan");
-            if (line.says("a scan is taken")) {
+            if (line.hasText("a scan is taken")) {
                 open.put(key, line);
-            } else if (line.says("a client has left")) {
+            } else if (line.hasText("a client has left")) {
                 left.add(key);
-            } else if (line.says("a scan has ended") && open.containsKey(key)) {
+            } else if (line.hasText("a scan has ended") && open.containsKey(key)) {
                 ended.add(of(open.remove(key), line.text("outcome") + " " + line.text("reason")));
             }
         }
@@ -100,18 +102,19 @@
         return ended;
     }
 
-    private static Ended of(ScanLogs.Line taken, String cause) {
-        return new Ended(taken.atS(), taken.gatherer(), taken.text("table_type"), cause);
+    private static EndedQuery of(ScanLogs.Line taken, String cause) {
+        return new EndedQuery(taken.atS(), taken.gatherer(), taken.text("table_type"), cause);
     }
 
     private static void print(List<ScanLogs.Line> lines) {
-        List<Ended> scans = ended(lines);
-        double from = scans.stream().mapToDouble(Ended::takenS).min().orElse(0);
+        List<EndedQuery> scans = ended(lines);
+        double from = scans.stream().mapToDouble(EndedQuery::receivedAtS).min().orElse(0);
         double third =
                 Math.max(
                         1e-9,
-                        (scans.stream().mapToDouble(Ended::takenS).max().orElse(0) - from) / 3);
-        Function<Ended, String> byThird =
+                        (scans.stream().mapToDouble(EndedQuery::receivedAtS).max().orElse(0) - from)
+                                / 3);
+        Function<EndedQuery, String> byThird =
                 scan ->
                         String.format(
                                 Locale.ROOT,
@@ -120,51 +123,55 @@
                                         + third
                                                 * Math.min(
                                                         2,
-                                                        Math.floor((scan.takenS - from) / third)));
+                                                        Math.floor(
+                                                                (scan.receivedAtS - from)
+                                                                        / third)));
         System.out.println(
                 scans.size()
                         + " scans taken by "
                         + lines.stream().map(ScanLogs.Line::gatherer).distinct().count()
                         + " gatherers that logged any");
-        table("cause by table type", scans, Ended::tableType, scan -> true);
+        table("cause by table type", scans, EndedQuery::tableType, scan -> true);
         table("cause by third of the day", scans, byThird, scan -> true);
         table(
                 "what was not completed, by gatherer (the ten that lost most)",
-                worst(scans),
-                Ended::gatherer,
+                ofWorstGatherers(scans),
+                EndedQuery::gatherer,
                 scan -> !completed(scan));
-        dispatches(lines, from, third);
+        printAttempts(lines, from, third);
     }
 
-    private static boolean completed(Ended scan) {
+    private static boolean completed(EndedQuery scan) {
         return scan.cause.startsWith("whole") || scan.cause.startsWith("part");
     }
 
-    private static List<Ended> worst(List<Ended> scans) {
+    private static List<EndedQuery> ofWorstGatherers(List<EndedQuery> scans) {
         Map<String, Long> lost =
                 scans.stream()
                         .filter(scan -> !completed(scan))
-                        .collect(Collectors.groupingBy(Ended::gatherer, Collectors.counting()));
-        Set<String> ten =
+                        .collect(
+                                Collectors.groupingBy(
+                                        EndedQuery::gatherer, Collectors.counting()));
+        Set<String> worstGatherers =
                 lost.entrySet().stream()
                         .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
                         .limit(10)
                         .map(Map.Entry::getKey)
                         .collect(Collectors.toSet());
-        return scans.stream().filter(scan -> ten.contains(scan.gatherer)).toList();
+        return scans.stream().filter(scan -> worstGatherers.contains(scan.gatherer)).toList();
     }
 
     private static void table(
             String title,
-            List<Ended> scans,
-            Function<Ended, String> column,
-            Predicate<Ended> counted) {
+            List<EndedQuery> scans,
+            Function<EndedQuery, String> column,
+            Predicate<EndedQuery> counted) {
         Map<String, Map<String, Long>> cells =
                 scans.stream()
                         .filter(counted)
                         .collect(
                                 Collectors.groupingBy(
-                                        Ended::cause,
+                                        EndedQuery::cause,
                                         TreeMap::new,
                                         Collectors.groupingBy(column, Collectors.counting())));
         List<String> columns =
@@ -178,10 +185,10 @@
         print(title, cells, columns);
     }
 
-    /** How dispatches ended, by third, and the servers at which most failed. */
-    private static void dispatches(List<ScanLogs.Line> lines, double from, double third) {
+    /** Prints the outcomes of attempts by third of the day, and the servers that failed most. */
+    private static void printAttempts(List<ScanLogs.Line> lines, double from, double third) {
         List<ScanLogs.Line> ended =
-                lines.stream().filter(line -> line.says("a dispatch has ended")).toList();
+                lines.stream().filter(line -> line.hasText("a dispatch has ended")).toList();
         Map<String, Map<String, Long>> cells =
                 ended.stream()
                         .collect(
--- a/benchmarks/src/main/java/sprucehold/benchmarks/OpenLoop.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/OpenLoop.java
@@ -15,9 +15,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Asks a gatherer for scans at a set rate, whether or not it keeps up; a late answer counts from
- * when its scan should have been sent. The first seconds, in which this client itself is
- * interpreted, are asked and not counted. Arguments: port, scans a second, seconds.
+ * Sends queries to a gatherer at a fixed rate, whether or not the gatherer keeps up. The duration
+ * of a query starts at the time at which it should have been sent. Queries of the first 3 seconds,
+ * in which this client still runs interpreted, are sent but not counted. Arguments: port, queries
+ * per second, seconds.
  */
 public final class OpenLoop {
     private static final int CONNECTIONS = 24;
@@ -26,17 +27,17 @@
     private final Queue<NetSocket> idle = new ArrayDeque<>();
     private final Queue<Long> waiting = new ArrayDeque<>();
 
-    /** Since when each connection's scan is out, in nanoseconds; 0 for none. */
+    /** Planned send time of the open query of each connection in nanoseconds; 0 if none. */
     private final Map<NetSocket, long[]> sockets = new IdentityHashMap<>();
 
-    private final Histogram took = new Histogram(3);
+    private final Histogram durations = new Histogram(3);
     private final double perSecond;
     private final double seconds;
     private long sent;
     private long completed;
-    private long others;
-    private long begun;
-    private long warm;
+    private long notCompleted;
+    private long startedNs;
+    private long completedInWarmUp;
 
     private OpenLoop(double perSecond, double seconds) {
         this.perSecond = perSecond;
@@ -55,34 +56,35 @@
         vertx.runOnContext(
                 none -> {
                     for (int i = 0; i < CONNECTIONS; i++) {
-                        long[] since = {0};
+                        long[] plannedNs = {0};
                         client.connect(port, "127.0.0.1")
                                 .onSuccess(
                                         socket -> {
-                                            socket.handler(bytes -> answered(socket, since, bytes));
-                                            sockets.put(socket, since);
+                                            socket.handler(
+                                                    bytes -> answered(socket, plannedNs, bytes));
+                                            sockets.put(socket, plannedNs);
                                             idle.add(socket);
                                             connected.countDown();
                                         });
                     }
                 });
         connected.await(10, TimeUnit.SECONDS);
-        begun = System.nanoTime();
+        startedNs = System.nanoTime();
         vertx.runOnContext(
                 none ->
                         vertx.setPeriodic(
                                 1,
                                 id -> {
-                                    double passed = (System.nanoTime() - begun) / 1e9;
-                                    long due =
+                                    double elapsedS = (System.nanoTime() - startedNs) / 1e9;
+                                    long plannedCount =
                                             (long)
-                                                    (Math.min(passed, WARM_UP_S + seconds)
+                                                    (Math.min(elapsedS, WARM_UP_S + seconds)
                                                             * perSecond);
-                                    for (; sent < due; sent++) {
-                                        waiting.add(begun + (long) (sent / perSecond * 1e9));
+                                    for (; sent < plannedCount; sent++) {
+                                        waiting.add(startedNs + (long) (sent / perSecond * 1e9));
                                     }
                                     send();
-                                    if (passed > WARM_UP_S + seconds + 3) {
+                                    if (elapsedS > WARM_UP_S + seconds + 3) {
                                         vertx.cancelTimer(id);
                                         done.countDown();
                                     }
@@ -95,12 +97,12 @@
                 sent,
                 perSecond,
                 completed,
-                (completed - warm) / seconds,
-                others,
-                sent - completed - others,
-                took.getValueAtPercentile(50) / 1000.0,
-                took.getValueAtPercentile(99) / 1000.0,
-                took.getValueAtPercentile(99.9) / 1000.0);
+                (completed - completedInWarmUp) / seconds,
+                notCompleted,
+                sent - completed - notCompleted,
+                durations.getValueAtPercentile(50) / 1000.0,
+                durations.getValueAtPercentile(99) / 1000.0,
+                durations.getValueAtPercentile(99.9) / 1000.0);
         vertx.close();
     }
 
@@ -108,7 +110,7 @@
         while (!waiting.isEmpty() && !idle.isEmpty()) {
             NetSocket socket = idle.poll();
             sockets.get(socket)[0] = waiting.poll();
-            long number = completed + others + sent * 31 + System.nanoTime() % 1000;
+            long number = completed + notCompleted + sent * 31 + System.nanoTime() % 1000;
             String body =
                     "{\"buckets\":[{\"bucket\":"
                             + number % 10
@@ -127,24 +129,24 @@
         }
     }
 
-    private void answered(NetSocket socket, long[] since, Buffer bytes) {
-        if (since[0] == 0) {
+    private void answered(NetSocket socket, long[] plannedNs, Buffer bytes) {
+        if (plannedNs[0] == 0) {
             return;
         }
         if (bytes.toString().startsWith("HTTP/1.1 200")) {
             completed++;
-            if (since[0] - begun < WARM_UP_S * 1e9) {
-                warm++;
-                since[0] = 0;
+            if (plannedNs[0] - startedNs < WARM_UP_S * 1e9) {
+                completedInWarmUp++;
+                plannedNs[0] = 0;
                 idle.add(socket);
                 send();
                 return;
             }
-            took.recordValue(Math.max(0, (System.nanoTime() - since[0]) / 1000));
+            durations.recordValue(Math.max(0, (System.nanoTime() - plannedNs[0]) / 1000));
         } else {
-            others++;
+            notCompleted++;
         }
-        since[0] = 0;
+        plannedNs[0] = 0;
         idle.add(socket);
         send();
     }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/ScanLogs.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/ScanLogs.java
@@ -11,11 +11,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What the logs of all gatherers of one day, written with {@code --log-scans}, say of queries. */
+/** Reads the log lines about queries that gatherers write when run with {@code --log-scans}. */
 final class ScanLogs {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One line about a query; {@code atS} is in seconds, by the clock of whoever kept the log. */
+    /**
+     * One log line about a query. {@code atS} is the time in seconds by the clock of the process
+     * that stored the log.
+     */
     record Line(double atS, String gatherer, JsonNode fields) {
         String text(String field) {
             return fields.path(field).asText();
@@ -25,11 +28,11 @@
             return fields.path(field).asDouble();
         }
 
-        boolean says(String text) {
+        boolean hasText(String text) {
             return text("text").equals(text);
         }
 
-        /** Tells a query at one gatherer from all others. */
+        /** Returns a key that is unique for each pair of gatherer and query. */
         String key() {
             return gatherer + " " + text("scan");
         }
@@ -37,7 +40,7 @@
 
     private ScanLogs() {}
 
-    /** All such lines of the files {@code *.log} of a folder, in the order of their times. */
+    /** Returns the lines about queries of all files {@code *.log} in a folder, sorted by time. */
     static List<Line> read(Path folder) throws IOException {
         var lines = new ArrayList<Line>();
         try (Stream<Path> files = Files.list(folder)) {
@@ -55,8 +58,8 @@
     }
 
     /**
-     * A line is the bench's time in seconds and then what the gatherer wrote; one cut short by a
-     * kill is passed over.
+     * Parses a line, which consists of the time of the bench in seconds and the JSON object that
+     * the gatherer logged. Skips a line that was cut off when its gatherer was killed.
      */
     private static void add(List<Line> lines, String gatherer, String line) {
         int brace = line.indexOf('{');
@@ -68,7 +71,7 @@
                             JSON.readTree(line.substring(brace))));
         } catch (JsonProcessingException | NumberFormatException e) {
             System.err.println(
-                    "passed over in the log of "
+                    "skipped a line in the log of "
                             + gatherer
                             + ": "
                             + e.getMessage().lines().findFirst().orElse(""));
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -24,12 +24,13 @@
 import sprucehold.cluster.simulation.SimulatedFault;
 
 /**
- * What gatherers know together, in simulated time: ways to find out who is there, and ways to
- * divide a bound, by size and trouble. Arguments: {@code members}, {@code thousand}, {@code shares}
- * or {@code evidence}, then perhaps how many seeds; or {@code plot} and a file to write.
+ * Simulates clusters of gatherers in virtual time. Compares membership protocols and strategies for
+ * dividing a quota, by size of the cluster and kind of fault, and measures how soon failing shard
+ * servers are detected. Arguments: {@code members}, {@code thousand}, {@code shares} or {@code
+ * evidence}, then optionally the number of seeds; or {@code plot} and the file to write.
  */
 public final class TogetherDays {
-    /** Half a millisecond on the way, one message in a hundred lost, as a busy network does. */
+    /** Latency of 0.5 ms and a loss of one message in 100, as in a busy network. */
     private static final Network USUAL = new Network(0.5, 0.01, 0.001);
 
     private static final Network BAD = new Network(5, 0.1, 0.1);
@@ -69,7 +70,10 @@
         members(seeds, List.of(10, 100, 1000), List.of(MembershipSimulation.Way.values()));
     }
 
-    /** How soon a failing server is known, by each gatherer's own dispatches and by the others. */
+    /**
+     * Prints how soon gatherers detect a failing server, from their own attempts only and with the
+     * evidence of other gatherers.
+     */
     private static void evidence(int seeds) {
         System.out.printf(
                 Locale.ROOT,
@@ -85,16 +89,17 @@
                 "believed for nothing",
                 "letters/s");
         for (int size : List.of(5, 20, 60, 100, 1000)) {
-            for (double perS : List.of(0.2, 1.0)) {
+            for (double attemptsPerSecond : List.of(0.2, 1.0)) {
                 for (Network network : List.of(USUAL, BAD)) {
-                    evidence(seeds, size, perS, network, false);
+                    evidence(seeds, size, attemptsPerSecond, network, false);
                 }
             }
             evidence(seeds, size, 1.0, USUAL, true);
         }
     }
 
-    private static void evidence(int seeds, int size, double perS, Network network, boolean liar) {
+    private static void evidence(
+            int seeds, int size, double attemptsPerSecond, Network network, boolean liar) {
         if (size >= 1000 && network == BAD) {
             return;
         }
@@ -103,14 +108,19 @@
             results.add(
                     EvidenceSimulation.play(
                             new EvidenceSimulation.Setting(
-                                    size, 3, perS, size >= 1000 ? 20_000 : 40_000, network, liar),
+                                    size,
+                                    3,
+                                    attemptsPerSecond,
+                                    size >= 1000 ? 20_000 : 40_000,
+                                    network,
+                                    liar),
                             seed));
         }
         System.out.printf(
                 Locale.ROOT,
                 "%-8d %-10.1f %-8s %12.1f s %10.1f s %12.1f s %10.1f s %20.1f %10.1f%n",
                 size,
-                perS,
+                attemptsPerSecond,
                 liar ? "a liar" : network == USUAL ? "usual" : "bad",
                 mean(results, EvidenceSimulation.Result::aloneMedianMs) / 1000,
                 mean(results, EvidenceSimulation.Result::aloneAllMs) / 1000,
@@ -137,17 +147,17 @@
         for (int size : sizes) {
             for (Network network : List.of(USUAL, BAD)) {
                 for (MembershipSimulation.Way way : ways) {
-                    // All to all, and whole tables, at a thousand: millions of messages a second,
-                    // and minutes to play.
-                    boolean dear =
+                    // With 1000 members these two protocols send millions of messages a second, and
+                    // a simulation takes minutes, so it is shorter and runs with one seed.
+                    boolean expensive =
                             size >= 1000
                                     && (way == MembershipSimulation.Way.HEARTBEATS_TO_ALL
                                             || way == MembershipSimulation.Way.PHI_GOSSIP);
-                    int plays = dear ? 1 : size >= 1000 ? Math.min(2, seeds) : seeds;
-                    double lengthMs = dear ? 30_000 : 150_000;
-                    double dies = dear ? 15_000 : 90_000;
+                    int runs = expensive ? 1 : size >= 1000 ? Math.min(2, seeds) : seeds;
+                    double lengthMs = expensive ? 30_000 : 150_000;
+                    double deathMs = expensive ? 15_000 : 90_000;
                     var results = new ArrayList<MembershipSimulation.Result>();
-                    for (long seed = 1; seed <= plays; seed++) {
+                    for (long seed = 1; seed <= runs; seed++) {
                         results.add(
                                 MembershipSimulation.play(
                                         new MembershipSimulation.Setting(
@@ -158,7 +168,7 @@
                                                         new SimulatedFault(
                                                                 SimulatedFault.Kind.DEAD,
                                                                 Set.of(size / 2),
-                                                                dies,
+                                                                deathMs,
                                                                 1e9))),
                                         way,
                                         seed));
@@ -179,10 +189,10 @@
         }
     }
 
-    private record Day(String name, Network network, List<SimulatedFault> troubles) {}
+    private record Day(String name, Network network, List<SimulatedFault> faults) {}
 
     private static List<Day> days(int members) {
-        Set<Integer> few =
+        Set<Integer> fifth =
                 Set.copyOf(IntStream.range(0, Math.max(1, members / 5)).boxed().toList());
         Set<Integer> half = Set.copyOf(IntStream.range(0, members / 2).boxed().toList());
         return List.of(
@@ -191,7 +201,9 @@
                 new Day(
                         "a fifth deaf",
                         USUAL,
-                        List.of(new SimulatedFault(SimulatedFault.Kind.DEAF, few, 10_000, 25_000))),
+                        List.of(
+                                new SimulatedFault(
+                                        SimulatedFault.Kind.DEAF, fifth, 10_000, 25_000))),
                 new Day(
                         "cut in two",
                         USUAL,
@@ -203,7 +215,7 @@
                         USUAL,
                         List.of(
                                 new SimulatedFault(
-                                        SimulatedFault.Kind.PAUSED, few, 10_000, 16_000))),
+                                        SimulatedFault.Kind.PAUSED, fifth, 10_000, 16_000))),
                 new Day(
                         "half killed",
                         USUAL,
@@ -227,11 +239,11 @@
                 "dropped");
         for (int size : List.of(5, 20, 60, 100, 1000)) {
             for (Day day : days(size)) {
-                for (QuotaStrategy division : QuotaStrategy.values()) {
-                    int plays = size >= 1000 ? 1 : seeds;
+                for (QuotaStrategy strategy : QuotaStrategy.values()) {
+                    int runs = size >= 1000 ? 1 : seeds;
                     var results = new ArrayList<QuotaSimulation.Result>();
                     int bound = 10 * size;
-                    for (long seed = 1; seed <= plays; seed++) {
+                    for (long seed = 1; seed <= runs; seed++) {
                         results.add(
                                 QuotaSimulation.play(
                                         new QuotaSimulation.Setting(
@@ -242,14 +254,14 @@
                                                 0.002,
                                                 30_000,
                                                 day.network,
-                                                day.troubles,
+                                                day.faults,
                                                 QuotaSimulation.busyFew(
                                                         size,
                                                         Math.max(1, size / 10),
                                                         60,
                                                         1,
                                                         10_000)),
-                                        division,
+                                        strategy,
                                         seed));
                     }
                     System.out.printf(
@@ -257,7 +269,7 @@
                             "%-8d %-20s %-14s %7.1f%% %9d of %-5d %10.1f %12.1f%n",
                             size,
                             day.name,
-                            division.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                            strategy.name().toLowerCase(Locale.ROOT).replace('_', ' '),
                             100
                                     * mean(
                                             results,
@@ -274,12 +286,12 @@
         }
     }
 
-    /** What each division grants, second by second, while a fleet of twenty is cut in two. */
+    /** Plots what each strategy grants per second while a cluster of 20 is cut in two. */
     private static String plot() {
         var all = new XYSeriesCollection();
         Day day = days(20).get(3);
-        for (QuotaStrategy division : QuotaStrategy.values()) {
-            var series = new XYSeries(division.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+        for (QuotaStrategy strategy : QuotaStrategy.values()) {
+            var series = new XYSeries(strategy.name().toLowerCase(Locale.ROOT).replace('_', ' '));
             var results = new ArrayList<QuotaSimulation.Result>();
             for (long seed = 1; seed <= 10; seed++) {
                 results.add(
@@ -292,9 +304,9 @@
                                         0.002,
                                         30_000,
                                         day.network,
-                                        day.troubles,
+                                        day.faults,
                                         QuotaSimulation.busyFew(20, 2, 60, 1, 10_000)),
-                                division,
+                                strategy,
                                 seed));
             }
             for (int second = 0; second < 30; second++) {
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
@@ -18,24 +18,29 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * Gatherers that talk beside the same that don't, as processes on the rig, paired by plan: what of
- * the bound on further dispatches was used, the fullest window over all gatherers, what cold
- * servers were pushed by, and what was served. Arguments: how many seeds, how many gatherers a site
- * (0 for as many as the script has), then scripts; all that come along if none.
+ * Compares gatherers that form a cluster with gatherers that do not, as processes on the rig. Both
+ * play the same plan. Prints the number of retries and hedged requests, their largest number in one
+ * window over all gatherers beside the shared limit, the load on servers in slow start, and the
+ * share of queries completed in time. Arguments: number of seeds, number of gatherers per site (0
+ * for the number in the script), then scripts; without scripts all shipped {@code together} scripts
+ * are played.
  */
 public final class TogetherRuns {
-    private static final List<String> ALL =
+    private static final List<String> SHIPPED_CLUSTER_SCRIPTS =
             ScriptReader.SHIPPED.stream().filter(name -> name.startsWith("together")).toList();
 
     private TogetherRuns() {}
 
-    /** What one play came to. */
-    private record Play(Verdict verdict, int further, int fullest) {}
+    /** Result of one run; {@code further} counts the attempts on a part after its first. */
+    private record Play(Verdict verdict, int further, int mostInWindow) {}
 
     public static void main(String[] args) throws IOException {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 1;
         int perSite = args.length > 1 ? Integer.parseInt(args[1]) : 0;
-        List<String> names = args.length > 2 ? List.of(args).subList(2, args.length) : ALL;
+        List<String> names =
+                args.length > 2
+                        ? List.of(args).subList(2, args.length)
+                        : SHIPPED_CLUSTER_SCRIPTS;
         System.out.printf(
                 Locale.ROOT,
                 "%-17s %4s %-8s %-11s %9s %8s %14s %10s %8s %5s%n",
@@ -49,9 +54,9 @@
                 "cold push",
                 "memory",
                 "cores");
-        boolean sound = true;
+        boolean noneBroken = true;
         for (String name : names) {
-            Script script = sized(ScriptReader.read(name), perSite);
+            Script script = withGatherersPerSite(ScriptReader.read(name), perSite);
             var together = new ArrayList<Play>();
             var alone = new ArrayList<Play>();
             for (long seed = 1; seed <= seeds; seed++) {
@@ -59,7 +64,7 @@
                 alone.add(play(name, script.alone(), seed, "alone", script));
             }
             for (Play one : together) {
-                sound &= one.verdict.kind() != Verdict.Kind.BROKEN;
+                noneBroken &= one.verdict.kind() != Verdict.Kind.BROKEN;
             }
             System.out.printf(
                     Locale.ROOT,
@@ -77,11 +82,14 @@
                     together.stream().mapToInt(one -> one.further).average().orElse(0),
                     alone.stream().mapToInt(one -> one.further).average().orElse(0));
         }
-        System.exit(sound ? 0 : 1);
+        System.exit(noneBroken ? 0 : 1);
     }
 
-    /** The same with other numbers of gatherers; the bound grows with them, the load doesn't. */
-    private static Script sized(Script script, int perSite) {
+    /**
+     * Returns the script with another number of gatherers per site. The shared limit is scaled by
+     * the number of gatherers; the load is not.
+     */
+    private static Script withGatherersPerSite(Script script, int perSite) {
         if (perSite == 0) {
             return script;
         }
@@ -114,7 +122,7 @@
                         shared.clocksOffMs()));
     }
 
-    private static Play play(String name, Script script, long seed, String way, Script shared)
+    private static Play play(String name, Script script, long seed, String mode, Script shared)
             throws IOException {
         Path folder = Files.createTempDirectory("together-run-");
         try {
@@ -126,11 +134,11 @@
                     "%-17s %4d %-8s %-11s %9.4f %8d %7d of %-4d %10.2f %5.0f MB %5.3f%s%n",
                     name,
                     seed,
-                    way,
+                    mode,
                     verdict.kind().name().toLowerCase(Locale.ROOT),
                     verdict.figures().service(),
                     play.further,
-                    play.fullest,
+                    play.mostInWindow,
                     shared.together().further(),
                     verdict.figures().coldMost(),
                     verdict.figures().memoryMb(),
@@ -147,23 +155,23 @@
     }
 
     private static Play count(RunFolder run, Verdict verdict, double windowMs) throws IOException {
-        var first = new HashSet<String>();
+        var knownParts = new HashSet<String>();
         var window = new ArrayDeque<Double>();
         int further = 0;
-        int fullest = 0;
+        int mostInWindow = 0;
         List<Seen> seen =
                 run.seen().stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
         for (Seen one : seen) {
             if (one instanceof Seen.Arrived arrived
-                    && !first.add(arrived.scan() + " " + arrived.segment())) {
+                    && !knownParts.add(arrived.scan() + " " + arrived.segment())) {
                 further++;
                 window.add(arrived.atMs());
                 while (window.peek() <= arrived.atMs() - windowMs) {
                     window.poll();
                 }
-                fullest = Math.max(fullest, window.size());
+                mostInWindow = Math.max(mostInWindow, window.size());
             }
         }
-        return new Play(verdict, further, fullest);
+        return new Play(verdict, further, mostInWindow);
     }
 }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -32,7 +32,7 @@
 import sprucehold.tracetools.synthetic.DayPlan;
 import sprucehold.tracetools.synthetic.SyntheticDay;
 
-/** Nanoseconds a record to write a trace file, and to read it. */
+/** Measures the time to write and to read a trace file, in nanoseconds per record. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -46,7 +46,7 @@
     private Path file;
 
     @Setup(Level.Trial)
-    public void playADay() throws IOException {
+    public void recordSyntheticDay() throws IOException {
         var day = new SyntheticDay(new DayPlan(8000, 1, 1, 0, 0, 6, 40, 20), QueryScheduler::new);
         source = day.sources().get(0);
         int[] records = {0};
@@ -68,7 +68,7 @@
     }
 
     @TearDown(Level.Trial)
-    public void remove() throws IOException {
+    public void deleteFile() throws IOException {
         Files.delete(file);
     }
 
--- a/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
@@ -9,8 +9,9 @@
 import sprucehold.change.watch.TimeWindow;
 
 /**
- * Plays synthetic days in virtual time and counts how often a change is undone: for nothing, and
- * for a harm. Argument: days of each kind.
+ * Simulates synthetic days in virtual time and counts how often the health watch rolls a change
+ * back, for harmless changes (false positives) and for harmful changes. Argument: number of days of
+ * each kind.
  */
 public final class WatchDays {
     private static final double SLOT_S = 0.25;
@@ -20,7 +21,10 @@
 
     private WatchDays() {}
 
-    /** What happens on a day beside the change. */
+    /**
+     * Kind of a day: whether shard servers fail on their own, and the share of queries that the
+     * change makes fail. On EBB days the load also falls after the change.
+     */
     private enum Kind {
         CALM(false, 0),
         EBB(false, 0),
@@ -31,12 +35,12 @@
         HARM_50(false, 0.5),
         TROUBLED_HARM_10(true, 0.1);
 
-        final boolean troubles;
-        final double harm;
+        final boolean serverFailures;
+        final double harmedShare;
 
-        Kind(boolean troubles, double harm) {
-            this.troubles = troubles;
-            this.harm = harm;
+        Kind(boolean serverFailures, double harmedShare) {
+            this.serverFailures = serverFailures;
+            this.harmedShare = harmedShare;
         }
     }
 
@@ -44,10 +48,10 @@
         int days = args.length == 0 ? 2000 : Integer.parseInt(args[0]);
         System.out.println("kind              days  undone  median s  p95 s");
         for (Kind kind : Kind.values()) {
-            double[] found =
+            double[] rollbackTimes =
                     IntStream.range(0, days)
                             .parallel()
-                            .mapToDouble(seed -> play(kind, seed))
+                            .mapToDouble(seed -> simulate(kind, seed))
                             .filter(at -> at >= 0)
                             .sorted()
                             .toArray();
@@ -56,9 +60,9 @@
                     "%-16s %5d  %6d  %8s  %5s%n",
                     kind,
                     days,
-                    found.length,
-                    at(found, 0.5),
-                    at(found, 0.95));
+                    rollbackTimes.length,
+                    at(rollbackTimes, 0.5),
+                    at(rollbackTimes, 0.95));
         }
     }
 
@@ -71,64 +75,70 @@
                         sorted[Math.min(sorted.length - 1, (int) (share * sorted.length))]);
     }
 
-    /** When the change was undone, in seconds after it went live; -1 where it was confirmed. */
-    private static double play(Kind kind, int seed) {
+    /**
+     * Returns the time from activation to rollback of the change in seconds, or -1 if the change
+     * was not rolled back.
+     */
+    private static double simulate(Kind kind, int seed) {
         var random = new SplittableRandom(seed * 31L + kind.ordinal());
-        double[] trouble = new double[(int) ((120 + WATCH_S) / SLOT_S) + 400];
-        if (kind.troubles) {
-            // Servers' own troubles: one in five minutes as a mean, for 5 to 30 s, taking a tenth
-            // to a third.
-            for (double t = gap(random); t < 120 + WATCH_S; t += gap(random)) {
+        double[] failedShare = new double[(int) ((120 + WATCH_S) / SLOT_S) + 400];
+        if (kind.serverFailures) {
+            // Failures of shard servers that the change does not cause: one in 5 minutes on
+            // average, lasting 5 to 30 s, in which 10 to 33 % of the queries fail.
+            for (double t = nextFailureInterval(random);
+                    t < 120 + WATCH_S;
+                    t += nextFailureInterval(random)) {
                 int from = (int) (t / SLOT_S);
                 int to = from + (int) ((5 + 25 * random.nextDouble()) / SLOT_S);
                 Arrays.fill(
-                        trouble,
-                        Math.min(from, trouble.length),
-                        Math.min(to, trouble.length),
+                        failedShare,
+                        Math.min(from, failedShare.length),
+                        Math.min(to, failedShare.length),
                         0.1 + 0.23 * random.nextDouble());
             }
         }
-        var before = new Baseline();
+        var baseline = new Baseline();
         HealthWatch watch = null;
-        for (int i = 0; i < trouble.length; i++) {
+        for (int i = 0; i < failedShare.length; i++) {
             double t = i * SLOT_S - 120;
-            double sound = Math.max(0, 0.98 - trouble[i] - (t >= 0 ? kind.harm : 0));
+            double healthyShare =
+                    Math.max(0, 0.98 - failedShare[i] - (t >= 0 ? kind.harmedShare : 0));
             double rate = kind == Kind.EBB && t >= 0 ? Math.max(0.05, 1 - t / 100) : 1;
-            TimeWindow slot = slot(random, sound, rate, (t + 1000) * 1000);
+            TimeWindow slot = slot(random, healthyShare, rate, (t + 1000) * 1000);
             if (t < 0) {
-                before.add(slot);
+                baseline.add(slot);
                 continue;
             }
             watch =
                     watch == null
-                            ? new HealthWatch(before, (t + 1000) * 1000, WATCH_S * 1000, 100)
+                            ? new HealthWatch(baseline, (t + 1000) * 1000, WATCH_S * 1000, 100)
                             : watch;
-            HealthWatch.Verdict word = watch.add(slot);
-            if (word instanceof HealthWatch.Verdict.Degraded) {
+            HealthWatch.Verdict verdict = watch.add(slot);
+            if (verdict instanceof HealthWatch.Verdict.Degraded) {
                 return t;
-            } else if (word instanceof HealthWatch.Verdict.Healthy) {
+            } else if (verdict instanceof HealthWatch.Verdict.Healthy) {
                 return -1;
             }
         }
         return -1;
     }
 
-    private static double gap(SplittableRandom random) {
+    private static double nextFailureInterval(SplittableRandom random) {
         return -300 * Math.log(1 - random.nextDouble());
     }
 
     private static TimeWindow slot(
-            SplittableRandom random, double sound, double rate, double endsMs) {
+            SplittableRandom random, double healthyShare, double rate, double endsMs) {
         var builder = new TimeWindow.Builder();
-        for (int c = 0; c < CUSTOMERS.length; c++) {
-            double expected = RATES[c] * rate * SLOT_S;
+        for (int customer = 0; customer < CUSTOMERS.length; customer++) {
+            double expected = RATES[customer] * rate * SLOT_S;
             int scans = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
             for (int i = 0; i < scans; i++) {
                 builder.add(
                         random.nextInt(4) == 0 ? "stamps" : "offers",
-                        CUSTOMERS[c],
+                        CUSTOMERS[customer],
                         1,
-                        random.nextDouble() < sound);
+                        random.nextDouble() < healthyShare);
             }
         }
         return builder.take(endsMs);
--- a/benchmarks/src/main/java/sprucehold/benchmarks/package-info.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks, run by the commands in {@code bench/}. They must never be part of what serves. */
+/** Benchmarks that the scripts in {@code bench/} run. Serving code must never depend on them. */
 package sprucehold.benchmarks;
