--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
@@ -20,8 +20,8 @@
 /**
  * Compares gatherers that form a cluster with gatherers that do not, as processes on the rig. Both
  * play the same plan. Prints the number of retries and hedged requests, their largest number in one
- * window over all gatherers beside the shared limit, the load on servers in slow start, and the
- * share of queries completed in time. Arguments: number of seeds, number of gatherers per site (0
+ * window over all gatherers beside the shared limit, the highest load on a server in slow start,
+ * and the share of queries completed in time. Arguments: number of seeds, number of gatherers per site (0
  * for the number in the script), then scripts; without scripts all shipped {@code together} scripts
  * are played.
  */
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Executes an action and passes the response of the admin server to the rollout. An admin server
-     * that does not respond is passed over, and the rollout receives nothing from it.
+     * Executes an action and passes the response of the admin server to the rollout. If an admin
+     * server does not respond, the rollout receives nothing from it.
      */
     private List<RolloutAction> carryOut(Rollout rollout, RolloutAction action) throws IOException {
         if (action instanceof RolloutAction.SaveState saveState) {
