--- a/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
@@ -52,9 +52,9 @@
     }
 
     private static String row(JsonNode day) {
-        JsonNode of = day.path("row");
+        JsonNode row = day.path("row");
         String broken =
-                of.path("rules").properties().stream()
+                row.path("rules").properties().stream()
                         .filter(rule -> rule.getValue().asInt() > 0)
                         .map(rule -> rule.getKey() + " " + rule.getValue())
                         .collect(Collectors.joining(", "));
@@ -64,10 +64,10 @@
                 "| %s, %s, %d, %d | %.2f | %.3f | %.1f%% | %.1f%% | %d | %s |",
                 day.path("site").asText(),
                 day.path("name").asText(),
-                of.path("nodes").asInt(),
-                of.path("seed").asLong(),
-                of.path("score").asDouble(),
-                of.path("served").asDouble(),
+                row.path("nodes").asInt(),
+                row.path("seed").asLong(),
+                row.path("score").asDouble(),
+                row.path("served").asDouble(),
                 worst(day, "refused"),
                 worst(day, "late"),
                 windows(day).stream().mapToInt(window -> window.path("timed_out").asInt()).sum(),
--- a/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
@@ -79,14 +79,14 @@
 
     private static List<EndedQuery> ended(List<ScanLogs.Line> lines) {
         Map<String, ScanLogs.Line> open = new HashMap<>();
-        Set<String> left = new HashSet<>();
+        Set<String> disconnected = new HashSet<>();
         var ended = new ArrayList<EndedQuery>();
         for (ScanLogs.Line line : lines) {
             String key = line.gatherer() + " " + line.text("scan");
             if (line.hasText("a scan is taken")) {
                 open.put(key, line);
             } else if (line.hasText("a client has left")) {
-                left.add(key);
+                disconnected.add(key);
             } else if (line.hasText("a scan has ended") && open.containsKey(key)) {
                 ended.add(of(open.remove(key), line.text("outcome") + " " + line.text("reason")));
             }
@@ -96,7 +96,7 @@
                         ended.add(
                                 of(
                                         taken,
-                                        left.contains(key)
+                                        disconnected.contains(key)
                                                 ? "client left"
                                                 : "no end: gatherer ended")));
         return ended;
--- a/benchmarks/src/main/java/sprucehold/benchmarks/OpenLoop.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/OpenLoop.java
@@ -16,9 +16,9 @@
 
 /**
  * Sends queries to a gatherer at a fixed rate, whether or not the gatherer keeps up. The duration
- * of a query starts at the time at which it should have been sent. Queries of the first 3 seconds,
- * in which this client still runs interpreted, are sent but not counted. Arguments: port, queries
- * per second, seconds.
+ * of a query starts at the time at which it should have been sent. Queries planned for the first 3
+ * seconds, in which this client still runs interpreted, are left out of the rate and of the
+ * percentiles. Arguments: port, queries per second, seconds.
  */
 public final class OpenLoop {
     private static final int CONNECTIONS = 24;
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -126,12 +126,12 @@
                 mean(results, EvidenceSimulation.Result::aloneAllMs) / 1000,
                 mean(results, EvidenceSimulation.Result::toldMedianMs) / 1000,
                 mean(results, EvidenceSimulation.Result::toldAllMs) / 1000,
-                mean(results, one -> one.falselySuspecting()),
+                mean(results, result -> result.falselySuspecting()),
                 mean(results, EvidenceSimulation.Result::messagesPerSecond));
     }
 
     private static void members(
-            int seeds, List<Integer> sizes, List<MembershipSimulation.Way> ways) {
+            int seeds, List<Integer> sizes, List<MembershipSimulation.Way> protocols) {
         System.out.printf(
                 Locale.ROOT,
                 "a death after 90 s of 150; means over %d seeds%n%-8s %-8s %-24s %12s %12s %16s %12s %14s%n",
@@ -146,13 +146,13 @@
                 "messages/s");
         for (int size : sizes) {
             for (Network network : List.of(USUAL, BAD)) {
-                for (MembershipSimulation.Way way : ways) {
+                for (MembershipSimulation.Way protocol : protocols) {
                     // With 1000 members these two protocols send millions of messages a second, and
                     // a simulation takes minutes, so it is shorter and runs with one seed.
                     boolean expensive =
                             size >= 1000
-                                    && (way == MembershipSimulation.Way.HEARTBEATS_TO_ALL
-                                            || way == MembershipSimulation.Way.PHI_GOSSIP);
+                                    && (protocol == MembershipSimulation.Way.HEARTBEATS_TO_ALL
+                                            || protocol == MembershipSimulation.Way.PHI_GOSSIP);
                     int runs = expensive ? 1 : size >= 1000 ? Math.min(2, seeds) : seeds;
                     double lengthMs = expensive ? 30_000 : 150_000;
                     double deathMs = expensive ? 15_000 : 90_000;
@@ -170,7 +170,7 @@
                                                                 Set.of(size / 2),
                                                                 deathMs,
                                                                 1e9))),
-                                        way,
+                                        protocol,
                                         seed));
                     }
                     System.out.printf(
@@ -178,11 +178,11 @@
                             "%-8d %-8s %-24s %10.1f s %10.1f s %16.1f %12.1f %14.1f%n",
                             size,
                             network == USUAL ? "usual" : "bad",
-                            way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
+                            protocol.name().toLowerCase(Locale.ROOT).replace('_', ' '),
                             mean(results, MembershipSimulation.Result::firstMs) / 1000,
                             mean(results, MembershipSimulation.Result::allMs) / 1000,
-                            mean(results, one -> one.falselyDead()),
-                            mean(results, one -> one.wrongAtEnd()),
+                            mean(results, result -> result.falselyDead()),
+                            mean(results, result -> result.wrongAtEnd()),
                             mean(results, MembershipSimulation.Result::messages));
                 }
             }
@@ -273,14 +273,16 @@
                             100
                                     * mean(
                                             results,
-                                            one -> QuotaSimulation.mean(one.gotBySecond(), 6, 30)),
+                                            result ->
+                                                    QuotaSimulation.mean(
+                                                            result.gotBySecond(), 6, 30)),
                             results.stream()
                                     .mapToInt(QuotaSimulation.Result::mostInWindow)
                                     .max()
                                     .orElse(0),
                             bound,
-                            mean(results, one -> one.messages() / (double) size / 30),
-                            mean(results, one -> one.dropped()));
+                            mean(results, result -> result.messages() / (double) size / 30),
+                            mean(results, result -> result.dropped()));
                 }
             }
         }
@@ -311,7 +313,8 @@
             }
             for (int second = 0; second < 30; second++) {
                 int at = second;
-                series.add(second + 0.5, 100 * mean(results, one -> one.gotBySecond().get(at)));
+                series.add(
+                        second + 0.5, 100 * mean(results, result -> result.gotBySecond().get(at)));
             }
             all.addSeries(series);
         }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
@@ -21,9 +21,9 @@
  * Compares gatherers that form a cluster with gatherers that do not, as processes on the rig. Both
  * play the same plan. Prints the number of retries and hedged requests, their largest number in one
  * window over all gatherers beside the shared limit, the highest load on a server in slow start,
- * and the share of queries completed in time. Arguments: number of seeds, number of gatherers per site (0
- * for the number in the script), then scripts; without scripts all shipped {@code together} scripts
- * are played.
+ * and the share of queries completed in time. Arguments: number of seeds, number of gatherers per
+ * site (0 for the number in the script), then scripts; without scripts all shipped {@code together}
+ * scripts are played.
  */
 public final class TogetherRuns {
     private static final List<String> SHIPPED_CLUSTER_SCRIPTS =
@@ -63,8 +63,8 @@
                 together.add(play(name, script, seed, "together", script));
                 alone.add(play(name, script.alone(), seed, "alone", script));
             }
-            for (Play one : together) {
-                noneBroken &= one.verdict.kind() != Verdict.Kind.BROKEN;
+            for (Play current : together) {
+                noneBroken &= current.verdict.kind() != Verdict.Kind.BROKEN;
             }
             System.out.printf(
                     Locale.ROOT,
@@ -72,15 +72,15 @@
                     name,
                     "",
                     together.stream()
-                            .mapToDouble(one -> one.verdict.figures().service())
+                            .mapToDouble(current -> current.verdict.figures().service())
                             .average()
                             .orElse(0),
                     alone.stream()
-                            .mapToDouble(one -> one.verdict.figures().service())
+                            .mapToDouble(current -> current.verdict.figures().service())
                             .average()
                             .orElse(0),
-                    together.stream().mapToInt(one -> one.further).average().orElse(0),
-                    alone.stream().mapToInt(one -> one.further).average().orElse(0));
+                    together.stream().mapToInt(current -> current.further).average().orElse(0),
+                    alone.stream().mapToInt(current -> current.further).average().orElse(0));
         }
         System.exit(noneBroken ? 0 : 1);
     }
@@ -161,8 +161,8 @@
         int mostInWindow = 0;
         List<Seen> seen =
                 run.seen().stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
-        for (Seen one : seen) {
-            if (one instanceof Seen.Arrived arrived
+        for (Seen current : seen) {
+            if (current instanceof Seen.Arrived arrived
                     && !knownParts.add(arrived.scan() + " " + arrived.segment())) {
                 further++;
                 window.add(arrived.atMs());
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -397,12 +397,12 @@
                         List.of("figure", "least", "median", "most"),
                         spreads.entrySet().stream()
                                 .map(
-                                        current ->
+                                        entry ->
                                                 List.of(
-                                                        current.getKey(),
-                                                        number(current.getValue().least()),
-                                                        number(current.getValue().median()),
-                                                        number(current.getValue().most())))
+                                                        entry.getKey(),
+                                                        number(entry.getValue().least()),
+                                                        number(entry.getValue().median()),
+                                                        number(entry.getValue().most())))
                                 .toList());
                 System.out.println(
                         runs + " runs: " + bad + " not passed, " + starved + " don't count");
@@ -452,15 +452,15 @@
             Script base = ScriptReader.read(script);
             int starved = 0;
             var broken = new ArrayList<Long>();
-            for (long current = seed; current < seed + runs; current++) {
-                Path folder = out.resolve("run-" + current);
+            for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
+                Path folder = out.resolve("run-" + runSeed);
                 Verdict verdict;
                 try {
-                    verdict = play(Storm.draw(base, current), current, folder, true);
+                    verdict = play(Storm.draw(base, runSeed), runSeed, folder, true);
                 } catch (IOException e) {
                     // A failure of the rig itself is no result about the gatherers. The remaining
                     // runs are still played.
-                    System.err.println("seed " + current + ": the rig failed: " + e.getMessage());
+                    System.err.println("seed " + runSeed + ": the rig failed: " + e.getMessage());
                     starved++;
                     continue;
                 }
@@ -468,7 +468,7 @@
                     Console.json(
                             Map.of(
                                     "seed",
-                                    current,
+                                    runSeed,
                                     "verdict",
                                     verdict.kind().name(),
                                     "service",
@@ -479,13 +479,13 @@
                     System.out.printf(
                             Locale.ROOT,
                             "seed %d: %s, service %.3f%s%n",
-                            current,
+                            runSeed,
                             verdict.kind(),
                             verdict.figures().service(),
                             verdict.why().isEmpty() ? "" : "; " + verdict.why().get(0));
                 }
                 if (verdict.kind() == Verdict.Kind.BROKEN) {
-                    broken.add(current);
+                    broken.add(runSeed);
                 } else {
                     starved += verdict.kind() == Verdict.Kind.STARVED ? 1 : 0;
                     remove(folder);
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -218,16 +218,16 @@
     private List<RolloutAction> queryStatus(Rollout rollout, String gatherer, String id) {
         try {
             long version = version(gatherer, id);
-            for (JsonNode of : adminServer(gatherer).call("GET", "/change/history", null)) {
-                if (of.path("version").longValue() == version) {
-                    return switch (of.path("state").asText()) {
+            for (JsonNode entry : adminServer(gatherer).call("GET", "/change/history", null)) {
+                if (entry.path("version").longValue() == version) {
+                    return switch (entry.path("state").asText()) {
                         case "confirmed", "replaced" ->
                                 rollout.answered(gatherer, GathererState.CONFIRMED, "");
                         case "undone", "set_aside" ->
                                 rollout.answered(
                                         gatherer,
                                         GathererState.ROLLED_BACK,
-                                        of.path("why").asText());
+                                        entry.path("why").asText());
                         default -> rollout.answered(gatherer, GathererState.WATCHED, "");
                     };
                 }
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -110,15 +110,15 @@
                     List.of("server", "trouble"));
         }
 
-        private static void table(JsonNode of, List<String> header, List<String> fields) {
-            if (of.isEmpty()) {
+        private static void table(JsonNode entries, List<String> header, List<String> fields) {
+            if (entries.isEmpty()) {
                 return;
             }
             var rows = new ArrayList<List<Object>>();
-            for (JsonNode one : of) {
+            for (JsonNode entry : entries) {
                 var row = new ArrayList<Object>();
                 for (String field : fields) {
-                    JsonNode value = one.get(field);
+                    JsonNode value = entry.get(field);
                     row.add(
                             value.isIntegralNumber()
                                     ? (Object) value.longValue()
@@ -145,39 +145,44 @@
 
         @Override
         public Integer call() throws IOException {
-            ClusterConfig plan = ClusterConfig.read(file);
-            Map<String, Object> what = new LinkedHashMap<>();
-            what.put("gatherers", plan.members().size());
-            what.put(
+            ClusterConfig config = ClusterConfig.read(file);
+            Map<String, Object> summary = new LinkedHashMap<>();
+            summary.put("gatherers", config.members().size());
+            summary.put(
                     "sites",
-                    plan.members().values().stream()
+                    config.members().values().stream()
                             .map(ClusterConfig.Member::site)
                             .distinct()
                             .count());
-            what.put(
+            summary.put(
                     "cold_servers",
-                    plan.shared().contains(SharedLimit.Kind.SLOW_START) ? "shared" : "each alone");
-            what.put(
+                    config.shared().contains(SharedLimit.Kind.SLOW_START)
+                            ? "shared"
+                            : "each alone");
+            summary.put(
                     "customers_shares",
-                    plan.shared().contains(SharedLimit.Kind.TENANT_QUOTA)
+                    config.shared().contains(SharedLimit.Kind.TENANT_QUOTA)
                             ? "shared"
                             : "each alone");
-            what.put(
+            summary.put(
                     "further_dispatches",
-                    plan.shared().contains(SharedLimit.Kind.RETRIES)
-                            ? plan.retriesPerWindow() + " by all in " + plan.retryWindowMs() + " ms"
+                    config.shared().contains(SharedLimit.Kind.RETRIES)
+                            ? config.retriesPerWindow()
+                                    + " by all in "
+                                    + config.retryWindowMs()
+                                    + " ms"
                             : "each by its own budget");
-            what.put(
+            summary.put(
                     "clocks",
                     "up to "
-                            + plan.maxClockDriftPpm()
+                            + config.maxClockDriftPpm()
                             + " ppm off in rate, up to "
-                            + plan.maxClockOffsetMs()
+                            + config.maxClockOffsetMs()
                             + " ms apart");
             if (json) {
-                Console.json(what);
+                Console.json(summary);
             } else {
-                Console.pairs(what);
+                Console.pairs(summary);
             }
             return 0;
         }
--- a/cli/src/main/java/sprucehold/cli/TraceView.java
+++ b/cli/src/main/java/sprucehold/cli/TraceView.java
@@ -224,28 +224,28 @@
 
         @Override
         public Integer call() throws IOException {
-            TraceRepair.Repaired done = TraceRepair.repair(file);
+            TraceRepair.Repaired repaired = TraceRepair.repair(file);
             if (json) {
                 Console.json(
                         map(
                                 "needed",
-                                done.needed(),
+                                repaired.needed(),
                                 "entries",
-                                done.entries(),
+                                repaired.entries(),
                                 "lost_bytes",
-                                done.lostBytes(),
+                                repaired.lostBytes(),
                                 "why",
-                                done.why()));
+                                repaired.why()));
             } else {
                 System.out.println(
-                        !done.needed()
+                        !repaired.needed()
                                 ? "sound: nothing to repair"
                                 : "repaired: "
-                                        + done.entries()
+                                        + repaired.entries()
                                         + " calls and gaps kept, "
-                                        + done.lostBytes()
+                                        + repaired.lostBytes()
                                         + " bytes after them lost; "
-                                        + done.why());
+                                        + repaired.why());
             }
             return 0;
         }
@@ -301,7 +301,7 @@
                 paramLabel = "N",
                 defaultValue = "50",
                 description = "at most so many (default: 50)")
-        private int most;
+        private int maxResults;
 
         @Option(names = "--json", description = "a JSON object a line instead of a table")
         private boolean json;
@@ -311,7 +311,7 @@
             double fromMs = from == null ? Double.NEGATIVE_INFINITY : Times.parse(from);
             double toMs = to == null ? Double.POSITIVE_INFINITY : Times.parse(to);
             var found = new ArrayList<QueryStatistics>();
-            long[] more = {0};
+            long[] omitted = {0};
             try (TraceReader reader = open(file)) {
                 var statisticsCollector =
                         new QueryStatisticsCollector(
@@ -344,10 +344,10 @@
                                                     || statistics.tenant().equals(customer))
                                             && taken >= fromMs
                                             && taken < toMs) {
-                                        if (found.size() < most) {
+                                        if (found.size() < maxResults) {
                                             found.add(statistics);
                                         } else {
-                                            more[0]++;
+                                            omitted[0]++;
                                         }
                                     }
                                 });
@@ -368,12 +368,12 @@
                 statisticsCollector.end();
                 found.sort(
                         Comparator.comparingDouble(statistics -> statistics.query().receivedMs()));
-                print(reader, found, more[0]);
+                print(reader, found, omitted[0]);
             }
             return found.isEmpty() ? 1 : 0;
         }
 
-        private void print(TraceReader reader, List<QueryStatistics> found, long more) {
+        private void print(TraceReader reader, List<QueryStatistics> found, long omitted) {
             var rows = new ArrayList<List<Object>>();
             for (QueryStatistics statistics : found) {
                 var taken = statistics.query().received();
@@ -436,8 +436,8 @@
                                 "dispatches"),
                         rows);
             }
-            if (more > 0) {
-                System.err.println("and " + more + " more: --most shows them");
+            if (omitted > 0) {
+                System.err.println("and " + omitted + " more: --most shows them");
             } else if (found.isEmpty()) {
                 System.err.println("sprucehold: " + reader.name() + " holds no such scan");
             }
--- a/cli/src/main/java/sprucehold/cli/TraceWrite.java
+++ b/cli/src/main/java/sprucehold/cli/TraceWrite.java
@@ -200,7 +200,7 @@
                 Anonymiser.Written written =
                         Anonymiser.anonymise(reader, secret, out, progress::update);
                 progress.finish();
-                try (TraceReader done = TraceReader.open(out)) {
+                try (TraceReader anonymised = TraceReader.open(out)) {
                     if (json) {
                         Console.json(
                                 TraceView.map(
@@ -213,7 +213,7 @@
                                         "pooled",
                                         written.pooled(),
                                         "lost",
-                                        done.header().lost()));
+                                        anonymised.header().lost()));
                         return 0;
                     }
                     System.out.printf(
@@ -224,7 +224,7 @@
                             written.leftOut(),
                             written.named(),
                             written.pooled());
-                    done.header().lost().forEach(lost -> System.out.println("  " + lost));
+                    anonymised.header().lost().forEach(lost -> System.out.println("  " + lost));
                 }
             }
             return 0;
--- a/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
@@ -89,11 +89,11 @@
                 ArrayNode all = MAPPER.createArrayNode();
                 history.statuses()
                         .forEach(
-                                of ->
+                                entry ->
                                         all.addObject()
-                                                .put("version", of.version().number())
-                                                .put("state", of.state().storedName())
-                                                .put("why", of.reason()));
+                                                .put("version", entry.version().number())
+                                                .put("state", entry.state().storedName())
+                                                .put("why", entry.reason()));
                 answer = all;
             } else if (path.startsWith("/change/proposal/")) {
                 Long version =
@@ -178,8 +178,8 @@
     }
 
     private void startAdminServers(boolean... harmed) throws IOException {
-        for (boolean of : harmed) {
-            adminServers.add(new ScriptedAdminServer(of));
+        for (boolean rollsBackChange : harmed) {
+            adminServers.add(new ScriptedAdminServer(rollsBackChange));
         }
     }
 
