--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -29,13 +29,14 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * All clients of a run: an open loop, each scan at its planned time on a connection of its own or
- * one that is idle. What they saw goes into the ledger, how it looked to them to a listener.
+ * All clients of a run. They form an open loop: each query is sent at its planned time, on an idle
+ * connection or a new one. The ledger records the requests and answers, and a listener receives the
+ * end of each query as the client saw it.
  */
 public final class Clients {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** How a client's scan ended for it. */
+    /** How a query ended for its client. */
     public enum End {
         WHOLE,
         PART,
@@ -47,17 +48,17 @@
         NOBODY
     }
 
-    /** Hears of the end of each scan that was planned, once, after all its retries. */
+    /** Receives the end of each planned query once, after all its retries. */
     public interface Listener {
         /**
-         * @param atMs when the client had it, by the run's clock
-         * @param sentLateMs how much later than planned the rig began to send it
+         * @param atMs the time at which the query ended for the client, by the run's clock
+         * @param sentLateMs how much later than planned the rig began to send the query
          */
-        void ended(Plan.PlannedQuery ask, double atMs, End end, double sentLateMs);
+        void ended(Plan.PlannedQuery query, double atMs, End end, double sentLateMs);
     }
 
     private final Vertx vertx;
-    private final ShapedConnections wires;
+    private final ShapedConnections shapedConnections;
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Script script;
@@ -71,12 +72,12 @@
     private int open;
 
     /**
-     * @param address where a gatherer listens
-     * @param killed whether a gatherer was killed and is not back
+     * @param address returns the address of a gatherer
+     * @param killed whether a gatherer was killed and has not been started again
      */
     public Clients(
             Vertx vertx,
-            ShapedConnections wires,
+            ShapedConnections shapedConnections,
             DoubleSupplier clock,
             Ledger ledger,
             Script script,
@@ -85,7 +86,7 @@
             Predicate<String> killed,
             Listener listener) {
         this.vertx = vertx;
-        this.wires = wires;
+        this.shapedConnections = shapedConnections;
         this.clock = clock;
         this.ledger = ledger;
         this.script = script;
@@ -93,27 +94,27 @@
         this.address = address;
         this.killed = killed;
         this.listener = listener;
-        // Longer than any client waits: who waits in vain leaves by itself.
+        // Longer than any client waits. The timer of the client ends a wait in vain.
         this.net =
                 vertx.createNetClient(
                         new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(60_000));
     }
 
-    /** Asks a planned scan now. */
-    public void ask(Plan.PlannedQuery ask, double plannedMs) {
+    /** Sends a planned query now. */
+    public void ask(Plan.PlannedQuery query, double plannedMs) {
         open++;
-        new Asking(ask, clock.getAsDouble() - plannedMs).go(ask.id());
+        new ClientQuery(query, clock.getAsDouble() - plannedMs).start(query.id());
     }
 
-    /** Scans that have not ended for their clients. */
+    /** Returns the number of queries that have not ended for their clients. */
     public int open() {
         return open;
     }
 
-    /** Gives up connections to a gatherer that nobody uses now. */
+    /** Closes the idle connections to a gatherer. */
     public void forget(String gatherer) {
         links.stream()
-                .filter(link -> link.gatherer.equals(gatherer) && link.asking == null)
+                .filter(link -> link.gatherer.equals(gatherer) && link.pending == null)
                 .toList()
                 .forEach(link -> link.socket.close());
     }
@@ -123,9 +124,9 @@
         net.close();
     }
 
-    /** One client's wish, through all its retries. */
-    private final class Asking {
-        final Plan.PlannedQuery ask;
+    /** One planned query of a client, through all its retries. */
+    private final class ClientQuery {
+        final Plan.PlannedQuery query;
         final Script.Load load;
         final Script.Kind kind;
         final Persistence persistence;
@@ -134,37 +135,39 @@
         Link link;
         boolean asked;
         boolean sentAgain;
-        long patience = -1;
+        long waitTimer = -1;
 
-        /** When its query timeout is over, from when it first looked for a gatherer. */
-        double timeOverAt;
+        /**
+         * Time at which the query timeout ends, counted from the first selection of a gatherer.
+         */
+        double timeoutAtMs;
 
-        Asking(Plan.PlannedQuery ask, double sentLateMs) {
-            this.ask = ask;
-            this.load = script.load().get(ask.load());
+        ClientQuery(Plan.PlannedQuery query, double sentLateMs) {
+            this.query = query;
+            this.load = script.load().get(query.load());
             this.kind =
                     script.tableTypes().stream()
                             .filter(k -> k.type().name().equals(load.tableType()))
                             .findFirst()
                             .orElseThrow();
-            this.persistence = new Persistence(load, ask.id().hashCode());
+            this.persistence = new Persistence(load, query.id().hashCode());
             this.sentLateMs = sentLateMs;
         }
 
-        void go(String withId) {
-            id = withId;
+        void start(String requestId) {
+            id = requestId;
             asked = false;
             sentAgain = false;
             link = null;
-            double waits = Math.min(load.leavesMs(), kind.timeoutMs() + GIVES_UP_MS);
-            timeOverAt = clock.getAsDouble() + kind.timeoutMs();
-            patience = vertx.setTimer(Math.max(1, (long) waits), over -> gaveUp());
+            double maxWaitMs = Math.min(load.leavesMs(), kind.timeoutMs() + LATE_ANSWER_MS);
+            timeoutAtMs = clock.getAsDouble() + kind.timeoutMs();
+            waitTimer = vertx.setTimer(Math.max(1, (long) maxWaitMs), elapsed -> gaveUp());
             connect();
         }
 
         private void connect() {
             if (timeLeftMs() < 1) {
-                // Nobody was found in time, and nobody is told of a scan that has no time left.
+                // No gatherer was found in time, and a query that has no time left is not sent.
                 end(End.NOBODY);
                 return;
             }
@@ -181,13 +184,13 @@
                 reused.send(this);
                 return;
             }
-            Treatment there = wires.board().of(site, gatherer);
-            if (there.cut() == Fault.Mode.SILENT || there.halfOpen()) {
-                // Never comes up; the client waits.
+            Treatment linkState = shapedConnections.board().of(site, gatherer);
+            if (linkState.cut() == Fault.Mode.SILENT || linkState.halfOpen()) {
+                // The connection is never established; the client waits.
                 return;
             }
-            String with = id;
-            if (there.cut() != null) {
+            String attemptId = id;
+            if (linkState.cut() != null) {
                 failed();
                 return;
             }
@@ -195,10 +198,11 @@
                     .onComplete(
                             socket -> {
                                 var opened = new Link(site, gatherer);
-                                opened.socket = wires.shape(socket, gatherer, site, opened);
+                                opened.socket =
+                                        shapedConnections.shape(socket, gatherer, site, opened);
                                 links.add(opened);
                                 if (id != null
-                                        && id.equals(with)
+                                        && id.equals(attemptId)
                                         && link == null
                                         && timeLeftMs() >= 1) {
                                     opened.send(this);
@@ -207,42 +211,42 @@
                                 }
                             },
                             refused -> {
-                                if (id != null && id.equals(with)) {
+                                if (id != null && id.equals(attemptId)) {
                                     failed();
                                 }
                             });
         }
 
         /**
-         * What a gatherer is told: where the way to it took long, the client won't wait the whole
-         * time any more.
+         * Returns the remaining time, which is sent to the gatherer as the deadline. If connecting
+         * took long, less than the whole query timeout is left.
          */
         long timeLeftMs() {
-            return (long) (timeOverAt - clock.getAsDouble());
+            return (long) (timeoutAtMs - clock.getAsDouble());
         }
 
         /**
-         * No connection came up, so nothing was asked: tries the next gatherer after a short wait,
-         * as a front does.
+         * Handles a connection that could not be opened, so that nothing was sent. Tries the next
+         * gatherer after a short wait, as a load balancer does.
          */
         void failed() {
-            String with = id;
+            String attemptId = id;
             vertx.setTimer(
-                    CONNECT_AGAIN_MS,
+                    RECONNECT_DELAY_MS,
                     waited -> {
-                        if (id != null && id.equals(with) && link == null) {
+                        if (id != null && id.equals(attemptId) && link == null) {
                             connect();
                         }
                     });
         }
 
         private void gaveUp() {
-            patience = -1;
-            boolean left = load.leavesMs() < kind.timeoutMs() + GIVES_UP_MS;
+            waitTimer = -1;
+            boolean left = load.leavesMs() < kind.timeoutMs() + LATE_ANSWER_MS;
             Link on = link;
             if (on != null) {
                 link = null;
-                on.asking = null;
+                on.pending = null;
                 if (asked && left) {
                     ledger.add(new Seen.Left(clock.getAsDouble(), id));
                 }
@@ -270,9 +274,10 @@
             link = null;
             double wait = how == Seen.Answer.THROTTLED ? persistence.throttled(comeBackMs) : -1;
             if (wait >= 0) {
-                vertx.cancelTimer(patience);
+                vertx.cancelTimer(waitTimer);
                 id = null;
-                vertx.setTimer(Math.max(1, (long) wait), again -> go(persistence.id(ask.id())));
+                vertx.setTimer(
+                        Math.max(1, (long) wait), again -> start(persistence.id(query.id())));
             } else {
                 end(
                         how == Seen.Answer.COMPLETED
@@ -282,9 +287,10 @@
         }
 
         /**
-         * The connection ended with no answer. A kept one that its gatherer closed unread is no
-         * loss, and is asked once more; where the gatherer was killed nobody knows what ran, and
-         * where a fault broke the link it takes the client to have left.
+         * Handles a connection that ended without an answer. If the gatherer closed a reused
+         * connection before it sent anything, the query is sent once more. If the gatherer was
+         * killed, it is unknown whether the query ran, so it isn't sent again. If a fault broke the
+         * link, the gatherer assumes that the client has left.
          */
         void closed(boolean byPeer, boolean reused, String gatherer) {
             link = null;
@@ -303,43 +309,43 @@
         }
 
         private void end(End how) {
-            vertx.cancelTimer(patience);
+            vertx.cancelTimer(waitTimer);
             id = null;
             open--;
-            listener.ended(ask, clock.getAsDouble(), how, sentLateMs);
+            listener.ended(query, clock.getAsDouble(), how, sentLateMs);
         }
     }
 
     /**
-     * How long after its time a client still reads an answer: what comes then is late, and what
-     * never comes is lost.
+     * Extra time for which a client still reads an answer after its query timeout, in milliseconds.
+     * An answer within it is late; one that is still missing afterwards is lost.
      */
-    private static final double GIVES_UP_MS = 500;
+    private static final double LATE_ANSWER_MS = 500;
 
-    private static final long CONNECT_AGAIN_MS = 20;
+    private static final long RECONNECT_DELAY_MS = 20;
 
-    /** One connection of clients of a site to a gatherer. */
+    /** One connection from the clients of a site to a gatherer. */
     private final class Link implements ShapedSocket.Owner {
         final String site;
         final String gatherer;
         ShapedSocket socket;
-        Asking asking;
+        ClientQuery pending;
         Buffer read = Buffer.buffer();
         int sent;
-        boolean over;
+        boolean closed;
 
         Link(String site, String gatherer) {
             this.site = site;
             this.gatherer = gatherer;
         }
 
-        void send(Asking by) {
-            asking = by;
-            by.link = this;
+        void send(ClientQuery clientQuery) {
+            pending = clientQuery;
+            clientQuery.link = this;
             sent++;
-            String type = by.load.tableType();
+            String type = clientQuery.load.tableType();
             var parts = new StringBuilder();
-            by.ask
+            clientQuery.query
                     .weights()
                     .forEach(
                             (segment, weight) ->
@@ -350,27 +356,33 @@
                                             .append(weight)
                                             .append('}'));
             String body =
-                    "{\"buckets\":[" + parts + "],\"body\":\"" + type + "." + by.ask.id() + "\"}";
-            long timeout = by.timeLeftMs();
+                    "{\"buckets\":["
+                            + parts
+                            + "],\"body\":\""
+                            + type
+                            + "."
+                            + clientQuery.query.id()
+                            + "\"}";
+            long timeout = clientQuery.timeLeftMs();
             String head =
                     "POST /"
                             + type
                             + " HTTP/1.1\r\nHost: rig\r\nX-Request-Id: "
-                            + by.id
+                            + clientQuery.id
                             + "\r\nX-Class: "
                             + type
                             + "\r\nX-Tenant: "
-                            + by.load.customer()
+                            + clientQuery.load.customer()
                             + "\r\nX-Deadline-Ms: "
                             + timeout
                             + "\r\nContent-Length: "
                             + body.length()
                             + "\r\n\r\n";
-            String id = by.id;
+            String id = clientQuery.id;
             socket.write(
                     Buffer.buffer(head + body),
                     () -> {
-                        by.asked = true;
+                        clientQuery.asked = true;
                         ledger.add(
                                 new Seen.Asked(
                                         clock.getAsDouble(),
@@ -378,15 +390,15 @@
                                         id,
                                         type,
                                         timeout,
-                                        by.ask.weights()));
+                                        clientQuery.query.weights()));
                     });
         }
 
         void keep() {
-            if (!over && !front.knowsGone(gatherer)) {
+            if (!closed && !front.knowsGone(gatherer)) {
                 idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>())
                         .addLast(this);
-            } else if (!over) {
+            } else if (!closed) {
                 socket.close();
             }
         }
@@ -413,15 +425,15 @@
             }
             JsonNode body = json(text.substring(headEnd + 4, headEnd + 4 + length));
             read = read.getBuffer(headEnd + 4 + length, read.length());
-            Asking by = asking;
-            asking = null;
+            ClientQuery clientQuery = pending;
+            pending = null;
             if ("close".equalsIgnoreCase(head.get("Connection"))) {
                 socket.close();
             } else {
                 keep();
             }
-            if (by != null) {
-                by.answered(
+            if (clientQuery != null) {
+                clientQuery.answered(
                         Integer.parseInt(lines[0].split(" ")[1]),
                         1000 * Double.parseDouble(head.getOrDefault("Retry-After", "0")),
                         body,
@@ -433,20 +445,20 @@
             try {
                 return JSON.readTree(text);
             } catch (JsonProcessingException e) {
-                // Words of a throttled or malformed scan.
+                // Plain text of a throttled or malformed query.
                 return JSON.createObjectNode();
             }
         }
 
         @Override
         public void closed(boolean byPeer) {
-            over = true;
+            closed = true;
             links.remove(this);
             idle.getOrDefault(site + " " + gatherer, new ArrayDeque<>()).remove(this);
-            if (asking != null) {
-                Asking by = asking;
-                asking = null;
-                by.closed(byPeer, sent > 1 && read.length() == 0, gatherer);
+            if (pending != null) {
+                ClientQuery clientQuery = pending;
+                pending = null;
+                clientQuery.closed(byPeer, sent > 1 && read.length() == 0, gatherer);
             }
         }
     }
--- a/rig/src/main/java/sprucehold/rig/load/Front.java
+++ b/rig/src/main/java/sprucehold/rig/load/Front.java
@@ -6,26 +6,27 @@
 import java.util.Map;
 
 /**
- * Spreads a site's clients over its gatherers in turn. It admits one that says it is ready, and
- * goes on sending clients to one that is gone until it learns of it. A site with none that it knows
- * of asks the other sites'.
+ * Distributes the clients of a site over its gatherers in turn. A gatherer is admitted when it
+ * reports that it is ready. A gatherer that is gone still gets clients for a delay. If no gatherer
+ * of a site is admitted, its clients are sent to those of the other sites.
  */
 public final class Front {
     private final Map<String, List<String>> bySite = new HashMap<>();
     private final Map<String, Boolean> admitted = new HashMap<>();
     private final Map<String, Double> goneMs = new HashMap<>();
-    private final Map<String, Integer> turn = new HashMap<>();
-    private final double learnsMs;
+    private final Map<String, Integer> nextIndex = new HashMap<>();
+    private final double detectionDelayMs;
 
     /**
-     * @param learnsMs how long after a gatherer is gone it is still sent clients, in milliseconds
+     * @param detectionDelayMs how long a gatherer still gets clients after it is gone, in
+     *     milliseconds
      */
-    public Front(Map<String, String> siteOf, double learnsMs) {
+    public Front(Map<String, String> siteOf, double detectionDelayMs) {
         siteOf.forEach(
                 (gatherer, site) ->
                         bySite.computeIfAbsent(site, name -> new ArrayList<>()).add(gatherer));
         bySite.values().forEach(list -> list.sort(null));
-        this.learnsMs = learnsMs;
+        this.detectionDelayMs = detectionDelayMs;
     }
 
     public void ready(String gatherer) {
@@ -33,36 +34,38 @@
         goneMs.remove(gatherer);
     }
 
-    /** It is gone, or ends and says that it isn't ready. */
+    /** Records that a gatherer has ended, or is ending and reports that it isn't ready. */
     public void gone(double nowMs, String gatherer) {
         goneMs.putIfAbsent(gatherer, nowMs);
     }
 
-    /** The gatherer for the next connection from a site; null if none is known to be there. */
+    /** Returns the gatherer for the next connection from a site, or null if none is admitted. */
     public String next(double nowMs, String site) {
         goneMs.forEach(
                 (gatherer, at) -> {
-                    if (nowMs >= at + learnsMs) {
+                    if (nowMs >= at + detectionDelayMs) {
                         admitted.put(gatherer, false);
                     }
                 });
-        List<String> here = open(site);
-        if (here.isEmpty()) {
-            here =
+        List<String> candidates = admittedAt(site);
+        if (candidates.isEmpty()) {
+            candidates =
                     bySite.keySet().stream()
                             .sorted()
-                            .flatMap(other -> open(other).stream())
+                            .flatMap(other -> admittedAt(other).stream())
                             .toList();
         }
-        return here.isEmpty() ? null : here.get(turn.merge(site, 1, Integer::sum) % here.size());
+        return candidates.isEmpty()
+                ? null
+                : candidates.get(nextIndex.merge(site, 1, Integer::sum) % candidates.size());
     }
 
-    /** Whether it knows that a gatherer is gone, so that connections kept are given up. */
+    /** Returns whether a gatherer is not admitted, so that kept connections to it are closed. */
     public boolean knowsGone(String gatherer) {
         return !admitted.getOrDefault(gatherer, false);
     }
 
-    private List<String> open(String site) {
+    private List<String> admittedAt(String site) {
         return bySite.getOrDefault(site, List.of()).stream()
                 .filter(name -> admitted.getOrDefault(name, false))
                 .toList();
--- a/rig/src/main/java/sprucehold/rig/load/Persistence.java
+++ b/rig/src/main/java/sprucehold/rig/load/Persistence.java
@@ -4,36 +4,39 @@
 import org.apache.commons.rng.simple.RandomSource;
 import sprucehold.rig.script.Script;
 
-/** Whether and when a client that was throttled asks again, under a new id. */
+/** Decides whether and when a throttled client sends its query again, under a new id. */
 public final class Persistence {
     private final Script.Load load;
-    private final UniformRandomProvider chance;
-    private int tried;
+    private final UniformRandomProvider random;
+    private int retries;
 
     /**
-     * @param seed spreads the waits
+     * @param seed seed of the random part of the waits
      */
     public Persistence(Script.Load load, long seed) {
         this.load = load;
-        this.chance = RandomSource.SPLIT_MIX_64.create(seed);
+        this.random = RandomSource.SPLIT_MIX_64.create(seed);
     }
 
     /**
-     * How long to wait before asking again, in milliseconds; negative for never.
+     * Returns how long to wait before the query is sent again, in milliseconds; negative if it
+     * isn't sent again.
      *
-     * @param comeBackMs what the gatherer said, 0 if nothing
+     * @param comeBackMs the retry-after time that the gatherer sent, in milliseconds; 0 if it sent
+     *     none
      */
     public double throttled(double comeBackMs) {
-        if (tried >= load.retries()) {
+        if (retries >= load.retries()) {
             return -1;
         }
-        double own = load.backOffMs() * Math.pow(2, tried++);
-        // Half of it by chance, so that clients turned away together don't come back together.
-        return Math.max(comeBackMs, own) * (1 + chance.nextDouble() / 2);
+        double backOffMs = load.backOffMs() * Math.pow(2, retries++);
+        // Adds up to half of the wait at random, so that clients that were throttled together don't
+        // send again together.
+        return Math.max(comeBackMs, backOffMs) * (1 + random.nextDouble() / 2);
     }
 
-    /** The id of the scan by which it asks again. */
+    /** Returns the id under which the query is sent again. */
     public String id(String first) {
-        return first + "-" + tried;
+        return first + "-" + retries;
     }
 }
--- a/rig/src/main/java/sprucehold/rig/load/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/load/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Clients of a run. {@link sprucehold.rig.load.Front} and {@link sprucehold.rig.load.Persistence}
- * decide whom a client asks and whether it asks again, and are pure; {@link
- * sprucehold.rig.load.Clients} asks, at the planned times whatever comes back.
+ * Clients of a run. {@link sprucehold.rig.load.Front} selects the gatherer for a client, and {@link
+ * sprucehold.rig.load.Persistence} decides whether the client sends its query again; both are pure.
+ * {@link sprucehold.rig.load.Clients} sends the queries at the planned times, whatever the answers
+ * are.
  */
 package sprucehold.rig.load;
--- a/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
+++ b/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
@@ -12,29 +12,30 @@
 import java.util.regex.Pattern;
 
 /**
- * Takes all that a process writes, so that no pipe fills, and keeps the first part of it; notes
- * what it holds to be severe. Safe for threads.
+ * Reads all output of a process, so that its pipe never fills up, and writes the first part of it
+ * to a file. Also keeps the first lines of level SEVERE. Thread-safe.
  */
 final class BoundedLog {
-    /** A gatherer writes some hundred bytes a scan: this is a run of ten minutes. */
-    private static final long MOST_BYTES = 64L << 20;
+    /** Enough for a run of ten minutes: a gatherer writes some hundred bytes for each query. */
+    private static final long MAX_BYTES = 64L << 20;
 
     private final Path file;
-    private final long most;
+    private final long maxBytes;
     private volatile long written;
     private volatile boolean flooded;
-    private volatile String last = "it wrote nothing";
+    private volatile String lastLine = "it wrote nothing";
 
     /**
-     * What a line may hold, at the most: the rest of a longer one is taken for lines of its own.
+     * Maximum length of a line, in characters. The rest of a longer line is treated as further
+     * lines.
      */
-    private static final int LONGEST_LINE = 16 * 1024;
+    private static final int MAX_LINE_CHARS = 16 * 1024;
 
-    private static final int MOST_SEVERE = 5;
+    private static final int MAX_SEVERE_LINES = 5;
 
     /**
-     * The level stands second, as text and as JSON, the two forms of the log; what follows may be
-     * anything.
+     * Matches a line of level SEVERE in either log format, text or JSON. The level is the second
+     * field in both; any text may follow it.
      */
     private static final Pattern SEVERE =
             Pattern.compile("\\S+ SEVERE |\\{\"time\":\"[^\"]*\",\"level\":\"SEVERE\"");
@@ -43,15 +44,15 @@
     private final List<String> severe = new CopyOnWriteArrayList<>();
 
     BoundedLog(Path file) {
-        this(file, MOST_BYTES);
+        this(file, MAX_BYTES);
     }
 
-    BoundedLog(Path file, long most) {
+    BoundedLog(Path file, long maxBytes) {
         this.file = file;
-        this.most = most;
+        this.maxBytes = maxBytes;
     }
 
-    /** Reads on a thread of its own until the process closes its end. */
+    /** Reads the stream on a thread of its own until the process closes its end. */
     void drain(InputStream in, String name) {
         var thread = new Thread(() -> copy(in), "log of " + name);
         thread.setDaemon(true);
@@ -63,47 +64,47 @@
         try (OutputStream out =
                 Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (int read = in.read(bytes); read >= 0; read = in.read(bytes)) {
-                int keep = (int) Math.max(0, Math.min(read, most - written));
+                int keep = (int) Math.max(0, Math.min(read, maxBytes - written));
                 out.write(bytes, 0, keep);
                 written += keep;
                 flooded |= keep < read;
-                remember(new String(bytes, 0, read, StandardCharsets.UTF_8));
+                splitIntoLines(new String(bytes, 0, read, StandardCharsets.UTF_8));
             }
-            whole(line.toString());
+            addLine(line.toString());
         } catch (IOException e) {
-            // Killed while it wrote, or the disk is full: the run goes on.
-            last = "its log can't be kept: " + e.getMessage();
+            // The process was killed while it wrote, or the disk is full. The run continues.
+            lastLine = "its log can't be kept: " + e.getMessage();
         }
     }
 
-    private void remember(String text) {
+    private void splitIntoLines(String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) != '\n' && line.length() < LONGEST_LINE) {
+            if (text.charAt(i) != '\n' && line.length() < MAX_LINE_CHARS) {
                 line.append(text.charAt(i));
             } else {
-                whole(line.toString());
+                addLine(line.toString());
                 line.setLength(0);
             }
         }
     }
 
-    private void whole(String written) {
+    private void addLine(String written) {
         if (!written.isBlank()) {
-            last = written;
+            lastLine = written;
         }
-        if (severe.size() < MOST_SEVERE && SEVERE.matcher(written).lookingAt()) {
+        if (severe.size() < MAX_SEVERE_LINES && SEVERE.matcher(written).lookingAt()) {
             severe.add(written);
         }
     }
 
-    /** The first lines of level SEVERE. */
+    /** Returns the first lines of level SEVERE. */
     List<String> severe() {
         return severe;
     }
 
-    /** The last line that it wrote. */
-    String last() {
-        return last;
+    /** Returns the last line that the process wrote. */
+    String lastLine() {
+        return lastLine;
     }
 
     boolean flooded() {
--- a/rig/src/main/java/sprucehold/rig/process/ClusterFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/ClusterFile.java
@@ -7,14 +7,14 @@
 import sprucehold.rig.script.Script;
 
 /**
- * What a gatherer is told of the others, by deploy/together.schema.json: each is met behind a relay
- * of its own.
+ * Writes the cluster file of a gatherer, which lists the other gatherers, as defined by
+ * deploy/together.schema.json. The address of each other gatherer is the address of a relay.
  */
 public final class ClusterFile {
     private ClusterFile() {}
 
     /**
-     * @param listen the address at which it hears them itself
+     * @param listen the address at which the gatherer itself receives peer messages
      */
     public static String json(
             Script script, Plan plan, Addresses addresses, int number, String listen) {
--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -18,24 +18,24 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * One gatherer: the program in a process of its own, which may be started, signalled and ended
- * again and again.
+ * One gatherer: the program in a process of its own. The process may be started, signalled and
+ * ended repeatedly.
  */
 public final class GathererProcess {
     /**
-     * A gatherer under its command is ready in a few seconds; many that start at once share the
-     * cores.
+     * Maximum time until a gatherer is ready, in milliseconds. A gatherer started by its command is
+     * ready in a few seconds, but many that start at once share the cores.
      */
-    private static final long START_MS = 60_000;
+    private static final long MAX_START_MS = 60_000;
 
-    private static final long LOOK_MS = 25;
+    private static final long READY_POLL_MS = 25;
 
     private final Vertx vertx;
     private final Context context;
     private final Home home;
     private final Guardian guardian;
     private final String name;
-    private final SocketAddress at;
+    private final SocketAddress address;
     private final BoundedLog log;
     private final NetClient client;
     private List<String> command;
@@ -47,32 +47,33 @@
     private double cores;
 
     /**
-     * @param at where it listens
-     * @param logFile what it writes, over all its lives
+     * @param address the address at which the gatherer listens
+     * @param logFile the file that receives its output, from all its starts
      */
     public GathererProcess(
             Vertx vertx,
             Home home,
             Guardian guardian,
             String name,
-            SocketAddress at,
+            SocketAddress address,
             Path logFile) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
         this.home = home;
         this.guardian = guardian;
         this.name = name;
-        this.at = at;
+        this.address = address;
         this.log = new BoundedLog(logFile);
         this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(1000));
     }
 
     /**
-     * Starts it.
+     * Starts the gatherer.
      *
-     * @param together what it is told of others, or null where it doesn't talk
-     * @return succeeds once it says that it is ready; fails in one line if it ends or takes too
-     *     long
+     * @param together the cluster file, or null if the gatherer doesn't exchange messages with
+     *     others
+     * @return succeeds when the gatherer reports that it is ready; fails with a one-line message if
+     *     the process ends or takes too long
      */
     public Future<Void> start(Path config, Path together, Plan.Clocks clocks) {
         return start(home.serve(clocks, config, together));
@@ -84,8 +85,9 @@
         ended = over.future();
         return vertx.executeBlocking(
                         () -> {
-                            // It begins only when the guardian knows of it, so that no moment is
-                            // left at which it could be forgotten.
+                            // The shell waits for a line before it executes the gatherer. The line
+                            // is sent only after the process is registered with the guardian, so
+                            // that the guardian can always kill it.
                             var all =
                                     new ArrayList<>(
                                             List.of(
@@ -115,7 +117,7 @@
                 .compose(
                         started -> {
                             process = started;
-                            return ready(System.nanoTime() + START_MS * 1_000_000);
+                            return ready(System.nanoTime() + MAX_START_MS * 1_000_000);
                         });
     }
 
@@ -127,19 +129,19 @@
                                     + " ended with exit code "
                                     + ended.result()
                                     + " before it was ready: "
-                                    + log.last()));
+                                    + log.lastLine()));
         }
         if (System.nanoTime() > until) {
             return Future.failedFuture(
                     new IOException(
                             name
                                     + " was not ready within "
-                                    + START_MS / 1000
+                                    + MAX_START_MS / 1000
                                     + " s: "
-                                    + log.last()));
+                                    + log.lastLine()));
         }
         Promise<Boolean> up = Promise.promise();
-        client.connect(at)
+        client.connect(address)
                 .onComplete(
                         socket -> {
                             socket.handler(
@@ -165,14 +167,15 @@
                         is ->
                                 is
                                         ? Future.succeededFuture()
-                                        : vertx.timer(LOOK_MS).compose(waited -> ready(until)));
+                                        : vertx.timer(READY_POLL_MS)
+                                                .compose(waited -> ready(until)));
     }
 
     public boolean alive() {
         return process != null && process.isAlive();
     }
 
-    /** Sends a signal by its name, such as {@code KILL}, to this process alone. */
+    /** Sends a signal, given by its name such as {@code KILL}, to this process alone. */
     public Future<Void> signal(String signal) {
         if (!alive()) {
             return Future.succeededFuture();
@@ -192,13 +195,14 @@
                 .mapEmpty();
     }
 
-    /** Succeeds with its exit code once it has ended. */
+    /** Returns a future that succeeds with the exit code when the process has ended. */
     public Future<Integer> ended() {
         return ended;
     }
 
     /**
-     * Asks it to end, and kills it if it has not by then. Succeeds with whether it ended by itself.
+     * Sends SIGTERM, and SIGKILL if the process is still alive after the given time. Succeeds with
+     * true if the process ended without SIGKILL.
      */
     public Future<Boolean> end(long withinMs) {
         if (!alive()) {
@@ -224,12 +228,15 @@
                 .compose(itself -> ended.map(itself));
     }
 
-    /** The most memory that it held, in kilobytes, as far as it was looked at: at each signal. */
+    /** Returns the peak memory of the process, in kilobytes, as read before each signal. */
     public long peakKb() {
         return peakKb;
     }
 
-    /** How many cores it used from when it was ready to the last signal, in its last life. */
+    /**
+     * Returns how many cores the process used on average from readiness to the last signal, since
+     * its last start.
+     */
     public double cores() {
         return cores;
     }
@@ -250,12 +257,12 @@
         }
     }
 
-    /** The first lines of level SEVERE that it wrote, over all its lives. */
+    /** Returns the first lines of level SEVERE that the gatherer wrote, over all its starts. */
     public List<String> severe() {
         return log.severe();
     }
 
-    /** Whether it wrote more than is kept. */
+    /** Returns whether the gatherer wrote more than the log keeps. */
     public boolean flooded() {
         return log.flooded();
     }
--- a/rig/src/main/java/sprucehold/rig/process/Guardian.java
+++ b/rig/src/main/java/sprucehold/rig/process/Guardian.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A shell that knows the rig's processes and kills them as soon as the pipe from the rig closes:
- * nothing is left running however the rig ends, also when it is killed itself, and also processes
- * that are paused.
+ * A shell that keeps a list of the rig's processes and kills them as soon as the pipe from the rig
+ * closes. No process, not even a paused one, is left running however the rig ends, also when the
+ * rig itself is killed.
  */
 public final class Guardian implements AutoCloseable {
-    private static final String WATCH =
+    private static final String SHELL_SCRIPT =
             "trap '' INT TERM HUP; pids=; while read -r verb pid; do case $verb in "
                     + "add) pids=\"$pids $pid\";; "
                     + "del) left=; for p in $pids; do [ \"$p\" = \"$pid\" ] || left=\"$left $p\"; done; pids=$left;; "
@@ -22,28 +22,28 @@
 
     public Guardian() throws IOException {
         shell =
-                new ProcessBuilder("/bin/sh", "-c", WATCH)
+                new ProcessBuilder("/bin/sh", "-c", SHELL_SCRIPT)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .redirectError(ProcessBuilder.Redirect.DISCARD)
                         .start();
         pipe = shell.getOutputStream();
     }
 
-    /** Has a process killed if the rig ends. */
+    /** Registers a process, so that it is killed if the rig ends. */
     synchronized void add(long pid) throws IOException {
-        say("add " + pid);
+        send("add " + pid);
     }
 
-    /** A process has ended, and its id may come to be another's. */
+    /** Removes a process that has ended, since another process may get its id. */
     synchronized void del(long pid) {
         try {
-            say("del " + pid);
+            send("del " + pid);
         } catch (IOException e) {
-            // The guardian has ended; so will the rig.
+            // The guardian has ended, so the rig will end too.
         }
     }
 
-    private void say(String line) throws IOException {
+    private void send(String line) throws IOException {
         if (!shell.isAlive()) {
             throw new IOException("the guardian of the rig's processes has ended");
         }
@@ -55,7 +55,7 @@
         return shell.pid();
     }
 
-    /** Kills whatever is left, as if the rig had ended. */
+    /** Kills all registered processes that are still running, as at the end of the rig. */
     @Override
     public void close() throws IOException {
         pipe.close();
--- a/rig/src/main/java/sprucehold/rig/process/Home.java
+++ b/rig/src/main/java/sprucehold/rig/process/Home.java
@@ -8,19 +8,23 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * The program that the rig starts.
+ * Program that the rig starts as a gatherer.
  *
- * @param root the folder in which it runs
- * @param program the command before what says which gatherer it is to be; its first word is a JVM's
+ * @param root the working directory of the program
+ * @param program the command without the options of the single gatherer; its first word is the path
+ *     of a JVM
  */
 public record Home(Path root, List<String> program) {
-    /** Long enough after a start that loans are out by then. */
-    private static final int JUMPS_AFTER_MS = 6000;
+    /**
+     * Delay after the start at which the clock jumps, in milliseconds. By then leases have been
+     * granted.
+     */
+    private static final int CLOCK_JUMP_AFTER_MS = 6000;
 
     /**
-     * The shipped jar of a checkout in which it is built, started as operators do.
+     * Finds the shipped jar of a checkout in which it is built; it is started as operators do.
      *
-     * @throws IOException with what is missing, in one line
+     * @throws IOException naming in one line the file that is missing
      */
     public static Home find() throws IOException {
         String named = System.getenv("SPRUCEHOLD_HOME");
@@ -59,9 +63,10 @@
     }
 
     /**
-     * The command that starts one gatherer.
+     * Returns the command that starts one gatherer.
      *
-     * @param together what it is told of others, or null where it doesn't talk
+     * @param together the cluster file, or null if the gatherer doesn't exchange messages with
+     *     others
      */
     List<String> serve(Plan.Clocks clocks, Path config, Path together) {
         var command = new ArrayList<>(program);
@@ -76,7 +81,7 @@
                     1,
                     List.of(
                             "-Dsprucehold.clockJumpMs=" + clocks.jumpMs(),
-                            "-Dsprucehold.clockJumpAfterMs=" + JUMPS_AFTER_MS));
+                            "-Dsprucehold.clockJumpAfterMs=" + CLOCK_JUMP_AFTER_MS));
         }
         command.addAll(List.of("--config", config.toAbsolutePath().toString()));
         if (together != null) {
--- a/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
@@ -7,9 +7,12 @@
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Script;
 
-/** What a gatherer is told, in the platform's words. */
+/** Writes the node configuration file of a gatherer, with the field names of the platform. */
 public final class NodeConfigFile {
-    /** As the platform's machines close connections that stand idle. */
+    /**
+     * Equal to the idle timeout after which the platform's machines close connections, in
+     * milliseconds.
+     */
     private static final double IDLE_CLOSE_MS = 15_000;
 
     private static final double DIAL_MS = 250;
@@ -17,8 +20,8 @@
     private NodeConfigFile() {}
 
     /**
-     * @param listen where it listens, HOST:PORT
-     * @param known the list of shard servers as it last had it
+     * @param listen the address at which the gatherer listens, as HOST:PORT
+     * @param known the last list of shard servers that discovery returned to the gatherer
      */
     public static String json(
             Script script,
--- a/rig/src/main/java/sprucehold/rig/process/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/process/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Gatherers as processes of their own: the shipped jar, started, signalled and ended by id. The
- * entry point is {@link sprucehold.rig.process.GathererProcess}; {@link
- * sprucehold.rig.process.Guardian} ends them if the rig can't.
+ * Gatherers as separate processes: the shipped jar is started, signalled and ended by process id.
+ * The entry point is {@link sprucehold.rig.process.GathererProcess}; {@link
+ * sprucehold.rig.process.Guardian} ends the processes if the rig can't.
  */
 package sprucehold.rig.process;
--- a/rig/src/main/java/sprucehold/rig/report/RunPage.java
+++ b/rig/src/main/java/sprucehold/rig/report/RunPage.java
@@ -25,8 +25,8 @@
 import sprucehold.rig.verdict.Verdict;
 
 /**
- * A run as one page that opens with no network: verdict, figures, and service over time with the
- * faults drawn in.
+ * Renders a run as one HTML page that loads nothing from the network: verdict, figures, and the
+ * service over time with the faults marked.
  */
 public final class RunPage {
     private static final int WIDTH = 900;
@@ -97,12 +97,12 @@
         return html.append("</table>\n</body></html>\n").toString();
     }
 
-    /** The chart by site alone, as an SVG file. */
+    /** Returns only the chart by site, as an SVG file. */
     public static String svg(RunFolder.Kept kept) {
         return svg(chart(kept, "by site", Outcome::site));
     }
 
-    /** The figures of a verdict by their names, as people read them. */
+    /** Returns the figures of a verdict for people to read, by name. */
     public static Map<String, String> figures(Verdict verdict) {
         var of = verdict.figures();
         var rows = new LinkedHashMap<String, String>();
@@ -140,12 +140,12 @@
         Map<String, Map<Integer, List<Outcome>>> bins = new TreeMap<>();
         kept.outcomes()
                 .forEach(
-                        one ->
-                                bins.computeIfAbsent(by.apply(one), key -> new TreeMap<>())
+                        outcome ->
+                                bins.computeIfAbsent(by.apply(outcome), key -> new TreeMap<>())
                                         .computeIfAbsent(
-                                                (int) (one.plannedMs() / 1000 / BIN_S),
+                                                (int) (outcome.plannedMs() / 1000 / BIN_S),
                                                 bin -> new ArrayList<>())
-                                        .add(one));
+                                        .add(outcome));
         var data = new XYSeriesCollection();
         bins.forEach(
                 (name, of) -> {
--- a/rig/src/main/java/sprucehold/rig/report/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/report/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One HTML page of a run, with its charts inside; the entry point is {@link
+ * Renders a run as one HTML page that contains its charts. The entry point is {@link
  * sprucehold.rig.report.RunPage}.
  */
 package sprucehold.rig.report;
--- a/rig/src/main/java/sprucehold/rig/run/Ends.java
+++ b/rig/src/main/java/sprucehold/rig/run/Ends.java
@@ -5,21 +5,21 @@
 import sprucehold.rig.script.Script;
 import sprucehold.rig.verdict.Outcome;
 
-/** What the end of a planned scan is for the figures. */
+/** Converts the end of a planned query into an outcome for the figures. */
 final class Ends {
     private Ends() {}
 
     /**
-     * @param firstMs the first moment of the run, by the clock of {@code atMs}
+     * @param firstMs start of the run, by the clock of {@code atMs}
      */
     static Outcome of(
             Script script,
-            Plan.PlannedQuery ask,
+            Plan.PlannedQuery query,
             double firstMs,
             double atMs,
             Clients.End end,
             double sentLateMs) {
-        Script.Load load = script.load().get(ask.load());
+        Script.Load load = script.load().get(query.load());
         double target =
                 script.tableTypes().stream()
                         .filter(kind -> kind.type().name().equals(load.tableType()))
@@ -28,13 +28,13 @@
                         .orElse(0);
         boolean completed = end == Clients.End.WHOLE || end == Clients.End.PART;
         return new Outcome(
-                ask.atMs(),
+                query.atMs(),
                 atMs - firstMs,
                 load.site(),
                 load.tableType(),
                 load.customer(),
                 end.name(),
-                completed && atMs - firstMs - ask.atMs() <= target,
+                completed && atMs - firstMs - query.atMs() <= target,
                 sentLateMs);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
+++ b/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
@@ -23,32 +23,33 @@
 import sprucehold.standin.ledger.Ledger;
 
 /**
- * The clients of a script alone, against gatherers that somebody else has started; its faults are
- * left out.
+ * Runs only the clients of a script, against gatherers that were started elsewhere. The faults of
+ * the script are ignored.
  */
 public final class LoadAlone {
     private LoadAlone() {}
 
     /**
-     * Asks all planned scans and returns the figures.
+     * Sends all planned queries and returns the figures.
      *
-     * @param to where gatherers listen; clients of all sites ask them in turn
+     * @param to addresses of the gatherers; the clients of all sites send to them in turn
      */
     public static Figures run(
             Script script, long seed, List<SocketAddress> to, Consumer<String> progress)
             throws IOException {
         Plan plan = Planner.plan(script, seed);
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         double startMs = System.currentTimeMillis();
-        DoubleSupplier clock = () -> startMs + (System.nanoTime() - begun) / 1e6;
+        DoubleSupplier clock = () -> startMs + (System.nanoTime() - startNanos) / 1e6;
         var outcomes = new ArrayList<Outcome>();
         var done = new CompletableFuture<Void>();
         vertx.runOnContext(
                 none -> {
                     Map<String, String> siteOf = new HashMap<>();
                     for (int i = 0; i < to.size(); i++) {
-                        // One site for all, so that each client asks each gatherer.
+                        // All gatherers are in one site, so that each client sends to each
+                        // gatherer.
                         siteOf.put("g" + i, "all");
                     }
                     var front = new Front(siteOf, script.frontLearnsMs());
@@ -64,12 +65,12 @@
                                     front,
                                     name -> to.get(Integer.parseInt(name.substring(1))),
                                     name -> false,
-                                    (ask, atMs, end, late) ->
+                                    (query, atMs, end, sentLateMs) ->
                                             outcomes.add(
                                                     Ends.of(
-                                                            script, ask, firstMs, atMs, end,
-                                                            late)));
-                    var next = new int[1];
+                                                            script, query, firstMs, atMs, end,
+                                                            sentLateMs)));
+                    var nextQuery = new int[1];
                     vertx.setPeriodic(
                             1000,
                             id ->
@@ -81,13 +82,13 @@
                     vertx.setPeriodic(
                             1,
                             id -> {
-                                while (next[0] < plan.asks().size()
-                                        && firstMs + plan.asks().get(next[0]).atMs()
+                                while (nextQuery[0] < plan.asks().size()
+                                        && firstMs + plan.asks().get(nextQuery[0]).atMs()
                                                 <= clock.getAsDouble()) {
-                                    Plan.PlannedQuery ask = plan.asks().get(next[0]++);
-                                    clients.ask(ask, firstMs + ask.atMs());
+                                    Plan.PlannedQuery query = plan.asks().get(nextQuery[0]++);
+                                    clients.ask(query, firstMs + query.atMs());
                                 }
-                                if (next[0] == plan.asks().size() && clients.open() == 0) {
+                                if (nextQuery[0] == plan.asks().size() && clients.open() == 0) {
                                     vertx.cancelTimer(id);
                                     clients.close();
                                     done.complete(null);
--- a/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
+++ b/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
@@ -13,31 +13,37 @@
 import sprucehold.rig.script.Script;
 
 /**
- * What a run needs of its machine, told before anything is started.
+ * Resources that a run needs of its machine, checked before anything is started.
  *
  * @param descriptors open files and sockets of the rig's own process
  * @param memoryMb memory of all processes together, in MiB
  */
 record MachineNeeds(long descriptors, long memoryMb) {
-    /** A gatherer's memory under load as the rig measures it, 89 to 95 MB, and some to spare. */
+    /**
+     * Memory of a gatherer, in MiB: 89 to 95 MB under load as the rig measures it, and a reserve.
+     */
     private static final long GATHERER_MB = 100;
 
     private static final long RIG_MB = 512;
 
-    /** Buffers and objects of a listener or connection in the rig. */
+    /** Memory of a listener or connection in the rig for buffers and objects, in KiB. */
     private static final double SOCKET_KB = 16;
 
-    /** Clients' connections, logs, libraries. */
+    /** Descriptors for the clients' connections, logs and libraries. */
     private static final long OTHER_DESCRIPTORS = 2000;
 
     private static final Pattern AVAILABLE = Pattern.compile("MemAvailable:\\s+(\\d+) kB");
 
     /**
-     * @param descriptors that the rig's process may hold
-     * @param memoryMb that is available, in MiB
+     * Resources of a machine.
+     *
+     * @param descriptors maximum number of descriptors of the rig's process
+     * @param memoryMb available memory, in MiB
      */
     record Machine(long descriptors, long memoryMb) {
-        /** This machine; what can't be read counts as unlimited. */
+        /**
+         * Returns the resources of this machine. A value that can't be read counts as unlimited.
+         */
         static Machine here() {
             long descriptors =
                     ManagementFactory.getOperatingSystemMXBean()
@@ -58,8 +64,8 @@
     }
 
     /**
-     * Each server listens for each gatherer apart, and each gatherer may hold a connection to each
-     * server.
+     * Returns the needs of a script. Each server has a separate listener for each gatherer, and
+     * each gatherer may keep a connection open to each server.
      */
     static MachineNeeds of(Script script) {
         long gatherers = script.sites().stream().mapToLong(Script.Site::gatherers).sum();
@@ -74,7 +80,9 @@
                 gatherers * GATHERER_MB + RIG_MB + (long) (sockets * SOCKET_KB / 1024));
     }
 
-    /** What the machine lacks, in one line; empty if it has enough. */
+    /**
+     * Returns one line that names the resources that the machine lacks; empty if it has enough.
+     */
     Optional<String> lackingOn(Machine machine) {
         var lacking = new ArrayList<String>();
         if (descriptors > machine.descriptors) {
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -16,32 +16,36 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * What lies between each two gatherers of a run that talk: a relay for their datagrams, one for
- * their streams, and floods.
+ * The relays between each two gatherers that exchange messages, one for datagrams and one for
+ * streams, and floods of datagrams.
  */
 final class PeerRelays {
     private final Vertx vertx;
-    private final ShapedConnections wires;
+    private final ShapedConnections shapedConnections;
     private final Addresses addresses;
     private final List<String> gatherers;
 
-    /** By whom they lead to. */
+    /** Datagram relays by the name of the gatherer to which they lead. */
     private final Map<String, List<DatagramRelay>> datagrams = new HashMap<>();
 
     private final List<TcpRelay> streams = new ArrayList<>();
     private final Map<Plan.TargetedFault, List<Flood>> floods = new HashMap<>();
 
     /**
-     * @param gatherers the names of all, by number
+     * @param gatherers the names of all gatherers, by number
      */
-    PeerRelays(Vertx vertx, ShapedConnections wires, Addresses addresses, List<String> gatherers) {
+    PeerRelays(
+            Vertx vertx,
+            ShapedConnections shapedConnections,
+            Addresses addresses,
+            List<String> gatherers) {
         this.vertx = vertx;
-        this.wires = wires;
+        this.shapedConnections = shapedConnections;
         this.addresses = addresses;
         this.gatherers = gatherers;
     }
 
-    /** Opens what leads from one gatherer to each other. */
+    /** Opens the relays from one gatherer to each other gatherer. */
     Future<Void> listen(int from) {
         var all = new ArrayList<Future<?>>();
         for (int to = 0; to < gatherers.size(); to++) {
@@ -58,7 +62,7 @@
         var relay =
                 new DatagramRelay(
                         vertx,
-                        wires,
+                        shapedConnections,
                         gatherers.get(from),
                         other,
                         addresses.gatherer(to),
@@ -71,7 +75,7 @@
         var relay =
                 new TcpRelay(
                         vertx,
-                        wires,
+                        shapedConnections,
                         gatherers.get(from),
                         gatherers.get(to),
                         SocketAddress.inetSocketAddress(
@@ -80,20 +84,23 @@
         return relay.listen(addresses.others(from), addresses.othersPort(to));
     }
 
-    /** Begins or ends a flood of one gatherer with what others have sent it. */
+    /**
+     * Starts or ends a flood of one gatherer with copies of the datagrams that others have sent to
+     * it.
+     */
     void flood(int gatherer, FaultSchedule.Change change) {
         List<Flood> all = floods.computeIfAbsent(change.what(), none -> new ArrayList<>());
         if (change.begins()) {
-            List<DatagramRelay> leading = datagrams.get(gatherers.get(gatherer));
+            List<DatagramRelay> relaysToGatherer = datagrams.get(gatherers.get(gatherer));
             all.add(
                     new Flood(
                             vertx,
-                            wires,
+                            shapedConnections,
                             addresses.gatherer(gatherer),
                             addresses.postPort(),
                             change.what().fault().amount(),
                             () ->
-                                    leading.stream()
+                                    relaysToGatherer.stream()
                                             .flatMap(relay -> relay.recent().stream())
                                             .toList()));
         } else {
@@ -106,7 +113,9 @@
         floods.values().forEach(all -> all.forEach(Flood::close));
     }
 
-    /** Closes all relays; each future is one of them, through once it is closed. */
+    /**
+     * Closes all relays and returns one future for each, which completes when the relay is closed.
+     */
     List<Future<?>> close() {
         var all = new ArrayList<Future<?>>();
         datagrams.values().forEach(relays -> relays.forEach(relay -> all.add(relay.close())));
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -47,20 +47,23 @@
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
 
-/** One run. Bounded in time by its script; whatever happens, its processes end with it. */
+/** One run. Its duration is limited by its script. Its processes end with it, whatever happens. */
 public final class Run implements AutoCloseable {
-    /** Clients are done by their longest time to wait, and this. */
-    private static final double AFTER_MS = 1500;
+    /**
+     * Time that is added to the longest query timeout to get the time by which all clients are
+     * done, in milliseconds.
+     */
+    private static final double AFTER_TIMEOUT_MS = 1500;
 
-    private static final long END_WITHIN_MS = 12_000;
+    private static final long MAX_END_MS = 12_000;
 
     /**
-     * Starting, waiting for the last answers and ending take no longer, or something is wrong with
-     * the rig itself.
+     * Maximum time for starting, for waiting for the last answers and for ending together, in
+     * milliseconds. If they take longer, the rig itself has a fault.
      */
-    private static final long MOST_BESIDE_MS = 180_000;
+    private static final long MAX_OVERHEAD_MS = 180_000;
 
-    private static final long LOOK_MS = 10;
+    private static final long LATENESS_PERIOD_MS = 10;
 
     private final Script script;
     private final Plan plan;
@@ -78,35 +81,35 @@
     private final Ledger ledger = new Ledger();
     private final Addresses addresses;
     private final Guardian guardian;
-    private final ShapedConnections wires;
-    private final ServerList list;
+    private final ShapedConnections shapedConnections;
+    private final ServerList serverList;
     private final ShardServerFleet servers;
     private final Map<String, AgentHost> agents = new LinkedHashMap<>();
     private final Map<String, GathererProcess> gatherers = new LinkedHashMap<>();
 
-    /** Other processes of a gatherer's name. */
+    /** Second processes under the name of a gatherer, by file name. */
     private final Map<String, GathererProcess> twins = new LinkedHashMap<>();
 
     private final PeerRelays relays;
-    private final Map<String, Integer> out = new HashMap<>();
+    private final Map<String, Integer> openAttempts = new HashMap<>();
     private final Front front;
     private final Clients clients;
-    private final FaultSchedule board;
+    private final FaultSchedule faultSchedule;
     private final List<RunFolder.Span> spans = new ArrayList<>();
-    private final Map<Plan.TargetedFault, Double> began = new HashMap<>();
-    private final Map<String, Double> heldSince = new HashMap<>();
+    private final Map<Plan.TargetedFault, Double> startedAtS = new HashMap<>();
+    private final Map<String, Double> pausedSince = new HashMap<>();
 
-    /** Gatherers that were told to end or killed: their end is no crash. */
-    private final Map<String, Boolean> sentAway = new HashMap<>();
+    /** Gatherers that the rig has terminated or killed; their end is no crash. */
+    private final Map<String, Boolean> endedByRig = new HashMap<>();
 
     private final Set<String> killed = new HashSet<>();
     private final List<String> crashed = new ArrayList<>();
     private final List<Outcome> outcomes = new ArrayList<>();
     private final Histogram loopLate = new Histogram(3);
     private double firstMs;
-    private int nextAsk;
-    private double lookedAt = Double.NaN;
-    private double cpuAtFirst;
+    private int nextQuery;
+    private double lateCheckedAt = Double.NaN;
+    private double cpuAtFirstQueryMs;
     private boolean ending;
     private double overMs;
 
@@ -119,8 +122,8 @@
         this.progress = progress;
         this.addresses = Addresses.claim();
         this.guardian = new Guardian();
-        this.wires = new ShapedConnections(vertx, this::now, seed);
-        this.list =
+        this.shapedConnections = new ShapedConnections(vertx, this::now, seed);
+        this.serverList =
                 new ServerList(
                         plan.servers().stream()
                                 .map(
@@ -137,12 +140,12 @@
                 new ShardServerFleet(
                         vertx,
                         this::now,
-                        list,
+                        serverList,
                         plan.servers().stream().map(Plan.Server::name).toList());
         this.relays =
                 new PeerRelays(
                         vertx,
-                        wires,
+                        shapedConnections,
                         addresses,
                         plan.gatherers().stream().map(Plan.Gatherer::name).toList());
         var siteOf = new HashMap<String, String>();
@@ -151,7 +154,7 @@
         this.clients =
                 new Clients(
                         vertx,
-                        wires,
+                        shapedConnections,
                         this::now,
                         ledger,
                         script,
@@ -161,14 +164,14 @@
                                         addresses.gathererPort(), addresses.gatherer(number(name))),
                         killed::contains,
                         this::ended);
-        this.board = new FaultSchedule(plan.faults());
+        this.faultSchedule = new FaultSchedule(plan.faults());
     }
 
     /**
-     * Plays a script to its end and judges it.
+     * Runs a script to its end and judges the run.
      *
-     * @param progress takes a line from time to time
-     * @throws IOException if something could not be started, in one line
+     * @param progress receives a progress line from time to time
+     * @throws IOException with a one-line message if something could not be started
      */
     public static Verdict play(
             Script script, long seed, Home home, RunFolder folder, Consumer<String> progress)
@@ -192,10 +195,10 @@
                                 .onComplete(
                                         all -> done.complete(null), done::completeExceptionally));
         try {
-            done.get((long) (1000 * script.lengthS()) + MOST_BESIDE_MS, TimeUnit.MILLISECONDS);
+            done.get((long) (1000 * script.lengthS()) + MAX_OVERHEAD_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             throw new IOException(
-                    "the run did not end " + MOST_BESIDE_MS / 1000 + " s after its script", e);
+                    "the run did not end " + MAX_OVERHEAD_MS / 1000 + " s after its script", e);
         } catch (ExecutionException e) {
             throw e.getCause() instanceof IOException io
                     ? io
@@ -204,7 +207,7 @@
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
-        double cores = (cpuMs() - cpuAtFirst) / Math.max(1, now() - firstMs);
+        double cores = (cpuMs() - cpuAtFirstQueryMs) / Math.max(1, now() - firstMs);
         gatherers.putAll(twins);
         double memory =
                 gatherers.values().stream().mapToLong(GathererProcess::peakKb).max().orElse(0)
@@ -214,8 +217,8 @@
                     if (process.flooded()) {
                         crashed.add(name + " flooded its log");
                     }
-                    // A panic is never part of a fault: whatever happens between processes,
-                    // decisions and network code hold.
+                    // A line of level SEVERE is always a failure: no fault between processes may
+                    // break the code for decisions and network.
                     process.severe().forEach(line -> crashed.add(name + " logged: " + line));
                 });
         outcomes.sort(Comparator.comparingDouble(Outcome::plannedMs));
@@ -243,7 +246,10 @@
         return ProcessHandle.current().info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
     }
 
-    /** Unix time in milliseconds that never goes back: the run's one clock. */
+    /**
+     * Returns the Unix time in milliseconds, which never goes back. It is the only clock of the
+     * run.
+     */
     private double now() {
         return startedAtMs + (System.nanoTime() - startedNanos) / 1e6;
     }
@@ -271,14 +277,14 @@
                     servers.listen(
                             new ServerHost(
                                     vertx,
-                                    wires,
+                                    shapedConnections,
                                     this::now,
                                     ledger,
                                     addresses,
                                     script,
                                     plan,
                                     i,
-                                    this::outs,
+                                    this::changeOpenAttempts,
                                     () -> servers.fellOver(name))));
         }
         for (int i = 0; i < plan.gatherers().size(); i++) {
@@ -289,7 +295,7 @@
                             vertx,
                             this::now,
                             ledger,
-                            list,
+                            serverList,
                             gatherer.name(),
                             entry ->
                                     addresses.server(number)
@@ -331,14 +337,14 @@
 
     private Future<Void> start(String name, Plan.Clocks clocks) {
         int number = number(name);
-        sentAway.remove(name);
+        endedByRig.remove(name);
         GathererProcess process = gatherers.get(name);
         return start(process, name, addresses.gatherer(number), number, clocks)
                 .onSuccess(
                         ready -> {
                             front.ready(name);
                             killed.remove(name);
-                            process.ended().onSuccess(code -> gone(name, code));
+                            process.ended().onSuccess(code -> gathererEnded(name, code));
                         });
     }
 
@@ -372,10 +378,10 @@
     private void twin(String name, boolean begins) {
         String twin = name + "-twin";
         if (!begins) {
-            twins.get(twin).end(END_WITHIN_MS);
+            twins.get(twin).end(MAX_END_MS);
             return;
         } else if (twins.containsKey(twin) && twins.get(twin).alive()) {
-            // One is there already.
+            // A second process is already running.
             return;
         }
         int number = number(name);
@@ -391,16 +397,16 @@
         twins.put(twin, process);
         start(process, twin, addresses.twin(number), number, Plan.Clocks.RIGHT)
                 .onFailure(
-                        why -> {
+                        failure -> {
                             if (!ending) {
-                                crashed.add(why.getMessage());
+                                crashed.add(failure.getMessage());
                             }
                         });
     }
 
-    private void gone(String name, int code) {
+    private void gathererEnded(String name, int code) {
         front.gone(now(), name);
-        if (!sentAway.getOrDefault(name, false)) {
+        if (!endedByRig.getOrDefault(name, false)) {
             crashed.add(
                     name
                             + " ended by itself with exit code "
@@ -414,7 +420,7 @@
 
     private Future<Void> load() {
         firstMs = now() + 100;
-        cpuAtFirst = cpuMs();
+        cpuAtFirstQueryMs = cpuMs();
         progress.accept(
                 plan.asks().size()
                         + " scans in "
@@ -422,84 +428,87 @@
                         + " s, "
                         + plan.faults().size()
                         + " faults");
-        Promise<Void> over = Promise.promise();
+        Promise<Void> loadEnded = Promise.promise();
         double longest =
                 script.tableTypes().stream().mapToDouble(Script.Kind::timeoutMs).max().orElse(0);
-        long timer = vertx.setPeriodic(LOOK_MS, id -> lateness());
+        long timer = vertx.setPeriodic(LATENESS_PERIOD_MS, id -> recordLateness());
         vertx.setPeriodic(
                 1000,
                 id -> {
-                    if (over.future().isComplete()) {
+                    if (loadEnded.future().isComplete()) {
                         vertx.cancelTimer(id);
                     } else {
-                        progress.accept(line());
+                        progress.accept(progressLine());
                     }
                 });
         vertx.setPeriodic(
                 1,
                 id -> {
-                    askDue();
-                    carryOutDue();
-                    boolean past = atS() * 1000 > script.lengthS() * 1000 + longest + AFTER_MS;
+                    sendDueQueries();
+                    applyDueFaults();
+                    boolean past =
+                            atS() * 1000 > script.lengthS() * 1000 + longest + AFTER_TIMEOUT_MS;
                     if (past
-                            || nextAsk == plan.asks().size()
+                            || nextQuery == plan.asks().size()
                                     && clients.open() == 0
                                     && atS() >= script.lengthS()) {
                         vertx.cancelTimer(id);
                         vertx.cancelTimer(timer);
-                        over.tryComplete();
+                        loadEnded.tryComplete();
                     }
                 });
-        return over.future();
+        return loadEnded.future();
     }
 
-    private void lateness() {
+    private void recordLateness() {
         double now = now();
-        if (!Double.isNaN(lookedAt)) {
-            loopLate.recordValue(Math.max(0, Math.round(1000 * (now - lookedAt - LOOK_MS))));
+        if (!Double.isNaN(lateCheckedAt)) {
+            loopLate.recordValue(
+                    Math.max(0, Math.round(1000 * (now - lateCheckedAt - LATENESS_PERIOD_MS))));
         }
-        lookedAt = now;
+        lateCheckedAt = now;
     }
 
-    private String line() {
+    private String progressLine() {
         long done = outcomes.stream().filter(Outcome::inTime).count();
         return String.format(
                 Locale.ROOT,
                 "%5.1f s  %d asked, %d ended, %d in time, %d connections",
                 atS(),
-                nextAsk,
+                nextQuery,
                 outcomes.size(),
                 done,
-                wires.count());
+                shapedConnections.count());
     }
 
-    private void askDue() {
-        while (nextAsk < plan.asks().size() && firstMs + plan.asks().get(nextAsk).atMs() <= now()) {
-            Plan.PlannedQuery ask = plan.asks().get(nextAsk++);
-            clients.ask(ask, firstMs + ask.atMs());
+    private void sendDueQueries() {
+        while (nextQuery < plan.asks().size()
+                && firstMs + plan.asks().get(nextQuery).atMs() <= now()) {
+            Plan.PlannedQuery query = plan.asks().get(nextQuery++);
+            clients.ask(query, firstMs + query.atMs());
         }
     }
 
-    private void ended(Plan.PlannedQuery ask, double atMs, Clients.End end, double sentLateMs) {
-        outcomes.add(Ends.of(script, ask, firstMs, atMs, end, sentLateMs));
+    private void ended(Plan.PlannedQuery query, double atMs, Clients.End end, double sentLateMs) {
+        outcomes.add(Ends.of(script, query, firstMs, atMs, end, sentLateMs));
     }
 
-    private void outs(String gatherer, int more) {
-        int now = out.merge(gatherer, more, Integer::sum);
-        if (more > 0 && board.counts() && firstMs > 0) {
-            board.out(atS(), gatherer, now);
+    private void changeOpenAttempts(String gatherer, int more) {
+        int now = openAttempts.merge(gatherer, more, Integer::sum);
+        if (more > 0 && faultSchedule.counts() && firstMs > 0) {
+            faultSchedule.out(atS(), gatherer, now);
         }
     }
 
     // ---- Faults ----
 
-    private void carryOutDue() {
-        if (board.nextS() <= atS()) {
-            board.at(atS()).forEach(this::carryOut);
+    private void applyDueFaults() {
+        if (faultSchedule.nextS() <= atS()) {
+            faultSchedule.at(atS()).forEach(this::apply);
         }
     }
 
-    private void carryOut(FaultSchedule.Change change) {
+    private void apply(FaultSchedule.Change change) {
         Plan.TargetedFault fault = change.what();
         progress.accept(
                 String.format(
@@ -510,14 +519,14 @@
                         change.begins() ? "begins" : "ends",
                         String.join(" ", fault.of())));
         if (change.begins()) {
-            began.put(fault, atS());
+            startedAtS.put(fault, atS());
         } else {
-            over(fault);
+            faultEnded(fault);
         }
         switch (fault.fault().kind().whom()) {
             case GATHERER -> fault.of().forEach(name -> gatherer(name, change));
             case LINK -> {
-                wires.change(change);
+                shapedConnections.change(change);
                 servers.linksChanged();
             }
             case SERVER -> fault.of().forEach(name -> servers.change(name, change));
@@ -527,8 +536,8 @@
         }
     }
 
-    private void over(Plan.TargetedFault fault) {
-        Double from = began.remove(fault);
+    private void faultEnded(Plan.TargetedFault fault) {
+        Double from = startedAtS.remove(fault);
         if (from != null) {
             spans.add(
                     new RunFolder.Span(
@@ -539,7 +548,7 @@
     private void gatherer(String name, FaultSchedule.Change change) {
         GathererProcess process = gatherers.get(name);
         Fault fault = change.what().fault();
-        boolean again = fault.forS() < Double.POSITIVE_INFINITY;
+        boolean restarts = fault.forS() < Double.POSITIVE_INFINITY;
         switch (fault.kind()) {
             case KILL -> {
                 if (change.begins()) {
@@ -550,10 +559,10 @@
             }
             case TERM -> {
                 if (change.begins() && process.alive()) {
-                    sentAway.put(name, true);
+                    endedByRig.put(name, true);
                     front.gone(now(), name);
                     process.signal("TERM");
-                    if (again) {
+                    if (restarts) {
                         process.ended()
                                 .onComplete(
                                         code ->
@@ -567,14 +576,14 @@
             }
             case PAUSE -> {
                 if (change.begins()) {
-                    heldSince.putIfAbsent(name, now());
+                    pausedSince.putIfAbsent(name, now());
                     process.signal("STOP");
                 } else {
-                    process.signal("CONT").onComplete(awake -> goesOn(name));
+                    process.signal("CONT").onComplete(awake -> continued(name));
                 }
             }
             case CLOCK_OFF, CLOCK_DRIFT, CLOCK_JUMP -> {
-                // One that is wrong from the beginning was started so.
+                // A gatherer whose clock is wrong from the beginning was started that way.
                 if (change.begins() && atS() > 0.05) {
                     kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.RIGHT.and(fault)));
                 } else if (!change.begins()) {
@@ -589,7 +598,7 @@
 
     private Future<Integer> kill(String name) {
         GathererProcess process = gatherers.get(name);
-        sentAway.put(name, true);
+        endedByRig.put(name, true);
         killed.add(name);
         double since = now();
         return process.signal("KILL")
@@ -597,13 +606,13 @@
                 .onComplete(
                         gone -> {
                             front.gone(now(), name);
-                            out.put(name, 0);
+                            openAttempts.put(name, 0);
                             ledger.add(new Seen.HeldUp(since, now(), name, true));
                         });
     }
 
-    private void goesOn(String name) {
-        Double since = heldSince.remove(name);
+    private void continued(String name) {
+        Double since = pausedSince.remove(name);
         if (since != null) {
             ledger.add(new Seen.HeldUp(since, now(), name, false));
         }
@@ -613,11 +622,11 @@
         if (!ending && !gatherers.get(name).alive()) {
             start(name, clocks)
                     .onFailure(
-                            why -> {
-                                // One that was told to end or killed while it started has not
+                            failure -> {
+                                // A gatherer that was terminated or killed while it started has not
                                 // crashed.
-                                if (!sentAway.getOrDefault(name, false)) {
-                                    crashed.add(why.getMessage());
+                                if (!endedByRig.getOrDefault(name, false)) {
+                                    crashed.add(failure.getMessage());
                                 }
                             });
         }
@@ -628,18 +637,20 @@
     private Future<Void> end() {
         ending = true;
         overMs = now();
-        progress.accept(line());
-        board.inForce()
+        progress.accept(progressLine());
+        faultSchedule
+                .inForce()
                 .forEach(
                         fault -> {
                             if (fault.fault().kind().whom() == Fault.Whom.LINK) {
-                                wires.change(new FaultSchedule.Change(atS(), false, fault));
+                                shapedConnections.change(
+                                        new FaultSchedule.Change(atS(), false, fault));
                             }
-                            over(fault);
+                            faultEnded(fault);
                         });
-        List.copyOf(heldSince.keySet()).forEach(this::goesOn);
+        List.copyOf(pausedSince.keySet()).forEach(this::continued);
         relays.endFloods();
-        gatherers.keySet().forEach(name -> sentAway.put(name, true));
+        gatherers.keySet().forEach(name -> endedByRig.put(name, true));
         var all = new LinkedHashMap<>(gatherers);
         all.putAll(twins);
         return Future.all(
@@ -647,14 +658,14 @@
                                 .map(
                                         one ->
                                                 one.getValue()
-                                                        .end(END_WITHIN_MS)
+                                                        .end(MAX_END_MS)
                                                         .onSuccess(
-                                                                itself -> {
-                                                                    if (!itself) {
+                                                                endedItself -> {
+                                                                    if (!endedItself) {
                                                                         crashed.add(
                                                                                 one.getKey()
                                                                                         + " did not end within "
-                                                                                        + END_WITHIN_MS
+                                                                                        + MAX_END_MS
                                                                                                 / 1000
                                                                                         + " s of SIGTERM and was killed");
                                                                     }
@@ -681,9 +692,9 @@
                             closed.completeExceptionally(e);
                         }
                     });
-            // All that is closed is the rig's own: what isn't by then is a fault of the rig, and no
-            // run waits for it.
-            closed.get(END_WITHIN_MS, TimeUnit.MILLISECONDS);
+            // Only the rig's own sockets are closed here. If one isn't closed in time, that is a
+            // fault of the rig, and the run doesn't wait for it.
+            closed.get(MAX_END_MS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException("the rig's own sockets could not be closed: " + e, e);
         } catch (InterruptedException e) {
--- a/rig/src/main/java/sprucehold/rig/run/RunFolder.java
+++ b/rig/src/main/java/sprucehold/rig/run/RunFolder.java
@@ -20,18 +20,21 @@
 import sprucehold.rig.verdict.Verdict;
 import sprucehold.standin.ledger.Seen;
 
-/** What is kept of a run: script, plan, ledger, outcomes, verdict, and a log of each gatherer. */
+/**
+ * The stored files of a run: script, plan, ledger, outcomes, verdict, and a log of each gatherer.
+ */
 public final class RunFolder {
     private static final ObjectMapper JSON =
             JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
 
     /**
-     * What was seen of a run.
+     * The observations of a run.
      *
-     * @param seed of its plan
-     * @param overMs when clients were done, by the run's clock: all scans are due by then
-     * @param faults when each really began and ended, in seconds from the first scan
-     * @param crashed gatherers that ended by themselves, in words
+     * @param seed seed of the plan
+     * @param overMs time at which the clients were done, by the run's clock; all queries have
+     *     passed their deadlines by then
+     * @param faults actual start and end of each fault, in seconds since the first query
+     * @param crashed descriptions of the gatherers that ended by themselves
      */
     public record Kept(
             long seed,
@@ -41,7 +44,7 @@
             Figures.Self self,
             List<String> crashed) {}
 
-    /** When a fault was in force, in seconds from the first scan. */
+    /** Period in which a fault was active, in seconds since the first query. */
     public record Span(String fault, Fault.Kind kind, List<String> of, double fromS, double toS) {}
 
     private final Path folder;
@@ -50,7 +53,11 @@
         this.folder = folder;
     }
 
-    /** Makes it. @throws IOException if it holds a run already */
+    /**
+     * Creates the folder.
+     *
+     * @throws IOException if the folder already contains a run
+     */
     public static RunFolder make(Path folder) throws IOException {
         if (Files.exists(folder.resolve("run.json"))) {
             throw new IOException(folder + ": holds a run; another folder was expected");
@@ -82,7 +89,9 @@
     }
 
     /**
-     * @throws IOException with what is missing or can't be read
+     * Reads the observations of the run.
+     *
+     * @throws IOException naming the file that is missing or can't be read
      */
     public Kept kept() throws IOException {
         if (!Files.isRegularFile(file("run.json"))) {
@@ -99,7 +108,7 @@
         return LedgerFile.read(file("ledger.jsonl"));
     }
 
-    /** Judges the kept ledgers again. */
+    /** Judges the stored ledger again. */
     public Verdict judge() throws IOException {
         Kept kept = kept();
         return Judge.judge(script(), seen(), kept.overMs, kept.outcomes, kept.self, kept.crashed);
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -10,31 +10,32 @@
 import sprucehold.rig.server.ServerHost;
 
 /**
- * The shard servers of a run: their faults, and what discovery learns of their drains, deaths and
- * returns.
+ * The shard servers of a run: applies their faults, and reports their drains, crashes and restarts
+ * to discovery.
  */
 final class ShardServerFleet {
     /**
-     * Discovery learns so late that a server died, as health checks a second apart do on the mean.
+     * Delay until discovery removes a crashed server, in milliseconds. It is the mean delay of
+     * health checks that run every second.
      */
-    private static final long DEATH_KNOWN_MS = 500;
+    private static final long CRASH_DETECTION_MS = 500;
 
-    /** A supervisor starts a server again so long after it fell over. */
-    private static final long STARTED_AGAIN_MS = 2000;
+    /** Delay after which a supervisor starts a crashed server again, in milliseconds. */
+    private static final long RESTART_DELAY_MS = 2000;
 
     private final Vertx vertx;
     private final DoubleSupplier clock;
-    private final ServerList list;
+    private final ServerList serverList;
     private final List<String> names;
     private final List<ServerHost> hosts = new ArrayList<>();
 
     /**
-     * @param names of all servers, in the order of their hosts
+     * @param names names of all servers, in the order of their hosts
      */
-    ShardServerFleet(Vertx vertx, DoubleSupplier clock, ServerList list, List<String> names) {
+    ShardServerFleet(Vertx vertx, DoubleSupplier clock, ServerList serverList, List<String> names) {
         this.vertx = vertx;
         this.clock = clock;
-        this.list = list;
+        this.serverList = serverList;
         this.names = names;
     }
 
@@ -55,7 +56,10 @@
         return names.size();
     }
 
-    /** The most that any server was asked of what it can stand. */
+    /**
+     * Returns the highest peak load of any server while cold, as a share of the load at which it
+     * crashes.
+     */
     double mostPushed() {
         return hosts.stream().mapToDouble(ServerHost::mostPushed).max().orElse(0);
     }
@@ -67,12 +71,12 @@
     void change(String name, FaultSchedule.Change change) {
         host(name).change(change.begins(), change.what());
         switch (change.what().fault().kind()) {
-            case DRAIN -> drains(name, change.begins());
+            case DRAIN -> setDraining(name, change.begins());
             case DIE -> {
                 if (change.begins()) {
-                    died(name);
+                    removeLater(name);
                 } else {
-                    isBack(name);
+                    addAgain(name);
                 }
             }
             default -> {}
@@ -83,46 +87,51 @@
         return hosts.get(number(name));
     }
 
-    private void drains(String name, boolean begins) {
-        ServerList.Entry entry = list.entry(name);
-        list(
+    private void setDraining(String name, boolean begins) {
+        ServerList.Entry entry = serverList.entry(name);
+        update(
                 entry,
                 begins ? ServerList.Status.LEAVING : ServerList.Status.ACTIVE,
                 entry.sinceMs(),
                 entry.life());
     }
 
-    private void list(ServerList.Entry entry, ServerList.Status status, double sinceMs, int life) {
-        list.change(
+    private void update(
+            ServerList.Entry entry, ServerList.Status status, double sinceMs, int life) {
+        serverList.change(
                 clock.getAsDouble(),
                 new ServerList.Entry(
                         entry.name(), entry.site(), entry.cell(), status, sinceMs, life));
     }
 
-    private void died(String name) {
+    private void removeLater(String name) {
         int life = host(name).life();
         vertx.setTimer(
-                DEATH_KNOWN_MS,
+                CRASH_DETECTION_MS,
                 known -> {
-                    ServerList.Entry entry = list.entry(name);
+                    ServerList.Entry entry = serverList.entry(name);
                     if (entry.life() == life && host(name).life() == life) {
-                        list(entry, ServerList.Status.LEFT, entry.sinceMs(), life);
+                        update(entry, ServerList.Status.LEFT, entry.sinceMs(), life);
                     }
                 });
     }
 
-    private void isBack(String name) {
-        list(list.entry(name), ServerList.Status.ACTIVE, clock.getAsDouble(), host(name).life());
+    private void addAgain(String name) {
+        update(
+                serverList.entry(name),
+                ServerList.Status.ACTIVE,
+                clock.getAsDouble(),
+                host(name).life());
     }
 
-    /** A server ended by itself; its supervisor starts it again. */
+    /** Handles a server that crashed from overload; its supervisor starts it again. */
     void fellOver(String name) {
-        died(name);
+        removeLater(name);
         vertx.setTimer(
-                STARTED_AGAIN_MS,
+                RESTART_DELAY_MS,
                 waited -> {
                     host(name).comeBack();
-                    isBack(name);
+                    addAgain(name);
                 });
     }
 
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -25,12 +25,12 @@
 import sprucehold.standin.ledger.Seen;
 
 /**
- * One scripted shard server on sockets: an address for each gatherer, and what it saw in the
- * ledger.
+ * One scripted shard server on sockets. It listens at a separate address for each gatherer and
+ * records arrivals and executions in the ledger.
  */
 public final class ServerHost {
     private final Vertx vertx;
-    private final ShapedConnections wires;
+    private final ShapedConnections shapedConnections;
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Addresses addresses;
@@ -38,7 +38,7 @@
     private final Plan.Server server;
     private final int number;
     private final List<String> gatherers;
-    private final BiConsumer<String, Integer> out;
+    private final BiConsumer<String, Integer> openAttempts;
     private final Map<Integer, NetServer> listeners = new HashMap<>();
     private final Set<Connection> connections = new LinkedHashSet<>();
     private final List<Plan.TargetedFault> faults = new ArrayList<>();
@@ -46,28 +46,29 @@
     private ServerModel model;
     private boolean alive = true;
     private int life;
-    private double mostPushed;
+    private double peakColdLoad;
     private long timer = -1;
     private double timerAt = Double.POSITIVE_INFINITY;
 
     /**
-     * @param number its place in the plan
-     * @param out is told how many dispatches of a gatherer came or ended: 1 or -1
-     * @param fellOver is called when it was pushed over
+     * @param number index of the server in the plan
+     * @param openAttempts receives the gatherer and the change in the number of its open attempts
+     *     at this server: 1 for an arrival, negative for attempts that ended
+     * @param fellOver runs when the server has crashed from overload
      */
     public ServerHost(
             Vertx vertx,
-            ShapedConnections wires,
+            ShapedConnections shapedConnections,
             DoubleSupplier clock,
             Ledger ledger,
             Addresses addresses,
             Script script,
             Plan plan,
             int number,
-            BiConsumer<String, Integer> out,
+            BiConsumer<String, Integer> openAttempts,
             Runnable fellOver) {
         this.vertx = vertx;
-        this.wires = wires;
+        this.shapedConnections = shapedConnections;
         this.clock = clock;
         this.ledger = ledger;
         this.addresses = addresses;
@@ -75,18 +76,21 @@
         this.server = plan.servers().get(number);
         this.number = number;
         this.gatherers = plan.gatherers().stream().map(Plan.Gatherer::name).toList();
-        this.out = out;
+        this.openAttempts = openAttempts;
         this.fellOver = fellOver;
         this.model = new ServerModel(server.name(), script, server.seed(), 0);
     }
 
-    /** Succeeds once it listens wherever the links let it. */
+    /**
+     * Starts to listen for each gatherer whose link doesn't refuse connections. Succeeds when the
+     * server listens.
+     */
     public Future<Void> listen() {
         var all = new ArrayList<Future<?>>();
         for (int i = 0; i < gatherers.size(); i++) {
             if (alive
                     && !listeners.containsKey(i)
-                    && wires.board().of(gatherers.get(i), server.name()).cut()
+                    && shapedConnections.board().of(gatherers.get(i), server.name()).cut()
                             != Fault.Mode.REFUSED) {
                 String gatherer = gatherers.get(i);
                 NetServer listener =
@@ -99,11 +103,14 @@
         return Future.all(all).mapEmpty();
     }
 
-    /** The links have changed: where connections are refused it listens no more. */
+    /**
+     * Applies a change of the link faults: stops to listen where connections are refused, and
+     * listens again where they are not.
+     */
     public void linksChanged() {
         for (int i = 0; i < gatherers.size(); i++) {
             if (listeners.containsKey(i)
-                    && wires.board().of(gatherers.get(i), server.name()).cut()
+                    && shapedConnections.board().of(gatherers.get(i), server.name()).cut()
                             == Fault.Mode.REFUSED) {
                 listeners.remove(i).close();
             }
@@ -111,7 +118,7 @@
         listen();
     }
 
-    /** A fault of servers begins or ends. */
+    /** Starts or ends a fault of this server. */
     public void change(boolean begins, Plan.TargetedFault fault) {
         if (fault.fault().kind() == Fault.Kind.DIE) {
             if (begins) {
@@ -129,7 +136,7 @@
         carryOut(model.change(clock.getAsDouble(), begins, fault));
     }
 
-    /** Dies: its connections are reset and nobody listens. */
+    /** Crashes the server: resets its connections and stops to listen. */
     public void die() {
         alive = false;
         model.dies();
@@ -138,22 +145,22 @@
         List.copyOf(connections).forEach(connection -> connection.socket.reset());
     }
 
-    /** Comes back cold, at another address. */
+    /** Starts the server again, cold and at another address. */
     public void comeBack() {
         alive = true;
         life++;
-        mostPushed = mostPushed();
+        peakColdLoad = mostPushed();
         model = new ServerModel(server.name(), script, server.seed() + life, clock.getAsDouble());
         faults.forEach(fault -> model.change(clock.getAsDouble(), true, fault));
         listen();
     }
 
     /**
-     * The most that it was pushed while cold in any of its lives, as a share of what would have
-     * pushed it over.
+     * Returns the peak load of the server while it was cold, over all its starts, as a share of the
+     * load at which it crashes.
      */
     public double mostPushed() {
-        return Math.max(mostPushed, model.mostPushed());
+        return Math.max(peakColdLoad, model.mostPushed());
     }
 
     public int life() {
@@ -178,14 +185,14 @@
         }
         var connection = new Connection(gatherer);
         connections.add(connection);
-        connection.socket = wires.shape(socket, gatherer, server.name(), connection);
+        connection.socket = shapedConnections.shape(socket, gatherer, server.name(), connection);
     }
 
     private final class Connection implements ShapedSocket.Owner {
         private final String gatherer;
         private ShapedSocket socket;
         private Buffer read = Buffer.buffer();
-        private int outs;
+        private int open;
 
         Connection(String gatherer) {
             this.gatherer = gatherer;
@@ -207,8 +214,8 @@
         public void closed(boolean byPeer) {
             connections.remove(this);
             model.closed(this);
-            out.accept(gatherer, -outs);
-            outs = 0;
+            openAttempts.accept(gatherer, -open);
+            open = 0;
         }
 
         private void frame(byte[] frame, double readMs) {
@@ -217,7 +224,7 @@
                 case 'A' -> parts(text, readMs);
                 case 'B' -> {
                     model.gaveUp(this, text);
-                    ended();
+                    attemptEnded();
                 }
                 case 'C' -> send("Chit");
                 case 'D' -> send("D-");
@@ -237,11 +244,12 @@
                 String body = text.substring(lineEnd + 1, textEnd);
                 String scan = line[0].substring(0, line[0].lastIndexOf('.'));
                 int segment = Integer.parseInt(line[1]);
-                double toldMs = Double.parseDouble(line[2].substring(2));
+                double deadlineMs = Double.parseDouble(line[2].substring(2));
                 ledger.add(
-                        new Seen.Arrived(readMs, gatherer, server.name(), scan, segment, toldMs));
-                outs++;
-                out.accept(gatherer, 1);
+                        new Seen.Arrived(
+                                readMs, gatherer, server.name(), scan, segment, deadlineMs));
+                open++;
+                openAttempts.accept(gatherer, 1);
                 carryOut(
                         model.arrives(
                                 clock.getAsDouble(),
@@ -252,15 +260,15 @@
                                         scan,
                                         segment,
                                         body.substring(0, Math.max(0, body.lastIndexOf('.'))),
-                                        toldMs)));
+                                        deadlineMs)));
                 at = textEnd;
             }
         }
 
-        private void ended() {
-            if (outs > 0) {
-                outs--;
-                out.accept(gatherer, -1);
+        private void attemptEnded() {
+            if (open > 0) {
+                open--;
+                openAttempts.accept(gatherer, -1);
             }
         }
 
@@ -283,7 +291,7 @@
                                 ran.value()));
             } else if (act instanceof ServerModel.Act.Reply reply) {
                 var to = (Connection) reply.to().link();
-                to.ended();
+                to.attemptEnded();
                 to.send("E" + reply.to().partId() + " " + reply.end() + " 0 -\n" + reply.value());
             } else if (act instanceof ServerModel.Act.Lost lost && lost.reset()) {
                 ((Connection) lost.part().link()).socket.reset();
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -19,15 +19,15 @@
 import sprucehold.rig.script.Script;
 
 /**
- * One shard server: parts wait in one queue for its cores, a cold one is slower, and one that is
- * pushed while cold falls over. Times are milliseconds of the run's clock.
+ * One shard server. Parts wait in one queue for its cores. A cold server is slower, and crashes if
+ * it is overloaded while cold. Times are in milliseconds of the run's clock.
  */
 public final class ServerModel {
     /**
      * A part that has arrived.
      *
-     * @param link the connection that it came on, compared by identity
-     * @param patienceMs how long its gatherer waits
+     * @param link the connection on which it arrived, compared by identity
+     * @param patienceMs how long the gatherer waits for the answer, in milliseconds
      */
     public record Arrival(
             Object link,
@@ -38,29 +38,32 @@
             String tableType,
             double patienceMs) {}
 
-    /** What comes of parts. */
+    /** An effect of a part or of the server. */
     public sealed interface Act {
         /**
-         * @param end as the protocol words it: {@code hit}, {@code fault} or {@code overload}
+         * @param end result as the protocol writes it: {@code hit}, {@code fault} or {@code
+         *     overload}
          */
         record Reply(Arrival to, String end, String value) implements Act {}
 
-        /** Its effect has happened. */
+        /** The part was executed. */
         record Ran(double atMs, Arrival part, String value) implements Act {}
 
-        /** The answer is lost, and its connection with it where {@code reset}. */
+        /** The answer is lost. If {@code reset} is set, its connection is reset too. */
         record Lost(Arrival part, boolean reset) implements Act {}
 
         /**
-         * It was pushed over by so much work, in milliseconds on one core, of each gatherer within
-         * the rule's window.
+         * The server crashed from overload.
+         *
+         * @param workByGatherer work of each gatherer within the window of the rule, in
+         *     milliseconds on one core
          */
         record FellOver(double atMs, Map<String, Double> workByGatherer) implements Act {}
     }
 
     private record Running(Arrival part, double endsMs) {}
 
-    private record Push(double atMs, String gatherer, double workMs) {}
+    private record ColdArrival(double atMs, String gatherer, double workMs) {}
 
     private final String name;
     private final Script script;
@@ -71,15 +74,15 @@
     private final PriorityQueue<Running> running =
             new PriorityQueue<>(Comparator.comparingDouble(Running::endsMs));
     private final Set<Arrival> givenUp = new HashSet<>();
-    private final ArrayDeque<Push> pushes = new ArrayDeque<>();
+    private final ArrayDeque<ColdArrival> coldArrivals = new ArrayDeque<>();
     private final List<Plan.TargetedFault> faults = new ArrayList<>();
     private double startedMs;
     private double stalledMs = Double.NaN;
-    private boolean fallen;
-    private double mostPushed;
+    private boolean crashed;
+    private double peakColdLoad;
 
     /**
-     * @param startedMs when it started, 0 for long ago
+     * @param startedMs time of the start; 0 if the server started long ago
      */
     public ServerModel(String name, Script script, long seed, double startedMs) {
         this.name = name;
@@ -89,21 +92,23 @@
         script.tableTypes().forEach(kind -> kinds.put(kind.type().name(), kind));
     }
 
-    /** The share of its work that it can do: less than 1 while cold. */
+    /**
+     * Returns the share of its full speed at which the server works: less than 1 while it is cold.
+     */
     public double warmth(double nowMs) {
         Deployment.SlowStartRule rule = script.coldRule();
         double passed = Math.min(1, Math.max(0, nowMs - startedMs) / rule.warmAfterMs());
         return startedMs <= 0 ? 1 : rule.startShare() + (1 - rule.startShare()) * passed;
     }
 
-    /** A fault begins or ends. */
+    /** Starts or ends a fault, and returns the effects up to now. */
     public List<Act> change(double nowMs, boolean begins, Plan.TargetedFault fault) {
         if (begins) {
             faults.add(fault);
         } else {
             faults.remove(fault);
         }
-        boolean stalls = any(Fault.Kind.STALL);
+        boolean stalls = hasFault(Fault.Kind.STALL);
         if (stalls && Double.isNaN(stalledMs)) {
             stalledMs = nowMs;
         } else if (!stalls && !Double.isNaN(stalledMs)) {
@@ -115,12 +120,12 @@
         return pass(nowMs);
     }
 
-    private boolean any(Fault.Kind kind) {
+    private boolean hasFault(Fault.Kind kind) {
         return faults.stream().anyMatch(fault -> fault.fault().kind() == kind);
     }
 
     public List<Act> arrives(double nowMs, Arrival part) {
-        if (fallen) {
+        if (crashed) {
             return List.of();
         }
         var acts = new ArrayList<Act>(pass(nowMs));
@@ -134,27 +139,30 @@
                                                         .contains(part.tableType)))) {
             return acts;
         }
-        int waiting = queue.size();
-        if (any(Fault.Kind.FULL)
-                || any(Fault.Kind.DRAIN)
-                || waiting >= script.servers().queueMost()) {
+        int queued = queue.size();
+        if (hasFault(Fault.Kind.FULL)
+                || hasFault(Fault.Kind.DRAIN)
+                || queued >= script.servers().queueMost()) {
             acts.add(new Act.Reply(part, "overload", ""));
             return acts;
         }
         double warmth = warmth(nowMs);
         if (warmth < 1) {
-            pushes.add(new Push(nowMs, part.gatherer, workMs(part)));
+            coldArrivals.add(new ColdArrival(nowMs, part.gatherer, workMs(part)));
             Deployment.SlowStartRule rule = script.coldRule();
-            pushes.removeIf(push -> push.atMs < nowMs - rule.windowMs());
-            double pushed = pushes.stream().mapToDouble(Push::workMs).sum();
-            double most =
+            coldArrivals.removeIf(arrival -> arrival.atMs < nowMs - rule.windowMs());
+            double loadMs = coldArrivals.stream().mapToDouble(ColdArrival::workMs).sum();
+            double maxLoadMs =
                     rule.overloadFactor() * warmth * script.servers().cores() * rule.windowMs();
-            mostPushed = Math.max(mostPushed, pushed / most);
-            if (pushed > most) {
-                var by = new TreeMap<String, Double>();
-                pushes.forEach(push -> by.merge(push.gatherer, push.workMs, Double::sum));
+            peakColdLoad = Math.max(peakColdLoad, loadMs / maxLoadMs);
+            if (loadMs > maxLoadMs) {
+                var workByGatherer = new TreeMap<String, Double>();
+                coldArrivals.forEach(
+                        arrival ->
+                                workByGatherer.merge(
+                                        arrival.gatherer, arrival.workMs, Double::sum));
                 dies();
-                acts.add(new Act.FellOver(nowMs, by));
+                acts.add(new Act.FellOver(nowMs, workByGatherer));
                 return acts;
             }
         }
@@ -164,7 +172,10 @@
         return acts;
     }
 
-    /** A gatherer waits no more: what has not begun never will, what runs goes on. */
+    /**
+     * Cancels a part that its gatherer has given up. A part that has not begun never runs; one that
+     * is running continues, and its answer is not sent.
+     */
     public void gaveUp(Object link, String partId) {
         queue.removeIf(
                 part ->
@@ -177,25 +188,25 @@
                 .forEach(givenUp::add);
     }
 
-    /** A connection is over, and all that came on it is given up. */
+    /** Cancels all parts of a connection that has ended. */
     public void closed(Object link) {
         queue.removeIf(part -> part.link == link && arrivedMs.remove(part) != null);
         running.stream().map(Running::part).filter(part -> part.link == link).forEach(givenUp::add);
     }
 
-    /** All that it holds is lost; what has not ended by now never ran. */
+    /** Crashes the server. All its parts are lost, and one that has not ended by now never ran. */
     public void dies() {
-        fallen = true;
+        crashed = true;
         queue.clear();
         running.clear();
         arrivedMs.clear();
         givenUp.clear();
     }
 
-    /** What has come of its parts by now. */
+    /** Returns the effects of its parts up to now. */
     public List<Act> pass(double nowMs) {
         var acts = new ArrayList<Act>();
-        if (fallen || !Double.isNaN(stalledMs)) {
+        if (crashed || !Double.isNaN(stalledMs)) {
             return acts;
         }
         double at = nowMs;
@@ -218,12 +229,12 @@
             acts.add(new Act.Reply(part, "overload", ""));
             return;
         }
-        double slower =
+        double slowdown =
                 faults.stream()
                         .filter(fault -> fault.fault().kind() == Fault.Kind.SLOW)
                         .mapToDouble(fault -> fault.fault().amount())
                         .reduce(1, (a, b) -> a * b);
-        running.add(new Running(part, nowMs + workMs(part) * slower / warmth(nowMs)));
+        running.add(new Running(part, nowMs + workMs(part) * slowdown / warmth(nowMs)));
     }
 
     private void ended(Running run, List<Act> acts) {
@@ -235,7 +246,7 @@
         }
         for (Plan.TargetedFault fault : faults) {
             if (fault.fault().kind() == Fault.Kind.LOSE_ANSWERS
-                    && chance(part, 2).nextDouble() < fault.fault().amount()) {
+                    && random(part, 2).nextDouble() < fault.fault().amount()) {
                 acts.add(new Act.Lost(part, fault.fault().mode() == Fault.Mode.RESET));
                 return;
             }
@@ -243,12 +254,15 @@
         acts.add(new Act.Reply(part, "hit", value));
     }
 
-    private UniformRandomProvider chance(Arrival part, int what) {
+    private UniformRandomProvider random(Arrival part, int purpose) {
         return RandomSource.SPLIT_MIX_64.create(
-                seed * 31 + part.partId.hashCode() * 0x9E3779B97F4A7C15L + what);
+                seed * 31 + part.partId.hashCode() * 0x9E3779B97F4A7C15L + purpose);
     }
 
-    /** A part's work on a warm core; the same whenever it comes here. */
+    /**
+     * Returns the work of a part on a warm core, in milliseconds; the same each time the part
+     * arrives at this server.
+     */
     private double workMs(Arrival part) {
         Script.Kind kind = kinds.get(part.tableType);
         return kind == null
@@ -256,28 +270,31 @@
                 : kind.workMs()
                         * Math.exp(
                                 kind.spread()
-                                        * ZigguratSampler.NormalizedGaussian.of(chance(part, 1))
+                                        * ZigguratSampler.NormalizedGaussian.of(random(part, 1))
                                                 .sample());
     }
 
-    /** What only this server makes of this part, so that a wrong value is known. */
+    /**
+     * Returns a value that only this server computes for this part, so that the checker recognises
+     * a wrong value.
+     */
     private String value(Arrival part) {
-        return Long.toHexString(chance(part, 3).nextLong()) + ":" + name + ":" + part.segment;
+        return Long.toHexString(random(part, 3).nextLong()) + ":" + name + ":" + part.segment;
     }
 
-    /** When something ends next; infinite if nothing is under way. */
+    /** Returns the time at which the next part ends; infinite if none is running. */
     public double nextMs() {
         return running.isEmpty() || !Double.isNaN(stalledMs)
                 ? Double.POSITIVE_INFINITY
                 : running.peek().endsMs;
     }
 
-    /** The most that it was pushed while cold, as a share of what pushes it over. */
+    /** Returns the peak load while cold, as a share of the load at which the server crashes. */
     public double mostPushed() {
-        return mostPushed;
+        return peakColdLoad;
     }
 
-    /** Parts that wait or run. */
+    /** Returns the number of parts that are queued or running. */
     public int held() {
         return queue.size() + running.size();
     }
--- a/rig/src/main/java/sprucehold/rig/server/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/server/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Scripted shard servers. {@link sprucehold.rig.server.ServerModel} is pure: parts in, answers out,
- * with a queue, cores, cold starts and faults; {@link sprucehold.rig.server.ServerHost} puts one on
- * sockets.
+ * Scripted shard servers. {@link sprucehold.rig.server.ServerModel} is pure: it receives parts and
+ * returns answers, with a queue, cores, cold starts and faults. {@link
+ * sprucehold.rig.server.ServerHost} runs a model on sockets.
  */
 package sprucehold.rig.server;
--- a/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import sprucehold.rig.script.Fault;
 
-/** Drops faults one at a time while what is looked for stays. */
+/**
+ * Reduces a list of faults: drops one fault at a time as long as the run still fails in the way
+ * looked for.
+ */
 public final class Shrinker {
-    /** Plays with these faults and tells whether what is looked for is still there. */
+    /** Runs a script with the given faults and returns whether the failure still occurs. */
     public interface Trial {
         boolean holds(List<Fault> faults) throws IOException;
     }
@@ -15,20 +18,20 @@
     private Shrinker() {}
 
     /**
-     * Returns faults of which none can be dropped alone; the longest-lasting are tried first, as
-     * they hide most.
+     * Returns faults of which none can be dropped alone. Drops the longest faults first, since they
+     * hide the most.
      *
-     * @param faults with which it holds
+     * @param faults faults with which the failure occurs
      */
     public static List<Fault> shrink(List<Fault> faults, Trial trial) throws IOException {
-        List<Fault> left = new ArrayList<>(faults);
+        List<Fault> remaining = new ArrayList<>(faults);
         boolean dropped = true;
         while (dropped) {
             dropped = false;
-            List<Fault> order = new ArrayList<>(left);
-            order.sort((one, other) -> Double.compare(other.forS(), one.forS()));
-            for (Fault fault : order) {
-                List<Fault> without = left.stream().filter(other -> other != fault).toList();
+            List<Fault> longestFirst = new ArrayList<>(remaining);
+            longestFirst.sort((one, other) -> Double.compare(other.forS(), one.forS()));
+            for (Fault fault : longestFirst) {
+                List<Fault> without = remaining.stream().filter(other -> other != fault).toList();
                 boolean needed =
                         without.stream()
                                 .anyMatch(
@@ -38,11 +41,11 @@
                                                                 .fault()
                                                                 .equals(fault.name()));
                 if (!needed && trial.holds(without)) {
-                    left = new ArrayList<>(without);
+                    remaining = new ArrayList<>(without);
                     dropped = true;
                 }
             }
         }
-        return List.copyOf(left);
+        return List.copyOf(remaining);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/shrink/Storm.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/Storm.java
@@ -11,13 +11,13 @@
 import sprucehold.rig.script.Parties;
 import sprucehold.rig.script.Script;
 
-/** Draws faults by chance: up to six at once, of all kinds that a gatherer of today can meet. */
+/** Draws up to six random faults of all kinds that can affect the gatherers of a script. */
 public final class Storm {
     /**
-     * What befalls gatherers that talk alone: datagrams pass between no others, and clocks that are
-     * off bound nothing.
+     * Kinds of faults that are drawn only if the gatherers exchange messages. Otherwise no
+     * datagrams pass between gatherers, and nothing depends on the error of a clock.
      */
-    private static final Set<Fault.Kind> OF_TALK =
+    private static final Set<Fault.Kind> PEER_MESSAGE_KINDS =
             EnumSet.of(
                     Fault.Kind.LOSE,
                     Fault.Kind.DOUBLE,
@@ -28,54 +28,59 @@
                     Fault.Kind.TWIN,
                     Fault.Kind.FLOOD);
 
-    private static final int MOST = 6;
+    private static final int MAX_FAULTS = 6;
 
     private final Script script;
     private final Parties parties;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
 
     private Storm(Script script, long seed) {
         this.script = script;
         this.parties = Parties.of(script);
-        this.chance = RandomSource.SPLIT_MIX_64.create(seed);
+        this.random = RandomSource.SPLIT_MIX_64.create(seed);
     }
 
-    /** The same script with other faults; the same for the same seed. */
+    /** Returns the script with random faults instead of its own; equal seeds draw equal faults. */
     public static Script draw(Script script, long seed) {
         return new Storm(script, seed).draw();
     }
 
     private Script draw() {
         var faults = new ArrayList<Fault>();
-        int count = 1 + chance.nextInt(MOST);
+        int count = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < count; i++) {
             faults.add(fault("fault " + (i + 1)));
         }
-        // Rules hold in any storm; what service is left depends on it.
+        // The rules hold with any faults, but the remaining service depends on them, so no minimum
+        // service is required.
         return script.with(List.copyOf(faults)).with(new Script.Bands(0));
     }
 
     private Fault fault(String name) {
         List<Fault.Kind> kinds =
                 Arrays.stream(Fault.Kind.values())
-                        .filter(kind -> script.together() != null || !OF_TALK.contains(kind))
+                        .filter(
+                                kind ->
+                                        script.together() != null
+                                                || !PEER_MESSAGE_KINDS.contains(kind))
                         .toList();
-        Fault.Kind kind = kinds.get(chance.nextInt(kinds.size()));
-        double at = chance.nextDouble() * script.lengthS() * 0.7;
-        double lasts = 0.2 + chance.nextDouble() * script.lengthS() * 0.4;
-        Fault.Mode mode = Fault.Mode.values()[chance.nextInt(3)];
+        Fault.Kind kind = kinds.get(random.nextInt(kinds.size()));
+        double startS = random.nextDouble() * script.lengthS() * 0.7;
+        double durationS = 0.2 + random.nextDouble() * script.lengthS() * 0.4;
+        Fault.Mode mode = Fault.Mode.values()[random.nextInt(3)];
         double amount =
                 switch (kind.unit()) {
                     case NONE -> 0;
-                    // Within what scripts state of their clocks unless they state less.
-                    case PPM -> 400 * (2 * chance.nextDouble() - 1);
-                    case MS -> 10 + chance.nextInt(kind == Fault.Kind.LIST_LATE ? 4000 : 400);
-                    case BYTES -> 500 + chance.nextInt(20_000);
-                    case SHARE -> 0.05 + 0.45 * chance.nextDouble();
-                    case TIMES -> 2 + chance.nextInt(40);
+                    // At most 400 ppm, which is within the clock drift that a script declares,
+                    // unless it declares less.
+                    case PPM -> 400 * (2 * random.nextDouble() - 1);
+                    case MS -> 10 + random.nextInt(kind == Fault.Kind.LIST_LATE ? 4000 : 400);
+                    case BYTES -> 500 + random.nextInt(20_000);
+                    case SHARE -> 0.05 + 0.45 * random.nextDouble();
+                    case TIMES -> 2 + random.nextInt(40);
                 };
-        List<String> gatherers = some(parties.gatherers());
-        List<String> servers = some(parties.servers());
+        List<String> gatherers = randomNames(parties.gatherers());
+        List<String> servers = randomNames(parties.servers());
         return switch (kind.whom()) {
             case GATHERER ->
                     fault(
@@ -83,34 +88,34 @@
                             kind,
                             gatherers,
                             List.of(),
-                            at,
-                            lasts,
+                            startS,
+                            durationS,
                             kind == Fault.Kind.FLOOD ? 100 * amount : amount,
                             mode,
                             List.of());
-            // Where gatherers talk, what lies between them is hurt as often as what lies between
-            // them and servers.
+            // If gatherers exchange messages, the links between them are drawn as often as the
+            // links to shard servers.
             case LINK ->
                     fault(
                             name,
                             kind,
                             gatherers,
-                            script.together() != null && chance.nextBoolean()
+                            script.together() != null && random.nextBoolean()
                                     ? parties.gatherers()
                                     : servers,
-                            at,
-                            lasts,
+                            startS,
+                            durationS,
                             amount,
                             mode,
                             List.of());
             case SERVER -> {
                 boolean grey = kind == Fault.Kind.GREY;
-                boolean byType = chance.nextBoolean();
+                boolean byType = random.nextBoolean();
                 List<String> types =
                         grey && byType
                                 ? List.of(
                                         script.tableTypes()
-                                                .get(chance.nextInt(script.tableTypes().size()))
+                                                .get(random.nextInt(script.tableTypes().size()))
                                                 .type()
                                                 .name())
                                 : List.of();
@@ -119,8 +124,8 @@
                         kind,
                         servers,
                         grey && !byType ? gatherers : List.of(),
-                        at,
-                        lasts,
+                        startS,
+                        durationS,
                         amount,
                         mode,
                         types);
@@ -131,8 +136,8 @@
                             kind,
                             gatherers,
                             kind == Fault.Kind.LIST_HIDES ? servers : List.of(),
-                            at,
-                            lasts,
+                            startS,
+                            durationS,
                             amount,
                             mode,
                             List.of());
@@ -144,8 +149,8 @@
             Fault.Kind kind,
             List<String> of,
             List<String> to,
-            double at,
-            double lasts,
+            double startS,
+            double durationS,
             double amount,
             Fault.Mode mode,
             List<String> types) {
@@ -155,29 +160,29 @@
                 of,
                 to,
                 0,
-                Math.round(at * 100) / 100.0,
+                Math.round(startS * 100) / 100.0,
                 null,
-                Math.round(lasts * 100) / 100.0,
+                Math.round(durationS * 100) / 100.0,
                 amount,
                 mode,
-                chance.nextBoolean(),
+                random.nextBoolean(),
                 types);
     }
 
-    /** One, a few, or half of them. */
-    private List<String> some(List<String> all) {
+    /** Returns one, up to three, or half of the names, drawn at random. */
+    private List<String> randomNames(List<String> all) {
         int count =
                 Math.max(
                         1,
-                        switch (chance.nextInt(3)) {
+                        switch (random.nextInt(3)) {
                             case 0 -> 1;
                             case 1 -> Math.min(all.size(), 3);
                             default -> all.size() / 2;
                         });
-        var left = new ArrayList<>(all);
+        var remaining = new ArrayList<>(all);
         var drawn = new ArrayList<String>();
-        for (int i = 0; i < count && !left.isEmpty(); i++) {
-            drawn.add(left.remove(chance.nextInt(left.size())));
+        for (int i = 0; i < count && !remaining.isEmpty(); i++) {
+            drawn.add(remaining.remove(random.nextInt(remaining.size())));
         }
         return List.copyOf(drawn);
     }
--- a/rig/src/main/java/sprucehold/rig/shrink/package-info.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/package-info.java
@@ -1,6 +1,6 @@
 /**
- * From a run that broke a rule to the fewest faults that still do ({@link
- * sprucehold.rig.shrink.Shrinker}), and scripts of faults drawn by chance to look for one ({@link
- * sprucehold.rig.shrink.Storm}). Pure: whoever plays is handed over.
+ * Reduces a run that broke a rule to the fewest faults with which it still does ({@link
+ * sprucehold.rig.shrink.Shrinker}), and draws random faults to find such a run ({@link
+ * sprucehold.rig.shrink.Storm}). Pure: the caller supplies the function that runs a script.
  */
 package sprucehold.rig.shrink;
