--- a/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
+++ b/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
@@ -67,7 +67,7 @@
                                     name -> false,
                                     (query, atMs, end, sentLateMs) ->
                                             outcomes.add(
-                                                    Ends.of(
+                                                    Outcomes.of(
                                                             script, query, firstMs, atMs, end,
                                                             sentLateMs)));
                     var nextQuery = new int[1];
--- a/rig/src/main/java/sprucehold/rig/run/Ends.java
+++ b/rig/src/main/java/sprucehold/rig/run/Outcomes.java
@@ -6,8 +6,8 @@
 import sprucehold.rig.verdict.Outcome;
 
 /** Converts the end of a planned query into an outcome for the figures. */
-final class Ends {
-    private Ends() {}
+final class Outcomes {
+    private Outcomes() {}
 
     /**
      * @param firstMs start of the run, by the clock of {@code atMs}
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -490,7 +490,7 @@
     }
 
     private void ended(Plan.PlannedQuery query, double atMs, Clients.End end, double sentLateMs) {
-        outcomes.add(Ends.of(script, query, firstMs, atMs, end, sentLateMs));
+        outcomes.add(Outcomes.of(script, query, firstMs, atMs, end, sentLateMs));
     }
 
     private void changeOpenAttempts(String gatherer, int more) {
