--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -21,8 +21,8 @@
 import sprucehold.rig.script.Script;
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.script.ScriptWriter;
+import sprucehold.rig.shrink.RandomFaults;
 import sprucehold.rig.shrink.Shrinker;
-import sprucehold.rig.shrink.Storm;
 import sprucehold.rig.verdict.Figures;
 import sprucehold.rig.verdict.Spread;
 import sprucehold.rig.verdict.Verdict;
@@ -453,7 +453,7 @@
                 Path folder = out.resolve("run-" + one);
                 Verdict verdict;
                 try {
-                    verdict = play(Storm.draw(base, one), one, folder, true);
+                    verdict = play(RandomFaults.draw(base, one), one, folder, true);
                 } catch (IOException e) {
                     // A fault of the rig's own says nothing of gatherers, and the other runs go on.
                     System.err.println("seed " + one + ": the rig failed: " + e.getMessage());
--- a/rig/src/main/java/sprucehold/rig/shrink/Storm.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/RandomFaults.java
@@ -12,7 +12,7 @@
 import sprucehold.rig.script.Script;
 
 /** Draws up to six random faults of all kinds that can affect the gatherers of a script. */
-public final class Storm {
+public final class RandomFaults {
     /**
      * Kinds of faults that are drawn only if the gatherers exchange messages. Otherwise no
      * datagrams pass between gatherers, and nothing depends on the error of a clock.
@@ -34,7 +34,7 @@
     private final Parties parties;
     private final UniformRandomProvider random;
 
-    private Storm(Script script, long seed) {
+    private RandomFaults(Script script, long seed) {
         this.script = script;
         this.parties = Parties.of(script);
         this.random = RandomSource.SPLIT_MIX_64.create(seed);
@@ -42,7 +42,7 @@
 
     /** Returns the script with random faults instead of its own; equal seeds draw equal faults. */
     public static Script draw(Script script, long seed) {
-        return new Storm(script, seed).draw();
+        return new RandomFaults(script, seed).draw();
     }
 
     private Script draw() {
--- a/rig/src/test/java/sprucehold/rig/ScriptTest.java
+++ b/rig/src/test/java/sprucehold/rig/ScriptTest.java
@@ -18,7 +18,7 @@
 import sprucehold.rig.script.Script;
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.script.ScriptWriter;
-import sprucehold.rig.shrink.Storm;
+import sprucehold.rig.shrink.RandomFaults;
 
 /** Tests how scripts are read and written, and the plans that are drawn from them. */
 public class ScriptTest {
@@ -197,9 +197,9 @@
     @Test
     public void drawnStormsAreValidAndReproducibleScripts() throws IOException {
         for (long seed = 0; seed < 200; seed++) {
-            Script storm = Storm.draw(Scripts.calm(8), seed);
+            Script storm = RandomFaults.draw(Scripts.calm(8), seed);
             assertEquals(read(ScriptWriter.json(storm)), storm);
-            assertEquals(Storm.draw(Scripts.calm(8), seed), storm);
+            assertEquals(RandomFaults.draw(Scripts.calm(8), seed), storm);
         }
     }
 }
