--- a/cli/src/main/java/sprucehold/cli/LoadCommand.java
+++ b/cli/src/main/java/sprucehold/cli/LoadCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import sprucehold.rig.run.LoadAlone;
+import sprucehold.rig.run.ClientsOnlyRun;
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.verdict.Figures;
 
@@ -56,7 +56,7 @@
                             Integer.parseInt(one.substring(colon + 1)), one.substring(0, colon)));
         }
         Figures figures =
-                LoadAlone.run(ScriptReader.read(script), seed, addresses, System.err::println);
+                ClientsOnlyRun.run(ScriptReader.read(script), seed, addresses, System.err::println);
         if (json) {
             Printed.json(figures);
         } else {
--- a/rig/src/main/java/sprucehold/rig/run/LoadAlone.java
+++ b/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
@@ -26,8 +26,8 @@
  * Runs only the clients of a script, against gatherers that were started elsewhere. The faults of
  * the script are ignored.
  */
-public final class LoadAlone {
-    private LoadAlone() {}
+public final class ClientsOnlyRun {
+    private ClientsOnlyRun() {}
 
     /**
      * Sends all planned queries and returns the figures.
