--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
@@ -9,7 +9,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
 import sprucehold.rig.script.Script;
@@ -119,7 +119,7 @@
         Path folder = Files.createTempDirectory("together-run-");
         try {
             RunFolder run = RunFolder.make(folder);
-            Verdict verdict = Run.play(script, seed, Home.find(), run, line -> {});
+            Verdict verdict = Run.play(script, seed, GathererProgram.find(), run, line -> {});
             Play play = count(run, verdict, shared.together().furtherWindowMs());
             System.out.printf(
                     Locale.ROOT,
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Parameters;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.plan.Planner;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.report.RunPage;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
@@ -61,7 +61,7 @@
                 Run.play(
                         script,
                         seed,
-                        Home.find(),
+                        GathererProgram.find(),
                         run,
                         line -> {
                             if (!quiet) {
--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -32,7 +32,7 @@
 
     private final Vertx vertx;
     private final Context context;
-    private final Home home;
+    private final GathererProgram home;
     private final Guardian guardian;
     private final String name;
     private final SocketAddress address;
@@ -52,7 +52,7 @@
      */
     public GathererProcess(
             Vertx vertx,
-            Home home,
+            GathererProgram home,
             Guardian guardian,
             String name,
             SocketAddress address,
--- a/rig/src/main/java/sprucehold/rig/process/Home.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProgram.java
@@ -14,7 +14,7 @@
  * @param program the command without the options of the single gatherer; its first word is the path
  *     of a JVM
  */
-public record Home(Path root, List<String> program) {
+public record GathererProgram(Path root, List<String> program) {
     /**
      * Delay after the start at which the clock jumps, in milliseconds. By then leases have been
      * granted.
@@ -26,7 +26,7 @@
      *
      * @throws IOException naming in one line the file that is missing
      */
-    public static Home find() throws IOException {
+    public static GathererProgram find() throws IOException {
         String named = System.getenv("SPRUCEHOLD_HOME");
         Path at = Path.of(named == null || named.isEmpty() ? "" : named).toAbsolutePath();
         for (Path here = at; here != null; here = here.getParent()) {
@@ -36,7 +36,7 @@
                             here.resolve("gatherer/target/sprucehold.jar")
                                     + ": nothing is built: run 'mvn -q -DskipTests package'");
                 }
-                return new Home(here, shipped(here));
+                return new GathererProgram(here, shipped(here));
             }
         }
         throw new IOException(
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -35,8 +35,8 @@
 import sprucehold.rig.plan.Planner;
 import sprucehold.rig.process.ClusterFile;
 import sprucehold.rig.process.GathererProcess;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.process.Guardian;
-import sprucehold.rig.process.Home;
 import sprucehold.rig.process.NodeConfigFile;
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
@@ -67,7 +67,7 @@
 
     private final Script script;
     private final Plan plan;
-    private final Home home;
+    private final GathererProgram home;
     private final RunFolder folder;
     private final Consumer<String> progress;
     private final Vertx vertx =
@@ -113,7 +113,7 @@
     private boolean ending;
     private double overMs;
 
-    private Run(Script script, long seed, Home home, RunFolder folder, Consumer<String> progress)
+    private Run(Script script, long seed, GathererProgram home, RunFolder folder, Consumer<String> progress)
             throws IOException {
         this.script = script;
         this.plan = Planner.plan(script, seed);
@@ -174,7 +174,7 @@
      * @throws IOException with a one-line message if something could not be started
      */
     public static Verdict play(
-            Script script, long seed, Home home, RunFolder folder, Consumer<String> progress)
+            Script script, long seed, GathererProgram home, RunFolder folder, Consumer<String> progress)
             throws IOException {
         Optional<String> lacking = MachineNeeds.of(script).lackingOn(MachineNeeds.Machine.here());
         if (lacking.isPresent()) {
--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 import sprucehold.rig.plan.Addresses;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
 import sprucehold.rig.script.Fault;
@@ -49,7 +49,7 @@
                             List.of());
             Script script = Scripts.calm(100, pause);
             var home =
-                    new Home(
+                    new GathererProgram(
                             Path.of("").toAbsolutePath(),
                             List.of(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import sprucehold.decision.Deployment;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.report.RunPage;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
@@ -52,7 +52,7 @@
         }
     }
 
-    private Verdict play(Script script, Home home) throws IOException {
+    private Verdict play(Script script, GathererProgram home) throws IOException {
         Verdict verdict = null;
         for (int i = 0;
                 i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED);
@@ -63,8 +63,8 @@
         return verdict;
     }
 
-    private static Home gathererWith(String behaviour) {
-        return new Home(
+    private static GathererProgram gathererWith(String behaviour) {
+        return new GathererProgram(
                 Path.of("").toAbsolutePath(),
                 List.of(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -187,7 +187,7 @@
     @Test(dataProvider = "scripts")
     public void theShippedProgramKeepsTheRules(String name) throws IOException {
         Script script = Scripts.shipped(name);
-        Verdict verdict = play(script, Home.find());
+        Verdict verdict = play(script, GathererProgram.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
         var run = new RunFolder(last);
         assertEquals(run.judge(), verdict, "the kept ledgers are judged as the run was");
@@ -205,7 +205,7 @@
     @Test
     public void theShippedProgramKeepsTheRulesWhenPausedWhileClientsLeave()
             throws IOException {
-        Verdict verdict = play(Scripts.shipped("held-up-among-leaving"), Home.find());
+        Verdict verdict = play(Scripts.shipped("held-up-among-leaving"), GathererProgram.find());
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, verdict.why().toString());
     }
 
--- a/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
+++ b/rig/src/test/java/sprucehold/rig/TogetherRunTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
 import sprucehold.rig.script.Script;
@@ -53,7 +53,7 @@
                 i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED);
                 i++) {
             last = RunFolder.make(folder.resolve("run-" + i));
-            verdict = Run.play(script, 3, Home.find(), last, line -> {});
+            verdict = Run.play(script, 3, GathererProgram.find(), last, line -> {});
         }
         assertEquals(verdict.kind(), Verdict.Kind.PASSED, name + ": " + verdict.why());
     }
