--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -395,7 +395,7 @@
         }
 
         void keep() {
-            if (!closed && !front.knowsGone(gatherer)) {
+            if (!closed && !front.isNotAdmitted(gatherer)) {
                 idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>())
                         .addLast(this);
             } else if (!closed) {
--- a/rig/src/main/java/sprucehold/rig/load/Front.java
+++ b/rig/src/main/java/sprucehold/rig/load/Front.java
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether a gatherer is not admitted, so that kept connections to it are closed. */
-    public boolean knowsGone(String gatherer) {
+    public boolean isNotAdmitted(String gatherer) {
         return !admitted.getOrDefault(gatherer, false);
     }
 
--- a/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
+++ b/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
@@ -22,7 +22,7 @@
     private final Path file;
     private final long maxBytes;
     private volatile long written;
-    private volatile boolean flooded;
+    private volatile boolean truncated;
     private volatile String lastLine = "it wrote nothing";
 
     /**
@@ -67,7 +67,7 @@
                 int keep = (int) Math.max(0, Math.min(read, maxBytes - written));
                 out.write(bytes, 0, keep);
                 written += keep;
-                flooded |= keep < read;
+                truncated |= keep < read;
                 splitIntoLines(new String(bytes, 0, read, StandardCharsets.UTF_8));
             }
             addLine(line.toString());
@@ -107,7 +107,7 @@
         return lastLine;
     }
 
-    boolean flooded() {
-        return flooded;
+    boolean truncated() {
+        return truncated;
     }
 }
--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -32,7 +32,7 @@
 
     private final Vertx vertx;
     private final Context context;
-    private final GathererProgram home;
+    private final GathererProgram program;
     private final Guardian guardian;
     private final String name;
     private final SocketAddress address;
@@ -52,14 +52,14 @@
      */
     public GathererProcess(
             Vertx vertx,
-            GathererProgram home,
+            GathererProgram program,
             Guardian guardian,
             String name,
             SocketAddress address,
             Path logFile) {
         this.vertx = vertx;
         this.context = vertx.getOrCreateContext();
-        this.home = home;
+        this.program = program;
         this.guardian = guardian;
         this.name = name;
         this.address = address;
@@ -76,7 +76,7 @@
      *     the process ends or takes too long
      */
     public Future<Void> start(Path config, Path together, Plan.Clocks clocks) {
-        return start(home.serve(clocks, config, together));
+        return start(program.serve(clocks, config, together));
     }
 
     Future<Void> start(List<String> with) {
@@ -97,7 +97,7 @@
                             all.addAll(command);
                             Process started =
                                     new ProcessBuilder(all)
-                                            .directory(home.root().toFile())
+                                            .directory(program.root().toFile())
                                             .redirectErrorStream(true)
                                             .start();
                             guardian.add(started.pid());
@@ -263,7 +263,7 @@
     }
 
     /** Returns whether the gatherer wrote more than the log keeps. */
-    public boolean flooded() {
-        return log.flooded();
+    public boolean truncated() {
+        return log.truncated();
     }
 }
--- a/rig/src/main/java/sprucehold/rig/report/RunPage.java
+++ b/rig/src/main/java/sprucehold/rig/report/RunPage.java
@@ -104,11 +104,12 @@
 
     /** Returns the figures of a verdict for people to read, by name. */
     public static Map<String, String> figures(Verdict verdict) {
-        var of = verdict.figures();
+        var figures = verdict.figures();
         var rows = new LinkedHashMap<String, String>();
-        rows.put("scans", String.valueOf(of.scans()));
-        rows.put("completed in target time", String.format(Locale.ROOT, "%.3f", of.service()));
-        of.ends()
+        rows.put("scans", String.valueOf(figures.scans()));
+        rows.put("completed in target time", String.format(Locale.ROOT, "%.3f", figures.service()));
+        figures
+                .ends()
                 .forEach(
                         (end, count) ->
                                 rows.put(
@@ -116,22 +117,27 @@
                                         String.valueOf(count)));
         rows.put(
                 "time of completed, p50 and p99",
-                String.format(Locale.ROOT, "%.1f and %.1f ms", of.p50Ms(), of.p99Ms()));
+                String.format(Locale.ROOT, "%.1f and %.1f ms", figures.p50Ms(), figures.p99Ms()));
         rows.put(
                 "the rig sent late, p99",
-                String.format(Locale.ROOT, "%.1f ms", of.sendLateP99Ms()));
+                String.format(Locale.ROOT, "%.1f ms", figures.sendLateP99Ms()));
         rows.put(
                 "the rig's timers late, p99 and worst",
                 String.format(
-                        Locale.ROOT, "%.1f and %.1f ms", of.loopLateP99Ms(), of.loopLateMostMs()));
-        rows.put("cores used by the rig", String.format(Locale.ROOT, "%.2f", of.rigCores()));
-        rows.put("most memory of a gatherer", String.format(Locale.ROOT, "%.0f MB", of.memoryMb()));
+                        Locale.ROOT,
+                        "%.1f and %.1f ms",
+                        figures.loopLateP99Ms(),
+                        figures.loopLateMostMs()));
+        rows.put("cores used by the rig", String.format(Locale.ROOT, "%.2f", figures.rigCores()));
+        rows.put(
+                "most memory of a gatherer",
+                String.format(Locale.ROOT, "%.0f MB", figures.memoryMb()));
         rows.put(
                 "cores used by the busiest gatherer",
-                String.format(Locale.ROOT, "%.2f", of.gathererCores()));
+                String.format(Locale.ROOT, "%.2f", figures.gathererCores()));
         rows.put(
                 "most that a cold server was pushed",
-                String.format(Locale.ROOT, "%.2f of what pushes it over", of.coldMost()));
+                String.format(Locale.ROOT, "%.2f of what pushes it over", figures.coldMost()));
         return rows;
     }
 
@@ -148,14 +154,17 @@
                                         .add(outcome));
         var data = new XYSeriesCollection();
         bins.forEach(
-                (name, of) -> {
+                (name, outcomesByBin) -> {
                     var series = new XYSeries(name);
-                    of.forEach(
-                            (bin, ones) ->
+                    outcomesByBin.forEach(
+                            (bin, outcomes) ->
                                     series.add(
                                             (bin + 0.5) * BIN_S,
-                                            (double) ones.stream().filter(Outcome::inTime).count()
-                                                    / ones.size()));
+                                            (double)
+                                                            outcomes.stream()
+                                                                    .filter(Outcome::inTime)
+                                                                    .count()
+                                                    / outcomes.size()));
                     data.addSeries(series);
                 });
         JFreeChart chart =
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -67,7 +67,7 @@
 
     private final Script script;
     private final Plan plan;
-    private final GathererProgram home;
+    private final GathererProgram program;
     private final RunFolder folder;
     private final Consumer<String> progress;
     private final Vertx vertx =
@@ -113,11 +113,16 @@
     private boolean ending;
     private double overMs;
 
-    private Run(Script script, long seed, GathererProgram home, RunFolder folder, Consumer<String> progress)
+    private Run(
+            Script script,
+            long seed,
+            GathererProgram program,
+            RunFolder folder,
+            Consumer<String> progress)
             throws IOException {
         this.script = script;
         this.plan = Planner.plan(script, seed);
-        this.home = home;
+        this.program = program;
         this.folder = folder;
         this.progress = progress;
         this.addresses = Addresses.claim();
@@ -174,13 +179,17 @@
      * @throws IOException with a one-line message if something could not be started
      */
     public static Verdict play(
-            Script script, long seed, GathererProgram home, RunFolder folder, Consumer<String> progress)
+            Script script,
+            long seed,
+            GathererProgram program,
+            RunFolder folder,
+            Consumer<String> progress)
             throws IOException {
         Optional<String> lacking = MachineNeeds.of(script).lackingOn(MachineNeeds.Machine.here());
         if (lacking.isPresent()) {
             throw new IOException(lacking.get());
         }
-        try (var run = new Run(script, seed, home, folder, progress)) {
+        try (var run = new Run(script, seed, program, folder, progress)) {
             folder.writePlan(script, run.plan);
             return run.play();
         }
@@ -214,7 +223,7 @@
                         / 1024.0;
         gatherers.forEach(
                 (name, process) -> {
-                    if (process.flooded()) {
+                    if (process.truncated()) {
                         crashed.add(name + " flooded its log");
                     }
                     // A line of level SEVERE is always a failure: no fault between processes may
@@ -308,7 +317,7 @@
                     gatherer.name(),
                     new GathererProcess(
                             vertx,
-                            home,
+                            program,
                             guardian,
                             gatherer.name(),
                             SocketAddress.inetSocketAddress(
@@ -388,7 +397,7 @@
         var process =
                 new GathererProcess(
                         vertx,
-                        home,
+                        program,
                         guardian,
                         twin,
                         SocketAddress.inetSocketAddress(
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -130,7 +130,7 @@
         vertx.setTimer(
                 RESTART_DELAY_MS,
                 waited -> {
-                    host(name).comeBack();
+                    host(name).restart();
                     addAgain(name);
                 });
     }
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -122,9 +122,9 @@
     public void change(boolean begins, Plan.TargetedFault fault) {
         if (fault.fault().kind() == Fault.Kind.DIE) {
             if (begins) {
-                die();
+                crash();
             } else {
-                comeBack();
+                restart();
             }
             return;
         }
@@ -133,20 +133,20 @@
         } else {
             faults.remove(fault);
         }
-        carryOut(model.change(clock.getAsDouble(), begins, fault));
+        apply(model.change(clock.getAsDouble(), begins, fault));
     }
 
     /** Crashes the server: resets its connections and stops to listen. */
-    public void die() {
+    public void crash() {
         alive = false;
-        model.dies();
+        model.crash();
         listeners.values().forEach(NetServer::close);
         listeners.clear();
         List.copyOf(connections).forEach(connection -> connection.socket.reset());
     }
 
     /** Starts the server again, cold and at another address. */
-    public void comeBack() {
+    public void restart() {
         alive = true;
         life++;
         peakColdLoad = mostPushed();
@@ -213,7 +213,7 @@
         @Override
         public void closed(boolean byPeer) {
             connections.remove(this);
-            model.closed(this);
+            model.cancelAll(this);
             openAttempts.accept(gatherer, -open);
             open = 0;
         }
@@ -223,7 +223,7 @@
             switch (frame[0]) {
                 case 'A' -> parts(text, readMs);
                 case 'B' -> {
-                    model.gaveUp(this, text);
+                    model.cancel(this, text);
                     attemptEnded();
                 }
                 case 'C' -> send("Chit");
@@ -250,8 +250,8 @@
                                 readMs, gatherer, server.name(), scan, segment, deadlineMs));
                 open++;
                 openAttempts.accept(gatherer, 1);
-                carryOut(
-                        model.arrives(
+                apply(
+                        model.arrive(
                                 clock.getAsDouble(),
                                 new ServerModel.Arrival(
                                         this,
@@ -279,9 +279,9 @@
         }
     }
 
-    private void carryOut(List<ServerModel.Act> acts) {
-        for (ServerModel.Act act : acts) {
-            if (act instanceof ServerModel.Act.Ran ran) {
+    private void apply(List<ServerModel.Effect> effects) {
+        for (ServerModel.Effect effect : effects) {
+            if (effect instanceof ServerModel.Effect.Ran ran) {
                 ledger.add(
                         new Seen.Ran(
                                 ran.atMs(),
@@ -289,15 +289,15 @@
                                 ran.part().scan(),
                                 ran.part().segment(),
                                 ran.value()));
-            } else if (act instanceof ServerModel.Act.Reply reply) {
+            } else if (effect instanceof ServerModel.Effect.Reply reply) {
                 var to = (Connection) reply.to().link();
                 to.attemptEnded();
                 to.send("E" + reply.to().partId() + " " + reply.end() + " 0 -\n" + reply.value());
-            } else if (act instanceof ServerModel.Act.Lost lost && lost.reset()) {
+            } else if (effect instanceof ServerModel.Effect.Lost lost && lost.reset()) {
                 ((Connection) lost.part().link()).socket.reset();
-            } else if (act instanceof ServerModel.Act.FellOver fell) {
+            } else if (effect instanceof ServerModel.Effect.FellOver fell) {
                 ledger.add(new Seen.FellOver(fell.atMs(), server.name(), fell.workByGatherer()));
-                die();
+                crash();
                 fellOver.run();
             }
         }
@@ -315,7 +315,7 @@
                                 Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
                                 id -> {
                                     timerAt = Double.POSITIVE_INFINITY;
-                                    carryOut(model.pass(clock.getAsDouble()));
+                                    apply(model.advanceTo(clock.getAsDouble()));
                                 });
             }
         }
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -39,18 +39,18 @@
             double patienceMs) {}
 
     /** An effect of a part or of the server. */
-    public sealed interface Act {
+    public sealed interface Effect {
         /**
          * @param end result as the protocol writes it: {@code hit}, {@code fault} or {@code
          *     overload}
          */
-        record Reply(Arrival to, String end, String value) implements Act {}
+        record Reply(Arrival to, String end, String value) implements Effect {}
 
         /** The part was executed. */
-        record Ran(double atMs, Arrival part, String value) implements Act {}
+        record Ran(double atMs, Arrival part, String value) implements Effect {}
 
         /** The answer is lost. If {@code reset} is set, its connection is reset too. */
-        record Lost(Arrival part, boolean reset) implements Act {}
+        record Lost(Arrival part, boolean reset) implements Effect {}
 
         /**
          * The server crashed from overload.
@@ -58,7 +58,7 @@
          * @param workByGatherer work of each gatherer within the window of the rule, in
          *     milliseconds on one core
          */
-        record FellOver(double atMs, Map<String, Double> workByGatherer) implements Act {}
+        record FellOver(double atMs, Map<String, Double> workByGatherer) implements Effect {}
     }
 
     private record Running(Arrival part, double endsMs) {}
@@ -102,7 +102,7 @@
     }
 
     /** Starts or ends a fault, and returns the effects up to now. */
-    public List<Act> change(double nowMs, boolean begins, Plan.TargetedFault fault) {
+    public List<Effect> change(double nowMs, boolean begins, Plan.TargetedFault fault) {
         if (begins) {
             faults.add(fault);
         } else {
@@ -117,18 +117,18 @@
             late.forEach(run -> running.add(new Running(run.part, run.endsMs + nowMs - stalledMs)));
             stalledMs = Double.NaN;
         }
-        return pass(nowMs);
+        return advanceTo(nowMs);
     }
 
     private boolean hasFault(Fault.Kind kind) {
         return faults.stream().anyMatch(fault -> fault.fault().kind() == kind);
     }
 
-    public List<Act> arrives(double nowMs, Arrival part) {
+    public List<Effect> arrive(double nowMs, Arrival part) {
         if (crashed) {
             return List.of();
         }
-        var acts = new ArrayList<Act>(pass(nowMs));
+        var effects = new ArrayList<Effect>(advanceTo(nowMs));
         if (faults.stream()
                 .anyMatch(
                         fault ->
@@ -137,14 +137,14 @@
                                                 || fault.fault()
                                                         .tableTypes()
                                                         .contains(part.tableType)))) {
-            return acts;
+            return effects;
         }
         int queued = queue.size();
         if (hasFault(Fault.Kind.FULL)
                 || hasFault(Fault.Kind.DRAIN)
                 || queued >= script.servers().queueMost()) {
-            acts.add(new Act.Reply(part, "overload", ""));
-            return acts;
+            effects.add(new Effect.Reply(part, "overload", ""));
+            return effects;
         }
         double warmth = warmth(nowMs);
         if (warmth < 1) {
@@ -161,22 +161,22 @@
                         arrival ->
                                 workByGatherer.merge(
                                         arrival.gatherer, arrival.workMs, Double::sum));
-                dies();
-                acts.add(new Act.FellOver(nowMs, workByGatherer));
-                return acts;
+                crash();
+                effects.add(new Effect.FellOver(nowMs, workByGatherer));
+                return effects;
             }
         }
         queue.add(part);
         arrivedMs.put(part, nowMs);
-        acts.addAll(pass(nowMs));
-        return acts;
+        effects.addAll(advanceTo(nowMs));
+        return effects;
     }
 
     /**
      * Cancels a part that its gatherer has given up. A part that has not begun never runs; one that
      * is running continues, and its answer is not sent.
      */
-    public void gaveUp(Object link, String partId) {
+    public void cancel(Object link, String partId) {
         queue.removeIf(
                 part ->
                         part.link == link
@@ -189,13 +189,13 @@
     }
 
     /** Cancels all parts of a connection that has ended. */
-    public void closed(Object link) {
+    public void cancelAll(Object link) {
         queue.removeIf(part -> part.link == link && arrivedMs.remove(part) != null);
         running.stream().map(Running::part).filter(part -> part.link == link).forEach(givenUp::add);
     }
 
     /** Crashes the server. All its parts are lost, and one that has not ended by now never ran. */
-    public void dies() {
+    public void crash() {
         crashed = true;
         queue.clear();
         running.clear();
@@ -204,29 +204,29 @@
     }
 
     /** Returns the effects of its parts up to now. */
-    public List<Act> pass(double nowMs) {
-        var acts = new ArrayList<Act>();
+    public List<Effect> advanceTo(double nowMs) {
+        var effects = new ArrayList<Effect>();
         if (crashed || !Double.isNaN(stalledMs)) {
-            return acts;
+            return effects;
         }
         double at = nowMs;
         while (true) {
             while (!queue.isEmpty() && running.size() < script.servers().cores()) {
-                begin(at, queue.poll(), acts);
+                begin(at, queue.poll(), effects);
             }
             if (running.isEmpty() || running.peek().endsMs > nowMs) {
-                return acts;
+                return effects;
             }
             Running ended = running.poll();
             at = ended.endsMs;
-            ended(ended, acts);
+            ended(ended, effects);
         }
     }
 
-    private void begin(double nowMs, Arrival part, List<Act> acts) {
+    private void begin(double nowMs, Arrival part, List<Effect> effects) {
         double arrived = arrivedMs.remove(part);
         if (nowMs - arrived > part.patienceMs) {
-            acts.add(new Act.Reply(part, "overload", ""));
+            effects.add(new Effect.Reply(part, "overload", ""));
             return;
         }
         double slowdown =
@@ -237,21 +237,21 @@
         running.add(new Running(part, nowMs + workMs(part) * slowdown / warmth(nowMs)));
     }
 
-    private void ended(Running run, List<Act> acts) {
+    private void ended(Running run, List<Effect> effects) {
         Arrival part = run.part;
         String value = value(part);
-        acts.add(new Act.Ran(run.endsMs, part, value));
+        effects.add(new Effect.Ran(run.endsMs, part, value));
         if (givenUp.remove(part)) {
             return;
         }
         for (Plan.TargetedFault fault : faults) {
             if (fault.fault().kind() == Fault.Kind.LOSE_ANSWERS
                     && random(part, 2).nextDouble() < fault.fault().amount()) {
-                acts.add(new Act.Lost(part, fault.fault().mode() == Fault.Mode.RESET));
+                effects.add(new Effect.Lost(part, fault.fault().mode() == Fault.Mode.RESET));
                 return;
             }
         }
-        acts.add(new Act.Reply(part, "hit", value));
+        effects.add(new Effect.Reply(part, "hit", value));
     }
 
     private UniformRandomProvider random(Arrival part, int purpose) {
@@ -295,7 +295,7 @@
     }
 
     /** Returns the number of parts that are queued or running. */
-    public int held() {
+    public int pendingParts() {
         return queue.size() + running.size();
     }
 }
--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -48,7 +48,7 @@
                             false,
                             List.of());
             Script script = Scripts.calm(100, pause);
-            var home =
+            var program =
                     new GathererProgram(
                             Path.of("").toAbsolutePath(),
                             List.of(
@@ -59,7 +59,7 @@
                                     System.getProperty("java.class.path"),
                                     "sprucehold.rig.RuleBreakingGatherer",
                                     "KEEPS_RULES"));
-            Run.play(script, 1, home, RunFolder.make(Path.of(args[0])), System.out::println);
+            Run.play(script, 1, program, RunFolder.make(Path.of(args[0])), System.out::println);
         }
     }
 
--- a/rig/src/test/java/sprucehold/rig/ModelsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ModelsTest.java
@@ -18,7 +18,7 @@
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
 import sprucehold.rig.server.ServerModel;
-import sprucehold.rig.server.ServerModel.Act;
+import sprucehold.rig.server.ServerModel.Effect;
 
 /**
  * Tests the models of shard servers, discovery, fronts and clients without sockets, in virtual
@@ -36,47 +36,47 @@
         return new ServerModel("s-a-0-0", Scripts.shipped("calm"), 9, startedMs);
     }
 
-    /** Returns the actions of a model from now on, up to a time. */
-    private static List<Act> until(ServerModel model, double ms) {
-        var acts = new ArrayList<Act>();
+    /** Returns the effects of a model from now on, up to a time. */
+    private static List<Effect> until(ServerModel model, double ms) {
+        var effects = new ArrayList<Effect>();
         while (model.nextMs() <= ms) {
-            acts.addAll(model.pass(model.nextMs()));
+            effects.addAll(model.advanceTo(model.nextMs()));
         }
-        return acts;
+        return effects;
     }
 
-    private static long hits(List<Act> acts) {
-        return acts.stream()
-                .filter(act -> act instanceof Act.Reply reply && reply.end().equals("hit"))
+    private static long hits(List<Effect> effects) {
+        return effects.stream()
+                .filter(effect -> effect instanceof Effect.Reply reply && reply.end().equals("hit"))
                 .count();
     }
 
     @Test
     public void eachPartRunsOnceAndIsAnsweredOnce() {
         var model = model(0);
-        var acts = new ArrayList<Act>();
+        var effects = new ArrayList<Effect>();
         for (int i = 0; i < 50; i++) {
-            acts.addAll(model.arrives(100, part(i, "a-0", "offers")));
+            effects.addAll(model.arrive(100, part(i, "a-0", "offers")));
         }
-        acts.addAll(until(model, 1e6));
-        assertEquals(hits(acts), 50);
-        assertEquals(acts.stream().filter(Act.Ran.class::isInstance).count(), 50);
-        assertEquals(model.held(), 0);
+        effects.addAll(until(model, 1e6));
+        assertEquals(hits(effects), 50);
+        assertEquals(effects.stream().filter(Effect.Ran.class::isInstance).count(), 50);
+        assertEquals(model.pendingParts(), 0);
     }
 
     @Test
     public void aCancelledPartRunsOnlyIfItHasStartedAndIsNotAnswered() {
         var model = model(0);
         for (int i = 0; i < 3; i++) {
-            model.arrives(100, part(i, "a-0", "offers"));
+            model.arrive(100, part(i, "a-0", "offers"));
         }
         for (int i = 0; i < 3; i++) {
-            model.gaveUp(LINK, "s" + i + ".1");
+            model.cancel(LINK, "s" + i + ".1");
         }
-        var acts = until(model, 1e6);
+        var effects = until(model, 1e6);
         // The server has two cores: two parts run, and no answer is sent.
-        assertEquals(acts.stream().filter(Act.Ran.class::isInstance).count(), 2);
-        assertEquals(hits(acts), 0);
+        assertEquals(effects.stream().filter(Effect.Ran.class::isInstance).count(), 2);
+        assertEquals(hits(effects), 0);
     }
 
     @Test
@@ -85,20 +85,20 @@
         Script script = Scripts.cold(0.5);
         var cold = new ServerModel("s-a-0-0", script, 9, 10_000);
         var warm = new ServerModel("s-a-0-0", script, 9, 0);
-        List<Act> acts = List.of();
+        List<Effect> effects = List.of();
         int sent = 0;
-        while (acts.stream().noneMatch(Act.FellOver.class::isInstance) && sent < 2000) {
-            acts = cold.arrives(10_001, part(sent, sent % 2 == 0 ? "a-0" : "b-0", "offers"));
-            warm.arrives(10_001, part(sent, "a-0", "offers"));
+        while (effects.stream().noneMatch(Effect.FellOver.class::isInstance) && sent < 2000) {
+            effects = cold.arrive(10_001, part(sent, sent % 2 == 0 ? "a-0" : "b-0", "offers"));
+            warm.arrive(10_001, part(sent, "a-0", "offers"));
             sent++;
         }
-        var crash = (Act.FellOver) acts.get(acts.size() - 1);
+        var crash = (Effect.FellOver) effects.get(effects.size() - 1);
         // The limit is half of the work that two cores at a fifth of their speed do in a second.
         double sum = crash.workByGatherer().values().stream().mapToDouble(work -> work).sum();
         assertTrue(sum > 200 && sum < 300, "overloaded by " + sum);
         assertEquals(crash.workByGatherer().keySet(), Set.of("a-0", "b-0"));
-        assertEquals(cold.held(), 0);
-        assertTrue(warm.held() > 0);
+        assertEquals(cold.pendingParts(), 0);
+        assertTrue(warm.pendingParts() > 0);
     }
 
     private static Plan.TargetedFault fault(
@@ -126,27 +126,28 @@
         var model = model(0);
         var grey = fault(Fault.Kind.GREY, 0, List.of("offers"), "b-1");
         model.change(0, true, grey);
-        model.arrives(1, part(1, "a-0", "offers"));
-        model.arrives(1, part(2, "b-1", "stamps"));
-        model.arrives(1, part(3, "a-0", "stamps"));
+        model.arrive(1, part(1, "a-0", "offers"));
+        model.arrive(1, part(2, "b-1", "stamps"));
+        model.arrive(1, part(3, "a-0", "stamps"));
         assertEquals(hits(until(model, 1e6)), 1);
         model.change(1000, false, grey);
         var stall = fault(Fault.Kind.STALL, 0, List.of());
-        model.arrives(1000, part(4, "a-0", "offers"));
+        model.arrive(1000, part(4, "a-0", "offers"));
         model.change(1001, true, stall);
         assertEquals(until(model, 1e6), List.of());
         assertEquals(hits(model.change(9000, false, stall)), 0);
         assertEquals(hits(until(model, 1e6)), 1);
         model.change(1e6, true, fault(Fault.Kind.DRAIN, 0, List.of()));
         assertEquals(
-                ((Act.Reply) model.arrives(1e6, part(5, "a-0", "offers")).get(0)).end(),
+                ((Effect.Reply) model.arrive(1e6, part(5, "a-0", "offers")).get(0)).end(),
                 "overload");
         var lost = model(0);
         lost.change(0, true, fault(Fault.Kind.LOSE_ANSWERS, 1, List.of()));
-        lost.arrives(0, part(6, "a-0", "offers"));
-        var acts = until(lost, 1e6);
+        lost.arrive(0, part(6, "a-0", "offers"));
+        var effects = until(lost, 1e6);
         assertTrue(
-                acts.get(0) instanceof Act.Ran && acts.get(1) instanceof Act.Lost, acts.toString());
+                effects.get(0) instanceof Effect.Ran && effects.get(1) instanceof Effect.Lost,
+                effects.toString());
     }
 
     private static ServerList.Entry entry(String name, ServerList.Status status, int life) {
@@ -223,7 +224,7 @@
         front.gone(5, "a-0");
         assertEquals(front.next(1000, "a"), "a-0");
         assertEquals(front.next(1005, "a"), "b-0");
-        assertTrue(front.knowsGone("a-0"));
+        assertTrue(front.isNotAdmitted("a-0"));
         front.ready("a-0");
         assertEquals(front.next(2000, "a"), "a-0");
     }
--- a/rig/src/test/java/sprucehold/rig/RunTest.java
+++ b/rig/src/test/java/sprucehold/rig/RunTest.java
@@ -52,13 +52,13 @@
         }
     }
 
-    private Verdict play(Script script, GathererProgram home) throws IOException {
+    private Verdict play(Script script, GathererProgram program) throws IOException {
         Verdict verdict = null;
         for (int i = 0;
                 i < TRIES && (verdict == null || verdict.kind() == Verdict.Kind.STARVED);
                 i++) {
             last = folder.resolve("run-" + i);
-            verdict = Run.play(script, 3, home, RunFolder.make(last), line -> {});
+            verdict = Run.play(script, 3, program, RunFolder.make(last), line -> {});
         }
         return verdict;
     }
--- a/rig/src/test/java/sprucehold/rig/run/MachineNeedsTest.java
+++ b/rig/src/test/java/sprucehold/rig/run/MachineNeedsTest.java
@@ -12,9 +12,12 @@
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.script.ScriptWriter;
 
-/** A run that its machine can't hold ends with one line that says what is lacking. */
+/**
+ * Tests the check that a machine has the resources for a run; it reports lacking resources in one
+ * line.
+ */
 public class MachineNeedsTest {
-    /** The calm script with 120 gatherers and 300 shard servers. */
+    /** Returns the calm script with 120 gatherers and 300 shard servers. */
     private static Script large() throws IOException {
         String json =
                 ScriptWriter.json(ScriptReader.read("calm"))
@@ -30,7 +33,7 @@
     }
 
     @Test
-    public void eachServerListensForEachGathererAndEachGathererHoldsALinkToEachServer()
+    public void needsCountAListenerAndAConnectionForEachServerAndGatherer()
             throws IOException {
         MachineNeeds needs = MachineNeeds.of(large());
         assertTrue(needs.descriptors() >= 2 * 120 * 300, needs.toString());
@@ -38,7 +41,7 @@
     }
 
     @Test
-    public void whatIsLackingIsSaidInOneLine() {
+    public void lackingResourcesAreNamedInOneLine() {
         var needs = new MachineNeeds(5000, 900);
         assertEquals(needs.lackingOn(new MachineNeeds.Machine(5000, 900)), Optional.empty());
         assertEquals(
