--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -101,7 +101,7 @@
     }
 
     /** Sends a planned query now. */
-    public void ask(Plan.PlannedQuery query, double plannedMs) {
+    public void sendQuery(Plan.PlannedQuery query, double plannedMs) {
         open++;
         new ClientQuery(query, clock.getAsDouble() - plannedMs).start(query.id());
     }
@@ -112,7 +112,7 @@
     }
 
     /** Closes the idle connections to a gatherer. */
-    public void forget(String gatherer) {
+    public void closeIdle(String gatherer) {
         links.stream()
                 .filter(link -> link.gatherer.equals(gatherer) && link.pending == null)
                 .toList()
@@ -133,7 +133,7 @@
         final double sentLateMs;
         String id;
         Link link;
-        boolean asked;
+        boolean requestSent;
         boolean sentAgain;
         long waitTimer = -1;
 
@@ -156,12 +156,12 @@
 
         void start(String requestId) {
             id = requestId;
-            asked = false;
+            requestSent = false;
             sentAgain = false;
             link = null;
             double maxWaitMs = Math.min(load.leavesMs(), kind.timeoutMs() + LATE_ANSWER_MS);
             timeoutAtMs = clock.getAsDouble() + kind.timeoutMs();
-            waitTimer = vertx.setTimer(Math.max(1, (long) maxWaitMs), elapsed -> gaveUp());
+            waitTimer = vertx.setTimer(Math.max(1, (long) maxWaitMs), elapsed -> waitEnded());
             connect();
         }
 
@@ -191,7 +191,7 @@
             }
             String attemptId = id;
             if (linkState.cut() != null) {
-                failed();
+                connectFailed();
                 return;
             }
             net.connect(address.apply(gatherer))
@@ -212,7 +212,7 @@
                             },
                             refused -> {
                                 if (id != null && id.equals(attemptId)) {
-                                    failed();
+                                    connectFailed();
                                 }
                             });
         }
@@ -229,7 +229,7 @@
          * Handles a connection that could not be opened, so that nothing was sent. Tries the next
          * gatherer after a short wait, as a load balancer does.
          */
-        void failed() {
+        void connectFailed() {
             String attemptId = id;
             vertx.setTimer(
                     RECONNECT_DELAY_MS,
@@ -240,14 +240,14 @@
                     });
         }
 
-        private void gaveUp() {
+        private void waitEnded() {
             waitTimer = -1;
             boolean left = load.leavesMs() < kind.timeoutMs() + LATE_ANSWER_MS;
             Link on = link;
             if (on != null) {
                 link = null;
                 on.pending = null;
-                if (asked && left) {
+                if (requestSent && left) {
                     ledger.add(new Seen.Left(clock.getAsDouble(), id));
                 }
                 on.socket.close();
@@ -294,12 +294,12 @@
          */
         void closed(boolean byPeer, boolean reused, String gatherer) {
             link = null;
-            if (asked && !byPeer) {
+            if (requestSent && !byPeer) {
                 ledger.add(new Seen.Left(clock.getAsDouble(), id));
                 end(End.LEFT);
-            } else if (!asked || reused && !sentAgain && !killed.test(gatherer)) {
-                sentAgain |= asked;
-                failed();
+            } else if (!requestSent || reused && !sentAgain && !killed.test(gatherer)) {
+                sentAgain |= requestSent;
+                connectFailed();
             } else {
                 ledger.add(
                         new Seen.Answered(
@@ -382,7 +382,7 @@
             socket.write(
                     Buffer.buffer(head + body),
                     () -> {
-                        clientQuery.asked = true;
+                        clientQuery.requestSent = true;
                         ledger.add(
                                 new Seen.Asked(
                                         clock.getAsDouble(),
--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -79,10 +79,10 @@
         return start(program.serve(clocks, config, together));
     }
 
-    Future<Void> start(List<String> with) {
-        command = with;
-        Promise<Integer> over = Promise.promise();
-        ended = over.future();
+    Future<Void> start(List<String> fullCommand) {
+        command = fullCommand;
+        Promise<Integer> exited = Promise.promise();
+        ended = exited.future();
         return vertx.executeBlocking(
                         () -> {
                             // The shell waits for a line before it executes the gatherer. The line
@@ -110,7 +110,9 @@
                                             gone -> {
                                                 guardian.del(gone.pid());
                                                 context.runOnContext(
-                                                        none -> over.tryComplete(gone.exitValue()));
+                                                        none ->
+                                                                exited.tryComplete(
+                                                                        gone.exitValue()));
                                             });
                             return started;
                         })
@@ -121,7 +123,7 @@
                         });
     }
 
-    private Future<Void> ready(long until) {
+    private Future<Void> ready(long deadlineNanos) {
         if (ended.isComplete()) {
             return Future.failedFuture(
                     new IOException(
@@ -131,7 +133,7 @@
                                     + " before it was ready: "
                                     + log.lastLine()));
         }
-        if (System.nanoTime() > until) {
+        if (System.nanoTime() > deadlineNanos) {
             return Future.failedFuture(
                     new IOException(
                             name
@@ -157,18 +159,18 @@
                         refused -> up.tryComplete(false));
         return up.future()
                 .onSuccess(
-                        is -> {
-                            if (is) {
+                        ready -> {
+                            if (ready) {
                                 readyNanos = System.nanoTime();
                                 readyCpuMs = cpuMs();
                             }
                         })
                 .compose(
-                        is ->
-                                is
+                        ready ->
+                                ready
                                         ? Future.succeededFuture()
                                         : vertx.timer(READY_POLL_MS)
-                                                .compose(waited -> ready(until)));
+                                                .compose(waited -> ready(deadlineNanos)));
     }
 
     public boolean alive() {
@@ -181,7 +183,7 @@
             return Future.succeededFuture();
         }
         long pid = process.pid();
-        peakKb = Math.max(peakKb, peak(pid));
+        peakKb = Math.max(peakKb, peakMemoryKb(pid));
         cores = (cpuMs() - readyCpuMs) / Math.max(1, (System.nanoTime() - readyNanos) / 1e6);
         return vertx.executeBlocking(
                         () -> {
@@ -245,7 +247,7 @@
         return process.toHandle().info().totalCpuDuration().map(Duration::toMillis).orElse(0L);
     }
 
-    private static long peak(long pid) {
+    private static long peakMemoryKb(long pid) {
         try {
             return Files.readAllLines(Path.of("/proc/" + pid + "/status")).stream()
                     .filter(line -> line.startsWith("VmHWM:"))
--- a/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
+++ b/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
@@ -86,7 +86,7 @@
                                         && firstMs + plan.asks().get(nextQuery[0]).atMs()
                                                 <= clock.getAsDouble()) {
                                     Plan.PlannedQuery query = plan.asks().get(nextQuery[0]++);
-                                    clients.ask(query, firstMs + query.atMs());
+                                    clients.sendQuery(query, firstMs + query.atMs());
                                 }
                                 if (nextQuery[0] == plan.asks().size() && clients.open() == 0) {
                                     vertx.cancelTimer(id);
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -226,8 +226,8 @@
                     if (process.truncated()) {
                         crashed.add(name + " flooded its log");
                     }
-                    // A line of level SEVERE is always a failure: no fault between processes may
-                    // break the code for decisions and network.
+                    // A panic is never an expected effect of a fault. The decision and network code
+                    // must survive any fault between processes.
                     process.severe().forEach(line -> crashed.add(name + " logged: " + line));
                 });
         outcomes.sort(Comparator.comparingDouble(Outcome::plannedMs));
@@ -246,7 +246,7 @@
                                         .mapToDouble(GathererProcess::cores)
                                         .max()
                                         .orElse(0),
-                                servers.mostPushed()),
+                                servers.peakColdLoad()),
                         List.copyOf(crashed)),
                 ledger.inOrder());
     }
@@ -494,7 +494,7 @@
         while (nextQuery < plan.asks().size()
                 && firstMs + plan.asks().get(nextQuery).atMs() <= now()) {
             Plan.PlannedQuery query = plan.asks().get(nextQuery++);
-            clients.ask(query, firstMs + query.atMs());
+            clients.sendQuery(query, firstMs + query.atMs());
         }
     }
 
--- a/rig/src/main/java/sprucehold/rig/run/RunFolder.java
+++ b/rig/src/main/java/sprucehold/rig/run/RunFolder.java
@@ -31,8 +31,8 @@
      * The observations of a run.
      *
      * @param seed seed of the plan
-     * @param overMs time at which the clients were done, by the run's clock; all queries have
-     *     passed their deadlines by then
+     * @param overMs time at which the clients were done, by the run's clock; all queries must have
+     *     ended by then
      * @param faults actual start and end of each fault, in seconds since the first query
      * @param crashed descriptions of the gatherers that ended by themselves
      */
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -15,8 +15,8 @@
  */
 final class ShardServerFleet {
     /**
-     * Delay until discovery removes a crashed server, in milliseconds. It is the mean delay of
-     * health checks that run every second.
+     * Delay until discovery reports that a server has crashed, in milliseconds. It is the mean
+     * delay of health checks that run every second.
      */
     private static final long CRASH_DETECTION_MS = 500;
 
@@ -60,8 +60,8 @@
      * Returns the highest peak load of any server while cold, as a share of the load at which it
      * crashes.
      */
-    double mostPushed() {
-        return hosts.stream().mapToDouble(ServerHost::mostPushed).max().orElse(0);
+    double peakColdLoad() {
+        return hosts.stream().mapToDouble(ServerHost::peakColdLoad).max().orElse(0);
     }
 
     void linksChanged() {
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Applies a change of the link faults: stops to listen where connections are refused, and
+     * Applies a change of the link faults: stops listening where connections are refused, and
      * listens again where they are not.
      */
     public void linksChanged() {
@@ -136,7 +136,7 @@
         apply(model.change(clock.getAsDouble(), begins, fault));
     }
 
-    /** Crashes the server: resets its connections and stops to listen. */
+    /** Crashes the server: resets its connections and stops listening. */
     public void crash() {
         alive = false;
         model.crash();
@@ -149,7 +149,7 @@
     public void restart() {
         alive = true;
         life++;
-        peakColdLoad = mostPushed();
+        peakColdLoad = peakColdLoad();
         model = new ServerModel(server.name(), script, server.seed() + life, clock.getAsDouble());
         faults.forEach(fault -> model.change(clock.getAsDouble(), true, fault));
         listen();
@@ -159,8 +159,8 @@
      * Returns the peak load of the server while it was cold, over all its starts, as a share of the
      * load at which it crashes.
      */
-    public double mostPushed() {
-        return Math.max(peakColdLoad, model.mostPushed());
+    public double peakColdLoad() {
+        return Math.max(peakColdLoad, model.peakColdLoad());
     }
 
     public int life() {
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -290,7 +290,7 @@
     }
 
     /** Returns the peak load while cold, as a share of the load at which the server crashes. */
-    public double mostPushed() {
+    public double peakColdLoad() {
         return peakColdLoad;
     }
 
--- a/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
@@ -18,8 +18,8 @@
     private Shrinker() {}
 
     /**
-     * Returns faults of which none can be dropped alone. Drops the longest faults first, since they
-     * hide the most.
+     * Returns faults of which none can be dropped alone. Tries to drop the longest faults first,
+     * since they hide the most.
      *
      * @param faults faults with which the failure occurs
      */
--- a/rig/src/test/java/sprucehold/rig/ClientsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ClientsTest.java
@@ -70,8 +70,9 @@
                                                                     : server.actualPort(),
                                                             "127.0.0.1"),
                                             name -> false,
-                                            (ask, atMs, ending, late) -> end.complete(ending));
-                            clients.ask(
+                                            (query, atMs, ending, sentLateMs) ->
+                                                    end.complete(ending));
+                            clients.sendQuery(
                                     new Plan.PlannedQuery(0, "x", 0, Map.of(1, 1.0)),
                                     (System.nanoTime() - startNs) / 1e6);
                         },
--- a/rig/src/test/java/sprucehold/rig/ScriptTest.java
+++ b/rig/src/test/java/sprucehold/rig/ScriptTest.java
@@ -195,11 +195,11 @@
     }
 
     @Test
-    public void drawnStormsAreValidAndReproducibleScripts() throws IOException {
+    public void scriptsWithRandomFaultsAreValidAndReproducible() throws IOException {
         for (long seed = 0; seed < 200; seed++) {
-            Script storm = RandomFaults.draw(Scripts.calm(8), seed);
-            assertEquals(read(ScriptWriter.json(storm)), storm);
-            assertEquals(RandomFaults.draw(Scripts.calm(8), seed), storm);
+            Script drawn = RandomFaults.draw(Scripts.calm(8), seed);
+            assertEquals(read(ScriptWriter.json(drawn)), drawn);
+            assertEquals(RandomFaults.draw(Scripts.calm(8), seed), drawn);
         }
     }
 }
