--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -207,7 +207,10 @@
             done.get((long) (1000 * script.lengthS()) + MAX_OVERHEAD_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             throw new IOException(
-                    "the run did not end " + MAX_OVERHEAD_MS / 1000 + " s after its script", e);
+                    "the run did not end within "
+                            + MAX_OVERHEAD_MS / 1000
+                            + " s after the end of its script",
+                    e);
         } catch (ExecutionException e) {
             throw e.getCause() instanceof IOException io
                     ? io
@@ -273,7 +276,7 @@
                 return i;
             }
         }
-        throw new IllegalArgumentException("no gatherer is called " + gatherer);
+        throw new IllegalArgumentException("no gatherer is named " + gatherer);
     }
 
     // ---- Start ----
@@ -541,7 +544,7 @@
             case SERVER -> fault.of().forEach(name -> servers.change(name, change));
             case DISCOVERY ->
                     fault.of().forEach(name -> agents.get(name).change(change.begins(), fault));
-            default -> throw new IllegalStateException("nobody carries out " + fault);
+            default -> throw new IllegalStateException("no party applies the fault " + fault);
         }
     }
 
@@ -601,7 +604,7 @@
             }
             case TWIN -> twin(name, change.begins());
             case FLOOD -> relays.flood(number(name), change);
-            default -> throw new IllegalStateException(fault.kind() + " befalls no gatherer");
+            default -> throw new IllegalStateException(fault.kind() + " is no fault of gatherers");
         }
     }
 
--- a/rig/src/main/java/sprucehold/rig/run/RunFolder.java
+++ b/rig/src/main/java/sprucehold/rig/run/RunFolder.java
@@ -60,7 +60,7 @@
      */
     public static RunFolder make(Path folder) throws IOException {
         if (Files.exists(folder.resolve("run.json"))) {
-            throw new IOException(folder + ": holds a run; another folder was expected");
+            throw new IOException(folder + ": already contains a run; another folder was expected");
         }
         Files.createDirectories(folder);
         return new RunFolder(folder);
@@ -95,7 +95,7 @@
      */
     public Kept kept() throws IOException {
         if (!Files.isRegularFile(file("run.json"))) {
-            throw new IOException(folder + ": no run is kept here: run.json was expected");
+            throw new IOException(folder + ": contains no run: run.json was expected");
         }
         return JSON.readValue(file("run.json").toFile(), Kept.class);
     }
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -47,7 +47,7 @@
     int number(String name) {
         int number = names.indexOf(name);
         if (number < 0) {
-            throw new IllegalArgumentException("no shard server is called " + name);
+            throw new IllegalArgumentException("no shard server is named " + name);
         }
         return number;
     }
