--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -14,15 +14,15 @@
 import picocli.CommandLine.Parameters;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.plan.Planner;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.report.RunPage;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
 import sprucehold.rig.script.Script;
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.script.ScriptWriter;
+import sprucehold.rig.shrink.RandomFaults;
 import sprucehold.rig.shrink.Shrinker;
-import sprucehold.rig.shrink.Storm;
 import sprucehold.rig.verdict.Figures;
 import sprucehold.rig.verdict.Spread;
 import sprucehold.rig.verdict.Verdict;
@@ -64,7 +64,7 @@
                 Run.play(
                         script,
                         seed,
-                        Home.find(),
+                        GathererProgram.find(),
                         run,
                         line -> {
                             if (!quiet) {
@@ -456,7 +456,7 @@
                 Path folder = out.resolve("run-" + runSeed);
                 Verdict verdict;
                 try {
-                    verdict = play(Storm.draw(base, runSeed), runSeed, folder, true);
+                    verdict = play(RandomFaults.draw(base, runSeed), runSeed, folder, true);
                 } catch (IOException e) {
                     // A failure of the rig itself is no result about the gatherers. The remaining
                     // runs are still played.
--- a/rig/src/main/java/sprucehold/rig/report/RunPage.java
+++ b/rig/src/main/java/sprucehold/rig/report/RunPage.java
@@ -25,8 +25,8 @@
 import sprucehold.rig.verdict.Verdict;
 
 /**
- * A run as one page that opens with no network: verdict, figures, and service over time with the
- * faults drawn in.
+ * Renders a run as one HTML page that loads nothing from the network: verdict, figures, and the
+ * service over time with the faults marked.
  */
 public final class RunPage {
     private static final int WIDTH = 900;
@@ -97,18 +97,19 @@
         return html.append("</table>\n</body></html>\n").toString();
     }
 
-    /** The chart by site alone, as an SVG file. */
+    /** Returns only the chart by site, as an SVG file. */
     public static String svg(RunFolder.Kept kept) {
         return svg(chart(kept, "by site", Outcome::site));
     }
 
-    /** The figures of a verdict by their names, as people read them. */
+    /** Returns the figures of a verdict for people to read, by name. */
     public static Map<String, String> figures(Verdict verdict) {
-        var of = verdict.figures();
+        var figures = verdict.figures();
         var rows = new LinkedHashMap<String, String>();
-        rows.put("scans", String.valueOf(of.scans()));
-        rows.put("completed in target time", String.format(Locale.ROOT, "%.3f", of.service()));
-        of.ends()
+        rows.put("scans", String.valueOf(figures.scans()));
+        rows.put("completed in target time", String.format(Locale.ROOT, "%.3f", figures.service()));
+        figures
+                .ends()
                 .forEach(
                         (end, count) ->
                                 rows.put(
@@ -116,22 +117,27 @@
                                         String.valueOf(count)));
         rows.put(
                 "time of completed, p50 and p99",
-                String.format(Locale.ROOT, "%.1f and %.1f ms", of.p50Ms(), of.p99Ms()));
+                String.format(Locale.ROOT, "%.1f and %.1f ms", figures.p50Ms(), figures.p99Ms()));
         rows.put(
                 "the rig sent late, p99",
-                String.format(Locale.ROOT, "%.1f ms", of.sendLateP99Ms()));
+                String.format(Locale.ROOT, "%.1f ms", figures.sendLateP99Ms()));
         rows.put(
                 "the rig's timers late, p99 and worst",
                 String.format(
-                        Locale.ROOT, "%.1f and %.1f ms", of.loopLateP99Ms(), of.loopLateMostMs()));
-        rows.put("cores used by the rig", String.format(Locale.ROOT, "%.2f", of.rigCores()));
-        rows.put("most memory of a gatherer", String.format(Locale.ROOT, "%.0f MB", of.memoryMb()));
+                        Locale.ROOT,
+                        "%.1f and %.1f ms",
+                        figures.loopLateP99Ms(),
+                        figures.loopLateMostMs()));
+        rows.put("cores used by the rig", String.format(Locale.ROOT, "%.2f", figures.rigCores()));
+        rows.put(
+                "most memory of a gatherer",
+                String.format(Locale.ROOT, "%.0f MB", figures.memoryMb()));
         rows.put(
                 "cores used by the busiest gatherer",
-                String.format(Locale.ROOT, "%.2f", of.gathererCores()));
+                String.format(Locale.ROOT, "%.2f", figures.gathererCores()));
         rows.put(
                 "most that a cold server was pushed",
-                String.format(Locale.ROOT, "%.2f of what pushes it over", of.coldMost()));
+                String.format(Locale.ROOT, "%.2f of what pushes it over", figures.coldMost()));
         return rows;
     }
 
@@ -140,22 +146,25 @@
         Map<String, Map<Integer, List<Outcome>>> bins = new TreeMap<>();
         kept.outcomes()
                 .forEach(
-                        one ->
-                                bins.computeIfAbsent(by.apply(one), key -> new TreeMap<>())
+                        outcome ->
+                                bins.computeIfAbsent(by.apply(outcome), key -> new TreeMap<>())
                                         .computeIfAbsent(
-                                                (int) (one.plannedMs() / 1000 / BIN_S),
+                                                (int) (outcome.plannedMs() / 1000 / BIN_S),
                                                 bin -> new ArrayList<>())
-                                        .add(one));
+                                        .add(outcome));
         var data = new XYSeriesCollection();
         bins.forEach(
-                (name, of) -> {
+                (name, outcomesByBin) -> {
                     var series = new XYSeries(name);
-                    of.forEach(
-                            (bin, ones) ->
+                    outcomesByBin.forEach(
+                            (bin, outcomes) ->
                                     series.add(
                                             (bin + 0.5) * BIN_S,
-                                            (double) ones.stream().filter(Outcome::inTime).count()
-                                                    / ones.size()));
+                                            (double)
+                                                            outcomes.stream()
+                                                                    .filter(Outcome::inTime)
+                                                                    .count()
+                                                    / outcomes.size()));
                     data.addSeries(series);
                 });
         JFreeChart chart =
--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 import sprucehold.rig.plan.Addresses;
-import sprucehold.rig.process.Home;
+import sprucehold.rig.process.GathererProgram;
 import sprucehold.rig.run.Run;
 import sprucehold.rig.run.RunFolder;
 import sprucehold.rig.script.Fault;
@@ -48,8 +48,8 @@
                             false,
                             List.of());
             Script script = Scripts.calm(100, pause);
-            var home =
-                    new Home(
+            var program =
+                    new GathererProgram(
                             Path.of("").toAbsolutePath(),
                             List.of(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
@@ -59,7 +59,7 @@
                                     System.getProperty("java.class.path"),
                                     "sprucehold.rig.RuleBreakingGatherer",
                                     "KEEPS_RULES"));
-            Run.play(script, 1, home, RunFolder.make(Path.of(args[0])), System.out::println);
+            Run.play(script, 1, program, RunFolder.make(Path.of(args[0])), System.out::println);
         }
     }
 
