--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -94,7 +94,8 @@
         this.address = address;
         this.killed = killed;
         this.listener = listener;
-        // Longer than any client waits. The timer of the client ends a wait in vain.
+        // The connect timeout is longer than any client waits, so that the wait timer of the client
+        // ends the wait first.
         this.net =
                 vertx.createNetClient(
                         new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(60_000));
@@ -177,9 +178,9 @@
                 end(End.NOBODY);
                 return;
             }
-            Deque<Link> kept =
+            Deque<Link> idleLinks =
                     idle.computeIfAbsent(site + " " + gatherer, key -> new ArrayDeque<>());
-            Link reused = kept.pollLast();
+            Link reused = idleLinks.pollLast();
             if (reused != null) {
                 reused.send(this);
                 return;
@@ -243,19 +244,19 @@
         private void waitEnded() {
             waitTimer = -1;
             boolean left = load.leavesMs() < kind.timeoutMs() + LATE_ANSWER_MS;
-            Link on = link;
-            if (on != null) {
+            Link current = link;
+            if (current != null) {
                 link = null;
-                on.pending = null;
+                current.pending = null;
                 if (requestSent && left) {
                     ledger.add(new Seen.Left(clock.getAsDouble(), id));
                 }
-                on.socket.close();
+                current.socket.close();
             }
             end(left ? End.LEFT : End.NO_ANSWER);
         }
 
-        void answered(int status, double comeBackMs, JsonNode body, double readMs) {
+        void answered(int status, double retryAfterMs, JsonNode body, double readMs) {
             var values = new TreeMap<Integer, String>();
             body.path("found")
                     .forEach(
@@ -272,12 +273,12 @@
                                     : Seen.Answer.ABANDONED;
             ledger.add(new Seen.Answered(readMs, id, how, whole, values));
             link = null;
-            double wait = how == Seen.Answer.THROTTLED ? persistence.throttled(comeBackMs) : -1;
+            double wait = how == Seen.Answer.THROTTLED ? persistence.throttled(retryAfterMs) : -1;
             if (wait >= 0) {
                 vertx.cancelTimer(waitTimer);
                 id = null;
                 vertx.setTimer(
-                        Math.max(1, (long) wait), again -> start(persistence.id(query.id())));
+                        Math.max(1, (long) wait), waited -> start(persistence.id(query.id())));
             } else {
                 end(
                         how == Seen.Answer.COMPLETED
@@ -289,8 +290,9 @@
         /**
          * Handles a connection that ended without an answer. If the gatherer closed a reused
          * connection before it sent anything, the query is sent once more. If the gatherer was
-         * killed, it is unknown whether the query ran, so it isn't sent again. If a fault broke the
-         * link, the gatherer assumes that the client has left.
+         * killed, it is unknown whether the query ran, so it is not sent again. If a fault broke
+         * the link, the gatherer assumes that the client has left, and the query ends as left by
+         * its client.
          */
         void closed(boolean byPeer, boolean reused, String gatherer) {
             link = null;
@@ -445,7 +447,7 @@
             try {
                 return JSON.readTree(text);
             } catch (JsonProcessingException e) {
-                // Plain text of a throttled or malformed query.
+                // The answer to a throttled or malformed query has a body of plain text.
                 return JSON.createObjectNode();
             }
         }
--- a/rig/src/main/java/sprucehold/rig/load/Front.java
+++ b/rig/src/main/java/sprucehold/rig/load/Front.java
@@ -7,8 +7,9 @@
 
 /**
  * Distributes the clients of a site over its gatherers in turn. A gatherer is admitted when it
- * reports that it is ready. A gatherer that is gone still gets clients for a delay. If no gatherer
- * of a site is admitted, its clients are sent to those of the other sites.
+ * reports that it is ready. A gatherer that has ended or is ending still receives clients until the
+ * detection delay is over. If no gatherer of a site is admitted, the clients of the site are sent
+ * to the gatherers of the other sites.
  */
 public final class Front {
     private final Map<String, List<String>> bySite = new HashMap<>();
@@ -18,8 +19,8 @@
     private final double detectionDelayMs;
 
     /**
-     * @param detectionDelayMs how long a gatherer still gets clients after it is gone, in
-     *     milliseconds
+     * @param detectionDelayMs time for which a gatherer that has ended or is ending still receives
+     *     clients, in milliseconds
      */
     public Front(Map<String, String> siteOf, double detectionDelayMs) {
         siteOf.forEach(
@@ -60,7 +61,9 @@
                 : candidates.get(nextIndex.merge(site, 1, Integer::sum) % candidates.size());
     }
 
-    /** Returns whether a gatherer is not admitted, so that kept connections to it are closed. */
+    /**
+     * Returns whether a gatherer is not admitted. Idle connections to such a gatherer are closed.
+     */
     public boolean isNotAdmitted(String gatherer) {
         return !admitted.getOrDefault(gatherer, false);
     }
--- a/rig/src/main/java/sprucehold/rig/load/Persistence.java
+++ b/rig/src/main/java/sprucehold/rig/load/Persistence.java
@@ -22,17 +22,17 @@
      * Returns how long to wait before the query is sent again, in milliseconds; negative if it
      * isn't sent again.
      *
-     * @param comeBackMs the retry-after time that the gatherer sent, in milliseconds; 0 if it sent
-     *     none
+     * @param retryAfterMs the retry-after time that the gatherer sent, in milliseconds; 0 if it
+     *     sent none
      */
-    public double throttled(double comeBackMs) {
+    public double throttled(double retryAfterMs) {
         if (retries >= load.retries()) {
             return -1;
         }
         double backOffMs = load.backOffMs() * Math.pow(2, retries++);
         // Adds up to half of the wait at random, so that clients that were throttled together don't
         // send again together.
-        return Math.max(comeBackMs, backOffMs) * (1 + random.nextDouble() / 2);
+        return Math.max(retryAfterMs, backOffMs) * (1 + random.nextDouble() / 2);
     }
 
     /** Returns the id under which the query is sent again. */
--- a/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
+++ b/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
@@ -16,7 +16,10 @@
  * to a file. Also keeps the first lines of level SEVERE. Thread-safe.
  */
 final class BoundedLog {
-    /** Enough for a run of ten minutes: a gatherer writes some hundred bytes for each query. */
+    /**
+     * Maximum size of the file, in bytes. It is enough for a run of ten minutes, as a gatherer
+     * writes some hundred bytes for each query.
+     */
     private static final long MAX_BYTES = 64L << 20;
 
     private final Path file;
@@ -52,7 +55,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Reads the stream on a thread of its own until the process closes its end. */
+    /** Reads the stream on a separate thread until the process closes its end. */
     void drain(InputStream in, String name) {
         var thread = new Thread(() -> copy(in), "log of " + name);
         thread.setDaemon(true);
--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -18,13 +18,13 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * One gatherer: the program in a process of its own. The process may be started, signalled and
- * ended repeatedly.
+ * Runs one gatherer in a separate process, which may be started, signalled and ended repeatedly.
  */
 public final class GathererProcess {
     /**
-     * Maximum time until a gatherer is ready, in milliseconds. A gatherer started by its command is
-     * ready in a few seconds, but many that start at once share the cores.
+     * Maximum time until a gatherer is ready, in milliseconds. A gatherer that is started with its
+     * usual command is ready in a few seconds, but gatherers that start at the same time share the
+     * cores and take longer.
      */
     private static final long MAX_START_MS = 60_000;
 
@@ -142,22 +142,23 @@
                                     + " s: "
                                     + log.lastLine()));
         }
-        Promise<Boolean> up = Promise.promise();
+        Promise<Boolean> isUp = Promise.promise();
         client.connect(address)
                 .onComplete(
                         socket -> {
                             socket.handler(
                                     bytes -> {
-                                        up.tryComplete(bytes.toString().startsWith("HTTP/1.1 200"));
+                                        isUp.tryComplete(
+                                                bytes.toString().startsWith("HTTP/1.1 200"));
                                         socket.close();
                                     });
-                            socket.closeHandler(none -> up.tryComplete(false));
+                            socket.closeHandler(none -> isUp.tryComplete(false));
                             socket.exceptionHandler(failure -> {});
                             socket.write(
                                     "GET /up HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n");
                         },
-                        refused -> up.tryComplete(false));
-        return up.future()
+                        refused -> isUp.tryComplete(false));
+        return isUp.future()
                 .onSuccess(
                         ready -> {
                             if (ready) {
@@ -226,8 +227,8 @@
                 });
         return signal("CONT")
                 .compose(awake -> signal("TERM"))
-                .compose(asked -> gone.future())
-                .compose(itself -> ended.map(itself));
+                .compose(signalled -> gone.future())
+                .compose(endedItself -> ended.map(endedItself));
     }
 
     /** Returns the peak memory of the process, in kilobytes, as read before each signal. */
--- a/rig/src/main/java/sprucehold/rig/process/GathererProgram.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProgram.java
@@ -11,8 +11,8 @@
  * Program that the rig starts as a gatherer.
  *
  * @param root the working directory of the program
- * @param program the command without the options of the single gatherer; its first word is the path
- *     of a JVM
+ * @param program the command without the options that differ between gatherers; its first word is
+ *     the path of a Java executable
  */
 public record GathererProgram(Path root, List<String> program) {
     /**
@@ -22,7 +22,8 @@
     private static final int CLOCK_JUMP_AFTER_MS = 6000;
 
     /**
-     * Finds the shipped jar of a checkout in which it is built; it is started as operators do.
+     * Finds the shipped jar of a checkout in which it is built, and returns the program with the
+     * command that operators use.
      *
      * @throws IOException naming in one line the file that is missing
      */
--- a/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/NodeConfigFile.java
@@ -10,8 +10,8 @@
 /** Writes the node configuration file of a gatherer, with the field names of the platform. */
 public final class NodeConfigFile {
     /**
-     * Equal to the idle timeout after which the platform's machines close connections, in
-     * milliseconds.
+     * Idle timeout of connections, in milliseconds. It equals the idle timeout of the platform's
+     * machines.
      */
     private static final double IDLE_CLOSE_MS = 15_000;
 
--- a/rig/src/main/java/sprucehold/rig/report/RunPage.java
+++ b/rig/src/main/java/sprucehold/rig/report/RunPage.java
@@ -25,8 +25,9 @@
 import sprucehold.rig.verdict.Verdict;
 
 /**
- * Renders a run as one HTML page that loads nothing from the network: verdict, figures, and the
- * service over time with the faults marked.
+ * Renders a run as one HTML page that loads nothing from the network. The page shows the verdict,
+ * the figures, and the share of queries completed in time over the course of the run, with the
+ * faults marked.
  */
 public final class RunPage {
     private static final int WIDTH = 900;
@@ -102,7 +103,7 @@
         return svg(chart(kept, "by site", Outcome::site));
     }
 
-    /** Returns the figures of a verdict for people to read, by name. */
+    /** Returns the figures of a verdict as text for display, keyed by their labels. */
     public static Map<String, String> figures(Verdict verdict) {
         var figures = verdict.figures();
         var rows = new LinkedHashMap<String, String>();
@@ -142,12 +143,12 @@
     }
 
     private static JFreeChart chart(
-            RunFolder.Kept kept, String title, Function<Outcome, String> by) {
+            RunFolder.Kept kept, String title, Function<Outcome, String> group) {
         Map<String, Map<Integer, List<Outcome>>> bins = new TreeMap<>();
         kept.outcomes()
                 .forEach(
                         outcome ->
-                                bins.computeIfAbsent(by.apply(outcome), key -> new TreeMap<>())
+                                bins.computeIfAbsent(group.apply(outcome), key -> new TreeMap<>())
                                         .computeIfAbsent(
                                                 (int) (outcome.plannedMs() / 1000 / BIN_S),
                                                 bin -> new ArrayList<>())
--- a/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
+++ b/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
@@ -20,7 +20,7 @@
  */
 record MachineNeeds(long descriptors, long memoryMb) {
     /**
-     * Memory of a gatherer, in MiB: 89 to 95 MB under load as the rig measures it, and a reserve.
+     * Memory of a gatherer, in MiB. The rig measures 89 to 95 MB under load; the rest is a reserve.
      */
     private static final long GATHERER_MB = 100;
 
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -16,8 +16,8 @@
 import sprucehold.rig.plan.Plan;
 
 /**
- * The relays between each two gatherers that exchange messages, one for datagrams and one for
- * streams, and floods of datagrams.
+ * Relays the messages between gatherers. Each ordered pair of gatherers has one relay for datagrams
+ * and one for streams. Also starts and ends floods of datagrams.
  */
 final class PeerRelays {
     private final Vertx vertx;
@@ -25,14 +25,14 @@
     private final Addresses addresses;
     private final List<String> gatherers;
 
-    /** Datagram relays by the name of the gatherer to which they lead. */
+    /** Datagram relays, keyed by the name of the gatherer that receives the datagrams. */
     private final Map<String, List<DatagramRelay>> datagrams = new HashMap<>();
 
     private final List<TcpRelay> streams = new ArrayList<>();
     private final Map<Plan.TargetedFault, List<Flood>> floods = new HashMap<>();
 
     /**
-     * @param gatherers the names of all gatherers, by number
+     * @param gatherers the names of all gatherers, in the order of their numbers
      */
     PeerRelays(
             Vertx vertx,
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -47,7 +47,10 @@
 import sprucehold.standin.ledger.Ledger;
 import sprucehold.standin.ledger.Seen;
 
-/** One run. Its duration is limited by its script. Its processes end with it, whatever happens. */
+/**
+ * Plays one run of a script. The script limits its duration. All processes of the run are ended
+ * with it, even if the run fails.
+ */
 public final class Run implements AutoCloseable {
     /**
      * Time that is added to the longest query timeout to get the time by which all clients are
@@ -87,7 +90,10 @@
     private final Map<String, AgentHost> agents = new LinkedHashMap<>();
     private final Map<String, GathererProcess> gatherers = new LinkedHashMap<>();
 
-    /** Second processes under the name of a gatherer, by file name. */
+    /**
+     * Processes that the twin fault started, by file name. Each runs under the name of a gatherer
+     * that has its own process.
+     */
     private final Map<String, GathererProcess> twins = new LinkedHashMap<>();
 
     private final PeerRelays relays;
@@ -99,7 +105,7 @@
     private final Map<Plan.TargetedFault, Double> startedAtS = new HashMap<>();
     private final Map<String, Double> pausedSince = new HashMap<>();
 
-    /** Gatherers that the rig has terminated or killed; their end is no crash. */
+    /** Gatherers that the rig has terminated or killed. Their end isn't recorded as a crash. */
     private final Map<String, Boolean> endedByRig = new HashMap<>();
 
     private final Set<String> killed = new HashSet<>();
@@ -360,7 +366,13 @@
                         });
     }
 
-    /** Starts a process at an address, under the name of a gatherer. */
+    /**
+     * Writes the configuration files of a process and starts it.
+     *
+     * @param file name of the configuration files, without their extension
+     * @param at address at which the process listens
+     * @param number index of the gatherer under whose name the process runs
+     */
     private Future<Void> start(
             GathererProcess process, String file, String at, int number, Plan.Clocks clocks) {
         Plan.Gatherer gatherer = plan.gatherers().get(number);
@@ -604,7 +616,8 @@
             }
             case TWIN -> twin(name, change.begins());
             case FLOOD -> relays.flood(number(name), change);
-            default -> throw new IllegalStateException(fault.kind() + " is no fault of gatherers");
+            default ->
+                    throw new IllegalStateException(fault.kind() + " is not a fault of gatherers");
         }
     }
 
--- a/rig/src/main/java/sprucehold/rig/run/RunFolder.java
+++ b/rig/src/main/java/sprucehold/rig/run/RunFolder.java
@@ -31,10 +31,12 @@
      * The observations of a run.
      *
      * @param seed seed of the plan
-     * @param overMs time at which the clients were done, by the run's clock; all queries must have
-     *     ended by then
+     * @param overMs time at which the load ended, by the run's clock; all queries must have ended
+     *     by then
      * @param faults actual start and end of each fault, in seconds since the first query
-     * @param crashed descriptions of the gatherers that ended by themselves
+     * @param crashed one line for each failure of a gatherer: it ended by itself, a fault started
+     *     it and it failed to get ready, it had to be killed at the end of the run, it logged a
+     *     line of level SEVERE, or it wrote more than its log keeps
      */
     public record Kept(
             long seed,
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -48,7 +48,7 @@
     private int life;
     private double peakColdLoad;
     private long timer = -1;
-    private double timerAt = Double.POSITIVE_INFINITY;
+    private double timerDueMs = Double.POSITIVE_INFINITY;
 
     /**
      * @param number index of the server in the plan
@@ -145,7 +145,7 @@
         List.copyOf(connections).forEach(connection -> connection.socket.reset());
     }
 
-    /** Starts the server again, cold and at another address. */
+    /** Starts the server again, cold and on another port. */
     public void restart() {
         alive = true;
         life++;
@@ -201,13 +201,17 @@
         @Override
         public void received(Buffer bytes, double readMs) {
             read.appendBuffer(bytes);
-            int at = 0;
-            while (read.length() - at >= 4 && read.length() - at >= 4 + read.getIntLE(at)) {
-                int length = read.getIntLE(at);
-                frame(read.getBytes(at + 4, at + 4 + length), readMs);
-                at += 4 + length;
+            int offset = 0;
+            while (read.length() - offset >= 4
+                    && read.length() - offset >= 4 + read.getIntLE(offset)) {
+                int length = read.getIntLE(offset);
+                frame(read.getBytes(offset + 4, offset + 4 + length), readMs);
+                offset += 4 + length;
             }
-            read = at == read.length() ? Buffer.buffer() : read.getBuffer(at, read.length());
+            read =
+                    offset == read.length()
+                            ? Buffer.buffer()
+                            : read.getBuffer(offset, read.length());
         }
 
         @Override
@@ -236,10 +240,10 @@
         }
 
         private void parts(String text, double readMs) {
-            int at = 0;
-            while (at < text.length()) {
-                int lineEnd = text.indexOf('\n', at);
-                String[] line = text.substring(at, lineEnd).split(" ");
+            int offset = 0;
+            while (offset < text.length()) {
+                int lineEnd = text.indexOf('\n', offset);
+                String[] line = text.substring(offset, lineEnd).split(" ");
                 int textEnd = lineEnd + 1 + Integer.parseInt(line[3]);
                 String body = text.substring(lineEnd + 1, textEnd);
                 String scan = line[0].substring(0, line[0].lastIndexOf('.'));
@@ -261,7 +265,7 @@
                                         segment,
                                         body.substring(0, Math.max(0, body.lastIndexOf('.'))),
                                         deadlineMs)));
-                at = textEnd;
+                offset = textEnd;
             }
         }
 
@@ -301,20 +305,20 @@
                 fellOver.run();
             }
         }
-        arm();
+        scheduleTimer();
     }
 
-    private void arm() {
-        double at = alive ? model.nextMs() : Double.POSITIVE_INFINITY;
-        if (at != timerAt) {
+    private void scheduleTimer() {
+        double dueMs = alive ? model.nextMs() : Double.POSITIVE_INFINITY;
+        if (dueMs != timerDueMs) {
             vertx.cancelTimer(timer);
-            timerAt = at;
-            if (at < Double.POSITIVE_INFINITY) {
+            timerDueMs = dueMs;
+            if (dueMs < Double.POSITIVE_INFINITY) {
                 timer =
                         vertx.setTimer(
-                                Math.max(1, (long) Math.ceil(at - clock.getAsDouble())),
+                                Math.max(1, (long) Math.ceil(dueMs - clock.getAsDouble())),
                                 id -> {
-                                    timerAt = Double.POSITIVE_INFINITY;
+                                    timerDueMs = Double.POSITIVE_INFINITY;
                                     apply(model.advanceTo(clock.getAsDouble()));
                                 });
             }
--- a/rig/src/main/java/sprucehold/rig/server/ServerModel.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerModel.java
@@ -38,7 +38,9 @@
             String tableType,
             double patienceMs) {}
 
-    /** An effect of a part or of the server. */
+    /**
+     * An effect of a change of the model, which the caller applies to connections and the ledger.
+     */
     public sealed interface Effect {
         /**
          * @param end result as the protocol writes it: {@code hit}, {@code fault} or {@code
@@ -55,8 +57,8 @@
         /**
          * The server crashed from overload.
          *
-         * @param workByGatherer work of each gatherer within the window of the rule, in
-         *     milliseconds on one core
+         * @param workByGatherer work of the parts that arrived from each gatherer within the window
+         *     of the cold-start rule, in milliseconds on one core
          */
         record FellOver(double atMs, Map<String, Double> workByGatherer) implements Effect {}
     }
@@ -112,9 +114,10 @@
         if (stalls && Double.isNaN(stalledMs)) {
             stalledMs = nowMs;
         } else if (!stalls && !Double.isNaN(stalledMs)) {
-            List<Running> late = List.copyOf(running);
+            List<Running> delayed = List.copyOf(running);
             running.clear();
-            late.forEach(run -> running.add(new Running(run.part, run.endsMs + nowMs - stalledMs)));
+            delayed.forEach(
+                    run -> running.add(new Running(run.part, run.endsMs + nowMs - stalledMs)));
             stalledMs = Double.NaN;
         }
         return advanceTo(nowMs);
@@ -203,22 +206,22 @@
         givenUp.clear();
     }
 
-    /** Returns the effects of its parts up to now. */
+    /** Runs the queued parts up to the given time, and returns the effects. */
     public List<Effect> advanceTo(double nowMs) {
         var effects = new ArrayList<Effect>();
         if (crashed || !Double.isNaN(stalledMs)) {
             return effects;
         }
-        double at = nowMs;
+        double beginMs = nowMs;
         while (true) {
             while (!queue.isEmpty() && running.size() < script.servers().cores()) {
-                begin(at, queue.poll(), effects);
+                begin(beginMs, queue.poll(), effects);
             }
             if (running.isEmpty() || running.peek().endsMs > nowMs) {
                 return effects;
             }
             Running ended = running.poll();
-            at = ended.endsMs;
+            beginMs = ended.endsMs;
             ended(ended, effects);
         }
     }
--- a/rig/src/main/java/sprucehold/rig/shrink/RandomFaults.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/RandomFaults.java
@@ -51,8 +51,8 @@
         for (int i = 0; i < count; i++) {
             faults.add(fault("fault " + (i + 1)));
         }
-        // The rules hold with any faults, but the remaining service depends on them, so no minimum
-        // service is required.
+        // The rules must hold with any faults. The service that remains depends on the faults that
+        // were drawn, so its required minimum is set to 0.
         return script.with(List.copyOf(faults)).with(new Script.Bands(0));
     }
 
--- a/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
+++ b/rig/src/main/java/sprucehold/rig/shrink/Shrinker.java
@@ -6,8 +6,8 @@
 import sprucehold.rig.script.Fault;
 
 /**
- * Reduces a list of faults: drops one fault at a time as long as the run still fails in the way
- * looked for.
+ * Reduces the faults of a failing run. Drops one fault at a time as long as a run with the
+ * remaining faults still fails in the same way.
  */
 public final class Shrinker {
     /** Runs a script with the given faults and returns whether the failure still occurs. */
--- a/rig/src/test/java/sprucehold/rig/RuleBreakingGatherer.java
+++ b/rig/src/test/java/sprucehold/rig/RuleBreakingGatherer.java
@@ -71,8 +71,8 @@
                                     }));
         }
         if (args[0].equals("FLOODS_ITS_LOG")) {
-            // Writes the lines before it reports that it is ready. All lines except those that the
-            // pipe still holds have been read by then, however slow the reader is.
+            // Writes the lines before it reports that it is ready. By then the rig has read all
+            // lines except those in the pipe's buffer, however slowly it reads.
             var line = "x".repeat(1 << 20);
             for (int i = 0; i < 80; i++) {
                 System.out.println(line);
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Waits longer than a message that was written before an answer may be under way. */
+    /** Waits longer than a message that was written before an answer takes to arrive. */
     private static void pause() {
         try {
             Thread.sleep(400);
