--- a/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DayEndings.java
@@ -12,11 +12,11 @@
 import java.util.stream.StreamSupport;
 
 /**
- * Prints how the queries of played days ended. If the arguments are reports of the bench ({@code
- * --json FILE}), prints a table with one row per report. If the arguments are {@code --ids} and a
- * folder of logs written with {@code --log-scans}, lists by id the queries that have no end, that
- * were answered after their deadline, or that have an attempt that began after their client had
- * disconnected.
+ * Prints how the queries of days that the bench played ended. If the arguments are reports of the
+ * bench ({@code --json FILE}), prints a table with one row per report. If the arguments are {@code
+ * --ids} and a folder of logs written with {@code --log-scans}, lists by id the queries that have
+ * no end, that were answered after their deadline, or that have an attempt that began after their
+ * client had disconnected.
  */
 public final class DayEndings {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -36,7 +36,7 @@
             printTable(args);
         } else {
             System.err.println(
-                    "day-endings: needs reports of the bench (--json FILE of a play), or --ids and a folder of logs");
+                    "day-endings: expected reports of the bench (--json FILE), or --ids and a folder of logs");
             System.exit(2);
         }
     }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/DecisionCost.java
@@ -55,11 +55,15 @@
 
     private static final int PARTS_OF_AN_OPEN_QUERY = 4;
 
-    /** One measured size. */
+    /** Numbers of parts per query, of listed shard servers and of other open queries. */
     private record Size(int parts, int servers, int open) {}
 
-    /** Mean cost per query of a size; {@code takeUs} is the part for receiving the query. */
-    private record Cost(Size size, int queries, double cpuUs, double takeUs, double allocatedKb) {}
+    /**
+     * Mean cost per query of a size; {@code receivingUs} is the part of {@code cpuUs} for receiving
+     * the query.
+     */
+    private record Cost(
+            Size size, int queries, double cpuUs, double receivingUs, double allocatedKb) {}
 
     private final DecisionPolicy decisions;
     private double now = 1_000_000;
@@ -68,7 +72,7 @@
     private DecisionCost(Size size) {
         // Each shard has two servers. There are at least as many shards as parts, so that no two
         // parts of a query share a server.
-        int cells = size.servers / 2;
+        int shards = size.servers / 2;
         var deployment =
                 new Deployment(
                         1,
@@ -77,7 +81,7 @@
                         0.2,
                         List.of(MEASURED_CLASS, OPEN_CLASS),
                         List.of(),
-                        new Deployment.ShardLayout(cells, 1, 1),
+                        new Deployment.ShardLayout(shards, 1, 1),
                         new Deployment.Limits(3, Integer.MAX_VALUE, true, true, 500),
                         new Deployment.SlowStartRule(0.2, 10_000, 2, 1000),
                         Deployment.RetryBudget.NONE,
@@ -88,7 +92,7 @@
             listed.add(
                     new Endpoint(
                             String.format(Locale.ROOT, "s-%05d", server),
-                            server % cells,
+                            server % shards,
                             "z",
                             0,
                             Endpoint.State.RUNNING));
@@ -101,20 +105,23 @@
                     received(
                             OPEN_CLASS,
                             PARTS_OF_AN_OPEN_QUERY,
-                            part -> (first + part) % cells,
+                            part -> (first + part) % shards,
                             1e13));
         }
     }
 
     private List<Event> received(
-            QueryClass type, int parts, IntFunction<Integer> segment, double timeLeftMs) {
+            QueryClass type, int parts, IntFunction<Integer> shardOfPart, double timeLeftMs) {
         long number = ++queries;
         var events = new ArrayList<Event>(parts + 1);
         events.add(new Event.QueryReceived("q" + number, number, type, null, timeLeftMs));
         for (int part = 0; part < parts; part++) {
             events.add(
                     new Event.PartReceived(
-                            "q" + number + "." + part, number, segment.apply(part), 1.0 / parts));
+                            "q" + number + "." + part,
+                            number,
+                            shardOfPart.apply(part),
+                            1.0 / parts));
         }
         return events;
     }
@@ -138,7 +145,7 @@
             throw new IllegalStateException(
                     "a query of "
                             + parts
-                            + " parts was not answered whole: the measurement says nothing");
+                            + " parts was not answered with all parts: the measurement is invalid");
         }
         return receivingNs;
     }
@@ -165,11 +172,11 @@
         long thread = Thread.currentThread().getId();
         long allocated = THREADS.getThreadAllocatedBytes(thread);
         long startedNs = THREADS.getCurrentThreadCpuTime();
-        long taking = 0;
+        long totalReceivingNs = 0;
         int done = 0;
         while (done < MIN_QUERIES
                 || THREADS.getCurrentThreadCpuTime() - startedNs < measureMs * 1_000_000) {
-            taking += query(parts);
+            totalReceivingNs += query(parts);
             done++;
         }
         double cpuUs = (THREADS.getCurrentThreadCpuTime() - startedNs) / 1e3 / done;
@@ -177,7 +184,7 @@
                 null,
                 done,
                 cpuUs,
-                taking / 1e3 / done,
+                totalReceivingNs / 1e3 / done,
                 (THREADS.getThreadAllocatedBytes(thread) - allocated) / 1024.0 / done);
     }
 
@@ -196,7 +203,7 @@
         var costs = new ArrayList<Cost>();
         for (Size size : sizes) {
             Cost cost = measure(size, measureMs);
-            costs.add(new Cost(size, cost.queries, cost.cpuUs, cost.takeUs, cost.allocatedKb));
+            costs.add(new Cost(size, cost.queries, cost.cpuUs, cost.receivingUs, cost.allocatedKb));
             System.out.printf(
                     Locale.ROOT,
                     "%10d %10d %10d %12.0f %12.0f %14.0f%n",
@@ -204,7 +211,7 @@
                     size.servers,
                     size.open,
                     cost.cpuUs,
-                    cost.takeUs,
+                    cost.receivingUs,
                     cost.allocatedKb);
             csv.add(
                     String.format(
@@ -216,7 +223,7 @@
                             size.open,
                             cost.queries,
                             cost.cpuUs,
-                            cost.takeUs,
+                            cost.receivingUs,
                             cost.allocatedKb));
         }
         return costs;
--- a/benchmarks/src/main/java/sprucehold/benchmarks/LinkCost.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/LinkCost.java
@@ -24,14 +24,16 @@
  * compares a direct connection, a connection whose far end is behind a shaper (as those of the
  * shard servers and clients of the rig are) and a connection through a relay (as between two
  * gatherers). The three connections take turns, so that a busy period of the machine affects all of
- * them.
- * Optional argument: number of round trips for each connection.
+ * them. Optional argument: number of round trips for each connection.
  */
 public final class LinkCost {
     private static final String LOOPBACK = "127.0.0.1";
     private static final int BYTES = 100;
 
-    /** Round trips per turn, few enough that all three links take a turn within 0.1 s. */
+    /**
+     * Round trips per turn, few enough that all three links take a turn within 0.1 s and so are
+     * measured in the same state of the machine.
+     */
     private static final int ROUND_TRIPS_PER_TURN = 500;
 
     /** Round trips on each link that are not counted, while the client still runs interpreted. */
--- a/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/MassDay.java
@@ -16,13 +16,14 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads the logs of all gatherers of one day, written with {@code --log-scans}, and prints which
- * queries were not completed, by query class, third of the day, gatherer and cause. If a query id
- * is given, prints the lines about that query from all logs instead. Arguments: folder of the logs,
+ * Reads the logs of all gatherers of one day, written with {@code --log-scans}. Prints how many
+ * queries ended by each cause, by query class and by third of the day, and the same for the queries
+ * that were not completed, by gatherer. Also prints the outcomes of attempts. If a query id is
+ * given, prints the lines about that query from all logs instead. Arguments: folder of the logs,
  * optional query id.
  */
 public final class MassDay {
-    /** How one query, received at {@code receivedAtS} in seconds, ended at one gatherer. */
+    /** End of one query at one gatherer, which received it at {@code receivedAtS} in seconds. */
     private record EndedQuery(
             double receivedAtS, String gatherer, String tableType, String cause) {}
 
@@ -31,13 +32,13 @@
     public static void main(String[] args) throws IOException {
         if (args.length == 0) {
             System.err.println(
-                    "mass-day: needs the folder of the logs, and perhaps the id of a scan");
+                    "mass-day: expected the folder of the logs and optionally a query id");
             System.exit(2);
         }
         List<ScanLogs.Line> lines = ScanLogs.read(Path.of(args[0]));
         if (lines.isEmpty()) {
             System.err.println(
-                    "mass-day: no line about a scan in "
+                    "mass-day: no line about a query in "
                             + args[0]
                             + ": were the gatherers run with --log-scans?");
             System.exit(1);
@@ -92,18 +93,19 @@
             }
         }
         open.forEach(
-                (key, taken) ->
+                (key, received) ->
                         ended.add(
                                 of(
-                                        taken,
+                                        received,
                                         disconnected.contains(key)
                                                 ? "client left"
                                                 : "no end: gatherer ended")));
         return ended;
     }
 
-    private static EndedQuery of(ScanLogs.Line taken, String cause) {
-        return new EndedQuery(taken.atS(), taken.gatherer(), taken.text("table_type"), cause);
+    private static EndedQuery of(ScanLogs.Line received, String cause) {
+        return new EndedQuery(
+                received.atS(), received.gatherer(), received.text("table_type"), cause);
     }
 
     private static void print(List<ScanLogs.Line> lines) {
@@ -150,8 +152,7 @@
                 scans.stream()
                         .filter(scan -> !completed(scan))
                         .collect(
-                                Collectors.groupingBy(
-                                        EndedQuery::gatherer, Collectors.counting()));
+                                Collectors.groupingBy(EndedQuery::gatherer, Collectors.counting()));
         Set<String> worstGatherers =
                 lost.entrySet().stream()
                         .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
@@ -185,7 +186,10 @@
         print(title, cells, columns);
     }
 
-    /** Prints the outcomes of attempts by third of the day, and the servers that failed most. */
+    /**
+     * Prints the outcomes of attempts by third of the day, and the servers at which the most
+     * attempts failed.
+     */
     private static void printAttempts(List<ScanLogs.Line> lines, double from, double third) {
         List<ScanLogs.Line> ended =
                 lines.stream().filter(line -> line.hasText("a dispatch has ended")).toList();
@@ -274,12 +278,12 @@
         columns.forEach(column -> System.out.printf("%16s", column));
         System.out.printf("%8s%n", "all");
         cells.forEach(
-                (row, of) -> {
+                (row, counts) -> {
                     System.out.printf("%-34s", row);
                     columns.forEach(
-                            column -> System.out.printf("%16d", of.getOrDefault(column, 0L)));
+                            column -> System.out.printf("%16d", counts.getOrDefault(column, 0L)));
                     System.out.printf(
-                            "%8d%n", of.values().stream().mapToLong(count -> count).sum());
+                            "%8d%n", counts.values().stream().mapToLong(count -> count).sum());
                 });
     }
 }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/ScanLogs.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/ScanLogs.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Parses a line, which consists of the time of the bench in seconds and the JSON object that
-     * the gatherer logged. Skips a line that was cut off when its gatherer was killed.
+     * Parses a line, which consists of a time in seconds by the clock of the bench and the JSON
+     * object that the gatherer logged. Skips a line that was cut off when its gatherer was killed.
      */
     private static void add(List<Line> lines, String gatherer, String line) {
         int brace = line.indexOf('{');
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -30,7 +30,10 @@
  * evidence}, then optionally the number of seeds; or {@code plot} and the file to write.
  */
 public final class TogetherDays {
-    /** Latency of 0.5 ms and a loss of one message in 100, as in a busy network. */
+    /**
+     * Median latency of 0.5 ms, one message in 100 lost and one in 1000 delivered twice, as in a
+     * busy network.
+     */
     private static final Network USUAL = new Network(0.5, 0.01, 0.001);
 
     private static final Network BAD = new Network(5, 0.1, 0.1);
@@ -147,8 +150,9 @@
         for (int size : sizes) {
             for (Network network : List.of(USUAL, BAD)) {
                 for (MembershipSimulation.Way protocol : protocols) {
-                    // With 1000 members these two protocols send millions of messages a second, and
-                    // a simulation takes minutes, so it is shorter and runs with one seed.
+                    // One protocol sends heartbeats from all members to all, the other gossips
+                    // whole tables. With 1000 members that is millions of messages a second, and a
+                    // simulation takes minutes, so it is shorter and runs with one seed.
                     boolean expensive =
                             size >= 1000
                                     && (protocol == MembershipSimulation.Way.HEARTBEATS_TO_ALL
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
@@ -19,11 +19,11 @@
 
 /**
  * Compares gatherers that form a cluster with gatherers that do not, as processes on the rig. Both
- * play the same plan. Prints the number of retries and hedged requests, their largest number in one
- * window over all gatherers beside the shared limit, the highest load on a server in slow start,
- * and the share of queries completed in time. Arguments: number of seeds, number of gatherers per
- * site (0 for the number in the script), then scripts; without scripts all shipped {@code together}
- * scripts are played.
+ * play the same plan. Prints the number of retries and hedged requests, the largest number of them
+ * that all gatherers sent in one window, the shared limit on that number, the highest load on a
+ * server in slow start, and the share of queries completed in time. Arguments: number of seeds,
+ * number of gatherers per site (0 for the number in the script), then scripts; without scripts all
+ * shipped {@code together} scripts are played.
  */
 public final class TogetherRuns {
     private static final List<String> SHIPPED_CLUSTER_SCRIPTS =
@@ -38,9 +38,7 @@
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 1;
         int perSite = args.length > 1 ? Integer.parseInt(args[1]) : 0;
         List<String> names =
-                args.length > 2
-                        ? List.of(args).subList(2, args.length)
-                        : SHIPPED_CLUSTER_SCRIPTS;
+                args.length > 2 ? List.of(args).subList(2, args.length) : SHIPPED_CLUSTER_SCRIPTS;
         System.out.printf(
                 Locale.ROOT,
                 "%-17s %4s %-8s %-11s %9s %8s %14s %10s %8s %5s%n",
--- a/cli/src/main/java/sprucehold/cli/Console.java
+++ b/cli/src/main/java/sprucehold/cli/Console.java
@@ -19,7 +19,7 @@
         try {
             System.out.println(MAPPER.writeValueAsString(value));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a result has no JSON form", e);
+            throw new IllegalStateException("a result cannot be written as JSON", e);
         }
     }
 
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -296,11 +296,11 @@
             if (!broken(whole)) {
                 throw new IOException(
                         script
-                                + ": not broken in "
+                                + ": verdict BROKEN in none of "
                                 + plays
                                 + " plays with seed "
                                 + seed
-                                + "; a script that is was expected");
+                                + "; expected a script with that verdict");
             }
             var left = Shrinker.shrink(whole.faults(), faults -> broken(whole.with(faults)));
             Files.writeString(out, ScriptWriter.json(whole.with(left)));
@@ -458,8 +458,8 @@
                 try {
                     verdict = play(Storm.draw(base, runSeed), runSeed, folder, true);
                 } catch (IOException e) {
-                    // A failure of the rig itself is no result about the gatherers. The remaining
-                    // runs are still played.
+                    // A failure of the rig itself is no verdict about the gatherers: the run counts
+                    // as starved, and the remaining runs are still played.
                     System.err.println("seed " + runSeed + ": the rig failed: " + e.getMessage());
                     starved++;
                     continue;
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -78,7 +78,10 @@
     /** Version number of this rollout's proposal, by address of the admin server. */
     private final Map<String, Long> versions = new HashMap<>();
 
-    /** Document of each gatherer before the rollout, stored in a file next to the state file. */
+    /**
+     * Document of each gatherer before the rollout, by address of its admin server. Stored in a
+     * file next to the state file.
+     */
     private ObjectNode previousDocuments = MAPPER.createObjectNode();
 
     private ConfigurationDocument document;
@@ -127,7 +130,7 @@
             Thread.sleep(200);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted; the same call goes on where it was", e);
+            throw new IOException("interrupted; the same command resumes the rollout", e);
         }
     }
 
@@ -233,7 +236,7 @@
                 }
             }
         } catch (IOException e) {
-            // The rollout queries the status again later.
+            // No response: the rollout queries the status again later.
         }
         return List.of();
     }
@@ -280,8 +283,9 @@
                                 "/change/confirm",
                                 MAPPER.createObjectNode().put("version", live).put("by", by));
             }
-            // The proposal is not live, or never reached the gatherer. The live version is not part
-            // of this rollout, so it is left as it is.
+            // Nothing is left to revert if the change was rolled back or its reverting version was
+            // confirmed just now. If the proposal is not live or never reached the gatherer, the
+            // live version is not part of this rollout, so it is left as it is.
             return rollout.answered(gatherer, GathererState.REVERTED, "");
         } catch (IOException e) {
             return List.of();
--- a/cli/src/main/java/sprucehold/cli/TogetherCommand.java
+++ b/cli/src/main/java/sprucehold/cli/TogetherCommand.java
@@ -14,7 +14,7 @@
 import sprucehold.clustering.ClusterConfig;
 import sprucehold.decision.SharedLimit;
 
-/** The command {@code together}: the cluster that gatherers form. */
+/** The command {@code together}: shows the cluster that gatherers form, checks its settings. */
 @Command(
         name = "together",
         description =
@@ -57,7 +57,7 @@
             } catch (AdminCall.RequestRejectedException e) {
                 throw new IOException(
                         e.getMessage().equals("no such path")
-                                ? "that gatherer doesn't talk with others: it was started without --together"
+                                ? "the gatherer is not part of a cluster: it was started without --together"
                                 : e.getMessage(),
                         e);
             }
--- a/cli/src/main/java/sprucehold/cli/TraceView.java
+++ b/cli/src/main/java/sprucehold/cli/TraceView.java
@@ -37,8 +37,8 @@
             System.err.println(
                     "sprucehold: "
                             + reader.damage()
-                            + "; read up to the last whole block, 'trace repair' "
-                            + "gives it its index back");
+                            + "; read up to the last complete block, 'trace repair' "
+                            + "restores the index");
         }
         return reader;
     }
@@ -439,7 +439,7 @@
             if (omitted > 0) {
                 System.err.println("and " + omitted + " more: --most shows them");
             } else if (found.isEmpty()) {
-                System.err.println("sprucehold: " + reader.name() + " holds no such scan");
+                System.err.println("sprucehold: " + reader.name() + " contains no such scan");
             }
         }
     }
@@ -472,7 +472,8 @@
                 }
                 List<QueryExplanation> explanations = collector.explanations();
                 if (explanations.isEmpty()) {
-                    System.err.println("sprucehold: " + reader.name() + " holds no scan " + scan);
+                    System.err.println(
+                            "sprucehold: " + reader.name() + " contains no scan " + scan);
                     return 1;
                 }
                 if (explanations.size() > 1 && !json) {
--- a/cli/src/main/java/sprucehold/cli/TraceWrite.java
+++ b/cli/src/main/java/sprucehold/cli/TraceWrite.java
@@ -34,7 +34,7 @@
     private static void requireNotAnInput(List<Path> inputs, Path out) throws IOException {
         for (Path input : inputs) {
             if (Files.exists(out) && Files.exists(input) && Files.isSameFile(input, out)) {
-                throw new IOException(out + " is an input as well: another name was expected");
+                throw new IOException(out + " is also an input file; expected another output file");
             }
         }
     }
--- a/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/RolloutCommandTest.java
@@ -206,7 +206,7 @@
         assertEquals(adminServers.get(3).history.live().number(), 1);
         assertFalse(
                 adminServers.get(0).history.watched(),
-                "an undoing would bring the harmful change back");
+                "a rollback would bring the harmful change back");
     }
 
     @Test
@@ -232,7 +232,8 @@
                         + "\":\"UNTOUCHED\"},\"phase\":\"ROLLING\",\"why\":\"\"}");
         assertEquals(runRollout(), 0);
         assertEquals(liveQueryLimits(), List.of(90, 90));
-        assertEquals(adminServers.get(0).history.live().number(), 2, "asked once, not twice");
+        assertEquals(
+                adminServers.get(0).history.live().number(), 2, "the change was proposed once");
         assertTrue(Files.readString(folder.resolve("state")).contains("\"DONE\""));
     }
 }
--- a/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
@@ -73,19 +73,19 @@
             {"verify DIR/half.trace", 1, "footer"},
             {"info DIR/half.trace", 0, "trace repair"},
             {"find DIR/m.trace --most 3", 0, "because"},
-            {"find DIR/m.trace --scan none", 1, "no such scan"},
+            {"find DIR/m.trace --scan none", 1, "contains no such scan"},
             {"find DIR/m.trace --server s-1-1 --most 2", 0, "because"},
             {"find DIR/m.trace --from 2030-01-01", 1, "is no time"},
             {"find DIR/m.trace --from 2030-01-01T00:00:00Z", 1, "no such scan"},
             {"find DIR/m.trace --outcome WON", 2, "WON"},
-            {"explain DIR/m.trace --scan none", 1, "holds no scan"},
+            {"explain DIR/m.trace --scan none", 1, "contains no scan"},
             {
                 "cut DIR/m.trace --from 2026-01-01T00:05:00Z --to 2026-01-01T00:06:00Z -o DIR/c.trace",
                 0,
                 "whole or"
             },
             {"cut DIR/m.trace --from 5 --to 4 -o DIR/c2.trace", 1, "isn't before"},
-            {"cut DIR/m.trace --from 4 --to 5 -o DIR/m.trace", 1, "is an input as well"},
+            {"cut DIR/m.trace --from 4 --to 5 -o DIR/m.trace", 1, "is also an input file"},
             {"merge DIR/half.trace DIR/g1.trace -o DIR/x.trace", 1, "trace repair"},
             {"anonymise DIR/m.trace --key-file DIR/key -o DIR/a.trace", 0, "lost for analysis"},
             {"anonymise DIR/m.trace --key short -o DIR/b.trace", 1, "at least 16"},
@@ -163,8 +163,7 @@
         String found = trace("find DIR/m.trace --most 1 --json").out;
         String id = new ObjectMapper().readTree(found).get("scan").asText();
         CommandResult result = trace("explain DIR/m.trace --scan " + id);
-        assertTrue(
-                result.exit == 0 && result.out.startsWith("query " + id + " of "), result.out);
+        assertTrue(result.exit == 0 && result.out.startsWith("query " + id + " of "), result.out);
         assertTrue(
                 trace("explain DIR/m.trace --json --scan " + id)
                         .out
