--- a/core/src/main/java/sprucehold/coordinator/Attempt.java
+++ b/core/src/main/java/sprucehold/coordinator/Attempt.java
@@ -117,7 +117,7 @@
     }
 
     /** Sets a check that must return true right before this attempt is written. */
-    public void requirePermission(BooleanSupplier permissionCheck) {
+    public void setPermissionCheck(BooleanSupplier permissionCheck) {
         this.permissionCheck = permissionCheck;
     }
 
@@ -129,7 +129,7 @@
      * timeout or the deduplication window may have expired, or the permission for the units of
      * shared limits may have been withdrawn.
      */
-    public boolean mayBeWritten(double nowMs) {
+    public boolean isWriteAllowed(double nowMs) {
         return pending
                 && !part.query.isClosed()
                 && nowMs < timesOutAtMs
@@ -162,7 +162,7 @@
      * Returns the time until this attempt times out, in milliseconds. The value is 0 or negative
      * once the timeout has expired.
      */
-    public double timeLeftMs(double nowMs) {
+    public double remainingTimeoutMs(double nowMs) {
         return timesOutAtMs - nowMs;
     }
 
--- a/core/src/main/java/sprucehold/coordinator/AttemptResult.java
+++ b/core/src/main/java/sprucehold/coordinator/AttemptResult.java
@@ -15,7 +15,7 @@
      */
     record Completed(Payload value, LoadReport load) implements AttemptResult {
         @Override
-        public LoadReport reportedLoad() {
+        public LoadReport loadReport() {
             return load;
         }
     }
@@ -27,7 +27,7 @@
      */
     record Failed(LoadReport load) implements AttemptResult {
         @Override
-        public LoadReport reportedLoad() {
+        public LoadReport loadReport() {
             return load;
         }
     }
@@ -39,7 +39,7 @@
      */
     record Rejected(LoadReport load) implements AttemptResult {
         @Override
-        public LoadReport reportedLoad() {
+        public LoadReport loadReport() {
             return load;
         }
     }
@@ -59,7 +59,7 @@
     record Cancelled(WriteProgress progress) implements AttemptResult {}
 
     /** Returns the load report of the shard server, or null if it sent none. */
-    default LoadReport reportedLoad() {
+    default LoadReport loadReport() {
         return null;
     }
 }
--- a/core/src/main/java/sprucehold/coordinator/Payload.java
+++ b/core/src/main/java/sprucehold/coordinator/Payload.java
@@ -18,12 +18,12 @@
     }
 
     /** Creates a payload that takes ownership of the array without copying it. */
-    public static Payload owning(byte[] bytes) {
+    public static Payload wrap(byte[] bytes) {
         return new Payload(bytes);
     }
 
     /** Creates a payload from the UTF-8 encoding of a text. */
-    public static Payload ofText(String text) {
+    public static Payload ofUtf8(String text) {
         return new Payload(text.getBytes(StandardCharsets.UTF_8));
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** Returns the bytes decoded as UTF-8. */
-    public String text() {
+    public String toUtf8String() {
         return new String(bytes, StandardCharsets.UTF_8);
     }
 }
--- a/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryCoordinator.java
@@ -88,7 +88,7 @@
     /**
      * Switches to another deployment, which applies in full to all queries submitted from now on.
      */
-    public Commands changeDeployment(double nowMs, Deployment deployment) {
+    public Commands updateDeployment(double nowMs, Deployment deployment) {
         advanceTo(nowMs);
         applyDeployment(deployment);
         openQueries.restrictClassesBy(deployment.queryClasses());
@@ -111,12 +111,12 @@
     }
 
     /** Returns the number of queries and parts that count towards the limit of open ones. */
-    public int openItems() {
+    public int openQueriesAndParts() {
         return openQueries.queriesAndParts();
     }
 
     /** Returns the number of queries without a final answer. */
-    public int openQueries() {
+    public int openQueryCount() {
         return openQueries.size();
     }
 
@@ -204,7 +204,7 @@
                             ended.server().name(),
                             AttemptOutcomes.of(ended.result(), false),
                             ended.durationMs(),
-                            ended.result().reportedLoad()));
+                            ended.result().loadReport()));
         }
     }
 
--- a/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
+++ b/core/src/main/java/sprucehold/coordinator/QueryLifecycle.java
@@ -68,7 +68,7 @@
             part.value = completed.value();
         }
         AttemptOutcome outcome = AttemptOutcomes.of(result, attempt.isTimedOut());
-        end(attempt, outcome, result.reportedLoad());
+        end(attempt, outcome, result.loadReport());
     }
 
     /** Closes the query of a client that disconnected. */
--- a/core/src/main/java/sprucehold/coordinator/ShardServer.java
+++ b/core/src/main/java/sprucehold/coordinator/ShardServer.java
@@ -36,7 +36,7 @@
      * Returns whether new parts may be sent. False if discovery last reported the shard server as
      * draining or gone, or left it out of a complete endpoint list.
      */
-    public boolean running() {
+    public boolean isRunning() {
         return running;
     }
 
--- a/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -21,7 +21,7 @@
 /** Tests the coordinator with a scripted policy that returns one list of commands for each call. */
 public class QueryCoordinatorTest {
     private static final AttemptResult COMPLETED =
-            new AttemptResult.Completed(Payload.ofText("v"), null);
+            new AttemptResult.Completed(Payload.ofUtf8("v"), null);
     private final Queue<List<Command>> script = new ArrayDeque<>();
     private final List<List<Event>> eventBatches = new ArrayList<>();
     private QueryCoordinator coordinator;
@@ -31,7 +31,7 @@
         for (int shard = 0; shard < partCount; shard++) {
             parts.add(new Query.Part(shard, 1.0 / partCount));
         }
-        return new Query(id, "q", tenant, 500, parts, Payload.ofText("text"));
+        return new Query(id, "q", tenant, 500, parts, Payload.ofUtf8("text"));
     }
 
     @BeforeMethod
@@ -220,7 +220,7 @@
     public void disconnectedClientClosesOnlyItsOwnQuery() {
         submitAndSend("s");
         coordinator.observe(2, List.of(new Observation.ClientDisconnected(query("s", null, 1))));
-        assertEquals(coordinator.openQueries(), 1);
+        assertEquals(coordinator.openQueryCount(), 1);
     }
 
     @Test
@@ -318,7 +318,7 @@
     @Test
     public void serverIsNotRunningOnceReportedDrainingOrGoneOrUnlisted() {
         ShardServer server = submitAndSend("s").server();
-        assertTrue(server.running());
+        assertTrue(server.isRunning());
         for (EndpointUpdate.State state : EndpointUpdate.State.values()) {
             coordinator.observe(
                     2,
@@ -328,7 +328,7 @@
                                     List.of(
                                             new EndpointUpdate(
                                                     "a", "127.0.0.1:2", 0, "z", 0, state)))));
-            assertEquals(server.running(), state == EndpointUpdate.State.RUNNING);
+            assertEquals(server.isRunning(), state == EndpointUpdate.State.RUNNING);
             assertEquals(server.address(), "127.0.0.1:2");
         }
         coordinator.observe(
@@ -345,7 +345,7 @@
                                                 0,
                                                 EndpointUpdate.State.RUNNING)))));
         coordinator.observe(4, List.of(new Observation.EndpointsUpdated(true, List.of())));
-        assertFalse(server.running());
+        assertFalse(server.isRunning());
     }
 
     /** Guards against a lost wake-up if another call is made exactly at the wake-up time. */
--- a/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
+++ b/gatherer/src/main/java/sprucehold/clients/AnswerWriter.java
@@ -41,7 +41,7 @@
             for (Answer.Value value : answer.values()) {
                 json.writeStartObject();
                 json.writeNumberField("bucket", value.shard());
-                json.writeStringField("item", value.payload().text());
+                json.writeStringField("item", value.payload().toUtf8String());
                 json.writeEndObject();
             }
             json.writeEndArray();
--- a/gatherer/src/main/java/sprucehold/clients/QueryReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -123,7 +123,7 @@
                 Math.max(0, Double.parseDouble(deadline) - spentMs),
                 key,
                 parts(json.get("buckets")),
-                Payload.ofText(json.get("body").textValue()));
+                Payload.ofUtf8(json.get("body").textValue()));
     }
 
     private static JsonNode json(byte[] body) throws MalformedException {
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -243,7 +243,7 @@
     private Future<Integer> openAdmin() {
         return admin == null
                 ? Future.succeededFuture(0)
-                : admin.open(extensions.statuses(), coordinator::openItems);
+                : admin.open(extensions.statuses(), coordinator::openQueriesAndParts);
     }
 
     /**
@@ -271,7 +271,7 @@
     }
 
     private void apply(Deployment deployment) {
-        decisions.call(() -> coordinator.changeDeployment(clock.now(), deployment));
+        decisions.call(() -> coordinator.updateDeployment(clock.now(), deployment));
     }
 
     /**
--- a/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
+++ b/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
@@ -67,7 +67,7 @@
         }
         LOG.info(
                 "draining: open_queries="
-                        + coordinator.openQueries()
+                        + coordinator.openQueryCount()
                         + ", client_connections="
                         + clients.connections());
         drain.start(schedule, clock.now());
@@ -115,7 +115,7 @@
                 "ended: queries_received="
                         + intake.received()
                         + ", open_queries="
-                        + coordinator.openQueries()
+                        + coordinator.openQueryCount()
                         + ", "
                         + monitor.summary()
                         + ", clients_gone_before_attempt="
--- a/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
@@ -91,7 +91,7 @@
             return false;
         }
         if (!permissions.isEmpty()) {
-            attempt.requirePermission(
+            attempt.setPermissionCheck(
                     () -> permissions.stream().allMatch(BooleanSupplier::getAsBoolean));
         }
         extensions.forEach(extension -> extension.attemptStarting(clock.now(), attempt));
--- a/gatherer/src/main/java/sprucehold/node/QueryIntake.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryIntake.java
@@ -135,7 +135,7 @@
 
     /** Returns the number of queries without a final answer. */
     int openQueries() {
-        return coordinator.openQueries() + waitingIds.size();
+        return coordinator.openQueryCount() + waitingIds.size();
     }
 
     /** Returns the number of queries that were received, including rejected ones. */
--- a/gatherer/src/main/java/sprucehold/node/QueryLog.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryLog.java
@@ -27,7 +27,8 @@
  * <tr><td>{@code table_type}</td><td>{@link Query#queryClass}</td></tr>
  * <tr><td>{@code customer}</td><td>{@link Query#tenant}</td></tr>
  * <tr><td>{@code segment}</td><td>{@link Attempt#shard}</td></tr>
- * <tr><td>{@code told_ms}</td><td>{@link Attempt#timeLeftMs}, as sent to the shard server</td></tr>
+ * <tr><td>{@code told_ms}</td><td>{@link Attempt#remainingTimeoutMs}, as sent to the shard
+ * server</td></tr>
  * <tr><td>{@code whole}, {@code part}</td><td>{@link Answer.Completed}, complete or not</td></tr>
  * <tr><td>{@code throttled}</td><td>{@link Answer.Rejected}</td></tr>
  * <tr><td>{@code abandoned}</td><td>{@link Answer.Failed}</td></tr>
@@ -101,7 +102,7 @@
                     .with("server", attempt.server().name())
                     .with("reason", attempt.reason().storedName())
                     .with("waited_ms", rounded(attempt.ageMs(nowMs)))
-                    .with("told_ms", rounded(attempt.timeLeftMs(nowMs)))
+                    .with("told_ms", rounded(attempt.remainingTimeoutMs(nowMs)))
                     .log();
         }
     }
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -70,7 +70,7 @@
     private void runQuery(int maxParts) {
         Commands commands = coordinator.submit(nowMs, clients.read(queries.next(maxParts)));
         write(commands);
-        for (int step = 0; step < MAX_STEPS && coordinator.openQueries() > 0; step++) {
+        for (int step = 0; step < MAX_STEPS && coordinator.openQueryCount() > 0; step++) {
             nowMs += STEP_MS;
             List<Observation> observations = servers.answered(commands.send(), nowMs);
             commands =
--- a/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/GathererFrame.java
@@ -48,7 +48,7 @@
     }
 
     private static String line(Attempt attempt, int bodyLength, double nowMs) {
-        long timeLeftMs = Math.max(1, (long) attempt.timeLeftMs(nowMs));
+        long timeLeftMs = Math.max(1, (long) attempt.remainingTimeoutMs(nowMs));
         return attempt.partId()
                 + " "
                 + attempt.shard()
--- a/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardConnection.java
@@ -243,9 +243,9 @@
     private List<Attempt> writable(List<Attempt> waitingCall, double nowMs) {
         var call = new ArrayList<Attempt>();
         for (Attempt attempt : waitingCall) {
-            if (!attempt.mayBeWritten(nowMs)) {
+            if (!attempt.isWriteAllowed(nowMs)) {
                 endUnwrittenAsCancelled(attempt);
-            } else if (attempt.server().running()) {
+            } else if (attempt.server().isRunning()) {
                 call.add(attempt);
             } else {
                 endAsLost(attempt, WriteProgress.NOT_WRITTEN);
--- a/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardFrame.java
@@ -127,7 +127,7 @@
         if (!isTextWithoutZero(bytes)) {
             throw new MalformedException("value is not UTF-8 text without zero bytes");
         }
-        return Payload.owning(bytes);
+        return Payload.wrap(bytes);
     }
 
     private static boolean isTextWithoutZero(byte[] bytes) {
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -190,13 +190,13 @@
     void sweep(double connectTimeoutMs) {
         double maxIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_TIMEOUTS * connectTimeoutMs;
         for (ServerConnections target : connectionsByServer.values()) {
-            double idleMs = target.server.running() ? maxIdleMs : NO_IDLE_TIME_MS;
+            double idleMs = target.server.isRunning() ? maxIdleMs : NO_IDLE_TIME_MS;
             List.copyOf(target.connections)
                     .forEach(connection -> connection.sweep(connectTimeoutMs, idleMs));
         }
         connectionsByServer
                 .values()
-                .removeIf(target -> target.connections.isEmpty() && !target.server.running());
+                .removeIf(target -> target.connections.isEmpty() && !target.server.isRunning());
     }
 
     /**
@@ -219,7 +219,7 @@
         int maxParts = Math.min(maxPartsPerCall, settings.maxPartsInFlight());
         for (int from = 0; from < attempts.size(); from += maxParts) {
             List<Attempt> call = attempts.subList(from, Math.min(attempts.size(), from + maxParts));
-            if (destination.server.running()) {
+            if (destination.server.isRunning()) {
                 connectionsByServer
                         .computeIfAbsent(destination.server, ServerConnections::new)
                         .connectionFor(call)
--- a/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
@@ -18,7 +18,7 @@
     public List<Observation> answered(List<Attempt> attempts, double nowMs) {
         var observations = new ArrayList<Observation>();
         for (Attempt attempt : attempts) {
-            if (!attempt.mayBeWritten(nowMs)) {
+            if (!attempt.isWriteAllowed(nowMs)) {
                 continue;
             }
             GathererFrame.attempts(List.of(attempt), nowMs);
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -37,7 +37,7 @@
 public class ClientServerTest {
     private static final String BODY = "{\"buckets\":[{\"bucket\":0,\"part\":1}],\"body\":\"c4\"}";
     private static final Answer HIT =
-            new Answer.Completed(true, List.of(new Answer.Value(0, Payload.ofText("v"))));
+            new Answer.Completed(true, List.of(new Answer.Value(0, Payload.ofUtf8("v"))));
 
     /** Maximum number of client connections. */
     private static final int MAX_CONNECTIONS = 6;
--- a/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/QueryReaderTest.java
@@ -155,7 +155,7 @@
         assertEquals(read("s", "q", "29", body(PART)).timeLeftMs(), 0.0);
         assertEquals(query.parts().stream().map(Query.Part::shard).toList(), List.of(3, 9, 0));
         assertEquals(query.parts().stream().mapToDouble(Query.Part::weight).sum(), 1, 1e-9);
-        assertEquals(query.body().text(), "c4é");
+        assertEquals(query.body().toUtf8String(), "c4é");
     }
 
     @DataProvider
@@ -172,7 +172,7 @@
 
     @Test
     public void answerBodyHasValuesUnchanged() {
-        var values = List.of(new Answer.Value(3, Payload.ofText("5b\"é")));
+        var values = List.of(new Answer.Value(3, Payload.ofUtf8("5b\"é")));
         assertEquals(
                 new String(
                         AnswerWriter.body(new Answer.Completed(false, values)),
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -65,7 +65,7 @@
         var ended =
                 (ShardFrame.PartEnded)
                         ShardFrame.decode(Buffer.buffer("Ep.1 fault 0 " + report + "\n"));
-        assertEquals(ended.result().reportedLoad(), load);
+        assertEquals(ended.result().loadReport(), load);
         assertEquals(
                 ((ShardFrame.HealthCheckAnswered) ShardFrame.decode(Buffer.buffer("D" + report)))
                         .load(),
@@ -94,7 +94,7 @@
             var ended = (ShardFrame.PartEnded) frames.get(0);
             assertEquals(ended.partId(), "p.1");
             var completed = (AttemptResult.Completed) ended.result();
-            assertEquals(completed.value().text(), "va\nlue");
+            assertEquals(completed.value().toUtf8String(), "va\nlue");
             assertEquals(frames.get(1), new ShardFrame.HealthCheckAnswered(true, null));
             assertEquals(
                     frames.get(2), new ShardFrame.PartEnded("p.2", new AttemptResult.Failed(null)));
@@ -162,7 +162,7 @@
                         400,
                         Optional.of("key"),
                         List.of(new Query.Part(3, 0.5), new Query.Part(9, 0.5)),
-                        Payload.ofText("body"));
+                        Payload.ofUtf8("body"));
         var commands = coordinator.submit(10, query);
         assertEquals(
                 GathererFrame.attempts(commands.send(), 20),
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -219,7 +219,7 @@
             list.add(new Query.Part(shard, 1.0 / parts));
         }
         return coordinator
-                .submit(now, new Query(id, "q", null, 500, list, Payload.ofText(text)))
+                .submit(now, new Query(id, "q", null, 500, list, Payload.ofUtf8(text)))
                 .send();
     }
 
@@ -308,7 +308,7 @@
                         500,
                         Optional.of("b086b1d5"),
                         List.of(new Query.Part(0, 1)),
-                        Payload.ofText("text"));
+                        Payload.ofUtf8("text"));
         send(coordinator.submit(now, query).send());
         String call = "As.0 0 d=240,k=b086b1d5 4\ntext";
         assertEquals(
@@ -477,7 +477,7 @@
                                         null,
                                         500,
                                         List.of(new Query.Part(0, 1)),
-                                        Payload.owning(new byte[4])))
+                                        Payload.wrap(new byte[4])))
                         .send();
         loop.act(
                 () -> {
