--- a/core/src/main/java/sprucehold/coordinator/CommandBuffer.java
+++ b/core/src/main/java/sprucehold/coordinator/CommandBuffer.java
@@ -10,7 +10,7 @@
     private List<Attempt> attemptsToCancel = new ArrayList<>();
     private List<Attempt> attemptsToSend = new ArrayList<>();
     private List<Commands.Reply> replies = new ArrayList<>();
-    private List<ShardServer> healthChecks = new ArrayList<>();
+    private List<ShardServer> serversToCheck = new ArrayList<>();
     private List<String> logMessages = new ArrayList<>();
     private List<Command.ConsumeAllowance> consumed = new ArrayList<>();
     private boolean subscribe;
@@ -49,7 +49,7 @@
     }
 
     void checkHealth(ShardServer server) {
-        healthChecks.add(server);
+        serversToCheck.add(server);
     }
 
     void subscribe() {
@@ -83,7 +83,7 @@
                         attemptsToCancel,
                         attemptsToSend,
                         replies,
-                        healthChecks,
+                        serversToCheck,
                         consumed,
                         subscribe,
                         logMessages,
@@ -91,7 +91,7 @@
         attemptsToCancel = new ArrayList<>();
         attemptsToSend = new ArrayList<>();
         replies = new ArrayList<>();
-        healthChecks = new ArrayList<>();
+        serversToCheck = new ArrayList<>();
         consumed = new ArrayList<>();
         subscribe = false;
         logMessages = new ArrayList<>();
--- a/core/src/main/java/sprucehold/coordinator/Commands.java
+++ b/core/src/main/java/sprucehold/coordinator/Commands.java
@@ -9,10 +9,10 @@
  * commands. No attempt is both to be sent and to be cancelled, and no attempt to send belongs to a
  * query that has been answered.
  *
- * @param cancel attempts to cancel
- * @param send attempts to send
+ * @param attemptsToCancel attempts to cancel
+ * @param attemptsToSend attempts to send
  * @param replies final answers to send to clients
- * @param healthChecks shard servers whose health is to be checked
+ * @param serversToCheck shard servers whose health is to be checked
  * @param consumed units of shared limits consumed by queries; the units that an attempt consumes
  *     are in {@link Attempt#consumed}
  * @param subscribe whether to subscribe to endpoint updates now
@@ -21,10 +21,10 @@
  *     the caller's clock; infinite if none is needed
  */
 public record Commands(
-        List<Attempt> cancel,
-        List<Attempt> send,
+        List<Attempt> attemptsToCancel,
+        List<Attempt> attemptsToSend,
         List<Reply> replies,
-        List<ShardServer> healthChecks,
+        List<ShardServer> serversToCheck,
         List<Command.ConsumeAllowance> consumed,
         boolean subscribe,
         List<String> logMessages,
--- a/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -86,7 +86,7 @@
 
     private Attempt submitAndSend(String id) {
         script.add(List.of(send(id + ".0")));
-        return coordinator.submit(1, query(id, null, 1)).send().get(0);
+        return coordinator.submit(1, query(id, null, 1)).attemptsToSend().get(0);
     }
 
     private Commands endAttempt(double now, Attempt attempt, AttemptResult result) {
@@ -146,10 +146,10 @@
     public void answerContainsOnlyValuesOfCompletedParts() {
         script.add(List.of(send("s.0"), send("s.1")));
         Commands commands = coordinator.submit(1, query("s", null, 2));
-        endAttempt(2, commands.send().get(1), COMPLETED);
+        endAttempt(2, commands.attemptsToSend().get(1), COMPLETED);
         script.add(
                 List.of(new Command.AnswerQuery("s", false), new Command.CancelAttempt("s.0", 0)));
-        commands = endAttempt(3, commands.send().get(0), new AttemptResult.Failed(null));
+        commands = endAttempt(3, commands.attemptsToSend().get(0), new AttemptResult.Failed(null));
         var answer = (Answer.Completed) commands.replies().get(0).answer();
         assertFalse(answer.complete());
         assertEquals(answer.values().size(), 1);
@@ -173,8 +173,8 @@
                         new Command.RejectQuery("s", 250),
                         new Command.CancelAttempt("s.0", 0)));
         Commands commands = coordinator.submit(1, query("s", null, 1));
-        assertTrue(commands.send().isEmpty());
-        assertTrue(commands.cancel().isEmpty());
+        assertTrue(commands.attemptsToSend().isEmpty());
+        assertTrue(commands.attemptsToCancel().isEmpty());
         assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(250));
         assertEquals(
                 ((Event.AttemptEnded) eventBatches.get(1).get(0)).outcome(),
@@ -185,7 +185,7 @@
     public void cancelledAttemptEndsWhenItsWriteProgressIsReported() {
         Attempt attempt = submitAndSend("s");
         script.add(List.of(new Command.FailQuery("s"), new Command.CancelAttempt("s.0", 0)));
-        assertEquals(coordinator.tick(9).cancel(), List.of(attempt));
+        assertEquals(coordinator.tick(9).attemptsToCancel(), List.of(attempt));
         endAttempt(9, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertEquals(
                 ((Event.AttemptEnded) eventBatches.get(2).get(0)).outcome(),
@@ -208,8 +208,8 @@
     @Test
     public void attemptIsCancelledAsTimedOutWhenItsTimeoutExpires() {
         Attempt attempt = submitAndSend("s");
-        assertEquals(coordinator.tick(400.5).cancel(), List.of());
-        assertEquals(coordinator.tick(401).cancel(), List.of(attempt));
+        assertEquals(coordinator.tick(400.5).attemptsToCancel(), List.of());
+        assertEquals(coordinator.tick(401).attemptsToCancel(), List.of(attempt));
         endAttempt(401, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertEquals(
                 ((Event.AttemptEnded) eventBatches.get(eventBatches.size() - 1).get(0)).outcome(),
@@ -260,7 +260,7 @@
     public void noItemsAreTrackedAfterAllQueriesAndAttemptsEnded() {
         for (int i = 0; i < 100; i++) {
             script.add(List.of(send("s.0"), send("s.1"), send("s.0")));
-            List<Attempt> attempts = coordinator.submit(i, query("s", null, 2)).send();
+            List<Attempt> attempts = coordinator.submit(i, query("s", null, 2)).attemptsToSend();
             endAttempt(i, attempts.get(0), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
             script.add(
                     List.of(
@@ -300,7 +300,7 @@
         assertEquals(endAttempt(3, attempt, COMPLETED).replies().size(), 1);
         // An attempt to a server that is no longer listed is not sent.
         script.add(List.of(send("t.0")));
-        assertTrue(coordinator.submit(4, query("t", null, 1)).send().isEmpty());
+        assertTrue(coordinator.submit(4, query("t", null, 1)).attemptsToSend().isEmpty());
     }
 
     @Test
--- a/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
+++ b/gatherer/src/main/java/sprucehold/node/CommandExecutor.java
@@ -56,11 +56,11 @@
     /** Executes all commands; returns whether none of them failed. */
     boolean execute(Commands commands) {
         failed = false;
-        guarded(() -> shards.cancel(commands.cancel()));
-        guarded(() -> shards.send(permitted(commands.send())));
+        guarded(() -> shards.cancel(commands.attemptsToCancel()));
+        guarded(() -> shards.send(permitted(commands.attemptsToSend())));
         guarded(() -> commands.consumed().forEach(extensions::consume));
         commands.replies().forEach(reply -> guarded(() -> reply(reply)));
-        guarded(() -> shards.checkHealth(commands.healthChecks()));
+        guarded(() -> shards.checkHealth(commands.serversToCheck()));
         commands.logMessages().forEach(LOG::info);
         if (commands.subscribe()) {
             guarded(endpoints::subscribe);
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -72,7 +72,7 @@
         write(commands);
         for (int step = 0; step < MAX_STEPS && coordinator.openQueryCount() > 0; step++) {
             nowMs += STEP_MS;
-            List<Observation> observations = servers.answered(commands.send(), nowMs);
+            List<Observation> observations = servers.answered(commands.attemptsToSend(), nowMs);
             commands =
                     observations.isEmpty()
                             ? coordinator.tick(nowMs)
--- a/gatherer/src/test/java/sprucehold/shards/FrameTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/FrameTest.java
@@ -165,7 +165,7 @@
                         Payload.ofUtf8("body"));
         var commands = coordinator.submit(10, query);
         assertEquals(
-                GathererFrame.attempts(commands.send(), 20),
+                GathererFrame.attempts(commands.attemptsToSend(), 20),
                 Buffer.buffer("\61\0\0\0Aq.3 3 d=240,k=key 4\nbodyq.9 9 d=240,k=key 4\nbody"));
     }
 
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -220,7 +220,7 @@
         }
         return coordinator
                 .submit(now, new Query(id, "q", null, 500, list, Payload.ofUtf8(text)))
-                .send();
+                .attemptsToSend();
     }
 
     private int connections() throws Exception {
@@ -309,7 +309,7 @@
                         Optional.of("b086b1d5"),
                         List.of(new Query.Part(0, 1)),
                         Payload.ofUtf8("text"));
-        send(coordinator.submit(now, query).send());
+        send(coordinator.submit(now, query).attemptsToSend());
         String call = "As.0 0 d=240,k=b086b1d5 4\ntext";
         assertEquals(
                 receivedByServer.poll(5, TimeUnit.SECONDS),
@@ -478,7 +478,7 @@
                                         500,
                                         List.of(new Query.Part(0, 1)),
                                         Payload.wrap(new byte[4])))
-                        .send();
+                        .attemptsToSend();
         loop.act(
                 () -> {
                     shards.sweep(1e9);
@@ -635,7 +635,7 @@
         if (firstResult != null) {
             coordinator.observe(1, List.of(new Observation.AttemptEnded(first, firstResult)));
         }
-        List<Attempt> sent = coordinator.tick(1).send();
+        List<Attempt> sent = coordinator.tick(1).attemptsToSend();
         sendAndConnectLate(sent, establishedAtMs, () -> {});
         if (written) {
             assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -469,13 +469,13 @@
     /** Calls the coordinator of a gatherer and executes the commands that it returns. */
     private void execute(SimulatedGatherer gatherer, Supplier<Commands> coordinatorCall) {
         Commands commands = coordinatorCall.get();
-        for (Attempt attempt : commands.cancel()) {
+        for (Attempt attempt : commands.attemptsToCancel()) {
             InFlightAttempt pending = gatherer.inFlight.get(attempt);
             if (pending != null) {
                 pending.end(0.02, () -> new AttemptResult.Cancelled(WriteProgress.WRITTEN));
             }
         }
-        commands.send().forEach(attempt -> send(gatherer, attempt));
+        commands.attemptsToSend().forEach(attempt -> send(gatherer, attempt));
         commands.replies().forEach(reply -> handleReply(gatherer, reply));
         double next = commands.nextTickAtMs();
         if (next < Double.POSITIVE_INFINITY && next != gatherer.tickAt) {
