--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -261,7 +261,7 @@
      * disconnected, this is reported to the {@link QueryHandler} at once, before the event loop
      * reports the end of the connection.
      */
-    public boolean clientWaits(Query query) {
+    public boolean isClientConnected(Query query) {
         HttpServerRequest request = openRequests.get(query);
         if (request == null) {
             return false;
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -18,7 +18,7 @@
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
-import sprucehold.shards.AttemptGate;
+import sprucehold.shards.AttemptWriteCallbacks;
 import sprucehold.shards.ShardServers;
 
 /**
@@ -167,23 +167,23 @@
                 config.settings().loadByHealthCheck(),
                 clock::now,
                 this::observe,
-                attemptGate());
+                attemptWriteCallbacks());
     }
 
-    private AttemptGate attemptGate() {
-        return new AttemptGate() {
+    private AttemptWriteCallbacks attemptWriteCallbacks() {
+        return new AttemptWriteCallbacks() {
             @Override
-            public boolean clientWaits(Query query) {
-                return clients.clientWaits(query);
+            public boolean isClientConnected(Query query) {
+                return clients.isClientConnected(query);
             }
 
             @Override
-            public void begun(Attempt attempt) {
+            public void attemptWritten(Attempt attempt) {
                 QueryLog.attemptStarting(attempt, clock.now());
             }
 
             @Override
-            public void turnWanted() {
+            public void writeTurnRequested() {
                 decisions.requestTurn();
             }
         };
--- a/gatherer/src/main/java/sprucehold/shards/AttemptGate.java
+++ b/gatherer/src/main/java/sprucehold/shards/AttemptWriteCallbacks.java
@@ -5,22 +5,22 @@
 
 /**
  * Callbacks around the write of an attempt. The only method that writes attempts asks {@link
- * #clientWaits} directly before each write, whatever the reason for the attempt and however long it
- * has waited, so that no attempt is written for a client that has disconnected.
+ * #isClientConnected} directly before each write, whatever the reason for the attempt and however
+ * long it has waited, so that no attempt is written for a client that has disconnected.
  */
-public interface AttemptGate {
+public interface AttemptWriteCallbacks {
     /**
      * Returns whether the query's client is still connected, judged by all input received on its
      * connection up to now.
      */
-    boolean clientWaits(Query query);
+    boolean isClientConnected(Query query);
 
     /** Reports that the frame of an attempt has just been written to its connection. */
-    void begun(Attempt attempt);
+    void attemptWritten(Attempt attempt);
 
     /**
      * Reports that waiting attempts can be written now. The receiver then calls {@link
      * ShardServers#writeWaiting} in the next turn of the decision loop.
      */
-    void turnWanted();
+    void writeTurnRequested();
 }
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -48,7 +48,7 @@
     private final boolean loadByHealthCheck;
     private final DoubleSupplier clock;
     private final Consumer<Observation> observations;
-    private final AttemptGate gate;
+    private final AttemptWriteCallbacks writeCallbacks;
     private final Map<ShardServer, ServerConnections> connectionsByServer = new HashMap<>();
 
     /** Connections whose waiting attempts can be written in the next turn of the decision loop. */
@@ -76,12 +76,12 @@
 
         @Override
         public boolean isClientConnected(Query query) {
-            return gate.clientWaits(query);
+            return writeCallbacks.isClientConnected(query);
         }
 
         @Override
         public void attemptWritten(Attempt attempt) {
-            gate.begun(attempt);
+            writeCallbacks.attemptWritten(attempt);
         }
 
         @Override
@@ -105,7 +105,7 @@
         @Override
         public void writeTurnRequested(ShardConnection connection) {
             writable.add(connection);
-            gate.turnWanted();
+            writeCallbacks.writeTurnRequested();
         }
 
         @Override
@@ -145,8 +145,8 @@
      * @param loadByHealthCheck whether health checks ask for a load report
      * @param clock current time in milliseconds
      * @param observations receives the results of attempts and health checks
-     * @param gate called directly before and after the write of an attempt, and when waiting
-     *     attempts can be written
+     * @param writeCallbacks called directly before and after the write of an attempt, and when
+     *     waiting attempts can be written
      */
     public ShardServers(
             Vertx vertx,
@@ -155,8 +155,8 @@
             boolean loadByHealthCheck,
             DoubleSupplier clock,
             Consumer<Observation> observations,
-            AttemptGate gate) {
-        this.gate = gate;
+            AttemptWriteCallbacks writeCallbacks) {
+        this.writeCallbacks = writeCallbacks;
         this.settings = settings;
         this.maxPartsPerCall = maxPartsPerCall;
         this.loadByHealthCheck = loadByHealthCheck;
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -770,7 +770,8 @@
                                     .forEach(
                                             query ->
                                                     waits.put(
-                                                            query.id(), server.clientWaits(query)));
+                                                            query.id(),
+                                                            server.isClientConnected(query)));
                             asked.countDown();
                         });
         // Bytes before the end of the stream, so that the end is not read first.
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -61,21 +61,21 @@
     private BlockingQueue<Observation> observations;
     private BlockingQueue<String> receivedByServer;
     private TestLoop loop;
-    private volatile boolean clientWaits;
-    private final AttemptGate gate =
-            new AttemptGate() {
+    private volatile boolean clientConnected;
+    private final AttemptWriteCallbacks writeCallbacks =
+            new AttemptWriteCallbacks() {
                 @Override
-                public boolean clientWaits(Query query) {
-                    return clientWaits;
+                public boolean isClientConnected(Query query) {
+                    return clientConnected;
                 }
 
                 @Override
-                public void begun(Attempt attempt) {
+                public void attemptWritten(Attempt attempt) {
                     writtenPartIds.add(attempt.partId());
                 }
 
                 @Override
-                public void turnWanted() {
+                public void writeTurnRequested() {
                     requestedTurns.incrementAndGet();
                     if (!turnsAreManual) {
                         vertx.runOnContext(none -> shards.writeWaiting());
@@ -83,7 +83,7 @@
                 }
             };
 
-    /** Whether the test itself calls {@link ShardServers#writeWaiting} instead of the gate. */
+    /** Whether the test itself calls {@link ShardServers#writeWaiting} instead of the callbacks. */
     private volatile boolean turnsAreManual;
 
     private final AtomicInteger requestedTurns = new AtomicInteger();
@@ -97,7 +97,7 @@
         receivedByServer = new LinkedBlockingQueue<>();
         now = 0;
         throwsOnce = false;
-        clientWaits = true;
+        clientConnected = true;
         turnsAreManual = false;
         requestedTurns.set(0);
         writtenPartIds.clear();
@@ -144,7 +144,7 @@
                                         false,
                                         () -> now,
                                         this::observed,
-                                        gate));
+                                        writeCallbacks));
         var type = new QueryClass("q", idempotence, 100, 1, 0, 150, 1, 1, 0);
         coordinator =
                 new QueryCoordinator(
@@ -763,14 +763,14 @@
     public void attemptIsNotWrittenForADisconnectedClient() throws Exception {
         start(32, 1, (socket, bytes) -> answer(socket, "Es.0 hit 5 -\nvalue"));
         // The first attempt waits for its connection; the second finds it established.
-        clientWaits = false;
+        clientConnected = false;
         for (String id : List.of("t", "u")) {
             List<Attempt> sent = attempts(id, 1, "text");
             send(sent);
             assertEquals(
                     outcome(sent.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         }
-        clientWaits = true;
+        clientConnected = true;
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
@@ -865,7 +865,7 @@
                 });
         loop.until(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
         assertEquals(writtenPartIds, List.of("s.0"));
-        clientWaits = false;
+        clientConnected = false;
         connections.get(0).resume();
         assertEquals(outcome(small.get(0)), new AttemptResult.Cancelled(WriteProgress.NOT_WRITTEN));
         assertEquals(writtenPartIds, List.of("s.0"));
