--- a/change/src/main/java/sprucehold/change/document/DocumentReader.java
+++ b/change/src/main/java/sprucehold/change/document/DocumentReader.java
@@ -122,7 +122,7 @@
 
     private static QueryClass.Idempotence toIdempotence(String documentName) {
         String storedName = documentName.toUpperCase(Locale.ROOT).replace('-', '_');
-        return StoredEnum.ofName(QueryClass.Idempotence.class, storedName).orElseThrow();
+        return StoredEnum.fromStoredName(QueryClass.Idempotence.class, storedName).orElseThrow();
     }
 
     /** Returns the name of an idempotence in documents. */
--- a/core/src/main/java/sprucehold/decision/DecisionPolicy.java
+++ b/core/src/main/java/sprucehold/decision/DecisionPolicy.java
@@ -22,6 +22,6 @@
          *
          * @param seed seed of all random choices of the policy
          */
-        DecisionPolicy start(long seed, Deployment deployment);
+        DecisionPolicy create(long seed, Deployment deployment);
     }
 }
--- a/core/src/main/java/sprucehold/decision/StoredEnum.java
+++ b/core/src/main/java/sprucehold/decision/StoredEnum.java
@@ -16,7 +16,7 @@
     String storedName();
 
     /** Returns the constant with this stored name, or empty if this version has none. */
-    static <E extends Enum<E> & StoredEnum> Optional<E> ofName(Class<E> type, String name) {
+    static <E extends Enum<E> & StoredEnum> Optional<E> fromStoredName(Class<E> type, String name) {
         return Arrays.stream(type.getEnumConstants())
                 .filter(constant -> constant.storedName().equals(name))
                 .findFirst();
--- a/gatherer/src/main/java/sprucehold/command/Recording.java
+++ b/gatherer/src/main/java/sprucehold/command/Recording.java
@@ -46,7 +46,7 @@
                                     0,
                                     deployment,
                                     ClockFit.REFERENCE));
-            return new RecordingPolicy(factory.start(seed, deployment), recorder);
+            return new RecordingPolicy(factory.create(seed, deployment), recorder);
         };
     }
 
--- a/gatherer/src/main/java/sprucehold/node/EndpointOverrideFilter.java
+++ b/gatherer/src/main/java/sprucehold/node/EndpointOverrideFilter.java
@@ -26,7 +26,7 @@
     /** Returns a factory of policies that receive endpoint updates with the overrides applied. */
     DecisionPolicy.Factory wrap(DecisionPolicy.Factory factory) {
         return (seed, deployment) -> {
-            DecisionPolicy policy = factory.start(seed, deployment);
+            DecisionPolicy policy = factory.create(seed, deployment);
             return (nowMs, events) -> policy.decide(nowMs, filter(events));
         };
     }
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -156,7 +156,7 @@
         Deployment deployment = config.settings().deployment();
         DecisionPolicy.Factory factory =
                 admin == null ? policyFactory : admin.withOverrides(policyFactory);
-        return new QueryCoordinator(factory.start(config.seed(), deployment), deployment);
+        return new QueryCoordinator(factory.create(config.seed(), deployment), deployment);
     }
 
     private ShardServers shardServers(Vertx vertx) {
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -41,7 +41,7 @@
     private StubWarmUp(NodeConfig config, DecisionPolicy.Factory policyFactory) {
         Deployment deployment = config.settings().deployment();
         this.coordinator =
-                new QueryCoordinator(policyFactory.start(config.seed(), deployment), deployment);
+                new QueryCoordinator(policyFactory.create(config.seed(), deployment), deployment);
         this.clients = new StubClient(config.settings().shards());
         this.queries = new WarmUpQueries(config);
     }
--- a/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
+++ b/gatherer/src/main/java/sprucehold/simulation/SimulationAdapter.java
@@ -92,7 +92,7 @@
             case START -> {
                 var reader = new WireReader(message);
                 DecisionPolicy policy =
-                        factory.start(WireReader.seed(message), reader.deployment());
+                        factory.create(WireReader.seed(message), reader.deployment());
                 instances.put(number, new Instance(policy, reader));
             }
             case CRASH -> instances.remove(number);
--- a/gatherer/src/test/java/sprucehold/command/RecordingTest.java
+++ b/gatherer/src/test/java/sprucehold/command/RecordingTest.java
@@ -38,7 +38,7 @@
         Path folder = Files.createTempDirectory("recording");
         Path file = Files.writeString(folder.resolve("recording.json"), "{\"folder\": \".\"}");
         Recording recording = Recording.read(file, "g7");
-        DecisionPolicy policy = recording.wrap(QueryScheduler::new).start(77, DEPLOYMENT);
+        DecisionPolicy policy = recording.wrap(QueryScheduler::new).create(77, DEPLOYMENT);
         policy.decide(5, List.of(new Event.EndpointsUpdated(true, List.of())));
         policy.decide(6, List.of(new Event.EndpointsUnavailable()));
         recording.end();
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -239,7 +239,7 @@
         return new Script.Kind(
                 new QueryClass(
                         type.get("name").asText(),
-                        StoredEnum.ofName(
+                        StoredEnum.fromStoredName(
                                         QueryClass.Idempotence.class,
                                         constantName(type.get("repeat").asText()))
                                 .orElseThrow(),
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -82,7 +82,7 @@
         for (Piece piece : pieces) {
             if (!piece.source.id().equals(currentId)) {
                 currentId = piece.source.id();
-                policy = factory.start(piece.source.seed(), piece.source.deployment());
+                policy = factory.create(piece.source.seed(), piece.source.deployment());
                 expectedSeq = 0;
             }
             TraceCursor cursor = piece.reader.allOf(piece.index);
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -171,7 +171,7 @@
                             localTime(BEGIN_MS),
                             deployment,
                             ClockFit.REFERENCE);
-            policy = factory.start(seed, deployment);
+            policy = factory.create(seed, deployment);
             coordinator = new QueryCoordinator(this, deployment);
         }
 
