--- a/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientConnections.java
@@ -95,7 +95,7 @@
 
         State(ConnectionArrival arrival) {
             this.arrival = arrival;
-            this.sinceMs = arrival.openedAtMs();
+            this.sinceMs = arrival.acceptedAtMs();
         }
     }
 
@@ -135,13 +135,13 @@
      * Adds an accepted connection. Returns true if there are too many connections now; the caller
      * then calls {@link #closeSurplus} after the sockets have been read.
      *
-     * @param connectedSinceMs earliest time at which the connection can have been established; it
-     *     may have waited in the listen backlog before it was accepted
+     * @param earliestConnectedAtMs earliest time at which the connection can have been established;
+     *     it may have waited in the listen backlog before it was accepted
      */
-    boolean opened(C connection, double connectedSinceMs) {
+    boolean opened(C connection, double earliestConnectedAtMs) {
         open.put(
                 connection,
-                new State(new ConnectionArrival(connectedSinceMs, clock.getAsDouble())));
+                new State(new ConnectionArrival(earliestConnectedAtMs, clock.getAsDouble())));
         awaiting.add(connection);
         return connectionCount() > maxConnections;
     }
--- a/gatherer/src/main/java/sprucehold/clients/ClientServer.java
+++ b/gatherer/src/main/java/sprucehold/clients/ClientServer.java
@@ -68,7 +68,7 @@
     private final IdentityHashMap<Query, HttpServerRequest> openRequests = new IdentityHashMap<>();
 
     private boolean draining;
-    private long clientsFoundGone;
+    private long clientsFoundDisconnected;
 
     /**
      * @param vertx Vert.x instance; all methods are called on its event loop
@@ -157,7 +157,7 @@
     /** Collects the body of a request whose headers have been received. */
     private void receive(HttpServerRequest request) {
         double earliestArrivalMs =
-                handler.unreadSince(
+                handler.earliestArrivalMs(
                         readPasses.passBeganAtMs(), connections.arrival(request.connection()));
         var body = Buffer.buffer();
         request.handler(
@@ -223,7 +223,7 @@
     private void answerHealthCheck(HttpServerRequest request) {
         if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.HEAD)) {
             responses.rejectMethod(request, "GET only", "GET, HEAD");
-        } else if (handler.ready()) {
+        } else if (handler.isReady()) {
             responses.end(request, 200, "up");
         } else {
             responses.end(request, 503, draining ? "ending" : "no list yet");
@@ -269,7 +269,7 @@
         if (UnreadInput.readAll(ChannelCloser.channel(request.connection()))) {
             return true;
         }
-        clientsFoundGone++;
+        clientsFoundDisconnected++;
         disconnected(query);
         return false;
     }
@@ -278,8 +278,8 @@
      * Returns how many clients were found to have disconnected right before an attempt for them
      * would have been written.
      */
-    public long clientsFoundGone() {
-        return clientsFoundGone;
+    public long clientsFoundDisconnected() {
+        return clientsFoundDisconnected;
     }
 
     /** Sends the final answer of a query, unless its client has disconnected. */
@@ -331,7 +331,7 @@
     }
 
     /** Returns the number of connections that are open or being closed. */
-    public int connections() {
+    public int connectionCount() {
         return connections.size();
     }
 
@@ -339,7 +339,7 @@
      * Returns the number of requests that have no answer yet or whose answer isn't completely
      * written.
      */
-    public int pendingAnswers() {
+    public int pendingAnswerCount() {
         return openRequests.size() + responses.pendingWrites();
     }
 
--- a/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
@@ -82,9 +82,9 @@
         channel.pipeline()
                 .addFirst(closing)
                 .replace(HTTP_DECODER, HTTP_DECODER, new StrictDecoder(options));
-        double connectedSinceMs =
+        double earliestConnectedAtMs =
                 clock.getAsDouble() - AcceptingTransport.msSinceBacklogEmpty(channel);
-        if (connections.opened(connection, connectedSinceMs)) {
+        if (connections.opened(connection, earliestConnectedAtMs)) {
             closeSurplusInNextPass();
         }
     }
--- a/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryHandler.java
@@ -8,7 +8,7 @@
      * Returns whether queries can be served: an endpoint list has been received, and the gatherer
      * isn't draining.
      */
-    boolean ready();
+    boolean isReady();
 
     /** Returns whether a query class of this name is configured. */
     boolean isQueryClass(String name);
@@ -22,7 +22,7 @@
      * nowMs} in two cases: the event loop was busy with other work just before and did not read its
      * sockets, or the connection waited to be accepted and is read for the first time.
      */
-    double unreadSince(double nowMs, ConnectionArrival arrival);
+    double earliestArrivalMs(double nowMs, ConnectionArrival arrival);
 
     /**
      * Processes a query. Its answer is sent by {@link ClientServer#answer}, possibly before this
--- a/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
+++ b/gatherer/src/main/java/sprucehold/node/EventLoopMonitor.java
@@ -124,11 +124,11 @@
      * pass has read the connection since it was opened, the data may have arrived while the
      * connection waited to be accepted.
      */
-    double unreadSince(double nowMs, ConnectionArrival arrival) {
+    double earliestArrivalMs(double nowMs, ConnectionArrival arrival) {
         double since =
-                polledAfterMs >= arrival.openedAtMs()
+                polledAfterMs >= arrival.acceptedAtMs()
                         ? polledAfterMs
-                        : Math.min(polledAfterMs, arrival.connectedSinceMs());
+                        : Math.min(polledAfterMs, arrival.earliestConnectedAtMs());
         return nowMs - since <= NORMAL_PASS_MS ? nowMs : since;
     }
 
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -251,7 +251,7 @@
      * down.
      */
     boolean ready() {
-        return intake.ready();
+        return intake.isReady();
     }
 
     /** Returns the port of the admin server; 0 if it isn't enabled. */
--- a/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
+++ b/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
@@ -69,7 +69,7 @@
                 "draining: open_queries="
                         + coordinator.openQueryCount()
                         + ", client_connections="
-                        + clients.connections());
+                        + clients.connectionCount());
         drain.start(schedule, clock.now());
         if (admin != null) {
             admin.shuttingDown();
@@ -101,7 +101,7 @@
 
     private DrainStateMachine.Outstanding outstanding() {
         return new DrainStateMachine.Outstanding(
-                intake.openQueries(), clients.pendingAnswers(), clients.arrivingRequests());
+                intake.openQueries(), clients.pendingAnswerCount(), clients.arrivingRequests());
     }
 
     private Future<Void> closeAdmin() {
@@ -119,6 +119,6 @@
                         + ", "
                         + monitor.summary()
                         + ", clients_gone_before_attempt="
-                        + clients.clientsFoundGone());
+                        + clients.clientsFoundDisconnected());
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/QueryIntake.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryIntake.java
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return endpoints.received() && !drain.started();
     }
 
@@ -87,8 +87,8 @@
     }
 
     @Override
-    public double unreadSince(double nowMs, ConnectionArrival arrival) {
-        return monitor.unreadSince(nowMs, arrival);
+    public double earliestArrivalMs(double nowMs, ConnectionArrival arrival) {
+        return monitor.earliestArrivalMs(nowMs, arrival);
     }
 
     @Override
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -95,7 +95,7 @@
         var handler =
                 new QueryHandler() {
                     @Override
-                    public boolean ready() {
+                    public boolean isReady() {
                         return ready;
                     }
 
@@ -110,7 +110,7 @@
                     }
 
                     @Override
-                    public double unreadSince(double nowMs, ConnectionArrival arrival) {
+                    public double earliestArrivalMs(double nowMs, ConnectionArrival arrival) {
                         arrivals.add(arrival);
                         countInPass();
                         return nowMs - unreadForMs;
@@ -221,7 +221,7 @@
 
     /** Waits until the server has the given number of connections. */
     private void awaitConnections(int connections) throws Exception {
-        loop.until(() -> server.connections() == connections);
+        loop.until(() -> server.connectionCount() == connections);
     }
 
     /**
@@ -229,7 +229,7 @@
      * has read them.
      */
     private void awaitAnswersWritten() throws Exception {
-        loop.until(() -> server.pendingAnswers() == 0);
+        loop.until(() -> server.pendingAnswerCount() == 0);
     }
 
     private void answer(Query query, Answer answer) {
@@ -361,7 +361,7 @@
             for (int i = 0; i < 2; i++) {
                 socket.getOutputStream()
                         .write(post("/q", "u", BODY).getBytes(StandardCharsets.UTF_8));
-                loop.until(() -> server.connections() == 1);
+                loop.until(() -> server.connectionCount() == 1);
             }
             assertEquals(socket.getInputStream().read(), -1);
         }
@@ -781,11 +781,11 @@
         assertTrue(asked.await(5, TimeUnit.SECONDS));
         assertEquals(waits, Map.of("stays", true, "leaves", false));
         assertEquals(disconnected.poll(5, TimeUnit.SECONDS).id(), "leaves");
-        assertEquals((long) loop.call(() -> server.clientsFoundGone()), 1L);
+        assertEquals((long) loop.call(() -> server.clientsFoundDisconnected()), 1L);
         loop.act(() -> server.answer(queries.get("stays"), new Answer.Rejected(0)));
         assertTrue(response(stays).startsWith("HTTP/1.1 503"));
         // The disconnection, which the event loop detects again later, is reported only once.
-        loop.until(() -> server.connections() <= 1);
+        loop.until(() -> server.connectionCount() <= 1);
         assertTrue(disconnected.isEmpty());
         stays.close();
     }
--- a/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
+++ b/gatherer/src/test/java/sprucehold/node/EventLoopMonitorTest.java
@@ -31,8 +31,8 @@
      * Returns since when data may have been unread that is read on a connection which was opened
      * long ago.
      */
-    private double unreadSince(double nowMs) {
-        return monitor.unreadSince(nowMs, new ConnectionArrival(0, 0));
+    private double earliestArrivalMs(double nowMs) {
+        return monitor.earliestArrivalMs(nowMs, new ConnectionArrival(0, 0));
     }
 
     /** Simulates a pass: the sockets are read, then the expired timers fire. */
@@ -48,7 +48,7 @@
         for (int i = 1; i <= 20; i++) {
             pass(1000.0 + i * EventLoopMonitor.HEARTBEAT_MS);
         }
-        assertEquals(unreadSince(1410), 1410.0);
+        assertEquals(earliestArrivalMs(1410), 1410.0);
         assertEquals(monitor.summary(), "stalls=0, longest_stall_ms=0");
     }
 
@@ -58,13 +58,13 @@
         pass(1040);
         // The loop stalls from 1041 on. The pass at 1040 polled the system after 1020, when the
         // heartbeat that fired in this pass was scheduled.
-        assertEquals(unreadSince(1191), 1020.0);
+        assertEquals(earliestArrivalMs(1191), 1020.0);
         pass(1191);
         // The pass at 1191 is only known to have polled after 1040, so data that it left unread may
         // be as old as that; the next pass polled after 1191.
-        assertEquals(unreadSince(1192), 1040.0);
+        assertEquals(earliestArrivalMs(1192), 1040.0);
         pass(1192);
-        assertEquals(unreadSince(1193), 1193.0);
+        assertEquals(earliestArrivalMs(1193), 1193.0);
     }
 
     @DataProvider
@@ -83,7 +83,7 @@
      * the listener accepts the connection.
      */
     @Test(dataProvider = "newConnections")
-    public void unreadSinceOfNewConnectionIncludesItsTimeInBacklog(
+    public void earliestArrivalOfNewConnectionIncludesItsTimeInBacklog(
             String testCase, double connectedSince, double openedAt, double expected) {
         pass(1020);
         pass(1150);
@@ -91,7 +91,7 @@
             pass(at);
         }
         assertEquals(
-                monitor.unreadSince(1200, new ConnectionArrival(connectedSince, openedAt)),
+                monitor.earliestArrivalMs(1200, new ConnectionArrival(connectedSince, openedAt)),
                 expected,
                 testCase);
     }
@@ -110,7 +110,7 @@
         pass(1020);
         now = 1100;
         var done = new ArrayList<Double>();
-        monitor.afterNextPass(() -> done.add(unreadSince(now + 60)));
+        monitor.afterNextPass(() -> done.add(earliestArrivalMs(now + 60)));
         assertTrue(done.isEmpty());
         pass(1105);
         assertEquals(done, List.of(1100.0));
