--- a/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
+++ b/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
@@ -104,7 +104,7 @@
         String message =
                 expectThrows(
                                 InvalidSettingsException.class,
-                                () -> DeploymentSettings.checked(settings))
+                                () -> DeploymentSettings.readValidated(settings))
                         .getMessage();
         assertEquals(message, "settings." + path + ", expected " + expected);
     }
@@ -124,7 +124,7 @@
     @Test(dataProvider = "validSettings")
     public void fieldWithDefaultMayBeAbsent(String from, String to) throws Exception {
         assertEquals(
-                DeploymentSettings.checked(settings(from, to)).deployment().queryClasses().size(),
+                DeploymentSettings.readValidated(settings(from, to)).deployment().queryClasses().size(),
                 2);
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/NodeConfig.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeConfig.java
@@ -102,7 +102,7 @@
         if (!node.path("settings").isObject()) {
             throw new InvalidSettingsException("settings is missing or not an object");
         }
-        DeploymentSettings settings = DeploymentSettings.checked(node.get("settings"));
+        DeploymentSettings settings = DeploymentSettings.readValidated(node.get("settings"));
         if (settings.deployment().queryClasses().stream()
                 .anyMatch(queryClass -> queryClass.secondStepParts() > 0)) {
             throw new InvalidSettingsException(
--- a/gatherer/src/main/java/sprucehold/simulation/WireReader.java
+++ b/gatherer/src/main/java/sprucehold/simulation/WireReader.java
@@ -101,7 +101,7 @@
     /** Creates a reader for the instance that a message starts. */
     WireReader(Message start) throws MalformedBatchException {
         try {
-            settings = DeploymentSettings.read(start.fields().path("params"));
+            settings = DeploymentSettings.readUnvalidated(start.fields().path("params"));
         } catch (InvalidSettingsException e) {
             throw new MalformedBatchException(e.getMessage());
         }
