--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public Future<Void> end() {
+    public Future<Void> stop() {
         vertx.cancelTimer(timer);
         send(session.leave(clock.monotonicMs(), clock.wallMs()));
         return messaging.close();
--- a/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
+++ b/gatherer/src/main/java/sprucehold/discovery/EndpointWatch.java
@@ -110,7 +110,7 @@
      * address at once: it includes all changes that the old address hasn't delivered yet, and the
      * list versions of the two addresses are unrelated.
      */
-    public void moveTo(String newHost, int newPort) {
+    public void changeAddress(String newHost, int newPort) {
         if (stopped || (host.equals(newHost) && port == newPort)) {
             return;
         }
--- a/gatherer/src/main/java/sprucehold/node/EndpointSource.java
+++ b/gatherer/src/main/java/sprucehold/node/EndpointSource.java
@@ -83,7 +83,7 @@
 
     /** Switches to discovery at another address. */
     void changeDiscoveryAddress(NodeConfig.Address discovery) {
-        watch.moveTo(discovery.host(), discovery.port());
+        watch.changeAddress(discovery.host(), discovery.port());
     }
 
     void stop() {
--- a/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
+++ b/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
@@ -78,7 +78,7 @@
                 (listening ? drain() : Future.<Void>succeededFuture())
                         .compose(drained -> clients.close())
                         .compose(closed -> closeAdmin())
-                        .compose(closed -> extensions.end())
+                        .compose(closed -> extensions.stop())
                         .map(
                                 closed -> {
                                     stop();
--- a/gatherer/src/main/java/sprucehold/node/NodeExtension.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtension.java
@@ -67,5 +67,5 @@
     /**
      * Ends the extension. It is called once the gatherer has answered all queries that it received.
      */
-    Future<Void> end();
+    Future<Void> stop();
 }
--- a/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
@@ -45,8 +45,8 @@
     }
 
     /** Ends all extensions; the future succeeds once all have ended, even if some failed to. */
-    Future<Void> end() {
-        return Future.join(extensions.stream().map(NodeExtension::end).toList())
+    Future<Void> stop() {
+        return Future.join(extensions.stream().map(NodeExtension::stop).toList())
                 .<Void>mapEmpty()
                 .otherwiseEmpty();
     }
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -72,7 +72,8 @@
         write(commands);
         for (int step = 0; step < MAX_STEPS && coordinator.openQueryCount() > 0; step++) {
             nowMs += STEP_MS;
-            List<Observation> observations = servers.answered(commands.attemptsToSend(), nowMs);
+            List<Observation> observations =
+                    servers.simulateAnswers(commands.attemptsToSend(), nowMs);
             commands =
                     observations.isEmpty()
                             ? coordinator.tick(nowMs)
--- a/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/StubShardServers.java
@@ -15,7 +15,7 @@
     private final FrameReader reader = new FrameReader(frames::add, reason -> {});
 
     /** Encodes the frame of each attempt and decodes a scripted answer to it. */
-    public List<Observation> answered(List<Attempt> attempts, double nowMs) {
+    public List<Observation> simulateAnswers(List<Attempt> attempts, double nowMs) {
         var observations = new ArrayList<Observation>();
         for (Attempt attempt : attempts) {
             if (!attempt.isWriteAllowed(nowMs)) {
--- a/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
+++ b/gatherer/src/test/java/sprucehold/discovery/EndpointWatchTest.java
@@ -217,7 +217,7 @@
                         .get(5, TimeUnit.SECONDS)
                         .actualPort();
         HttpServerRequest old = startAtVersion41(2000);
-        vertx.runOnContext(none -> watch.moveTo("127.0.0.1", port));
+        vertx.runOnContext(none -> watch.changeAddress("127.0.0.1", port));
         // The complete list, since the list versions of the two addresses are unrelated.
         HttpServerRequest first = callsAtNewAddress.poll(5, TimeUnit.SECONDS);
         assertEquals(first.uri(), "/discovery/hosts");
--- a/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public Future<Void> end() {
+        public Future<Void> stop() {
             calls.add("end");
             return Future.succeededFuture();
         }
