--- a/core/src/main/java/sprucehold/deployment/DeploymentSettings.java
+++ b/core/src/main/java/sprucehold/deployment/DeploymentSettings.java
@@ -90,7 +90,8 @@
      * @throws InvalidSettingsException if a field is missing, invalid or contradicts another; the
      *     message names the first such field
      */
-    public static DeploymentSettings readValidated(JsonNode settings) throws InvalidSettingsException {
+    public static DeploymentSettings readValidated(JsonNode settings)
+            throws InvalidSettingsException {
         DeploymentSettingsValidator.check(settings);
         return readUnvalidated(settings);
     }
@@ -100,7 +101,8 @@
      *
      * @throws InvalidSettingsException if the semantics of a query class are unknown
      */
-    public static DeploymentSettings readUnvalidated(JsonNode settings) throws InvalidSettingsException {
+    public static DeploymentSettings readUnvalidated(JsonNode settings)
+            throws InvalidSettingsException {
         JsonNode feedback = settings.path("feedback");
         List<Double> deadlinesMs = deadlinesMs(settings);
         return new DeploymentSettings(
--- a/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
+++ b/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
@@ -124,7 +124,10 @@
     @Test(dataProvider = "validSettings")
     public void fieldWithDefaultMayBeAbsent(String from, String to) throws Exception {
         assertEquals(
-                DeploymentSettings.readValidated(settings(from, to)).deployment().queryClasses().size(),
+                DeploymentSettings.readValidated(settings(from, to))
+                        .deployment()
+                        .queryClasses()
+                        .size(),
                 2);
     }
 }
