--- a/cli/src/main/java/sprucehold/cli/Sprucehold.java
+++ b/cli/src/main/java/sprucehold/cli/Sprucehold.java
@@ -35,7 +35,7 @@
     private Sprucehold() {}
 
     public static void main(String[] args) {
-        Main.prepareLog();
+        Main.configureLogging();
         int exit = commandLine().execute(args);
         // The serving commands return at once with exit code 0. Their event loops keep the process
         // running, so it must not exit here.
@@ -45,6 +45,6 @@
     }
 
     static CommandLine commandLine() {
-        return Main.strict(new CommandLine(new Sprucehold()));
+        return Main.reportErrorsInOneLine(new CommandLine(new Sprucehold()));
     }
 }
--- a/gatherer/src/main/java/sprucehold/command/Main.java
+++ b/gatherer/src/main/java/sprucehold/command/Main.java
@@ -30,7 +30,7 @@
      * serving.
      */
     public static void main(String[] args) {
-        prepareLog();
+        configureLogging();
         int exit =
                 args.length == 1 && args[0].equals("serve") && Serve.configuredByEnvironmentOnly()
                         ? serve()
@@ -65,21 +65,21 @@
     }
 
     /** Sets the log's manager and format; to be called before the first logger is created. */
-    public static void prepareLog() {
+    public static void configureLogging() {
         System.setProperty("java.util.logging.manager", ServiceLogManager.class.getName());
         System.setProperty(
                 "java.util.logging.SimpleFormatter.format", "%1$tFT%1$tT.%1$tL %4$s %5$s%6$s%n");
     }
 
     static CommandLine commandLine() {
-        return strict(new CommandLine(new Main()));
+        return reportErrorsInOneLine(new CommandLine(new Main()));
     }
 
     /**
      * Makes a command line report an error as one line on standard error and by the exit code: 2
      * for invalid usage, 1 for all other errors.
      */
-    public static CommandLine strict(CommandLine line) {
+    public static CommandLine reportErrorsInOneLine(CommandLine line) {
         line.setParameterExceptionHandler(
                 (e, arguments) -> {
                     System.err.println("sprucehold: " + e.getMessage());
