--- a/gatherer/src/test/java/sprucehold/TestLoop.java
+++ b/gatherer/src/test/java/sprucehold/TestLoop.java
@@ -41,7 +41,7 @@
     }
 
     /** Runs work on the loop and waits until it has run. */
-    public void act(Runnable work) throws Exception {
+    public void runAndWait(Runnable work) throws Exception {
         call(
                 () -> {
                     work.run();
@@ -50,7 +50,7 @@
     }
 
     /** Waits until a condition, which is evaluated on the loop, is true. */
-    public void until(BooleanSupplier condition) throws Exception {
+    public void awaitCondition(BooleanSupplier condition) throws Exception {
         double end = System.nanoTime() + 10e9;
         while (!call(condition::getAsBoolean)) {
             assertTrue(System.nanoTime() < end, "condition not met within 10 s");
@@ -61,7 +61,7 @@
      * Blocks the loop until the returned action is run. The loop then runs {@code then} before it
      * reads its sockets again.
      */
-    public Runnable hold(Runnable then) throws InterruptedException {
+    public Runnable block(Runnable then) throws InterruptedException {
         var blocked = new CountDownLatch(1);
         var released = new CountDownLatch(1);
         run(
--- a/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
+++ b/gatherer/src/test/java/sprucehold/clients/ClientServerTest.java
@@ -187,7 +187,7 @@
         String request = post("/none", "f", "");
         try (Socket client = connect(request)) {
             assertTrue(response(client).startsWith("HTTP/1.1 404"));
-            Runnable unblock = loop.hold(() -> {});
+            Runnable unblock = loop.block(() -> {});
             client.getOutputStream()
                     .write(request.repeat(PIPELINED_REQUESTS).getBytes(StandardCharsets.UTF_8));
             unblock.run();
@@ -221,7 +221,7 @@
 
     /** Waits until the server has the given number of connections. */
     private void awaitConnections(int connections) throws Exception {
-        loop.until(() -> server.connectionCount() == connections);
+        loop.awaitCondition(() -> server.connectionCount() == connections);
     }
 
     /**
@@ -229,7 +229,7 @@
      * has read them.
      */
     private void awaitAnswersWritten() throws Exception {
-        loop.until(() -> server.pendingAnswerCount() == 0);
+        loop.awaitCondition(() -> server.pendingAnswerCount() == 0);
     }
 
     private void answer(Query query, Answer answer) {
@@ -361,7 +361,7 @@
             for (int i = 0; i < 2; i++) {
                 socket.getOutputStream()
                         .write(post("/q", "u", BODY).getBytes(StandardCharsets.UTF_8));
-                loop.until(() -> server.connectionCount() == 1);
+                loop.awaitCondition(() -> server.connectionCount() == 1);
             }
             assertEquals(socket.getInputStream().read(), -1);
         }
@@ -416,7 +416,7 @@
             }
             // The event loop is blocked while the request arrives and time passes; then it sweeps
             // before it reads.
-            Runnable unblock = loop.hold(() -> server.sweep());
+            Runnable unblock = loop.block(() -> server.sweep());
             socket.getOutputStream().write(post("/q", "t", BODY).getBytes(StandardCharsets.UTF_8));
             double later = now + age;
             now = later;
@@ -469,7 +469,7 @@
                                 + post("/q", "t", BODY.replace("c4", "c4".repeat(2_000_000))))) {
             Query query = received.poll(5, TimeUnit.SECONDS);
             // Wait until the input has exceeded the buffer limit.
-            loop.until(() -> server.overflows() > 0);
+            loop.awaitCondition(() -> server.overflows() > 0);
             answer(query, HIT);
             String response = readToEnd(socket);
             assertTrue(
@@ -764,7 +764,7 @@
         var waits = new HashMap<String, Boolean>();
         var asked = new CountDownLatch(1);
         Runnable unblock =
-                loop.hold(
+                loop.block(
                         () -> {
                             queries.values()
                                     .forEach(
@@ -782,10 +782,10 @@
         assertEquals(waits, Map.of("stays", true, "leaves", false));
         assertEquals(disconnected.poll(5, TimeUnit.SECONDS).id(), "leaves");
         assertEquals((long) loop.call(() -> server.clientsFoundDisconnected()), 1L);
-        loop.act(() -> server.answer(queries.get("stays"), new Answer.Rejected(0)));
+        loop.runAndWait(() -> server.answer(queries.get("stays"), new Answer.Rejected(0)));
         assertTrue(response(stays).startsWith("HTTP/1.1 503"));
         // The disconnection, which the event loop detects again later, is reported only once.
-        loop.until(() -> server.connectionCount() <= 1);
+        loop.awaitCondition(() -> server.connectionCount() <= 1);
         assertTrue(disconnected.isEmpty());
         stays.close();
     }
--- a/gatherer/src/test/java/sprucehold/node/DecisionLoopTest.java
+++ b/gatherer/src/test/java/sprucehold/node/DecisionLoopTest.java
@@ -200,7 +200,7 @@
                     Socket second = b.accept()) {
                 first.getInputStream().read();
                 second.getInputStream().read();
-                Runnable unblock = loop.hold(() -> {});
+                Runnable unblock = loop.block(() -> {});
                 first.getOutputStream()
                         .write(
                                 Buffer.buffer()
@@ -258,7 +258,7 @@
                                         .getBytes(StandardCharsets.UTF_8));
                 assertEquals(socket.getInputStream().read(), 'H');
             }
-            Runnable unblock = loop.hold(() -> {});
+            Runnable unblock = loop.block(() -> {});
             for (Socket socket : List.of(one, other)) {
                 socket.getOutputStream()
                         .write(
--- a/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
+++ b/gatherer/src/test/java/sprucehold/node/NodeExtensionsTest.java
@@ -172,7 +172,7 @@
                                         factory,
                                         List.of((nodeVertx, nodeConfig, clock) -> extension))
                                 .start());
-        loop.until(node::ready);
+        loop.awaitCondition(node::ready);
         HttpClient client = vertx.createHttpClient();
         await(
                 client.request(HttpMethod.POST, port, "127.0.0.1", "/q")
@@ -219,7 +219,7 @@
                                         List.of((nodeVertx, nodeConfig, clock) -> extension))
                                 .start());
         Socket pending = sendQuery(port, "s");
-        loop.until(() -> extension.calls.contains("received s"));
+        loop.awaitCondition(() -> extension.calls.contains("received s"));
         Socket other = sendQuery(port, "t");
         assertEquals(
                 pending.getInputStream().readNBytes(12),
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -228,15 +228,15 @@
     }
 
     private void sweep(double silenceMs) throws Exception {
-        loop.act(() -> shards.sweep(silenceMs));
+        loop.runAndWait(() -> shards.sweep(silenceMs));
     }
 
     private void cancel(List<Attempt> attempts) throws Exception {
-        loop.act(() -> shards.cancel(attempts));
+        loop.runAndWait(() -> shards.cancel(attempts));
     }
 
     private void send(List<Attempt> attempts) throws Exception {
-        loop.act(() -> shards.send(attempts));
+        loop.runAndWait(() -> shards.send(attempts));
     }
 
     private AttemptResult outcome(Attempt attempt) throws Exception {
@@ -332,7 +332,7 @@
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(outcome(sent.get(0)) instanceof AttemptResult.Completed);
-        loop.until(() -> shards.connections() == 0);
+        loop.awaitCondition(() -> shards.connections() == 0);
         assertTrue(observations.isEmpty());
     }
 
@@ -349,7 +349,7 @@
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
-        loop.until(
+        loop.awaitCondition(
                 () -> {
                     double later = now + 301;
                     now = later;
@@ -479,7 +479,7 @@
                                         List.of(new Query.Part(0, 1)),
                                         Payload.wrap(new byte[4])))
                         .attemptsToSend();
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.sweep(1e9);
                     shards.send(second);
@@ -496,7 +496,7 @@
     public void partCancelledBeforeTheConnectionIsEstablishedIsNeverWritten() throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 2, "text");
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.send(sent);
                     shards.cancel(List.of(sent.get(0)));
@@ -511,7 +511,7 @@
      */
     private void sendAndConnectLate(
             List<Attempt> attempts, double establishedAtMs, Runnable meanwhile) throws Exception {
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     // All in one task of the event loop, so that the connection is established
                     // after it.
@@ -656,7 +656,7 @@
             EndpointUpdate.State state) throws Exception {
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.send(sent);
                     list(state, server.actualPort());
@@ -674,7 +674,7 @@
         send(sent);
         assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         for (int left : new int[] {1, 0}) {
-            loop.act(
+            loop.runAndWait(
                     () -> {
                         list(state, server.actualPort());
                         shards.sweep(300);
@@ -701,7 +701,7 @@
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
         assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.cancel(sent);
                     shards.send(sent);
@@ -731,14 +731,14 @@
         send(first);
         assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("As.0"));
         now = 301;
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.sweep(300);
                     shards.send(attempts("t", 1, "text"));
                 });
         assertTrue(receivedByServer.poll(5, TimeUnit.SECONDS).contains("At.0"));
         assertEquals(connections(), 2);
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.cancel(first);
                     shards.sweep(300);
@@ -807,7 +807,7 @@
             serveOne(connection, "s.0");
             assertTrue(outcome(first.get(0)) instanceof AttemptResult.Completed);
             List<Attempt> second = attempts("t", 1, "text");
-            Runnable unblock = loop.hold(() -> shards.send(second));
+            Runnable unblock = loop.block(() -> shards.send(second));
             connection.close();
             unblock.run();
             try (Socket further = listener.accept()) {
@@ -827,10 +827,10 @@
         start(32, 1, (socket, bytes) -> {});
         List<Attempt> sent = attempts("s", 1, "text");
         send(sent);
-        loop.until(() -> requestedTurns.get() > 0);
+        loop.awaitCondition(() -> requestedTurns.get() > 0);
         assertEquals(writtenPartIds, List.of());
         list(EndpointUpdate.State.DRAINING, server.actualPort());
-        loop.act(() -> shards.writeWaiting());
+        loop.runAndWait(() -> shards.writeWaiting());
         assertEquals(
                 outcome(sent.get(0)), new AttemptResult.ConnectionLost(WriteProgress.NOT_WRITTEN));
         assertEquals(writtenPartIds, List.of());
@@ -858,12 +858,12 @@
         List<NetSocket> connections = serveUnread();
         List<Attempt> big = attempts("s", 1, "x".repeat(LARGE_BODY_BYTES));
         List<Attempt> small = attempts("t", 1, "text");
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.send(big);
                     shards.send(small);
                 });
-        loop.until(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
+        loop.awaitCondition(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
         assertEquals(writtenPartIds, List.of("s.0"));
         clientConnected = false;
         connections.get(0).resume();
@@ -874,14 +874,14 @@
     @Test
     public void waitingAttemptIsWrittenOnceTheFrameBeforeItIsSent() throws Exception {
         List<NetSocket> connections = serveUnread();
-        loop.act(
+        loop.runAndWait(
                 () -> {
                     shards.send(attempts("s", 1, "x".repeat(LARGE_BODY_BYTES)));
                     shards.send(attempts("t", 1, "text"));
                 });
-        loop.until(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
+        loop.awaitCondition(() -> !connections.isEmpty() && writtenPartIds.contains("s.0"));
         connections.get(0).resume();
-        loop.until(() -> writtenPartIds.equals(List.of("s.0", "t.0")));
+        loop.awaitCondition(() -> writtenPartIds.equals(List.of("s.0", "t.0")));
         assertEquals(connections(), 1);
     }
 
@@ -898,10 +898,10 @@
             List<Attempt> first = attempts("s", 1, "text");
             send(first);
             try (Socket connection = listener.accept()) {
-                loop.until(() -> writtenPartIds.contains("s.0"));
+                loop.awaitCondition(() -> writtenPartIds.contains("s.0"));
                 List<Attempt> second = attempts("t", 1, "text");
                 Runnable unblock =
-                        loop.hold(
+                        loop.block(
                                 () -> {
                                     now = 220;
                                     shards.sweep(200);
