--- a/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
@@ -8,7 +8,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import sprucehold.sockets.AcceptingTransport;
+import sprucehold.sockets.RetryingAcceptTransport;
 
 /**
  * Sets up each connection that a client opens. Connections that {@link ClientConnections} selects
@@ -83,7 +83,7 @@
                 .addFirst(closing)
                 .replace(HTTP_DECODER, HTTP_DECODER, new StrictDecoder(options));
         double earliestConnectedAtMs =
-                clock.getAsDouble() - AcceptingTransport.msSinceBacklogEmpty(channel);
+                clock.getAsDouble() - RetryingAcceptTransport.msSinceBacklogEmpty(channel);
         if (connections.opened(connection, earliestConnectedAtMs)) {
             closeSurplusInNextPass();
         }
--- a/gatherer/src/main/java/sprucehold/node/Service.java
+++ b/gatherer/src/main/java/sprucehold/node/Service.java
@@ -15,7 +15,7 @@
 import java.util.logging.Logger;
 import sprucehold.admin.AdminConfig;
 import sprucehold.decision.DecisionPolicy;
-import sprucehold.sockets.AcceptingTransport;
+import sprucehold.sockets.RetryingAcceptTransport;
 import sprucehold.standin.StandIns;
 
 /**
@@ -111,7 +111,7 @@
                         .setEventLoopPoolSize(1)
                         .setWorkerPoolSize(1)
                         .setInternalBlockingPoolSize(1);
-        return Vertx.builder().with(options).withTransport(new AcceptingTransport()).build();
+        return Vertx.builder().with(options).withTransport(new RetryingAcceptTransport()).build();
     }
 
     /**
--- a/gatherer/src/main/java/sprucehold/sockets/AcceptingTransport.java
+++ b/gatherer/src/main/java/sprucehold/sockets/RetryingAcceptTransport.java
@@ -11,7 +11,7 @@
  * NIO transport whose listening channels retry soon after a failed accept, and whose event loops
  * wait for their timers without busy polling.
  */
-public final class AcceptingTransport implements Transport {
+public final class RetryingAcceptTransport implements Transport {
     private static final double NANOS_PER_MS = 1e6;
 
     private final io.vertx.core.spi.transport.Transport delegate =
--- a/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/AcceptingServerChannelTest.java
@@ -80,7 +80,7 @@
                                                         System.nanoTime(),
                                                         AcceptingServerChannel.backlogEmptyAtNanos(
                                                                 connection),
-                                                        AcceptingTransport.msSinceBacklogEmpty(
+                                                        RetryingAcceptTransport.msSinceBacklogEmpty(
                                                                 connection)));
                                     }
                                 })
--- a/gatherer/src/test/java/sprucehold/sockets/RoundedUpWaitsTest.java
+++ b/gatherer/src/test/java/sprucehold/sockets/RoundedUpWaitsTest.java
@@ -26,7 +26,7 @@
     @BeforeMethod
     public void open() {
         handler =
-                new AcceptingTransport()
+                new RetryingAcceptTransport()
                         .implementation()
                         .ioHandlerFactory()
                         .newHandler(
