--- a/gatherer/src/main/java/sprucehold/node/WarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/WarmUp.java
@@ -140,7 +140,7 @@
         Promise<Void> done = Promise.promise();
         vertx.runOnContext(
                 none ->
-                        StandIns.shardServer(vertx, shardSocket)
+                        StandIns.startShardServer(vertx, shardSocket)
                                 .compose(
                                         listening ->
                                                 new GathererNode(vertx, warmUpConfig, policyFactory)
--- a/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
+++ b/gatherer/src/test/java/sprucehold/node/GathererNodeTest.java
@@ -115,7 +115,7 @@
         int discovery =
                 await(vertx.createHttpServer().requestHandler(calls::add).listen(0, "127.0.0.1"))
                         .actualPort();
-        int server = await(StandIns.shardServerAt(vertx, "127.0.0.1"));
+        int server = await(StandIns.startShardServerOnFreePort(vertx, "127.0.0.1"));
         NodeConfig base =
                 config(
                         NODE_FIELDS,
--- a/standin/src/main/java/sprucehold/standin/StandIns.java
+++ b/standin/src/main/java/sprucehold/standin/StandIns.java
@@ -51,14 +51,14 @@
     }
 
     /** Starts a shard server at any free port of a host. The future completes with the port. */
-    public static Future<Integer> shardServerAt(Vertx vertx, String host) {
+    public static Future<Integer> startShardServerOnFreePort(Vertx vertx, String host) {
         return new StandInShardServer(vertx)
                 .listen(SocketAddress.inetSocketAddress(0, host))
                 .map(NetServer::actualPort);
     }
 
     /** Starts a shard server at a Unix domain socket. */
-    public static Future<?> shardServer(Vertx vertx, String path) {
+    public static Future<?> startShardServer(Vertx vertx, String path) {
         return new StandInShardServer(vertx).listen(SocketAddress.domainSocketAddress(path));
     }
 
