--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -251,7 +251,7 @@
                                         .orElse(0),
                                 servers.peakColdLoad()),
                         List.copyOf(crashed)),
-                ledger.inOrder());
+                ledger.sortedByTime());
     }
 
     private static double cpuMs() {
--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/Judge.java
@@ -9,7 +9,7 @@
 import sprucehold.rig.script.Script;
 import sprucehold.standin.ledger.Seen;
 import sprucehold.standin.rules.RuleChecker;
-import sprucehold.standin.rules.RuleTerms;
+import sprucehold.standin.rules.RuleSettings;
 import sprucehold.standin.rules.Violation;
 
 /** Derives the verdict of a run from its ledgers. Pure: the same ledgers give the same verdict. */
@@ -50,15 +50,15 @@
 
     private Judge() {}
 
-    public static RuleTerms terms(Script script) {
-        return new RuleTerms(
+    public static RuleSettings terms(Script script) {
+        return new RuleSettings(
                 script.tableTypes().stream()
                         .map(Script.Kind::type)
                         .collect(Collectors.toMap(QueryClass::name, type -> type)),
                 script.budget(),
                 script.together() == null || script.together().further() == 0
                         ? null
-                        : new RuleTerms.FleetRetryBudget(
+                        : new RuleSettings.FleetRetryBudget(
                                 script.together().further(), script.together().furtherWindowMs()),
                 ANSWER_SLACK_MS,
                 DRAIN_GRACE_MS,
--- a/standin/src/main/java/sprucehold/standin/ledger/Ledger.java
+++ b/standin/src/main/java/sprucehold/standin/ledger/Ledger.java
@@ -17,7 +17,7 @@
      * Returns all observations so far, ordered by time; observations of the same time stay in the
      * order in which they were added.
      */
-    public synchronized List<Seen> inOrder() {
+    public synchronized List<Seen> sortedByTime() {
         return observations.stream().sorted(Comparator.comparingDouble(Seen::atMs)).toList();
     }
 }
--- a/standin/src/main/java/sprucehold/standin/rules/DrainCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/DrainCheck.java
@@ -10,10 +10,10 @@
  * Checks {@link Rule#DRAINS}: no new attempt is sent to a draining or gone server after discovery
  * has reported that state to the gatherer.
  *
- * <p>Tolerance: {@link RuleTerms#drainGraceMs()} and {@link RuleTerms#transitMs()}.
+ * <p>Tolerance: {@link RuleSettings#drainGraceMs()} and {@link RuleSettings#transitMs()}.
  */
 final class DrainCheck implements RuleCheck {
-    private final RuleTerms terms;
+    private final RuleSettings terms;
     private final Violations violations;
     private final Map<GathererAndServer, Double> drainingSinceMs = new HashMap<>();
 
@@ -23,7 +23,7 @@
      */
     private record GathererAndServer(String gatherer, String server) {}
 
-    DrainCheck(RuleTerms terms, Violations violations) {
+    DrainCheck(RuleSettings terms, Violations violations) {
         this.terms = terms;
         this.violations = violations;
     }
--- a/standin/src/main/java/sprucehold/standin/rules/NoEffectTwiceCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/NoEffectTwiceCheck.java
@@ -9,13 +9,13 @@
  * is not sent again after its deduplication window, and a query is rejected only if none of its
  * non-idempotent parts can have run.
  *
- * <p>Tolerance: {@link RuleTerms#transitMs()} for the deduplication window; none otherwise.
+ * <p>Tolerance: {@link RuleSettings#transitMs()} for the deduplication window; none otherwise.
  */
 final class NoEffectTwiceCheck implements RuleCheck {
-    private final RuleTerms terms;
+    private final RuleSettings terms;
     private final Violations violations;
 
-    NoEffectTwiceCheck(RuleTerms terms, Violations violations) {
+    NoEffectTwiceCheck(RuleSettings terms, Violations violations) {
         this.terms = terms;
         this.violations = violations;
     }
--- a/standin/src/main/java/sprucehold/standin/rules/OneAnswerCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/OneAnswerCheck.java
@@ -10,18 +10,18 @@
  * its deadline, and none of its parts is sent after the answer or after the client's disconnect.
  * The timeout in an attempt's frame must not exceed the time that the client still waits.
  *
- * <p>Tolerances: {@link RuleTerms#answerSlackMs()} for the answer, {@link RuleTerms#transitMs()}
- * for attempts in transit when the query ended, {@link RuleTerms#timeoutSlackMs()} for the timeout
- * in an attempt's frame. Answers that a gatherer missed because the run killed or paused it are not
- * violations.
+ * <p>Tolerances: {@link RuleSettings#answerSlackMs()} for the answer, {@link
+ * RuleSettings#transitMs()} for attempts in transit when the query ended, {@link
+ * RuleSettings#timeoutSlackMs()} for the timeout in an attempt's frame. Answers that a gatherer
+ * missed because the run killed or paused it are not violations.
  */
 final class OneAnswerCheck implements RuleCheck {
-    private final RuleTerms terms;
+    private final RuleSettings terms;
     private final GathererOutages outages;
     private final Violations violations;
     private final Set<String> unanswered = new HashSet<>();
 
-    OneAnswerCheck(RuleTerms terms, GathererOutages outages, Violations violations) {
+    OneAnswerCheck(RuleSettings terms, GathererOutages outages, Violations violations) {
         this.terms = terms;
         this.outages = outages;
         this.violations = violations;
--- a/standin/src/main/java/sprucehold/standin/rules/RetryBudgetCheck.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RetryBudgetCheck.java
@@ -11,15 +11,15 @@
  * Checks {@link Rule#BUDGET}: in any window of a budget's length, the retries and hedged requests
  * of each gatherer, and of all gatherers together, stay within the budget.
  *
- * <p>Tolerance: {@link RuleTerms#transitMs()}, as two attempts that were sent one window apart may
- * arrive closer together, and as a query is received earlier than its retry arrives at the shard
- * server.
+ * <p>Tolerance: {@link RuleSettings#transitMs()}, as two attempts that were sent one window apart
+ * may arrive closer together, and as a query is received earlier than its retry arrives at the
+ * shard server.
  */
 final class RetryBudgetCheck implements RuleCheck {
     /** Rounding error that is tolerated in the floating-point sum of the budget. */
     private static final double ROUNDING = 1e-9;
 
-    private final RuleTerms terms;
+    private final RuleSettings terms;
     private final Violations violations;
     private final Map<String, Window> windows = new HashMap<>();
     private final ArrayDeque<Double> fleetRetriesMs = new ArrayDeque<>();
@@ -33,7 +33,7 @@
         final ArrayDeque<Double> retriesMs = new ArrayDeque<>();
     }
 
-    RetryBudgetCheck(RuleTerms terms, Violations violations) {
+    RetryBudgetCheck(RuleSettings terms, Violations violations) {
         this.terms = terms;
         this.violations = violations;
     }
@@ -56,7 +56,7 @@
     }
 
     private void checkFleet(double atMs) {
-        RuleTerms.FleetRetryBudget budget = terms.fleetRetryBudget();
+        RuleSettings.FleetRetryBudget budget = terms.fleetRetryBudget();
         if (budget == null) {
             return;
         }
--- a/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleChecker.java
@@ -12,7 +12,7 @@
  * RuleCheck} for each rule.
  */
 public final class RuleChecker {
-    private final RuleTerms terms;
+    private final RuleSettings terms;
     private final Violations violations = new Violations();
     private final Map<String, QueryRecord> queries = new HashMap<>();
     private final OneAnswerCheck oneAnswer;
@@ -20,7 +20,7 @@
     /** The checks, in the order in which violations by the same observation are reported. */
     private final List<RuleCheck> checks;
 
-    private RuleChecker(RuleTerms terms, GathererOutages outages) {
+    private RuleChecker(RuleSettings terms, GathererOutages outages) {
         this.terms = terms;
         this.oneAnswer = new OneAnswerCheck(terms, outages, violations);
         this.checks =
@@ -39,10 +39,10 @@
      * @param terms settings and tolerances of the checks
      * @param ledger all observations, in the order of time
      * @param endMs end of the run, in milliseconds; queries whose deadline plus {@link
-     *     RuleTerms#answerSlackMs()} has passed by then must have an answer
+     *     RuleSettings#answerSlackMs()} has passed by then must have an answer
      * @return all violations, in the order in which they were found
      */
-    public static List<Violation> check(RuleTerms terms, List<Seen> ledger, double endMs) {
+    public static List<Violation> check(RuleSettings terms, List<Seen> ledger, double endMs) {
         var checker = new RuleChecker(terms, new GathererOutages(ledger));
         ledger.forEach(checker::process);
         for (QueryRecord query : checker.queries.values()) {
--- a/standin/src/main/java/sprucehold/standin/rules/RuleTerms.java
+++ b/standin/src/main/java/sprucehold/standin/rules/RuleSettings.java
@@ -19,7 +19,7 @@
  * @param timeoutSlackMs amount by which the timeout in an attempt's frame may exceed the time that
  *     the query's client still waits
  */
-public record RuleTerms(
+public record RuleSettings(
         Map<String, QueryClass> queryClasses,
         Deployment.RetryBudget retryBudget,
         FleetRetryBudget fleetRetryBudget,
@@ -37,7 +37,7 @@
     public record FleetRetryBudget(int retries, double windowMs) {}
 
     /** Creates terms without a retry budget of all gatherers. */
-    public RuleTerms(
+    public RuleSettings(
             Map<String, QueryClass> queryClasses,
             Deployment.RetryBudget retryBudget,
             double answerSlackMs,
--- a/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
+++ b/standin/src/test/java/sprucehold/standin/rules/RuleCheckerTest.java
@@ -15,8 +15,8 @@
 
 /** Checks runs that comply with all rules, and runs that violate one rule each. */
 public class RuleCheckerTest {
-    private static final RuleTerms TERMS =
-            new RuleTerms(
+    private static final RuleSettings TERMS =
+            new RuleSettings(
                     Map.of(
                             "any",
                                     new QueryClass(
@@ -351,10 +351,10 @@
     public void retriesOfAllGatherersCountAgainstTheFleetBudget(
             double[] arrivalsMs, boolean violated) {
         var terms =
-                new RuleTerms(
+                new RuleSettings(
                         TERMS.queryClasses(),
                         Deployment.RetryBudget.NONE,
-                        new RuleTerms.FleetRetryBudget(2, 100),
+                        new RuleSettings.FleetRetryBudget(2, 100),
                         100,
                         50,
                         20,
@@ -396,6 +396,6 @@
         var ledger = new Ledger();
         ledger.add(ended(9, Seen.Answer.THROTTLED));
         ledger.add(asked("any", 0));
-        assertEquals(ledger.inOrder().get(0), asked("any", 0));
+        assertEquals(ledger.sortedByTime().get(0), asked("any", 0));
     }
 }
