--- a/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/WatchDays.java
@@ -141,6 +141,6 @@
                         random.nextDouble() < healthyShare);
             }
         }
-        return builder.take(endsMs);
+        return builder.endWindow(endsMs);
     }
 }
--- a/change/src/main/java/sprucehold/change/journal/JournalFile.java
+++ b/change/src/main/java/sprucehold/change/journal/JournalFile.java
@@ -24,7 +24,7 @@
 
     private final FileChannel channel;
     private final List<JournalEntry> entries = new ArrayList<>();
-    private String cutOff;
+    private String truncationWarning;
 
     private JournalFile(Path file) throws IOException {
         channel =
@@ -78,7 +78,7 @@
             Optional<JournalEntry> entry =
                     end == bytes.length ? Optional.empty() : JournalLine.decode(bytes, start, end);
             if (entry.isEmpty()) {
-                cutOff =
+                truncationWarning =
                         file
                                 + ", line "
                                 + lineNumber
@@ -129,8 +129,8 @@
      * Returns a sentence that states where the file was truncated when it was opened, or null if it
      * was not truncated.
      */
-    public String cutOff() {
-        return cutOff;
+    public String truncationWarning() {
+        return truncationWarning;
     }
 
     /**
@@ -138,7 +138,7 @@
      *
      * @throws IOException if the entry can't be written; the file may then contain a part of it
      */
-    public void write(JournalEntry entry) throws IOException {
+    public void append(JournalEntry entry) throws IOException {
         ByteBuffer line = JournalLine.encode(entry);
         while (line.hasRemaining()) {
             channel.write(line);
--- a/change/src/main/java/sprucehold/change/rollout/Rollout.java
+++ b/change/src/main/java/sprucehold/change/rollout/Rollout.java
@@ -74,7 +74,8 @@
      * @param reason the gatherer's reason, if it rejected the change or rolled it back
      * @return the actions to carry out, in order
      */
-    public List<RolloutAction> answered(String gatherer, GathererState newState, String reason) {
+    public List<RolloutAction> handleAnswer(
+            String gatherer, GathererState newState, String reason) {
         actions = new ArrayList<>();
         GathererState before = state.gathererStates().get(gatherer);
         if (before == null || finished()) {
--- a/change/src/main/java/sprucehold/change/watch/TimeWindow.java
+++ b/change/src/main/java/sprucehold/change/watch/TimeWindow.java
@@ -106,7 +106,7 @@
          *
          * @param endsMs end of the window, in milliseconds
          */
-        public TimeWindow take(double endsMs) {
+        public TimeWindow endWindow(double endsMs) {
             var window = new TimeWindow(endsMs, levels);
             levels.clear();
             return window;
--- a/change/src/test/java/sprucehold/change/HealthWatchTest.java
+++ b/change/src/test/java/sprucehold/change/HealthWatchTest.java
@@ -66,7 +66,7 @@
                         random.nextDouble() < scenario.completed(t, TENANTS[c], queryClass));
             }
         }
-        return builder.take((t + 1000) * 1000);
+        return builder.endWindow((t + 1000) * 1000);
     }
 
     private static double baseRate(String tenant) {
--- a/change/src/test/java/sprucehold/change/JournalFileTest.java
+++ b/change/src/test/java/sprucehold/change/JournalFileTest.java
@@ -34,7 +34,7 @@
         Path file = Files.createTempFile("journal", ".log");
         try (JournalFile journal = JournalFile.open(file)) {
             for (JournalEntry entry : ENTRIES) {
-                journal.write(entry);
+                journal.append(entry);
             }
         }
         return file;
@@ -51,8 +51,8 @@
         Path file = writeEntries();
         assertEquals(read(file), ENTRIES);
         try (JournalFile journal = JournalFile.open(file)) {
-            assertNull(journal.cutOff());
-            journal.write(new JournalEntry.Live(4));
+            assertNull(journal.truncationWarning());
+            journal.append(new JournalEntry.Live(4));
         }
         assertEquals(read(file).size(), ENTRIES.size() + 1);
     }
@@ -70,8 +70,10 @@
             }
             try (JournalFile journal = JournalFile.open(file)) {
                 assertEquals(journal.entries(), ENTRIES.subList(0, (int) completeLines));
-                assertEquals(journal.cutOff() == null, length == 0 || written[length - 1] == '\n');
-                journal.write(new JournalEntry.Live(9));
+                assertEquals(
+                        journal.truncationWarning() == null,
+                        length == 0 || written[length - 1] == '\n');
+                journal.append(new JournalEntry.Live(9));
             }
             List<JournalEntry> after = read(file);
             assertEquals(after.size(), completeLines + 1);
--- a/change/src/test/java/sprucehold/change/RolloutTest.java
+++ b/change/src/test/java/sprucehold/change/RolloutTest.java
@@ -104,7 +104,7 @@
                                     : action instanceof RolloutAction.QueryStatus query
                                             ? query.gatherer()
                                             : ((RolloutAction.Revert) action).gatherer();
-                    queue.addAll(rollout.answered(gatherer, answer, "reason"));
+                    queue.addAll(rollout.handleAnswer(gatherer, answer, "reason"));
                 }
             }
         }
--- a/cli/src/main/java/sprucehold/cli/RolloutCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RolloutCommand.java
@@ -187,9 +187,9 @@
             body.set("document", MAPPER.readTree(DocumentReader.write(document)));
             JsonNode answer = adminServer(gatherer).call("POST", "/change/propose", body);
             versions.put(gatherer, answer.path("version").longValue());
-            return rollout.answered(gatherer, GathererState.WATCHED, "");
+            return rollout.handleAnswer(gatherer, GathererState.WATCHED, "");
         } catch (AdminCall.RequestRejectedException e) {
-            return rollout.answered(gatherer, GathererState.REJECTED, e.getMessage());
+            return rollout.handleAnswer(gatherer, GathererState.REJECTED, e.getMessage());
         } catch (IOException e) {
             return List.of();
         }
@@ -222,13 +222,13 @@
                 if (entry.path("version").longValue() == version) {
                     return switch (entry.path("state").asText()) {
                         case "confirmed", "replaced" ->
-                                rollout.answered(gatherer, GathererState.CONFIRMED, "");
+                                rollout.handleAnswer(gatherer, GathererState.CONFIRMED, "");
                         case "undone", "set_aside" ->
-                                rollout.answered(
+                                rollout.handleAnswer(
                                         gatherer,
                                         GathererState.ROLLED_BACK,
                                         entry.path("why").asText());
-                        default -> rollout.answered(gatherer, GathererState.WATCHED, "");
+                        default -> rollout.handleAnswer(gatherer, GathererState.WATCHED, "");
                     };
                 }
             }
@@ -282,7 +282,7 @@
             }
             // The proposal is not live, or never reached the gatherer. The live version is not part
             // of this rollout, so it is left as it is.
-            return rollout.answered(gatherer, GathererState.REVERTED, "");
+            return rollout.handleAnswer(gatherer, GathererState.REVERTED, "");
         } catch (IOException e) {
             return List.of();
         }
--- a/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
+++ b/gatherer/src/main/java/sprucehold/node/ConfigurationAdmin.java
@@ -82,8 +82,8 @@
             return null;
         }
         JournalFile journal = JournalFile.open(settings.journal());
-        if (journal.cutOff() != null) {
-            LOG.warning(journal.cutOff());
+        if (journal.truncationWarning() != null) {
+            LOG.warning(journal.truncationWarning());
         }
         return journal;
     }
@@ -115,7 +115,7 @@
         try {
             // This is the only place where the event loop blocks on the disk: changes are rare, and
             // a change must be on the disk before it takes effect.
-            journal.write(entry);
+            journal.append(entry);
         } catch (IOException e) {
             LOG.warning(
                     "cannot write to the journal of versions; this change will be lost on a restart: "
--- a/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
+++ b/gatherer/src/main/java/sprucehold/node/QueryHealthRecorder.java
@@ -73,7 +73,7 @@
 
     /** Ends the time window, returns it and begins the next one. */
     TimeWindow endWindow(double nowMs) {
-        return window.take(nowMs);
+        return window.endWindow(nowMs);
     }
 
     Map<String, Integer> openQueriesByClass() {
