--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -106,7 +106,7 @@
         var results = new ArrayList<EvidenceSimulation.Result>();
         for (long seed = 1; seed <= (size >= 1000 ? 1 : seeds); seed++) {
             results.add(
-                    EvidenceSimulation.play(
+                    EvidenceSimulation.run(
                             new EvidenceSimulation.Setting(
                                     size,
                                     3,
@@ -159,7 +159,7 @@
                     var results = new ArrayList<MembershipSimulation.Result>();
                     for (long seed = 1; seed <= runs; seed++) {
                         results.add(
-                                MembershipSimulation.play(
+                                MembershipSimulation.run(
                                         new MembershipSimulation.Setting(
                                                 size,
                                                 lengthMs,
@@ -245,7 +245,7 @@
                     int bound = 10 * size;
                     for (long seed = 1; seed <= runs; seed++) {
                         results.add(
-                                QuotaSimulation.play(
+                                QuotaSimulation.run(
                                         new QuotaSimulation.Setting(
                                                 size,
                                                 bound,
@@ -297,7 +297,7 @@
             var results = new ArrayList<QuotaSimulation.Result>();
             for (long seed = 1; seed <= 10; seed++) {
                 results.add(
-                        QuotaSimulation.play(
+                        QuotaSimulation.run(
                                 new QuotaSimulation.Setting(
                                         20,
                                         200,
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -91,15 +91,15 @@
     }
 
     /** Runs a simulation. The result is the same for the same seed. */
-    public static Result play(Setting setting, long seed) {
-        return new EvidenceSimulation(setting, seed).play();
+    public static Result run(Setting setting, long seed) {
+        return new EvidenceSimulation(setting, seed).run();
     }
 
     private static String name(int member) {
         return "g" + member;
     }
 
-    private Result play() {
+    private Result run() {
         var sites = new TreeMap<String, String>();
         var all = new ArrayList<MemberUpdate>();
         for (int i = 0; i < setting.members; i++) {
--- a/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
@@ -77,8 +77,8 @@
     }
 
     /** Runs a simulation. The result is the same for the same seed. */
-    public static Result play(Setting setting, Way way, long seed) {
-        return new MembershipSimulation(setting, way, seed).play();
+    public static Result run(Setting setting, Way way, long seed) {
+        return new MembershipSimulation(setting, way, seed).run();
     }
 
     private static String name(int member) {
@@ -123,7 +123,7 @@
         }
     }
 
-    private Result play() {
+    private Result run() {
         for (int i = 0; i < setting.members; i++) {
             int member = i;
             members.add(detector(i));
--- a/cluster/src/main/java/sprucehold/cluster/simulation/Network.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/Network.java
@@ -11,7 +11,7 @@
  */
 public record Network(double delayMs, double lossRate, double duplicationRate) {
     /** The delay within one installation, without loss or duplication. */
-    public static final Network SOUND = new Network(0.5, 0, 0);
+    public static final Network FAULTLESS = new Network(0.5, 0, 0);
 
     boolean isLost(Random random) {
         return random.nextDouble() < lossRate;
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -159,15 +159,15 @@
     }
 
     /** Runs a simulation. The result is the same for the same seed. */
-    public static Result play(Setting setting, QuotaStrategy strategy, long seed) {
-        return new QuotaSimulation(setting, strategy, seed).play();
+    public static Result run(Setting setting, QuotaStrategy strategy, long seed) {
+        return new QuotaSimulation(setting, strategy, seed).run();
     }
 
     private static String name(int member) {
         return "g" + member;
     }
 
-    private Result play() {
+    private Result run() {
         for (int i = 0; i < setting.members; i++) {
             var member = new Member(i);
             members.add(member);
--- a/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/MembershipTest.java
@@ -214,8 +214,8 @@
     Object[][] fleets() {
         double never = 1e9;
         return new Object[][] {
-            {"no faults", setting(30, 90_000, Network.SOUND), 0},
-            {"no faults, three members", setting(3, 90_000, Network.SOUND), 0},
+            {"no faults", setting(30, 90_000, Network.FAULTLESS), 0},
+            {"no faults, three members", setting(3, 90_000, Network.FAULTLESS), 0},
             {"a lossy network", setting(30, 90_000, BAD), 0},
             {
                 "a death",
@@ -267,7 +267,7 @@
     public void finalViewsAreCorrectAndNoHealthyMemberIsDeclaredDead(
             String name, MembershipSimulation.Setting setting, int falselyDead) {
         for (long seed = 1; seed <= 3; seed++) {
-            var result = MembershipSimulation.play(setting, MembershipSimulation.Way.SWIM, seed);
+            var result = MembershipSimulation.run(setting, MembershipSimulation.Way.SWIM, seed);
             assertEquals(result.wrongAtEnd(), 0, name + ", seed " + seed + ": " + result);
             assertEquals(
                     result.falselyDead(), falselyDead, name + ", seed " + seed + ": " + result);
@@ -278,11 +278,11 @@
     @Test
     public void deathIsDetectedByAllMembersWithin30Seconds() {
         var result =
-                MembershipSimulation.play(
+                MembershipSimulation.run(
                         setting(
                                 30,
                                 150_000,
-                                Network.SOUND,
+                                Network.FAULTLESS,
                                 fault(SimulatedFault.Kind.DEAD, 60_000, 1e9, 4)),
                         MembershipSimulation.Way.SWIM,
                         1);
@@ -294,7 +294,7 @@
         // Shows why suspicion is needed: finalViewsAreCorrectAndNoHealthyMemberIsDeclaredDead runs
         // a fleet of this size with suspicion, at a loss of 5% instead of 20%.
         var result =
-                MembershipSimulation.play(
+                MembershipSimulation.run(
                         setting(30, 90_000, new Network(5, 0.2, 0)),
                         MembershipSimulation.Way.SWIM_WITHOUT_SUSPICION,
                         1);
--- a/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
@@ -43,7 +43,7 @@
     @DataProvider
     Object[][] faultCases() {
         return new Object[][] {
-            {"none", setting(20, Network.SOUND)},
+            {"none", setting(20, Network.FAULTLESS)},
             {"a network that loses, duplicates and delays", setting(20, BAD)},
             {
                 "a few deaf for a lease term",
@@ -84,7 +84,7 @@
         for (long seed = 1; seed <= 5; seed++) {
             for (QuotaStrategy strategy :
                     List.of(QuotaStrategy.EQUAL, QuotaStrategy.LENT, QuotaStrategy.COORDINATED)) {
-                var result = QuotaSimulation.play(setting, strategy, seed);
+                var result = QuotaSimulation.run(setting, strategy, seed);
                 assertTrue(
                         result.mostInWindow() <= setting.limit(),
                         name
@@ -123,7 +123,7 @@
                                 from + random.nextDouble() * 6000);
             }
             QuotaSimulation.Setting setting = setting(10, BAD, faults);
-            var result = QuotaSimulation.play(setting, QuotaStrategy.LENT, seed);
+            var result = QuotaSimulation.run(setting, QuotaStrategy.LENT, seed);
             assertTrue(
                     result.mostInWindow() <= setting.limit(),
                     "seed "
@@ -139,10 +139,10 @@
 
     @Test
     public void lendingCoversTheDemandOfBusyMembersWithinTwoSeconds() {
-        QuotaSimulation.Setting setting = setting(20, Network.SOUND);
-        var equal = QuotaSimulation.play(setting, QuotaStrategy.EQUAL, 1);
-        var lent = QuotaSimulation.play(setting, QuotaStrategy.LENT, 1);
-        var ideal = QuotaSimulation.play(setting, QuotaStrategy.ALL_KNOWING, 1);
+        QuotaSimulation.Setting setting = setting(20, Network.FAULTLESS);
+        var equal = QuotaSimulation.run(setting, QuotaStrategy.EQUAL, 1);
+        var lent = QuotaSimulation.run(setting, QuotaStrategy.LENT, 1);
+        var ideal = QuotaSimulation.run(setting, QuotaStrategy.ALL_KNOWING, 1);
         assertTrue(ideal.share() > 0.99, "the limit suffices for all: " + ideal.share());
         assertTrue(equal.share() < 0.4, "equal parts don't suffice: " + equal.share());
         // Skips the first seconds, in which the units that an earlier epoch may have lent are
@@ -160,10 +160,10 @@
         QuotaSimulation.Setting setting =
                 setting(
                         4,
-                        Network.SOUND,
+                        Network.FAULTLESS,
                         fault(SimulatedFault.Kind.ALONE, 6000, 20_000, 0, 1, 2, 3));
-        var lent = QuotaSimulation.play(setting, QuotaStrategy.LENT, 1);
-        var equal = QuotaSimulation.play(setting, QuotaStrategy.EQUAL, 1);
+        var lent = QuotaSimulation.run(setting, QuotaStrategy.LENT, 1);
+        var equal = QuotaSimulation.run(setting, QuotaStrategy.EQUAL, 1);
         // From one lease term after the cut, each member has what it would have without
         // coordination.
         assertEquals(
@@ -177,16 +177,16 @@
         QuotaSimulation.Setting setting =
                 setting(10, BAD, fault(SimulatedFault.Kind.PAUSED, 6000, 9000, 0, 3));
         assertEquals(
-                QuotaSimulation.play(setting, QuotaStrategy.LENT, 9),
-                QuotaSimulation.play(setting, QuotaStrategy.LENT, 9));
+                QuotaSimulation.run(setting, QuotaStrategy.LENT, 9),
+                QuotaSimulation.run(setting, QuotaStrategy.LENT, 9));
     }
 
     @Test
     public void messagesPerMemberStayBelow20PerSecondForAnyFleetSize() {
         for (int members : List.of(10, 100)) {
-            QuotaSimulation.Setting setting = setting(members, Network.SOUND);
+            QuotaSimulation.Setting setting = setting(members, Network.FAULTLESS);
             double perMemberAndSecond =
-                    QuotaSimulation.play(setting, QuotaStrategy.LENT, 1).messages()
+                    QuotaSimulation.run(setting, QuotaStrategy.LENT, 1).messages()
                             / (double) members
                             / 20;
             assertTrue(perMemberAndSecond < 20, members + " members: " + perMemberAndSecond);
