--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -122,10 +122,10 @@
                 size,
                 attemptsPerSecond,
                 liar ? "a liar" : network == USUAL ? "usual" : "bad",
-                mean(results, EvidenceSimulation.Result::aloneMedianMs) / 1000,
-                mean(results, EvidenceSimulation.Result::aloneAllMs) / 1000,
-                mean(results, EvidenceSimulation.Result::toldMedianMs) / 1000,
-                mean(results, EvidenceSimulation.Result::toldAllMs) / 1000,
+                mean(results, EvidenceSimulation.Result::ownMedianMs) / 1000,
+                mean(results, EvidenceSimulation.Result::ownAllMs) / 1000,
+                mean(results, EvidenceSimulation.Result::sharedMedianMs) / 1000,
+                mean(results, EvidenceSimulation.Result::sharedAllMs) / 1000,
                 mean(results, result -> result.falselySuspecting()),
                 mean(results, EvidenceSimulation.Result::messagesPerSecond));
     }
@@ -275,9 +275,9 @@
                                             results,
                                             result ->
                                                     QuotaSimulation.mean(
-                                                            result.gotBySecond(), 6, 30)),
+                                                            result.grantedShareBySecond(), 6, 30)),
                             results.stream()
-                                    .mapToInt(QuotaSimulation.Result::mostInWindow)
+                                    .mapToInt(QuotaSimulation.Result::maxInWindow)
                                     .max()
                                     .orElse(0),
                             bound,
@@ -314,7 +314,8 @@
             for (int second = 0; second < 30; second++) {
                 int at = second;
                 series.add(
-                        second + 0.5, 100 * mean(results, result -> result.gotBySecond().get(at)));
+                        second + 0.5,
+                        100 * mean(results, result -> result.grantedShareBySecond().get(at)));
             }
             all.addSeries(series);
         }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/EvidenceSimulation.java
@@ -48,20 +48,20 @@
      * Result of a simulation. A median is NaN unless more than half of the gatherers detected the
      * failure, and the time of the last gatherer is NaN unless all did.
      *
-     * @param aloneMedianMs median time from the start of the failure to a gatherer's own second
-     *     failed attempt; {@code aloneAllMs} is the time of the last gatherer
-     * @param toldMedianMs median time from the start of the failure until a gatherer considers the
-     *     server failing by the observations of others; {@code toldAllMs} is the time of the last
-     *     gatherer
+     * @param ownMedianMs median time from the start of the failure to a gatherer's own second
+     *     failed attempt; {@code ownAllMs} is the time of the last gatherer
+     * @param sharedMedianMs median time from the start of the failure until a gatherer considers
+     *     the server failing by the observations of others; {@code sharedAllMs} is the time of the
+     *     last gatherer
      * @param falselySuspecting number of gatherers that considered a healthy server failing at any
      *     time
      * @param messagesPerSecond messages per gatherer and second
      */
     public record Result(
-            double aloneMedianMs,
-            double aloneAllMs,
-            double toldMedianMs,
-            double toldAllMs,
+            double ownMedianMs,
+            double ownAllMs,
+            double sharedMedianMs,
+            double sharedAllMs,
             int falselySuspecting,
             double messagesPerSecond) {}
 
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -21,15 +21,15 @@
      *
      * @param limit units in any window over the whole fleet
      * @param demand uses wanted per second, by member and time in milliseconds
-     * @param drift maximum deviation of a clock's rate as a share of it; each member's clock has
-     *     its own deviation
+     * @param maxClockDrift maximum deviation of a clock's rate as a share of it; each member's clock
+     *     has its own deviation
      */
     public record Setting(
             int members,
             int limit,
             double windowMs,
-            double termMs,
-            double drift,
+            double leaseTermMs,
+            double maxClockDrift,
             double lengthMs,
             Network network,
             List<SimulatedFault> faults,
@@ -38,24 +38,24 @@
     /**
      * Result of a simulation.
      *
-     * @param wanted number of uses wanted while their member was up; {@code got} of them were
+     * @param wanted number of uses wanted while their member was up; {@code granted} of them were
      *     granted and sent
-     * @param mostInWindow number of units sent in the fullest window, by true time
+     * @param maxInWindow number of units sent in the fullest window, by true time
      * @param messages number of messages sent by all members
      * @param dropped number of uses granted but not sent, as their permit had expired
-     * @param gotBySecond share of wanted uses that were granted and sent, for each second; NaN
-     *     where none were wanted
+     * @param grantedShareBySecond share of wanted uses that were granted and sent, for each second;
+     *     NaN where none were wanted
      */
     public record Result(
             long wanted,
-            long got,
-            int mostInWindow,
+            long granted,
+            int maxInWindow,
             long messages,
             long dropped,
-            List<Double> gotBySecond) {
+            List<Double> grantedShareBySecond) {
         /** Returns the share of wanted uses that were granted and sent. */
         public double share() {
-            return wanted == 0 ? 1 : (double) got / wanted;
+            return wanted == 0 ? 1 : (double) granted / wanted;
         }
     }
 
@@ -72,7 +72,7 @@
 
         Member(int number) {
             this.number = number;
-            this.clockRate = 1 + setting.drift * (2 * random.nextDouble() - 1);
+            this.clockRate = 1 + setting.maxClockDrift * (2 * random.nextDouble() - 1);
             start();
         }
 
@@ -86,8 +86,8 @@
                             setting.members,
                             setting.limit,
                             setting.windowMs,
-                            setting.termMs,
-                            setting.drift);
+                            setting.leaseTermMs,
+                            setting.maxClockDrift);
             ledger = new QuotaLedger(name(number), epoch, terms, clock);
             List<String> others =
                     strategy == QuotaStrategy.LENT
@@ -143,11 +143,11 @@
     private final ArrayDeque<Double> sentAtMs = new ArrayDeque<>();
     private long messages;
     private long wanted;
-    private long got;
+    private long granted;
     private long dropped;
-    private int mostInWindow;
+    private int maxInWindow;
     private final long[] wantedBySecond;
-    private final long[] gotBySecond;
+    private final long[] grantedBySecond;
 
     private QuotaSimulation(Setting setting, QuotaStrategy strategy, long seed) {
         this.setting = setting;
@@ -155,7 +155,7 @@
         this.random = new Random(seed);
         int seconds = (int) Math.ceil(setting.lengthMs / 1000);
         this.wantedBySecond = new long[seconds];
-        this.gotBySecond = new long[seconds];
+        this.grantedBySecond = new long[seconds];
     }
 
     /** Runs a simulation. The result is the same for the same seed. */
@@ -197,13 +197,13 @@
         events.runUntil(setting.lengthMs);
         List<Double> shares =
                 IntStream.range(0, wantedBySecond.length).mapToObj(this::grantedShare).toList();
-        return new Result(wanted, got, mostInWindow, messages, dropped, shares);
+        return new Result(wanted, granted, maxInWindow, messages, dropped, shares);
     }
 
     private double grantedShare(int second) {
         return wantedBySecond[second] == 0
                 ? Double.NaN
-                : (double) gotBySecond[second] / wantedBySecond[second];
+                : (double) grantedBySecond[second] / wantedBySecond[second];
     }
 
     private void tick(Member member) {
@@ -311,10 +311,10 @@
     }
 
     private void recordUse() {
-        got++;
-        count(gotBySecond);
+        granted++;
+        count(grantedBySecond);
         sentAtMs.add(events.nowMs());
-        mostInWindow = Math.max(mostInWindow, usesInWindow());
+        maxInWindow = Math.max(maxInWindow, usesInWindow());
     }
 
     private void count(long[] bySecond) {
--- a/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
@@ -86,18 +86,18 @@
                     List.of(QuotaStrategy.EQUAL, QuotaStrategy.LENT, QuotaStrategy.COORDINATED)) {
                 var result = QuotaSimulation.run(setting, strategy, seed);
                 assertTrue(
-                        result.mostInWindow() <= setting.limit(),
+                        result.maxInWindow() <= setting.limit(),
                         name
                                 + ", "
                                 + strategy
                                 + ", seed "
                                 + seed
                                 + ": "
-                                + result.mostInWindow()
+                                + result.maxInWindow()
                                 + " of "
                                 + setting.limit());
                 assertTrue(
-                        result.got() > 100,
+                        result.granted() > 100,
                         name + ", " + strategy + ": too little was used to prove anything");
             }
         }
@@ -125,11 +125,11 @@
             QuotaSimulation.Setting setting = setting(10, BAD, faults);
             var result = QuotaSimulation.run(setting, QuotaStrategy.LENT, seed);
             assertTrue(
-                    result.mostInWindow() <= setting.limit(),
+                    result.maxInWindow() <= setting.limit(),
                     "seed "
                             + seed
                             + ": "
-                            + result.mostInWindow()
+                            + result.maxInWindow()
                             + " of "
                             + setting.limit()
                             + " in "
@@ -148,7 +148,9 @@
         // Skips the first seconds, in which the units that an earlier epoch may have lent are
         // blocked. The busy members change at 10 and 15 s.
         for (int changeAtS : List.of(10, 15)) {
-            double granted = QuotaSimulation.mean(lent.gotBySecond(), changeAtS + 2, changeAtS + 5);
+            double granted =
+                    QuotaSimulation.mean(
+                            lent.grantedShareBySecond(), changeAtS + 2, changeAtS + 5);
             assertTrue(
                     granted > 0.9,
                     "share granted two seconds after " + changeAtS + " s: " + granted);
@@ -167,8 +169,8 @@
         // From one lease term after the cut, each member has what it would have without
         // coordination.
         assertEquals(
-                QuotaSimulation.mean(lent.gotBySecond(), 13, 20),
-                QuotaSimulation.mean(equal.gotBySecond(), 13, 20),
+                QuotaSimulation.mean(lent.grantedShareBySecond(), 13, 20),
+                QuotaSimulation.mean(equal.grantedShareBySecond(), 13, 20),
                 0.03);
     }
 
