--- a/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
+++ b/cluster/src/main/java/sprucehold/cluster/wire/Codec.java
@@ -113,19 +113,19 @@
      * Returns the lowest version that this program writes; it is used for peers whose highest
      * version is unknown.
      */
-    public int lowest() {
+    public int lowestVersion() {
         return versions.firstKey();
     }
 
     /** Returns the highest version that this program reads. */
-    public int highest() {
+    public int highestVersion() {
         return versions.lastKey();
     }
 
     /** Returns the version in which to write to a peer that reads up to {@code highestOfPeer}. */
-    public int common(int highestOfPeer) {
+    public int commonVersion(int highestOfPeer) {
         Integer version = versions.floorKey(highestOfPeer);
-        return version == null ? lowest() : version;
+        return version == null ? lowestVersion() : version;
     }
 
     /**
@@ -139,7 +139,7 @@
         GenericRecord record = new GenericData.Record(schema);
         record.put(WireNames.FROM, self);
         record.put(WireNames.TO, to);
-        record.put(WireNames.HIGHEST_VERSION, highest());
+        record.put(WireNames.HIGHEST_VERSION, highestVersion());
         Schema bodyUnion = schema.getField(WireNames.BODY).schema();
         record.put(WireNames.BODY, new MessageWriter(bodyUnion).body(message));
         putDefaults(schema, record);
@@ -168,14 +168,14 @@
      * Creates the reply to a sender whose messages can't be read. Of such a message, only the
      * version is known.
      */
-    public byte[] refusal(int version) {
+    public byte[] encodeRefusal(int version) {
         String reason =
                 "version "
                         + version
                         + " can't be read here, "
-                        + lowest()
+                        + lowestVersion()
                         + " to "
-                        + highest()
+                        + highestVersion()
                         + " can";
         ByteArrayOutputStream frame = MessageFrame.begin(REFUSAL_VERSION);
         frame.writeBytes(reason.getBytes(StandardCharsets.UTF_8));
--- a/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/wire/CodecTest.java
@@ -230,7 +230,7 @@
                 later.write("a", quotaPart("x", new QuotaMessage.LeaseRequest(5, 6, 7)), 2);
         int version = ((Received.UnknownVersion) a.read(message)).version();
         assertEquals(
-                later.read(a.refusal(version)),
+                later.read(a.encodeRefusal(version)),
                 new Received.VersionRefused("version 2 can't be read here, 1 to 1 can"));
     }
 
@@ -254,17 +254,17 @@
         var later = new Codec("c", nextVersionSchemas());
         assertEquals(later.read(a.write("c", message, 1)), new Received.Decoded("a", 1, message));
         assertEquals(
-                a.read(later.write("a", message, later.common(1))),
+                a.read(later.write("a", message, later.commonVersion(1))),
                 new Received.Decoded("c", 2, message));
         assertEquals(a.read(later.write("a", message, 2)), new Received.UnknownVersion(2));
         assertEquals(
                 Map.of(
                         "lowest",
-                        later.lowest(),
+                        later.lowestVersion(),
                         "common with 7",
-                        later.common(7),
+                        later.commonVersion(7),
                         "common with 0",
-                        later.common(0)),
+                        later.commonVersion(0)),
                 Map.of("lowest", 1, "common with 7", 2, "common with 0", 1));
     }
 }
--- a/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
+++ b/gatherer/src/main/java/sprucehold/messaging/PeerMessaging.java
@@ -187,7 +187,8 @@
                         : codec.write(
                                 to,
                                 message,
-                                codec.common(peerVersions.getOrDefault(to, codec.lowest())));
+                                codec.commonVersion(
+                                        peerVersions.getOrDefault(to, codec.lowestVersion())));
         if (bytes == null || !sendLimit.tryTake(clock.getAsDouble(), bytes.length)) {
             counters.dropped++;
             return;
@@ -302,11 +303,11 @@
                                 + " from "
                                 + sender
                                 + " can't be read, only versions "
-                                + codec.lowest()
+                                + codec.lowestVersion()
                                 + " to "
-                                + codec.highest()
+                                + codec.highestVersion()
                                 + "; nothing is shared with the sender");
-                refusalSender.accept(Buffer.buffer(codec.refusal(unknown.version())));
+                refusalSender.accept(Buffer.buffer(codec.encodeRefusal(unknown.version())));
             }
         } else if (received instanceof Received.VersionRefused refused) {
             if (isFirst("refused by " + sender)) {
