--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -60,7 +60,7 @@
                         }),
                 count -> {});
         file = Files.createTempFile("codec", ".trace");
-        try (var writer = new TraceWriter(TraceRepair.create(file), TraceHeader.of(source))) {
+        try (var writer = new TraceWriter(TraceRepair.createFile(file), TraceHeader.of(source))) {
             for (Entry entry : entries) {
                 writer.add(entry);
             }
--- a/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
+++ b/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
@@ -462,7 +462,9 @@
                 for (var source : day.sources()) {
                     Path file = out.resolve(source.gatherer() + ".trace");
                     files.add(file);
-                    writers.add(new TraceWriter(TraceRepair.create(file), TraceHeader.of(source)));
+                    writers.add(
+                            new TraceWriter(
+                                    TraceRepair.createFile(file), TraceHeader.of(source)));
                 }
                 day.play(
                         writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
--- a/cli/src/main/java/sprucehold/cli/TraceView.java
+++ b/cli/src/main/java/sprucehold/cli/TraceView.java
@@ -181,16 +181,16 @@
                     Console.json(
                             map(
                                     "sound",
-                                    verdict.sound(),
+                                    verdict.valid(),
                                     "what",
-                                    verdict.what(),
+                                    verdict.problem(),
                                     "blocks",
                                     verdict.blocks(),
                                     "entries",
                                     verdict.entries(),
                                     "records",
                                     verdict.records()));
-                } else if (verdict.sound()) {
+                } else if (verdict.valid()) {
                     System.out.println(
                             "sound: "
                                     + verdict.blocks()
@@ -200,9 +200,9 @@
                                     + verdict.records()
                                     + " records");
                 } else {
-                    System.err.println("sprucehold: " + verdict.what());
+                    System.err.println("sprucehold: " + verdict.problem());
                 }
-                return verdict.sound() ? 0 : 1;
+                return verdict.valid() ? 0 : 1;
             }
         }
     }
@@ -235,7 +235,7 @@
                                 "lost_bytes",
                                 repaired.lostBytes(),
                                 "why",
-                                repaired.why()));
+                                repaired.problem()));
             } else {
                 System.out.println(
                         !repaired.needed()
@@ -245,7 +245,7 @@
                                         + " calls and gaps kept, "
                                         + repaired.lostBytes()
                                         + " bytes after them lost; "
-                                        + repaired.why());
+                                        + repaired.problem());
             }
             return 0;
         }
--- a/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
+++ b/trace/src/main/java/sprucehold/trace/event/TraceHeader.java
@@ -19,7 +19,7 @@
      */
     public record Window(double fromMs, double toMs) {
         /** Returns whether a time lies in the window. */
-        public boolean holds(double ms) {
+        public boolean contains(double ms) {
             return ms >= fromMs && ms < toMs;
         }
     }
--- a/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceRepair.java
@@ -23,9 +23,9 @@
      * @param needed false if the file was valid and nothing was written
      * @param entries number of entries kept
      * @param lostBytes number of bytes after the last readable frame, including a footer there
-     * @param why the fault; null if the file was valid
+     * @param problem the fault; null if the file was valid
      */
-    public record Repaired(boolean needed, long entries, long lostBytes, String why) {}
+    public record Repaired(boolean needed, long entries, long lostBytes, String problem) {}
 
     /**
      * Writes all readable blocks and new indexes to a temporary file in the same folder, and then
@@ -36,7 +36,7 @@
      */
     public static Repaired repair(Path file) throws IOException {
         try (TraceReader reader = TraceReader.open(file)) {
-            if (reader.verify().sound()) {
+            if (reader.verify().valid()) {
                 return new Repaired(false, 0, 0, null);
             }
             Path repaired = file.resolveSibling(file.getFileName() + ".repaired");
@@ -79,7 +79,7 @@
                     reader.damage() != null
                             ? reader.damage()
                             : scan.skippedBlocks().isEmpty()
-                                    ? reader.verify().what()
+                                    ? reader.verify().problem()
                                     : scan.skippedBlocks().get(0);
             return new Repaired(true, entries, reader.length() - cursor.readUpTo(), reason);
         }
@@ -94,7 +94,7 @@
     }
 
     /** Creates or truncates a file and opens a buffered stream to it. */
-    public static OutputStream create(Path file) throws IOException {
+    public static OutputStream createFile(Path file) throws IOException {
         return new BufferedOutputStream(Files.newOutputStream(file), 1 << 16);
     }
 }
--- a/trace/src/main/java/sprucehold/trace/format/TraceVerification.java
+++ b/trace/src/main/java/sprucehold/trace/format/TraceVerification.java
@@ -9,14 +9,14 @@
 /**
  * Result of the verification of a whole trace file.
  *
- * @param sound whether the file is valid
- * @param what the first fault, or "sound" if there is none
+ * @param valid whether the file is valid
+ * @param problem the first fault, or "sound" if there is none
  * @param blocks number of valid blocks read
  * @param entries number of entries in these blocks
  * @param records number of events, commands and gaps in these blocks
  */
 public record TraceVerification(
-        boolean sound, String what, long blocks, long entries, long records) {
+        boolean valid, String problem, long blocks, long entries, long records) {
 
     /**
      * Checks frames, checksums, the order of entries of each source, and whether the indexes and
@@ -95,8 +95,8 @@
             records += recordsFound;
         }
 
-        private TraceVerification result(boolean sound, String what) {
-            return new TraceVerification(sound, what, blocks, entries, records);
+        private TraceVerification result(boolean valid, String problem) {
+            return new TraceVerification(valid, problem, blocks, entries, records);
         }
     }
 }
--- a/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/DamagedFileTest.java
@@ -49,7 +49,7 @@
             TraceRepair.Repaired repaired = TraceRepair.repair(file);
             assertTrue(repaired.needed() && repaired.entries() == read.size(), "at byte " + length);
             try (TraceReader reader = TraceReader.open(file)) {
-                assertTrue(reader.verify().sound(), "at byte " + length);
+                assertTrue(reader.verify().valid(), "at byte " + length);
                 assertEquals(Samples.all(reader.all()), read);
             }
         }
@@ -76,7 +76,7 @@
             flipped[bit / 8] ^= (byte) (1 << bit % 8);
             Files.write(file, flipped);
             try (TraceReader reader = TraceReader.open(file)) {
-                if (reader.verify().sound()) {
+                if (reader.verify().valid()) {
                     assertEquals(reader.header(), HEADER, "bit " + bit);
                     assertEquals(Samples.all(reader.all()), entries, "bit " + bit);
                 }
@@ -101,12 +101,12 @@
         complete[second + Layout.FRAME_BYTES + 3] ^= 0x10;
         Path file = Samples.file(complete);
         try (TraceReader reader = TraceReader.open(file)) {
-            assertFalse(reader.verify().sound());
+            assertFalse(reader.verify().valid());
             assertThrows(MalformedTraceException.class, () -> Samples.all(reader.all()));
         }
         TraceRepair.repair(file);
         try (TraceReader reader = TraceReader.open(file)) {
-            assertTrue(reader.verify().sound());
+            assertTrue(reader.verify().valid());
             List<Entry> kept = Samples.all(reader.all());
             assertTrue(
                     kept.size() == entries.size() - 7 && entries.containsAll(kept),
@@ -241,8 +241,8 @@
                 entry = cursor.next();
             } while (entry != null);
             TraceVerification verification = reader.verify();
-            assertFalse(verification.sound(), description);
-            message = verification.what();
+            assertFalse(verification.valid(), description);
+            message = verification.problem();
         } catch (MalformedTraceException e) {
             message = e.getMessage();
         }
--- a/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
+++ b/trace/src/test/java/sprucehold/trace/format/TraceFileTest.java
@@ -45,7 +45,7 @@
             assertEquals(reader.header(), HEADER);
             assertEquals(Samples.all(reader.all()), entries);
             TraceVerification verification = reader.verify();
-            assertTrue(verification.sound(), verification.what());
+            assertTrue(verification.valid(), verification.problem());
             assertEquals(verification.records(), reader.records());
             assertEquals(verification.entries(), entries.size());
         }
@@ -208,7 +208,7 @@
                                 .size(),
                         1);
             }
-            assertTrue(reader.verify().sound());
+            assertTrue(reader.verify().valid());
         }
     }
 
@@ -275,7 +275,7 @@
         Path file = Samples.file(Samples.bytes(HEADER, entries, true));
         assertEquals(Samples.read(file), entries);
         try (TraceReader reader = TraceReader.open(file)) {
-            assertTrue(reader.verify().sound());
+            assertTrue(reader.verify().valid());
         }
     }
 }
--- a/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
+++ b/trace/src/test/java/sprucehold/trace/record/RecorderTest.java
@@ -134,7 +134,7 @@
         assertEquals(countCalls(recordedEntries()), 20_000);
         for (Path file : files()) {
             try (TraceReader reader = TraceReader.open(file)) {
-                assertTrue(reader.verify().sound());
+                assertTrue(reader.verify().valid());
             }
         }
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -191,7 +191,7 @@
         var open = new LinkedHashMap<CorrelatedQuery, RecordedQuery>();
         var intervals = new TreeMap<Long, List<RecordedQuery>>();
         long writtenTo = Long.MIN_VALUE;
-        try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
+        try (var writer = new TraceWriter(TraceRepair.createFile(to), header)) {
             long read = 0;
             TraceCursor cursor = reader.all();
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/QueryWindow.java
@@ -30,7 +30,7 @@
             return from < window.toMs() && to >= window.fromMs() ? gap : null;
         }
         PolicyCall call = (PolicyCall) entry;
-        boolean inWindow = window.holds(corrected(call, call.nowMs()));
+        boolean inWindow = window.contains(corrected(call, call.nowMs()));
         if (call.items().isEmpty()) {
             return inWindow ? call : null;
         }
@@ -39,7 +39,7 @@
             CorrelatedQuery query = correlator.add(call.source(), call.nowMs(), item);
             // An item of no query, or of a query received before the start of the file, belongs to
             // the window in which it was recorded.
-            if (query == null ? inWindow : window.holds(corrected(call, query.receivedMs()))) {
+            if (query == null ? inWindow : window.contains(corrected(call, query.receivedMs()))) {
                 kept.add(item);
             }
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/cut/TraceCut.java
@@ -45,7 +45,8 @@
         }
         long read = 0;
         try (var writer =
-                new TraceWriter(TraceRepair.create(to), reader.header().withWindow(intersection))) {
+                new TraceWriter(
+                        TraceRepair.createFile(to), reader.header().withWindow(intersection))) {
             TraceCursor cursor =
                     reader.between(window.fromMs() - 2 * maxOffsetMs - 1, Double.POSITIVE_INFINITY);
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
--- a/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/merge/TraceMerge.java
@@ -94,7 +94,7 @@
             }
         }
         long written = 0;
-        try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
+        try (var writer = new TraceWriter(TraceRepair.createFile(to), header)) {
             while (!queue.isEmpty()) {
                 Head first = queue.poll();
                 writer.add(first.entry);
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -235,7 +235,7 @@
         Path to = anonymise(KEY, "useful");
         try (TraceReader reader = TraceReader.open(to);
                 TraceReader original = TraceReader.open(file)) {
-            assertTrue(reader.verify().sound(), reader.verify().what());
+            assertTrue(reader.verify().valid(), reader.verify().problem());
             assertTrue(reader.header().anonymised() && !reader.header().lost().isEmpty());
             var after = new TraceSummary();
             after.add(reader, count -> {});
--- a/tracetools/src/test/java/sprucehold/tracetools/DayFiles.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/DayFiles.java
@@ -37,7 +37,7 @@
         for (var source : day.sources()) {
             Path file = folder.resolve(source.gatherer() + ".trace");
             files.add(file);
-            writers.add(new TraceWriter(TraceRepair.create(file), TraceHeader.of(source)));
+            writers.add(new TraceWriter(TraceRepair.createFile(file), TraceHeader.of(source)));
         }
         day.play(
                 writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
@@ -72,7 +72,7 @@
     }
 
     static Path write(Path file, TraceHeader header, List<Entry> entries) throws IOException {
-        try (var writer = new TraceWriter(TraceRepair.create(file), header)) {
+        try (var writer = new TraceWriter(TraceRepair.createFile(file), header)) {
             for (Entry entry : entries) {
                 writer.add(entry);
             }
--- a/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/MergeAndCutTest.java
@@ -119,7 +119,7 @@
             after.forEach((query, items) -> assertEquals(items, complete.get(query), query));
             for (Path piece : pieces) {
                 try (TraceReader reader = TraceReader.open(piece)) {
-                    assertTrue(reader.verify().sound());
+                    assertTrue(reader.verify().valid());
                 }
             }
             try (TraceReader reader = TraceReader.open(pieces.get(0))) {
@@ -339,7 +339,7 @@
                         folder.resolve("back.trace"), TraceHeader.of(source("g9", 7)), entries);
         List<Entry> mergedEntries = DayFiles.read(merge("stepped", List.of(files.get(0), file)));
         try (TraceReader reader = TraceReader.open(folder.resolve("stepped.trace"))) {
-            assertTrue(reader.verify().sound());
+            assertTrue(reader.verify().valid());
             // The sources share no endpoint change, so one clock is marked as unknown.
             assertTrue(
                     reader.header().sources().stream()
