--- a/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
+++ b/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
@@ -70,7 +70,7 @@
                 Console.json(
                         TraceView.map(
                                 "scans",
-                                summary.all().scans(),
+                                summary.all().queries(),
                                 "records",
                                 summary.records(),
                                 "gaps",
@@ -78,11 +78,11 @@
                                 "not_recorded",
                                 summary.notRecorded(),
                                 "service",
-                                summary.all().service(),
+                                summary.all().benefitRatio(),
                                 "types",
-                                groups(summary.byType()),
+                                groups(summary.byQueryClass()),
                                 "customers",
-                                groups(summary.byCustomer()),
+                                groups(summary.byTenant()),
                                 "gatherers",
                                 groups(summary.byGatherer()),
                                 "outcomes",
@@ -96,9 +96,9 @@
             System.out.printf(
                     Locale.ROOT,
                     "%d scans, %d records, service %.4f%s%n%n",
-                    summary.all().scans(),
+                    summary.all().queries(),
                     summary.records(),
-                    summary.all().service(),
+                    summary.all().benefitRatio(),
                     summary.gaps() == 0
                             ? ""
                             : ", "
@@ -106,8 +106,8 @@
                                     + " calls not recorded in "
                                     + summary.gaps()
                                     + " gaps");
-            table("table type", summary.byType());
-            table("customer", summary.byCustomer());
+            table("table type", summary.byQueryClass());
+            table("customer", summary.byTenant());
             table("gatherer", summary.byGatherer());
             var outcomeRows = new ArrayList<List<Object>>();
             summary.outcomes()
@@ -140,17 +140,18 @@
                                     rows.add(
                                             List.of(
                                                     name,
-                                                    group.dispatches(),
-                                                    group.of(AttemptOutcome.COMPLETED),
-                                                    group.of(AttemptOutcome.ERROR)
-                                                            + group.of(AttemptOutcome.RESET),
-                                                    group.of(AttemptOutcome.OVERLOADED)
-                                                            + group.of(AttemptOutcome.UNREACHABLE),
-                                                    group.of(AttemptOutcome.TIMED_OUT),
-                                                    group.of(AttemptOutcome.CANCELLED),
+                                                    group.attempts(),
+                                                    group.count(AttemptOutcome.COMPLETED),
+                                                    group.count(AttemptOutcome.ERROR)
+                                                            + group.count(AttemptOutcome.RESET),
+                                                    group.count(AttemptOutcome.OVERLOADED)
+                                                            + group.count(
+                                                                    AttemptOutcome.UNREACHABLE),
+                                                    group.count(AttemptOutcome.TIMED_OUT),
+                                                    group.count(AttemptOutcome.CANCELLED),
                                                     group.percentileMs(50),
                                                     group.percentileMs(99),
-                                                    group.passedOver().values().stream()
+                                                    group.skipped().values().stream()
                                                             .mapToLong(count -> count)
                                                             .sum())));
             Console.table(
@@ -176,17 +177,18 @@
                             rows.add(
                                     List.of(
                                             name,
-                                            group.scans(),
-                                            group.of(QueryStatistics.Outcome.COMPLETE),
-                                            group.of(QueryStatistics.Outcome.PARTIAL),
-                                            group.of(QueryStatistics.Outcome.REJECTED),
-                                            group.of(QueryStatistics.Outcome.FAILED),
-                                            group.of(QueryStatistics.Outcome.CLIENT_DISCONNECTED),
+                                            group.queries(),
+                                            group.count(QueryStatistics.Outcome.COMPLETE),
+                                            group.count(QueryStatistics.Outcome.PARTIAL),
+                                            group.count(QueryStatistics.Outcome.REJECTED),
+                                            group.count(QueryStatistics.Outcome.FAILED),
+                                            group.count(
+                                                    QueryStatistics.Outcome.CLIENT_DISCONNECTED),
                                             100.0
-                                                    * group.inTargetTime()
-                                                    / Math.max(1, group.scans()),
-                                            group.dispatches(),
-                                            group.copies(),
+                                                    * group.metLatencyObjective()
+                                                    / Math.max(1, group.queries()),
+                                            group.attempts(),
+                                            group.hedges(),
                                             group.percentileMs(50),
                                             group.percentileMs(99))));
             Console.table(
@@ -220,25 +222,25 @@
                     (name, group) -> {
                         var outcomes = TraceView.map();
                         for (QueryStatistics.Outcome outcome : QueryStatistics.Outcome.values()) {
-                            outcomes.put(outcome.storedName(), group.of(outcome));
+                            outcomes.put(outcome.storedName(), group.count(outcome));
                         }
                         map.put(
                                 name,
                                 TraceView.map(
                                         "scans",
-                                        group.scans(),
+                                        group.queries(),
                                         "outcomes",
                                         outcomes,
                                         "in_target_time",
-                                        group.inTargetTime(),
+                                        group.metLatencyObjective(),
                                         "service",
-                                        group.service(),
+                                        group.benefitRatio(),
                                         "dispatches",
-                                        group.dispatches(),
+                                        group.attempts(),
                                         "further_tries",
-                                        group.furtherTries(),
+                                        group.retries(),
                                         "copies",
-                                        group.copies(),
+                                        group.hedges(),
                                         "p50_ms",
                                         TraceView.finite(group.percentileMs(50)),
                                         "p99_ms",
@@ -254,13 +256,13 @@
                             (name, group) -> {
                                 var endings = TraceView.map();
                                 for (AttemptOutcome outcome : AttemptOutcome.values()) {
-                                    endings.put(outcome.storedName(), group.of(outcome));
+                                    endings.put(outcome.storedName(), group.count(outcome));
                                 }
                                 map.put(
                                         name,
                                         TraceView.map(
                                                 "dispatches",
-                                                group.dispatches(),
+                                                group.attempts(),
                                                 "endings",
                                                 endings,
                                                 "p50_ms",
@@ -268,7 +270,7 @@
                                                 "p99_ms",
                                                 TraceView.finite(group.percentileMs(99)),
                                                 "passed_over",
-                                                group.passedOver()));
+                                                group.skipped()));
                             });
             return map;
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/QueryGroup.java
@@ -42,27 +42,27 @@
         }
     }
 
-    public long scans() {
+    public long queries() {
         return queries;
     }
 
-    public long of(QueryStatistics.Outcome outcome) {
+    public long count(QueryStatistics.Outcome outcome) {
         return outcomes.getOrDefault(outcome, 0L);
     }
 
-    public long inTargetTime() {
+    public long metLatencyObjective() {
         return metLatencyObjective;
     }
 
-    public long dispatches() {
+    public long attempts() {
         return attempts;
     }
 
-    public long furtherTries() {
+    public long retries() {
         return retries;
     }
 
-    public long copies() {
+    public long hedges() {
         return hedges;
     }
 
@@ -72,7 +72,7 @@
      * answered later earns the priority weight times the late weight. Partial answers count as
      * complete ones.
      */
-    public double service() {
+    public double benefitRatio() {
         return totalWeight == 0 ? 1 : benefit / totalWeight;
     }
 
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/ServerGroup.java
@@ -31,16 +31,16 @@
         skipped.merge(cause, 1L, Long::sum);
     }
 
-    public long dispatches() {
+    public long attempts() {
         return attempts;
     }
 
-    public long of(AttemptOutcome outcome) {
+    public long count(AttemptOutcome outcome) {
         return outcomes.getOrDefault(outcome, 0L);
     }
 
     /** Returns how often the server was skipped, by cause. */
-    public Map<SkippedReplica.Cause, Long> passedOver() {
+    public Map<SkippedReplica.Cause, Long> skipped() {
         return skipped;
     }
 
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/SummaryPage.java
@@ -54,7 +54,7 @@
                 .append(escape(title))
                 .append("</h1>\n");
         html.append("<p>")
-                .append(summary.all().scans())
+                .append(summary.all().queries())
                 .append(" scans, ")
                 .append(summary.records())
                 .append(" events and actions")
@@ -70,9 +70,9 @@
         chart(overTime());
         chart(percentiles());
         html.append("<h2>Table types</h2>\n");
-        queryTable(summary.byType());
+        queryTable(summary.byQueryClass());
         html.append("<h2>Customers</h2>\n");
-        queryTable(summary.byCustomer());
+        queryTable(summary.byTenant());
         html.append("<h2>Gatherers</h2>\n");
         queryTable(summary.byGatherer());
         html.append(
@@ -101,13 +101,13 @@
                             html.append("<tr><td>")
                                     .append(escape(name))
                                     .append("</td><td>")
-                                    .append(group.dispatches())
+                                    .append(group.attempts())
                                     .append("</td>");
                             for (AttemptOutcome outcome : AttemptOutcome.values()) {
-                                html.append("<td>").append(group.of(outcome)).append("</td>");
+                                html.append("<td>").append(group.count(outcome)).append("</td>");
                             }
                             long skipped =
-                                    group.passedOver().values().stream()
+                                    group.skipped().values().stream()
                                             .mapToLong(count -> count)
                                             .sum();
                             html.append("<td>")
@@ -130,16 +130,16 @@
                 (name, group) ->
                         row(
                                 name,
-                                group.scans(),
-                                group.of(QueryStatistics.Outcome.COMPLETE),
-                                group.of(QueryStatistics.Outcome.PARTIAL),
-                                group.of(QueryStatistics.Outcome.REJECTED),
-                                group.of(QueryStatistics.Outcome.FAILED),
-                                group.of(QueryStatistics.Outcome.CLIENT_DISCONNECTED),
-                                group.inTargetTime(),
-                                String.format(Locale.ROOT, "%.3f", group.service()),
-                                group.dispatches(),
-                                group.copies(),
+                                group.queries(),
+                                group.count(QueryStatistics.Outcome.COMPLETE),
+                                group.count(QueryStatistics.Outcome.PARTIAL),
+                                group.count(QueryStatistics.Outcome.REJECTED),
+                                group.count(QueryStatistics.Outcome.FAILED),
+                                group.count(QueryStatistics.Outcome.CLIENT_DISCONNECTED),
+                                group.metLatencyObjective(),
+                                String.format(Locale.ROOT, "%.3f", group.benefitRatio()),
+                                group.attempts(),
+                                group.hedges(),
                                 number(group.percentileMs(50)),
                                 number(group.percentileMs(99))));
         html.append("</table>\n");
@@ -180,7 +180,7 @@
 
     private JFreeChart percentiles() {
         var data = new XYSeriesCollection();
-        summary.byType()
+        summary.byQueryClass()
                 .forEach(
                         (name, group) -> {
                             var series = new XYSeries(name);
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -36,8 +36,8 @@
     private static final int MAX_INTERVALS = 240;
 
     private final QueryGroup all = new QueryGroup();
-    private final Map<String, QueryGroup> byType = new TreeMap<>();
-    private final Map<String, QueryGroup> byCustomer = new TreeMap<>();
+    private final Map<String, QueryGroup> byQueryClass = new TreeMap<>();
+    private final Map<String, QueryGroup> byTenant = new TreeMap<>();
     private final Map<String, QueryGroup> byGatherer = new TreeMap<>();
     private final Map<String, ServerGroup> byServer = new TreeMap<>();
     private final Map<Reason, Long> reasons = new EnumMap<>(Reason.class);
@@ -98,10 +98,10 @@
     private void add(QueryStatistics statistics, TraceReader reader) {
         var source = reader.header().sources().get(statistics.query().source());
         all.add(statistics);
-        byType.computeIfAbsent(
+        byQueryClass.computeIfAbsent(
                         statistics.query().received().queryClass().name(), name -> new QueryGroup())
                 .add(statistics);
-        group(byCustomer, statistics.tenant(), QueryGroup::new).add(statistics);
+        group(byTenant, statistics.tenant(), QueryGroup::new).add(statistics);
         group(byGatherer, source.gatherer(), QueryGroup::new).add(statistics);
         outcomes.computeIfAbsent(statistics.outcome(), outcome -> new EnumMap<>(Reason.class))
                 .merge(statistics.reason(), 1L, Long::sum);
@@ -144,12 +144,12 @@
         return all;
     }
 
-    public Map<String, QueryGroup> byType() {
-        return byType;
+    public Map<String, QueryGroup> byQueryClass() {
+        return byQueryClass;
     }
 
-    public Map<String, QueryGroup> byCustomer() {
-        return byCustomer;
+    public Map<String, QueryGroup> byTenant() {
+        return byTenant;
     }
 
     public Map<String, QueryGroup> byGatherer() {
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -241,8 +241,8 @@
             after.add(reader, count -> {});
             var before = new TraceSummary();
             before.add(original, count -> {});
-            assertTrue(after.all().scans() > 0.9 * before.all().scans());
-            assertEquals(after.all().service(), before.all().service(), 0.01);
+            assertTrue(after.all().queries() > 0.9 * before.all().queries());
+            assertEquals(after.all().benefitRatio(), before.all().benefitRatio(), 0.01);
             assertEquals(after.all().percentileMs(50), before.all().percentileMs(50), 6);
             Event.QueryReceived first =
                     (Event.QueryReceived)
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -50,7 +50,7 @@
         var csv = new StringWriter();
         var lines = new StringWriter();
         try (TraceReader reader = TraceReader.open(file)) {
-            assertEquals(TraceExport.csv(reader, csv), summary.all().scans());
+            assertEquals(TraceExport.csv(reader, csv), summary.all().queries());
             assertEquals(TraceExport.jsonLines(reader, lines), reader.records());
         }
         assertEquals(lines.toString().lines().count(), summary.records());
@@ -71,17 +71,17 @@
         for (QueryStatistics.Outcome outcome : QueryStatistics.Outcome.values()) {
             assertEquals(
                     (long) outcomes.getOrDefault(outcome.storedName(), 0),
-                    summary.all().of(outcome),
+                    summary.all().count(outcome),
                     outcome.storedName());
         }
-        assertEquals(dispatches, summary.all().dispatches());
-        assertEquals(inTime, summary.all().inTargetTime());
+        assertEquals(dispatches, summary.all().attempts());
+        assertEquals(inTime, summary.all().metLatencyObjective());
         assertEquals(
-                summary.byServer().values().stream().mapToLong(group -> group.dispatches()).sum(),
+                summary.byServer().values().stream().mapToLong(group -> group.attempts()).sum(),
                 dispatches);
         assertEquals(
                 summary.intervals().values().stream().mapToLong(counts -> counts[0]).sum(),
-                summary.all().scans());
+                summary.all().queries());
     }
 
     @Test
