--- a/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
+++ b/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
@@ -296,8 +296,8 @@
         public Integer call() throws IOException {
             try (TraceReader first = TraceView.open(a);
                     TraceReader second = TraceView.open(b)) {
-                List<TraceDiff.Parting> differences = TraceDiff.diff(first, second);
-                for (TraceDiff.Parting difference : differences) {
+                List<TraceDiff.Difference> differences = TraceDiff.diff(first, second);
+                for (TraceDiff.Difference difference : differences) {
                     if (json) {
                         Console.json(
                                 TraceView.map(
@@ -308,7 +308,7 @@
                                         "ms",
                                         difference.nowMs(),
                                         "what",
-                                        difference.what()));
+                                        difference.description()));
                     } else {
                         System.out.println(difference);
                     }
@@ -343,14 +343,14 @@
                     readers.add(TraceView.open(file));
                 }
                 var progress = new Console.Progress("calls decided again");
-                TraceReplay.Verdict verdict =
+                TraceReplay.ReplayResult verdict =
                         TraceReplay.replay(readers, QueryScheduler::new, progress::update);
                 progress.finish();
                 if (json) {
                     Console.json(
                             TraceView.map(
                                     "calls",
-                                    verdict.moments(),
+                                    verdict.calls(),
                                     "agreed",
                                     verdict.agreed(),
                                     "difference",
@@ -360,7 +360,7 @@
                             "all "
                                     + verdict.agreed()
                                     + " actions of "
-                                    + verdict.moments()
+                                    + verdict.calls()
                                     + " calls agree");
                 } else {
                     System.out.println(
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceDiff.java
@@ -23,9 +23,9 @@
      * @param gatherer name of the gatherer
      * @param seq number of the call that differs
      * @param nowMs time of the call by the gatherer's clock, in milliseconds
-     * @param what description of the contents of the first and of the second file
+     * @param description contents of the first and of the second file at the difference
      */
-    public record Parting(String gatherer, long seq, double nowMs, String what) {
+    public record Difference(String gatherer, long seq, double nowMs, String description) {
         @Override
         public String toString() {
             return "gatherer "
@@ -35,7 +35,7 @@
                     + " at "
                     + Times.iso(nowMs)
                     + ": "
-                    + what;
+                    + description;
         }
     }
 
@@ -45,8 +45,8 @@
      *
      * @return an empty list if both files contain the same entries
      */
-    public static List<Parting> diff(TraceReader a, TraceReader b) throws IOException {
-        var partings = new ArrayList<Parting>();
+    public static List<Difference> diff(TraceReader a, TraceReader b) throws IOException {
+        var differences = new ArrayList<Difference>();
         for (int i = 0; i < a.header().sources().size(); i++) {
             Source source = a.header().sources().get(i);
             int other = -1;
@@ -57,35 +57,35 @@
                                 : other;
             }
             if (other < 0) {
-                partings.add(
-                        new Parting(
+                differences.add(
+                        new Difference(
                                 source.gatherer(),
                                 0,
                                 source.startedMs(),
                                 "only the first file holds it"));
                 continue;
             }
-            Parting parting = diff(source, a.allOf(i), b.allOf(other));
-            if (parting != null) {
-                partings.add(parting);
+            Difference difference = diff(source, a.allOf(i), b.allOf(other));
+            if (difference != null) {
+                differences.add(difference);
             }
         }
         for (Source source : b.header().sources()) {
             if (a.header().sources().stream()
                     .noneMatch(candidate -> candidate.gatherer().equals(source.gatherer()))) {
-                partings.add(
-                        new Parting(
+                differences.add(
+                        new Difference(
                                 source.gatherer(),
                                 0,
                                 source.startedMs(),
                                 "only the second file holds it"));
             }
         }
-        partings.sort(Comparator.comparingDouble(Parting::nowMs));
-        return partings;
+        differences.sort(Comparator.comparingDouble(Difference::nowMs));
+        return differences;
     }
 
-    private static Parting diff(Source source, TraceCursor a, TraceCursor b) throws IOException {
+    private static Difference diff(Source source, TraceCursor a, TraceCursor b) throws IOException {
         while (true) {
             Entry one = a.next();
             Entry other = b.next();
@@ -94,7 +94,7 @@
             }
             if (one == null || other == null) {
                 Entry remaining = one == null ? other : one;
-                return new Parting(
+                return new Difference(
                         source.gatherer(),
                         remaining.seq(),
                         remaining.nowMs(),
@@ -102,7 +102,7 @@
             }
             String difference = describeDifference(one, other);
             if (difference != null) {
-                return new Parting(source.gatherer(), one.seq(), one.nowMs(), difference);
+                return new Difference(source.gatherer(), one.seq(), one.nowMs(), difference);
             }
         }
     }
--- a/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/replay/TraceReplay.java
@@ -24,11 +24,11 @@
     /**
      * Result of a replay.
      *
-     * @param moments number of policy calls replayed
+     * @param calls number of policy calls replayed
      * @param agreed number of equal commands before the call with the first difference
      * @param difference description of the first difference, or null if there is none
      */
-    public record Verdict(long moments, long agreed, String difference) {}
+    public record ReplayResult(long calls, long agreed, String difference) {}
 
     /** Thrown if a trace can't be replayed; the message gives the reason in one line. */
     public static final class CannotReplayException extends IOException {
@@ -47,7 +47,7 @@
      * @throws CannotReplayException if a file was sampled, cut or anonymised, if the beginning of a
      *     source is missing, or if there is a gap
      */
-    public static Verdict replay(
+    public static ReplayResult replay(
             List<TraceReader> readers, DecisionPolicy.Factory factory, LongConsumer progress)
             throws IOException {
         record Piece(TraceReader reader, int index, Source source, long firstSeq) {}
@@ -93,7 +93,7 @@
                 String difference = compare(policy, call, piece.source);
                 calls++;
                 if (difference != null) {
-                    return new Verdict(calls, agreed, difference);
+                    return new ReplayResult(calls, agreed, difference);
                 }
                 agreed += call.commands().size();
                 if (calls % 65_536 == 0) {
@@ -101,7 +101,7 @@
                 }
             }
         }
-        return new Verdict(calls, agreed, null);
+        return new ReplayResult(calls, agreed, null);
     }
 
     private static void check(TraceReader reader, Source source, Entry entry, long expected)
--- a/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/ReplayAndDiffTest.java
@@ -38,7 +38,7 @@
         }
     }
 
-    private static TraceReplay.Verdict replay(DecisionPolicy.Factory factory, Path... paths)
+    private static TraceReplay.ReplayResult replay(DecisionPolicy.Factory factory, Path... paths)
             throws IOException {
         var readers = new ArrayList<TraceReader>();
         for (Path file : paths) {
@@ -49,7 +49,7 @@
 
     @Test
     public void replayYieldsTheRecordedCommands() throws IOException {
-        TraceReplay.Verdict verdict = replay(QueryScheduler::new, files.toArray(new Path[0]));
+        TraceReplay.ReplayResult verdict = replay(QueryScheduler::new, files.toArray(new Path[0]));
         assertNull(verdict.difference());
         assertTrue(verdict.agreed() > 5000, verdict.agreed() + " actions");
     }
@@ -60,9 +60,9 @@
                 DayFiles.write(
                         folder.resolve("2.trace"), header, entries.subList(300, entries.size()));
         Path first = DayFiles.write(folder.resolve("1.trace"), header, entries.subList(0, 300));
-        TraceReplay.Verdict verdict = replay(QueryScheduler::new, second, first);
+        TraceReplay.ReplayResult verdict = replay(QueryScheduler::new, second, first);
         assertNull(verdict.difference());
-        assertEquals(verdict.moments(), entries.size());
+        assertEquals(verdict.calls(), entries.size());
     }
 
     /** Returns the factory of a policy that sends its hundredth attempt to another server. */
@@ -92,7 +92,7 @@
 
     @Test
     public void replayNamesTheFirstDifferentCommand() throws IOException {
-        TraceReplay.Verdict verdict = replay(changed(), files.get(0));
+        TraceReplay.ReplayResult verdict = replay(changed(), files.get(0));
         assertTrue(
                 verdict.difference().contains("gatherer g0")
                         && verdict.difference().contains("elsewhere"),
@@ -147,12 +147,12 @@
         try (TraceReader a = TraceReader.open(files.get(0));
                 TraceReader b = TraceReader.open(changed.get(0));
                 TraceReader again = TraceReader.open(files.get(0))) {
-            List<TraceDiff.Parting> partings = TraceDiff.diff(a, b);
-            assertEquals(partings.size(), 1);
+            List<TraceDiff.Difference> differences = TraceDiff.diff(a, b);
+            assertEquals(differences.size(), 1);
             assertTrue(
-                    partings.get(0).what().startsWith("action SendAttempt")
-                            && partings.get(0).what().contains("elsewhere"),
-                    partings.toString());
+                    differences.get(0).description().startsWith("action SendAttempt")
+                            && differences.get(0).description().contains("elsewhere"),
+                    differences.toString());
             assertTrue(TraceDiff.diff(a, again).isEmpty());
         }
     }
