--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -50,7 +50,7 @@
         var day = new SyntheticDay(new DayPlan(8000, 1, 1, 0, 0, 6, 40, 20), QueryScheduler::new);
         source = day.sources().get(0);
         int[] records = {0};
-        day.play(
+        day.run(
                 List.of(
                         entry -> {
                             if (records[0] < RECORDS) {
--- a/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
+++ b/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
@@ -468,7 +468,7 @@
                             new TraceWriter(
                                     TraceRepair.createFile(file), TraceHeader.of(source)));
                 }
-                day.play(
+                day.run(
                         writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
                         progress::update);
             } finally {
--- a/cli/src/main/java/sprucehold/cli/TraceView.java
+++ b/cli/src/main/java/sprucehold/cli/TraceView.java
@@ -84,7 +84,7 @@
                                     "started",
                                     Times.iso(source.startedMs()),
                                     "clock",
-                                    ClockEstimate.words(source.clock())));
+                                    ClockEstimate.describe(source.clock())));
                 }
                 if (json) {
                     Console.json(
@@ -513,7 +513,7 @@
                                                                                 .eventOrCommand()))
                                                 .toList()));
                     } else {
-                        QueryExplainer.tell(explanation, source).forEach(System.out::println);
+                        QueryExplainer.describe(explanation, source).forEach(System.out::println);
                     }
                 }
                 return 0;
--- a/cli/src/main/java/sprucehold/cli/TraceWrite.java
+++ b/cli/src/main/java/sprucehold/cli/TraceWrite.java
@@ -149,7 +149,7 @@
                                                 "clock of "
                                                         + source.gatherer()
                                                         + ": "
-                                                        + ClockEstimate.words(source.clock())));
+                                                        + ClockEstimate.describe(source.clock())));
             }
             return 0;
         }
@@ -209,7 +209,7 @@
                                         "left_out",
                                         written.leftOut(),
                                         "named",
-                                        written.named(),
+                                        written.pseudonyms(),
                                         "pooled",
                                         written.pooled(),
                                         "lost",
@@ -222,7 +222,7 @@
                                     + "scans are pooled%nlost for analysis:%n",
                             written.queries(),
                             written.leftOut(),
-                            written.named(),
+                            written.pseudonyms(),
                             written.pooled());
                     anonymised.header().lost().forEach(lost -> System.out.println("  " + lost));
                 }
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -93,10 +93,10 @@
      *
      * @param queries number of queries written
      * @param leftOut number of queries left out
-     * @param named number of tenants with a pseudonym of their own
+     * @param pseudonyms number of tenants with a pseudonym of their own
      * @param pooled number of queries written that show the pool instead of a pseudonym
      */
-    public record Written(long queries, long leftOut, int named, long pooled) {}
+    public record Written(long queries, long leftOut, int pseudonyms, long pooled) {}
 
     /** A query with its events and commands, and the id of its source. */
     private record RecordedQuery(CorrelatedQuery query, List<RecordedItem> items, String origin) {}
--- a/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/clock/ClockEstimate.java
@@ -184,7 +184,7 @@
     }
 
     /** Returns the description of a fit. */
-    public static String words(ClockFit fit) {
+    public static String describe(ClockFit fit) {
         if (fit.equals(ClockFit.REFERENCE)) {
             return "the clock that others are judged by";
         }
--- a/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/explanation/QueryExplainer.java
@@ -22,7 +22,7 @@
     private QueryExplainer() {}
 
     /** Returns the description of a query as lines of text. */
-    public static List<String> tell(QueryExplanation explanation, Source source) {
+    public static List<String> describe(QueryExplanation explanation, Source source) {
         var lines = new ArrayList<String>();
         QueryStatistics statistics = explanation.statistics();
         Event.QueryReceived received = statistics.query().received();
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -307,7 +307,7 @@
         }
     }
 
-    /** Returns the sources of the gatherers, in the order of the sinks of {@link #play}. */
+    /** Returns the sources of the gatherers, in the order of the sinks of {@link #run}. */
     public List<Source> sources() {
         return gatherers.stream().map(gatherer -> gatherer.source).toList();
     }
@@ -326,7 +326,7 @@
      * @param sinks one sink for each gatherer, in the order of {@link #sources}
      * @param progress receives the number of queries started so far, from time to time
      */
-    public void play(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
+    public void run(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
         for (SimulatedGatherer gatherer : gatherers) {
             gatherer.sink = sinks.get(gatherer.number);
             List<EndpointUpdate> all = servers.stream().map(SimulatedServer::update).toList();
--- a/tracetools/src/test/java/sprucehold/tracetools/DayFiles.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/DayFiles.java
@@ -39,7 +39,7 @@
             files.add(file);
             writers.add(new TraceWriter(TraceRepair.createFile(file), TraceHeader.of(source)));
         }
-        day.play(
+        day.run(
                 writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
                 count -> {});
         for (TraceWriter writer : writers) {
--- a/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/SummaryTest.java
@@ -156,7 +156,7 @@
             String text =
                     String.join(
                             "\n",
-                            QueryExplainer.tell(
+                            QueryExplainer.describe(
                                     collector.explanations().get(0),
                                     reader.header().sources().get(0)));
             assertTrue(
