--- a/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
+++ b/rig/src/main/java/sprucehold/rig/fault/FaultSchedule.java
@@ -20,9 +20,9 @@
      *
      * @param atS scheduled time, in seconds since the start of the load
      * @param begins true at the start of the fault, false at its end
-     * @param what the fault
+     * @param fault the fault
      */
-    public record Change(double atS, boolean begins, Plan.TargetedFault what) {}
+    public record Change(double atS, boolean begins, Plan.TargetedFault fault) {}
 
     private final PriorityQueue<Change> scheduled =
             new PriorityQueue<>(Comparator.comparingDouble(Change::atS));
@@ -48,26 +48,26 @@
      * Returns the faults that have started or ended up to now and were not returned before, in the
      * order of their scheduled times.
      */
-    public List<Change> at(double nowS) {
+    public List<Change> poll(double nowS) {
         var changes = new ArrayList<Change>();
         while (!scheduled.isEmpty() && scheduled.peek().atS() <= nowS) {
             Change change = scheduled.poll();
             changes.add(change);
             if (change.begins()) {
-                active.add(change.what());
-                if (change.what().fault().forS() < Double.POSITIVE_INFINITY) {
+                active.add(change.fault());
+                if (change.fault().fault().forS() < Double.POSITIVE_INFINITY) {
                     scheduled.add(
                             new Change(
-                                    change.atS() + change.what().fault().forS(),
+                                    change.atS() + change.fault().fault().forS(),
                                     false,
-                                    change.what()));
+                                    change.fault()));
                 }
                 for (Plan.TargetedFault next :
-                        triggeredByFault.getOrDefault(change.what().fault().name(), List.of())) {
+                        triggeredByFault.getOrDefault(change.fault().fault().name(), List.of())) {
                     scheduled.add(new Change(change.atS() + next.fault().atS(), true, next));
                 }
             } else {
-                active.remove(change.what());
+                active.remove(change.fault());
             }
         }
         return changes;
@@ -77,7 +77,7 @@
      * Records how many attempts of a gatherer are open now. Schedules the faults whose trigger this
      * count reaches.
      */
-    public void out(double nowS, String gatherer, int dispatches) {
+    public void recordOpenAttempts(double nowS, String gatherer, int dispatches) {
         triggeredByOpenAttempts.removeIf(
                 fault -> {
                     var when = fault.fault().when();
@@ -96,15 +96,15 @@
     }
 
     /**
-     * Returns whether a fault is still triggered by a count of open attempts, so that {@link #out}
-     * has to be called.
+     * Returns whether a fault is still triggered by a count of open attempts, so that {@link
+     * #recordOpenAttempts} has to be called.
      */
-    public boolean counts() {
+    public boolean needsOpenAttempts() {
         return !triggeredByOpenAttempts.isEmpty();
     }
 
     /** Returns the active faults; the caller reverts them at the end of a run. */
-    public Set<Plan.TargetedFault> inForce() {
+    public Set<Plan.TargetedFault> active() {
         return Set.copyOf(active);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
@@ -15,14 +15,14 @@
      * ignored.
      */
     public void change(FaultSchedule.Change change) {
-        if (change.what().fault().kind().whom() != Fault.Whom.LINK) {
+        if (change.fault().fault().kind().whom() != Fault.Whom.LINK) {
             return;
         }
         version++;
         if (change.begins()) {
-            active.add(change.what());
+            active.add(change.fault());
         } else {
-            active.remove(change.what());
+            active.remove(change.fault());
         }
     }
 
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -89,7 +89,7 @@
      * it.
      */
     void flood(int gatherer, FaultSchedule.Change change) {
-        List<Flood> all = floods.computeIfAbsent(change.what(), none -> new ArrayList<>());
+        List<Flood> all = floods.computeIfAbsent(change.fault(), none -> new ArrayList<>());
         if (change.begins()) {
             List<DatagramRelay> relaysToGatherer = datagrams.get(gatherers.get(gatherer));
             all.add(
@@ -98,7 +98,7 @@
                             shapedConnections,
                             addresses.gatherer(gatherer),
                             addresses.postPort(),
-                            change.what().fault().amount(),
+                            change.fault().fault().amount(),
                             () ->
                                     relaysToGatherer.stream()
                                             .flatMap(relay -> relay.recent().stream())
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -507,8 +507,8 @@
 
     private void changeOpenAttempts(String gatherer, int more) {
         int now = openAttempts.merge(gatherer, more, Integer::sum);
-        if (more > 0 && faultSchedule.counts() && firstMs > 0) {
-            faultSchedule.out(atS(), gatherer, now);
+        if (more > 0 && faultSchedule.needsOpenAttempts() && firstMs > 0) {
+            faultSchedule.recordOpenAttempts(atS(), gatherer, now);
         }
     }
 
@@ -516,12 +516,12 @@
 
     private void applyDueFaults() {
         if (faultSchedule.nextS() <= atS()) {
-            faultSchedule.at(atS()).forEach(this::apply);
+            faultSchedule.poll(atS()).forEach(this::apply);
         }
     }
 
     private void apply(FaultSchedule.Change change) {
-        Plan.TargetedFault fault = change.what();
+        Plan.TargetedFault fault = change.fault();
         progress.accept(
                 String.format(
                         Locale.ROOT,
@@ -559,7 +559,7 @@
 
     private void gatherer(String name, FaultSchedule.Change change) {
         GathererProcess process = gatherers.get(name);
-        Fault fault = change.what().fault();
+        Fault fault = change.fault().fault();
         boolean restarts = fault.forS() < Double.POSITIVE_INFINITY;
         switch (fault.kind()) {
             case KILL -> {
@@ -651,7 +651,7 @@
         overMs = now();
         progress.accept(progressLine());
         faultSchedule
-                .inForce()
+                .active()
                 .forEach(
                         fault -> {
                             if (fault.fault().kind().whom() == Fault.Whom.LINK) {
--- a/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
+++ b/rig/src/main/java/sprucehold/rig/run/ShardServerFleet.java
@@ -69,8 +69,8 @@
     }
 
     void change(String name, FaultSchedule.Change change) {
-        host(name).change(change.begins(), change.what());
-        switch (change.what().fault().kind()) {
+        host(name).change(change.begins(), change.fault());
+        switch (change.fault().fault().kind()) {
             case DRAIN -> setDraining(name, change.begins());
             case DIE -> {
                 if (change.begins()) {
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -30,7 +30,7 @@
         return changes.stream()
                 .map(
                         change ->
-                                change.what().fault().name()
+                                change.fault().fault().name()
                                         + (change.begins() ? " begins" : " ends"))
                 .toList();
     }
@@ -64,20 +64,20 @@
                                 Scripts.target(Scripts.fault("b", Fault.Kind.FULL, 2, 0.5, 0), "s"),
                                 triggered("c", new Fault.Trigger("b", "", 0), 0.25, NEVER),
                                 triggered("d", new Fault.Trigger("", "g", 3), 1, 1)));
-        assertEquals(describe(schedule.at(0.9)), List.of());
+        assertEquals(describe(schedule.poll(0.9)), List.of());
         assertEquals(schedule.nextS(), 1.0);
         assertEquals(
-                describe(schedule.at(10)),
+                describe(schedule.poll(10)),
                 List.of("a begins", "b begins", "c begins", "b ends", "a ends"));
-        assertTrue(schedule.counts());
-        schedule.out(11, "h", 9);
-        schedule.out(11, "g", 2);
+        assertTrue(schedule.needsOpenAttempts());
+        schedule.recordOpenAttempts(11, "h", 9);
+        schedule.recordOpenAttempts(11, "g", 2);
         assertEquals(schedule.nextS(), NEVER);
-        schedule.out(12, "g", 3);
-        schedule.out(12, "g", 4);
-        assertFalse(schedule.counts());
-        assertEquals(describe(schedule.at(20)), List.of("d begins", "d ends"));
-        assertEquals(schedule.inForce().size(), 1);
+        schedule.recordOpenAttempts(12, "g", 3);
+        schedule.recordOpenAttempts(12, "g", 4);
+        assertFalse(schedule.needsOpenAttempts());
+        assertEquals(describe(schedule.poll(20)), List.of("d begins", "d ends"));
+        assertEquals(schedule.active().size(), 1);
     }
 
     private static FaultSchedule.Change change(boolean begins, Plan.TargetedFault fault) {
