--- a/cli/src/test/java/sprucehold/ArchitectureTest.java
+++ b/cli/src/test/java/sprucehold/ArchitectureTest.java
@@ -211,7 +211,8 @@
                         .or()
                         .haveNameMatching(
                                 "sprucehold\\.rig\\.(link\\.Shaper|server\\.ServerModel|list\\.(Agent|ServerList)|"
-                                        + "load\\.(Front|Persistence)|verdict\\.(Judge|Figures|Spread))")
+                                        + "load\\.(SiteBalancer|RetryBehaviour)|"
+                                        + "verdict\\.(VerdictBuilder|Figures|Spread))")
                         .and()
                         .doNotHaveSimpleName("Addresses")
                         .should()
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -62,7 +62,7 @@
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Script script;
-    private final Front front;
+    private final SiteBalancer front;
     private final Function<String, SocketAddress> address;
     private final Predicate<String> killed;
     private final Listener listener;
@@ -81,7 +81,7 @@
             DoubleSupplier clock,
             Ledger ledger,
             Script script,
-            Front front,
+            SiteBalancer front,
             Function<String, SocketAddress> address,
             Predicate<String> killed,
             Listener listener) {
@@ -129,7 +129,7 @@
         final Plan.PlannedQuery query;
         final Script.Load load;
         final Script.Kind kind;
-        final Persistence persistence;
+        final RetryBehaviour persistence;
         final double sentLateMs;
         String id;
         Link link;
@@ -150,7 +150,7 @@
                             .filter(k -> k.type().name().equals(load.tableType()))
                             .findFirst()
                             .orElseThrow();
-            this.persistence = new Persistence(load, query.id().hashCode());
+            this.persistence = new RetryBehaviour(load, query.id().hashCode());
             this.sentLateMs = sentLateMs;
         }
 
--- a/rig/src/main/java/sprucehold/rig/load/Persistence.java
+++ b/rig/src/main/java/sprucehold/rig/load/RetryBehaviour.java
@@ -5,7 +5,7 @@
 import sprucehold.rig.script.Script;
 
 /** Decides whether and when a throttled client sends its query again, under a new id. */
-public final class Persistence {
+public final class RetryBehaviour {
     private final Script.Load load;
     private final UniformRandomProvider random;
     private int retries;
@@ -13,7 +13,7 @@
     /**
      * @param seed seed of the random part of the waits
      */
-    public Persistence(Script.Load load, long seed) {
+    public RetryBehaviour(Script.Load load, long seed) {
         this.load = load;
         this.random = RandomSource.SPLIT_MIX_64.create(seed);
     }
--- a/rig/src/main/java/sprucehold/rig/load/Front.java
+++ b/rig/src/main/java/sprucehold/rig/load/SiteBalancer.java
@@ -10,7 +10,7 @@
  * reports that it is ready. A gatherer that is gone still gets clients for a delay. If no gatherer
  * of a site is admitted, its clients are sent to those of the other sites.
  */
-public final class Front {
+public final class SiteBalancer {
     private final Map<String, List<String>> bySite = new HashMap<>();
     private final Map<String, Boolean> admitted = new HashMap<>();
     private final Map<String, Double> goneMs = new HashMap<>();
@@ -21,7 +21,7 @@
      * @param detectionDelayMs how long a gatherer still gets clients after it is gone, in
      *     milliseconds
      */
-    public Front(Map<String, String> siteOf, double detectionDelayMs) {
+    public SiteBalancer(Map<String, String> siteOf, double detectionDelayMs) {
         siteOf.forEach(
                 (gatherer, site) ->
                         bySite.computeIfAbsent(site, name -> new ArrayList<>()).add(gatherer));
--- a/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
+++ b/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
@@ -14,7 +14,7 @@
 import java.util.function.DoubleSupplier;
 import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.load.Clients;
-import sprucehold.rig.load.Front;
+import sprucehold.rig.load.SiteBalancer;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.plan.Planner;
 import sprucehold.rig.script.Script;
@@ -52,7 +52,7 @@
                         // gatherer.
                         siteOf.put("g" + i, "all");
                     }
-                    var front = new Front(siteOf, script.frontLearnsMs());
+                    var front = new SiteBalancer(siteOf, script.frontLearnsMs());
                     siteOf.keySet().forEach(front::ready);
                     double firstMs = clock.getAsDouble() + 50;
                     var clients =
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -29,7 +29,7 @@
 import sprucehold.rig.list.AgentHost;
 import sprucehold.rig.list.ServerList;
 import sprucehold.rig.load.Clients;
-import sprucehold.rig.load.Front;
+import sprucehold.rig.load.SiteBalancer;
 import sprucehold.rig.plan.Addresses;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.plan.Planner;
@@ -92,7 +92,7 @@
 
     private final PeerRelays relays;
     private final Map<String, Integer> openAttempts = new HashMap<>();
-    private final Front front;
+    private final SiteBalancer front;
     private final Clients clients;
     private final FaultSchedule faultSchedule;
     private final List<RunFolder.Span> spans = new ArrayList<>();
@@ -155,7 +155,7 @@
                         plan.gatherers().stream().map(Plan.Gatherer::name).toList());
         var siteOf = new HashMap<String, String>();
         plan.gatherers().forEach(gatherer -> siteOf.put(gatherer.name(), gatherer.site()));
-        this.front = new Front(siteOf, script.frontLearnsMs());
+        this.front = new SiteBalancer(siteOf, script.frontLearnsMs());
         this.clients =
                 new Clients(
                         vertx,
--- a/rig/src/main/java/sprucehold/rig/run/RunFolder.java
+++ b/rig/src/main/java/sprucehold/rig/run/RunFolder.java
@@ -14,10 +14,10 @@
 import sprucehold.rig.script.ScriptReader;
 import sprucehold.rig.script.ScriptWriter;
 import sprucehold.rig.verdict.Figures;
-import sprucehold.rig.verdict.Judge;
 import sprucehold.rig.verdict.LedgerFile;
 import sprucehold.rig.verdict.Outcome;
 import sprucehold.rig.verdict.Verdict;
+import sprucehold.rig.verdict.VerdictBuilder;
 import sprucehold.standin.ledger.Seen;
 
 /**
@@ -83,7 +83,8 @@
         LedgerFile.write(file("ledger.jsonl"), seen);
         JSON.writeValue(file("run.json").toFile(), kept);
         Verdict verdict =
-                Judge.judge(script(), seen, kept.overMs, kept.outcomes, kept.self, kept.crashed);
+                VerdictBuilder.evaluate(
+                        script(), seen, kept.overMs, kept.outcomes, kept.self, kept.crashed);
         JSON.writeValue(file("verdict.json").toFile(), verdict);
         return verdict;
     }
@@ -111,6 +112,7 @@
     /** Judges the stored ledger again. */
     public Verdict judge() throws IOException {
         Kept kept = kept();
-        return Judge.judge(script(), seen(), kept.overMs, kept.outcomes, kept.self, kept.crashed);
+        return VerdictBuilder.evaluate(
+                script(), seen(), kept.overMs, kept.outcomes, kept.self, kept.crashed);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/VerdictBuilder.java
@@ -13,7 +13,7 @@
 import sprucehold.standin.rules.Violation;
 
 /** Derives the verdict of a run from its ledgers. Pure: the same ledgers give the same verdict. */
-public final class Judge {
+public final class VerdictBuilder {
     /**
      * How late an answer may be, in milliseconds: the platform's 50 ms, plus the time that a
      * process waits for a core while processes share them.
@@ -48,7 +48,7 @@
 
     private static final double MAX_LATE_MS = 200;
 
-    private Judge() {}
+    private VerdictBuilder() {}
 
     public static RuleSettings terms(Script script) {
         return new RuleSettings(
@@ -74,7 +74,7 @@
      *     answer
      * @param crashed descriptions of gatherers that ended by themselves
      */
-    public static Verdict judge(
+    public static Verdict evaluate(
             Script script,
             List<Seen> seen,
             double overMs,
--- a/rig/src/test/java/sprucehold/rig/ClientsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ClientsTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.load.Clients;
-import sprucehold.rig.load.Front;
+import sprucehold.rig.load.SiteBalancer;
 import sprucehold.rig.plan.Plan;
 import sprucehold.standin.ledger.Ledger;
 
@@ -49,7 +49,7 @@
                 .listen(0, "127.0.0.1")
                 .onComplete(
                         server -> {
-                            var front = new Front(Map.of("a-0", "a"), 1000);
+                            var front = new SiteBalancer(Map.of("a-0", "a"), 1000);
                             front.ready("a-0");
                             var script = Scripts.shipped("calm");
                             var clients =
--- a/rig/src/test/java/sprucehold/rig/ModelsTest.java
+++ b/rig/src/test/java/sprucehold/rig/ModelsTest.java
@@ -12,8 +12,8 @@
 import org.testng.annotations.Test;
 import sprucehold.rig.list.Agent;
 import sprucehold.rig.list.ServerList;
-import sprucehold.rig.load.Front;
-import sprucehold.rig.load.Persistence;
+import sprucehold.rig.load.RetryBehaviour;
+import sprucehold.rig.load.SiteBalancer;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 import sprucehold.rig.script.Script;
@@ -217,7 +217,7 @@
 
     @Test
     public void aFrontSendsClientsToAGoneGathererUntilItsDetectionDelayIsOver() {
-        var front = new Front(Map.of("a-0", "a", "a-1", "a", "b-0", "b"), 1000);
+        var front = new SiteBalancer(Map.of("a-0", "a", "a-1", "a", "b-0", "b"), 1000);
         assertNull(front.next(0, "a"));
         front.ready("a-0");
         front.ready("b-0");
@@ -234,7 +234,7 @@
         var load = new Script.Load("a", "acme", "offers", 1, 1, 0, List.of(), 3, 100, 1000);
         var random = new Random(3);
         for (int seed = 0; seed < 100; seed++) {
-            var persistence = new Persistence(load, seed);
+            var persistence = new RetryBehaviour(load, seed);
             for (int retry = 0; retry < 3; retry++) {
                 double retryAfterMs = random.nextInt(600);
                 double least = Math.max(retryAfterMs, 100 * Math.pow(2, retry));
--- a/rig/src/test/java/sprucehold/rig/VerdictTest.java
+++ b/rig/src/test/java/sprucehold/rig/VerdictTest.java
@@ -15,10 +15,10 @@
 import sprucehold.decision.Endpoint;
 import sprucehold.rig.script.Script;
 import sprucehold.rig.verdict.Figures;
-import sprucehold.rig.verdict.Judge;
 import sprucehold.rig.verdict.LedgerFile;
 import sprucehold.rig.verdict.Outcome;
 import sprucehold.rig.verdict.Verdict;
+import sprucehold.rig.verdict.VerdictBuilder;
 import sprucehold.standin.ledger.Seen;
 
 /** Tests how ledgers are stored, and the verdicts on them. */
@@ -154,7 +154,7 @@
             entries.add(new Seen.Answered(800, "s", Seen.Answer.ABANDONED, false, Map.of()));
         }
         Verdict verdict =
-                Judge.judge(
+                VerdictBuilder.evaluate(
                         script.with(List.of()),
                         entries,
                         9000,
@@ -180,7 +180,7 @@
         Script script = Scripts.shipped("calm");
         var broken = List.<Seen>of(ASKED, closed(200));
         assertEquals(
-                Judge.judge(
+                VerdictBuilder.evaluate(
                                 script,
                                 broken,
                                 9000,
@@ -190,11 +190,12 @@
                         .kind(),
                 Verdict.Kind.STARVED);
         assertEquals(
-                Judge.judge(script, List.of(), 9000, List.of(outcome(false)), IN_TIME, List.of())
+                VerdictBuilder.evaluate(
+                                script, List.of(), 9000, List.of(outcome(false)), IN_TIME, List.of())
                         .kind(),
                 Verdict.Kind.OUT_OF_BAND);
         assertEquals(
-                Judge.judge(
+                VerdictBuilder.evaluate(
                                 script,
                                 List.of(),
                                 9000,
@@ -208,7 +209,7 @@
     @Test
     public void theReasonNamesTheGathererThatOverloadedAColdServerAndItsLoad() {
         var verdict =
-                Judge.judge(
+                VerdictBuilder.evaluate(
                         Scripts.shipped("calm"),
                         List.of(new Seen.FellOver(5, "x", Map.of("a-0", 900.0))),
                         9000,
