--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherRuns.java
@@ -27,7 +27,9 @@
  */
 public final class TogetherRuns {
     private static final List<String> SHIPPED_CLUSTER_SCRIPTS =
-            ScriptReader.SHIPPED.stream().filter(name -> name.startsWith("together")).toList();
+            ScriptReader.SHIPPED_SCRIPTS.stream()
+                    .filter(name -> name.startsWith("together"))
+                    .toList();
 
     private TogetherRuns() {}
 
@@ -61,7 +63,7 @@
             var alone = new ArrayList<Play>();
             for (long seed = 1; seed <= seeds; seed++) {
                 together.add(play(name, script, seed, "together", script));
-                alone.add(play(name, script.alone(), seed, "alone", script));
+                alone.add(play(name, script.withoutCluster(), seed, "alone", script));
             }
             for (Play current : together) {
                 noneBroken &= current.verdict.kind() != Verdict.Kind.BROKEN;
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -151,7 +151,7 @@
         public Integer call() throws IOException {
             Path folder = folder(out, script, seed);
             Script read = ScriptReader.read(script);
-            return print(play(alone ? read.alone() : read, seed, folder, quiet), folder, json);
+            return print(play(alone ? read.withoutCluster() : read, seed, folder, quiet), folder, json);
         }
     }
 
@@ -360,7 +360,7 @@
         @Override
         public Integer call() throws IOException {
             Script written = ScriptReader.read(script);
-            Script read = alone ? written.alone() : written;
+            Script read = alone ? written.withoutCluster() : written;
             var figures = new ArrayList<Figures>();
             int bad = 0;
             int starved = 0;
--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -33,7 +33,7 @@
     /**
      * Number of ports of each shard server, one for each of its lives: 13 with 4,096 shard servers.
      */
-    private static final int PORTS_PER_SERVER = PORTS / Script.MOST_SERVERS;
+    private static final int PORTS_PER_SERVER = PORTS / Script.MAX_SERVERS;
 
     /** The purposes for which a gatherer has a loopback address of its own. */
     private enum Role {
@@ -133,7 +133,7 @@
     /**
      * Returns the port of one life of a shard server.
      *
-     * @param server number of the server, below {@link Script#MOST_SERVERS}
+     * @param server number of the server, below {@link Script#MAX_SERVERS}
      * @param life how often the server has come back; a port is used again after {@code
      *     PORTS_PER_SERVER} lives
      */
--- a/rig/src/main/java/sprucehold/rig/plan/Plan.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Plan.java
@@ -35,7 +35,7 @@
      */
     public record Clocks(double offMs, double driftPpm, double jumpMs) {
         /** Clocks without errors. */
-        public static final Clocks RIGHT = new Clocks(0, 0, 0);
+        public static final Clocks EXACT = new Clocks(0, 0, 0);
 
         /** Returns these errors with those of a clock fault added. */
         public Clocks and(Fault fault) {
--- a/rig/src/main/java/sprucehold/rig/plan/Planner.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Planner.java
@@ -72,7 +72,7 @@
         }
         var gatherers = new ArrayList<Plan.Gatherer>();
         for (String name : parties.gatherers()) {
-            Plan.Clocks clocks = Plan.Clocks.RIGHT;
+            Plan.Clocks clocks = Plan.Clocks.EXACT;
             for (Plan.TargetedFault f : faults) {
                 if (f.fault().when() == null && f.fault().atS() == 0 && f.of().contains(name)) {
                     clocks = clocks.and(f.fault());
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -407,7 +407,7 @@
                                 addresses.gathererPort(), addresses.twin(number)),
                         folder.file(twin + ".log"));
         twins.put(twin, process);
-        start(process, twin, addresses.twin(number), number, Plan.Clocks.RIGHT)
+        start(process, twin, addresses.twin(number), number, Plan.Clocks.EXACT)
                 .onFailure(
                         failure -> {
                             if (!ending) {
@@ -566,7 +566,7 @@
                 if (change.begins()) {
                     kill(name);
                 } else {
-                    startAgain(name, Plan.Clocks.RIGHT);
+                    startAgain(name, Plan.Clocks.EXACT);
                 }
             }
             case TERM -> {
@@ -582,7 +582,7 @@
                                                         Math.max(1, (long) (1000 * fault.forS())),
                                                         waited ->
                                                                 startAgain(
-                                                                        name, Plan.Clocks.RIGHT)));
+                                                                        name, Plan.Clocks.EXACT)));
                     }
                 }
             }
@@ -597,9 +597,9 @@
             case CLOCK_OFF, CLOCK_DRIFT, CLOCK_JUMP -> {
                 // A gatherer whose clock is wrong from the beginning was started that way.
                 if (change.begins() && atS() > 0.05) {
-                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.RIGHT.and(fault)));
+                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.EXACT.and(fault)));
                 } else if (!change.begins()) {
-                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.RIGHT));
+                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.EXACT));
                 }
             }
             case TWIN -> twin(name, change.begins());
--- a/rig/src/main/java/sprucehold/rig/script/Script.java
+++ b/rig/src/main/java/sprucehold/rig/script/Script.java
@@ -37,12 +37,12 @@
         Bands bands,
         Together together) {
     /**
-     * The largest number of gatherers that the rig has addresses for; {@link #MOST_SERVERS} is that
+     * The largest number of gatherers that the rig has addresses for; {@link #MAX_SERVERS} is that
      * of shard servers.
      */
-    public static final int MOST_GATHERERS = 4096;
+    public static final int MAX_GATHERERS = 4096;
 
-    public static final int MOST_SERVERS = 4096;
+    public static final int MAX_SERVERS = 4096;
 
     /** A script whose gatherers don't exchange messages. */
     public Script(
@@ -180,7 +180,7 @@
      * gatherers is replaced by fixed equal shares, which is also what a gatherer without messages
      * from the others may use.
      */
-    public Script alone() {
+    public Script withoutCluster() {
         int gatherers = sites.stream().mapToInt(Site::gatherers).sum();
         var share =
                 together == null || together.further == 0
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -34,7 +34,7 @@
  */
 public final class ScriptReader {
     /** Names of the scripts that are shipped with the rig. */
-    public static final List<String> SHIPPED =
+    public static final List<String> SHIPPED_SCRIPTS =
             List.of(
                     "calm",
                     "one-killed",
@@ -78,7 +78,7 @@
      */
     public static Script read(String named) throws IOException {
         byte[] bytes;
-        if (SHIPPED.contains(named)) {
+        if (SHIPPED_SCRIPTS.contains(named)) {
             try (InputStream in =
                     ScriptReader.class.getResourceAsStream("/rig/" + named + ".json")) {
                 bytes = in.readAllBytes();
@@ -89,7 +89,7 @@
                 throw new IOException(
                         named
                                 + ": a file or one of "
-                                + String.join(", ", SHIPPED)
+                                + String.join(", ", SHIPPED_SCRIPTS)
                                 + " was expected");
             }
             bytes = Files.readAllBytes(file);
@@ -319,20 +319,20 @@
         int gatherers = script.sites().stream().mapToInt(Script.Site::gatherers).sum();
         int servers =
                 script.sites().stream().mapToInt(site -> site.holders() * script.cells()).sum();
-        if (gatherers < 1 || gatherers > Script.MOST_GATHERERS) {
+        if (gatherers < 1 || gatherers > Script.MAX_GATHERERS) {
             errors.add(
                     "sites: "
                             + gatherers
                             + " gatherers, 1 to "
-                            + Script.MOST_GATHERERS
+                            + Script.MAX_GATHERERS
                             + " were expected");
         }
-        if (servers < 1 || servers > Script.MOST_SERVERS) {
+        if (servers < 1 || servers > Script.MAX_SERVERS) {
             errors.add(
                     "sites: "
                             + servers
                             + " shard servers, 1 to "
-                            + Script.MOST_SERVERS
+                            + Script.MAX_SERVERS
                             + " were expected");
         }
         var parties = Parties.of(script);
--- a/rig/src/test/java/sprucehold/rig/ScriptTest.java
+++ b/rig/src/test/java/sprucehold/rig/ScriptTest.java
@@ -24,7 +24,7 @@
 public class ScriptTest {
     @DataProvider
     Object[][] shipped() {
-        return ScriptReader.SHIPPED.stream()
+        return ScriptReader.SHIPPED_SCRIPTS.stream()
                 .map(name -> new Object[] {name})
                 .toArray(Object[][]::new);
     }
--- a/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
+++ b/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
@@ -16,13 +16,13 @@
     public void gatherersOfTheLargestFleetHaveDistinctLoopbackAddresses() throws IOException {
         try (var addresses = Addresses.claim()) {
             Set<String> hosts = new HashSet<>();
-            for (int gatherer = 0; gatherer < Script.MOST_GATHERERS; gatherer++) {
+            for (int gatherer = 0; gatherer < Script.MAX_GATHERERS; gatherer++) {
                 hosts.add(addresses.gatherer(gatherer));
                 hosts.add(addresses.twin(gatherer));
                 hosts.add(addresses.others(gatherer));
                 hosts.add(addresses.discovery(gatherer));
             }
-            assertEquals(hosts.size(), 4 * Script.MOST_GATHERERS);
+            assertEquals(hosts.size(), 4 * Script.MAX_GATHERERS);
             for (String host : hosts) {
                 assertTrue(InetAddress.getByName(host).isLoopbackAddress(), host);
             }
@@ -33,13 +33,13 @@
     public void allServersAndTwoConsecutiveLivesOfEachHaveDistinctPorts() throws IOException {
         try (var addresses = Addresses.claim()) {
             Set<Integer> ports = new HashSet<>();
-            IntStream.range(0, Script.MOST_SERVERS)
+            IntStream.range(0, Script.MAX_SERVERS)
                     .forEach(
                             server -> {
                                 ports.add(addresses.serverPort(server, 7));
                                 ports.add(addresses.serverPort(server, 8));
                             });
-            assertEquals(ports.size(), 2 * Script.MOST_SERVERS);
+            assertEquals(ports.size(), 2 * Script.MAX_SERVERS);
             assertTrue(
                     ports.stream().allMatch(port -> port > addresses.postPort() && port < 65_536));
         }
