--- a/rig/src/test/java/sprucehold/rig/VerdictTest.java
+++ b/rig/src/test/java/sprucehold/rig/VerdictTest.java
@@ -191,7 +191,12 @@
                 Verdict.Kind.STARVED);
         assertEquals(
                 VerdictBuilder.evaluate(
-                                script, List.of(), 9000, List.of(outcome(false)), IN_TIME, List.of())
+                                script,
+                                List.of(),
+                                9000,
+                                List.of(outcome(false)),
+                                IN_TIME,
+                                List.of())
                         .kind(),
                 Verdict.Kind.OUT_OF_BAND);
         assertEquals(
