--- a/rig/src/main/java/sprucehold/rig/fault/Treatment.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkConditions.java
@@ -16,7 +16,7 @@
  * @param twice share of datagrams that are delivered twice
  * @param reorder share of datagrams that are delivered after the next one
  */
-public record Treatment(
+public record LinkConditions(
         double delayMs,
         double bytesPerS,
         double cutAfterBytes,
@@ -26,19 +26,19 @@
         double twice,
         double reorder) {
     /** A link without faults: all bytes pass without delay. */
-    public static final Treatment NO_FAULTS =
-            new Treatment(
+    public static final LinkConditions NO_FAULTS =
+            new LinkConditions(
                     0, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, null, false, 0, 0, 0);
 
     /**
-     * Returns this treatment combined with one more fault. Delays add up; of two limits the tighter
-     * applies, of two cuts the more severe mode, of two shares the larger.
+     * Returns these conditions combined with one more fault. Delays add up; of two limits the
+     * tighter applies, of two cuts the more severe mode, of two shares the larger.
      */
-    Treatment and(Fault fault) {
+    LinkConditions and(Fault fault) {
         double amount = fault.amount();
         return switch (fault.kind()) {
             case DELAY ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs + amount,
                             bytesPerS,
                             cutAfterBytes,
@@ -48,7 +48,7 @@
                             twice,
                             reorder);
             case RATE ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs,
                             Math.min(bytesPerS, amount),
                             cutAfterBytes,
@@ -58,7 +58,7 @@
                             twice,
                             reorder);
             case CUT_AFTER ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs,
                             bytesPerS,
                             Math.min(cutAfterBytes, amount),
@@ -68,7 +68,7 @@
                             twice,
                             reorder);
             case CUT ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs,
                             bytesPerS,
                             cutAfterBytes,
@@ -78,10 +78,10 @@
                             twice,
                             reorder);
             case HALF_OPEN ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs, bytesPerS, cutAfterBytes, cut, true, lose, twice, reorder);
             case LOSE ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs,
                             bytesPerS,
                             cutAfterBytes,
@@ -91,7 +91,7 @@
                             twice,
                             reorder);
             case DOUBLE ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs,
                             bytesPerS,
                             cutAfterBytes,
@@ -101,7 +101,7 @@
                             Math.max(twice, amount),
                             reorder);
             case REORDER ->
-                    new Treatment(
+                    new LinkConditions(
                             delayMs,
                             bytesPerS,
                             cutAfterBytes,
--- a/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
+++ b/rig/src/main/java/sprucehold/rig/fault/LinkFaults.java
@@ -5,7 +5,7 @@
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
 
-/** Combines the active faults of each directed link into one {@link Treatment}. */
+/** Combines the active faults of each directed link into one {@link LinkConditions}. */
 public final class LinkFaults {
     private final List<Plan.TargetedFault> active = new ArrayList<>();
     private long version;
@@ -28,15 +28,15 @@
 
     /**
      * Version number of the active faults. It increases with each change, so that a caller that
-     * caches a treatment can detect a stale one.
+     * caches the conditions of a link can detect that they are stale.
      */
     public long version() {
         return version;
     }
 
-    /** Returns the treatment of the bytes that are sent from one party to another. */
-    public Treatment of(String from, String to) {
-        Treatment combined = Treatment.NO_FAULTS;
+    /** Returns the conditions of the bytes that are sent from one party to another. */
+    public LinkConditions conditions(String from, String to) {
+        LinkConditions combined = LinkConditions.NO_FAULTS;
         for (Plan.TargetedFault fault : active) {
             boolean forward = fault.of().contains(from) && fault.to().contains(to);
             boolean backward =
@@ -50,7 +50,7 @@
 
     /** Returns whether a fault is active between the two parties, in either direction. */
     public boolean hasFaults(String one, String other) {
-        return !of(one, other).equals(Treatment.NO_FAULTS)
-                || !of(other, one).equals(Treatment.NO_FAULTS);
+        return !conditions(one, other).equals(LinkConditions.NO_FAULTS)
+                || !conditions(other, one).equals(LinkConditions.NO_FAULTS);
     }
 }
--- a/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/DatagramRelay.java
@@ -6,7 +6,7 @@
 import io.vertx.core.datagram.DatagramSocket;
 import java.util.ArrayDeque;
 import java.util.List;
-import sprucehold.rig.fault.Treatment;
+import sprucehold.rig.fault.LinkConditions;
 
 /**
  * Forwards the datagrams of one directed link; loses, duplicates, delays or reorders them as the
@@ -80,7 +80,7 @@
         if (recent.size() > MAX_RECENT) {
             recent.poll();
         }
-        Treatment link = connections.board().of(from, to);
+        LinkConditions link = connections.linkFaults().conditions(from, to);
         if (link.cut() != null
                 || link.halfOpen()
                 || connections.random().nextDouble() < link.lose()) {
@@ -100,7 +100,7 @@
         }
     }
 
-    private void forward(Buffer data, Treatment link) {
+    private void forward(Buffer data, LinkConditions link) {
         double delay = link.delayMs() * (connections.random().nextDouble() < 0.05 ? 4 : 1);
         if (delay < 1) {
             socket.send(data, port, host);
--- a/rig/src/main/java/sprucehold/rig/link/ShapedConnections.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedConnections.java
@@ -47,7 +47,7 @@
         List.copyOf(sockets).forEach(ShapedSocket::faultsChanged);
     }
 
-    public LinkFaults board() {
+    public LinkFaults linkFaults() {
         return linkFaults;
     }
 
--- a/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
+++ b/rig/src/main/java/sprucehold/rig/link/ShapedSocket.java
@@ -57,8 +57,8 @@
         this.connections = connections;
         this.socket = socket;
         this.owner = owner;
-        this.inbound = new Shaper<>(connections.board(), peer, self, connections.random());
-        this.outbound = new Shaper<>(connections.board(), self, peer, connections.random());
+        this.inbound = new Shaper<>(connections.linkFaults(), peer, self, connections.random());
+        this.outbound = new Shaper<>(connections.linkFaults(), self, peer, connections.random());
         socket.handler(
                 bytes -> {
                     double now = connections.now();
--- a/rig/src/main/java/sprucehold/rig/link/Shaper.java
+++ b/rig/src/main/java/sprucehold/rig/link/Shaper.java
@@ -4,8 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
+import sprucehold.rig.fault.LinkConditions;
 import sprucehold.rig.fault.LinkFaults;
-import sprucehold.rig.fault.Treatment;
 import sprucehold.rig.script.Fault;
 
 /**
@@ -22,7 +22,7 @@
     private final UniformRandomProvider random;
     private final ArrayDeque<Queued<T>> queue = new ArrayDeque<>();
     private final boolean halfOpen;
-    private Treatment treatment;
+    private LinkConditions conditions;
     private long version = -1;
     private double freeAtMs;
     private long passedBytes;
@@ -35,20 +35,20 @@
         this.from = from;
         this.to = to;
         this.random = random;
-        this.halfOpen = treatment().halfOpen();
+        this.halfOpen = conditions().halfOpen();
     }
 
-    private Treatment treatment() {
+    private LinkConditions conditions() {
         if (version != faults.version()) {
             version = faults.version();
-            treatment = faults.of(from, to);
+            conditions = faults.conditions(from, to);
         }
-        return treatment;
+        return conditions;
     }
 
     /** Queues a message. {@link #due} returns it once the faults of the link allow it. */
     public void push(double nowMs, long bytes, T message) {
-        Treatment link = treatment();
+        LinkConditions link = conditions();
         double delay =
                 link.delayMs() <= 0
                         ? 0
@@ -70,19 +70,19 @@
     }
 
     private boolean mayPass() {
-        return !halfOpen && treatment().cut() == null && !broken();
+        return !halfOpen && conditions().cut() == null && !broken();
     }
 
     /**
      * Returns whether as many bytes have passed as a fault allows before it cuts the connection.
      */
     public boolean broken() {
-        return passedBytes >= treatment().cutAfterBytes();
+        return passedBytes >= conditions().cutAfterBytes();
     }
 
     /** Returns whether the link is cut with resets. */
     public boolean resets() {
-        return treatment().cut() == Fault.Mode.RESET;
+        return conditions().cut() == Fault.Mode.RESET;
     }
 
     /**
--- a/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
+++ b/rig/src/main/java/sprucehold/rig/link/TcpRelay.java
@@ -46,7 +46,7 @@
     }
 
     private void accepted(NetSocket near) {
-        if (connections.board().of(from, to).cut() == Fault.Mode.REFUSED) {
+        if (connections.linkFaults().conditions(from, to).cut() == Fault.Mode.REFUSED) {
             near.close();
             return;
         }
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -19,7 +19,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import sprucehold.rig.fault.Treatment;
+import sprucehold.rig.fault.LinkConditions;
 import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.ShapedSocket;
 import sprucehold.rig.plan.Plan;
@@ -184,7 +184,7 @@
                 reused.send(this);
                 return;
             }
-            Treatment linkState = shapedConnections.board().of(site, gatherer);
+            LinkConditions linkState = shapedConnections.linkFaults().conditions(site, gatherer);
             if (linkState.cut() == Fault.Mode.SILENT || linkState.halfOpen()) {
                 // The connection is never established; the client waits.
                 return;
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -90,7 +90,10 @@
         for (int i = 0; i < gatherers.size(); i++) {
             if (alive
                     && !listeners.containsKey(i)
-                    && shapedConnections.board().of(gatherers.get(i), server.name()).cut()
+                    && shapedConnections
+                                    .linkFaults()
+                                    .conditions(gatherers.get(i), server.name())
+                                    .cut()
                             != Fault.Mode.REFUSED) {
                 String gatherer = gatherers.get(i);
                 NetServer listener =
@@ -110,7 +113,10 @@
     public void linksChanged() {
         for (int i = 0; i < gatherers.size(); i++) {
             if (listeners.containsKey(i)
-                    && shapedConnections.board().of(gatherers.get(i), server.name()).cut()
+                    && shapedConnections
+                                    .linkFaults()
+                                    .conditions(gatherers.get(i), server.name())
+                                    .cut()
                             == Fault.Mode.REFUSED) {
                 listeners.remove(i).close();
             }
--- a/rig/src/test/java/sprucehold/rig/FaultsTest.java
+++ b/rig/src/test/java/sprucehold/rig/FaultsTest.java
@@ -12,8 +12,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.Test;
 import sprucehold.rig.fault.FaultSchedule;
+import sprucehold.rig.fault.LinkConditions;
 import sprucehold.rig.fault.LinkFaults;
-import sprucehold.rig.fault.Treatment;
 import sprucehold.rig.link.Shaper;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.script.Fault;
@@ -112,12 +112,14 @@
         faults.change(change(true, link(Fault.Kind.DELAY, 12, Fault.Mode.SILENT, true)));
         faults.change(change(true, link(Fault.Kind.CUT, 0, Fault.Mode.RESET, true)));
         faults.change(change(true, link(Fault.Kind.CUT, 0, Fault.Mode.SILENT, true)));
-        assertEquals(faults.of("g", "s").delayMs(), 42.0);
-        assertEquals(faults.of("g", "s").cut(), Fault.Mode.RESET);
-        assertEquals(faults.of("s", "g"), new Treatment(30, NEVER, NEVER, null, false, 0, 0, 0));
-        assertEquals(faults.of("g", "t"), Treatment.NO_FAULTS);
+        assertEquals(faults.conditions("g", "s").delayMs(), 42.0);
+        assertEquals(faults.conditions("g", "s").cut(), Fault.Mode.RESET);
+        assertEquals(
+                faults.conditions("s", "g"),
+                new LinkConditions(30, NEVER, NEVER, null, false, 0, 0, 0));
+        assertEquals(faults.conditions("g", "t"), LinkConditions.NO_FAULTS);
         faults.change(change(false, slow));
-        assertEquals(faults.of("s", "g"), Treatment.NO_FAULTS);
+        assertEquals(faults.conditions("s", "g"), LinkConditions.NO_FAULTS);
         assertTrue(faults.hasFaults("s", "g"));
     }
 
