--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -151,7 +151,8 @@
         public Integer call() throws IOException {
             Path folder = folder(out, script, seed);
             Script read = ScriptReader.read(script);
-            return print(play(alone ? read.withoutCluster() : read, seed, folder, quiet), folder, json);
+            return print(
+                    play(alone ? read.withoutCluster() : read, seed, folder, quiet), folder, json);
         }
     }
 
