--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -23,7 +23,7 @@
     private static final int NET_HOSTS = 250;
 
     /**
-     * Above the fixed ports of a run, such as {@link #postPort}, and low enough that the last of
+     * Above the fixed ports of a run, such as {@link #messagePort}, and low enough that the last of
      * all {@code PORTS} is a valid port.
      */
     private static final int FIRST_PORT = 10_000;
@@ -80,7 +80,7 @@
     }
 
     /** Returns the address at which a gatherer listens. */
-    public String gatherer(int number) {
+    public String gathererHost(int number) {
         return host(number, Role.LISTEN);
     }
 
@@ -92,7 +92,7 @@
      * Returns the port at which a gatherer receives the messages of other gatherers, at the address
      * at which it listens.
      */
-    public int postPort() {
+    public int messagePort() {
         return 8700;
     }
 
@@ -100,21 +100,21 @@
      * Returns the address at which a gatherer reaches the other gatherers, each at a port of its
      * own.
      */
-    public String others(int gatherer) {
+    public String peersHost(int gatherer) {
         return host(gatherer, Role.OTHER_GATHERERS);
     }
 
-    public int othersPort(int other) {
+    public int peerPort(int other) {
         return FIRST_PORT + other;
     }
 
     /** Returns the address at which a second process of the same gatherer name listens. */
-    public String twin(int number) {
+    public String twinHost(int number) {
         return host(number, Role.TWIN);
     }
 
     /** Returns the address of a gatherer's discovery agent. */
-    public String discovery(int gatherer) {
+    public String discoveryHost(int gatherer) {
         return host(gatherer, Role.SHARD_SERVERS);
     }
 
@@ -126,7 +126,7 @@
      * Returns the address at which a gatherer reaches all shard servers. Each life of each server
      * has a port of its own.
      */
-    public String server(int gatherer) {
+    public String serversHost(int gatherer) {
         return host(gatherer, Role.SHARD_SERVERS);
     }
 
--- a/rig/src/main/java/sprucehold/rig/process/ClusterFile.java
+++ b/rig/src/main/java/sprucehold/rig/process/ClusterFile.java
@@ -28,9 +28,9 @@
                             .put("site", other.site())
                             .put(
                                     "address",
-                                    addresses.others(number) + ":" + addresses.othersPort(i));
+                                    addresses.peersHost(number) + ":" + addresses.peerPort(i));
             if (i == number) {
-                member.put("listen", listen + ":" + addresses.postPort());
+                member.put("listen", listen + ":" + addresses.messagePort());
             }
         }
         Script.Together together = script.together();
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -65,10 +65,10 @@
                         shapedConnections,
                         gatherers.get(from),
                         other,
-                        addresses.gatherer(to),
-                        addresses.postPort());
+                        addresses.gathererHost(to),
+                        addresses.messagePort());
         datagrams.computeIfAbsent(other, none -> new ArrayList<>()).add(relay);
-        return relay.listen(addresses.others(from), addresses.othersPort(to));
+        return relay.listen(addresses.peersHost(from), addresses.peerPort(to));
     }
 
     private Future<?> streams(int from, int to) {
@@ -79,9 +79,9 @@
                         gatherers.get(from),
                         gatherers.get(to),
                         SocketAddress.inetSocketAddress(
-                                addresses.postPort(), addresses.gatherer(to)));
+                                addresses.messagePort(), addresses.gathererHost(to)));
         streams.add(relay);
-        return relay.listen(addresses.others(from), addresses.othersPort(to));
+        return relay.listen(addresses.peersHost(from), addresses.peerPort(to));
     }
 
     /**
@@ -96,8 +96,8 @@
                     new Flood(
                             vertx,
                             shapedConnections,
-                            addresses.gatherer(gatherer),
-                            addresses.postPort(),
+                            addresses.gathererHost(gatherer),
+                            addresses.messagePort(),
                             change.fault().fault().amount(),
                             () ->
                                     relaysToGatherer.stream()
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -166,7 +166,8 @@
                         front,
                         name ->
                                 SocketAddress.inetSocketAddress(
-                                        addresses.gathererPort(), addresses.gatherer(number(name))),
+                                        addresses.gathererPort(),
+                                        addresses.gathererHost(number(name))),
                         killed::contains,
                         this::ended);
         this.faultSchedule = new FaultSchedule(plan.faults());
@@ -310,12 +311,12 @@
                             serverList,
                             gatherer.name(),
                             entry ->
-                                    addresses.server(number)
+                                    addresses.serversHost(number)
                                             + ":"
                                             + addresses.serverPort(
                                                     servers.number(entry.name()), entry.life()));
             agents.put(gatherer.name(), agent);
-            all.add(agent.listen(addresses.discovery(i), addresses.discoveryPort()));
+            all.add(agent.listen(addresses.discoveryHost(i), addresses.discoveryPort()));
             gatherers.put(
                     gatherer.name(),
                     new GathererProcess(
@@ -324,7 +325,7 @@
                             guardian,
                             gatherer.name(),
                             SocketAddress.inetSocketAddress(
-                                    addresses.gathererPort(), addresses.gatherer(i)),
+                                    addresses.gathererPort(), addresses.gathererHost(i)),
                             folder.file(gatherer.name() + ".log")));
             if (script.together() != null) {
                 all.add(relays.listen(i));
@@ -351,7 +352,7 @@
         int number = number(name);
         endedByRig.remove(name);
         GathererProcess process = gatherers.get(name);
-        return start(process, name, addresses.gatherer(number), number, clocks)
+        return start(process, name, addresses.gathererHost(number), number, clocks)
                 .onSuccess(
                         ready -> {
                             front.ready(name);
@@ -371,7 +372,7 @@
                             script,
                             gatherer,
                             at + ":" + addresses.gathererPort(),
-                            addresses.discovery(number) + ":" + addresses.discoveryPort(),
+                            addresses.discoveryHost(number) + ":" + addresses.discoveryPort(),
                             agents.get(gatherer.name()).known()));
             if (script.together() != null) {
                 Files.writeString(
@@ -404,10 +405,10 @@
                         guardian,
                         twin,
                         SocketAddress.inetSocketAddress(
-                                addresses.gathererPort(), addresses.twin(number)),
+                                addresses.gathererPort(), addresses.twinHost(number)),
                         folder.file(twin + ".log"));
         twins.put(twin, process);
-        start(process, twin, addresses.twin(number), number, Plan.Clocks.EXACT)
+        start(process, twin, addresses.twinHost(number), number, Plan.Clocks.EXACT)
                 .onFailure(
                         failure -> {
                             if (!ending) {
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -100,7 +100,9 @@
                         vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
                                 .connectHandler(socket -> accepted(socket, gatherer));
                 listeners.put(i, listener);
-                all.add(listener.listen(addresses.serverPort(number, life), addresses.server(i)));
+                all.add(
+                        listener.listen(
+                                addresses.serverPort(number, life), addresses.serversHost(i)));
             }
         }
         return Future.all(all).mapEmpty();
--- a/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
+++ b/rig/src/test/java/sprucehold/rig/plan/AddressesTest.java
@@ -17,10 +17,10 @@
         try (var addresses = Addresses.claim()) {
             Set<String> hosts = new HashSet<>();
             for (int gatherer = 0; gatherer < Script.MAX_GATHERERS; gatherer++) {
-                hosts.add(addresses.gatherer(gatherer));
-                hosts.add(addresses.twin(gatherer));
-                hosts.add(addresses.others(gatherer));
-                hosts.add(addresses.discovery(gatherer));
+                hosts.add(addresses.gathererHost(gatherer));
+                hosts.add(addresses.twinHost(gatherer));
+                hosts.add(addresses.peersHost(gatherer));
+                hosts.add(addresses.discoveryHost(gatherer));
             }
             assertEquals(hosts.size(), 4 * Script.MAX_GATHERERS);
             for (String host : hosts) {
@@ -41,7 +41,8 @@
                             });
             assertEquals(ports.size(), 2 * Script.MAX_SERVERS);
             assertTrue(
-                    ports.stream().allMatch(port -> port > addresses.postPort() && port < 65_536));
+                    ports.stream()
+                            .allMatch(port -> port > addresses.messagePort() && port < 65_536));
         }
     }
 }
