--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -198,7 +198,7 @@
                                     fault ->
                                             fault.fault().name()
                                                     + ": "
-                                                    + ScriptReader.word(fault.fault().kind())
+                                                    + ScriptReader.kindName(fault.fault().kind())
                                                     + " "
                                                     + String.join(" ", fault.of())
                                                     + (fault.to().isEmpty()
--- a/rig/src/main/java/sprucehold/rig/list/AgentHost.java
+++ b/rig/src/main/java/sprucehold/rig/list/AgentHost.java
@@ -80,7 +80,7 @@
      * Returns the list that the gatherer received last, as the initial list of a process that
      * starts.
      */
-    public ObjectNode known() {
+    public ObjectNode lastSent() {
         return body(agent.lastSent());
     }
 
--- a/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
+++ b/rig/src/main/java/sprucehold/rig/process/BoundedLog.java
@@ -98,7 +98,7 @@
     }
 
     /** Returns the first lines of level SEVERE. */
-    List<String> severe() {
+    List<String> severeLines() {
         return severe;
     }
 
--- a/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
+++ b/rig/src/main/java/sprucehold/rig/process/GathererProcess.java
@@ -239,7 +239,7 @@
      * Returns how many cores the process used on average from readiness to the last signal, since
      * its last start.
      */
-    public double cores() {
+    public double averageCores() {
         return cores;
     }
 
@@ -260,8 +260,8 @@
     }
 
     /** Returns the first lines of level SEVERE that the gatherer wrote, over all its starts. */
-    public List<String> severe() {
-        return log.severe();
+    public List<String> severeLines() {
+        return log.severeLines();
     }
 
     /** Returns whether the gatherer wrote more than the log keeps. */
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -232,7 +232,7 @@
                     }
                     // A panic is never an expected effect of a fault. The decision and network code
                     // must survive any fault between processes.
-                    process.severe().forEach(line -> crashed.add(name + " logged: " + line));
+                    process.severeLines().forEach(line -> crashed.add(name + " logged: " + line));
                 });
         outcomes.sort(Comparator.comparingDouble(Outcome::plannedMs));
         return folder.write(
@@ -247,7 +247,7 @@
                                 cores,
                                 memory,
                                 gatherers.values().stream()
-                                        .mapToDouble(GathererProcess::cores)
+                                        .mapToDouble(GathererProcess::averageCores)
                                         .max()
                                         .orElse(0),
                                 servers.peakColdLoad()),
@@ -373,7 +373,7 @@
                             gatherer,
                             at + ":" + addresses.gathererPort(),
                             addresses.discoveryHost(number) + ":" + addresses.discoveryPort(),
-                            agents.get(gatherer.name()).known()));
+                            agents.get(gatherer.name()).lastSent()));
             if (script.together() != null) {
                 Files.writeString(
                         folder.file(file + ".together.json"),
--- a/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptReader.java
@@ -405,7 +405,7 @@
                             + ".amount: "
                             + fault.amount()
                             + " for "
-                            + word(fault.kind())
+                            + kindName(fault.kind())
                             + ", but "
                             + fault.kind().unit().range()
                             + " was expected");
@@ -427,7 +427,7 @@
         boolean acceptsTo =
                 onLinks || fault.kind() == Fault.Kind.GREY || fault.kind() == Fault.Kind.LIST_HIDES;
         if (!acceptsTo && !fault.to().isEmpty()) {
-            errors.add(at + ".to: not allowed for " + word(fault.kind()));
+            errors.add(at + ".to: not allowed for " + kindName(fault.kind()));
         }
         if (fault.kind() == Fault.Kind.GREY
                 && fault.to().isEmpty()
@@ -498,12 +498,12 @@
     }
 
     /** Returns the name of a kind of fault, as scripts spell it. */
-    public static String word(Fault.Kind kind) {
+    public static String kindName(Fault.Kind kind) {
         return kind.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Returns the names of all kinds of faults. */
     public static List<String> words() {
-        return Arrays.stream(Fault.Kind.values()).map(ScriptReader::word).toList();
+        return Arrays.stream(Fault.Kind.values()).map(ScriptReader::kindName).toList();
     }
 }
--- a/rig/src/main/java/sprucehold/rig/script/ScriptWriter.java
+++ b/rig/src/main/java/sprucehold/rig/script/ScriptWriter.java
@@ -109,7 +109,7 @@
     }
 
     private static void fault(ObjectNode node, Fault fault) {
-        node.put("name", fault.name()).put("kind", ScriptReader.word(fault.kind()));
+        node.put("name", fault.name()).put("kind", ScriptReader.kindName(fault.kind()));
         texts(node, "of", fault.of());
         texts(node, "to", fault.to());
         if (fault.some() > 0) {
