--- a/rig/src/test/java/sprucehold/rig/GuardianTest.java
+++ b/rig/src/test/java/sprucehold/rig/GuardianTest.java
@@ -100,7 +100,7 @@
     public void twoRigsReserveDifferentAddresses() throws IOException {
         try (var one = Addresses.claim();
                 var other = Addresses.claim()) {
-            assertNotEquals(one.gatherer(0), other.gatherer(0));
+            assertNotEquals(one.gathererHost(0), other.gathererHost(0));
         }
     }
 }
