--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -21,8 +21,8 @@
      *
      * @param limit units in any window over the whole fleet
      * @param demand uses wanted per second, by member and time in milliseconds
-     * @param maxClockDrift maximum deviation of a clock's rate as a share of it; each member's clock
-     *     has its own deviation
+     * @param maxClockDrift maximum deviation of a clock's rate as a share of it; each member's
+     *     clock has its own deviation
      */
     public record Setting(
             int members,
