--- a/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TogetherDays.java
@@ -109,7 +109,7 @@
         var results = new ArrayList<EvidenceSimulation.Result>();
         for (long seed = 1; seed <= (size >= 1000 ? 1 : seeds); seed++) {
             results.add(
-                    EvidenceSimulation.play(
+                    EvidenceSimulation.run(
                             new EvidenceSimulation.Setting(
                                     size,
                                     3,
@@ -125,10 +125,10 @@
                 size,
                 attemptsPerSecond,
                 liar ? "a liar" : network == USUAL ? "usual" : "bad",
-                mean(results, EvidenceSimulation.Result::aloneMedianMs) / 1000,
-                mean(results, EvidenceSimulation.Result::aloneAllMs) / 1000,
-                mean(results, EvidenceSimulation.Result::toldMedianMs) / 1000,
-                mean(results, EvidenceSimulation.Result::toldAllMs) / 1000,
+                mean(results, EvidenceSimulation.Result::ownMedianMs) / 1000,
+                mean(results, EvidenceSimulation.Result::ownAllMs) / 1000,
+                mean(results, EvidenceSimulation.Result::sharedMedianMs) / 1000,
+                mean(results, EvidenceSimulation.Result::sharedAllMs) / 1000,
                 mean(results, result -> result.falselySuspecting()),
                 mean(results, EvidenceSimulation.Result::messagesPerSecond));
     }
@@ -163,7 +163,7 @@
                     var results = new ArrayList<MembershipSimulation.Result>();
                     for (long seed = 1; seed <= runs; seed++) {
                         results.add(
-                                MembershipSimulation.play(
+                                MembershipSimulation.run(
                                         new MembershipSimulation.Setting(
                                                 size,
                                                 lengthMs,
@@ -249,7 +249,7 @@
                     int bound = 10 * size;
                     for (long seed = 1; seed <= runs; seed++) {
                         results.add(
-                                QuotaSimulation.play(
+                                QuotaSimulation.run(
                                         new QuotaSimulation.Setting(
                                                 size,
                                                 bound,
@@ -279,9 +279,9 @@
                                             results,
                                             result ->
                                                     QuotaSimulation.mean(
-                                                            result.gotBySecond(), 6, 30)),
+                                                            result.grantedShareBySecond(), 6, 30)),
                             results.stream()
-                                    .mapToInt(QuotaSimulation.Result::mostInWindow)
+                                    .mapToInt(QuotaSimulation.Result::maxInWindow)
                                     .max()
                                     .orElse(0),
                             bound,
@@ -301,7 +301,7 @@
             var results = new ArrayList<QuotaSimulation.Result>();
             for (long seed = 1; seed <= 10; seed++) {
                 results.add(
-                        QuotaSimulation.play(
+                        QuotaSimulation.run(
                                 new QuotaSimulation.Setting(
                                         20,
                                         200,
@@ -318,7 +318,8 @@
             for (int second = 0; second < 30; second++) {
                 int at = second;
                 series.add(
-                        second + 0.5, 100 * mean(results, result -> result.gotBySecond().get(at)));
+                        second + 0.5,
+                        100 * mean(results, result -> result.grantedShareBySecond().get(at)));
             }
             all.addSeries(series);
         }
--- a/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
+++ b/benchmarks/src/main/java/sprucehold/benchmarks/TraceCodec.java
@@ -50,7 +50,7 @@
         var day = new SyntheticDay(new DayPlan(8000, 1, 1, 0, 0, 6, 40, 20), QueryScheduler::new);
         source = day.sources().get(0);
         int[] records = {0};
-        day.play(
+        day.run(
                 List.of(
                         entry -> {
                             if (records[0] < RECORDS) {
@@ -60,7 +60,7 @@
                         }),
                 count -> {});
         file = Files.createTempFile("codec", ".trace");
-        try (var writer = new TraceWriter(TraceRepair.create(file), TraceHeader.of(source))) {
+        try (var writer = new TraceWriter(TraceRepair.createFile(file), TraceHeader.of(source))) {
             for (Entry entry : entries) {
                 writer.add(entry);
             }
--- a/cli/src/main/java/sprucehold/cli/RigCommand.java
+++ b/cli/src/main/java/sprucehold/cli/RigCommand.java
@@ -151,7 +151,8 @@
         public Integer call() throws IOException {
             Path folder = folder(out, script, seed);
             Script read = ScriptReader.read(script);
-            return print(play(alone ? read.alone() : read, seed, folder, quiet), folder, json);
+            return print(
+                    play(alone ? read.withoutCluster() : read, seed, folder, quiet), folder, json);
         }
     }
 
@@ -197,7 +198,7 @@
                                     fault ->
                                             fault.fault().name()
                                                     + ": "
-                                                    + ScriptReader.word(fault.fault().kind())
+                                                    + ScriptReader.kindName(fault.fault().kind())
                                                     + " "
                                                     + String.join(" ", fault.of())
                                                     + (fault.to().isEmpty()
@@ -360,7 +361,7 @@
         @Override
         public Integer call() throws IOException {
             Script written = ScriptReader.read(script);
-            Script read = alone ? written.alone() : written;
+            Script read = alone ? written.withoutCluster() : written;
             var figures = new ArrayList<Figures>();
             int bad = 0;
             int starved = 0;
--- a/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
+++ b/core/src/test/java/sprucehold/coordinator/QueryCoordinatorTest.java
@@ -21,7 +21,7 @@
 /** Tests the coordinator with a scripted policy that returns one list of commands for each call. */
 public class QueryCoordinatorTest {
     private static final AttemptResult COMPLETED =
-            new AttemptResult.Completed(Payload.ofText("v"), null);
+            new AttemptResult.Completed(Payload.ofUtf8("v"), null);
     private final Queue<List<Command>> script = new ArrayDeque<>();
     private final List<List<Event>> eventBatches = new ArrayList<>();
     private QueryCoordinator coordinator;
@@ -31,7 +31,7 @@
         for (int shard = 0; shard < partCount; shard++) {
             parts.add(new Query.Part(shard, 1.0 / partCount));
         }
-        return new Query(id, "q", tenant, 500, parts, Payload.ofText("text"));
+        return new Query(id, "q", tenant, 500, parts, Payload.ofUtf8("text"));
     }
 
     @BeforeMethod
@@ -86,7 +86,7 @@
 
     private Attempt submitAndSend(String id) {
         script.add(List.of(send(id + ".0")));
-        return coordinator.submit(1, query(id, null, 1)).send().get(0);
+        return coordinator.submit(1, query(id, null, 1)).attemptsToSend().get(0);
     }
 
     private Commands endAttempt(double now, Attempt attempt, AttemptResult result) {
@@ -146,10 +146,10 @@
     public void answerContainsOnlyValuesOfCompletedParts() {
         script.add(List.of(send("s.0"), send("s.1")));
         Commands commands = coordinator.submit(1, query("s", null, 2));
-        endAttempt(2, commands.send().get(1), COMPLETED);
+        endAttempt(2, commands.attemptsToSend().get(1), COMPLETED);
         script.add(
                 List.of(new Command.AnswerQuery("s", false), new Command.CancelAttempt("s.0", 0)));
-        commands = endAttempt(3, commands.send().get(0), new AttemptResult.Failed(null));
+        commands = endAttempt(3, commands.attemptsToSend().get(0), new AttemptResult.Failed(null));
         var answer = (Answer.Completed) commands.replies().get(0).answer();
         assertFalse(answer.complete());
         assertEquals(answer.values().size(), 1);
@@ -173,8 +173,8 @@
                         new Command.RejectQuery("s", 250),
                         new Command.CancelAttempt("s.0", 0)));
         Commands commands = coordinator.submit(1, query("s", null, 1));
-        assertTrue(commands.send().isEmpty());
-        assertTrue(commands.cancel().isEmpty());
+        assertTrue(commands.attemptsToSend().isEmpty());
+        assertTrue(commands.attemptsToCancel().isEmpty());
         assertEquals(commands.replies().get(0).answer(), new Answer.Rejected(250));
         assertEquals(
                 ((Event.AttemptEnded) eventBatches.get(1).get(0)).outcome(),
@@ -185,7 +185,7 @@
     public void cancelledAttemptEndsWhenItsWriteProgressIsReported() {
         Attempt attempt = submitAndSend("s");
         script.add(List.of(new Command.FailQuery("s"), new Command.CancelAttempt("s.0", 0)));
-        assertEquals(coordinator.tick(9).cancel(), List.of(attempt));
+        assertEquals(coordinator.tick(9).attemptsToCancel(), List.of(attempt));
         endAttempt(9, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertEquals(
                 ((Event.AttemptEnded) eventBatches.get(2).get(0)).outcome(),
@@ -208,8 +208,8 @@
     @Test
     public void attemptIsCancelledAsTimedOutWhenItsTimeoutExpires() {
         Attempt attempt = submitAndSend("s");
-        assertEquals(coordinator.tick(400.5).cancel(), List.of());
-        assertEquals(coordinator.tick(401).cancel(), List.of(attempt));
+        assertEquals(coordinator.tick(400.5).attemptsToCancel(), List.of());
+        assertEquals(coordinator.tick(401).attemptsToCancel(), List.of(attempt));
         endAttempt(401, attempt, new AttemptResult.Cancelled(WriteProgress.WRITTEN));
         assertEquals(
                 ((Event.AttemptEnded) eventBatches.get(eventBatches.size() - 1).get(0)).outcome(),
@@ -220,7 +220,7 @@
     public void disconnectedClientClosesOnlyItsOwnQuery() {
         submitAndSend("s");
         coordinator.observe(2, List.of(new Observation.ClientDisconnected(query("s", null, 1))));
-        assertEquals(coordinator.openQueries(), 1);
+        assertEquals(coordinator.openQueryCount(), 1);
     }
 
     @Test
@@ -260,7 +260,7 @@
     public void noItemsAreTrackedAfterAllQueriesAndAttemptsEnded() {
         for (int i = 0; i < 100; i++) {
             script.add(List.of(send("s.0"), send("s.1"), send("s.0")));
-            List<Attempt> attempts = coordinator.submit(i, query("s", null, 2)).send();
+            List<Attempt> attempts = coordinator.submit(i, query("s", null, 2)).attemptsToSend();
             endAttempt(i, attempts.get(0), new AttemptResult.ConnectionLost(WriteProgress.WRITTEN));
             script.add(
                     List.of(
@@ -300,7 +300,7 @@
         assertEquals(endAttempt(3, attempt, COMPLETED).replies().size(), 1);
         // An attempt to a server that is no longer listed is not sent.
         script.add(List.of(send("t.0")));
-        assertTrue(coordinator.submit(4, query("t", null, 1)).send().isEmpty());
+        assertTrue(coordinator.submit(4, query("t", null, 1)).attemptsToSend().isEmpty());
     }
 
     @Test
@@ -318,7 +318,7 @@
     @Test
     public void serverIsNotRunningOnceReportedDrainingOrGoneOrUnlisted() {
         ShardServer server = submitAndSend("s").server();
-        assertTrue(server.running());
+        assertTrue(server.isRunning());
         for (EndpointUpdate.State state : EndpointUpdate.State.values()) {
             coordinator.observe(
                     2,
@@ -328,7 +328,7 @@
                                     List.of(
                                             new EndpointUpdate(
                                                     "a", "127.0.0.1:2", 0, "z", 0, state)))));
-            assertEquals(server.running(), state == EndpointUpdate.State.RUNNING);
+            assertEquals(server.isRunning(), state == EndpointUpdate.State.RUNNING);
             assertEquals(server.address(), "127.0.0.1:2");
         }
         coordinator.observe(
@@ -345,7 +345,7 @@
                                                 0,
                                                 EndpointUpdate.State.RUNNING)))));
         coordinator.observe(4, List.of(new Observation.EndpointsUpdated(true, List.of())));
-        assertFalse(server.running());
+        assertFalse(server.isRunning());
     }
 
     /** Guards against a lost wake-up if another call is made exactly at the wake-up time. */
--- a/gatherer/src/main/java/sprucehold/node/GathererNode.java
+++ b/gatherer/src/main/java/sprucehold/node/GathererNode.java
@@ -18,7 +18,7 @@
 import sprucehold.coordinator.QueryCoordinator;
 import sprucehold.decision.DecisionPolicy;
 import sprucehold.decision.Deployment;
-import sprucehold.shards.AttemptGate;
+import sprucehold.shards.AttemptWriteCallbacks;
 import sprucehold.shards.ShardServers;
 
 /**
@@ -156,7 +156,7 @@
         Deployment deployment = config.settings().deployment();
         DecisionPolicy.Factory factory =
                 admin == null ? policyFactory : admin.withOverrides(policyFactory);
-        return new QueryCoordinator(factory.start(config.seed(), deployment), deployment);
+        return new QueryCoordinator(factory.create(config.seed(), deployment), deployment);
     }
 
     private ShardServers shardServers(Vertx vertx) {
@@ -167,23 +167,23 @@
                 config.settings().loadByHealthCheck(),
                 clock::now,
                 this::observe,
-                attemptGate());
+                attemptWriteCallbacks());
     }
 
-    private AttemptGate attemptGate() {
-        return new AttemptGate() {
+    private AttemptWriteCallbacks attemptWriteCallbacks() {
+        return new AttemptWriteCallbacks() {
             @Override
-            public boolean clientWaits(Query query) {
-                return clients.clientWaits(query);
+            public boolean isClientConnected(Query query) {
+                return clients.isClientConnected(query);
             }
 
             @Override
-            public void begun(Attempt attempt) {
+            public void attemptWritten(Attempt attempt) {
                 QueryLog.attemptStarting(attempt, clock.now());
             }
 
             @Override
-            public void turnWanted() {
+            public void writeTurnRequested() {
                 decisions.requestTurn();
             }
         };
@@ -243,7 +243,7 @@
     private Future<Integer> openAdmin() {
         return admin == null
                 ? Future.succeededFuture(0)
-                : admin.open(extensions.statuses(), coordinator::openItems);
+                : admin.open(extensions.statuses(), coordinator::openQueriesAndParts);
     }
 
     /**
@@ -251,7 +251,7 @@
      * down.
      */
     boolean ready() {
-        return intake.ready();
+        return intake.isReady();
     }
 
     /** Returns the port of the admin server; 0 if it isn't enabled. */
@@ -271,7 +271,7 @@
     }
 
     private void apply(Deployment deployment) {
-        decisions.call(() -> coordinator.changeDeployment(clock.now(), deployment));
+        decisions.call(() -> coordinator.updateDeployment(clock.now(), deployment));
     }
 
     /**
--- a/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
+++ b/gatherer/src/main/java/sprucehold/node/GracefulShutdown.java
@@ -67,9 +67,9 @@
         }
         LOG.info(
                 "draining: open_queries="
-                        + coordinator.openQueries()
+                        + coordinator.openQueryCount()
                         + ", client_connections="
-                        + clients.connections());
+                        + clients.connectionCount());
         drain.start(schedule, clock.now());
         if (admin != null) {
             admin.shuttingDown();
@@ -78,7 +78,7 @@
                 (listening ? drain() : Future.<Void>succeededFuture())
                         .compose(drained -> clients.close())
                         .compose(closed -> closeAdmin())
-                        .compose(closed -> extensions.end())
+                        .compose(closed -> extensions.stop())
                         .map(
                                 closed -> {
                                     stop();
@@ -101,7 +101,7 @@
 
     private DrainStateMachine.Outstanding outstanding() {
         return new DrainStateMachine.Outstanding(
-                intake.openQueries(), clients.pendingAnswers(), clients.arrivingRequests());
+                intake.openQueries(), clients.pendingAnswerCount(), clients.arrivingRequests());
     }
 
     private Future<Void> closeAdmin() {
@@ -115,10 +115,10 @@
                 "ended: queries_received="
                         + intake.received()
                         + ", open_queries="
-                        + coordinator.openQueries()
+                        + coordinator.openQueryCount()
                         + ", "
                         + monitor.summary()
                         + ", clients_gone_before_attempt="
-                        + clients.clientsFoundGone());
+                        + clients.clientsFoundDisconnected());
     }
 }
--- a/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
+++ b/gatherer/src/main/java/sprucehold/node/NodeExtensions.java
@@ -45,8 +45,8 @@
     }
 
     /** Ends all extensions; the future succeeds once all have ended, even if some failed to. */
-    Future<Void> end() {
-        return Future.join(extensions.stream().map(NodeExtension::end).toList())
+    Future<Void> stop() {
+        return Future.join(extensions.stream().map(NodeExtension::stop).toList())
                 .<Void>mapEmpty()
                 .otherwiseEmpty();
     }
@@ -91,7 +91,7 @@
             return false;
         }
         if (!permissions.isEmpty()) {
-            attempt.requirePermission(
+            attempt.setPermissionCheck(
                     () -> permissions.stream().allMatch(BooleanSupplier::getAsBoolean));
         }
         extensions.forEach(extension -> extension.attemptStarting(clock.now(), attempt));
--- a/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
+++ b/gatherer/src/main/java/sprucehold/node/StubWarmUp.java
@@ -41,7 +41,7 @@
     private StubWarmUp(NodeConfig config, DecisionPolicy.Factory policyFactory) {
         Deployment deployment = config.settings().deployment();
         this.coordinator =
-                new QueryCoordinator(policyFactory.start(config.seed(), deployment), deployment);
+                new QueryCoordinator(policyFactory.create(config.seed(), deployment), deployment);
         this.clients = new StubClient(config.settings().shards());
         this.queries = new WarmUpQueries(config);
     }
@@ -70,9 +70,10 @@
     private void runQuery(int maxParts) {
         Commands commands = coordinator.submit(nowMs, clients.read(queries.next(maxParts)));
         write(commands);
-        for (int step = 0; step < MAX_STEPS && coordinator.openQueries() > 0; step++) {
+        for (int step = 0; step < MAX_STEPS && coordinator.openQueryCount() > 0; step++) {
             nowMs += STEP_MS;
-            List<Observation> observations = servers.answered(commands.send(), nowMs);
+            List<Observation> observations =
+                    servers.simulateAnswers(commands.attemptsToSend(), nowMs);
             commands =
                     observations.isEmpty()
                             ? coordinator.tick(nowMs)
--- a/gatherer/src/main/java/sprucehold/shards/ShardServers.java
+++ b/gatherer/src/main/java/sprucehold/shards/ShardServers.java
@@ -48,7 +48,7 @@
     private final boolean loadByHealthCheck;
     private final DoubleSupplier clock;
     private final Consumer<Observation> observations;
-    private final AttemptGate gate;
+    private final AttemptWriteCallbacks writeCallbacks;
     private final Map<ShardServer, ServerConnections> connectionsByServer = new HashMap<>();
 
     /** Connections whose waiting attempts can be written in the next turn of the decision loop. */
@@ -76,12 +76,12 @@
 
         @Override
         public boolean isClientConnected(Query query) {
-            return gate.clientWaits(query);
+            return writeCallbacks.isClientConnected(query);
         }
 
         @Override
         public void attemptWritten(Attempt attempt) {
-            gate.begun(attempt);
+            writeCallbacks.attemptWritten(attempt);
         }
 
         @Override
@@ -105,7 +105,7 @@
         @Override
         public void writeTurnRequested(ShardConnection connection) {
             writable.add(connection);
-            gate.turnWanted();
+            writeCallbacks.writeTurnRequested();
         }
 
         @Override
@@ -145,8 +145,8 @@
      * @param loadByHealthCheck whether health checks ask for a load report
      * @param clock current time in milliseconds
      * @param observations receives the results of attempts and health checks
-     * @param gate called directly before and after the write of an attempt, and when waiting
-     *     attempts can be written
+     * @param writeCallbacks called directly before and after the write of an attempt, and when
+     *     waiting attempts can be written
      */
     public ShardServers(
             Vertx vertx,
@@ -155,8 +155,8 @@
             boolean loadByHealthCheck,
             DoubleSupplier clock,
             Consumer<Observation> observations,
-            AttemptGate gate) {
-        this.gate = gate;
+            AttemptWriteCallbacks writeCallbacks) {
+        this.writeCallbacks = writeCallbacks;
         this.settings = settings;
         this.maxPartsPerCall = maxPartsPerCall;
         this.loadByHealthCheck = loadByHealthCheck;
@@ -190,13 +190,13 @@
     void sweep(double connectTimeoutMs) {
         double maxIdleMs = settings.idleTimeoutMs() - IDLE_RESERVE_TIMEOUTS * connectTimeoutMs;
         for (ServerConnections target : connectionsByServer.values()) {
-            double idleMs = target.server.running() ? maxIdleMs : NO_IDLE_TIME_MS;
+            double idleMs = target.server.isRunning() ? maxIdleMs : NO_IDLE_TIME_MS;
             List.copyOf(target.connections)
                     .forEach(connection -> connection.sweep(connectTimeoutMs, idleMs));
         }
         connectionsByServer
                 .values()
-                .removeIf(target -> target.connections.isEmpty() && !target.server.running());
+                .removeIf(target -> target.connections.isEmpty() && !target.server.isRunning());
     }
 
     /**
@@ -219,7 +219,7 @@
         int maxParts = Math.min(maxPartsPerCall, settings.maxPartsInFlight());
         for (int from = 0; from < attempts.size(); from += maxParts) {
             List<Attempt> call = attempts.subList(from, Math.min(attempts.size(), from + maxParts));
-            if (destination.server.running()) {
+            if (destination.server.isRunning()) {
                 connectionsByServer
                         .computeIfAbsent(destination.server, ServerConnections::new)
                         .connectionFor(call)
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -19,7 +19,7 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import sprucehold.rig.fault.Treatment;
+import sprucehold.rig.fault.LinkConditions;
 import sprucehold.rig.link.ShapedConnections;
 import sprucehold.rig.link.ShapedSocket;
 import sprucehold.rig.plan.Plan;
@@ -62,7 +62,7 @@
     private final DoubleSupplier clock;
     private final Ledger ledger;
     private final Script script;
-    private final Front front;
+    private final SiteBalancer front;
     private final Function<String, SocketAddress> address;
     private final Predicate<String> killed;
     private final Listener listener;
@@ -81,7 +81,7 @@
             DoubleSupplier clock,
             Ledger ledger,
             Script script,
-            Front front,
+            SiteBalancer front,
             Function<String, SocketAddress> address,
             Predicate<String> killed,
             Listener listener) {
@@ -130,7 +130,7 @@
         final Plan.PlannedQuery query;
         final Script.Load load;
         final Script.Kind kind;
-        final Persistence persistence;
+        final RetryBehaviour persistence;
         final double sentLateMs;
         String id;
         Link link;
@@ -151,7 +151,7 @@
                             .filter(k -> k.type().name().equals(load.tableType()))
                             .findFirst()
                             .orElseThrow();
-            this.persistence = new Persistence(load, query.id().hashCode());
+            this.persistence = new RetryBehaviour(load, query.id().hashCode());
             this.sentLateMs = sentLateMs;
         }
 
@@ -185,7 +185,7 @@
                 reused.send(this);
                 return;
             }
-            Treatment linkState = shapedConnections.board().of(site, gatherer);
+            LinkConditions linkState = shapedConnections.linkFaults().conditions(site, gatherer);
             if (linkState.cut() == Fault.Mode.SILENT || linkState.halfOpen()) {
                 // The connection is never established; the client waits.
                 return;
--- a/rig/src/main/java/sprucehold/rig/load/Front.java
+++ b/rig/src/main/java/sprucehold/rig/load/SiteBalancer.java
@@ -11,7 +11,7 @@
  * detection delay is over. If no gatherer of a site is admitted, the clients of the site are sent
  * to the gatherers of the other sites.
  */
-public final class Front {
+public final class SiteBalancer {
     private final Map<String, List<String>> bySite = new HashMap<>();
     private final Map<String, Boolean> admitted = new HashMap<>();
     private final Map<String, Double> goneMs = new HashMap<>();
@@ -22,7 +22,7 @@
      * @param detectionDelayMs time for which a gatherer that has ended or is ending still receives
      *     clients, in milliseconds
      */
-    public Front(Map<String, String> siteOf, double detectionDelayMs) {
+    public SiteBalancer(Map<String, String> siteOf, double detectionDelayMs) {
         siteOf.forEach(
                 (gatherer, site) ->
                         bySite.computeIfAbsent(site, name -> new ArrayList<>()).add(gatherer));
--- a/rig/src/main/java/sprucehold/rig/plan/Addresses.java
+++ b/rig/src/main/java/sprucehold/rig/plan/Addresses.java
@@ -23,7 +23,7 @@
     private static final int NET_HOSTS = 250;
 
     /**
-     * Above the fixed ports of a run, such as {@link #postPort}, and low enough that the last of
+     * Above the fixed ports of a run, such as {@link #messagePort}, and low enough that the last of
      * all {@code PORTS} is a valid port.
      */
     private static final int FIRST_PORT = 10_000;
@@ -33,7 +33,7 @@
     /**
      * Number of ports of each shard server, one for each of its lives: 13 with 4,096 shard servers.
      */
-    private static final int PORTS_PER_SERVER = PORTS / Script.MOST_SERVERS;
+    private static final int PORTS_PER_SERVER = PORTS / Script.MAX_SERVERS;
 
     /** The purposes for which a gatherer has a loopback address of its own. */
     private enum Role {
@@ -80,7 +80,7 @@
     }
 
     /** Returns the address at which a gatherer listens. */
-    public String gatherer(int number) {
+    public String gathererHost(int number) {
         return host(number, Role.LISTEN);
     }
 
@@ -92,7 +92,7 @@
      * Returns the port at which a gatherer receives the messages of other gatherers, at the address
      * at which it listens.
      */
-    public int postPort() {
+    public int messagePort() {
         return 8700;
     }
 
@@ -100,21 +100,21 @@
      * Returns the address at which a gatherer reaches the other gatherers, each at a port of its
      * own.
      */
-    public String others(int gatherer) {
+    public String peersHost(int gatherer) {
         return host(gatherer, Role.OTHER_GATHERERS);
     }
 
-    public int othersPort(int other) {
+    public int peerPort(int other) {
         return FIRST_PORT + other;
     }
 
     /** Returns the address at which a second process of the same gatherer name listens. */
-    public String twin(int number) {
+    public String twinHost(int number) {
         return host(number, Role.TWIN);
     }
 
     /** Returns the address of a gatherer's discovery agent. */
-    public String discovery(int gatherer) {
+    public String discoveryHost(int gatherer) {
         return host(gatherer, Role.SHARD_SERVERS);
     }
 
@@ -126,14 +126,14 @@
      * Returns the address at which a gatherer reaches all shard servers. Each life of each server
      * has a port of its own.
      */
-    public String server(int gatherer) {
+    public String serversHost(int gatherer) {
         return host(gatherer, Role.SHARD_SERVERS);
     }
 
     /**
      * Returns the port of one life of a shard server.
      *
-     * @param server number of the server, below {@link Script#MOST_SERVERS}
+     * @param server number of the server, below {@link Script#MAX_SERVERS}
      * @param life how often the server has come back; a port is used again after {@code
      *     PORTS_PER_SERVER} lives
      */
--- a/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
+++ b/rig/src/main/java/sprucehold/rig/run/PeerRelays.java
@@ -65,10 +65,10 @@
                         shapedConnections,
                         gatherers.get(from),
                         other,
-                        addresses.gatherer(to),
-                        addresses.postPort());
+                        addresses.gathererHost(to),
+                        addresses.messagePort());
         datagrams.computeIfAbsent(other, none -> new ArrayList<>()).add(relay);
-        return relay.listen(addresses.others(from), addresses.othersPort(to));
+        return relay.listen(addresses.peersHost(from), addresses.peerPort(to));
     }
 
     private Future<?> streams(int from, int to) {
@@ -79,9 +79,9 @@
                         gatherers.get(from),
                         gatherers.get(to),
                         SocketAddress.inetSocketAddress(
-                                addresses.postPort(), addresses.gatherer(to)));
+                                addresses.messagePort(), addresses.gathererHost(to)));
         streams.add(relay);
-        return relay.listen(addresses.others(from), addresses.othersPort(to));
+        return relay.listen(addresses.peersHost(from), addresses.peerPort(to));
     }
 
     /**
@@ -89,16 +89,16 @@
      * it.
      */
     void flood(int gatherer, FaultSchedule.Change change) {
-        List<Flood> all = floods.computeIfAbsent(change.what(), none -> new ArrayList<>());
+        List<Flood> all = floods.computeIfAbsent(change.fault(), none -> new ArrayList<>());
         if (change.begins()) {
             List<DatagramRelay> relaysToGatherer = datagrams.get(gatherers.get(gatherer));
             all.add(
                     new Flood(
                             vertx,
                             shapedConnections,
-                            addresses.gatherer(gatherer),
-                            addresses.postPort(),
-                            change.what().fault().amount(),
+                            addresses.gathererHost(gatherer),
+                            addresses.messagePort(),
+                            change.fault().fault().amount(),
                             () ->
                                     relaysToGatherer.stream()
                                             .flatMap(relay -> relay.recent().stream())
--- a/rig/src/main/java/sprucehold/rig/run/Run.java
+++ b/rig/src/main/java/sprucehold/rig/run/Run.java
@@ -29,7 +29,7 @@
 import sprucehold.rig.list.AgentHost;
 import sprucehold.rig.list.ServerList;
 import sprucehold.rig.load.Clients;
-import sprucehold.rig.load.Front;
+import sprucehold.rig.load.SiteBalancer;
 import sprucehold.rig.plan.Addresses;
 import sprucehold.rig.plan.Plan;
 import sprucehold.rig.plan.Planner;
@@ -98,7 +98,7 @@
 
     private final PeerRelays relays;
     private final Map<String, Integer> openAttempts = new HashMap<>();
-    private final Front front;
+    private final SiteBalancer front;
     private final Clients clients;
     private final FaultSchedule faultSchedule;
     private final List<RunFolder.Span> spans = new ArrayList<>();
@@ -161,7 +161,7 @@
                         plan.gatherers().stream().map(Plan.Gatherer::name).toList());
         var siteOf = new HashMap<String, String>();
         plan.gatherers().forEach(gatherer -> siteOf.put(gatherer.name(), gatherer.site()));
-        this.front = new Front(siteOf, script.frontLearnsMs());
+        this.front = new SiteBalancer(siteOf, script.frontLearnsMs());
         this.clients =
                 new Clients(
                         vertx,
@@ -172,7 +172,8 @@
                         front,
                         name ->
                                 SocketAddress.inetSocketAddress(
-                                        addresses.gathererPort(), addresses.gatherer(number(name))),
+                                        addresses.gathererPort(),
+                                        addresses.gathererHost(number(name))),
                         killed::contains,
                         this::ended);
         this.faultSchedule = new FaultSchedule(plan.faults());
@@ -237,7 +238,7 @@
                     }
                     // A panic is never an expected effect of a fault. The decision and network code
                     // must survive any fault between processes.
-                    process.severe().forEach(line -> crashed.add(name + " logged: " + line));
+                    process.severeLines().forEach(line -> crashed.add(name + " logged: " + line));
                 });
         outcomes.sort(Comparator.comparingDouble(Outcome::plannedMs));
         return folder.write(
@@ -252,12 +253,12 @@
                                 cores,
                                 memory,
                                 gatherers.values().stream()
-                                        .mapToDouble(GathererProcess::cores)
+                                        .mapToDouble(GathererProcess::averageCores)
                                         .max()
                                         .orElse(0),
                                 servers.peakColdLoad()),
                         List.copyOf(crashed)),
-                ledger.inOrder());
+                ledger.sortedByTime());
     }
 
     private static double cpuMs() {
@@ -316,12 +317,12 @@
                             serverList,
                             gatherer.name(),
                             entry ->
-                                    addresses.server(number)
+                                    addresses.serversHost(number)
                                             + ":"
                                             + addresses.serverPort(
                                                     servers.number(entry.name()), entry.life()));
             agents.put(gatherer.name(), agent);
-            all.add(agent.listen(addresses.discovery(i), addresses.discoveryPort()));
+            all.add(agent.listen(addresses.discoveryHost(i), addresses.discoveryPort()));
             gatherers.put(
                     gatherer.name(),
                     new GathererProcess(
@@ -330,7 +331,7 @@
                             guardian,
                             gatherer.name(),
                             SocketAddress.inetSocketAddress(
-                                    addresses.gathererPort(), addresses.gatherer(i)),
+                                    addresses.gathererPort(), addresses.gathererHost(i)),
                             folder.file(gatherer.name() + ".log")));
             if (script.together() != null) {
                 all.add(relays.listen(i));
@@ -357,7 +358,7 @@
         int number = number(name);
         endedByRig.remove(name);
         GathererProcess process = gatherers.get(name);
-        return start(process, name, addresses.gatherer(number), number, clocks)
+        return start(process, name, addresses.gathererHost(number), number, clocks)
                 .onSuccess(
                         ready -> {
                             front.ready(name);
@@ -383,8 +384,8 @@
                             script,
                             gatherer,
                             at + ":" + addresses.gathererPort(),
-                            addresses.discovery(number) + ":" + addresses.discoveryPort(),
-                            agents.get(gatherer.name()).known()));
+                            addresses.discoveryHost(number) + ":" + addresses.discoveryPort(),
+                            agents.get(gatherer.name()).lastSent()));
             if (script.together() != null) {
                 Files.writeString(
                         folder.file(file + ".together.json"),
@@ -416,10 +417,10 @@
                         guardian,
                         twin,
                         SocketAddress.inetSocketAddress(
-                                addresses.gathererPort(), addresses.twin(number)),
+                                addresses.gathererPort(), addresses.twinHost(number)),
                         folder.file(twin + ".log"));
         twins.put(twin, process);
-        start(process, twin, addresses.twin(number), number, Plan.Clocks.RIGHT)
+        start(process, twin, addresses.twinHost(number), number, Plan.Clocks.EXACT)
                 .onFailure(
                         failure -> {
                             if (!ending) {
@@ -519,8 +520,8 @@
 
     private void changeOpenAttempts(String gatherer, int more) {
         int now = openAttempts.merge(gatherer, more, Integer::sum);
-        if (more > 0 && faultSchedule.counts() && firstMs > 0) {
-            faultSchedule.out(atS(), gatherer, now);
+        if (more > 0 && faultSchedule.needsOpenAttempts() && firstMs > 0) {
+            faultSchedule.recordOpenAttempts(atS(), gatherer, now);
         }
     }
 
@@ -528,12 +529,12 @@
 
     private void applyDueFaults() {
         if (faultSchedule.nextS() <= atS()) {
-            faultSchedule.at(atS()).forEach(this::apply);
+            faultSchedule.poll(atS()).forEach(this::apply);
         }
     }
 
     private void apply(FaultSchedule.Change change) {
-        Plan.TargetedFault fault = change.what();
+        Plan.TargetedFault fault = change.fault();
         progress.accept(
                 String.format(
                         Locale.ROOT,
@@ -571,14 +572,14 @@
 
     private void gatherer(String name, FaultSchedule.Change change) {
         GathererProcess process = gatherers.get(name);
-        Fault fault = change.what().fault();
+        Fault fault = change.fault().fault();
         boolean restarts = fault.forS() < Double.POSITIVE_INFINITY;
         switch (fault.kind()) {
             case KILL -> {
                 if (change.begins()) {
                     kill(name);
                 } else {
-                    startAgain(name, Plan.Clocks.RIGHT);
+                    startAgain(name, Plan.Clocks.EXACT);
                 }
             }
             case TERM -> {
@@ -594,7 +595,7 @@
                                                         Math.max(1, (long) (1000 * fault.forS())),
                                                         waited ->
                                                                 startAgain(
-                                                                        name, Plan.Clocks.RIGHT)));
+                                                                        name, Plan.Clocks.EXACT)));
                     }
                 }
             }
@@ -609,9 +610,9 @@
             case CLOCK_OFF, CLOCK_DRIFT, CLOCK_JUMP -> {
                 // A gatherer whose clock is wrong from the beginning was started that way.
                 if (change.begins() && atS() > 0.05) {
-                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.RIGHT.and(fault)));
+                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.EXACT.and(fault)));
                 } else if (!change.begins()) {
-                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.RIGHT));
+                    kill(name).onComplete(gone -> startAgain(name, Plan.Clocks.EXACT));
                 }
             }
             case TWIN -> twin(name, change.begins());
@@ -664,7 +665,7 @@
         overMs = now();
         progress.accept(progressLine());
         faultSchedule
-                .inForce()
+                .active()
                 .forEach(
                         fault -> {
                             if (fault.fault().kind().whom() == Fault.Whom.LINK) {
--- a/rig/src/main/java/sprucehold/rig/server/ServerHost.java
+++ b/rig/src/main/java/sprucehold/rig/server/ServerHost.java
@@ -90,14 +90,19 @@
         for (int i = 0; i < gatherers.size(); i++) {
             if (alive
                     && !listeners.containsKey(i)
-                    && shapedConnections.board().of(gatherers.get(i), server.name()).cut()
+                    && shapedConnections
+                                    .linkFaults()
+                                    .conditions(gatherers.get(i), server.name())
+                                    .cut()
                             != Fault.Mode.REFUSED) {
                 String gatherer = gatherers.get(i);
                 NetServer listener =
                         vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true))
                                 .connectHandler(socket -> accepted(socket, gatherer));
                 listeners.put(i, listener);
-                all.add(listener.listen(addresses.serverPort(number, life), addresses.server(i)));
+                all.add(
+                        listener.listen(
+                                addresses.serverPort(number, life), addresses.serversHost(i)));
             }
         }
         return Future.all(all).mapEmpty();
@@ -110,7 +115,10 @@
     public void linksChanged() {
         for (int i = 0; i < gatherers.size(); i++) {
             if (listeners.containsKey(i)
-                    && shapedConnections.board().of(gatherers.get(i), server.name()).cut()
+                    && shapedConnections
+                                    .linkFaults()
+                                    .conditions(gatherers.get(i), server.name())
+                                    .cut()
                             == Fault.Mode.REFUSED) {
                 listeners.remove(i).close();
             }
--- a/rig/src/main/java/sprucehold/rig/verdict/Judge.java
+++ b/rig/src/main/java/sprucehold/rig/verdict/VerdictBuilder.java
@@ -9,11 +9,11 @@
 import sprucehold.rig.script.Script;
 import sprucehold.standin.ledger.Seen;
 import sprucehold.standin.rules.RuleChecker;
-import sprucehold.standin.rules.RuleTerms;
+import sprucehold.standin.rules.RuleSettings;
 import sprucehold.standin.rules.Violation;
 
 /** Derives the verdict of a run from its ledgers. Pure: the same ledgers give the same verdict. */
-public final class Judge {
+public final class VerdictBuilder {
     /**
      * How late an answer may be, in milliseconds: the platform's 50 ms, plus the time that a
      * process waits for a core while processes share them.
@@ -48,17 +48,17 @@
 
     private static final double MAX_LATE_MS = 200;
 
-    private Judge() {}
+    private VerdictBuilder() {}
 
-    public static RuleTerms terms(Script script) {
-        return new RuleTerms(
+    public static RuleSettings terms(Script script) {
+        return new RuleSettings(
                 script.tableTypes().stream()
                         .map(Script.Kind::type)
                         .collect(Collectors.toMap(QueryClass::name, type -> type)),
                 script.budget(),
                 script.together() == null || script.together().further() == 0
                         ? null
-                        : new RuleTerms.FleetRetryBudget(
+                        : new RuleSettings.FleetRetryBudget(
                                 script.together().further(), script.together().furtherWindowMs()),
                 ANSWER_SLACK_MS,
                 DRAIN_GRACE_MS,
@@ -74,7 +74,7 @@
      *     answer
      * @param crashed descriptions of gatherers that ended by themselves
      */
-    public static Verdict judge(
+    public static Verdict evaluate(
             Script script,
             List<Seen> seen,
             double overMs,
--- a/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/anonymise/Anonymiser.java
@@ -93,10 +93,10 @@
      *
      * @param queries number of queries written
      * @param leftOut number of queries left out
-     * @param named number of tenants with a pseudonym of their own
+     * @param pseudonyms number of tenants with a pseudonym of their own
      * @param pooled number of queries written that show the pool instead of a pseudonym
      */
-    public record Written(long queries, long leftOut, int named, long pooled) {}
+    public record Written(long queries, long leftOut, int pseudonyms, long pooled) {}
 
     /** A query with its events and commands, and the id of its source. */
     private record RecordedQuery(CorrelatedQuery query, List<RecordedItem> items, String origin) {}
@@ -191,7 +191,7 @@
         var open = new LinkedHashMap<CorrelatedQuery, RecordedQuery>();
         var intervals = new TreeMap<Long, List<RecordedQuery>>();
         long writtenTo = Long.MIN_VALUE;
-        try (var writer = new TraceWriter(TraceRepair.create(to), header)) {
+        try (var writer = new TraceWriter(TraceRepair.createFile(to), header)) {
             long read = 0;
             TraceCursor cursor = reader.all();
             for (Entry entry = cursor.next(); entry != null; entry = cursor.next()) {
--- a/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/synthetic/SyntheticDay.java
@@ -171,7 +171,7 @@
                             localTime(BEGIN_MS),
                             deployment,
                             ClockFit.REFERENCE);
-            policy = factory.start(seed, deployment);
+            policy = factory.create(seed, deployment);
             coordinator = new QueryCoordinator(this, deployment);
         }
 
@@ -307,7 +307,7 @@
         }
     }
 
-    /** Returns the sources of the gatherers, in the order of the sinks of {@link #play}. */
+    /** Returns the sources of the gatherers, in the order of the sinks of {@link #run}. */
     public List<Source> sources() {
         return gatherers.stream().map(gatherer -> gatherer.source).toList();
     }
@@ -326,7 +326,7 @@
      * @param sinks one sink for each gatherer, in the order of {@link #sources}
      * @param progress receives the number of queries started so far, from time to time
      */
-    public void play(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
+    public void run(List<? extends Sink> sinks, IntConsumer progress) throws IOException {
         for (SimulatedGatherer gatherer : gatherers) {
             gatherer.sink = sinks.get(gatherer.number);
             List<EndpointUpdate> all = servers.stream().map(SimulatedServer::update).toList();
@@ -469,13 +469,13 @@
     /** Calls the coordinator of a gatherer and executes the commands that it returns. */
     private void execute(SimulatedGatherer gatherer, Supplier<Commands> coordinatorCall) {
         Commands commands = coordinatorCall.get();
-        for (Attempt attempt : commands.cancel()) {
+        for (Attempt attempt : commands.attemptsToCancel()) {
             InFlightAttempt pending = gatherer.inFlight.get(attempt);
             if (pending != null) {
                 pending.end(0.02, () -> new AttemptResult.Cancelled(WriteProgress.WRITTEN));
             }
         }
-        commands.send().forEach(attempt -> send(gatherer, attempt));
+        commands.attemptsToSend().forEach(attempt -> send(gatherer, attempt));
         commands.replies().forEach(reply -> handleReply(gatherer, reply));
         double next = commands.nextTickAtMs();
         if (next < Double.POSITIVE_INFINITY && next != gatherer.tickAt) {
--- a/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
+++ b/tracetools/src/test/java/sprucehold/tracetools/AnonymiserTest.java
@@ -235,14 +235,14 @@
         Path to = anonymise(KEY, "useful");
         try (TraceReader reader = TraceReader.open(to);
                 TraceReader original = TraceReader.open(file)) {
-            assertTrue(reader.verify().sound(), reader.verify().what());
+            assertTrue(reader.verify().valid(), reader.verify().problem());
             assertTrue(reader.header().anonymised() && !reader.header().lost().isEmpty());
             var after = new TraceSummary();
             after.add(reader, count -> {});
             var before = new TraceSummary();
             before.add(original, count -> {});
-            assertTrue(after.all().scans() > 0.9 * before.all().scans());
-            assertEquals(after.all().service(), before.all().service(), 0.01);
+            assertTrue(after.all().queries() > 0.9 * before.all().queries());
+            assertEquals(after.all().benefitRatio(), before.all().benefitRatio(), 0.01);
             assertEquals(after.all().percentileMs(50), before.all().percentileMs(50), 6);
             Event.QueryReceived first =
                     (Event.QueryReceived)
