--- a/change/src/test/java/sprucehold/change/HealthWatchTest.java
+++ b/change/src/test/java/sprucehold/change/HealthWatchTest.java
@@ -124,8 +124,7 @@
             {
                 "one tenant sends eight times as many queries, most of which fail",
                 scenario(
-                        (t, tenant) ->
-                                baseRate(tenant) * (t > 5 && tenant.equals("bolt") ? 8 : 1),
+                        (t, tenant) -> baseRate(tenant) * (t > 5 && tenant.equals("bolt") ? 8 : 1),
                         (t, tenant, queryClass) -> t > 5 && tenant.equals("bolt") ? 0.3 : 0.98)
             },
             {
--- a/cli/src/main/java/sprucehold/cli/AdminCall.java
+++ b/cli/src/main/java/sprucehold/cli/AdminCall.java
@@ -86,7 +86,8 @@
         var description = new StringBuilder("turned down");
         for (JsonNode fault : answer.path("faults")) {
             String path = fault.path("path").asText();
-            description.append("; ")
+            description
+                    .append("; ")
                     .append(path.isEmpty() ? "" : path + ": ")
                     .append(fault.path("what").asText())
                     .append(", ")
--- a/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
+++ b/cli/src/main/java/sprucehold/cli/TraceAnalysis.java
@@ -465,8 +465,7 @@
                     Path file = out.resolve(source.gatherer() + ".trace");
                     files.add(file);
                     writers.add(
-                            new TraceWriter(
-                                    TraceRepair.createFile(file), TraceHeader.of(source)));
+                            new TraceWriter(TraceRepair.createFile(file), TraceHeader.of(source)));
                 }
                 day.run(
                         writers.stream().map(writer -> (SyntheticDay.Sink) writer::add).toList(),
--- a/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/HeartbeatsToAll.java
@@ -35,7 +35,8 @@
     public List<Outgoing> tick(double nowMs) {
         now = nowMs;
         var out = new ArrayList<Outgoing>();
-        receivedAtMs.keySet()
+        receivedAtMs
+                .keySet()
                 .forEach(peer -> out.add(new Outgoing(peer, new MemberMessage.Ping(0, List.of()))));
         return out;
     }
--- a/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/MembershipSimulation.java
@@ -201,7 +201,8 @@
             if (!alive.contains(gone)) {
                 int other = Integer.parseInt(gone.substring(1));
                 if (hasFault(SimulatedFault.Kind.DEAD, other)) {
-                    detections.computeIfAbsent(other, none -> new TreeMap<>())
+                    detections
+                            .computeIfAbsent(other, none -> new TreeMap<>())
                             .merge(events.nowMs(), 1, Integer::sum);
                 } else if (!hasRecentFault(member) && !hasRecentFault(other)) {
                     falselyDead++;
--- a/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
+++ b/cluster/src/main/java/sprucehold/cluster/simulation/QuotaSimulation.java
@@ -190,8 +190,7 @@
                                                 }));
             } else if (fault.kind() == SimulatedFault.Kind.DEAD) {
                 events.schedule(
-                        fault.toMs(),
-                        () -> fault.members().forEach(id -> members.get(id).start()));
+                        fault.toMs(), () -> fault.members().forEach(id -> members.get(id).start()));
             }
         }
         events.runUntil(setting.lengthMs);
--- a/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
+++ b/cluster/src/test/java/sprucehold/cluster/QuotaSimulationTest.java
@@ -149,8 +149,7 @@
         // blocked. The busy members change at 10 and 15 s.
         for (int changeAtS : List.of(10, 15)) {
             double granted =
-                    QuotaSimulation.mean(
-                            lent.grantedShareBySecond(), changeAtS + 2, changeAtS + 5);
+                    QuotaSimulation.mean(lent.grantedShareBySecond(), changeAtS + 2, changeAtS + 5);
             assertTrue(
                     granted > 0.9,
                     "share granted two seconds after " + changeAtS + " s: " + granted);
--- a/core/src/main/java/sprucehold/policy/Timers.java
+++ b/core/src/main/java/sprucehold/policy/Timers.java
@@ -24,9 +24,7 @@
         timers.add(new Timer(dueMs, timersScheduled++, task));
     }
 
-    /**
-     * Runs all tasks whose time has been reached, including tasks that are scheduled meanwhile.
-     */
+    /** Runs all tasks whose time has been reached, including tasks that are scheduled meanwhile. */
     void runDue(double nowMs) {
         if (wakeUpAtMs <= nowMs) {
             wakeUpAtMs = Double.POSITIVE_INFINITY;
--- a/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
+++ b/core/src/test/java/sprucehold/deployment/DeploymentSettingsValidatorTest.java
@@ -24,7 +24,8 @@
         }
         return new ObjectMapper()
                 .readTree(
-                        VALID_SETTINGS.replaceFirst(
+                        VALID_SETTINGS
+                                .replaceFirst(
                                         java.util.regex.Pattern.quote(from),
                                         java.util.regex.Matcher.quoteReplacement(to))
                                 .replace('\'', '"'));
--- a/core/src/test/java/sprucehold/policy/HedgingTest.java
+++ b/core/src/test/java/sprucehold/policy/HedgingTest.java
@@ -14,9 +14,7 @@
 import sprucehold.decision.Event;
 import sprucehold.decision.QueryClass;
 
-/**
- * Tests when a late part gets a hedged request, and that a delayed timer marks no part as late.
- */
+/** Tests when a late part gets a hedged request, and that a delayed timer marks no part as late. */
 public class HedgingTest {
     @DataProvider
     Object[][] hedges() {
--- a/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
+++ b/gatherer/src/main/java/sprucehold/clients/ConnectionAdmission.java
@@ -45,7 +45,9 @@
     private boolean markedCloseScheduled;
     private long overflows;
 
-    /** @param lingerMs time limit for the client's close, in milliseconds */
+    /**
+     * @param lingerMs time limit for the client's close, in milliseconds
+     */
     ConnectionAdmission(
             Vertx vertx,
             ClientConnections<HttpConnection> connections,
--- a/gatherer/src/main/java/sprucehold/clients/QueryReader.java
+++ b/gatherer/src/main/java/sprucehold/clients/QueryReader.java
@@ -77,7 +77,9 @@
         }
     }
 
-    /** @param shards number of shards */
+    /**
+     * @param shards number of shards
+     */
     QueryReader(int shards) {
         this.shards = shards;
     }
--- a/gatherer/src/main/java/sprucehold/clients/StubClient.java
+++ b/gatherer/src/main/java/sprucehold/clients/StubClient.java
@@ -20,7 +20,9 @@
             new EmbeddedChannel(new StrictDecoder(new HttpServerOptions()));
     private final QueryReader reader;
 
-    /** @param shards number of shards */
+    /**
+     * @param shards number of shards
+     */
     public StubClient(int shards) {
         this.reader = new QueryReader(shards);
     }
--- a/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
+++ b/gatherer/src/main/java/sprucehold/clustering/ClusterMember.java
@@ -92,7 +92,8 @@
         }
         var sites = new TreeMap<String, String>();
         var addresses = new TreeMap<String, PeerMessagingSettings.Address>();
-        clusterConfig.members()
+        clusterConfig
+                .members()
                 .forEach(
                         (name, member) -> {
                             sites.put(name, member.site());
--- a/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
+++ b/gatherer/src/test/java/sprucehold/shards/ShardServersTest.java
@@ -527,8 +527,8 @@
     }
 
     @Test(dataProvider = "lateWrites")
-    public void writtenPartHasTheTimeLeftAtTheWrite(
-            double establishedAtMs, String expectedTimeLeft) throws Exception {
+    public void writtenPartHasTheTimeLeftAtTheWrite(double establishedAtMs, String expectedTimeLeft)
+            throws Exception {
         start(32, 1, (socket, bytes) -> {});
         sendAndConnectLate(attempts("s", 1, "text"), establishedAtMs, () -> {});
         String call = receivedByServer.poll(5, TimeUnit.SECONDS);
--- a/rig/src/main/java/sprucehold/rig/load/Clients.java
+++ b/rig/src/main/java/sprucehold/rig/load/Clients.java
@@ -138,9 +138,7 @@
         boolean sentAgain;
         long waitTimer = -1;
 
-        /**
-         * Time at which the query timeout ends, counted from the first selection of a gatherer.
-         */
+        /** Time at which the query timeout ends, counted from the first selection of a gatherer. */
         double timeoutAtMs;
 
         ClientQuery(Plan.PlannedQuery query, double sentLateMs) {
@@ -347,7 +345,8 @@
             sent++;
             String type = clientQuery.load.tableType();
             var parts = new StringBuilder();
-            clientQuery.query
+            clientQuery
+                    .query
                     .weights()
                     .forEach(
                             (segment, weight) ->
--- a/rig/src/main/java/sprucehold/rig/report/RunPage.java
+++ b/rig/src/main/java/sprucehold/rig/report/RunPage.java
@@ -109,8 +109,7 @@
         var rows = new LinkedHashMap<String, String>();
         rows.put("scans", String.valueOf(figures.scans()));
         rows.put("completed in target time", String.format(Locale.ROOT, "%.3f", figures.service()));
-        figures
-                .ends()
+        figures.ends()
                 .forEach(
                         (end, count) ->
                                 rows.put(
--- a/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
+++ b/rig/src/main/java/sprucehold/rig/run/ClientsOnlyRun.java
@@ -68,7 +68,11 @@
                                     (query, atMs, end, sentLateMs) ->
                                             outcomes.add(
                                                     Outcomes.of(
-                                                            script, query, firstMs, atMs, end,
+                                                            script,
+                                                            query,
+                                                            firstMs,
+                                                            atMs,
+                                                            end,
                                                             sentLateMs)));
                     var nextQuery = new int[1];
                     vertx.setPeriodic(
--- a/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
+++ b/rig/src/main/java/sprucehold/rig/run/MachineNeeds.java
@@ -80,9 +80,7 @@
                 gatherers * GATHERER_MB + RIG_MB + (long) (sockets * SOCKET_KB / 1024));
     }
 
-    /**
-     * Returns one line that names the resources that the machine lacks; empty if it has enough.
-     */
+    /** Returns one line that names the resources that the machine lacks; empty if it has enough. */
     Optional<String> lackingOn(Machine machine) {
         var lacking = new ArrayList<String>();
         if (descriptors > machine.descriptors) {
--- a/rig/src/test/java/sprucehold/rig/ScriptTest.java
+++ b/rig/src/test/java/sprucehold/rig/ScriptTest.java
@@ -55,11 +55,7 @@
     Object[][] invalidScripts() {
         return new Object[][] {
             {"not JSON", "{\n\"name\": }", "line 2: not JSON"},
-            {
-                "a duplicate name",
-                "{\"name\":\"a\",\"name\":\"b\"}",
-                "Duplicate field 'name'"
-            },
+            {"a duplicate name", "{\"name\":\"a\",\"name\":\"b\"}", "Duplicate field 'name'"},
             {"an unknown field", edit("\"lengthS\"", "\"length\" : 3,\n \"lengthS\""), "'length'"},
             {"an unknown kind", edit("\"list-silent\"", "\"deafness\""), "faults[0].kind"},
             {
--- a/rig/src/test/java/sprucehold/rig/run/MachineNeedsTest.java
+++ b/rig/src/test/java/sprucehold/rig/run/MachineNeedsTest.java
@@ -33,8 +33,7 @@
     }
 
     @Test
-    public void needsCountAListenerAndAConnectionForEachServerAndGatherer()
-            throws IOException {
+    public void needsCountAListenerAndAConnectionForEachServerAndGatherer() throws IOException {
         MachineNeeds needs = MachineNeeds.of(large());
         assertTrue(needs.descriptors() >= 2 * 120 * 300, needs.toString());
         assertTrue(needs.memoryMb() >= 120 * 90, needs.toString());
--- a/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
+++ b/tracetools/src/main/java/sprucehold/tracetools/summary/TraceSummary.java
@@ -98,7 +98,8 @@
     private void add(QueryStatistics statistics, TraceReader reader) {
         var source = reader.header().sources().get(statistics.query().source());
         all.add(statistics);
-        byQueryClass.computeIfAbsent(
+        byQueryClass
+                .computeIfAbsent(
                         statistics.query().received().queryClass().name(), name -> new QueryGroup())
                 .add(statistics);
         group(byTenant, statistics.tenant(), QueryGroup::new).add(statistics);
