--- a/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
+++ b/cli/src/test/java/sprucehold/cli/TraceCommandTest.java
@@ -99,7 +99,7 @@
             {"export DIR/g0.trace --csv -o DIR/g0.csv", 0, "scans in"},
             {"export DIR/g0.trace --jsonl -o DIR/g0.jsonl", 0, "records in"},
             {"export DIR/g0.trace", 2, "--csv"},
-            {"synthesise --gatherers 0 -o DIR/z", 1, "from 1"},
+            {"synthesise --gatherers 0 -o DIR/z", 1, "1 gatherer"},
             {"what", 2, "what"},
         };
     }
